--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -1,4 +1,4 @@
-//! What the two processes tell each other: frames of a length (u32, little-endian) and a payload in postcard's form.
+//! The frames that the two processes exchange: a length (u32, little-endian) and a payload encoded with postcard.
 
 use bytes::{Buf, BytesMut};
 use embershore_protocol::resp::{Put, Reply};
@@ -6,111 +6,118 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The form of the frames and of what is handed over. Processes of different versions do not hand over to each other:
-/// the newcomer waits until the owner has ended.
+/// The version of the frames and of the state that is handed over. Processes of different versions do not hand over to
+/// each other: the successor waits until the owner has exited.
 pub const VERSION: u16 = 3;
-/// Bytes of a frame at most. The longest tells what is known of each endpoint, some 500 bytes, and a body of 64 KiB.
-pub const FRAME_MOST: usize = 4 << 20;
+/// The maximum length of a frame's payload in bytes. The longest frame carries the state of every endpoint, about 500
+/// bytes each, and a body of 64 KiB.
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// What the journal does not tell.
+/// The state of the owner that is not in the journal.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     /// The number that the next message would have had.
     pub next_message: u64,
     /// The number that the next call would have had.
     pub next_call: u64,
-    /// The sender has been told to empty itself.
+    /// The sender is in lame-duck mode: it drains and accepts no new messages.
     pub lame_duck: bool,
-    /// Attempts of each message that is held, also those that came to nothing before their first byte.
+    /// The number of attempts of each pending message, including those that failed before their first byte was sent.
     pub attempts: Vec<(MsgId, u32)>,
-    /// The names of the endpoints that bear numbers in `learnt` and `out`.
+    /// The names of the endpoints that `inherited` and `in_flight` refer to by number.
     pub names: Vec<(EndpointId, String)>,
-    /// What the module has learnt.
-    pub learnt: Learnt,
-    /// The calls that are out.
-    pub out: Vec<OutCall>,
-    /// Which call each message is in that is held and has one out.
+    /// What the decision module has measured of destinations, lanes and endpoints.
+    #[serde(rename = "learnt")]
+    pub inherited: Learnt,
+    /// The calls in flight.
+    #[serde(rename = "out")]
+    pub in_flight: Vec<OutCall>,
+    /// The call that carries each pending message that has one in flight.
     pub calls: Vec<(MsgId, u64)>,
 }
 
-/// How a message fared in a call.
+/// The outcome of a call for one of its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fate {
+pub struct MessageOutcome {
     /// The message.
     pub id: MsgId,
-    /// Which attempt it was, from 0.
+    /// The number of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Nothing more is owed.
-    pub over: bool,
+    /// The message needs no further attempt.
+    #[serde(rename = "over")]
+    pub last: bool,
 }
 
-/// What one process tells the other.
+/// A message from one process to the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Either: the version it speaks. Stands first, and its form never changes.
+    /// Sent by both sides, first on every connection. Its encoding never changes, so that any two versions can compare.
     Hello {
-        /// See [`VERSION`].
+        /// The sending process's [`VERSION`].
         version: u16,
     },
-    /// Newcomer: it has done all that can be done without the journal.
+    /// Successor: requests the journal. It has done everything that can be done without the journal.
     Take,
-    /// Owner: nothing can be handed over now.
+    /// Owner: declines the request; nothing can be handed over now.
     Later,
-    /// Owner: the journal is complete and the lock is free.
+    /// Owner: the journal is complete and the lock is released.
     State(Box<State>),
-    /// Newcomer: it has the lock.
+    /// Successor: it has acquired the lock.
     Taken,
-    /// Owner, once it is none: a client has handed in a message.
+    /// Owner, after it has handed over: a client has sent it a message.
     Put {
-        /// By which its reply is told apart.
+        /// Matches the reply to this message.
         number: u64,
         /// The message.
         put: Put,
     },
-    /// Newcomer: what the client is to be told.
+    /// Successor: the reply to the client's message.
     Reply {
-        /// As in [`Frame::Put`].
+        /// The number of the [`Frame::Put`] that this answers.
         number: u64,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// Owner, once it is none: a call of its has ended.
+    /// Owner, after it has handed over: one of its calls has ended.
     Ended {
-        /// The call.
+        /// The number of the call.
         call: u64,
-        /// How each of its messages fared.
-        fates: Vec<Fate>,
-        /// Time from its start to its end.
+        /// The outcome for each of its messages.
+        #[serde(rename = "fates")]
+        outcomes: Vec<MessageOutcome>,
+        /// The time from the start of the call to its end.
         elapsed: Micros,
-        /// The wait that its answer told, 0 if none.
+        /// The wait that the response advertised, 0 if none.
         wait: Micros,
-        /// The report that its answer carried.
+        /// The load report that the response carried.
         report: Option<Report>,
     },
-    /// Newcomer: the call is to be given up.
+    /// Successor: asks the owner to cancel one of its calls.
     Cancel {
-        /// The call.
+        /// The number of the call.
         call: u64,
     },
 }
 
-/// What can't be read as a frame; nothing that follows can be.
+/// A frame that can't be encoded or decoded. Nothing after it on the same connection can be decoded either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// Its length is beyond [`FRAME_MOST`].
+    /// The payload, of this many bytes, is longer than [`MAX_FRAME_BYTES`].
     TooLong(usize),
-    /// Its payload is no frame.
-    Unreadable,
+    /// The payload is not a valid frame.
+    Malformed,
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameError::TooLong(n) => write!(f, "a frame of {n} bytes, {FRAME_MOST} at most"),
-            FrameError::Unreadable => {
-                write!(f, "a frame that can't be read: another program, or another version")
+            FrameError::TooLong(length) => {
+                write!(f, "handover frame of {length} bytes exceeds the maximum of {MAX_FRAME_BYTES}")
+            }
+            FrameError::Malformed => {
+                write!(f, "malformed handover frame: the other process is another program or version")
             }
         }
     }
@@ -118,43 +125,44 @@
 
 impl std::error::Error for FrameError {}
 
-/// The bytes of a frame.
+/// Encodes a frame, including its length.
 ///
 /// # Errors
-/// When it is longer than a frame may be.
+/// When the payload is longer than [`MAX_FRAME_BYTES`].
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, FrameError> {
-    let mut bytes = postcard::to_extend(frame, vec![0; 4]).map_err(|_| FrameError::Unreadable)?;
+    let mut bytes = postcard::to_extend(frame, vec![0; 4]).map_err(|_| FrameError::Malformed)?;
     let length = bytes.len() - 4;
-    if length > FRAME_MOST {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(length));
     }
     bytes[..4].copy_from_slice(&(length as u32).to_le_bytes());
     Ok(bytes)
 }
 
-/// Reads frames from bytes as they come.
+/// Decodes frames from a stream of bytes.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    /// What has been read and not understood yet.
+    /// Bytes that have been read but not decoded yet.
     pub buf: BytesMut,
 }
 
 impl Decoder {
-    /// The next whole frame, if there is one.
+    /// Returns the next complete frame, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// Says what is wrong as soon as it shows; nothing is stored for a length that is too long.
+    /// When the frame is too long or malformed. An excessive length is rejected as soon as it is read, so that no
+    /// memory is reserved for the payload.
     pub fn decode(&mut self) -> Result<Option<Frame>, FrameError> {
         let Some(length) = self.buf.first_chunk::<4>().map(|b| u32::from_le_bytes(*b) as usize) else {
             return Ok(None);
         };
-        if length > FRAME_MOST {
+        if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong(length));
         }
         let Some(payload) = self.buf.get(4..4 + length) else { return Ok(None) };
-        let (frame, rest) = postcard::take_from_bytes(payload).map_err(|_| FrameError::Unreadable)?;
+        let (frame, rest) = postcard::take_from_bytes(payload).map_err(|_| FrameError::Malformed)?;
         if !rest.is_empty() {
-            return Err(FrameError::Unreadable);
+            return Err(FrameError::Malformed);
         }
         self.buf.advance(4 + length);
         Ok(Some(frame))
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,22 +1,23 @@
 //! # embershore-handover
 //!
-//! A sender's process is replaced by another while it serves. Both run for a while, and are one sender: the journal
-//! has one writer at any time, a message is held by one of them, and a call that is out stays with the process that made
-//! it until its outcome, of which the other hears.
+//! Replaces a sender's process by another one without interrupting service. Both processes run for a while and act as
+//! one sender: the journal has one writer at any time, one of the two is responsible for each message, and a call in
+//! flight stays with the process that made it until its outcome, which that process reports to the other.
 //!
-//! Who holds the lock on the journal's folder owns the journal; nothing else decides it. The process that does is the
-//! *owner*, the one that asks for it the *newcomer*. [`Owner`] and [`Newcomer`] say what each does next, [`Frame`] is
-//! what they tell each other, and [`Decoder`] reads it. None of them does any I/O.
+//! The process that holds the lock on the journal's folder owns the journal; nothing else decides it. That process is
+//! the *owner*, and the one that requests the journal is the *successor*. [`Owner`] and [`Successor`] are the state
+//! machines of the two sides, [`Frame`] is the message format between them, and [`Decoder`] reads it. None of them does
+//! any I/O.
 //!
 //! ```text
-//! newcomer                         owner
+//! successor                        owner
 //!   Hello ------------------------->
 //!   <------------------------- Hello
-//!   Take  ------------------------->   finishes what it has read, writes its last record, gives the lock free
+//!   Take  ------------------------->   finishes pending work, writes its last record, releases the lock
 //!   <------------------------- State
-//!   takes the lock
-//!   Taken ------------------------->   writes no more
-//!   <------------ Put, Ended ...       messages that still come to it; outcomes of its calls
+//!   acquires the lock
+//!   Taken ------------------------->   writes nothing more
+//!   <------------ Put, Ended ...       messages that clients still send to it; outcomes of its calls
 //!   Reply, Cancel ... ------------->
 //! ```
 
@@ -24,9 +25,9 @@
 #![forbid(unsafe_code)]
 
 mod frame;
-mod newcomer;
 mod owner;
+mod successor;
 
-pub use frame::{Decoder, FRAME_MOST, Fate, Frame, FrameError, State, VERSION, encode};
-pub use newcomer::{Newcomer, NewcomerDo, NewcomerEvent};
-pub use owner::{Owner, OwnerDo, OwnerEvent};
+pub use frame::{Decoder, Frame, FrameError, MAX_FRAME_BYTES, MessageOutcome, State, VERSION, encode};
+pub use owner::{Owner, OwnerAction, OwnerEvent};
+pub use successor::{Successor, SuccessorAction, SuccessorEvent};
--- a/crates/handover/src/owner.rs
+++ b/crates/handover/src/owner.rs
@@ -1,91 +1,100 @@
-//! The side that owns the journal, and gives it away.
+//! The side that owns the journal and hands it over.
 
 use crate::frame::{Frame, VERSION};
 
-/// How far a newcomer has come with this owner. One at a time is let in.
+/// The progress of a handover to one successor. An owner deals with one successor at a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Owner {
-    /// Nothing is known of it.
+    /// The successor has connected but has not sent Hello.
     #[default]
-    Greeting,
-    /// It speaks the same version.
-    Agreed,
-    /// It has asked; the owner is finishing what it has in hand.
-    Asked,
-    /// It has been told the state, and the lock is free.
-    Given,
-    /// The same, and it has gone without a word.
-    Forsaken,
-    /// It has the journal. There is no way back.
-    Former,
-    /// It is of no account any more; the owner serves on.
-    Over,
+    AwaitingHello,
+    /// The successor has the same version.
+    VersionAgreed,
+    /// The successor has requested the journal; the owner is finishing pending work.
+    Finishing,
+    /// The lock is released and the state has been sent.
+    Released,
+    /// The lock is released, and the successor has disconnected without saying whether it has taken the lock.
+    SuccessorLost,
+    /// The successor owns the journal. There is no way back.
+    Retired,
+    /// The handover has failed; the owner keeps serving.
+    Aborted,
 }
 
-/// What happens to an owner.
+/// An input of [`Owner`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OwnerEvent<'a> {
-    /// The newcomer says something.
-    Heard(&'a Frame),
-    /// All in hand is finished, the state is told and the lock is free.
-    Gave,
-    /// The newcomer has been silent for as long as it is waited for.
-    Late,
-    /// The link to the newcomer has ended.
-    Gone,
-    /// Whether the lock could be had again, once the owner had been told to try.
+    /// A frame from the successor.
+    Received(&'a Frame),
+    /// Pending work is finished, the lock is released and the state has been sent.
+    Released,
+    /// The successor has not answered in time.
+    TimedOut,
+    /// The connection to the successor has ended.
+    Disconnected,
+    /// An attempt to reclaim the lock, as requested by [`OwnerAction::Reclaim`]; true if it succeeded.
     Reclaimed(bool),
 }
 
 /// What the owner does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnerDo {
-    /// It waits.
+pub enum OwnerAction {
+    /// Waits for the successor's next frame.
     Wait,
-    /// It greets.
-    Greet,
-    /// It finishes what it has in hand, gives the lock free and tells the state.
-    Give,
-    /// It tries to have the lock again. If it can't, another process has it.
+    /// Sends Hello.
+    SendHello,
+    /// Finishes pending work, releases the lock and sends the state.
+    Release,
+    /// Tries to acquire the lock again. If this fails, another process has it.
     Reclaim,
-    /// It serves on, as if nobody had come.
-    ServeOn,
-    /// It owns nothing any more: it passes on what comes to it and ends with its last call.
+    /// Keeps serving as if no successor had connected.
+    KeepServing,
+    /// Stops owning the journal: it forwards what still arrives and exits after its last call.
     Retire,
-    /// It passes this on: a reply, or a call to give up.
-    Carry,
+    /// Processes the received frame: a reply for a client, or a call to cancel.
+    Forward,
 }
 
 impl Owner {
-    /// What follows from an event.
-    pub fn on(&mut self, event: OwnerEvent<'_>) -> OwnerDo {
-        use OwnerEvent::{Gave, Gone, Heard, Late, Reclaimed};
-        let (next, then) = match (*self, event) {
-            (Owner::Greeting, Heard(Frame::Hello { version: VERSION })) => (Owner::Agreed, OwnerDo::Greet),
-            (Owner::Agreed, Heard(Frame::Take)) => (Owner::Asked, OwnerDo::Give),
-            (Owner::Asked, Gave) => (Owner::Given, OwnerDo::Wait),
-            // Only the lock tells whether it has the journal: a word that comes late, or never, does not.
-            (Owner::Given, Heard(Frame::Taken)) => (Owner::Former, OwnerDo::Retire),
-            (Owner::Given, Heard(_) | Late) => (Owner::Given, OwnerDo::Reclaim),
-            (Owner::Given | Owner::Forsaken, Gone) => (Owner::Forsaken, OwnerDo::Reclaim),
-            (Owner::Given | Owner::Forsaken, Reclaimed(true)) => (Owner::Over, OwnerDo::ServeOn),
-            // No one is left who would say so, and the journal is another's: to wait on would be to serve no one.
-            (Owner::Forsaken, Reclaimed(false)) => (Owner::Former, OwnerDo::Retire),
-            (Owner::Given, Gave | Reclaimed(false)) => (Owner::Given, OwnerDo::Wait),
-            (Owner::Former, Heard(Frame::Reply { .. } | Frame::Cancel { .. })) => {
-                (Owner::Former, OwnerDo::Carry)
+    /// Handles an event and returns the next action.
+    pub fn on(&mut self, event: OwnerEvent<'_>) -> OwnerAction {
+        use OwnerEvent::{Disconnected, Received, Reclaimed, Released, TimedOut};
+        let (next, action) = match (*self, event) {
+            (Owner::AwaitingHello, Received(Frame::Hello { version: VERSION })) => {
+                (Owner::VersionAgreed, OwnerAction::SendHello)
+            }
+            (Owner::VersionAgreed, Received(Frame::Take)) => (Owner::Finishing, OwnerAction::Release),
+            (Owner::Finishing, Released) => (Owner::Released, OwnerAction::Wait),
+            // Only the lock shows who owns the journal: the Taken frame may be late or never arrive.
+            (Owner::Released, Received(Frame::Taken)) => (Owner::Retired, OwnerAction::Retire),
+            (Owner::Released, Received(_) | TimedOut) => (Owner::Released, OwnerAction::Reclaim),
+            (Owner::Released | Owner::SuccessorLost, Disconnected) => {
+                (Owner::SuccessorLost, OwnerAction::Reclaim)
+            }
+            (Owner::Released | Owner::SuccessorLost, Reclaimed(true)) => {
+                (Owner::Aborted, OwnerAction::KeepServing)
+            }
+            // Another process owns the journal, and no connection is left on which it could say so. Waiting any longer
+            // would serve no client.
+            (Owner::SuccessorLost, Reclaimed(false)) => (Owner::Retired, OwnerAction::Retire),
+            (Owner::Released, Released | Reclaimed(false)) => (Owner::Released, OwnerAction::Wait),
+            (Owner::Retired, Received(Frame::Reply { .. } | Frame::Cancel { .. })) => {
+                (Owner::Retired, OwnerAction::Forward)
+            }
+            (Owner::SuccessorLost, _) => (Owner::SuccessorLost, OwnerAction::Reclaim),
+            (Owner::Retired, _) => (Owner::Retired, OwnerAction::Wait),
+            (Owner::Aborted, _) => (Owner::Aborted, OwnerAction::KeepServing),
+            (Owner::AwaitingHello | Owner::VersionAgreed | Owner::Finishing, _) => {
+                (Owner::Aborted, OwnerAction::KeepServing)
             }
-            (Owner::Forsaken, _) => (Owner::Forsaken, OwnerDo::Reclaim),
-            (Owner::Former, _) => (Owner::Former, OwnerDo::Wait),
-            (Owner::Over, _) => (Owner::Over, OwnerDo::ServeOn),
-            (Owner::Greeting | Owner::Agreed | Owner::Asked, _) => (Owner::Over, OwnerDo::ServeOn),
         };
         *self = next;
-        then
+        action
     }
 
-    /// Whether this process may write to the journal.
+    /// Returns whether this process may write to the journal.
     pub fn owns(self) -> bool {
-        !matches!(self, Owner::Given | Owner::Forsaken | Owner::Former)
+        !matches!(self, Owner::Released | Owner::SuccessorLost | Owner::Retired)
     }
 }
--- /dev/null
+++ b/crates/handover/src/successor.rs
@@ -0,0 +1,77 @@
+//! The side that requests the journal.
+
+use crate::frame::{Frame, VERSION};
+
+/// The progress of this process towards owning the journal.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Successor {
+    /// It does not know whether another process owns the journal.
+    #[default]
+    Searching,
+    /// Another process owns the journal; it has sent Hello.
+    Connecting,
+    /// It has requested the journal.
+    Requested,
+    /// It has received the owner's state; the lock is released.
+    StateReceived,
+    /// It owns the journal.
+    Owning,
+}
+
+/// An input of [`Successor`].
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum SuccessorEvent<'a> {
+    /// An attempt to acquire the lock; true if it succeeded.
+    LockTried(bool),
+    /// A frame from the owner.
+    Received(&'a Frame),
+    /// The owner can't be reached, has closed the connection, or has not answered in time.
+    OwnerLost,
+}
+
+/// What the successor does next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SuccessorAction {
+    /// Waits for the owner's next frame.
+    Wait,
+    /// Tries to acquire the lock at once.
+    TryLock,
+    /// Drops the connection, pauses, and tries to acquire the lock.
+    RetryLater,
+    /// Connects to the owner and sends Hello.
+    Connect,
+    /// Requests the journal.
+    RequestJournal,
+    /// Starts as the owner, without a predecessor's state: it is the first process of this sender, or its predecessor
+    /// has exited.
+    Start,
+    /// Starts as the owner with the predecessor's state, and tells the predecessor that it has the lock.
+    Resume,
+}
+
+impl Successor {
+    /// Handles an event and returns the next action.
+    pub fn on(&mut self, event: SuccessorEvent<'_>) -> SuccessorAction {
+        use SuccessorEvent::{LockTried, OwnerLost, Received};
+        let (next, action) = match (*self, event) {
+            (Successor::Searching, LockTried(true)) => (Successor::Owning, SuccessorAction::Start),
+            (Successor::Searching, LockTried(false)) => (Successor::Connecting, SuccessorAction::Connect),
+            (Successor::Connecting, Received(Frame::Hello { version: VERSION })) => {
+                (Successor::Requested, SuccessorAction::RequestJournal)
+            }
+            (Successor::Requested, Received(Frame::State(_))) => {
+                (Successor::StateReceived, SuccessorAction::TryLock)
+            }
+            (Successor::StateReceived, LockTried(true)) => (Successor::Owning, SuccessorAction::Resume),
+            // The owner may have died after it sent its state: the lock is free all the same.
+            (Successor::StateReceived, OwnerLost | Received(_)) => {
+                (Successor::StateReceived, SuccessorAction::TryLock)
+            }
+            (Successor::Owning, _) => (Successor::Owning, SuccessorAction::Wait),
+            // Starts over in all other cases: a state received so far will be out of date at the next try.
+            _ => (Successor::Searching, SuccessorAction::RetryLater),
+        };
+        *self = next;
+        action
+    }
+}
--- a/crates/handover/tests/handover.rs
+++ b/crates/handover/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Both sides and the lock between them: whatever is lost, late or out of turn, at most one of them owns the journal,
-//! and once all is well again one of them does.
+//! Both state machines and the lock between them: at most one side owns the journal, whichever frames are lost, late or
+//! out of order, and one of them owns it once the faults have ended.
 
 use embershore_handover::*;
 use heronroute::{MsgId, Outcome};
@@ -8,86 +8,86 @@
 const HELLO: Frame = Frame::Hello { version: VERSION };
 
 #[test]
-fn each_step_of_a_replacement_that_goes_well() {
-    let (mut owner, mut newcomer) = (Owner::default(), Newcomer::default());
-    assert_eq!(newcomer.on(NewcomerEvent::Lock(false)), NewcomerDo::Greet);
-    assert_eq!(owner.on(OwnerEvent::Heard(&HELLO)), OwnerDo::Greet);
-    assert_eq!(newcomer.on(NewcomerEvent::Heard(&HELLO)), NewcomerDo::Ask);
-    assert_eq!(owner.on(OwnerEvent::Heard(&Frame::Take)), OwnerDo::Give);
+fn each_step_of_a_successful_handover() {
+    let (mut owner, mut successor) = (Owner::default(), Successor::default());
+    assert_eq!(successor.on(SuccessorEvent::LockTried(false)), SuccessorAction::Connect);
+    assert_eq!(owner.on(OwnerEvent::Received(&HELLO)), OwnerAction::SendHello);
+    assert_eq!(successor.on(SuccessorEvent::Received(&HELLO)), SuccessorAction::RequestJournal);
+    assert_eq!(owner.on(OwnerEvent::Received(&Frame::Take)), OwnerAction::Release);
     assert!(owner.owns());
-    assert_eq!(owner.on(OwnerEvent::Gave), OwnerDo::Wait);
+    assert_eq!(owner.on(OwnerEvent::Released), OwnerAction::Wait);
     assert!(!owner.owns());
     let state = Frame::State(Box::default());
-    assert_eq!(newcomer.on(NewcomerEvent::Heard(&state)), NewcomerDo::TryLock);
-    assert_eq!(newcomer.on(NewcomerEvent::Lock(true)), NewcomerDo::GoOn);
-    assert_eq!(owner.on(OwnerEvent::Heard(&Frame::Taken)), OwnerDo::Retire);
-    assert_eq!(owner.on(OwnerEvent::Heard(&Frame::Cancel { call: 1 })), OwnerDo::Carry);
+    assert_eq!(successor.on(SuccessorEvent::Received(&state)), SuccessorAction::TryLock);
+    assert_eq!(successor.on(SuccessorEvent::LockTried(true)), SuccessorAction::Resume);
+    assert_eq!(owner.on(OwnerEvent::Received(&Frame::Taken)), OwnerAction::Retire);
+    assert_eq!(owner.on(OwnerEvent::Received(&Frame::Cancel { call: 1 })), OwnerAction::Forward);
     assert!(!owner.owns());
 }
 
 #[test]
-fn a_newcomer_of_another_version_gets_nothing() {
+fn a_successor_of_another_version_is_refused() {
     let mut owner = Owner::default();
     let other = Frame::Hello { version: VERSION + 1 };
-    assert_eq!(owner.on(OwnerEvent::Heard(&other)), OwnerDo::ServeOn);
-    assert_eq!(owner.on(OwnerEvent::Heard(&Frame::Take)), OwnerDo::ServeOn);
+    assert_eq!(owner.on(OwnerEvent::Received(&other)), OwnerAction::KeepServing);
+    assert_eq!(owner.on(OwnerEvent::Received(&Frame::Take)), OwnerAction::KeepServing);
     assert!(owner.owns());
-    let mut newcomer = Newcomer::default();
-    newcomer.on(NewcomerEvent::Lock(false));
-    assert_eq!(newcomer.on(NewcomerEvent::Heard(&other)), NewcomerDo::Pause);
-    // Once that owner has ended, it starts by itself.
-    assert_eq!(newcomer.on(NewcomerEvent::Lock(true)), NewcomerDo::Start);
+    let mut successor = Successor::default();
+    successor.on(SuccessorEvent::LockTried(false));
+    assert_eq!(successor.on(SuccessorEvent::Received(&other)), SuccessorAction::RetryLater);
+    // Once the owner has exited, the successor starts without its state.
+    assert_eq!(successor.on(SuccessorEvent::LockTried(true)), SuccessorAction::Start);
 }
 
 #[test]
-fn a_newcomer_lost_at_any_step_leaves_the_owner_serving() {
+fn the_owner_keeps_serving_if_the_successor_is_lost_at_any_step() {
     for steps in 0..=3 {
         let mut owner = Owner::default();
-        let events = [OwnerEvent::Heard(&HELLO), OwnerEvent::Heard(&Frame::Take), OwnerEvent::Gave];
+        let events = [OwnerEvent::Received(&HELLO), OwnerEvent::Received(&Frame::Take), OwnerEvent::Released];
         events[..steps].iter().for_each(|e| _ = owner.on(*e));
-        let then = owner.on(OwnerEvent::Late);
+        let action = owner.on(OwnerEvent::TimedOut);
         if steps < 3 {
-            assert_eq!(then, OwnerDo::ServeOn, "lost after {steps} steps");
+            assert_eq!(action, OwnerAction::KeepServing, "lost after {steps} steps");
         } else {
-            assert_eq!(then, OwnerDo::Reclaim);
+            assert_eq!(action, OwnerAction::Reclaim);
             assert!(!owner.owns());
-            // It has the lock after all: the owner must not write until it is free.
-            assert_eq!(owner.on(OwnerEvent::Reclaimed(false)), OwnerDo::Wait);
+            // The successor does hold the lock: the owner must not write until the lock is free.
+            assert_eq!(owner.on(OwnerEvent::Reclaimed(false)), OwnerAction::Wait);
             assert!(!owner.owns());
-            assert_eq!(owner.on(OwnerEvent::Late), OwnerDo::Reclaim);
-            assert_eq!(owner.on(OwnerEvent::Reclaimed(true)), OwnerDo::ServeOn);
+            assert_eq!(owner.on(OwnerEvent::TimedOut), OwnerAction::Reclaim);
+            assert_eq!(owner.on(OwnerEvent::Reclaimed(true)), OwnerAction::KeepServing);
         }
         assert!(owner.owns());
     }
 }
 
 #[test]
-fn an_owner_whose_newcomer_has_gone_serves_on_or_leaves_but_never_stays_between() {
+fn an_owner_whose_successor_disconnects_either_serves_or_retires() {
     for free in [true, false] {
-        let mut owner = Owner::Given;
-        assert_eq!(owner.on(OwnerEvent::Gone), OwnerDo::Reclaim);
+        let mut owner = Owner::Released;
+        assert_eq!(owner.on(OwnerEvent::Disconnected), OwnerAction::Reclaim);
         assert!(!owner.owns());
-        let then = owner.on(OwnerEvent::Reclaimed(free));
-        assert_eq!(then, if free { OwnerDo::ServeOn } else { OwnerDo::Retire });
+        let action = owner.on(OwnerEvent::Reclaimed(free));
+        assert_eq!(action, if free { OwnerAction::KeepServing } else { OwnerAction::Retire });
         assert_eq!(owner.owns(), free);
     }
 }
 
 #[test]
-fn a_newcomer_that_was_slow_to_take_the_lock_asks_again() {
-    let mut newcomer = Newcomer::Holding;
-    assert_eq!(newcomer.on(NewcomerEvent::Lock(false)), NewcomerDo::Pause);
-    assert_eq!(newcomer, Newcomer::Looking);
-    // An owner that dies after it has told the state leaves the lock free.
-    let mut newcomer = Newcomer::Holding;
-    assert_eq!(newcomer.on(NewcomerEvent::Lost), NewcomerDo::TryLock);
-    assert_eq!(newcomer.on(NewcomerEvent::Lock(true)), NewcomerDo::GoOn);
+fn a_successor_that_is_too_slow_to_take_the_lock_starts_over() {
+    let mut successor = Successor::StateReceived;
+    assert_eq!(successor.on(SuccessorEvent::LockTried(false)), SuccessorAction::RetryLater);
+    assert_eq!(successor, Successor::Searching);
+    // An owner that dies after it has sent its state leaves the lock free.
+    let mut successor = Successor::StateReceived;
+    assert_eq!(successor.on(SuccessorEvent::OwnerLost), SuccessorAction::TryLock);
+    assert_eq!(successor.on(SuccessorEvent::LockTried(true)), SuccessorAction::Resume);
 }
 
 #[test]
-fn frames_are_read_however_they_are_cut() {
-    let fate = Fate { id: MsgId(7), attempt: 2, outcome: Outcome::Reset, over: false };
-    let ended = Frame::Ended { call: 9, fates: vec![fate], elapsed: 5, wait: 250_000, report: None };
+fn frames_are_decoded_from_pieces_of_any_size() {
+    let outcome = MessageOutcome { id: MsgId(7), attempt: 2, outcome: Outcome::Reset, last: false };
+    let ended = Frame::Ended { call: 9, outcomes: vec![outcome], elapsed: 5, wait: 250_000, report: None };
     let frames = [HELLO, Frame::Take, ended, Frame::State(Box::default())];
     let bytes: Vec<u8> = frames.iter().flat_map(|f| encode(f).unwrap()).collect();
     for piece in 1..bytes.len() {
@@ -104,41 +104,41 @@
 }
 
 #[test]
-fn what_is_no_frame_is_an_error() {
+fn overlong_and_malformed_frames_are_errors() {
     let mut long = Decoder::default();
-    long.buf.extend_from_slice(&(FRAME_MOST as u32 + 1).to_le_bytes());
-    assert_eq!(long.decode(), Err(FrameError::TooLong(FRAME_MOST + 1)));
+    long.buf.extend_from_slice(&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes());
+    assert_eq!(long.decode(), Err(FrameError::TooLong(MAX_FRAME_BYTES + 1)));
     for payload in [&[200][..], &[0], &[1, 1], &[]] {
         let mut decoder = Decoder::default();
         decoder.buf.extend_from_slice(&(payload.len() as u32).to_le_bytes());
         decoder.buf.extend_from_slice(payload);
-        assert_eq!(decoder.decode(), Err(FrameError::Unreadable), "{payload:?}");
+        assert_eq!(decoder.decode(), Err(FrameError::Malformed), "{payload:?}");
     }
 }
 
-/// A world of an owner, a newcomer, the lock, and frames under way.
+/// Simulates an owner, a successor, the lock and the frames in transit.
 #[derive(Default)]
 struct World {
     owner: Owner,
-    newcomer: Newcomer,
+    successor: Successor,
     locked_by_owner: bool,
-    locked_by_newcomer: bool,
+    locked_by_successor: bool,
     to_owner: Vec<Frame>,
-    to_newcomer: Vec<Frame>,
-    newcomer_dead: bool,
+    to_successor: Vec<Frame>,
+    successor_dead: bool,
 }
 
 impl World {
     fn owner(&mut self, event: OwnerEvent<'_>) {
         match self.owner.on(event) {
-            OwnerDo::Greet => self.to_newcomer.push(HELLO),
-            OwnerDo::Give => {
+            OwnerAction::SendHello => self.to_successor.push(HELLO),
+            OwnerAction::Release => {
                 self.locked_by_owner = false;
-                self.to_newcomer.push(Frame::State(Box::default()));
-                self.owner(OwnerEvent::Gave);
+                self.to_successor.push(Frame::State(Box::default()));
+                self.owner(OwnerEvent::Released);
             }
-            OwnerDo::Reclaim => {
-                let free = !self.locked_by_newcomer;
+            OwnerAction::Reclaim => {
+                let free = !self.locked_by_successor;
                 self.locked_by_owner |= free;
                 self.owner(OwnerEvent::Reclaimed(free));
             }
@@ -146,48 +146,48 @@
         }
     }
 
-    fn newcomer(&mut self, event: NewcomerEvent<'_>) {
-        match self.newcomer.on(event) {
-            // On a link of its own.
-            NewcomerDo::Greet => (self.to_owner, self.to_newcomer) = (vec![HELLO], Vec::new()),
-            NewcomerDo::Ask => self.to_owner.push(Frame::Take),
-            NewcomerDo::TryLock => {
+    fn successor(&mut self, event: SuccessorEvent<'_>) {
+        match self.successor.on(event) {
+            // Opens a new connection.
+            SuccessorAction::Connect => (self.to_owner, self.to_successor) = (vec![HELLO], Vec::new()),
+            SuccessorAction::RequestJournal => self.to_owner.push(Frame::Take),
+            SuccessorAction::TryLock => {
                 let free = !self.locked_by_owner;
-                self.locked_by_newcomer |= free;
-                self.newcomer(NewcomerEvent::Lock(free));
+                self.locked_by_successor |= free;
+                self.successor(SuccessorEvent::LockTried(free));
             }
-            NewcomerDo::GoOn => self.to_owner.push(Frame::Taken),
+            SuccessorAction::Resume => self.to_owner.push(Frame::Taken),
             _ => {}
         }
     }
 
-    /// Does what the number says, if it can happen now.
+    /// Performs the numbered step, if it is possible in the current state.
     fn step(&mut self, what: u8) {
         match what {
             0 if !self.to_owner.is_empty() => {
                 let frame = self.to_owner.remove(0);
-                self.owner(OwnerEvent::Heard(&frame));
+                self.owner(OwnerEvent::Received(&frame));
             }
-            1 if !self.newcomer_dead && !self.to_newcomer.is_empty() => {
-                let frame = self.to_newcomer.remove(0);
-                self.newcomer(NewcomerEvent::Heard(&frame));
+            1 if !self.successor_dead && !self.to_successor.is_empty() => {
+                let frame = self.to_successor.remove(0);
+                self.successor(SuccessorEvent::Received(&frame));
             }
-            2 if !self.newcomer_dead && self.newcomer == Newcomer::Looking => {
+            2 if !self.successor_dead && self.successor == Successor::Searching => {
                 let free = !self.locked_by_owner;
-                self.locked_by_newcomer |= free;
-                self.newcomer(NewcomerEvent::Lock(free));
+                self.locked_by_successor |= free;
+                self.successor(SuccessorEvent::LockTried(free));
             }
-            3 => self.owner(OwnerEvent::Late),
-            4 if !self.newcomer_dead => self.newcomer(NewcomerEvent::Lost),
+            3 => self.owner(OwnerEvent::TimedOut),
+            4 if !self.successor_dead => self.successor(SuccessorEvent::OwnerLost),
             5 => {
-                (self.newcomer_dead, self.locked_by_newcomer) = (true, false);
+                (self.successor_dead, self.locked_by_successor) = (true, false);
                 self.to_owner.clear();
-                self.owner(OwnerEvent::Gone);
+                self.owner(OwnerEvent::Disconnected);
             }
-            // The owner lets the next link in.
-            6 if self.owner == Owner::Over => {
+            // The owner accepts the next connection.
+            6 if self.owner == Owner::Aborted => {
                 self.owner = Owner::default();
-                (self.to_owner, self.to_newcomer) = (Vec::new(), Vec::new());
+                (self.to_owner, self.to_successor) = (Vec::new(), Vec::new());
             }
             _ => {}
         }
@@ -200,18 +200,18 @@
         let mut world = World { locked_by_owner: true, ..World::default() };
         for step in steps {
             world.step(step);
-            prop_assert!(!(world.locked_by_owner && world.locked_by_newcomer));
+            prop_assert!(!(world.locked_by_owner && world.locked_by_successor));
             if world.owner.owns() {
-                prop_assert!(world.locked_by_owner, "the owner writes without the lock: {:?}", world.owner);
+                prop_assert!(world.locked_by_owner, "the owner may write without holding the lock: {:?}", world.owner);
             }
-            if world.newcomer == Newcomer::Owning && !world.newcomer_dead {
-                prop_assert!(world.locked_by_newcomer);
+            if world.successor == Successor::Owning && !world.successor_dead {
+                prop_assert!(world.locked_by_successor);
             }
         }
-        // A newcomer that lives and is heard gets the journal, and an owner whose newcomer died has it back.
+        // After the successor has died, the owner either has the journal back or has retired because the successor took it.
         for step in [5, 3, 6].into_iter().cycle().take(9) {
             world.step(step);
         }
-        prop_assert!(world.owner.owns() || world.owner == Owner::Former);
+        prop_assert!(world.owner.owns() || world.owner == Owner::Retired);
     }
 }
--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -3,7 +3,7 @@
 use crate::connection::{Connection, Traffic};
 use crate::figures::Figures;
 use crate::fleet::Fleet;
-use crate::input::{Ended, Fate};
+use crate::input::{Ended, MessageOutcome};
 use bytes::Bytes;
 use embershore_protocol::call::{BatchState, Head, batch_body, read_head, state};
 use heronroute::{DestId, EndpointId, Micros, MsgId, Outcome, Report};
@@ -273,7 +273,7 @@
                 None => (answer.outcome, answer.over),
                 Some(states) => state(states.get(&item.request_id).map(String::as_str)),
             };
-            Fate { id: item.id, attempt: item.attempt, outcome, over }
+            MessageOutcome { id: item.id, attempt: item.attempt, outcome, last: over }
         });
         let elapsed = start.elapsed().as_micros() as Micros;
         let Answer { wait, report, .. } = answer;
--- a/crates/sender/src/driver/replace.rs
+++ b/crates/sender/src/driver/replace.rs
@@ -4,9 +4,9 @@
 use super::{Driver, EXIT_AFTER};
 use crate::calls::Lane;
 use crate::handover::{Carried, Link, Lock};
-use crate::input::{Ended, Fate, Input};
+use crate::input::{Ended, Input, MessageOutcome};
 use crate::standing::{Change, Phase};
-use embershore_handover::{Frame, Owner, OwnerDo, OwnerEvent, State};
+use embershore_handover::{Frame, Owner, OwnerAction, OwnerEvent, State};
 use embershore_protocol::resp::Reply;
 use heronroute::{DestId, EndpointId, MsgId, OutCall, Outcome};
 use std::collections::{BTreeMap, HashMap};
@@ -67,7 +67,7 @@
                 });
                 self.put(put, reply);
             }
-            Frame::Ended { call, fates, elapsed, wait, report } => {
+            Frame::Ended { call, outcomes: fates, elapsed, wait, report } => {
                 let gone = fates.iter().map(|f| former.out.remove(&(f.id, f.attempt)));
                 let endpoint = gone.flatten().map(|(_, endpoint)| endpoint).last();
                 // Connections of this process that are coming up have not heard of it.
@@ -93,9 +93,9 @@
         let begun = |id: MsgId| journal.get(id.0).is_none_or(|entry| entry.progress.out.is_some());
         let fate = |(id, attempt)| {
             let outcome = if begun(id) { Outcome::Cancelled } else { Outcome::Skipped };
-            Fate { id, attempt, outcome, over: false }
+            MessageOutcome { id, attempt, outcome, last: false }
         };
-        let fates: Vec<Fate> = former.out.into_keys().map(fate).collect();
+        let fates: Vec<MessageOutcome> = former.out.into_keys().map(fate).collect();
         drop(journal);
         if !fates.is_empty() {
             eprintln!("handover: the process before this one has ended with {} attempts out", fates.len());
@@ -117,19 +117,19 @@
         // Calls whose connections are still coming up can't begin from here on: none goes out unwritten.
         self.journal.borrow_mut().close(true);
         let freed = lock.free();
-        let mut then = owner.on(OwnerEvent::Gave);
+        let mut then = owner.on(OwnerEvent::Released);
         if freed.is_err() || link.say(&state).await.is_err() {
-            then = owner.on(OwnerEvent::Gone);
+            then = owner.on(OwnerEvent::Disconnected);
         }
         loop {
             match then {
-                OwnerDo::Retire => return Some(link),
-                OwnerDo::ServeOn => {
+                OwnerAction::Retire => return Some(link),
+                OwnerAction::KeepServing => {
                     eprintln!("handover: the newcomer has not taken over; serving on");
                     self.journal.borrow_mut().close(false);
                     return None;
                 }
-                OwnerDo::Reclaim => {
+                OwnerAction::Reclaim => {
                     let mine = lock.take().unwrap_or(false);
                     then = owner.on(OwnerEvent::Reclaimed(mine));
                     if !mine {
@@ -159,8 +159,8 @@
             attempts: self.live.iter().map(|(id, live)| (*id, live.attempts)).collect(),
             names: numbers.filter_map(|id| Some((id, fleet.get(id)?.name.clone()))).collect(),
             calls: self.live.iter().filter_map(|(id, live)| Some((*id, live.call?))).collect(),
-            learnt,
-            out,
+            inherited: learnt,
+            in_flight: out,
         }
     }
 
@@ -195,7 +195,7 @@
                     }
                     Input::Ended(call, Ended { fates, elapsed, wait, report, .. }) => {
                         self.out.remove(&call);
-                        _ = say.send(Frame::Ended { call, fates, elapsed, wait, report });
+                        _ = say.send(Frame::Ended { call, outcomes: fates, elapsed, wait, report });
                     }
                     Input::Stop => _ = self.stopping.get_or_insert(self.clock.now()),
                     _ => {}
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -75,7 +75,15 @@
         let mut out = Vec::new();
         let (mut attempts, mut in_call) = (HashMap::new(), HashMap::new());
         if let Some((state, link)) = handed {
-            let State { next_message, next_call, lame_duck, names, mut learnt, out: calls, .. } = *state;
+            let State {
+                next_message,
+                next_call,
+                lame_duck,
+                names,
+                inherited: mut learnt,
+                in_flight: calls,
+                ..
+            } = *state;
             self.journal.borrow_mut().number_from(next_message);
             self.next_call = next_call;
             if lame_duck {
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -3,7 +3,7 @@
 
 use crate::standing::{Change, Phase, Standings};
 use embershore_handover::{
-    Decoder, Frame, Newcomer, NewcomerDo, NewcomerEvent, Owner, OwnerDo, OwnerEvent, State, encode,
+    Decoder, Frame, Owner, OwnerAction, OwnerEvent, State, Successor, SuccessorAction, SuccessorEvent, encode,
 };
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
@@ -116,9 +116,9 @@
     /// What it is to an owner.
     pub fn event(&self) -> OwnerEvent<'_> {
         match self {
-            Word::Said(frame) => OwnerEvent::Heard(frame),
-            Word::Late => OwnerEvent::Late,
-            Word::Gone => OwnerEvent::Gone,
+            Word::Said(frame) => OwnerEvent::Received(frame),
+            Word::Late => OwnerEvent::TimedOut,
+            Word::Gone => OwnerEvent::Disconnected,
         }
     }
 }
@@ -218,13 +218,13 @@
         loop {
             let then = owner.on(link.hear_soon().await.event());
             match then {
-                OwnerDo::Greet => {
+                OwnerAction::SendHello => {
                     let hello = Frame::Hello { version: embershore_handover::VERSION };
                     if link.say(&hello).await.is_err() {
                         break;
                     }
                 }
-                OwnerDo::Give => {
+                OwnerAction::Release => {
                     if asked.send((owner, link)).await.is_err() {
                         return;
                     }
@@ -273,30 +273,30 @@
 }
 
 async fn become_owner(lock: &Lock) -> io::Result<Option<(Box<State>, Link)>> {
-    let (mut newcomer, mut link, mut told) = (Newcomer::default(), None::<Link>, None);
-    let mut then = newcomer.on(NewcomerEvent::Lock(lock.take()?));
+    let (mut newcomer, mut link, mut told) = (Successor::default(), None::<Link>, None);
+    let mut then = newcomer.on(SuccessorEvent::LockTried(lock.take()?));
     loop {
         then = match then {
-            NewcomerDo::Start => return Ok(None),
-            NewcomerDo::GoOn => {
+            SuccessorAction::Start => return Ok(None),
+            SuccessorAction::Resume => {
                 let (Some(mut link), Some(state)) = (link.take(), told.take()) else { return Ok(None) };
                 // If it is not heard, the owner finds the lock taken.
                 _ = link.say(&Frame::Taken).await;
                 return Ok(Some((state, link)));
             }
-            NewcomerDo::TryLock => newcomer.on(NewcomerEvent::Lock(lock.take()?)),
-            NewcomerDo::Pause => {
+            SuccessorAction::TryLock => newcomer.on(SuccessorEvent::LockTried(lock.take()?)),
+            SuccessorAction::RetryLater => {
                 (link, told) = (None, None);
                 tokio::time::sleep(LOOK_EVERY).await;
-                newcomer.on(NewcomerEvent::Lock(lock.take()?))
+                newcomer.on(SuccessorEvent::LockTried(lock.take()?))
             }
-            NewcomerDo::Greet => {
+            SuccessorAction::Connect => {
                 link = UnixStream::connect(lock.folder.socket()).await.ok().map(Link::new);
                 let hello = Frame::Hello { version: embershore_handover::VERSION };
                 said(&mut newcomer, &mut link, &hello).await
             }
-            NewcomerDo::Ask => said(&mut newcomer, &mut link, &Frame::Take).await,
-            NewcomerDo::Wait => {
+            SuccessorAction::RequestJournal => said(&mut newcomer, &mut link, &Frame::Take).await,
+            SuccessorAction::Wait => {
                 let frame = match &mut link {
                     Some(link) => match link.hear_soon().await {
                         Word::Said(frame) => Some(frame),
@@ -304,7 +304,8 @@
                     },
                     None => None,
                 };
-                let then = newcomer.on(frame.as_ref().map_or(NewcomerEvent::Lost, NewcomerEvent::Heard));
+                let then =
+                    newcomer.on(frame.as_ref().map_or(SuccessorEvent::OwnerLost, SuccessorEvent::Received));
                 if let Some(Frame::State(state)) = frame {
                     told = Some(state);
                 }
@@ -315,10 +316,10 @@
 }
 
 /// Says something to the owner; what follows if it can't be said.
-async fn said(newcomer: &mut Newcomer, link: &mut Option<Link>, frame: &Frame) -> NewcomerDo {
+async fn said(newcomer: &mut Successor, link: &mut Option<Link>, frame: &Frame) -> SuccessorAction {
     let well = match link {
         Some(link) => link.say(frame).await.is_ok(),
         None => false,
     };
-    if well { NewcomerDo::Wait } else { newcomer.on(NewcomerEvent::Lost) }
+    if well { SuccessorAction::Wait } else { newcomer.on(SuccessorEvent::OwnerLost) }
 }
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -27,13 +27,13 @@
     Stop,
 }
 
-pub use embershore_handover::Fate;
+pub use embershore_handover::MessageOutcome;
 
 /// How a call ended.
 #[derive(Debug)]
 pub struct Ended {
     pub endpoint: EndpointId,
-    pub fates: Vec<Fate>,
+    pub fates: Vec<MessageOutcome>,
     pub elapsed: Micros,
     pub wait: Micros,
     pub report: Option<Report>,
