--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,10 +1,11 @@
 //! # embershore-peer
 //!
-//! What a sender knows of the others of its fleet: who is living, suspected or gone, and whether a majority of the agreed
-//! list is in sight. No I/O: datagrams and time go in, datagrams and the next time come out ([`Peers`]).
+//! Tracks the other senders of the fleet: which are alive, suspected or down, and whether a majority of the agreed member
+//! list is reachable. It does no I/O: [`Peers`] takes datagrams and the time, and returns datagrams and the time of its
+//! next call.
 //!
-//! Who is there is found out by SWIM (Das, Gupta and Motivala, 2002), from the library `foca`. What it says is a hint with
-//! an age; a [`View`] says how old. `docs/design/peer.md` tells why it is built so.
+//! Failure detection is SWIM (Das, Gupta and Motivala, 2002), from the library `foca`. Its results are hints that may be
+//! out of date; a [`View`] reports their age. `docs/design/peer.md` explains the design.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
@@ -15,10 +16,10 @@
 mod peers;
 mod view;
 
-pub use fleet::{Fleet, FleetError, MEMBERS_MOST};
-pub use member::{Member, NAME_MOST, Standing};
-pub use peers::{DATAGRAM_MOST, Peers, Times};
-pub use view::{Known, Sight, View};
+pub use fleet::{Fleet, FleetError, MAX_MEMBERS};
+pub use member::{MAX_NAME_BYTES, Member, Status};
+pub use peers::{MAX_DATAGRAM_BYTES, Peers, Times};
+pub use view::{Liveness, PeerView, View};
 
-/// Microseconds; of any clock that never goes back.
+/// Microseconds of a monotonic clock.
 pub type Micros = i64;
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -1,65 +1,70 @@
-//! One process of a fleet, as it tells of itself.
+//! The record that a member publishes about its process.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bytes of a name or of a failure domain at most: a record has to fit into a datagram several times.
-pub const NAME_MOST: usize = 64;
+/// The maximum length of a name or a failure domain in bytes. Several records must fit into one datagram.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// No process starts or changes so often; what claims to is nonsense, and could never be outdone.
-const LIFE_MOST: u64 = 1 << 40;
-const TURN_MOST: u32 = 1 << 24;
+/// No process starts or changes its record this often. A record with higher numbers is invalid, and no valid record could
+/// ever replace it.
+const MAX_INCARNATION: u64 = 1 << 40;
+const MAX_REVISION: u32 = 1 << 24;
 
-/// How a member stands, by the state of its process that all fronts read.
+/// The status of a member's process, as shown on all of its interfaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
-    /// It does not serve yet.
+pub enum Status {
+    /// Not serving yet.
     Starting,
-    /// It serves.
+    /// Serving.
     Serving,
-    /// It is being emptied.
+    /// Draining on request.
     LameDuck,
-    /// Another process takes its place.
+    /// Handing over to another process.
     HandingOver,
-    /// It was told to end.
+    /// Stopping on request.
     Stopping,
 }
 
-/// What a member tells of itself.
+/// A member's record of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name on the agreed list, [`NAME_MOST`] bytes at most.
+    /// The name on the agreed member list, at most [`MAX_NAME_BYTES`] bytes.
     pub name: String,
-    /// Which start on its state folder this is; an empty folder begins at 1.
-    pub life: u64,
-    /// Grows within a life, with each change of what it tells and with each refuted death.
-    pub turn: u32,
-    /// Where its datagrams come from and go to.
+    /// The number of the process start on this state folder, from 1 for an empty folder. It is not the incarnation number
+    /// of SWIM, which `foca` keeps itself.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// Grows within an incarnation, with each change of the record and each refutation of a reported death.
+    #[serde(rename = "turn")]
+    pub revision: u32,
+    /// The address that datagrams are sent from and to.
     pub address: SocketAddr,
-    /// What fails together with it: a machine, a rack, a building.
+    /// The failure domain: a machine, a rack or a building, all members of which may fail together.
     pub domain: String,
-    /// How it stands.
-    pub standing: Standing,
+    /// The status of the process.
+    #[serde(rename = "standing")]
+    pub status: Status,
 }
 
 impl Member {
-    /// What orders two records of one name, the same for all who compare them.
+    /// Orders two records of one name, the same way on all members.
     fn rank(&self) -> (u64, u32, SocketAddr) {
-        (self.life, self.turn, self.address)
+        (self.incarnation, self.revision, self.address)
     }
 
-    /// Whether both tell of the same start of the same process.
-    pub fn same_life(&self, other: &Member) -> bool {
-        (&self.name, self.life, self.address) == (&other.name, other.life, other.address)
+    /// Returns whether both records come from the same incarnation of the same process.
+    pub fn same_incarnation(&self, other: &Member) -> bool {
+        (&self.name, self.incarnation, self.address) == (&other.name, other.incarnation, other.address)
     }
 
-    /// What a peer says may be anything that its format can bear.
-    pub(crate) fn is_sound(&self) -> bool {
-        let short = |text: &str| !text.is_empty() && text.len() <= NAME_MOST;
+    /// Checks a received record, which may hold any value that its encoding allows.
+    pub(crate) fn is_valid(&self) -> bool {
+        let short = |text: &str| !text.is_empty() && text.len() <= MAX_NAME_BYTES;
         short(&self.name)
             && short(&self.domain)
-            && (1..=LIFE_MOST).contains(&self.life)
-            && self.turn <= TURN_MOST
+            && (1..=MAX_INCARNATION).contains(&self.incarnation)
+            && self.revision <= MAX_REVISION
             && self.address.port() != 0
     }
 }
@@ -67,9 +72,11 @@
 impl foca::Identity for Member {
     type Addr = String;
 
-    /// Refutes its own death: the same life, a turn later. At the end of the turns it stays dead.
+    /// Refutes a report of its own death with the next revision of the same incarnation. After the last revision the
+    /// report stands.
     fn renew(&self) -> Option<Self> {
-        Some(Member { turn: self.turn + 1, ..self.clone() }).filter(|next| next.turn <= TURN_MOST)
+        Some(Member { revision: self.revision + 1, ..self.clone() })
+            .filter(|next| next.revision <= MAX_REVISION)
     }
 
     fn addr(&self) -> String {
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -1,8 +1,8 @@
-//! The section `[fleet]` of the operator's options: who this sender is, who the others are, and the times.
+//! The section `[fleet]` of the options file: this sender's name, the member list, and the times of failure detection.
 
 use crate::Micros;
-use crate::fleet::{Fleet, FleetError, MEMBERS_MOST};
-use crate::member::NAME_MOST;
+use crate::fleet::{Fleet, FleetError, MAX_MEMBERS};
+use crate::member::MAX_NAME_BYTES;
 use crate::peers::Times;
 use embershore_finding::Placed;
 use serde::Deserialize;
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// No time of the section is longer: what is found out later than that serves nobody.
-const TIME_MOST: Duration = Duration::from_secs(600);
-/// Members are not probed more often: a fleet of three hundred would do little else.
-const PROBE_LEAST: Duration = Duration::from_millis(100);
+/// The longest time in the section. A failure that is detected later than that is of no use to anybody.
+const MAX_TIME: Duration = Duration::from_secs(600);
+/// The shortest interval between probes. With more frequent ones a fleet of 300 members would do little else.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The section as it is written. [`Section::check`] makes [`FleetOptions`] of it.
+/// The section as written in the file. [`Section::check`] turns it into [`FleetOptions`].
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
@@ -41,139 +41,148 @@
     domain: Spanned<String>,
 }
 
-/// What the operator has agreed on.
+/// The checked section `[fleet]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetOptions {
     /// This sender's name.
     pub name: String,
-    /// What fails together with it.
+    /// This sender's failure domain.
     pub domain: String,
-    /// Where it listens for datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
-    /// All members, this one among them.
+    /// All members, including this one.
     pub fleet: Fleet,
-    /// By name, what each fails together with.
+    /// The failure domain of each member, by name.
     pub domains: BTreeMap<String, String>,
     /// The times of failure detection.
     pub times: Times,
 }
 
 impl FleetOptions {
-    /// The domain with the most members, and how many they are: what fails at most by one fault.
+    /// Returns the failure domain with the most members, and their number: the most that one fault takes down.
     pub fn largest_domain(&self) -> (&str, usize) {
         let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
         self.domains.values().for_each(|domain| *sizes.entry(domain).or_insert(0) += 1);
         sizes.into_iter().max_by_key(|(_, size)| *size).unwrap_or(("", 0))
     }
 
-    /// Whether a majority is left when any one domain fails.
-    pub fn outlives_a_domain(&self) -> bool {
+    /// Returns whether a majority remains when any one failure domain fails.
+    pub fn survives_domain_failure(&self) -> bool {
         self.fleet.size() - self.largest_domain().1 >= self.fleet.majority()
     }
 }
 
+/// Collects findings.
 #[derive(Default)]
 struct Check {
-    found: Vec<Placed>,
+    findings: Vec<Placed>,
 }
 
 impl Check {
-    fn say(&mut self, place: Range<usize>, what: impl Into<String>) {
-        self.found.push(Placed { place, what: what.into() });
+    fn report(&mut self, place: Range<usize>, what: impl Into<String>) {
+        self.findings.push(Placed { place, what: what.into() });
     }
 
-    fn word(&mut self, field: &str, text: &Spanned<String>) {
-        if text.get_ref().is_empty() || text.get_ref().len() > NAME_MOST {
-            self.say(text.span(), format!("'{field}' has 1 to {NAME_MOST} bytes"));
+    fn check_text(&mut self, field: &str, text: &Spanned<String>) {
+        let length = text.get_ref().len();
+        if length == 0 || length > MAX_NAME_BYTES {
+            self.report(
+                text.span(),
+                format!("'{field}' must be 1 to {MAX_NAME_BYTES} bytes long, got {length}"),
+            );
         }
     }
 
-    fn time(&mut self, field: &str, time: Option<&Spanned<Span>>, otherwise: Micros) -> Micros {
-        let Some(time) = time else { return otherwise };
+    fn time(&mut self, field: &str, time: Option<&Spanned<Span>>, default: Micros) -> Micros {
+        let Some(time) = time else { return default };
         let Span(span) = *time.get_ref();
-        if !(PROBE_LEAST / 5..=TIME_MOST).contains(&span) {
-            self.say(time.span(), format!("'{field}' lies between 20ms and 10m"));
+        if !(MIN_PROBE_INTERVAL / 5..=MAX_TIME).contains(&span) {
+            self.report(time.span(), format!("'{field}' must be between 20ms and 10m, got {span:?}"));
         }
-        span.min(TIME_MOST).as_micros() as Micros
+        span.min(MAX_TIME).as_micros() as Micros
     }
 
     fn address(&mut self, text: &Spanned<String>) -> Option<SocketAddr> {
         let address: Option<SocketAddr> = text.get_ref().parse().ok();
         let usable = address.filter(|a| a.port() != 0 && !a.ip().is_unspecified() && !a.ip().is_multicast());
         if usable.is_none() {
-            let what = "is no address that others could send to; write one like \"10.1.0.7:7946\"";
-            self.say(text.span(), format!("'{}' {what}", text.get_ref()));
+            let what = "is not an address that other members can send to; give an IP address and a port, such as \
+                        \"10.1.0.7:7946\"";
+            self.report(text.span(), format!("'{}' {what}", text.get_ref()));
         }
         usable
     }
 }
 
 impl Section {
-    /// Checks the whole of it.
+    /// Checks the complete section.
     ///
     /// # Errors
-    /// All findings; places are bytes of the text that was read.
+    /// Returns all findings, with their byte ranges in the text.
     pub fn check(&self) -> Result<FleetOptions, Vec<Placed>> {
-        let mut c = Check::default();
-        c.word("name", &self.name);
-        let probe = c.time("probe", self.probe.as_ref(), Times::default().probe);
-        let usual = Times::of(probe);
+        let mut check = Check::default();
+        check.check_text("name", &self.name);
+        let probe_interval = check.time("probe", self.probe.as_ref(), Times::default().probe_interval);
+        let defaults = Times::for_probe_interval(probe_interval);
         let times = Times {
-            probe,
-            answer: c.time("answer", self.answer.as_ref(), usual.answer),
-            away: c.time("away", self.away.as_ref(), usual.away),
-            near: c.time("near", self.near.as_ref(), usual.near),
+            probe_interval,
+            probe_timeout: check.time("answer", self.answer.as_ref(), defaults.probe_timeout),
+            max_pause: check.time("away", self.away.as_ref(), defaults.max_pause),
+            recent_window: check.time("near", self.near.as_ref(), defaults.recent_window),
         };
         let place = |time: &Option<Spanned<Span>>| time.as_ref().map_or(self.name.span(), Spanned::span);
-        if probe < PROBE_LEAST.as_micros() as Micros {
-            c.say(place(&self.probe), "'probe' is 100ms at least");
+        if probe_interval < MIN_PROBE_INTERVAL.as_micros() as Micros {
+            check.report(place(&self.probe), "'probe' must be at least 100ms");
         }
-        if times.answer * 2 >= probe {
-            c.say(place(&self.answer), "'answer' is less than half of 'probe': a second try has to fit in");
+        if times.probe_timeout * 2 >= probe_interval {
+            check.report(
+                place(&self.answer),
+                "'answer' must be less than half of 'probe', so that a second try fits into the interval",
+            );
         }
-        if times.away < probe {
-            c.say(
+        if times.max_pause < probe_interval {
+            check.report(
                 place(&self.away),
-                "'away' is no less than 'probe', or each pause would count as an absence",
+                "'away' must be at least 'probe', or each idle interval would count as a suspension of the process",
             );
         }
-        if times.near < probe * 4 {
-            c.say(
+        if times.recent_window < probe_interval * 4 {
+            check.report(
                 place(&self.near),
-                "'near' is four times 'probe' at least, or silence would be seen where there is none",
+                "'near' must be at least four times 'probe', or reachable members would count as silent",
             );
         }
         let (mut list, mut domains, mut own) = (Vec::new(), BTreeMap::new(), None);
         let mut addresses: BTreeMap<SocketAddr, &str> = BTreeMap::new();
         for member in &self.member {
-            c.word("name", &member.name);
-            c.word("domain", &member.domain);
+            check.check_text("name", &member.name);
+            check.check_text("domain", &member.domain);
             let (name, domain) = (member.name.get_ref(), member.domain.get_ref());
             if domains.insert(name.clone(), domain.clone()).is_some() {
-                c.say(
+                check.report(
                     member.name.span(),
-                    format!("'{name}' stands on the list twice; give each sender a name of its own"),
+                    format!("member '{name}' is on the list twice; give each sender a unique name"),
                 );
             }
-            let Some(address) = c.address(&member.address) else { continue };
+            let Some(address) = check.address(&member.address) else { continue };
             if let Some(other) = addresses.insert(address, name) {
-                c.say(member.address.span(), format!("'{other}' has this address as well"));
+                check.report(member.address.span(), format!("member '{other}' has the same address"));
             }
             if name == self.name.get_ref() {
                 own = Some((domain.clone(), address));
             }
             list.push((name.clone(), address));
         }
-        if self.member.len() > MEMBERS_MOST {
-            c.say(self.name.span(), FleetError::Many(self.member.len()).to_string());
+        if self.member.len() > MAX_MEMBERS {
+            check.report(self.name.span(), FleetError::TooMany(self.member.len()).to_string());
         } else if !domains.contains_key(self.name.get_ref()) {
-            c.say(self.name.span(), FleetError::Absent(self.name.get_ref().clone()).to_string());
+            check.report(self.name.span(), FleetError::MissingSelf(self.name.get_ref().clone()).to_string());
         }
         match (Fleet::new(list), own) {
-            (Ok(fleet), Some((domain, address))) if c.found.is_empty() => {
+            (Ok(fleet), Some((domain, address))) if check.findings.is_empty() => {
                 Ok(FleetOptions { name: self.name.get_ref().clone(), domain, address, fleet, domains, times })
             }
-            _ => Err(c.found),
+            _ => Err(check.findings),
         }
     }
 }
@@ -194,31 +203,36 @@
     }
 
     #[test]
-    fn times_follow_the_probe_where_they_are_not_said() {
+    fn times_that_are_not_set_follow_from_the_probe_interval() {
         let two = member("n0", "10.0.0.1:7946", "rack-1") + &member("n1", "10.0.0.2:7946", "rack-2");
         let plain = read(&format!("name = \"n1\"\n{two}")).unwrap();
         assert_eq!(plain.times, Times::default());
         assert_eq!((plain.domain.as_str(), plain.address), ("rack-2", ([10, 0, 0, 2], 7946).into()));
         assert_eq!((plain.fleet.size(), plain.domains["n0"].as_str()), (2, "rack-1"));
         let quick = read(&format!("name = \"n1\"\nprobe = \"200ms\"\n{two}")).unwrap();
-        let times = Times { probe: 200_000, answer: 80_000, away: 400_000, near: 1_600_000 };
+        let times = Times {
+            probe_interval: 200_000,
+            probe_timeout: 80_000,
+            max_pause: 400_000,
+            recent_window: 1_600_000,
+        };
         assert_eq!(quick.times, times);
     }
 
     #[test]
-    fn a_fleet_outlives_a_domain_that_holds_less_than_half_of_it() {
+    fn a_fleet_survives_the_failure_of_a_domain_with_less_than_half_of_it() {
         let three = |domains: [&str; 3]| {
             let line = |(n, d): (usize, &&str)| member(&format!("n{n}"), &format!("10.0.0.{n}:7946"), d);
             let list: String = domains.iter().enumerate().map(line).collect();
             read(&format!("name = \"n0\"\n{}", list.replace("10.0.0.0", "10.0.0.9"))).unwrap()
         };
-        assert!(three(["a", "b", "c"]).outlives_a_domain());
+        assert!(three(["a", "b", "c"]).survives_domain_failure());
         let two = three(["a", "b", "b"]);
-        assert_eq!((two.largest_domain(), two.outlives_a_domain()), (("b", 2), false));
+        assert_eq!((two.largest_domain(), two.survives_domain_failure()), (("b", 2), false));
     }
 
     #[test]
-    fn all_that_is_wrong_is_told_at_its_line() {
+    fn all_findings_are_reported_with_their_lines() {
         let text = String::from(
             "name = \"n9\"\nprobe = \"1s\"\nanswer = \"600ms\"\naway = \"500ms\"\nnear = \"1s\"\n",
         ) + &member("n0", "10.0.0.1:7946", "")
@@ -227,10 +241,10 @@
             + &member("n3", "somewhere:7946", "a");
         let lines: Vec<usize> = read(&text).unwrap_err().into_iter().map(|f| f.0).collect();
         assert_eq!(lines, [1, 3, 4, 5, 9, 11, 12, 16, 20]);
-        assert!(read("name = \"n0\"\n").unwrap_err()[0].1.contains("add it, or mend the name"));
+        assert!(read("name = \"n0\"\n").unwrap_err()[0].1.contains("add it there, or correct 'name'"));
         assert!(read("name = \"n0\"\nprobes = \"1s\"\n").unwrap_err()[0].1.contains("unknown field"));
         let long = read(&format!("name = \"n0\"\nprobe = \"11m\"\n{}", member("n0", "10.0.0.1:1", "a")))
             .unwrap_err();
-        assert_eq!(long[0], (2, "'probe' lies between 20ms and 10m".into()));
+        assert_eq!(long[0], (2, "'probe' must be between 20ms and 10m, got 660s".into()));
     }
 }
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -1,9 +1,9 @@
-//! The deciding half: datagrams and time in, datagrams and the next time out.
+//! The membership protocol without I/O: takes datagrams and the time, returns datagrams and the time of its next call.
 
 use crate::Micros;
-use crate::fleet::{Fleet, FleetError, MEMBERS_MOST};
-use crate::member::{Member, Standing};
-use crate::view::{Known, Sight, View};
+use crate::fleet::{Fleet, FleetError, MAX_MEMBERS};
+use crate::member::{Member, Status};
+use crate::view::{Liveness, PeerView, View};
 use bytes::{Buf, BufMut, Bytes};
 use foca::{
     AccumulatingRuntime, Codec, Config, Foca, Header, NoCustomBroadcast, OwnedNotification, PostcardCodec,
@@ -18,378 +18,415 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of a datagram at most: what passes an Ethernet whole, with room for headers.
-pub const DATAGRAM_MOST: usize = 1400;
-/// Datagrams that wait to be sent at most; the oldest give way, as any datagram may be lost.
-const OUT_MOST: usize = 1024;
-/// Members that are not in sight are asked for anew this often, so many at a time.
-const SEEK_EVERY: Micros = 1_000_000;
-const SEEK: usize = 3;
-/// A member hears those it probes and those that probe it, two a second and more: so many within [`Times::near`], itself
-/// included, or too few are there.
-const NEAR: usize = 6;
-/// One that has to refute its death so often within [`Times::near`] is not believed: another bears its name.
-const REFUTED: usize = 3;
-/// News is passed on by each member so many times as often as a fleet without one-way cuts needs.
-const PASSED_ON: u8 = 3;
+/// The maximum size of a datagram in bytes: it fits into one Ethernet frame, with room for headers.
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
+/// The maximum number of datagrams waiting to be sent. The oldest are dropped first, since any datagram may be lost anyway.
+const MAX_SEND_QUEUE: usize = 1024;
+/// How often members that are not reachable are sent a request to join.
+const ANNOUNCE_INTERVAL_US: Micros = 1_000_000;
+/// How many of them are sent one each time.
+const ANNOUNCES_PER_INTERVAL: usize = 3;
+/// A member receives datagrams from the members it probes and from those that probe it, at least two a second. Fewer than
+/// this many senders within [`Times::recent_window`], itself included, mean that no majority is reachable.
+const MIN_RECENT_MEMBERS: usize = 6;
+/// A process that has to refute its own death this often within [`Times::recent_window`] is displaced: the fleet accepts
+/// another process of the same name.
+const DISPLACING_REFUTATIONS: usize = 3;
+/// Each member repeats an update this many times as often as a fleet without one-way network cuts needs.
+const GOSSIP_FACTOR: u8 = 3;
 
 /// The times of failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
     /// Each member probes one other this often, in microseconds.
-    pub probe: Micros,
-    /// A probe has to be answered within this; it is less than half of `probe`.
-    pub answer: Micros,
-    /// A gap between two looks at the clock longer than this is an absence.
-    pub away: Micros,
-    /// Others were heard of lately if it was within this.
-    pub near: Micros,
+    pub probe_interval: Micros,
+    /// A probe must be answered within this time, less than half of `probe_interval`.
+    pub probe_timeout: Micros,
+    /// A longer gap between two calls means that this process was suspended.
+    pub max_pause: Micros,
+    /// A datagram within this time counts as recent.
+    pub recent_window: Micros,
 }
 
 impl Times {
-    /// What suits members that probe so often, in microseconds.
-    pub fn of(probe: Micros) -> Self {
-        Times { probe, answer: probe * 2 / 5, away: probe * 2, near: probe * 8 }
+    /// Returns the default times for a probe interval in microseconds.
+    pub fn for_probe_interval(probe_interval: Micros) -> Self {
+        Times {
+            probe_interval,
+            probe_timeout: probe_interval * 2 / 5,
+            max_pause: probe_interval * 2,
+            recent_window: probe_interval * 8,
+        }
     }
 }
 
 impl Default for Times {
     fn default() -> Self {
-        Times::of(1_000_000)
+        Times::for_probe_interval(1_000_000)
     }
 }
 
-/// What the codec and the rest share: the codec alone sees who a datagram is from and whom it names.
-struct Desk {
-    from: Option<String>,
+/// State shared with the codec, which alone sees who sent a datagram and which members it names.
+struct Admission {
+    /// The sender of the datagram being decoded.
+    source: Option<String>,
     fleet: Rc<Fleet>,
-    /// Names that are not on the list but were told of: a list may be older than another's.
-    strangers: BTreeSet<String>,
+    /// Names that were received but are not on the list, which may be older than another member's.
+    unlisted: BTreeSet<String>,
 }
 
-impl Desk {
+impl Admission {
+    /// Returns whether a received record is accepted. The number of unlisted names is bounded.
     fn admits(&mut self, member: &Member) -> bool {
-        if !member.is_sound() {
+        if !member.is_valid() {
             return false;
         }
-        if self.fleet.lists(&member.name) || self.strangers.contains(&member.name) {
+        if self.fleet.contains(&member.name) || self.unlisted.contains(&member.name) {
             return true;
         }
-        self.fleet.size() + self.strangers.len() < MEMBERS_MOST && self.strangers.insert(member.name.clone())
+        self.fleet.size() + self.unlisted.len() < MAX_MEMBERS && self.unlisted.insert(member.name.clone())
     }
 }
 
+/// The postcard codec, with a check of each received record.
 #[derive(Clone)]
-struct Checked(Rc<RefCell<Desk>>);
+struct CheckedCodec(Rc<RefCell<Admission>>);
 
 /// Why a datagram was dropped.
 #[derive(Debug, thiserror::Error)]
-enum Unsound {
+enum DecodeError {
     #[error(transparent)]
     Format(#[from] <PostcardCodec as Codec<Member>>::Error),
-    #[error("a record that can't be, or of one member too many")]
+    #[error("invalid member record, or more than {MAX_MEMBERS} members in total")]
     Record,
 }
 
-impl Codec<Member> for Checked {
-    type Error = Unsound;
+impl Codec<Member> for CheckedCodec {
+    type Error = DecodeError;
 
-    fn encode_header(&mut self, header: &Header<Member>, buf: impl BufMut) -> Result<(), Unsound> {
+    fn encode_header(&mut self, header: &Header<Member>, buf: impl BufMut) -> Result<(), DecodeError> {
         Ok(PostcardCodec.encode_header(header, buf)?)
     }
 
-    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, Unsound> {
+    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, DecodeError> {
         let header: Header<Member> = PostcardCodec.decode_header(buf)?;
-        let mut desk = self.0.borrow_mut();
-        if !desk.admits(&header.src) {
-            return Err(Unsound::Record);
+        let mut admission = self.0.borrow_mut();
+        if !admission.admits(&header.src) {
+            return Err(DecodeError::Record);
         }
-        desk.from = Some(header.src.name.clone());
+        admission.source = Some(header.src.name.clone());
         Ok(header)
     }
 
-    fn encode_member(&mut self, member: &foca::Member<Member>, buf: impl BufMut) -> Result<(), Unsound> {
+    fn encode_member(&mut self, member: &foca::Member<Member>, buf: impl BufMut) -> Result<(), DecodeError> {
         Ok(PostcardCodec.encode_member(member, buf)?)
     }
 
-    fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, Unsound> {
+    fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, DecodeError> {
         let member: foca::Member<Member> = PostcardCodec.decode_member(buf)?;
-        if self.0.borrow_mut().admits(member.id()) { Ok(member) } else { Err(Unsound::Record) }
+        if self.0.borrow_mut().admits(member.id()) { Ok(member) } else { Err(DecodeError::Record) }
     }
 }
 
-/// One process's knowledge of its fleet.
+/// One process's membership state of its fleet.
 pub struct Peers {
-    foca: Foca<Member, Checked, SmallRng, NoCustomBroadcast>,
+    foca: Foca<Member, CheckedCodec, SmallRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Member>,
-    desk: Rc<RefCell<Desk>>,
+    admission: Rc<RefCell<Admission>>,
     fleet: Rc<Fleet>,
     times: Times,
-    /// After an absence, how long it takes until what has gone meanwhile is found out.
-    settle: Micros,
+    /// How long failure detection takes to find the members that went down while this process was suspended.
+    settle_time: Micros,
     timers: BTreeMap<(Micros, u64), Timer<Member>>,
     seq: u64,
-    out: VecDeque<(SocketAddr, Bytes)>,
-    heard: BTreeMap<String, Micros>,
-    /// By name, the record that gave way last.
-    former: BTreeMap<String, Member>,
-    /// Since when each is suspected.
-    suspected: BTreeMap<String, Micros>,
-    doubled: BTreeMap<String, (SocketAddr, SocketAddr)>,
-    refuted: VecDeque<Micros>,
+    send_queue: VecDeque<(SocketAddr, Bytes)>,
+    /// The time of the last datagram from each member.
+    last_received: BTreeMap<String, Micros>,
+    /// The record that was replaced last, by name.
+    replaced: BTreeMap<String, Member>,
+    suspected_since: BTreeMap<String, Micros>,
+    /// The addresses of two processes with the same name, by name.
+    duplicates: BTreeMap<String, (SocketAddr, SocketAddr)>,
+    /// The times at which this process refuted its own death.
+    refutations: VecDeque<Micros>,
     displaced: bool,
     dropped: u64,
-    looked: Micros,
-    away_until: Micros,
-    seek_at: Micros,
-    sought: usize,
+    /// The time of the last call.
+    last_call: Micros,
+    stale_until: Micros,
+    announce_at: Micros,
+    /// The position in the list of missing members after which the next request to join is sent.
+    announce_cursor: usize,
 }
 
 impl Peers {
-    /// A process that begins, knowing nobody. `seed` decides whom it probes and gossips to.
+    /// Creates the state of a process that has just started and knows of no other member. The random choice of members to
+    /// probe and to gossip to follows from `seed`.
     ///
     /// # Errors
     /// When its name is not on the agreed list.
-    pub fn new(me: Member, fleet: Fleet, times: Times, seed: u64, now: Micros) -> Result<Peers, FleetError> {
-        fleet.holds(&me.name)?;
+    pub fn new(
+        own_record: Member,
+        fleet: Fleet,
+        times: Times,
+        seed: u64,
+        now: Micros,
+    ) -> Result<Peers, FleetError> {
+        fleet.require(&own_record.name)?;
         let fleet = Rc::new(fleet);
-        let desk = Desk { from: None, fleet: fleet.clone(), strangers: BTreeSet::new() };
-        let desk = Rc::new(RefCell::new(desk));
+        let admission = Admission { source: None, fleet: fleet.clone(), unlisted: BTreeSet::new() };
+        let admission = Rc::new(RefCell::new(admission));
         let config = config(&fleet, times);
-        let settle = micros(config.suspect_to_down_after) + 2 * times.probe;
-        let foca = Foca::new(me, config, SmallRng::seed_from_u64(seed), Checked(desk.clone()));
-        let sought = seed as usize % fleet.size().max(1);
+        let settle_time = micros(config.suspect_to_down_after) + 2 * times.probe_interval;
+        let foca =
+            Foca::new(own_record, config, SmallRng::seed_from_u64(seed), CheckedCodec(admission.clone()));
+        let announce_cursor = seed as usize % fleet.size().max(1);
         Ok(Peers {
             foca,
             runtime: AccumulatingRuntime::new(),
-            desk,
+            admission,
             fleet,
             times,
-            settle,
+            settle_time,
             timers: BTreeMap::new(),
             seq: 0,
-            out: VecDeque::new(),
-            heard: BTreeMap::new(),
-            former: BTreeMap::new(),
-            suspected: BTreeMap::new(),
-            doubled: BTreeMap::new(),
-            refuted: VecDeque::new(),
+            send_queue: VecDeque::new(),
+            last_received: BTreeMap::new(),
+            replaced: BTreeMap::new(),
+            suspected_since: BTreeMap::new(),
+            duplicates: BTreeMap::new(),
+            refutations: VecDeque::new(),
             displaced: false,
             dropped: 0,
-            looked: now,
-            away_until: now,
-            seek_at: now,
-            sought,
+            last_call: now,
+            stale_until: now,
+            announce_at: now,
+            announce_cursor,
         })
     }
 
-    /// Takes over another agreed list.
+    /// Replaces the agreed list.
     ///
     /// # Errors
-    /// When more than one member came or went, or this one is not on it; nothing changes then.
-    pub fn agree(&mut self, fleet: Fleet) -> Result<(), FleetError> {
-        self.fleet.change(&fleet, &self.foca.identity().name)?;
-        // Of a list that has shrunk or grown by one the times are the same but for a part in many.
+    /// When more than one member is added or removed, or this one is not on it; nothing changes then.
+    pub fn set_fleet(&mut self, fleet: Fleet) -> Result<(), FleetError> {
+        self.fleet.check_change(&fleet, &self.foca.identity().name)?;
+        // One member more or less changes the configuration only marginally, so a failure to apply it is harmless.
         _ = self.foca.set_config(config(&fleet, self.times));
-        self.heard.retain(|name, _| fleet.lists(name));
+        self.last_received.retain(|name, _| fleet.contains(name));
         self.fleet = Rc::new(fleet);
-        // Who was a stranger by the list before may be none now, and the other way round.
-        *self.desk.borrow_mut() = Desk { from: None, fleet: self.fleet.clone(), strangers: BTreeSet::new() };
+        // Names that were unlisted may now be listed, and the other way round.
+        *self.admission.borrow_mut() =
+            Admission { source: None, fleet: self.fleet.clone(), unlisted: BTreeSet::new() };
         Ok(())
     }
 
-    /// This process now stands otherwise, and tells the others.
-    pub fn stand(&mut self, now: Micros, standing: Standing) {
-        let me = self.foca.identity();
-        if me.standing == standing {
+    /// Changes the status of this process and publishes it to the other members.
+    pub fn set_status(&mut self, now: Micros, status: Status) {
+        let own_record = self.foca.identity();
+        if own_record.status == status {
             return;
         }
-        if let Some(next) = me.renew() {
-            _ = self.foca.change_identity(Member { standing, ..next }, &mut self.runtime);
+        if let Some(next) = own_record.renew() {
+            _ = self.foca.change_identity(Member { status, ..next }, &mut self.runtime);
         }
-        self.drain(now);
+        self.drain_runtime(now);
     }
 
-    /// A datagram has come.
-    pub fn datagram(&mut self, now: Micros, data: &[u8]) {
-        self.look(now);
+    /// Processes a received datagram.
+    pub fn receive(&mut self, now: Micros, data: &[u8]) {
+        self.check_for_pause(now);
         if self.displaced {
             return;
         }
-        self.desk.borrow_mut().from = None;
-        // The library's state is as before where it gives an error.
-        if data.len() > DATAGRAM_MOST || self.foca.handle_data(data, &mut self.runtime).is_err() {
+        self.admission.borrow_mut().source = None;
+        // The library leaves its state unchanged when it returns an error.
+        if data.len() > MAX_DATAGRAM_BYTES || self.foca.handle_data(data, &mut self.runtime).is_err() {
             self.dropped += 1;
         } else {
-            let from = self.desk.borrow_mut().from.take();
-            let listed = from.filter(|name| self.fleet.lists(name));
-            self.heard.extend(listed.map(|name| (name, now)));
+            let source = self.admission.borrow_mut().source.take();
+            let listed = source.filter(|name| self.fleet.contains(name));
+            self.last_received.extend(listed.map(|name| (name, now)));
         }
-        self.drain(now);
+        self.drain_runtime(now);
     }
 
-    /// Time has passed. To be called at [`Peers::next`] at the latest.
+    /// Runs all work that is due. It must be called no later than the time that [`Peers::next_tick`] returns.
     pub fn tick(&mut self, now: Micros) {
-        self.look(now);
+        self.check_for_pause(now);
         if self.displaced {
             return;
         }
         while let Some(due) = self.timers.first_entry().filter(|t| t.key().0 <= now) {
             let timer = due.remove();
-            // It fails only for one that has no members left to probe, and for timers of an earlier identity.
+            // Fails only if there is no member left to probe, or for a timer of an earlier identity.
             _ = self.foca.handle_timer(timer, &mut self.runtime);
-            self.drain(now);
+            self.drain_runtime(now);
         }
-        if now >= self.seek_at {
-            self.seek_at = now + SEEK_EVERY;
-            self.press(now);
-            self.seek();
-            self.drain(now);
+        if now >= self.announce_at {
+            self.announce_at = now + ANNOUNCE_INTERVAL_US;
+            self.renew_stuck_suspicions(now);
+            self.announce_to_missing();
+            self.drain_runtime(now);
         }
     }
 
-    /// When to call [`Peers::tick`] next; never later than an absence could be told from idleness.
-    pub fn next(&self) -> Micros {
-        let look = self.looked + self.times.away / 2;
-        // A displaced one has nothing more to do than to know the time.
+    /// Returns when to call [`Peers::tick`] next: early enough that a suspension of the process can be told from idleness.
+    pub fn next_tick(&self) -> Micros {
+        let pause_check = self.last_call + self.times.max_pause / 2;
+        // A displaced process only keeps track of the time.
         if self.displaced {
-            return look;
+            return pause_check;
         }
         let timer = self.timers.keys().next().map_or(Micros::MAX, |t| t.0);
-        timer.min(self.seek_at).min(look)
+        timer.min(self.announce_at).min(pause_check)
     }
 
-    /// A datagram to send, if any waits.
-    pub fn send(&mut self) -> Option<(SocketAddr, Bytes)> {
-        self.out.pop_front()
+    /// Removes and returns the next datagram to send, with its destination.
+    pub fn next_datagram(&mut self) -> Option<(SocketAddr, Bytes)> {
+        self.send_queue.pop_front()
     }
 
-    /// What it tells of itself.
-    pub fn me(&self) -> &Member {
+    /// Returns the record that this process publishes about itself.
+    pub fn own_record(&self) -> &Member {
         self.foca.identity()
     }
 
-    /// What is known now.
+    /// Returns the current view of the fleet.
     pub fn view(&self, now: Micros) -> View {
         let states: BTreeMap<&str, (&Member, State)> =
             self.foca.iter_membership_state().map(|m| (m.id().name.as_str(), (m.id(), m.state()))).collect();
-        let me = &self.foca.identity().name;
-        let listed = self.fleet.members().filter(|(name, _)| name != me);
-        let others: Vec<Known> = listed
+        let own_name = &self.foca.identity().name;
+        let listed = self.fleet.members().filter(|(name, _)| name != own_name);
+        let others: Vec<PeerView> = listed
             .map(|(name, _)| {
-                let held = states.get(name);
-                let sight = match held.map(|h| h.1) {
-                    Some(State::Alive) => Sight::Living,
-                    Some(State::Suspect) => Sight::Suspected,
-                    Some(State::Down) => Sight::Gone,
-                    // The library forgets the dead after a while.
-                    None if self.heard.contains_key(name) => Sight::Gone,
-                    None => Sight::Unheard,
+                let known = states.get(name);
+                let liveness = match known.map(|(_, state)| *state) {
+                    Some(State::Alive) => Liveness::Alive,
+                    Some(State::Suspect) => Liveness::Suspected,
+                    Some(State::Down) => Liveness::Down,
+                    // The library forgets members that are down after a while.
+                    None if self.last_received.contains_key(name) => Liveness::Down,
+                    None => Liveness::Unknown,
                 };
-                Known {
+                PeerView {
                     name: name.to_string(),
-                    sight,
-                    told: held.map(|h| h.0.clone()),
-                    heard: self.heard.get(name).map(|at| now - at),
-                    doubled: self.doubled.get(name).copied(),
+                    liveness,
+                    record: known.map(|(record, _)| (*record).clone()),
+                    silent_for: self.last_received.get(name).map(|at| now - at),
+                    duplicate: self.duplicates.get(name).copied(),
                 }
             })
             .collect();
-        let away = now < self.away_until || now - self.looked > self.times.away;
-        let there = others.iter().filter(|k| matches!(k.sight, Sight::Living | Sight::Suspected)).count();
-        let near = others.iter().filter(|k| k.heard.is_some_and(|ago| ago <= self.times.near)).count();
+        let stale = now < self.stale_until || now - self.last_call > self.times.max_pause;
+        let in_sight =
+            others.iter().filter(|p| matches!(p.liveness, Liveness::Alive | Liveness::Suspected)).count();
+        let is_recent = |p: &&PeerView| p.silent_for.is_some_and(|span| span <= self.times.recent_window);
+        let recent = others.iter().filter(is_recent).count();
         let majority = self.fleet.majority();
-        let majority = there + 1 >= majority && near + 1 >= majority.min(NEAR) && !away && !self.displaced;
-        View { others, majority, away, displaced: self.displaced, dropped: self.dropped }
+        let majority = in_sight + 1 >= majority
+            && recent + 1 >= majority.min(MIN_RECENT_MEMBERS)
+            && !stale
+            && !self.displaced;
+        View { others, majority, stale, displaced: self.displaced, dropped: self.dropped }
     }
 
-    /// Notices by its own clock that it was away. What was due meanwhile is due as much later: nobody is held dead
-    /// because this process did not listen.
-    fn look(&mut self, now: Micros) {
-        let gap = now - self.looked;
-        self.looked = now;
-        if gap <= self.times.away {
+    /// Detects by the clock that this process was suspended. Pending timers are postponed by the length of the gap, so that
+    /// no member is declared down because this process did not read its datagrams.
+    fn check_for_pause(&mut self, now: Micros) {
+        let gap = now - self.last_call;
+        self.last_call = now;
+        if gap <= self.times.max_pause {
             return;
         }
         let timers = std::mem::take(&mut self.timers);
         self.timers = timers.into_iter().map(|((at, seq), timer)| ((at + gap, seq), timer)).collect();
-        (self.away_until, self.seek_at) = (now + self.settle, now);
+        (self.stale_until, self.announce_at) = (now + self.settle_time, now);
     }
 
-    /// Guards against a suspicion that nobody ends: only whoever began it holds a timer, and what came late, as from one
-    /// that was stopped, is no news to the suspect any more. One that was heard of meanwhile is suspected anew, so that it
-    /// hears of it and refutes; one that was not is gone.
-    fn press(&mut self, now: Micros) {
-        let held: Vec<foca::Member<Member>> =
+    /// Ends suspicions that would otherwise last forever: only the member that raised a suspicion runs a timer for it, and a
+    /// suspicion that arrives late, as from a process that was stopped, is no longer news to the suspect, which does not
+    /// refute it. If datagrams from the suspect arrived meanwhile, it is suspected again with a higher incarnation number,
+    /// so that it learns of the suspicion and refutes it; otherwise it is declared down.
+    fn renew_stuck_suspicions(&mut self, now: Micros) {
+        let suspects: Vec<foca::Member<Member>> =
             self.foca.iter_members().filter(|m| m.state() == State::Suspect).cloned().collect();
-        self.suspected.retain(|name, _| held.iter().any(|m| m.id().name == *name));
-        for member in held {
-            let since = *self.suspected.entry(member.id().name.clone()).or_insert(now);
-            if now - since < self.settle {
+        self.suspected_since.retain(|name, _| suspects.iter().any(|m| m.id().name == *name));
+        for member in suspects {
+            let since = *self.suspected_since.entry(member.id().name.clone()).or_insert(now);
+            if now - since < self.settle_time {
                 continue;
             }
-            self.suspected.insert(member.id().name.clone(), now);
-            let lately = self.heard.get(&member.id().name).is_some_and(|at| *at >= since);
-            let state = if lately { State::Suspect } else { State::Down };
-            let again = foca::Member::new(member.id().clone(), member.incarnation().saturating_add(1), state);
-            _ = self.foca.apply_many([again].into_iter(), true, &mut self.runtime);
+            self.suspected_since.insert(member.id().name.clone(), now);
+            let received_since = self.last_received.get(&member.id().name).is_some_and(|at| *at >= since);
+            let state = if received_since { State::Suspect } else { State::Down };
+            let update =
+                foca::Member::new(member.id().clone(), member.incarnation().saturating_add(1), state);
+            _ = self.foca.apply_many([update].into_iter(), true, &mut self.runtime);
         }
     }
 
-    /// Asks for members of the list that are not in sight, in turns.
-    fn seek(&mut self) {
-        let there: BTreeSet<&str> = self.foca.iter_members().map(|m| m.id().name.as_str()).collect();
-        let me = self.foca.identity();
+    /// Sends requests to join to some of the listed members that are not in sight, in rotation.
+    fn announce_to_missing(&mut self) {
+        let in_sight: BTreeSet<&str> = self.foca.iter_members().map(|m| m.id().name.as_str()).collect();
+        let own_record = self.foca.identity();
         let missing: Vec<Member> = (self.fleet.members())
-            .filter(|(name, _)| *name != me.name && !there.contains(name))
-            // Who asks need not know the other's life: a request to join goes by the name.
-            .map(|(name, address)| Member { name: name.into(), life: 1, turn: 0, address, ..me.clone() })
+            .filter(|(name, _)| *name != own_record.name && !in_sight.contains(name))
+            // The incarnation need not be known: a request to join is addressed by name.
+            .map(|(name, address)| Member {
+                name: name.into(),
+                incarnation: 1,
+                revision: 0,
+                address,
+                ..own_record.clone()
+            })
             .collect();
-        for _ in 0..SEEK.min(missing.len()) {
-            self.sought = self.sought.wrapping_add(1);
-            _ = self.foca.announce(missing[self.sought % missing.len()].clone(), &mut self.runtime);
+        for _ in 0..ANNOUNCES_PER_INTERVAL.min(missing.len()) {
+            self.announce_cursor = self.announce_cursor.wrapping_add(1);
+            _ = self.foca.announce(missing[self.announce_cursor % missing.len()].clone(), &mut self.runtime);
         }
     }
 
-    fn drain(&mut self, now: Micros) {
+    /// Collects the datagrams, timers and notifications that the library has produced.
+    fn drain_runtime(&mut self, now: Micros) {
         while let Some((to, data)) = self.runtime.to_send() {
             if self.displaced {
                 continue;
             }
-            if self.out.len() >= OUT_MOST {
-                self.out.pop_front();
+            if self.send_queue.len() >= MAX_SEND_QUEUE {
+                self.send_queue.pop_front();
             }
-            self.out.push_back((to.address, data));
+            self.send_queue.push_back((to.address, data));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.seq += 1;
             self.timers.insert((now + micros(after), self.seq), timer);
         }
-        while let Some(told) = self.runtime.to_notify() {
-            match told {
-                OwnedNotification::Rename(before, after) => self.renamed(before, after),
+        while let Some(notification) = self.runtime.to_notify() {
+            match notification {
+                OwnedNotification::Rename(before, after) => self.note_replacement(before, after),
                 OwnedNotification::Defunct => self.displaced = true,
                 OwnedNotification::Rejoin(_) => {
-                    self.refuted.retain(|at| now - at <= self.times.near);
-                    self.refuted.push_back(now);
-                    self.displaced |= self.refuted.len() >= REFUTED;
+                    self.refutations.retain(|at| now - at <= self.times.recent_window);
+                    self.refutations.push_back(now);
+                    self.displaced |= self.refutations.len() >= DISPLACING_REFUTATIONS;
                 }
                 _ => {}
             }
         }
     }
 
-    /// A record gives way to another of its name. After a restart the old one is never heard of again; where it comes
-    /// back in its turn, two processes bear the name.
-    fn renamed(&mut self, before: Member, after: Member) {
-        if before.same_life(&after) {
+    /// Notes that one record of a name has replaced another. After a restart the old record never returns; if it does
+    /// return, two processes use the same name.
+    fn note_replacement(&mut self, before: Member, after: Member) {
+        if before.same_incarnation(&after) {
             return;
         }
-        let back = self.former.get(&after.name).is_some_and(|former| former.same_life(&after));
-        if back {
-            self.doubled.insert(after.name.clone(), (before.address, after.address));
+        let returned = self.replaced.get(&after.name).is_some_and(|old| old.same_incarnation(&after));
+        if returned {
+            self.duplicates.insert(after.name.clone(), (before.address, after.address));
         }
-        self.former.insert(after.name.clone(), before);
+        self.replaced.insert(after.name.clone(), before);
     }
 }
 
@@ -401,14 +438,16 @@
     let span = |t: Micros| Duration::from_micros(t.max(1) as u64);
     let size = NonZeroU32::new(fleet.size() as u32).unwrap_or(NonZeroU32::MIN);
     let lan = Config::new_lan(size);
-    let factor = times.probe as f64 / micros(lan.probe_period) as f64;
+    let factor = times.probe_interval as f64 / micros(lan.probe_period) as f64;
     Config {
-        probe_period: span(times.probe),
-        probe_rtt: span(times.answer),
+        probe_period: span(times.probe_interval),
+        probe_rtt: span(times.probe_timeout),
         suspect_to_down_after: lan.suspect_to_down_after.mul_f64(factor),
-        max_transmissions: lan.max_transmissions.saturating_mul(NonZeroU8::MIN.saturating_add(PASSED_ON - 1)),
-        max_packet_size: NonZeroUsize::new(DATAGRAM_MOST).unwrap_or(NonZeroUsize::MIN),
-        // Members that are missing are asked for by the agreed list.
+        max_transmissions: lan
+            .max_transmissions
+            .saturating_mul(NonZeroU8::MIN.saturating_add(GOSSIP_FACTOR - 1)),
+        max_packet_size: NonZeroUsize::new(MAX_DATAGRAM_BYTES).unwrap_or(NonZeroUsize::MIN),
+        // Requests to join are sent by the agreed list instead, see `announce_to_missing`.
         periodic_announce: None,
         periodic_announce_to_down_members: None,
         ..lan
--- a/crates/peer/src/view.rs
+++ b/crates/peer/src/view.rs
@@ -1,50 +1,50 @@
-//! What other parts may build on.
+//! What other parts of the sender may rely on.
 
 use crate::Micros;
 use crate::member::Member;
 use std::net::SocketAddr;
 
-/// What is held of a member.
+/// What failure detection reports of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sight {
-    /// It answered, or another says so.
-    Living,
-    /// It did not answer somebody, and has not refuted that yet.
+pub enum Liveness {
+    /// It answered, or another member reports that it did.
+    Alive,
+    /// It did not answer a probe, and has not refuted the suspicion yet.
     Suspected,
-    /// It was suspected for long enough, or has left.
-    Gone,
-    /// Nothing was heard of it since this process started.
-    Unheard,
+    /// It has been suspected for long enough, or has left.
+    Down,
+    /// Nothing has been received about it since this process started.
+    Unknown,
 }
 
-/// One member of the agreed list.
+/// The view of one member of the agreed list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known {
-    /// Its name on the list.
+pub struct PeerView {
+    /// The name on the list.
     pub name: String,
-    /// What is held of it.
-    pub sight: Sight,
-    /// What it, or another for it, told last.
-    pub told: Option<Member>,
-    /// How long ago a datagram of its own came, in microseconds.
-    pub heard: Option<Micros>,
-    /// Two processes bear its name; both addresses, as far as they have been told of.
-    pub doubled: Option<(SocketAddr, SocketAddr)>,
+    /// What failure detection reports.
+    pub liveness: Liveness,
+    /// The last record of the member, received from itself or through another member.
+    pub record: Option<Member>,
+    /// The time since the last datagram from the member itself, in microseconds.
+    pub silent_for: Option<Micros>,
+    /// The addresses of two processes that use this name at the same time.
+    pub duplicate: Option<(SocketAddr, SocketAddr)>,
 }
 
-/// All that a process knows of its fleet at one moment. A hint: it may be old, and says how old.
+/// What a process knows of its fleet at one moment. It is a hint that may be out of date, and reports its age.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// The others on the agreed list, by name.
-    pub others: Vec<Known>,
-    /// More than half of the agreed list is in sight, and this process knows that it is not alone with what it
-    /// remembers. It may come late; it goes early.
+    /// The other members of the agreed list, by name.
+    pub others: Vec<PeerView>,
+    /// More than half of the agreed list is reachable, and recent datagrams from others confirm it. This may become true
+    /// late, but becomes false early.
     pub majority: bool,
-    /// This process was away, as one that was stopped, and what it knows is not to be acted on yet.
-    pub away: bool,
-    /// Another process has this one's name: the fleet does not believe this one. It says nothing any more and must not act
-    /// for the name, until it is started anew.
+    /// This process was suspended, and what it knows must not be acted on yet.
+    pub stale: bool,
+    /// Another process uses this one's name, and the fleet accepts the other one. This process sends nothing more and must
+    /// not act under the name until it is restarted.
     pub displaced: bool,
-    /// Datagrams dropped so far: too long, not understood, or with records that can't be.
+    /// The number of datagrams dropped so far: too long, malformed, or with invalid records.
     pub dropped: u64,
 }
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in simulated time: the deciding half of each member, and a network that delays, drops, doubles, reorders
-//! and cuts datagrams, one way or both.
+//! A fleet in simulated time: the protocol state of each member, and a network that delays, drops, duplicates, reorders
+//! and cuts off datagrams, in one direction or both.
 #![allow(dead_code)]
 
 use embershore_peer::*;
@@ -10,7 +10,7 @@
 pub const S: Micros = 1_000_000;
 const STEP: Micros = 10 * MS;
 
-/// The world's own random numbers (SplitMix64); every history follows from the seed.
+/// The simulation's random number generator (SplitMix64); every history follows from the seed.
 pub struct Rng(pub u64);
 
 impl Rng {
@@ -27,7 +27,7 @@
 
 pub struct Node {
     pub peers: Option<Peers>,
-    pub life: u64,
+    pub incarnation: u64,
     pub stopped: bool,
     pub address: SocketAddr,
 }
@@ -37,10 +37,10 @@
     pub nodes: Vec<Node>,
     pub fleet: Fleet,
     pub rng: Rng,
-    /// Datagrams from the first to the second are lost.
+    /// Pairs of members; datagrams from the first to the second are lost.
     pub cut: BTreeSet<(usize, usize)>,
     pub loss: f64,
-    pub doubled: f64,
+    pub duplication: f64,
     pub delay: Micros,
     pub sent: usize,
     pub bytes: usize,
@@ -69,7 +69,7 @@
             rng: Rng(seed),
             cut: BTreeSet::new(),
             loss: 0.0,
-            doubled: 0.0,
+            duplication: 0.0,
             delay: 5 * MS,
             sent: 0,
             bytes: 0,
@@ -77,7 +77,7 @@
             seq: 0,
         };
         for n in 0..size {
-            w.nodes.push(Node { peers: None, life: 0, stopped: false, address: address(n) });
+            w.nodes.push(Node { peers: None, incarnation: 0, stopped: false, address: address(n) });
             w.start(n);
         }
         w
@@ -87,16 +87,16 @@
         let node = &self.nodes[n];
         Member {
             name: name(n),
-            life: node.life,
-            turn: 0,
+            incarnation: node.incarnation,
+            revision: 0,
             address: node.address,
             domain: format!("machine-{}", n % 4),
-            standing: Standing::Serving,
+            status: Status::Serving,
         }
     }
 
     pub fn start(&mut self, n: usize) {
-        self.nodes[n].life += 1;
+        self.nodes[n].incarnation += 1;
         self.nodes[n].stopped = false;
         let seed = self.rng.next(u64::MAX);
         let peers = Peers::new(self.member(n), self.fleet.clone(), Times::default(), seed, self.now);
@@ -107,7 +107,7 @@
         self.nodes[n].peers = None;
     }
 
-    /// No datagram passes between the parts.
+    /// Cuts the network between the parts, in both directions.
     pub fn split(&mut self, parts: &[&[usize]]) {
         for (a, b) in parts.iter().enumerate().flat_map(|(a, _)| (0..parts.len()).map(move |b| (a, b))) {
             if a != b {
@@ -124,17 +124,17 @@
                 let (to, data) = first.remove();
                 for node in self.nodes.iter_mut().filter(|n| n.address == to && !n.stopped) {
                     if let Some(peers) = &mut node.peers {
-                        peers.datagram(self.now, &data);
+                        peers.receive(self.now, &data);
                     }
                 }
             }
             for n in 0..self.nodes.len() {
                 let node = &mut self.nodes[n];
                 let Some(peers) = node.peers.as_mut().filter(|_| !node.stopped) else { continue };
-                if peers.next() <= self.now {
+                if peers.next_tick() <= self.now {
                     peers.tick(self.now);
                 }
-                while let Some((to, data)) = peers.send() {
+                while let Some((to, data)) = peers.next_datagram() {
                     (self.sent, self.bytes) = (self.sent + 1, self.bytes + data.len());
                     let other = usize::from(to.port() == 7100)
                         * match to {
@@ -146,7 +146,7 @@
                     if self.cut.contains(&(n, other)) || self.rng.chance(self.loss) {
                         continue;
                     }
-                    for _ in 0..1 + usize::from(self.rng.chance(self.doubled)) {
+                    for _ in 0..1 + usize::from(self.rng.chance(self.duplication)) {
                         self.seq += 1;
                         let at = self.now + 1 + self.rng.next(self.delay as u64) as Micros;
                         self.wire.insert((at, self.seq), (to, data.to_vec()));
@@ -160,32 +160,36 @@
         self.nodes[n].peers.as_ref().unwrap().view(self.now)
     }
 
-    /// How one member sees another.
-    pub fn sight(&self, of: usize, n: usize) -> Sight {
-        self.view(of).others.iter().find(|k| k.name == name(n)).unwrap().sight
+    /// Returns how member `of` sees member `n`.
+    pub fn liveness(&self, of: usize, n: usize) -> Liveness {
+        self.view(of).others.iter().find(|k| k.name == name(n)).unwrap().liveness
     }
 
-    /// Those that live and see a majority.
+    /// Returns the running members that see a majority.
     pub fn majorities(&self) -> Vec<usize> {
         let up = |n: &usize| self.nodes[*n].peers.is_some() && !self.nodes[*n].stopped;
         (0..self.nodes.len()).filter(up).filter(|n| self.view(*n).majority).collect()
     }
 
-    /// Whether all who live see those who live as living, in their present life, and nobody else.
+    /// Checks that every running member sees exactly the running members as alive, each in its current incarnation.
     pub fn agreed(&self) -> Result<(), String> {
         for n in (0..self.nodes.len()).filter(|n| self.nodes[*n].peers.is_some()) {
             for known in self.view(n).others {
                 let other = (0..self.nodes.len()).find(|o| name(*o) == known.name).unwrap();
                 let up = self.nodes[other].peers.is_some();
-                let right = known.told.as_ref().is_some_and(|m| m.life == self.nodes[other].life);
-                let good =
-                    if up { known.sight == Sight::Living && right } else { known.sight != Sight::Living };
+                let right =
+                    known.record.as_ref().is_some_and(|m| m.incarnation == self.nodes[other].incarnation);
+                let good = if up {
+                    known.liveness == Liveness::Alive && right
+                } else {
+                    known.liveness != Liveness::Alive
+                };
                 if !good {
                     return Err(format!(
-                        "{} at {n}: {:?}, life {:?}",
+                        "{} at {n}: {:?}, incarnation {:?}",
                         known.name,
-                        known.sight,
-                        known.told.map(|m| m.life)
+                        known.liveness,
+                        known.record.map(|m| m.incarnation)
                     ));
                 }
             }
--- a/crates/peer/tests/fleet.rs
+++ b/crates/peer/tests/fleet.rs
@@ -1,10 +1,11 @@
-//! A fleet in simulated time: joins, deaths, restarts, cuts one way and both, splits, absences, doubles, nonsense.
+//! A fleet in simulated time: joins, crashes, restarts, network cuts in one direction and both, partitions, suspended
+//! processes, duplicate names and malformed datagrams.
 
 mod common;
 use common::*;
 use embershore_peer::*;
 
-fn grown(size: usize, seed: u64) -> World {
+fn converged(size: usize, seed: u64) -> World {
     let mut w = World::new(size, seed);
     w.pass(10 * S);
     assert_eq!(w.agreed(), Ok(()));
@@ -22,33 +23,33 @@
 }
 
 #[test]
-fn a_killed_one_is_found_out_and_its_next_life_is_another() {
-    let mut w = grown(12, 2);
+fn a_killed_member_is_detected_and_its_restart_is_a_new_incarnation() {
+    let mut w = converged(12, 2);
     w.kill(3);
     w.pass(20 * S);
-    assert!((0..12).filter(|n| *n != 3).all(|n| w.sight(n, 3) == Sight::Gone));
+    assert!((0..12).filter(|n| *n != 3).all(|n| w.liveness(n, 3) == Liveness::Down));
     w.start(3);
     w.pass(10 * S);
     assert_eq!(w.agreed(), Ok(()));
-    assert!(w.view(0).others.iter().all(|k| k.doubled.is_none()), "a restart is no double");
+    assert!(w.view(0).others.iter().all(|k| k.duplicate.is_none()), "a restart is not a duplicate");
 }
 
 #[test]
-fn a_one_way_cut_makes_nobody_gone() {
-    let mut w = grown(12, 3);
-    // Six do not hear 0, which hears all.
+fn a_one_way_cut_takes_no_member_down() {
+    let mut w = converged(12, 3);
+    // Six members receive nothing from 0, which receives from all.
     w.cut.extend((6..12).map(|n| (0, n)));
     for _ in 0..120 {
         w.pass(S);
-        let gone = (1..12).filter(|n| w.sight(*n, 0) == Sight::Gone).count();
-        assert_eq!(gone, 0, "at {} s", w.now / S);
+        let down = (1..12).filter(|n| w.liveness(*n, 0) == Liveness::Down).count();
+        assert_eq!(down, 0, "at {} s", w.now / S);
     }
     assert_eq!(w.majorities().len(), 12);
 }
 
 #[test]
-fn of_five_and_seven_only_seven_are_a_majority() {
-    let mut w = grown(12, 4);
+fn only_the_larger_part_of_a_split_has_a_majority() {
+    let mut w = converged(12, 4);
     w.split(&[&[0, 1, 2, 3, 4], &[5, 6, 7, 8, 9, 10, 11]]);
     w.pass(10 * S);
     assert!(w.majorities().iter().all(|n| *n >= 5), "{:?}", w.majorities());
@@ -61,8 +62,8 @@
 }
 
 #[test]
-fn of_three_times_four_none_is() {
-    let mut w = grown(12, 5);
+fn no_part_of_an_even_three_way_split_has_a_majority() {
+    let mut w = converged(12, 5);
     w.split(&[&[0, 1, 2, 3], &[4, 5, 6, 7], &[8, 9, 10, 11]]);
     w.pass(10 * S);
     assert_eq!(w.majorities(), Vec::<usize>::new());
@@ -74,8 +75,8 @@
 }
 
 #[test]
-fn one_cut_off_from_sixty_notices_at_once() {
-    let mut w = grown(60, 6);
+fn a_member_cut_off_from_a_fleet_of_sixty_loses_its_majority_within_ten_seconds() {
+    let mut w = converged(60, 6);
     let rest: Vec<usize> = (1..60).collect();
     w.split(&[&[0], &rest]);
     w.pass(10 * S);
@@ -84,52 +85,53 @@
 }
 
 #[test]
-fn one_that_was_stopped_does_not_act_on_what_it_knew() {
-    let mut w = grown(12, 7);
+fn a_suspended_member_does_not_act_on_stale_state() {
+    let mut w = converged(12, 7);
     w.nodes[4].stopped = true;
     w.pass(60 * S);
-    // Before it has heard or done anything: asked by its own clock.
+    // Before it has received or done anything, its clock alone shows the suspension.
     let view = w.view(4);
-    assert!(view.away && !view.majority);
+    assert!(view.stale && !view.majority);
     w.nodes[4].stopped = false;
     w.pass(20 * MS);
-    assert!(w.view(4).away && !w.view(4).majority);
+    assert!(w.view(4).stale && !w.view(4).majority);
     w.pass(20 * S);
-    assert!(!w.view(4).away && w.view(4).majority);
+    assert!(!w.view(4).stale && w.view(4).majority);
     assert_eq!(w.agreed(), Ok(()));
 }
 
 #[test]
-fn the_same_name_twice_is_told_of_by_those_who_hear_both() {
-    let mut w = grown(12, 8);
-    // A copied folder: the same name and life at another address.
+fn a_duplicate_name_is_reported_by_the_members_that_receive_from_both() {
+    let mut w = converged(12, 8);
+    // A copied state folder: the same name and incarnation at another address.
     let seed = w.rng.next(u64::MAX);
     let twin = Member { address: address(200), ..w.member(5) };
     let peers = Peers::new(twin, w.fleet.clone(), Times::default(), seed, w.now).unwrap();
-    w.nodes.push(Node { peers: Some(peers), life: 1, stopped: false, address: address(200) });
+    w.nodes.push(Node { peers: Some(peers), incarnation: 1, stopped: false, address: address(200) });
     w.pass(30 * S);
-    let told = (0..12).filter(|n| *n != 5);
-    let told = told.filter(|n| w.view(*n).others.iter().any(|k| k.name == name(5) && k.doubled.is_some()));
-    assert!(told.count() >= 8);
+    let others = (0..12).filter(|n| *n != 5);
+    let reporting =
+        others.filter(|n| w.view(*n).others.iter().any(|k| k.name == name(5) && k.duplicate.is_some()));
+    assert!(reporting.count() >= 8);
 }
 
 #[test]
-fn an_old_machine_that_comes_back_beside_its_replacement_knows_that_it_may_not_act() {
-    let mut w = grown(12, 9);
+fn a_process_that_returns_after_its_replacement_started_knows_that_it_is_displaced() {
+    let mut w = converged(12, 9);
     let old = w.nodes[5].peers.take();
     w.nodes[5].address = address(201);
     w.start(5);
     w.pass(10 * S);
-    w.nodes.push(Node { peers: old, life: 1, stopped: false, address: address(5) });
+    w.nodes.push(Node { peers: old, incarnation: 1, stopped: false, address: address(5) });
     w.pass(20 * S);
     let old = w.nodes[12].peers.as_ref().unwrap();
-    // It says nothing more, and does not keep its process busy.
-    assert!(old.view(w.now).displaced && !old.view(w.now).majority && old.next() > w.now);
+    // It sends nothing more and does not keep its process busy.
+    assert!(old.view(w.now).displaced && !old.view(w.now).majority && old.next_tick() > w.now);
     assert!(w.view(5).majority && !w.view(5).displaced);
 }
 
 #[test]
-fn a_list_out_of_date_by_a_third_does_not_part_the_fleet() {
+fn an_outdated_member_list_does_not_split_the_fleet() {
     let mut w = World::new(12, 10);
     let eight = fleet(8);
     for n in 0..4 {
@@ -139,18 +141,18 @@
     w.pass(15 * S);
     assert_eq!(w.agreed(), Ok(()));
     assert_eq!(w.majorities().len(), 12);
-    // Its own list has no such member, so that it counts nowhere.
+    // The outdated list lacks this member, so its view leaves it out.
     assert!(w.view(0).others.iter().all(|k| k.name != name(9)));
 }
 
 #[test]
-fn nonsense_is_dropped_and_counted_and_nothing_else_suffers() {
-    let mut w = grown(12, 11);
+fn malformed_datagrams_are_dropped_and_counted_without_other_effect() {
+    let mut w = converged(12, 11);
     let mut rng = Rng(5);
     let peers = w.nodes[0].peers.as_mut().unwrap();
     for _ in 0..2000 {
         let data: Vec<u8> = (0..rng.next(1600)).map(|_| rng.next(256) as u8).collect();
-        peers.datagram(w.now, &data);
+        peers.receive(w.now, &data);
         peers.tick(w.now);
     }
     assert!(peers.view(w.now).dropped > 1900);
@@ -159,40 +161,40 @@
 }
 
 #[test]
-fn ten_thousand_members_that_nobody_listed_are_not_held() {
-    let mut w = grown(12, 13);
+fn the_number_of_unlisted_members_is_bounded() {
+    let mut w = converged(12, 13);
     let list = [(name(0), address(0))];
     for n in 0..1_500u32 {
-        let (stranger, at) = (format!("stranger-{n}"), ([127, 9, (n >> 8) as u8, n as u8], 7100).into());
-        let me = Member { name: stranger.clone(), address: at, life: 1, ..w.member(1) };
-        let two = Fleet::new(list.iter().cloned().chain([(stranger, at)])).unwrap();
-        let mut peers = Peers::new(me, two, Times::default(), 1, w.now).unwrap();
+        let (unlisted, at) = (format!("stranger-{n}"), ([127, 9, (n >> 8) as u8, n as u8], 7100).into());
+        let own_record = Member { name: unlisted.clone(), address: at, incarnation: 1, ..w.member(1) };
+        let two = Fleet::new(list.iter().cloned().chain([(unlisted, at)])).unwrap();
+        let mut peers = Peers::new(own_record, two, Times::default(), 1, w.now).unwrap();
         peers.tick(w.now);
-        while let Some((_, data)) = peers.send() {
-            w.nodes[0].peers.as_mut().unwrap().datagram(w.now, &data);
+        while let Some((_, data)) = peers.next_datagram() {
+            w.nodes[0].peers.as_mut().unwrap().receive(w.now, &data);
         }
     }
     let view = w.view(0);
-    assert!(view.dropped as usize >= 1_500 + 12 - MEMBERS_MOST, "{} dropped", view.dropped);
+    assert!(view.dropped as usize >= 1_500 + 12 - MAX_MEMBERS, "{} dropped", view.dropped);
     assert!(view.majority && view.others.len() == 11);
 }
 
 #[test]
-fn a_change_of_standing_is_heard_and_is_no_new_life() {
-    let mut w = grown(12, 12);
-    w.nodes[2].peers.as_mut().unwrap().stand(w.now, Standing::LameDuck);
+fn a_change_of_status_reaches_all_members_and_is_not_a_new_incarnation() {
+    let mut w = converged(12, 12);
+    w.nodes[2].peers.as_mut().unwrap().set_status(w.now, Status::LameDuck);
     w.pass(5 * S);
     for n in (0..12).filter(|n| *n != 2) {
         let known = w.view(n).others.into_iter().find(|k| k.name == name(2)).unwrap();
-        assert_eq!((known.told.unwrap().standing, known.doubled), (Standing::LameDuck, None));
+        assert_eq!((known.record.unwrap().status, known.duplicate), (Status::LameDuck, None));
     }
 }
 
-/// A history of twelve random events round eight members, over a network that loses, doubles and reorders; after it all
-/// is healed, and within 40 s all agree, a majority is seen by all or by none, and nobody was put out of its name.
+/// Plays twelve random events among eight members, over a network that loses, duplicates and reorders datagrams. Within
+/// 40 s after all faults are removed, all members agree, all or none see a majority, and none is displaced.
 fn history(seed: u64) {
     let mut w = World::new(8, seed);
-    (w.loss, w.doubled, w.delay) = (0.05, 0.1, 60 * MS);
+    (w.loss, w.duplication, w.delay) = (0.05, 0.1, 60 * MS);
     for _ in 0..12 {
         let n = w.rng.next(8) as usize;
         match w.rng.next(6) {
@@ -217,7 +219,7 @@
 }
 
 #[test]
-fn random_histories_end_in_one_view() {
+fn members_agree_after_random_histories() {
     (0..40).for_each(history);
 }
 
@@ -230,7 +232,7 @@
 }
 
 #[test]
-#[ignore = "prints figures; run it by name with --ignored --nocapture"]
+#[ignore = "prints measurements; run it by name with --ignored --nocapture"]
 fn figures() {
     for size in [12, 100, 300] {
         let mut found = Vec::new();
@@ -246,16 +248,16 @@
             while !open.is_empty() && w.now - at < 90 * S {
                 w.pass(100 * MS);
                 open.retain(|other| {
-                    let gone = w.sight(*other, n) == Sight::Gone;
-                    found.extend(gone.then_some((w.now - at) / (100 * MS)));
-                    !gone
+                    let down = w.liveness(*other, n) == Liveness::Down;
+                    found.extend(down.then_some((w.now - at) / (100 * MS)));
+                    !down
                 });
             }
         }
         found.sort();
         let at = |share: f64| found[((found.len() - 1) as f64 * share) as usize] as f64 / 10.0;
         println!(
-            "{size} members: a killed one is gone after p50 {:.1} s, p99 {:.1} s; {sent:.1} datagrams, {bytes:.0} bytes a second from each",
+            "{size} members: a killed one is down after p50 {:.1} s, p99 {:.1} s; {sent:.1} datagrams, {bytes:.0} bytes a second from each",
             at(0.5),
             at(0.99)
         );
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -5,7 +5,7 @@
 use crate::report::{Report, Unit};
 use crate::spread::Spread;
 use anyhow::{Context, Result};
-use embershore_peer::{Fleet, MEMBERS_MOST, Member, Micros, Peers, Standing, Times};
+use embershore_peer::{Fleet, MAX_MEMBERS, Member, Micros, Peers, Status, Times};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -54,11 +54,11 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let member = |n: usize| Member {
             name: name(n),
-            life: 1,
-            turn: 0,
+            incarnation: 1,
+            revision: 0,
             address: address(n),
             domain: format!("machine-{}", n % 4),
-            standing: Standing::Serving,
+            status: Status::Serving,
         };
         let mut start = |n| Peers::new(member(n), fleet.clone(), Times::default(), random.random(), 0);
         let members = (0..size).map(&mut start).collect::<Result<Vec<_>, _>>()?;
@@ -80,17 +80,17 @@
         while let Some(first) = self.wire.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let (to, datagram) = first.remove();
             if let Some(member) = self.members.get_mut(to) {
-                member.datagram(self.now, &datagram);
+                member.receive(self.now, &datagram);
             }
         }
     }
 
     fn look(&mut self) -> Result<()> {
         for member in &mut self.members {
-            if member.next() <= self.now {
+            if member.next_tick() <= self.now {
                 member.tick(self.now);
             }
-            while let Some((to, datagram)) = member.send() {
+            while let Some((to, datagram)) = member.next_datagram() {
                 self.datagrams += 1;
                 self.bytes += datagram.len() as u64;
                 let at = self.now + 1 + self.random.random_range(0..DELAY);
@@ -115,7 +115,7 @@
 /// # Errors
 /// When the fleet's list is refused.
 pub fn run(setup: &Setup) -> Result<Report> {
-    let sizes: &[usize] = if setup.small { &[12, 40] } else { &[12, 100, 300, MEMBERS_MOST] };
+    let sizes: &[usize] = if setup.small { &[12, 40] } else { &[12, 100, 300, MAX_MEMBERS] };
     let (settle, span) = if setup.small { (20, 5) } else { (60, 20) };
     let mut report = Report::new("membership", setup);
     report.input("members", format!("{sizes:?}"));
@@ -141,6 +141,6 @@
             report.figure(format!("bytes at {size}, {when}"), Unit::BytesPerSecond, Spread::of(&bytes));
         }
     }
-    report.remark(format!("a list of more than {MEMBERS_MOST} members is refused"));
+    report.remark(format!("a list of more than {MAX_MEMBERS} members is refused"));
     Ok(report)
 }
--- a/crates/sender/src/check.rs
+++ b/crates/sender/src/check.rs
@@ -80,7 +80,7 @@
             majority: fleet.fleet.majority(),
             domains: fleet.domains.values().collect::<BTreeSet<_>>().len(),
             largest: (largest.to_string(), size),
-            outlives_a_domain: fleet.outlives_a_domain(),
+            outlives_a_domain: fleet.survives_domain_failure(),
         }
     }
 
