--- a/crates/finding/src/lib.rs
+++ b/crates/finding/src/lib.rs
@@ -16,7 +16,8 @@
     /// The column, from 1, in characters.
     pub column: usize,
     /// What is wrong, and the mend.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub message: String,
 }
 
 impl Finding {
@@ -26,29 +27,29 @@
         let line = before.iter().filter(|b| **b == b'\n').count() + 1;
         let start = before.iter().rposition(|b| *b == b'\n').map_or(0, |n| n + 1);
         let column = String::from_utf8_lossy(&before[start..]).chars().count() + 1;
-        Finding { line, column, what: what.into() }
+        Finding { line, column, message: what.into() }
     }
 
     /// What keeps a text from being read as TOML, or as what it should hold. On one line, as all findings are.
-    pub fn of(text: &str, error: &toml::de::Error) -> Finding {
+    pub fn from_toml_error(text: &str, error: &toml::de::Error) -> Finding {
         Finding::at(text, error.span().map_or(0, |s| s.start), error.message().replace('\n', "; "))
     }
 }
 
 /// Something wrong in a section that a subsystem checks, and where: it knows bytes of the text, not lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Placed {
+pub struct SpanFinding {
     /// Where, in bytes.
-    pub place: Range<usize>,
+    pub span: Range<usize>,
     /// What is wrong, and the mend.
-    pub what: String,
+    pub message: String,
 }
 
-impl Placed {
+impl SpanFinding {
     /// All that was found, with lines and columns, in the order of the text.
-    pub fn findings(text: &str, mut found: Vec<Placed>) -> Vec<Finding> {
-        found.sort_by_key(|f| f.place.start);
-        found.into_iter().map(|f| Finding::at(text, f.place.start, f.what)).collect()
+    pub fn resolve(text: &str, mut found: Vec<SpanFinding>) -> Vec<Finding> {
+        found.sort_by_key(|f| f.span.start);
+        found.into_iter().map(|f| Finding::at(text, f.span.start, f.message)).collect()
     }
 }
 
@@ -64,7 +65,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, finding) in self.findings.iter().enumerate() {
             let end = if n + 1 < self.findings.len() { "\n" } else { "" };
-            write!(f, "{}:{}:{}: {}{end}", self.name, finding.line, finding.column, finding.what)?;
+            write!(f, "{}:{}:{}: {}{end}", self.name, finding.line, finding.column, finding.message)?;
         }
         Ok(())
     }
@@ -83,7 +84,7 @@
     },
     /// What stands in it is wrong.
     #[error("{}", Findings { name, findings })]
-    Wrong {
+    Invalid {
         /// The file's name.
         name: String,
         /// All that was found.
--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, BytesMut};
 use embershore_protocol::resp::{Put, Reply};
-use heronroute::{EndpointId, Learnt, Micros, MsgId, OutCall, Outcome, Report};
+use heronroute::{DispatcherState, EndpointId, InFlightCall, LoadReport, Micros, MsgId, Outcome};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -26,9 +26,9 @@
     /// The names of the endpoints that bear numbers in `learnt` and `out`.
     pub names: Vec<(EndpointId, String)>,
     /// What the module has learnt.
-    pub learnt: Learnt,
+    pub learnt: DispatcherState,
     /// The calls that are out.
-    pub out: Vec<OutCall>,
+    pub out: Vec<InFlightCall>,
     /// Which call each message is in that is held and has one out.
     pub calls: Vec<(MsgId, u64)>,
 }
@@ -87,7 +87,7 @@
         /// The wait that its answer told, 0 if none.
         wait: Micros,
         /// The report that its answer carried.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Newcomer: the call is to be given up.
     Cancel {
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -3,7 +3,7 @@
 //! A file is checked whole before any of it counts: unknown keys are errors, and each finding has its line and column.
 #![warn(missing_docs)]
 
-use embershore_finding::{Finding, Placed};
+use embershore_finding::{Finding, SpanFinding};
 use embershore_owed::rules::Section;
 use embershore_owed::{ClassFacts, Rules};
 use embershore_peer::options::{FleetOptions, Section as FleetSection};
@@ -45,7 +45,7 @@
         let io = |error| OptionsError::Io { path: path.into(), error };
         let text = embershore_finding::read(path, FILE_MOST, "an options file").map_err(io)?;
         Options::parse(&text, classes)
-            .map_err(|findings| OptionsError::Wrong { name: path.display().to_string(), findings })
+            .map_err(|findings| OptionsError::Invalid { name: path.display().to_string(), findings })
     }
 
     /// Checks a file's text.
@@ -53,13 +53,13 @@
     /// # Errors
     /// All that is wrong in it, in the order of the file.
     pub fn parse(text: &str, classes: &[ClassFacts]) -> Result<Options, Vec<Finding>> {
-        let root: Root = toml::from_str(text).map_err(|e| vec![Finding::of(text, &e)])?;
-        let mut found: Vec<Placed> = Vec::new();
+        let root: Root = toml::from_str(text).map_err(|e| vec![Finding::from_toml_error(text, &e)])?;
+        let mut found: Vec<SpanFinding> = Vec::new();
         let owed = root.owed.map(|section| section.check(classes).map_err(|f| found.extend(f)));
         let fleet = root.fleet.map(|section| section.check().map_err(|f| found.extend(f)));
         let placement = root.placement.map(|section| section.check().map_err(|f| found.extend(f)));
         if !found.is_empty() {
-            return Err(Placed::findings(text, found));
+            return Err(SpanFinding::resolve(text, found));
         }
         Ok(Options {
             owed: owed.and_then(Result::ok),
--- a/crates/options/tests/options.rs
+++ b/crates/options/tests/options.rs
@@ -5,7 +5,7 @@
 use heronroute::Effect;
 
 fn classes() -> Vec<ClassFacts> {
-    vec![ClassFacts { name: "payout".into(), effect: Effect::SingleShot, window: 0, deadline: 20_000_000 }]
+    vec![ClassFacts { name: "payout".into(), effect: Effect::Unsafe, window: 0, deadline: 20_000_000 }]
 }
 
 #[test]
@@ -52,7 +52,7 @@
     wrong("UTF-8");
     std::fs::write(&path, "[owed]\nmax_mb = 0\n").expect("written");
     let e = Options::read(&path, &classes()).expect_err("wrong");
-    assert!(matches!(&e, OptionsError::Wrong { findings, .. } if findings.len() == 1), "{e}");
+    assert!(matches!(&e, OptionsError::Invalid { findings, .. } if findings.len() == 1), "{e}");
     assert!(e.to_string().contains("options.toml:2:10: 'max_mb'"), "{e}");
     std::fs::write(&path, "[owed]\nmax_mb = 1\n").expect("written");
     assert!(Options::read(&path, &classes()).expect("good").owed.is_some());
@@ -64,9 +64,9 @@
     let class =
         |name: &str, effect| ClassFacts { name: name.into(), effect, window: 10_000_000, deadline: 0 };
     let classes = [
-        class("airtime-payout", Effect::SingleShot),
-        class("status-sync", Effect::Free),
-        class("response-push", Effect::Guarded),
+        class("airtime-payout", Effect::Unsafe),
+        class("status-sync", Effect::Safe),
+        class("response-push", Effect::Keyed),
     ];
     let options = Options::read(path.as_ref(), &classes).expect("good");
     assert_eq!(options.owed.expect("on").rules.len(), 3);
--- a/crates/owed/src/plan.rs
+++ b/crates/owed/src/plan.rs
@@ -106,9 +106,9 @@
 pub fn in_doubt(debt: &Debt, classes: &[ClassFacts], now: Micros) -> bool {
     let Some(first) = debt.may_have_run else { return false };
     match classes.iter().find(|c| c.name == debt.message.class) {
-        Some(c) if c.effect == Effect::Free => false,
+        Some(c) if c.effect == Effect::Safe => false,
         // A clock that shows less than is known has been set back, and says nothing of how long a key is remembered.
-        Some(c) if c.effect == Effect::Guarded => {
+        Some(c) if c.effect == Effect::Keyed => {
             let part = (c.window as f64 * WINDOW_PART) as Micros;
             now < debt.known() || now >= first.saturating_add(part)
         }
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -5,7 +5,7 @@
 
 use crate::debt::{Debt, Reason};
 use crate::plan::ClassFacts;
-pub use embershore_finding::Placed as Finding;
+pub use embershore_finding::SpanFinding as Finding;
 use heronroute::{Effect, Micros};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -180,7 +180,7 @@
     #[error("{0}")]
     Unreadable(String),
     /// All that was found in it.
-    #[error("{}", .0.iter().map(|f| f.what.as_str()).collect::<Vec<_>>().join("; "))]
+    #[error("{}", .0.iter().map(|f| f.message.as_str()).collect::<Vec<_>>().join("; "))]
     Wrong(Vec<Finding>),
 }
 
@@ -222,7 +222,7 @@
 
 impl Check<'_> {
     fn say(&mut self, place: Range<usize>, what: impl Into<String>) {
-        self.found.push(Finding { place, what: what.into() });
+        self.found.push(Finding { span: place, message: what.into() });
     }
 
     fn span(
@@ -337,7 +337,7 @@
         let classes = self.classes;
         let mine = || classes.iter().filter(|c| named.as_ref().is_none_or(|n| n.contains(&c.name)));
         if raw.supersede
-            && let Some(class) = mine().find(|c| c.effect != Effect::Free)
+            && let Some(class) = mine().find(|c| c.effect != Effect::Safe)
         {
             let what = format!(
                 "'supersede' drops a message for a newer one, and class '{}' does not overwrite: each of its messages \
@@ -352,12 +352,12 @@
         if let (true, Some(resend), Some(raw_resend)) = (doubt, &resend, &raw.resend) {
             for class in mine() {
                 let what = match class.effect {
-                    Effect::SingleShot => format!(
+                    Effect::Unsafe => format!(
                         "class '{}' must never take effect twice, and what may have run is not sent again by a rule: \
                          leave 'may-have-run' out, and resolve each of them by its own word",
                         class.name
                     ),
-                    Effect::Guarded if resend.not_before >= class.window => format!(
+                    Effect::Keyed if resend.not_before >= class.window => format!(
                         "receivers forget a key of class '{}' after {} s, and this rule sends it again only later: \
                          leave 'may-have-run' out, or resend sooner",
                         class.name,
--- a/crates/owed/tests/common/mod.rs
+++ b/crates/owed/tests/common/mod.rs
@@ -14,9 +14,9 @@
     let class =
         |name: &str, effect, window| ClassFacts { name: name.into(), effect, window, deadline: 20 * S };
     vec![
-        class("quota", Effect::Free, 0),
-        class("response", Effect::Guarded, 10 * S),
-        class("payout", Effect::SingleShot, 0),
+        class("quota", Effect::Safe, 0),
+        class("response", Effect::Keyed, 10 * S),
+        class("payout", Effect::Unsafe, 0),
     ]
 }
 
--- a/crates/owed/tests/plan.rs
+++ b/crates/owed/tests/plan.rs
@@ -183,9 +183,9 @@
                 Act::End(ending, ran) if d.state == State::Out => {
                     if ran {
                         match classes[class].effect {
-                            Effect::Free => {}
-                            Effect::SingleShot => effects += 1,
-                            Effect::Guarded => {
+                            Effect::Safe => {}
+                            Effect::Unsafe => effects += 1,
+                            Effect::Keyed => {
                                 // The receiver drops a repeat while it remembers the key.
                                 let known = first_run.is_some_and(|t| true_now - t < classes[class].window);
                                 effects += u32::from(!known);
@@ -196,19 +196,19 @@
                     d.came_back([attempt(now, ending)], now);
                 }
                 Act::Crash(ran) if d.state == State::Out => {
-                    if ran && classes[class].effect == Effect::SingleShot {
+                    if ran && classes[class].effect == Effect::Unsafe {
                         effects += 1;
                     }
                     d.came_back([attempt(now, Ending::Unknown)], now);
                 }
-                Act::Look if in_doubt(&d, &classes, now) && classes[class].effect == Effect::SingleShot => {
+                Act::Look if in_doubt(&d, &classes, now) && classes[class].effect == Effect::Unsafe => {
                     let word = if effects > 0 { Word::Ran } else { Word::NeverRan };
                     _ = d.resolve(word, "ops", "their ledger", now);
                 }
                 _ => {}
             }
             // A key's memory is counted by the clock: one that is set back unseen and catches up again deceives it.
-            if classes[class].effect == Effect::SingleShot || !set_back {
+            if classes[class].effect == Effect::Unsafe || !set_back {
                 prop_assert!(effects <= 1, "it took effect {effects} times: {d:?}");
             }
             // It is somewhere: on its way, owed with a next step, in doubt, or settled by a word.
--- a/crates/owed/tests/rules.rs
+++ b/crates/owed/tests/rules.rs
@@ -64,13 +64,9 @@
     ];
     for (text, what, place) in cases {
         let found = refused(text);
-        let hit = found.iter().find(|f| f.what.contains(what));
+        let hit = found.iter().find(|f| f.message.contains(what));
         let hit = hit.unwrap_or_else(|| panic!("{text}\nwas refused for other reasons: {found:?}"));
-        assert!(
-            text[hit.place.clone()].starts_with(place),
-            "{text}\npoints at {:?}",
-            &text[hit.place.clone()]
-        );
+        assert!(text[hit.span.clone()].starts_with(place), "{text}\npoints at {:?}", &text[hit.span.clone()]);
     }
     for text in
         ["max_mb = 9\nrules = 3", "max_mb = 9\n[[rule]]\nreason = [\"lost\"]", "max_mb = \"9\"", "[[rule]]"]
@@ -81,7 +77,7 @@
         "max_mb = 9\n{}",
         (0..300).map(|n| format!("[[rule]]\nreceiver = [{n}]\n")).collect::<String>()
     );
-    assert!(refused(&many)[0].what.contains("more than 256 rules"));
+    assert!(refused(&many)[0].message.contains("more than 256 rules"));
     // All that is wrong is told at once.
     assert_eq!(refused("max_mb = 0\nresends_per_s = 0\n[[rule]]\nclass = [\"x\", \"y\"]").len(), 4);
 }
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{Fleet, FleetError, MEMBERS_MOST};
 use crate::member::NAME_MOST;
 use crate::peers::Times;
-use embershore_finding::Placed;
+use embershore_finding::SpanFinding;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -74,12 +74,12 @@
 
 #[derive(Default)]
 struct Check {
-    found: Vec<Placed>,
+    found: Vec<SpanFinding>,
 }
 
 impl Check {
     fn say(&mut self, place: Range<usize>, what: impl Into<String>) {
-        self.found.push(Placed { place, what: what.into() });
+        self.found.push(SpanFinding { span: place, message: what.into() });
     }
 
     fn word(&mut self, field: &str, text: &Spanned<String>) {
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// All findings; places are bytes of the text that was read.
-    pub fn check(&self) -> Result<FleetOptions, Vec<Placed>> {
+    pub fn check(&self) -> Result<FleetOptions, Vec<SpanFinding>> {
         let mut c = Check::default();
         c.word("name", &self.name);
         let probe = c.time("probe", self.probe.as_ref(), Times::default().probe);
@@ -184,8 +184,9 @@
 
     fn read(text: &str) -> Result<FleetOptions, Vec<(usize, String)>> {
         let section: Section = toml::from_str(text).map_err(|e| vec![(0, e.to_string())])?;
-        let found =
-            |found| embershore_finding::Placed::findings(text, found).into_iter().map(|f| (f.line, f.what));
+        let found = |found| {
+            embershore_finding::SpanFinding::resolve(text, found).into_iter().map(|f| (f.line, f.message))
+        };
         section.check().map_err(|all| found(all).collect())
     }
 
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -10,7 +10,7 @@
 //! | `-BUSY ms` | [`Outcome::Busy`] | next candidate; after the last, busy with the least wait told |
 //! | `-ERR` | [`Outcome::Wrong`] | the client is told so |
 //! | refused, not connected in time, closed before the first byte, the seat is vacant by now | [`Outcome::NeverSent`] | next candidate |
-//! | after the first byte: timeout, reset, close, an unreadable answer | [`Outcome::Unknown`] | [`Effect::Free`]: next candidate; otherwise failed at once |
+//! | after the first byte: timeout, reset, close, an unreadable answer | [`Outcome::Unknown`] | [`Effect::Safe`]: next candidate; otherwise failed at once |
 //!
 //! An owner that is down is never sent the request, one that is full or on another epoch answers busy, one that is stopped or
 //! slow ends as unknown when its patience is over.
@@ -129,8 +129,8 @@
     /// The owner may have the request: a second owner only where a repeat does no harm.
     fn after_unknown(&mut self, now: Micros) -> Step {
         match self.effect {
-            Effect::Free => self.try_next(now),
-            Effect::Guarded | Effect::SingleShot => self.answer(Verdict::Failed),
+            Effect::Safe => self.try_next(now),
+            Effect::Keyed | Effect::Unsafe => self.answer(Verdict::Failed),
         }
     }
 
@@ -143,9 +143,9 @@
         let Some(to) = self.candidates.next() else { return self.answer_busy() };
         let fair_part = (left / untried).max(LEAST_PATIENCE);
         let patience = match self.effect {
-            Effect::Free => fair_part,
+            Effect::Safe => fair_part,
             // Without an answer nobody else is asked, so that nobody else needs the time.
-            Effect::Guarded | Effect::SingleShot => left,
+            Effect::Keyed | Effect::Unsafe => left,
         };
         Step::Send { to, begin_within: fair_part, patience }
     }
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,7 +1,7 @@
 //! The section `[placement]` of the operator's options: this member's name, where it takes forwarded requests, who
 //! tells the member list, and the times and bounds that go with it.
 
-use embershore_finding::Placed;
+use embershore_finding::SpanFinding;
 use heronroute::Micros;
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -66,12 +66,12 @@
 
 #[derive(Default)]
 struct Checker {
-    found: Vec<Placed>,
+    found: Vec<SpanFinding>,
 }
 
 impl Checker {
     fn report(&mut self, place: Range<usize>, what: impl Into<String>) {
-        self.found.push(Placed { place, what: what.into() });
+        self.found.push(SpanFinding { span: place, message: what.into() });
     }
 
     fn name(&mut self, name: &Spanned<String>) -> String {
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     /// All findings; places are bytes of the text that was read.
-    pub fn check(&self) -> Result<PlacementOptions, Vec<Placed>> {
+    pub fn check(&self) -> Result<PlacementOptions, Vec<SpanFinding>> {
         let mut checker = Checker::default();
         let name = checker.name(&self.name);
         let listen = checker.address(&self.listen);
--- a/crates/placement/tests/forwarding.rs
+++ b/crates/placement/tests/forwarding.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 const BUDGET: Micros = 300_000;
-const EFFECTS: [Effect; 3] = [Effect::Free, Effect::Guarded, Effect::SingleShot];
+const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
 
 fn forwarding(effect: Effect, candidates: u16) -> Forwarding {
     Forwarding::new(effect, (0..candidates).map(SeatId).collect(), 0, BUDGET)
@@ -47,13 +47,13 @@
 
 #[test]
 fn busy_tells_the_least_wait_of_all_owners() {
-    let mut request = forwarding(Effect::SingleShot, 3);
+    let mut request = forwarding(Effect::Unsafe, 3);
     request.start(0);
     request.outcome(1_000, Outcome::Busy { after_ms: 90 });
     request.outcome(2_000, Outcome::Busy { after_ms: 40 });
     let step = request.outcome(3_000, Outcome::Busy { after_ms: 0 });
     assert_eq!(step, Step::Answer(Verdict::Busy { after_ms: 40 }));
-    let mut unsaid = forwarding(Effect::SingleShot, 1);
+    let mut unsaid = forwarding(Effect::Unsafe, 1);
     unsaid.start(0);
     let step = unsaid.outcome(1_000, Outcome::NeverSent);
     assert_eq!(step, Step::Answer(Verdict::Busy { after_ms: DEFAULT_WAIT_MS }));
@@ -61,10 +61,10 @@
 
 #[test]
 fn an_unknown_outcome_goes_to_a_second_owner_only_where_a_repeat_does_no_harm() {
-    let mut free = forwarding(Effect::Free, 2);
+    let mut free = forwarding(Effect::Safe, 2);
     free.start(0);
     assert_eq!(sent_to(&free.outcome(1_000, Outcome::Unknown)), SeatId(1));
-    for effect in [Effect::Guarded, Effect::SingleShot] {
+    for effect in [Effect::Keyed, Effect::Unsafe] {
         let mut request = forwarding(effect, 2);
         request.start(0);
         assert_eq!(request.outcome(1_000, Outcome::Unknown), Step::Answer(Verdict::Failed));
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_free_request_that_nobody_answered_is_busy() {
-    let mut request = forwarding(Effect::Free, 2);
+    let mut request = forwarding(Effect::Safe, 2);
     request.start(0);
     request.outcome(150_000, Outcome::Unknown);
     let step = request.outcome(BUDGET, Outcome::Unknown);
@@ -83,21 +83,21 @@
 #[test]
 fn without_a_candidate_or_time_the_answer_is_busy() {
     let busy = Step::Answer(Verdict::Busy { after_ms: DEFAULT_WAIT_MS });
-    assert_eq!(forwarding(Effect::Free, 0).start(0), busy);
-    assert_eq!(forwarding(Effect::Free, 2).start(BUDGET - LEAST_PATIENCE + 1), busy);
+    assert_eq!(forwarding(Effect::Safe, 0).start(0), busy);
+    assert_eq!(forwarding(Effect::Safe, 2).start(BUDGET - LEAST_PATIENCE + 1), busy);
 }
 
 #[test]
 fn a_free_request_leaves_time_for_the_next_owner_and_another_waits_for_the_one_it_has() {
-    let step = forwarding(Effect::Free, 2).start(0);
+    let step = forwarding(Effect::Safe, 2).start(0);
     assert_eq!(step, Step::Send { to: SeatId(0), begin_within: BUDGET / 2, patience: BUDGET / 2 });
-    let step = forwarding(Effect::SingleShot, 2).start(0);
+    let step = forwarding(Effect::Unsafe, 2).start(0);
     assert_eq!(step, Step::Send { to: SeatId(0), begin_within: BUDGET / 2, patience: BUDGET });
 }
 
 #[test]
 fn an_answer_never_changes() {
-    let mut request = forwarding(Effect::SingleShot, 2);
+    let mut request = forwarding(Effect::Unsafe, 2);
     request.start(0);
     let failed = request.outcome(1_000, Outcome::Unknown);
     assert_eq!(request.outcome(2_000, Outcome::Taken), failed);
@@ -131,7 +131,7 @@
         for (outcome, part) in outcomes {
             let Step::Send { to, begin_within, patience } = step else { break };
             prop_assert!(!sent.contains(&to));
-            prop_assert!(!possibly_taken || effect == Effect::Free);
+            prop_assert!(!possibly_taken || effect == Effect::Safe);
             prop_assert!(begin_within <= patience && patience >= LEAST_PATIENCE);
             sent.push(to);
             now += (part * patience as f64) as Micros;
--- a/crates/placement/tests/history/ledger.rs
+++ b/crates/placement/tests/history/ledger.rs
@@ -104,7 +104,7 @@
                 format!("member {member} takes {message} on, its lease ended {lease_until:?}"),
             );
         }
-        if self.messages[message].effect != Effect::Free && self.jobs.iter().any(|job| job.message == message)
+        if self.messages[message].effect != Effect::Safe && self.jobs.iter().any(|job| job.message == message)
         {
             self.violation(now, format!("{message} is taken on twice: {:?}", self.messages[message]));
         }
@@ -130,7 +130,7 @@
     pub fn told_busy(&mut self, now: Micros, message: usize) {
         self.counts.busy += 1;
         let taken = self.jobs.iter().any(|job| job.message == message);
-        if taken && self.messages[message].effect != Effect::Free {
+        if taken && self.messages[message].effect != Effect::Safe {
             self.violation(now, format!("{message} was taken on, and its client is told busy"));
         }
     }
@@ -149,7 +149,7 @@
         called.effects += u32::from(works);
         let message = called.message;
         let effects: u32 = self.jobs.iter().filter(|job| job.message == message).map(|job| job.effects).sum();
-        if effects > 1 && self.messages[message].effect == Effect::SingleShot {
+        if effects > 1 && self.messages[message].effect == Effect::Unsafe {
             self.violation(now, format!("{message} has its effect twice"));
         }
     }
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -394,7 +394,7 @@
         member.lease_until = None;
         for (job, called) in std::mem::take(&mut member.jobs) {
             let effect = self.ledger.messages[self.ledger.jobs[job].message].effect;
-            if called && effect == Effect::SingleShot {
+            if called && effect == Effect::Unsafe {
                 self.ledger.ended(job);
             } else {
                 self.hold(number, job);
@@ -405,7 +405,7 @@
     // Clients.
 
     fn random_effect(&mut self) -> Effect {
-        *[Effect::Free, Effect::Guarded, Effect::SingleShot].choose(&mut self.rng).expect("there are three")
+        *[Effect::Safe, Effect::Keyed, Effect::Unsafe].choose(&mut self.rng).expect("there are three")
     }
 
     fn hand_in(&mut self, message: Message, stream: Option<usize>) -> usize {
@@ -441,7 +441,7 @@
         if self.handings[message].done || self.handings[message].attempt != attempt {
             return;
         }
-        let free = self.ledger.messages[message].effect == Effect::Free;
+        let free = self.ledger.messages[message].effect == Effect::Safe;
         let again_after = match verdict {
             Some(Verdict::Taken) => {
                 self.ledger.promised(job.expect("who answers that it has taken it on has a job"));
--- a/crates/placement/tests/options.rs
+++ b/crates/placement/tests/options.rs
@@ -1,14 +1,14 @@
 //! The section `[placement]`: its defaults, its bounds, and where a finding stands.
 
-use embershore_finding::Placed;
+use embershore_finding::SpanFinding;
 use embershore_placement::options::{PlacementOptions, Section};
 
 /// The options of a text, or each finding with its line.
 fn read(text: &str) -> Result<PlacementOptions, Vec<(usize, String)>> {
     let section: Section = toml::from_str(text).map_err(|e| vec![(0, e.to_string())])?;
     section.check().map_err(|found| {
-        let findings = Placed::findings(text, found);
-        findings.into_iter().map(|finding| (finding.line, finding.what)).collect()
+        let findings = SpanFinding::resolve(text, found);
+        findings.into_iter().map(|finding| (finding.line, finding.message)).collect()
     })
 }
 
--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -2,13 +2,13 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use heronroute::{Micros, Outcome, Report};
+use heronroute::{LoadReport, Micros, Outcome};
 use http::HeaderMap;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
 /// The status that an answer's first line tells.
-pub fn status_of(line: &[u8]) -> Option<u16> {
+pub fn parse_status(line: &[u8]) -> Option<u16> {
     let rest = line.strip_prefix(b"HTTP/1.").and_then(|r| r.strip_prefix(b"1").or(r.strip_prefix(b"0")))?;
     let (code, rest) = rest.strip_prefix(b" ")?.split_at_checked(3)?;
     let ends = rest.first().is_some_and(|b| b" \r\n".contains(b));
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// None that text and bytes could cause; they are the JSON writer's.
-pub fn batch_body<'a>(
+pub fn encode_batch<'a>(
     items: impl Iterator<Item = (&'a str, Option<&'a str>, &'a [u8])>,
 ) -> serde_json::Result<Vec<u8>> {
     let item = |(id, key, body): (&'a str, Option<&'a str>, &'a [u8])| BatchItem {
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// Says what can't be read, is empty, or names a message twice.
-pub fn read_batch(body: &[u8]) -> Result<Vec<(String, Option<String>, usize)>, String> {
+pub fn decode_batch(body: &[u8]) -> Result<Vec<(String, Option<String>, usize)>, String> {
     let items: Vec<BatchItem<'_>> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let mut read: Vec<(String, Option<String>, usize)> = Vec::with_capacity(items.len());
     for item in items {
@@ -67,7 +67,7 @@
 
 /// What a message's state in a batch's answer means, and whether nothing more is owed. A state that is missing or
 /// unknown leaves it open whether the message ran.
-pub fn state(state: Option<&str>) -> (Outcome, bool) {
+pub fn outcome_of_state(state: Option<&str>) -> (Outcome, bool) {
     match state {
         Some("ok") => (Outcome::Done, true),
         Some("later") => (Outcome::Busy, false),
@@ -79,19 +79,19 @@
 
 /// What an answer's head says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Head {
+pub struct AnswerHead {
     /// How the call ended, for all its messages alike.
     pub outcome: Outcome,
     /// Nothing more is owed.
-    pub over: bool,
+    pub closes_message: bool,
     /// The wait that it tells, in microseconds; 0 if none.
     pub wait: Micros,
     /// The report that it carries.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// Reads the head of an answer to a call or a probe.
-pub fn read_head(status: u16, headers: &HeaderMap) -> Head {
+pub fn read_head(status: u16, headers: &HeaderMap) -> AnswerHead {
     let number = |name: &str| headers.get(name)?.to_str().ok()?.trim().parse::<u32>().ok();
     let outcome = match status {
         200 => Outcome::Done,
@@ -107,7 +107,7 @@
             let pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
             pairs.filter(|(n, _)| *n == name).find_map(|(_, v)| v.parse().ok())
         };
-        Report { left: figure("x0"), limit: figure("x1") }
+        LoadReport { remaining: figure("x0"), limit: figure("x1") }
     });
-    Head { outcome, over: matches!(status, 200 | 410), wait, report }
+    AnswerHead { outcome, closes_message: matches!(status, 200 | 410), wait, report }
 }
--- a/crates/protocol/src/listing.rs
+++ b/crates/protocol/src/listing.rs
@@ -15,7 +15,7 @@
     pub snapshot: bool,
     /// The whole list's lines, or those that have changed.
     #[serde(default)]
-    pub endpoints: Vec<Line>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 impl Listing {
@@ -24,25 +24,25 @@
     /// # Errors
     /// Names what is wrong in it. A whole list that names an endpoint twice says nothing certain of it; among changes the
     /// later one holds.
-    pub fn read(text: &[u8]) -> Result<Self, Flaw> {
-        let list: Listing = serde_json::from_slice(text).map_err(Flaw::Object)?;
+    pub fn read(text: &[u8]) -> Result<Self, ListingError> {
+        let list: Listing = serde_json::from_slice(text).map_err(ListingError::InvalidListing)?;
         unique_names(list)
     }
 }
 
 /// The list, unless it is a whole one that has a name twice.
-pub(crate) fn unique_names(list: Listing) -> Result<Listing, Flaw> {
+pub(crate) fn unique_names(list: Listing) -> Result<Listing, ListingError> {
     let mut names = HashSet::new();
     let twice = list.endpoints.iter().find(|line| list.snapshot && !names.insert(&*line.name));
     match twice {
-        Some(line) => Err(Flaw::Twice(line.name.clone())),
+        Some(line) => Err(ListingError::DuplicateName(line.name.clone())),
         None => Ok(list),
     }
 }
 
 /// An endpoint.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Line {
+pub struct ListedEndpoint {
     /// The same at every sender.
     pub name: String,
     /// Where this sender reaches it.
@@ -64,11 +64,11 @@
     pub weight: Option<f64>,
 }
 
-/// Listings in a stream that may be cut at any byte: one object after another, each in one line or, where lists come
+/// ListingReader in a stream that may be cut at any byte: one object after another, each in one line or, where lists come
 /// indented, in several. What stands between them is white space, and the line that only tells that the other side
 /// lives.
 #[derive(Debug, Default)]
-pub struct Listings {
+pub struct ListingReader {
     text: Vec<u8>,
     /// White space since the last listing that is not kept.
     passed: usize,
@@ -78,7 +78,7 @@
 }
 
 /// Endpoints that begin in a listing's text, which may be cut at any byte.
-pub fn endpoints_begun(text: &[u8]) -> usize {
+pub fn endpoints_started(text: &[u8]) -> usize {
     /// Objects in the array of an object.
     const ENDPOINT_DEPTH: usize = 3;
     let (mut depth, mut quoted, mut escaped, mut endpoints) = (0_usize, false, false, 0);
@@ -100,67 +100,67 @@
 
 /// What in a stream of listings can't be read; nothing after it can.
 #[derive(Debug)]
-pub enum Flaw {
+pub enum ListingError {
     /// This byte, at this place behind the last listing, begins none.
-    Noise(u8, usize),
+    UnexpectedByte(u8, usize),
     /// An object is no listing.
-    Object(serde_json::Error),
+    InvalidListing(serde_json::Error),
     /// The entry with this number, from 0, is none.
-    Entry(usize, serde_json::Error),
+    InvalidEntry(usize, serde_json::Error),
     /// This byte stands behind so many entries of a list, where a comma, an entry or the list's end is due.
-    BetweenEntries(u8, usize),
+    UnexpectedByteInList(u8, usize),
     /// A whole list has this name twice.
-    Twice(String),
+    DuplicateName(String),
 }
 
-impl fmt::Display for Flaw {
+impl fmt::Display for ListingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Flaw::Noise(byte, at) => {
+            ListingError::UnexpectedByte(byte, at) => {
                 write!(f, "byte {at} behind the last list is {byte:#04x}, where '{{' is due")
             }
-            Flaw::Object(e) => write!(f, "a list can't be read: {e}"),
-            Flaw::Entry(number, e) => write!(f, "entry {number} of a list can't be read: {e}"),
-            Flaw::BetweenEntries(byte, count) => {
+            ListingError::InvalidListing(e) => write!(f, "a list can't be read: {e}"),
+            ListingError::InvalidEntry(number, e) => write!(f, "entry {number} of a list can't be read: {e}"),
+            ListingError::UnexpectedByteInList(byte, count) => {
                 write!(f, "behind {count} entries of a list stands {byte:#04x}, where none is due")
             }
-            Flaw::Twice(name) => write!(f, "'{name}' stands twice in a whole list"),
+            ListingError::DuplicateName(name) => write!(f, "'{name}' stands twice in a whole list"),
         }
     }
 }
 
-impl std::error::Error for Flaw {}
+impl std::error::Error for ListingError {}
 
-impl Listings {
+impl ListingReader {
     /// Takes what has been read.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.text.extend_from_slice(bytes);
     }
 
     /// Bytes that are kept of a listing that is not whole yet.
-    pub fn kept(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.text.len()
     }
 
     /// A listing has begun and is not whole yet.
-    pub fn is_within(&self) -> bool {
+    pub fn is_partial(&self) -> bool {
         self.nesting.depth() > 0
     }
 
     /// Endpoints that begin in what is kept of a listing that is not whole yet.
-    pub fn endpoints_begun(&self) -> usize {
-        endpoints_begun(&self.text)
+    pub fn endpoints_started(&self) -> usize {
+        endpoints_started(&self.text)
     }
 
     /// The next listing that is whole.
     ///
     /// # Errors
     /// Names what can't be read.
-    pub fn next_whole(&mut self) -> Result<Option<Listing>, Flaw> {
+    pub fn next_listing(&mut self) -> Result<Option<Listing>, ListingError> {
         while let Some(byte) = self.text.get(self.seen).copied() {
             self.seen += 1;
             if self.nesting.depth() == 0 && byte != b'{' && !byte.is_ascii_whitespace() {
-                return Err(Flaw::Noise(byte, self.passed + self.seen));
+                return Err(ListingError::UnexpectedByte(byte, self.passed + self.seen));
             }
             self.nesting.advance(byte);
             if self.nesting.depth() == 0 && !byte.is_ascii_whitespace() {
@@ -183,11 +183,11 @@
     use super::*;
 
     /// All listings' versions in a text that comes in such pieces.
-    fn versions(text: &str, piece: usize) -> Result<Vec<u64>, Flaw> {
-        let (mut listings, mut found) = (Listings::default(), Vec::new());
+    fn versions(text: &str, piece: usize) -> Result<Vec<u64>, ListingError> {
+        let (mut listings, mut found) = (ListingReader::default(), Vec::new());
         for bytes in text.as_bytes().chunks(piece) {
             listings.extend(bytes);
-            while let Some(listing) = listings.next_whole()? {
+            while let Some(listing) = listings.next_listing()? {
                 found.push(listing.index);
             }
         }
@@ -214,7 +214,7 @@
         let (first, second) = (text.find(odd[0]).unwrap(), text.find(odd[1]).unwrap());
         for end in 0..=text.len() {
             let begun = usize::from(end > first) + usize::from(end > second);
-            assert_eq!(endpoints_begun(&text.as_bytes()[..end]), begun, "cut at {end}");
+            assert_eq!(endpoints_started(&text.as_bytes()[..end]), begun, "cut at {end}");
         }
     }
 
@@ -223,9 +223,9 @@
         let flaw = versions("{\"index\":1}\n  x", 4).unwrap_err();
         assert_eq!(flaw.to_string(), "byte 4 behind the last list is 0x78, where '{' is due");
         for wrong in ["{\"index\":null}", "{\"index\":1,\"endpoints\":[{\"status\":3}]}", "{]"] {
-            assert!(matches!(versions(wrong, 3), Err(Flaw::Object(_))), "{wrong}");
+            assert!(matches!(versions(wrong, 3), Err(ListingError::InvalidListing(_))), "{wrong}");
         }
-        assert!(matches!(versions("[1]", 1), Err(Flaw::Noise(b'[', 1))));
+        assert!(matches!(versions("[1]", 1), Err(ListingError::UnexpectedByte(b'[', 1))));
         let twice = r#"{"index":1,"snapshot":true,"endpoints":[{"name":"a","status":"Ready"},{"name":"a","status":"Gone"}]}"#;
         assert_eq!(versions(twice, 9).unwrap_err().to_string(), "'a' stands twice in a whole list");
         assert_eq!(
@@ -233,11 +233,11 @@
             [1],
             "changes of one may follow each other"
         );
-        let mut listings = Listings::default();
+        let mut listings = ListingReader::default();
         listings.extend(b"\n\n{\"ind");
-        assert!(listings.next_whole().unwrap().is_none() && listings.is_within());
+        assert!(listings.next_listing().unwrap().is_none() && listings.is_partial());
         listings.extend(b"ex\":3}\n\n");
-        assert!(listings.next_whole().unwrap().is_some() && listings.next_whole().unwrap().is_none());
-        assert!(!listings.is_within() && listings.kept() == 0);
+        assert!(listings.next_listing().unwrap().is_some() && listings.next_listing().unwrap().is_none());
+        assert!(!listings.is_partial() && listings.buffered_bytes() == 0);
     }
 }
--- a/crates/protocol/src/listing_stream.rs
+++ b/crates/protocol/src/listing_stream.rs
@@ -1,6 +1,6 @@
-//! Listings of which only a part is kept: read entry by entry, so that a list's length does not decide what is held.
+//! ListingReader of which only a part is kept: read entry by entry, so that a list's length does not decide what is held.
 
-use crate::listing::{Flaw, Line, Listing, unique_names};
+use crate::listing::{ListedEndpoint, Listing, ListingError, unique_names};
 use crate::nesting::Nesting;
 
 /// The field of a listing that holds its entries.
@@ -10,14 +10,14 @@
 const IN_ENTRIES: usize = 2;
 const IN_ENTRY: usize = 3;
 
-/// Listings in a stream that may be cut at any byte, as [`crate::listing::Listings`] reads them; of each, only the entries
+/// ListingReader in a stream that may be cut at any byte, as [`crate::listing::ListingReader`] reads them; of each, only the entries
 /// whose destination is wanted are kept. What is held at a time is one entry, those that are kept, and the listing's other
 /// fields.
 ///
 /// A whole list that names one of the kept entries twice is an error. Entries that are not kept have to be readable as
 /// entries, and no more.
 #[derive(Debug, Default)]
-pub struct FilteredListings {
+pub struct FilteredListingReader {
     unread: Vec<u8>,
     nesting: Nesting,
     /// White space since the last listing.
@@ -30,7 +30,7 @@
     /// Entries of this listing that have been read.
     entries_read: usize,
     position: Position,
-    kept: Vec<Line>,
+    kept: Vec<ListedEndpoint>,
     /// Bytes of text from which `kept` was read.
     kept_bytes: usize,
 }
@@ -47,14 +47,14 @@
     BehindComma,
 }
 
-impl FilteredListings {
+impl FilteredListingReader {
     /// Takes what has been read.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.unread.extend_from_slice(bytes);
     }
 
     /// Bytes that are held of a listing that is not whole yet.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.unread.len() + self.envelope.len() + self.entry.len() + self.kept_bytes
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// A listing has begun and is not whole yet.
-    pub fn is_within(&self) -> bool {
+    pub fn is_partial(&self) -> bool {
         self.nesting.depth() > 0
     }
 
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// Names what can't be read; nothing after it can.
-    pub fn next_whole(&mut self, keeps: &dyn Fn(i64) -> bool) -> Result<Option<Listing>, Flaw> {
+    pub fn next_listing(&mut self, keeps: &dyn Fn(i64) -> bool) -> Result<Option<Listing>, ListingError> {
         let unread = std::mem::take(&mut self.unread);
         for (at, byte) in unread.iter().enumerate() {
             if self.advance(*byte, keeps)? {
@@ -84,11 +84,15 @@
     }
 
     /// Takes one byte; whether a listing ends with it.
-    fn advance(&mut self, byte: u8, keeps: &dyn Fn(i64) -> bool) -> Result<bool, Flaw> {
+    fn advance(&mut self, byte: u8, keeps: &dyn Fn(i64) -> bool) -> Result<bool, ListingError> {
         let before = self.nesting.depth();
         if before == 0 && byte != b'{' {
             self.passed += 1;
-            return if byte.is_ascii_whitespace() { Ok(false) } else { Err(Flaw::Noise(byte, self.passed)) };
+            return if byte.is_ascii_whitespace() {
+                Ok(false)
+            } else {
+                Err(ListingError::UnexpectedByte(byte, self.passed))
+            };
         }
         let was_quoted = self.nesting.is_quoted();
         self.nesting.advance(byte);
@@ -129,7 +133,7 @@
     }
 
     /// What stands between entries: white space, commas, and the bracket that closes the array.
-    fn between_entries(&mut self, position: Position, byte: u8) -> Result<Position, Flaw> {
+    fn between_entries(&mut self, position: Position, byte: u8) -> Result<Position, ListingError> {
         use Position::{BehindComma, BehindEntry, InEntry, Opened, Outside};
         match (byte, position) {
             (b' ' | b'\n' | b'\r' | b'\t', _) => Ok(position),
@@ -142,13 +146,13 @@
                 self.envelope.push(byte);
                 Ok(Outside)
             }
-            _ => Err(Flaw::BetweenEntries(byte, self.entries_read)),
+            _ => Err(ListingError::UnexpectedByteInList(byte, self.entries_read)),
         }
     }
 
-    fn finish_entry(&mut self, keeps: &dyn Fn(i64) -> bool) -> Result<(), Flaw> {
-        let line: Line =
-            serde_json::from_slice(&self.entry).map_err(|error| Flaw::Entry(self.entries_read, error))?;
+    fn finish_entry(&mut self, keeps: &dyn Fn(i64) -> bool) -> Result<(), ListingError> {
+        let line: ListedEndpoint = serde_json::from_slice(&self.entry)
+            .map_err(|error| ListingError::InvalidEntry(self.entries_read, error))?;
         if keeps(line.group) {
             self.kept_bytes += self.entry.len();
             self.kept.push(line);
@@ -160,10 +164,14 @@
     }
 
     /// The listing that has come to its end; makes room for the next.
-    fn finish(&mut self, keeps: &dyn Fn(i64) -> bool) -> Result<Listing, Flaw> {
+    fn finish(&mut self, keeps: &dyn Fn(i64) -> bool) -> Result<Listing, ListingError> {
         let rest = std::mem::take(&mut self.unread);
-        let whole = std::mem::replace(self, FilteredListings { unread: rest, ..FilteredListings::default() });
-        let mut listing: Listing = serde_json::from_slice(&whole.envelope).map_err(Flaw::Object)?;
+        let whole = std::mem::replace(
+            self,
+            FilteredListingReader { unread: rest, ..FilteredListingReader::default() },
+        );
+        let mut listing: Listing =
+            serde_json::from_slice(&whole.envelope).map_err(ListingError::InvalidListing)?;
         // Where the field's name was written with escapes, its entries stand in the envelope.
         listing.endpoints.retain(|line| keeps(line.group));
         listing.endpoints.extend(whole.kept);
--- a/crates/protocol/src/notice.rs
+++ b/crates/protocol/src/notice.rs
@@ -7,22 +7,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
     /// Delivered, or withdrawn by its client: nothing more is owed.
-    Over,
+    #[serde(rename = "Over")]
+    Closed,
     /// Given up.
     Failed,
     /// Refused: handing it in again is harmless.
     Returned {
         /// When to come again, in milliseconds; 0 says nothing of it.
-        after_ms: u64,
+        #[serde(rename = "after_ms")]
+        retry_after_ms: u64,
     },
 }
 
 /// The line that tells the end of the message with this id.
-pub fn line(id: &str, end: End) -> String {
+pub fn encode(id: &str, end: End) -> String {
     let line = match end {
-        End::Returned { after_ms: 0 } => json!({"id": id, "state": "returned"}),
-        End::Returned { after_ms } => json!({"id": id, "state": "returned", "after_ms": after_ms}),
-        End::Failed | End::Over => json!({"id": id, "state": "failed"}),
+        End::Returned { retry_after_ms: 0 } => json!({"id": id, "state": "returned"}),
+        End::Returned { retry_after_ms } => {
+            json!({"id": id, "state": "returned", "after_ms": retry_after_ms})
+        }
+        End::Failed | End::Closed => json!({"id": id, "state": "failed"}),
     };
     format!("{line}\n")
 }
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -10,11 +10,11 @@
 use std::fmt;
 
 /// Bytes of a message's body, or of any argument, at most.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Arguments of a command at most.
-pub const ARGS_MOST: usize = 16;
+pub const MAX_ARGS: usize = 16;
 /// Bytes of a whole command at most.
-pub const COMMAND_MOST: usize = 2 * BODY_MOST;
+pub const MAX_COMMAND_BYTES: usize = 2 * MAX_BODY_BYTES;
 
 /// A message as a client hands it in.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -34,7 +34,8 @@
     /// In a keyed class: the key by which repeats are dropped.
     pub idempotency_key: Option<String>,
     /// It is known to have been handed in before.
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub resubmitted: bool,
     /// What is delivered: any bytes.
     pub body: Bytes,
 }
@@ -43,77 +44,80 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// The sender owes the message its end from now on.
-    Taken,
+    #[serde(rename = "Taken")]
+    Accepted,
     /// Refused; handing it in again is harmless.
     Busy {
         /// When to come again, in milliseconds; 0 says nothing of it.
-        after_ms: u64,
+        #[serde(rename = "after_ms")]
+        retry_after_ms: u64,
     },
     /// Given up.
     Failed,
     /// It can't be taken on by any sender.
-    Wrong(Cow<'static, str>),
+    #[serde(rename = "Wrong")]
+    Invalid(Cow<'static, str>),
 }
 
 impl Reply {
     /// The line that a client reads.
-    pub fn line(self) -> String {
+    pub fn encode(self) -> String {
         match self {
-            Reply::Taken => "+OK\r\n".into(),
-            Reply::Busy { after_ms: 0 } => "-BUSY\r\n".into(),
-            Reply::Busy { after_ms } => format!("-BUSY {after_ms}\r\n"),
+            Reply::Accepted => "+OK\r\n".into(),
+            Reply::Busy { retry_after_ms: 0 } => "-BUSY\r\n".into(),
+            Reply::Busy { retry_after_ms } => format!("-BUSY {retry_after_ms}\r\n"),
             Reply::Failed => "-ERR the message failed\r\n".into(),
-            Reply::Wrong(why) => format!("-ERR {why}\r\n"),
+            Reply::Invalid(why) => format!("-ERR {why}\r\n"),
         }
     }
 }
 
 /// What can't be read as a command; nothing that follows on the connection can be.
 #[derive(Debug, PartialEq, Eq)]
-pub struct BadFrame(&'static str);
+pub struct FramingError(&'static str);
 
-impl fmt::Display for BadFrame {
+impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Protocol error: {}", self.0)
     }
 }
 
-impl std::error::Error for BadFrame {}
+impl std::error::Error for FramingError {}
 
 /// Reads `marker`, a number and a line end at `at`; the number and where it ends.
-fn header(buf: &[u8], at: usize, marker: u8, most: usize) -> Result<Option<(usize, usize)>, BadFrame> {
+fn header(buf: &[u8], at: usize, marker: u8, most: usize) -> Result<Option<(usize, usize)>, FramingError> {
     let rest = &buf[at.min(buf.len())..];
     match rest.first() {
         None => return Ok(None),
-        Some(b) if *b != marker => return Err(BadFrame("expected an array of bulk strings")),
+        Some(b) if *b != marker => return Err(FramingError("expected an array of bulk strings")),
         Some(_) => {}
     }
     let Some(end) = rest.iter().take(16).position(|b| *b == b'\n') else {
-        return if rest.len() < 16 { Ok(None) } else { Err(BadFrame("a length is too long")) };
+        return if rest.len() < 16 { Ok(None) } else { Err(FramingError("a length is too long")) };
     };
     let digits = rest[1..end].strip_suffix(b"\r").unwrap_or_default();
     let digits = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
     let number = digits.and_then(|d| d.parse().ok()).filter(|n| *n <= most);
-    number.map(|n| Some((n, at + end + 1))).ok_or(BadFrame("invalid length"))
+    number.map(|n| Some((n, at + end + 1))).ok_or(FramingError("invalid length"))
 }
 
 /// Takes the first whole command off `buf`, if there is one.
 ///
 /// # Errors
 /// Says what is wrong with the framing, as soon as it shows.
-pub fn command(buf: &mut BytesMut) -> Result<Option<Vec<Bytes>>, BadFrame> {
-    let Some((count, mut at)) = header(buf, 0, b'*', ARGS_MOST)? else { return Ok(None) };
+pub fn decode_command(buf: &mut BytesMut) -> Result<Option<Vec<Bytes>>, FramingError> {
+    let Some((count, mut at)) = header(buf, 0, b'*', MAX_ARGS)? else { return Ok(None) };
     let mut spans = Vec::with_capacity(count);
     for _ in 0..count {
-        let Some((len, start)) = header(buf, at, b'$', BODY_MOST)? else { return Ok(None) };
+        let Some((len, start)) = header(buf, at, b'$', MAX_BODY_BYTES)? else { return Ok(None) };
         at = start + len + 2;
-        if at > COMMAND_MOST {
-            return Err(BadFrame("the command is too long"));
+        if at > MAX_COMMAND_BYTES {
+            return Err(FramingError("the command is too long"));
         }
         match buf.get(start + len..at) {
             None => return Ok(None),
             Some(b"\r\n") => spans.push(start..start + len),
-            Some(_) => return Err(BadFrame("a bulk string does not end with its line")),
+            Some(_) => return Err(FramingError("a bulk string does not end with its line")),
         }
     }
     let whole = buf.split_to(at).freeze();
@@ -124,7 +128,7 @@
 ///
 /// # Errors
 /// Says which argument or field is wrong.
-pub fn put(args: &[Bytes]) -> Result<Put, &'static str> {
+pub fn decode_put(args: &[Bytes]) -> Result<Put, &'static str> {
     let [_, key, id, fields, body] = args else { return Err("wrong number of arguments for 'MSG.PUT'") };
     let text = |b: &Bytes| std::str::from_utf8(b).map(str::to_string).map_err(|_| "a field is not text");
     // The id and keys go into header lines of calls.
@@ -145,7 +149,7 @@
             "d" => time_left = value.parse::<u32>().ok(),
             "dest" => dest = value.parse().ok(),
             "k" => p.idempotency_key = Some(plain(value.to_string())?),
-            "r" => p.again = value == "1",
+            "r" => p.resubmitted = value == "1",
             _ => {}
         }
     }
@@ -165,9 +169,9 @@
         let whole = b"*2\r\n$4\r\nPING\r\n$3\r\na\r\n\r\n";
         for cut in 0..whole.len() {
             let mut buf = BytesMut::from(&whole[..cut]);
-            assert_eq!(command(&mut buf), Ok(None), "cut at {cut}");
+            assert_eq!(decode_command(&mut buf), Ok(None), "cut at {cut}");
             buf.extend_from_slice(&whole[cut..]);
-            let args = command(&mut buf).unwrap().unwrap();
+            let args = decode_command(&mut buf).unwrap().unwrap();
             assert_eq!(args, [Bytes::from("PING"), Bytes::from("a\r\n")]);
             assert!(buf.is_empty());
         }
@@ -178,8 +182,8 @@
         for bad in
             ["*17\r\n", "*1\r\n$65537\r\n", "*-1\r\n", "$4\r\nPING\r\n", "*1\r\n*1\r\n", "*1\r\n$1\r\nabc"]
         {
-            assert!(command(&mut BytesMut::from(bad)).is_err(), "{bad:?}");
+            assert!(decode_command(&mut BytesMut::from(bad)).is_err(), "{bad:?}");
         }
-        assert!(command(&mut BytesMut::from("*00000000000000000001\r\n")).is_err());
+        assert!(decode_command(&mut BytesMut::from("*00000000000000000001\r\n")).is_err());
     }
 }
--- a/crates/protocol/src/resp_client.rs
+++ b/crates/protocol/src/resp_client.rs
@@ -4,9 +4,9 @@
 use std::io::Write;
 
 /// Bytes of an answer's line at most, its end included; no sender writes a longer one.
-pub const LINE_MOST: usize = 1024;
+pub const MAX_REPLY_BYTES: usize = 1024;
 
-/// A message as the command `MSG.PUT`, which [`crate::resp::put`] reads as the same message. Its time left is told in whole
+/// A message as the command `MSG.PUT`, which [`crate::resp::decode_put`] reads as the same message. Its time left is told in whole
 /// milliseconds, rounded down, and never below 0.
 pub fn encode_put(put: &Put) -> Vec<u8> {
     let fields = encode_fields(put);
@@ -31,7 +31,7 @@
         fields.push_str(",k=");
         fields.push_str(key);
     }
-    if put.again {
+    if put.resubmitted {
         fields.push_str(",r=1");
     }
     fields
@@ -41,16 +41,16 @@
 pub fn decode_reply(line: &[u8]) -> Option<Reply> {
     let line = std::str::from_utf8(line).ok()?;
     if line == "+OK" {
-        return Some(Reply::Taken);
+        return Some(Reply::Accepted);
     }
     if line == "-BUSY" {
-        return Some(Reply::Busy { after_ms: 0 });
+        return Some(Reply::Busy { retry_after_ms: 0 });
     }
     if let Some(wait) = line.strip_prefix("-BUSY ") {
-        return Some(Reply::Busy { after_ms: wait.parse().ok()? });
+        return Some(Reply::Busy { retry_after_ms: wait.parse().ok()? });
     }
     let reason = line.strip_prefix("-ERR ")?;
-    if reason == FAILED { Some(Reply::Failed) } else { Some(Reply::Wrong(reason.to_owned().into())) }
+    if reason == FAILED { Some(Reply::Failed) } else { Some(Reply::Invalid(reason.to_owned().into())) }
 }
 
 /// The reason in [`Reply::Failed`]'s line.
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings that a sender is started with, as they stand on the wire and in its configuration.
 
 use heronroute::{
-    ClassSettings, Effect, Group, KindSettings, Late, Micros, Settings, SettingsError, TenantSettings,
-    Weights,
+    ClassSettings, DedupScope, Effect, KindSettings, LateDecay, Micros, Settings, SettingsError,
+    TenantSettings, WeightMeaning,
 };
 use serde::Deserialize;
 
@@ -89,7 +89,7 @@
 }
 
 /// Where in a configuration's settings a figure stands that the library found to be wrong.
-pub fn place(error: &SettingsError) -> String {
+pub fn setting_path(error: &SettingsError) -> String {
     if let Some(class) = error.class {
         let field = match error.field {
             "aim" => "ObjectiveUs",
@@ -170,7 +170,7 @@
     }
 
     /// Where discovery tells changes only to those that ask, which costs it work: how often a sender asks at most.
-    pub fn ask_every(&self) -> Option<Micros> {
+    pub fn poll_interval(&self) -> Option<Micros> {
         self.rules.ask_every_us.filter(|_| self.discovery == "ask")
     }
 
@@ -179,18 +179,18 @@
         let d = Settings::default();
         let attempts = self.limits.max_attempts;
         let class = |p: Profile| ClassSettings {
-            attempts,
+            max_attempts: attempts,
             aim: p.objective_us,
             deadline: p.hard_limit_us,
             effect: match p.effect.as_str() {
-                "free" => Effect::Free,
-                "guarded" => Effect::Guarded,
-                _ => Effect::SingleShot,
+                "free" => Effect::Safe,
+                "guarded" => Effect::Keyed,
+                _ => Effect::Unsafe,
             },
-            group: match p.group.as_str() {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                _ => Group::Endpoint,
+            dedup_scope: match p.group.as_str() {
+                "all" => DedupScope::All,
+                "zone" => DedupScope::Zone,
+                _ => DedupScope::Endpoint,
             },
             window: p.window_us,
             ordered: p.serial_by_key,
@@ -200,8 +200,8 @@
         let f = self.family_info;
         let kinds = self.shapes.len().max(f.batch_by_kind.len()).max(f.kind_apart.len());
         let kind = |k: usize| KindSettings {
-            batch: f.batch_by_kind.get(k).copied().unwrap_or(1).max(1),
-            apart: f.kind_apart.get(k).copied().unwrap_or(false),
+            max_batch: f.batch_by_kind.get(k).copied().unwrap_or(1).max(1),
+            separate_routes: f.kind_apart.get(k).copied().unwrap_or(false),
         };
         Settings {
             senders: self.balancers.unwrap_or(d.senders),
@@ -215,7 +215,7 @@
             peers: self.limits.peers,
             max_retry_after: self.limits.max_retry_after_us,
             idle_close: self.limits.idle_close_us.unwrap_or(d.idle_close),
-            streams: self.limits.streams_per_conn.unwrap_or(d.streams),
+            streams_per_conn: self.limits.streams_per_conn.unwrap_or(d.streams_per_conn),
             quantum: self.quantum_us,
             drain_grace: self.rules.drain_grace_us,
             fall_multiple: self.rules.fall_multiple.unwrap_or(d.fall_multiple),
@@ -223,12 +223,12 @@
             cold_from: self.rules.cold_from.unwrap_or(d.cold_from),
             warm_up: self.rules.warm_up_us.unwrap_or(d.warm_up),
             order_settle: self.rules.order_settle_us,
-            late: if f.late == "halves" { Late::Halves } else { Late::Line },
+            late_decay: if f.late == "halves" { LateDecay::Halving } else { LateDecay::Linear },
             over_share_worth: self.over_share_worth.unwrap_or(d.over_share_worth),
             weights: match self.weights.as_str() {
-                "nominal" => Weights::Nominal,
-                "rough" => Weights::Rough,
-                _ => Weights::Silent,
+                "nominal" => WeightMeaning::Nominal,
+                "rough" => WeightMeaning::Approximate,
+                _ => WeightMeaning::Ignored,
             },
             cross_zone_price: self.prices.cross_zone,
             handshake_price: self.prices.handshake,
--- a/crates/protocol/tests/listing_stream.rs
+++ b/crates/protocol/tests/listing_stream.rs
@@ -1,13 +1,13 @@
 //! Lists of which a part is kept: the same as reading all and dropping the rest, however the text is cut, and with no
 //! more held than is kept.
 
-use embershore_protocol::listing::{Flaw, Line, Listing, Listings};
-use embershore_protocol::listing_stream::FilteredListings;
+use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
+use embershore_protocol::listing_stream::FilteredListingReader;
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-fn line() -> impl Strategy<Value = Line> {
-    (".{0,12}", "[A-Za-z{}\\[\\]\"\\\\ ]{0,12}", -3..4i64).prop_map(|(name, status, group)| Line {
+fn line() -> impl Strategy<Value = ListedEndpoint> {
+    (".{0,12}", "[A-Za-z{}\\[\\]\"\\\\ ]{0,12}", -3..4i64).prop_map(|(name, status, group)| ListedEndpoint {
         name,
         address: "127.0.0.1:9".into(),
         zone: "endpoints".into(),
@@ -49,12 +49,12 @@
 }
 
 /// All lists of a text that comes in these pieces, and what ended it.
-fn filtered(pieces: &[&[u8]], keeps: &dyn Fn(i64) -> bool) -> (Vec<String>, Option<Flaw>) {
-    let (mut listings, mut found) = (FilteredListings::default(), Vec::new());
+fn filtered(pieces: &[&[u8]], keeps: &dyn Fn(i64) -> bool) -> (Vec<String>, Option<ListingError>) {
+    let (mut listings, mut found) = (FilteredListingReader::default(), Vec::new());
     for bytes in pieces {
         listings.extend(bytes);
         loop {
-            match listings.next_whole(keeps) {
+            match listings.next_listing(keeps) {
                 Ok(Some(listing)) => found.push(format!("{listing:?}")),
                 Ok(None) => break,
                 Err(flaw) => return (found, Some(flaw)),
@@ -65,12 +65,12 @@
 }
 
 /// The same by reading all of it.
-fn all(pieces: &[&[u8]]) -> (Vec<Listing>, Option<Flaw>) {
-    let (mut listings, mut found) = (Listings::default(), Vec::new());
+fn all(pieces: &[&[u8]]) -> (Vec<Listing>, Option<ListingError>) {
+    let (mut listings, mut found) = (ListingReader::default(), Vec::new());
     for bytes in pieces {
         listings.extend(bytes);
         loop {
-            match listings.next_whole() {
+            match listings.next_listing() {
                 Ok(Some(listing)) => found.push(listing),
                 Ok(None) => break,
                 Err(flaw) => return (found, Some(flaw)),
@@ -127,9 +127,9 @@
 }
 
 fn one(text: &str, keeps: &dyn Fn(i64) -> bool) -> Result<Vec<String>, String> {
-    let mut listings = FilteredListings::default();
+    let mut listings = FilteredListingReader::default();
     listings.extend(text.as_bytes());
-    let list = listings.next_whole(keeps).map_err(|flaw| flaw.to_string())?.expect("whole");
+    let list = listings.next_listing(keeps).map_err(|flaw| flaw.to_string())?.expect("whole");
     Ok(list.endpoints.into_iter().map(|line| line.name).collect())
 }
 
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_long_list_of_which_little_is_kept_is_not_held() {
-    let mut listings = FilteredListings::default();
+    let mut listings = FilteredListingReader::default();
     listings.extend(br#"{"index":1,"snapshot":true,"endpoints":["#);
     let mut most = 0;
     for number in 0..40_000 {
@@ -187,13 +187,13 @@
             .as_bytes(),
         );
         assert!(
-            listings.next_whole(&|dest| dest % 1000 == 0).expect("good").is_none() && listings.is_within()
+            listings.next_listing(&|dest| dest % 1000 == 0).expect("good").is_none() && listings.is_partial()
         );
-        most = most.max(listings.held());
+        most = most.max(listings.buffered_bytes());
     }
     assert!(most < 4096, "{most} bytes were held at a time");
     listings.extend(b"]}\n");
-    let list = listings.next_whole(&|dest| dest % 1000 == 0).expect("good").expect("whole");
+    let list = listings.next_listing(&|dest| dest % 1000 == 0).expect("good").expect("whole");
     assert_eq!((list.index, list.snapshot, list.endpoints.len()), (1, true, 40));
-    assert!(!listings.is_within());
+    assert!(!listings.is_partial());
 }
--- a/crates/protocol/tests/listings.rs
+++ b/crates/protocol/tests/listings.rs
@@ -1,17 +1,17 @@
 //! A watch's text, as random lists in random shape, cut at random bytes.
 
-use embershore_protocol::listing::{Flaw, Line, Listing, Listings};
+use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-fn line() -> impl Strategy<Value = Line> {
+fn line() -> impl Strategy<Value = ListedEndpoint> {
     (
         ".{0,12}",
         "[A-Za-z{}\\[\\]\"\\\\ ]{0,12}",
         any::<i64>(),
         prop::option::of((0..1_000_000u32).prop_map(f64::from)),
     )
-        .prop_map(|(name, status, group, weight)| Line {
+        .prop_map(|(name, status, group, weight)| ListedEndpoint {
             name,
             address: "127.0.0.1:9".into(),
             zone: "a".into(),
@@ -34,12 +34,12 @@
 }
 
 /// All that can be read of a text that comes in these pieces, and what ended it.
-fn read<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> (Vec<String>, Option<Flaw>) {
-    let (mut listings, mut found) = (Listings::default(), Vec::new());
+fn read<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> (Vec<String>, Option<ListingError>) {
+    let (mut listings, mut found) = (ListingReader::default(), Vec::new());
     for bytes in pieces {
         listings.extend(bytes);
         loop {
-            match listings.next_whole() {
+            match listings.next_listing() {
                 Ok(Some(listing)) => found.push(format!("{listing:?}")),
                 Ok(None) => break,
                 Err(flaw) => return (found, Some(flaw)),
@@ -92,6 +92,6 @@
         text.extend_from_slice(&noise);
         let (found, flaw) = read(cut(&text, cuts));
         prop_assert_eq!(found.len(), pieces.len());
-        prop_assert!(matches!(flaw, Some(Flaw::Noise(b'!', 2)) | Some(Flaw::Noise(b'!', 1))), "{flaw:?}");
+        prop_assert!(matches!(flaw, Some(ListingError::UnexpectedByte(b'!', 2)) | Some(ListingError::UnexpectedByte(b'!', 1))), "{flaw:?}");
     }
 }
--- a/crates/protocol/tests/resp_client.rs
+++ b/crates/protocol/tests/resp_client.rs
@@ -1,8 +1,8 @@
 //! What one sender writes to another is read there as the same message, and answers come back as they were meant.
 
 use bytes::{Bytes, BytesMut};
-use embershore_protocol::resp::{BODY_MOST, Put, Reply, command, put};
-use embershore_protocol::resp_client::{LINE_MOST, decode_reply, encode_put};
+use embershore_protocol::resp::{MAX_BODY_BYTES, Put, Reply, decode_command, decode_put};
+use embershore_protocol::resp_client::{MAX_REPLY_BYTES, decode_reply, encode_put};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -18,7 +18,7 @@
             time_left: i64::from(milliseconds) * 1000,
             dest,
             idempotency_key,
-            again,
+            resubmitted: again,
             body: Bytes::from(body),
         },
     )
@@ -30,16 +30,16 @@
     #[test]
     fn a_message_is_read_as_it_was_written(message in message()) {
         let mut written = BytesMut::from(&encode_put(&message)[..]);
-        let arguments = command(&mut written).expect("well framed").expect("whole");
+        let arguments = decode_command(&mut written).expect("well framed").expect("whole");
         prop_assert!(written.is_empty());
-        prop_assert_eq!(put(&arguments), Ok(message));
+        prop_assert_eq!(decode_put(&arguments), Ok(message));
     }
 
     #[test]
     fn a_wrong_reply_is_read_as_it_was_written(reason in "[a-z '.]{1,40}", after_ms in any::<u64>()) {
-        for reply in [Reply::Wrong(reason.clone().into()), Reply::Busy { after_ms }] {
-            let line = reply.clone().line();
-            prop_assert!(line.len() <= LINE_MOST);
+        for reply in [Reply::Invalid(reason.clone().into()), Reply::Busy { retry_after_ms: after_ms }] {
+            let line = reply.clone().encode();
+            prop_assert!(line.len() <= MAX_REPLY_BYTES);
             prop_assert_eq!(decode_reply(line.trim_end_matches("\r\n").as_bytes()), Some(reply));
         }
     }
@@ -50,8 +50,8 @@
     for (time_left, told) in [(1_999, 1_000), (999, 0), (-5_000_000, 0)] {
         let message = Put { request_id: "r".into(), time_left, ..Put::default() };
         let mut written = BytesMut::from(&encode_put(&message)[..]);
-        let arguments = command(&mut written).expect("well framed").expect("whole");
-        assert_eq!(put(&arguments).expect("a message").time_left, told);
+        let arguments = decode_command(&mut written).expect("well framed").expect("whole");
+        assert_eq!(decode_put(&arguments).expect("a message").time_left, told);
     }
 }
 
@@ -61,17 +61,17 @@
         order_key: "k".repeat(128),
         request_id: "r".repeat(128),
         idempotency_key: Some("i".repeat(128)),
-        body: vec![7; BODY_MOST].into(),
+        body: vec![7; MAX_BODY_BYTES].into(),
         ..Put::default()
     };
     let mut written = BytesMut::from(&encode_put(&message)[..]);
-    assert!(command(&mut written).expect("well framed").is_some());
+    assert!(decode_command(&mut written).expect("well framed").is_some());
 }
 
 #[test]
 fn replies_are_read_and_all_else_is_none() {
-    for reply in [Reply::Taken, Reply::Failed, Reply::Busy { after_ms: 0 }] {
-        assert_eq!(decode_reply(reply.clone().line().trim_end_matches("\r\n").as_bytes()), Some(reply));
+    for reply in [Reply::Accepted, Reply::Failed, Reply::Busy { retry_after_ms: 0 }] {
+        assert_eq!(decode_reply(reply.clone().encode().trim_end_matches("\r\n").as_bytes()), Some(reply));
     }
     for other in ["", "+PONG", "+OK ", "-BUSY x", "-BUSY ", "OK", "-ERR", ":1", "\u{1}"] {
         assert_eq!(decode_reply(other.as_bytes()), None, "{other:?}");
--- a/crates/rehearsal/src/capture.rs
+++ b/crates/rehearsal/src/capture.rs
@@ -5,7 +5,7 @@
 
 use crate::trace::{LINES_MOST, Line};
 use bytes::BytesMut;
-use embershore_protocol::resp::{command, put};
+use embershore_protocol::resp::{decode_command, decode_put};
 use std::cell::{Cell, RefCell};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -136,10 +136,10 @@
 /// Takes whole commands off what has come; false once something is no command.
 fn look(buf: &mut BytesMut, trace: &Trace) -> bool {
     loop {
-        match command(buf) {
+        match decode_command(buf) {
             Ok(Some(args)) => {
                 let is_put = args.first().is_some_and(|n| n.eq_ignore_ascii_case(b"MSG.PUT"));
-                let Some(put) = put(&args).ok().filter(|p| is_put && !p.again) else { continue };
+                let Some(put) = decode_put(&args).ok().filter(|p| is_put && !p.resubmitted) else { continue };
                 trace.take(&Line {
                     at_ms: trace.start.elapsed().as_millis() as u64,
                     class: put.class,
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -3,7 +3,7 @@
 use crate::history::{Answered, By, Ended, Event, Record, Signal, Standing};
 use crate::parameters::{Class, Effect, Parameters, Receiver};
 use crate::span::Micros;
-use embershore_protocol::call::state as batch_state;
+use embershore_protocol::call::outcome_of_state;
 use heronroute::Outcome;
 use std::collections::{BTreeMap, HashMap};
 
@@ -64,7 +64,7 @@
         let fate = match end {
             CallEnd::Broke(_) => Attempt::MayHaveRun,
             CallEnd::Answer { status: 200, states: Some(states), .. } => {
-                match batch_state(states.get(place).map(String::as_str)) {
+                match outcome_of_state(states.get(place).map(String::as_str)) {
                     (Outcome::Done, _) => Attempt::Delivered,
                     (Outcome::Busy | Outcome::Skipped, _) => Attempt::NeverRan,
                     _ => Attempt::MayHaveRun,
--- a/crates/rehearsal/src/rig/clients.rs
+++ b/crates/rehearsal/src/rig/clients.rs
@@ -92,7 +92,7 @@
 impl Clients {
     pub fn new(world: Rc<World>, senders: Rc<Senders>) -> Rc<Clients> {
         let connections = world.scenario.senders.iter().map(|_| RefCell::default()).collect();
-        let bodies = Bytes::from(vec![b'x'; embershore_protocol::resp::BODY_MOST]);
+        let bodies = Bytes::from(vec![b'x'; embershore_protocol::resp::MAX_BODY_BYTES]);
         Rc::new(Clients { world, senders, connections, bodies })
     }
 
--- a/crates/rehearsal/src/rig/directory.rs
+++ b/crates/rehearsal/src/rig/directory.rs
@@ -6,7 +6,7 @@
 use crate::history::{Ended, Event, Standing};
 use crate::span::Micros;
 use bytes::Bytes;
-use embershore_protocol::listing::{Line, Listing};
+use embershore_protocol::listing::{ListedEndpoint, Listing};
 use http_body_util::channel::Channel;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, Limited};
@@ -37,7 +37,7 @@
 #[derive(Clone)]
 pub struct Change {
     /// The endpoint's line, with no address.
-    pub line: Line,
+    pub line: ListedEndpoint,
     /// Where each sender reaches it.
     pub addrs: Vec<SocketAddr>,
 }
@@ -46,13 +46,13 @@
     sender: usize,
     addr: SocketAddr,
     index: Cell<u64>,
-    lines: RefCell<BTreeMap<String, Line>>,
-    log: RefCell<VecDeque<(u64, Line)>>,
+    lines: RefCell<BTreeMap<String, ListedEndpoint>>,
+    log: RefCell<VecDeque<(u64, ListedEndpoint)>>,
     /// Versions before this one can't be followed from.
     from: Cell<u64>,
     changed: watch::Sender<u64>,
     /// What is on its way: when it arrives, and what.
-    coming: RefCell<VecDeque<(Micros, Vec<Line>)>>,
+    coming: RefCell<VecDeque<(Micros, Vec<ListedEndpoint>)>>,
     arrival: Notify,
     lag: Cell<Micros>,
     silent: Cell<bool>,
@@ -121,7 +121,7 @@
         for agent in &self.agents {
             let lines = changes.iter().map(|c| {
                 let address = c.addrs.get(agent.sender).map(SocketAddr::to_string).unwrap_or_default();
-                Line { address, ..c.line.clone() }
+                ListedEndpoint { address, ..c.line.clone() }
             });
             let mut coming = agent.coming.borrow_mut();
             // A change never overtakes the one before it.
@@ -204,7 +204,7 @@
         Listing { index: self.index.get(), snapshot: true, endpoints }
     }
 
-    fn learn(&self, lines: Vec<Line>) {
+    fn learn(&self, lines: Vec<ListedEndpoint>) {
         let index = self.index.get() + 1;
         self.index.set(index);
         let mut log = self.log.borrow_mut();
@@ -297,7 +297,7 @@
                 let news = match known {
                     Some(known) if known >= self.from.get() && !self.snapshots.get() => {
                         let log = self.log.borrow();
-                        let endpoints: Vec<Line> =
+                        let endpoints: Vec<ListedEndpoint> =
                             log.iter().filter(|(i, _)| *i > known).map(|(_, l)| l.clone()).collect();
                         Listing { index: self.index.get(), snapshot: false, endpoints }
                     }
--- a/crates/rehearsal/src/rig/receivers/mod.rs
+++ b/crates/rehearsal/src/rig/receivers/mod.rs
@@ -13,7 +13,7 @@
 use super::directory::{Change, Directory};
 use crate::scenario::Receiver as Spec;
 use crate::span::Micros;
-use embershore_protocol::listing::Line;
+use embershore_protocol::listing::ListedEndpoint;
 use endpoint::Endpoint;
 use load::Lane;
 use std::cell::{Cell, RefCell};
@@ -75,7 +75,7 @@
 
     fn line(&self, receiver: &Receiver, endpoint: &Endpoint, status: &str) -> Change {
         let scenario = &self.world.scenario;
-        let line = Line {
+        let line = ListedEndpoint {
             name: endpoint.name.clone(),
             address: String::new(),
             zone: scenario.network.zones[endpoint.zone].clone(),
--- a/crates/rehearsal/src/rig/receivers/request.rs
+++ b/crates/rehearsal/src/rig/receivers/request.rs
@@ -6,8 +6,8 @@
 use crate::rig::World;
 use crate::span::{Micros, duration};
 use bytes::Bytes;
-use embershore_protocol::call::{BatchState, read_batch};
-use embershore_protocol::resp::BODY_MOST;
+use embershore_protocol::call::{BatchState, decode_batch};
+use embershore_protocol::resp::MAX_BODY_BYTES;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 
 /// A call of several messages in Base64 is no longer than this.
-const CALL_MOST: usize = 100 * 2 * BODY_MOST;
+const CALL_MOST: usize = 100 * 2 * MAX_BODY_BYTES;
 
 /// An answer, or the sign that the connection is to be broken.
 pub(super) type Answer = Result<Response<Full<Bytes>>, Broken>;
@@ -103,7 +103,7 @@
             return Err(Broken);
         };
         let items: Vec<Item> = if batch {
-            let Ok(items) = read_batch(&body.to_bytes()) else { return Ok(reply(400, None, Vec::new())) };
+            let Ok(items) = decode_batch(&body.to_bytes()) else { return Ok(reply(400, None, Vec::new())) };
             items.into_iter().map(|(id, key, _)| Item { id, key }).collect()
         } else {
             let Some(id) = id else { return Ok(reply(400, None, Vec::new())) };
--- a/crates/rehearsal/src/scenario/class.rs
+++ b/crates/rehearsal/src/scenario/class.rs
@@ -5,7 +5,7 @@
 use super::file::Raw;
 use crate::parameters::{self, Effect};
 use crate::span::{Micros, Span};
-use embershore_protocol::resp::BODY_MOST;
+use embershore_protocol::resp::MAX_BODY_BYTES;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use toml::Spanned;
@@ -124,7 +124,7 @@
     fn checked_size(&self, c: &mut Checks<'_>) -> [u32; 2] {
         let Some(given) = &self.size else { return SIZE };
         let size = *given.get_ref();
-        let fits = size[0] <= size[1] && size[1] as usize <= BODY_MOST;
+        let fits = size[0] <= size[1] && size[1] as usize <= MAX_BODY_BYTES;
         c.whether(fits, given.span(), "'size' is [from, to], and 65536 bytes at most");
         size
     }
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -96,8 +96,8 @@
     /// # Errors
     /// All that is wrong in it.
     pub fn parse(name: &str, text: &str, folder: &Path) -> Result<Scenario, ScenarioError> {
-        let wrong = |findings| ScenarioError::Wrong { name: name.into(), findings };
-        let raw: Raw = toml::from_str(text).map_err(|e| wrong(vec![Finding::of(text, &e)]))?;
+        let wrong = |findings| ScenarioError::Invalid { name: name.into(), findings };
+        let raw: Raw = toml::from_str(text).map_err(|e| wrong(vec![Finding::from_toml_error(text, &e)]))?;
         let mut checks = Checks { text, findings: Vec::new() };
         let scenario = build(raw, &mut checks, folder);
         if checks.findings.is_empty() { Ok(scenario) } else { Err(wrong(checks.findings)) }
--- a/crates/rehearsal/src/trace.rs
+++ b/crates/rehearsal/src/trace.rs
@@ -70,7 +70,7 @@
         if lines.last().is_some_and(|before| before.at_ms > line.at_ms) {
             return Err(wrong("'at_ms' is before the line above; sort the lines by it".into()));
         }
-        if line.size as usize > embershore_protocol::resp::BODY_MOST {
+        if line.size as usize > embershore_protocol::resp::MAX_BODY_BYTES {
             return Err(wrong("'size' is over 65536 bytes, which no sender takes".into()));
         }
         if lines.len() == LINES_MOST {
--- a/crates/rehearsal/tests/common/stub.rs
+++ b/crates/rehearsal/tests/common/stub.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use embershore_protocol::listing::Listing;
-use embershore_protocol::resp::{Put, command, put};
+use embershore_protocol::resp::{Put, decode_command, decode_put};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -161,12 +161,12 @@
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
         let mut buf = BytesMut::new();
         loop {
-            while let Ok(Some(args)) = command(&mut buf) {
+            while let Ok(Some(args)) = decode_command(&mut buf) {
                 if args[0].as_ref() == b"PING" {
                     _ = stream.write_all(b"+PONG\r\n").await;
                     continue;
                 }
-                let Ok(put) = put(&args) else { return };
+                let Ok(put) = decode_put(&args) else { return };
                 self.taken.set(self.taken.get() + 1);
                 let number = self.taken.get();
                 // The client comes once more on a new connection, under the same id.
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -42,8 +42,8 @@
 fn refused(line: &str, changed: &str, place: (usize, usize), mend: &str) {
     assert!(GOOD.contains(line), "{line}");
     let error = parse(&GOOD.replacen(line, changed, 1)).unwrap_err();
-    let ScenarioError::Wrong { findings, .. } = &error else { panic!("{error}") };
-    let found = findings.iter().find(|f| f.what.contains(mend));
+    let ScenarioError::Invalid { findings, .. } = &error else { panic!("{error}") };
+    let found = findings.iter().find(|f| f.message.contains(mend));
     let found = found.unwrap_or_else(|| panic!("{mend}: {error}"));
     assert_eq!((found.line, found.column), place, "{error}");
     assert!(error.to_string().contains(&format!("good.toml:{}:{}: ", place.0, place.1)));
@@ -105,7 +105,7 @@
 #[test]
 fn all_findings_are_told_at_once() {
     let text = GOOD.replace("endpoints = 2", "endpoints = 0").replace("capacity = 20", "capacity = 0");
-    let ScenarioError::Wrong { findings, .. } = parse(&text).unwrap_err() else { panic!() };
+    let ScenarioError::Invalid { findings, .. } = parse(&text).unwrap_err() else { panic!() };
     assert_eq!(findings.len(), 2, "{findings:?}");
 }
 
--- a/crates/scale/src/hollow_module.rs
+++ b/crates/scale/src/hollow_module.rs
@@ -32,7 +32,7 @@
     pub fn new(destinations: usize, seed: u64) -> Result<Self> {
         let mut dispatcher = Dispatcher::new(0, seed, settings())?;
         let entries = (0..destinations).map(entry).collect();
-        dispatcher.round(0, &[Event::Members { whole: true, entries }], &mut Vec::new());
+        dispatcher.round(0, &[Event::Listing { complete: true, entries }], &mut Vec::new());
         Ok(Module { dispatcher, now: 0, next_message: 0, events: Vec::new(), actions: Vec::new() })
     }
 
@@ -71,7 +71,7 @@
     fn decide(&mut self) {
         self.dispatcher.round(self.now, &self.events, &mut self.actions);
         // The daemon looks at every endpoint's health after each round.
-        std::hint::black_box(self.dispatcher.health().count());
+        std::hint::black_box(self.dispatcher.endpoint_health().count());
     }
 }
 
@@ -88,12 +88,12 @@
         classes: vec![ClassSettings {
             aim: 2_500_000,
             deadline: TIME_LEFT,
-            effect: Effect::Free,
+            effect: Effect::Safe,
             late_share: 0.5,
             ..ClassSettings::default()
         }],
-        kinds: vec![KindSettings { batch: 1, apart: false }],
-        weights: heronroute::Weights::Nominal,
+        kinds: vec![KindSettings { max_batch: 1, separate_routes: false }],
+        weights: heronroute::WeightMeaning::Nominal,
         ..Settings::default()
     }
 }
@@ -111,7 +111,7 @@
 
 fn message(id: u64, destination: i64) -> Event {
     let (id, dest) = (MsgId(id), DestId(destination));
-    Event::Message { id, class: 0, tenant: 0, key: None, dest, time_left: TIME_LEFT, again: false }
+    Event::Message { id, class: 0, tenant: 0, key: None, dest, time_left: TIME_LEFT, resubmitted: false }
 }
 
 /// The end of a call that was begun; every call is the first attempt, and delivers.
@@ -123,7 +123,7 @@
         attempt,
         endpoint,
         outcome,
-        last: true,
+        closes_message: true,
         elapsed: CALL_TIME,
         wait: 0,
         report: None,
--- a/crates/scale/src/slopes/fleet.rs
+++ b/crates/scale/src/slopes/fleet.rs
@@ -14,7 +14,7 @@
 use anyhow::Result;
 use embershore_placement::wire::WideForm;
 use embershore_placement::{Answer, Change, Changes, MAX_WIDTH, MemberList, Table, sub_shard};
-use embershore_protocol::listing::Line;
+use embershore_protocol::listing::ListedEndpoint;
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
@@ -118,7 +118,7 @@
 
 /// One listed endpoint's line, as discovery tells it: what a change of configuration is taken to be.
 fn line_bytes() -> Result<f64> {
-    let line = Line {
+    let line = ListedEndpoint {
         name: "endpoint-1234567".into(),
         address: "127.0.0.1:7000".into(),
         zone: "zone-1-2".into(),
--- a/crates/scale/src/slopes/list_stream.rs
+++ b/crates/scale/src/slopes/list_stream.rs
@@ -6,7 +6,7 @@
 use crate::spread::{Spread, thread_cpu_time};
 use crate::target::{DESTINATIONS, SENDERS};
 use anyhow::{Result, ensure};
-use embershore_protocol::listing_stream::FilteredListings;
+use embershore_protocol::listing_stream::FilteredListingReader;
 use std::io::{Read, Write};
 
 /// One line in so many is the sender's own: each destination has two owners.
@@ -40,13 +40,13 @@
 fn read_owned(mut source: impl Read) -> Result<Kept> {
     let keeps = |destination: i64| destination.unsigned_abs().is_multiple_of(OWNED_OF);
     let begun = thread_cpu_time()?;
-    let (mut reader, mut piece, mut held_most) = (FilteredListings::default(), vec![0; PIECE], 0);
+    let (mut reader, mut piece, mut held_most) = (FilteredListingReader::default(), vec![0; PIECE], 0);
     loop {
         let length = source.read(&mut piece)?;
         ensure!(length > 0, "the list ended before its end");
         reader.extend(&piece[..length]);
-        let whole = reader.next_whole(&keeps)?;
-        held_most = held_most.max(reader.held());
+        let whole = reader.next_listing(&keeps)?;
+        held_most = held_most.max(reader.buffered_bytes());
         if let Some(listing) = whole {
             let seconds = (thread_cpu_time()? - begun).as_secs_f64();
             return Ok(Kept { count: listing.endpoints.len(), held_most, seconds });
--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -5,8 +5,8 @@
 use crate::fleet::Fleet;
 use crate::input::{Ended, Fate};
 use bytes::Bytes;
-use embershore_protocol::call::{BatchState, Head, batch_body, read_head, state};
-use heronroute::{DestId, EndpointId, Micros, MsgId, Outcome, Report};
+use embershore_protocol::call::{AnswerHead, BatchState, encode_batch, outcome_of_state, read_head};
+use heronroute::{DestId, EndpointId, LoadReport, Micros, MsgId, Outcome};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Request;
 use std::cell::{Cell, RefCell};
@@ -70,7 +70,7 @@
     outcome: Outcome,
     over: bool,
     wait: Micros,
-    report: Option<Report>,
+    report: Option<LoadReport>,
     states: Option<HashMap<String, String>>,
 }
 
@@ -79,8 +79,8 @@
         Answer { outcome, over: outcome == Outcome::Done, wait: 0, report: None, states: None }
     }
 
-    fn alike(head: Head) -> Self {
-        let Head { outcome, over, wait, report } = head;
+    fn alike(head: AnswerHead) -> Self {
+        let AnswerHead { outcome, closes_message: over, wait, report } = head;
         Answer { outcome, over, wait, report, states: None }
     }
 }
@@ -271,7 +271,7 @@
             let (outcome, over) = match &answer.states {
                 _ if seen.left_out.borrow().contains(&item.id) => (Outcome::Skipped, true),
                 None => (answer.outcome, answer.over),
-                Some(states) => state(states.get(&item.request_id).map(String::as_str)),
+                Some(states) => outcome_of_state(states.get(&item.request_id).map(String::as_str)),
             };
             Fate { id: item.id, attempt: item.attempt, outcome, over }
         });
@@ -333,7 +333,7 @@
             // A connection that ends speaks of the endpoint, an answer that can't be read on one that stays
             // open of itself alone.
             None if traffic.ended.get() || traffic.began.get().is_none() => seen.cut(order, Outcome::Reset),
-            None => seen.cut(order, Outcome::Spoilt),
+            None => seen.cut(order, Outcome::MalformedAnswer),
         }
     }
 
@@ -353,7 +353,7 @@
         if answer.outcome == Outcome::Done && order.batch {
             // An answer that tells nothing of a message leaves it open whether it ran.
             let Ok(states) = serde_json::from_slice::<Vec<BatchState>>(&body.to_bytes()) else {
-                return Some(Answer { outcome: Outcome::Spoilt, over: false, ..answer });
+                return Some(Answer { outcome: Outcome::MalformedAnswer, over: false, ..answer });
             };
             answer.states = Some(states.into_iter().map(|s| (s.id, s.state)).collect());
         }
@@ -361,7 +361,7 @@
     }
 
     /// Asks whether an endpoint is well.
-    pub async fn probe(&self, endpoint: EndpointId, addr: SocketAddr) -> (Outcome, Option<Report>) {
+    pub async fn probe(&self, endpoint: EndpointId, addr: SocketAddr) -> (Outcome, Option<LoadReport>) {
         let Ok(_one) = self.probes.try_acquire() else { return (Outcome::Skipped, None) };
         let work = async {
             let mut connection = match self.take(endpoint, addr) {
@@ -412,7 +412,7 @@
         }
         items => {
             let items = items.iter().map(|i| (&*i.request_id, i.idempotency_key.as_deref(), &*i.body));
-            let body = batch_body(items)?;
+            let body = encode_batch(items)?;
             head.uri("/v1/messages:batch")
                 .header("content-type", "application/json")
                 .body(Full::new(body.into()))?
--- a/crates/sender/src/check.rs
+++ b/crates/sender/src/check.rs
@@ -141,14 +141,14 @@
     }
     let mut words = vec!["kept".to_string()];
     let doubt = reason == Reason::MayHaveRun;
-    if doubt && class.effect == Effect::SingleShot {
+    if doubt && class.effect == Effect::Unsafe {
         words.push("in doubt: waits for a word".into());
     } else if let Some(r) = &rule.resend {
         words.push(format!("sent again {} times at most, {} apart", r.times, span(r.gap)));
         if r.growth > 1.0 {
             words.push(format!("growing to {}", span(r.gap_most)));
         }
-        if doubt && class.effect == Effect::Guarded {
+        if doubt && class.effect == Effect::Keyed {
             words.push("while its key is remembered, then in doubt".into());
         }
     } else {
@@ -200,11 +200,11 @@
             show(arguments, fates, fleet, options.placement.as_ref().map(ShownPlacement::of));
             ExitCode::SUCCESS
         }
-        Err(OptionsError::Wrong { findings, .. }) if arguments.json => {
+        Err(OptionsError::Invalid { findings, .. }) if arguments.json => {
             println!("{}", serde_json::json!({ "good": false, "findings": findings }));
             ExitCode::FAILURE
         }
-        Err(e @ OptionsError::Wrong { .. }) => {
+        Err(e @ OptionsError::Invalid { .. }) => {
             eprintln!("{e}");
             ExitCode::FAILURE
         }
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -7,7 +7,7 @@
 use crate::standing::{Phase, Standing, closing};
 use bytes::{Bytes, BytesMut};
 use embershore_placement::DEFAULT_WAIT_MS;
-use embershore_protocol::resp::{BODY_MOST, COMMAND_MOST, Put, Reply, command, put};
+use embershore_protocol::resp::{MAX_BODY_BYTES, MAX_COMMAND_BYTES, Put, Reply, decode_command, decode_put};
 use heronroute::Micros;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
 
 impl Answer {
     fn busy(after_ms: u64) -> Self {
-        Answer::Now(Reply::Busy { after_ms }.line())
+        Answer::Now(Reply::Busy { retry_after_ms: after_ms }.encode())
     }
 }
 
@@ -134,7 +134,7 @@
 
     /// Counts what has been answered.
     fn answered(&self, reply: &Reply) {
-        if let (Entrance::Members(placement), Reply::Taken) = (self, reply) {
+        if let (Entrance::Members(placement), Reply::Accepted) = (self, reply) {
             count(&placement.counters.taken_for_others);
         }
     }
@@ -246,7 +246,7 @@
             let mut answers = Vec::new();
             let mut broken = false;
             while answers.len() < PIPELINE_MOST && !broken {
-                match command(&mut self.buf) {
+                match decode_command(&mut self.buf) {
                     Ok(Some(args)) => {
                         self.seat.place.busy.set(true);
                         answers.push(self.start(&args).await);
@@ -302,7 +302,7 @@
         let buffers = self.seat.places.buffers.clone();
         let more = async {
             if self.buf.len() >= USUAL_MOST && self.long.is_none() {
-                self.long = buffers.acquire_many_owned(COMMAND_MOST as u32).await.ok();
+                self.long = buffers.acquire_many_owned(MAX_COMMAND_BYTES as u32).await.ok();
             }
             self.buf.reserve(READ_AHEAD);
             self.socket.read_buf(&mut self.buf).await
@@ -354,7 +354,7 @@
         let name = args.first().map(|n| n.to_ascii_uppercase()).unwrap_or_default();
         match name.as_slice() {
             b"PING" => Answer::Ready,
-            b"MSG.PUT" => match put(args) {
+            b"MSG.PUT" => match decode_put(args) {
                 Ok(put) => self.hand_in(put).await,
                 Err(e) => Answer::Now(format!("-ERR {e}\r\n")),
             },
@@ -416,9 +416,9 @@
 
     /// What is written for a reply; without one the message was not taken on.
     fn line_of(&self, reply: Option<Reply>) -> String {
-        let reply = reply.unwrap_or(Reply::Busy { after_ms: 0 });
+        let reply = reply.unwrap_or(Reply::Busy { retry_after_ms: 0 });
         self.entrance.answered(&reply);
-        reply.line()
+        reply.encode()
     }
 }
 
@@ -436,8 +436,8 @@
         open: entrance.connections(&shared),
         taken: RefCell::default(),
         left: Notify::new(),
-        buffers: Arc::new(Semaphore::new(bounds.buffers.max(COMMAND_MOST))),
-        bodies: Arc::new(Semaphore::new(bounds.bodies.max(BODY_MOST + PUT_OVERHEAD))),
+        buffers: Arc::new(Semaphore::new(bounds.buffers.max(MAX_COMMAND_BYTES))),
+        bodies: Arc::new(Semaphore::new(bounds.bodies.max(MAX_BODY_BYTES + PUT_OVERHEAD))),
     });
     let mut follow = standing.clone();
     let mut stopped = std::pin::pin!(async {
--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -1,7 +1,7 @@
 //! An HTTP/1.1 connection to an endpoint or the platform, and what has passed on its socket.
 
 use bytes::{Bytes, BytesMut};
-use embershore_protocol::call::status_of;
+use embershore_protocol::call::parse_status;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
@@ -87,7 +87,7 @@
     fn look(&mut self) {
         let t = &self.traffic;
         while let Some(end) = self.held.iter().position(|b| *b == b'\n') {
-            let status = status_of(&self.held[..=end]);
+            let status = parse_status(&self.held[..=end]);
             if !status.is_some_and(|s| (100..200).contains(&s)) {
                 t.status.set(status);
                 t.awaited.set(false);
--- a/crates/sender/src/crossings.rs
+++ b/crates/sender/src/crossings.rs
@@ -24,7 +24,7 @@
 const DISK: u64 = 200_000;
 
 /// Free, guarded, single-shot.
-const EFFECTS: [Effect; 3] = [Effect::Free, Effect::Guarded, Effect::SingleShot];
+const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
 
 fn settings() -> Settings {
     let class = |effect| ClassSettings {
@@ -35,7 +35,7 @@
         late_share: 0.4,
         ..ClassSettings::default()
     };
-    let kind = |batch| KindSettings { batch, apart: false };
+    let kind = |batch| KindSettings { max_batch: batch, separate_routes: false };
     Settings {
         senders: 2,
         slots: 6,
@@ -109,7 +109,7 @@
         (TimedOut, false),
         (Reset, true),
         (Reset, false),
-        (Spoilt, true),
+        (MalformedAnswer, true),
         (Cancelled, false),
     ]);
     let status = prop::sample::select(vec![Status::Up, Status::Up, Status::Draining, Status::Removed]);
@@ -250,7 +250,7 @@
             Deed::List { endpoint, status } => {
                 self.listed.insert(endpoint, status);
                 let entries = vec![entry(endpoint, status)];
-                self.process.events.push(Event::Members { whole: false, entries });
+                self.process.events.push(Event::Listing { complete: false, entries });
                 Ok(())
             }
             Deed::Stop => {
@@ -290,7 +290,7 @@
         self.process.new.insert(id, accepted);
         self.process.attempts.insert(id, 0);
         let (id, dest) = (MsgId(id), DestId(dest));
-        let event = Event::Message { id, class, tenant: 0, key: None, dest, time_left, again: false };
+        let event = Event::Message { id, class, tenant: 0, key: None, dest, time_left, resubmitted: false };
         self.process.events.push(event);
     }
 
@@ -314,7 +314,8 @@
         let now = self.now;
         let mut events = std::mem::take(&mut self.process.events);
         for event in &mut events {
-            let (Event::Message { id, time_left, .. } | Event::Restored { id, time_left, .. }) = event else {
+            let (Event::Message { id, time_left, .. } | Event::MessageRestored { id, time_left, .. }) = event
+            else {
                 continue;
             };
             *time_left = self.truth[&id.0].deadline - now;
@@ -345,7 +346,7 @@
                     }
                 }
                 Action::Refuse { id, .. } => {
-                    self.finish(id.0, End::Returned { after_ms: 0 })?;
+                    self.finish(id.0, End::Returned { retry_after_ms: 0 })?;
                 }
                 Action::Fail { id } => {
                     self.finish(id.0, End::Failed)?;
@@ -354,10 +355,10 @@
             }
         }
         self.process.out.extend(calls.into_values());
-        let health = self.process.module.health().map(|(id, h)| (name_of(id.0), h)).collect();
+        let health = self.process.module.endpoint_health().map(|(id, h)| (name_of(id.0), h)).collect();
         self.process.step()?;
         self.process.journal.keep_health(&health).unwrap();
-        let receivers = self.process.module.receivers();
+        let receivers = self.process.module.receiver_health();
         let receivers = receivers.map(|(dest, _, health)| (Receiver::Destination(dest.0), health)).collect();
         self.process.step()?;
         self.process.journal.keep_receivers(&receivers).unwrap();
@@ -377,7 +378,7 @@
             self.process.step()?;
             let rules = &settings().classes[*class];
             if self.process.journal.accept(id.0, accepted, rules).is_err() {
-                self.process.events.push(Event::Left { id: *id });
+                self.process.events.push(Event::MessageAbandoned { id: *id });
                 continue;
             }
             self.process.step()?;
@@ -403,7 +404,7 @@
         let ready = self.listed[&process.out[at].endpoint] == Status::Up;
         let open = |id: u64| {
             let entry = process.journal.get(id).filter(|e| e.progress.end.is_none())?;
-            let guarded = EFFECTS[truth[&id].class] == Effect::Guarded;
+            let guarded = EFFECTS[truth[&id].class] == Effect::Keyed;
             let first = entry.progress.unknown().map(|(_, at)| *at).filter(|_| guarded);
             first.is_none_or(|first| now < first + WINDOW).then_some(id)
         };
@@ -429,11 +430,11 @@
             let t = self.truth.get_mut(&id).unwrap();
             let first = t.tries.iter().min().copied();
             match EFFECTS[t.class] {
-                Effect::SingleShot => assert!(first.is_none(), "{id} goes again, and may have run: {t:?}"),
-                Effect::Guarded => {
+                Effect::Unsafe => assert!(first.is_none(), "{id} goes again, and may have run: {t:?}"),
+                Effect::Keyed => {
                     assert!(first.is_none_or(|f| now <= f + WINDOW), "{id} goes too late: {t:?}")
                 }
-                Effect::Free => {}
+                Effect::Safe => {}
             }
             assert!(!t.over && t.told.is_none(), "{id} is over, and goes again: {t:?}");
             t.tries.push(now);
@@ -450,7 +451,7 @@
             if let Some(begun) = out.begun {
                 if runs {
                     truth.runs += 1;
-                    assert!(truth.runs == 1 || EFFECTS[truth.class] != Effect::SingleShot, "{id} ran twice");
+                    assert!(truth.runs == 1 || EFFECTS[truth.class] != Effect::Unsafe, "{id} ran twice");
                 } else if outcome.never_ran() {
                     truth.tries.retain(|t| *t != begun);
                 }
@@ -462,7 +463,7 @@
                 self.process.step()?;
                 let journal = &mut self.process.journal;
                 match outcome {
-                    Outcome::Done => journal.ended(id, End::Over).unwrap(),
+                    Outcome::Done => journal.ended(id, End::Closed).unwrap(),
                     _ => journal.settled(id, !outcome.never_ran()).unwrap(),
                 }
             }
@@ -484,7 +485,7 @@
             "{id} was found untried, and is given up {} ms early with no call: {t:?}",
             (t.deadline - self.now) / MS
         );
-        if matches!(end, End::Returned { .. }) && EFFECTS[t.class] == Effect::SingleShot {
+        if matches!(end, End::Returned { .. }) && EFFECTS[t.class] == Effect::Unsafe {
             assert!(t.tries.is_empty(), "{id} is handed back, and may have run: {t:?}");
         }
         if self.process.journal.get(id).is_none() {
@@ -550,7 +551,7 @@
                 t.found = Some(now);
             }
             let number = |name: &str| EndpointId(name[2..].parse().unwrap());
-            process.events.push(Event::Restored {
+            process.events.push(Event::MessageRestored {
                 id: MsgId(id),
                 class: t.class,
                 key: None,
@@ -587,14 +588,14 @@
     fn start(journal: Journal, now: Micros, listed: &BTreeMap<u32, Status>) -> Self {
         let module = Dispatcher::new(now, 7, settings()).unwrap();
         let entries = listed.iter().map(|(e, status)| entry(*e, *status)).collect();
-        let mut events = vec![Event::Members { whole: true, entries }];
+        let mut events = vec![Event::Listing { complete: true, entries }];
         for (name, health) in journal.health() {
             let endpoint = EndpointId(name[2..].parse().unwrap());
-            events.push(Event::Recalled { endpoint, health });
+            events.push(Event::EndpointHealthRestored { endpoint, health });
         }
         for (receiver, health) in journal.receivers() {
             if let Receiver::Destination(dest) = receiver {
-                events.push(Event::RecalledReceiver { dest: DestId(*dest), route: None, health });
+                events.push(Event::ReceiverHealthRestored { dest: DestId(*dest), route: None, health });
             }
         }
         let (attempts, out, new) = (BTreeMap::new(), Vec::new(), BTreeMap::new());
@@ -616,7 +617,16 @@
     fn outcome(&mut self, id: u64, attempt: u32, endpoint: u32, outcome: Outcome, last: bool) {
         let (id, endpoint) = (MsgId(id), EndpointId(endpoint));
         let (elapsed, wait, report) = (50 * MS, 0, None);
-        self.events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report });
+        self.events.push(Event::Outcome {
+            id,
+            attempt,
+            endpoint,
+            outcome,
+            closes_message: last,
+            elapsed,
+            wait,
+            report,
+        });
     }
 }
 
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -17,7 +17,7 @@
 use embershore_placement::MAX_REPLICAS;
 use embershore_placement::options::PlacementOptions;
 use embershore_protocol::listing::Listing;
-use embershore_protocol::settings::{ProfileData, place};
+use embershore_protocol::settings::{ProfileData, setting_path};
 use heronroute::{ClassSettings, MsgId, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
@@ -167,7 +167,7 @@
 
 /// An error of the library's in the words of the file.
 fn in_the_file(e: &SettingsError) -> String {
-    format!("settings.{}: must be {}", place(e), e.must)
+    format!("settings.{}: must be {}", setting_path(e), e.requirement)
 }
 
 /// What a sender takes over of a configuration that is read while it runs.
@@ -308,7 +308,7 @@
     // Before a client can connect: one whose connection ends with no answer has lost its message.
     let names = config.settings.names();
     let connect_timeout = config.settings.connect_timeout().filter(|t| *t > 0).unwrap_or(CONNECT_TIMEOUT);
-    let ask_every = config.settings.ask_every().map(|every| Duration::from_micros(every.max(0) as u64));
+    let ask_every = config.settings.poll_interval().map(|every| Duration::from_micros(every.max(0) as u64));
     let mut settings = config.settings.settings();
     settings.validate().map_err(|e| format!("{}: {}", path.display(), in_the_file(&e)))?;
     let options = operator_options(options_file, &class_facts(names.classes.clone(), &settings.classes))?;
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -9,7 +9,7 @@
 use crate::placement::Placement;
 use crate::placement::reader::ListReader;
 use bytes::Bytes;
-use embershore_protocol::listing::{Flaw, Listing, endpoints_begun};
+use embershore_protocol::listing::{Listing, ListingError, endpoints_started};
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
 use hyper::body::Incoming;
@@ -236,12 +236,12 @@
     async fn whole_kept(mut self) -> io::Result<Listing> {
         let mut whole = None;
         loop {
-            while let Some(list) = self.listings.next_whole().map_err(flawed)? {
+            while let Some(list) = self.listings.next_listing().map_err(flawed)? {
                 if whole.replace(list).is_some() {
                     return Err(io::Error::new(io::ErrorKind::InvalidData, "two lists where one is due"));
                 }
             }
-            self.limit.check(self.listings.held(), || self.listings.endpoints_begun())?;
+            self.limit.check(self.listings.held(), || self.listings.endpoints_started())?;
             let Some(bytes) = self.read().await? else { break };
             self.since = Instant::now();
             self.listings.extend(&bytes);
@@ -254,29 +254,29 @@
         let mut text = Vec::new();
         while let Some(bytes) = self.read().await? {
             text.extend_from_slice(&bytes);
-            self.limit.check(text.len(), || endpoints_begun(&text))?;
+            self.limit.check(text.len(), || endpoints_started(&text))?;
         }
         Listing::read(&text).map_err(flawed)
     }
 
     async fn next(&mut self) -> io::Result<Option<Listing>> {
         loop {
-            let whole = self.listings.next_whole();
+            let whole = self.listings.next_listing();
             if let Some(list) = whole.map_err(flawed)? {
                 self.since = Instant::now();
                 return Ok(Some(list));
             }
-            if !self.listings.is_within() {
+            if !self.listings.is_partial() {
                 self.since = Instant::now();
             }
-            self.limit.check(self.listings.held(), || self.listings.endpoints_begun())?;
+            self.limit.check(self.listings.held(), || self.listings.endpoints_started())?;
             let Some(bytes) = self.read().await? else { return Ok(None) };
             self.listings.extend(&bytes);
         }
     }
 }
 
-fn flawed(flaw: Flaw) -> io::Error {
+fn flawed(flaw: ListingError) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, flaw)
 }
 
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -232,7 +232,7 @@
                     placement.take_classes(classes.iter().map(|(name, class)| (name, class)));
                 }
                 self.rows.retune(classes, self.clock.now());
-                self.events.push(Event::Classes(self.rows.classes()));
+                self.events.push(Event::ClassesChanged(self.rows.classes()));
             }
             Input::Former(frame) => self.hear(frame),
             Input::FormerGone => self.former_gone(),
@@ -250,7 +250,7 @@
         let lines: Vec<_> = entries.iter().filter_map(line).collect();
         drop(fleet);
         self.note(|j| j.keep_listed(index, &lines));
-        self.events.push(Event::Members { whole, entries });
+        self.events.push(Event::Listing { complete: whole, entries });
     }
 
     /// What cannot be written may be done twice after a restart, or told twice; it is not undone.
@@ -265,29 +265,29 @@
             // The same message on a second connection. One that is not written down yet is not taken on yet,
             // and may never be: a client that hears so would not come again.
             let written = self.journal.borrow().get(id.0).is_some();
-            _ = reply.send(if written { Reply::Taken } else { Reply::Busy { after_ms: 0 } });
+            _ = reply.send(if written { Reply::Accepted } else { Reply::Busy { retry_after_ms: 0 } });
             return;
         }
         if self.live.len() >= self.max_open || self.standings.get().refuses(std::time::Instant::now()) {
             self.figures.count(&put.class, Ending::Refused);
-            _ = reply.send(Reply::Busy { after_ms: self.come_again_ms });
+            _ = reply.send(Reply::Busy { retry_after_ms: self.come_again_ms });
             return;
         }
         if let Some(after_ms) = self.placement.as_ref().and_then(|placement| placement.refuses(&put)) {
             self.figures.count(&put.class, Ending::Refused);
-            _ = reply.send(Reply::Busy { after_ms });
+            _ = reply.send(Reply::Busy { retry_after_ms: after_ms });
             return;
         }
         let class = match self.row_for(&put) {
             Ok(row) => row,
             Err(why) if why == UNKNOWN_DESTINATION && self.awaits_endpoints() => {
                 self.figures.count(&put.class, Ending::Refused);
-                _ = reply.send(Reply::Busy { after_ms: self.come_again_ms });
+                _ = reply.send(Reply::Busy { retry_after_ms: self.come_again_ms });
                 return;
             }
             Err(why) => {
                 self.figures.count(&put.class, Ending::Wrong);
-                _ = reply.send(Reply::Wrong(why.into()));
+                _ = reply.send(Reply::Invalid(why.into()));
                 return;
             }
         };
@@ -299,7 +299,7 @@
             key: Some(put.order_key.clone()),
             dest: DestId(put.dest),
             time_left: AS_OF_THE_ROUND,
-            again: put.again,
+            resubmitted: put.resubmitted,
         });
         self.by_request.insert(put.request_id.clone(), id);
         self.rows.enter(class);
@@ -333,7 +333,7 @@
             Err("field 'd' is more than the class's time")
         } else if !self.fleet.borrow().knows(DestId(put.dest)) {
             Err(UNKNOWN_DESTINATION)
-        } else if class.effect == Effect::Guarded && put.idempotency_key.is_none() {
+        } else if class.effect == Effect::Keyed && put.idempotency_key.is_none() {
             Err("field 'k' is missing in a keyed class")
         } else {
             Ok(row)
@@ -364,7 +364,16 @@
                 }
             }
             let attempt = fate.attempt;
-            self.events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report });
+            self.events.push(Event::Outcome {
+                id,
+                attempt,
+                endpoint,
+                outcome,
+                closes_message: last,
+                elapsed,
+                wait,
+                report,
+            });
         }
     }
 
@@ -399,7 +408,7 @@
         if let Some(entry) = self.journal.borrow().get(id.0) {
             self.by_request.remove(&entry.accepted.request_id);
         }
-        self.note(|j| j.ended(id.0, End::Over));
+        self.note(|j| j.ended(id.0, End::Closed));
     }
 
     fn round(&mut self) {
@@ -424,7 +433,8 @@
     fn bring_up_to_date(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
         for event in events {
-            let (Event::Message { id, time_left, .. } | Event::Restored { id, time_left, .. }) = event else {
+            let (Event::Message { id, time_left, .. } | Event::MessageRestored { id, time_left, .. }) = event
+            else {
                 continue;
             };
             let new = self.newcomers.get(id).map(|n| n.deadline);
@@ -444,7 +454,7 @@
         for action in actions {
             match action {
                 Action::Refuse { id, retry_after } => {
-                    answers.insert(*id, Reply::Busy { after_ms: (*retry_after / 1000).max(0) as u64 });
+                    answers.insert(*id, Reply::Busy { retry_after_ms: (*retry_after / 1000).max(0) as u64 });
                 }
                 Action::Fail { id } => _ = answers.insert(*id, Reply::Failed),
                 _ => {}
@@ -475,20 +485,20 @@
             let Some(rules) = row else { continue };
             let taken = self.journal.borrow_mut().accept(id.0, accepted, rules);
             let answer = match taken {
-                Ok(()) => Reply::Taken,
+                Ok(()) => Reply::Accepted,
                 Err(e) => {
                     eprintln!("journal: {e}");
-                    Reply::Busy { after_ms: 1000 }
+                    Reply::Busy { retry_after_ms: 1000 }
                 }
             };
-            let taken = answer == Reply::Taken;
+            let taken = answer == Reply::Accepted;
             if reply.send(answer).is_err() || !taken {
                 // Its client has gone without an answer, or is told to come again.
                 self.figures.count(&class, Ending::Refused);
-                self.note(|j| j.ended(id.0, End::Over));
+                self.note(|j| j.ended(id.0, End::Closed));
                 self.by_request.remove(&request_id);
                 self.drop_live(*id);
-                self.events.push(Event::Left { id: *id });
+                self.events.push(Event::MessageAbandoned { id: *id });
             }
         }
     }
@@ -511,14 +521,14 @@
                     }
                 }
                 Action::Refuse { id, retry_after } => {
-                    self.end(id, End::Returned { after_ms: (retry_after / 1000).max(0) as u64 });
+                    self.end(id, End::Returned { retry_after_ms: (retry_after / 1000).max(0) as u64 });
                 }
                 Action::Fail { id } => self.end(id, End::Failed),
                 Action::Timer { at, token } => self.timers.push(Reverse((at, token))),
                 Action::Probe { endpoint } => self.probe(endpoint),
-                Action::Close { endpoint } => self.calls.close(endpoint),
+                Action::CloseIdle { endpoint } => self.calls.close(endpoint),
                 // Senders share nothing here.
-                Action::Tell { .. } => {}
+                Action::Broadcast { .. } => {}
             }
         }
         for (endpoint, items) in sends.into_values() {
@@ -548,7 +558,16 @@
     /// The message was not sent after all.
     fn unsent(&mut self, id: MsgId, attempt: u32, endpoint: EndpointId, last: bool) {
         let (outcome, elapsed, wait, report) = (Outcome::Skipped, 0, 0, None);
-        self.events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report });
+        self.events.push(Event::Outcome {
+            id,
+            attempt,
+            endpoint,
+            outcome,
+            closes_message: last,
+            elapsed,
+            wait,
+            report,
+        });
     }
 
     fn send(&mut self, endpoint: EndpointId, sends: Vec<(MsgId, Micros)>) {
@@ -572,7 +591,7 @@
                 continue;
             };
             live.call = Some(call);
-            let class = self.rows.get(live.row).filter(|c| c.effect == Effect::Guarded);
+            let class = self.rows.get(live.row).filter(|c| c.effect == Effect::Keyed);
             if let (Some(class), Some((_, first))) = (class, entry.progress.unknown()) {
                 last_moment = last_moment.min(first + class.window);
             }
@@ -624,7 +643,7 @@
 
     /// What a wait binds that an endpoint tells.
     fn lane(&self, id: EndpointId, endpoint: &Endpoint) -> Lane {
-        let apart = self.kinds.get(endpoint.kind).is_some_and(|kind| kind.apart);
+        let apart = self.kinds.get(endpoint.kind).is_some_and(|kind| kind.separate_routes);
         if apart { Lane::Route(id) } else { Lane::Whole(endpoint.dest) }
     }
 
@@ -644,13 +663,13 @@
     fn keep_health(&mut self) {
         let fleet = self.fleet.borrow();
         let (mut health, mut avoided) = (BTreeMap::new(), 0);
-        for (id, h) in self.dispatcher.health() {
+        for (id, h) in self.dispatcher.endpoint_health() {
             let Some(endpoint) = fleet.get(id) else { continue };
-            avoided += usize::from(h.trouble && endpoint.listed());
+            avoided += usize::from(h.unhealthy && endpoint.listed());
             health.insert(endpoint.name.clone(), h);
         }
         self.figures.ejected.set(avoided);
-        let receivers = self.dispatcher.receivers().filter_map(|(dest, route, health)| {
+        let receivers = self.dispatcher.receiver_health().filter_map(|(dest, route, health)| {
             let receiver = match route {
                 Some(id) => Receiver::Route(dest.0, fleet.get(id)?.name.clone()),
                 None => Receiver::Destination(dest.0),
--- a/crates/sender/src/driver/replace.rs
+++ b/crates/sender/src/driver/replace.rs
@@ -8,7 +8,7 @@
 use crate::standing::{Change, Phase};
 use embershore_handover::{Frame, Owner, OwnerDo, OwnerEvent, State};
 use embershore_protocol::resp::Reply;
-use heronroute::{DestId, EndpointId, MsgId, OutCall, Outcome};
+use heronroute::{DestId, EndpointId, InFlightCall, MsgId, Outcome};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -38,7 +38,12 @@
 
 impl Driver {
     /// Follows what the process before this one says, until it ends.
-    pub(super) fn listen_to(&self, link: Link, out: &[OutCall], in_call: &HashMap<MsgId, u64>) -> Former {
+    pub(super) fn listen_to(
+        &self,
+        link: Link,
+        out: &[InFlightCall],
+        in_call: &HashMap<MsgId, u64>,
+    ) -> Former {
         let Carried { say, mut frames, .. } = link.carry();
         let inputs = self.inputs.clone();
         tokio::task::spawn_local(async move {
@@ -62,7 +67,7 @@
                 let (reply, answer) = oneshot::channel();
                 let say = former.say.clone();
                 tokio::task::spawn_local(async move {
-                    let reply = answer.await.unwrap_or(Reply::Busy { after_ms: 0 });
+                    let reply = answer.await.unwrap_or(Reply::Busy { retry_after_ms: 0 });
                     _ = say.send(Frame::Reply { number, reply });
                 });
                 self.put(put, reply);
@@ -149,9 +154,9 @@
 
     /// What the next process has to know beside the journal.
     pub(super) fn state(&self) -> State {
-        let (learnt, out) = self.dispatcher.hand_over();
+        let (learnt, out) = self.dispatcher.handover_state();
         let fleet = self.fleet.borrow();
-        let numbers = learnt.endpoints().chain(out.iter().map(OutCall::endpoint));
+        let numbers = learnt.endpoints().chain(out.iter().map(InFlightCall::endpoint));
         State {
             next_message: self.journal.borrow().next_number(),
             next_call: self.next_call,
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -8,7 +8,7 @@
 use crate::standing::Change;
 use embershore_handover::State;
 use embershore_protocol::listing::Listing;
-use heronroute::{DestId, EndpointEntry, EndpointId, Event, MsgId, OutCall, ReceiverHealth};
+use heronroute::{DestId, EndpointEntry, EndpointId, Event, InFlightCall, MsgId, ReceiverHealth};
 use std::collections::{BTreeSet, HashMap};
 use tokio::sync::mpsc;
 
@@ -41,7 +41,7 @@
         let deadline = tokio::time::Instant::now() + self.list_wait;
         let listed = !matches!(known, Known::Nothing);
         if let Known::Taken(entries) = known {
-            self.events.push(Event::Members { whole: true, entries });
+            self.events.push(Event::Listing { complete: true, entries });
         } else if let Known::Listed(mut list) = known {
             let (journal, index) = (self.journal.borrow(), list.index);
             for line in list.endpoints.iter_mut().filter(|l| journal.barred_since(&l.name, index)) {
@@ -49,7 +49,7 @@
             }
             drop(journal);
             let entries = self.fleet.borrow_mut().apply(&Listing { snapshot: true, ..list });
-            self.events.push(Event::Members { whole: true, entries });
+            self.events.push(Event::Listing { complete: true, entries });
         }
         let mut early = Vec::new();
         loop {
@@ -84,7 +84,7 @@
             let names: HashMap<EndpointId, String> = names.into_iter().collect();
             let fleet = self.fleet.borrow();
             // One that is listed no more, but has calls out, bears a number that no listed one will.
-            let abroad: BTreeSet<EndpointId> = calls.iter().map(OutCall::endpoint).collect();
+            let abroad: BTreeSet<EndpointId> = calls.iter().map(InFlightCall::endpoint).collect();
             let number = |id: EndpointId| {
                 let known = names.get(&id).and_then(|name| fleet.number(name));
                 known.or_else(|| {
@@ -96,7 +96,7 @@
             out = calls;
             out.iter_mut().for_each(|call| call.renumber(number(call.endpoint()).unwrap_or_default()));
             drop(fleet);
-            self.events.push(Event::Learnt(Box::new(learnt)));
+            self.events.push(Event::StateInherited(Box::new(learnt)));
             attempts.extend(state.attempts);
             in_call.extend(state.calls);
             self.former = Some(self.listen_to(link, &out, &in_call));
@@ -104,7 +104,7 @@
         let (journal, fleet, now) = (self.journal.borrow(), self.fleet.borrow(), self.clock.now());
         for (name, health) in journal.health().filter(|_| self.former.is_none()) {
             if let Some(endpoint) = fleet.number(name) {
-                self.events.push(Event::Recalled { endpoint, health });
+                self.events.push(Event::EndpointHealthRestored { endpoint, health });
             }
         }
         if self.former.is_none() {
@@ -127,7 +127,7 @@
             let row = self.rows.of(&message.class, rules.as_ref(), now).unwrap_or(usize::MAX);
             let attempts = attempts.get(&MsgId(id)).copied().unwrap_or(progress.attempts);
             let call = in_call.get(&MsgId(id)).copied();
-            restored.push(Event::Restored {
+            restored.push(Event::MessageRestored {
                 id: MsgId(id),
                 class: row,
                 key: Some(message.order_key.clone()),
@@ -155,10 +155,10 @@
         }
         drop(journal);
         self.figures.name_classes(self.rows.names());
-        self.events.push(Event::Classes(self.rows.classes()));
+        self.events.push(Event::ClassesChanged(self.rows.classes()));
         self.events.append(&mut restored);
         if !out.is_empty() {
-            self.events.push(Event::Out(out));
+            self.events.push(Event::CallsInherited(out));
         }
         let (mut journal, live) = (self.journal.borrow_mut(), self.live.iter());
         for (id, _) in live.filter(|(_, live)| live.call.is_none()) {
@@ -184,5 +184,5 @@
         Receiver::Route(dest, name) => Some((DestId(*dest), Some(fleet.number(name)?), health)),
     });
     let recalled = unknown.chain(known);
-    recalled.map(|(dest, route, health)| Event::RecalledReceiver { dest, route, health }).collect()
+    recalled.map(|(dest, route, health)| Event::ReceiverHealthRestored { dest, route, health }).collect()
 }
--- a/crates/sender/src/figures.rs
+++ b/crates/sender/src/figures.rs
@@ -37,7 +37,7 @@
     pub fn of(end: End) -> Self {
         match end {
             End::Returned { .. } => Ending::Returned,
-            End::Failed | End::Over => Ending::Failed,
+            End::Failed | End::Closed => Ending::Failed,
         }
     }
 
--- a/crates/sender/src/fleet.rs
+++ b/crates/sender/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The endpoints as they were last listed, and how their names are numbered.
 
-use embershore_protocol::listing::{Line, Listing};
+use embershore_protocol::listing::{ListedEndpoint, Listing};
 use embershore_protocol::settings::Names;
 use heronroute::{DestId, EndpointEntry, EndpointId, Status};
 use std::collections::{HashMap, HashSet};
@@ -110,7 +110,7 @@
         })
     }
 
-    fn take(&mut self, line: &Line, now: Instant) -> EndpointEntry {
+    fn take(&mut self, line: &ListedEndpoint, now: Instant) -> EndpointEntry {
         let status = match line.status.as_str() {
             "Ready" => Status::Up,
             "Gone" => Status::Removed,
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -3,7 +3,7 @@
 use embershore_handover::Frame;
 use embershore_protocol::notice::End;
 use embershore_protocol::resp::{Put, Reply};
-use heronroute::{ClassSettings, EndpointEntry, EndpointId, Micros, Outcome, Report};
+use heronroute::{ClassSettings, EndpointEntry, EndpointId, LoadReport, Micros, Outcome};
 use tokio::sync::oneshot;
 
 /// What can happen to a sender.
@@ -16,7 +16,7 @@
         entries: Vec<EndpointEntry>,
     },
     Ended(u64, Ended),
-    Probed(EndpointId, Outcome, Option<Report>),
+    Probed(EndpointId, Outcome, Option<LoadReport>),
     Noticed(Vec<u64>),
     /// The classes of a configuration that has been read again.
     Retuned(Vec<(String, ClassSettings)>),
@@ -36,7 +36,7 @@
     pub fates: Vec<Fate>,
     pub elapsed: Micros,
     pub wait: Micros,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// An end that the platform is owed.
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use embershore_protocol::notice::End;
-use heronroute::{ClassSettings, Effect, Group, Health, Micros, ReceiverHealth};
+use heronroute::{ClassSettings, DedupScope, Effect, EndpointHealth, Micros, ReceiverHealth};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File, OpenOptions};
@@ -57,16 +57,18 @@
 impl From<&ClassSettings> for Rules {
     fn from(class: &ClassSettings) -> Self {
         let effect = match class.effect {
-            Effect::Free => 0,
-            Effect::Guarded => 1,
-            Effect::SingleShot => 2,
+            Effect::Safe => 0,
+            Effect::Keyed => 1,
+            Effect::Unsafe => 2,
         };
-        let group = match class.group {
-            Group::All => 0,
-            Group::Zone => 1,
-            Group::Endpoint => 2,
+        let group = match class.dedup_scope {
+            DedupScope::All => 0,
+            DedupScope::Zone => 1,
+            DedupScope::Endpoint => 2,
         };
-        let ClassSettings { aim, deadline, window, ordered, worth, late_share, attempts, .. } = *class;
+        let ClassSettings {
+            aim, deadline, window, ordered, worth, late_share, max_attempts: attempts, ..
+        } = *class;
         Rules { aim, deadline, effect, group, window, ordered, worth, late_share, attempts }
     }
 }
@@ -75,17 +77,27 @@
     fn from(rules: &Rules) -> Self {
         let Rules { aim, deadline, window, ordered, worth, late_share, attempts, .. } = *rules;
         let effect = match rules.effect {
-            0 => Effect::Free,
-            1 => Effect::Guarded,
+            0 => Effect::Safe,
+            1 => Effect::Keyed,
             // What a later version may write is taken for what allows least.
-            _ => Effect::SingleShot,
+            _ => Effect::Unsafe,
         };
         let group = match rules.group {
-            0 => Group::All,
-            1 => Group::Zone,
-            _ => Group::Endpoint,
+            0 => DedupScope::All,
+            1 => DedupScope::Zone,
+            _ => DedupScope::Endpoint,
         };
-        ClassSettings { aim, deadline, effect, group, window, ordered, worth, late_share, attempts }
+        ClassSettings {
+            aim,
+            deadline,
+            effect,
+            dedup_scope: group,
+            window,
+            ordered,
+            worth,
+            late_share,
+            max_attempts: attempts,
+        }
     }
 }
 
@@ -138,7 +150,14 @@
 
 impl From<ReceiverHealth> for Condition {
     fn from(health: ReceiverHealth) -> Self {
-        let ReceiverHealth { bad_since, down, warm_since, wait_until, budget, share } = health;
+        let ReceiverHealth {
+            failing_since: bad_since,
+            down,
+            warming_since: warm_since,
+            wait_until,
+            budget_milli_per_s: budget,
+            traffic_milli_per_s: share,
+        } = health;
         Condition { bad_since, down, warm_since, wait_until, budget, share }
     }
 }
@@ -146,7 +165,14 @@
 impl From<Condition> for ReceiverHealth {
     fn from(condition: Condition) -> Self {
         let Condition { bad_since, down, warm_since, wait_until, budget, share } = condition;
-        ReceiverHealth { bad_since, down, warm_since, wait_until, budget, share }
+        ReceiverHealth {
+            failing_since: bad_since,
+            down,
+            warming_since: warm_since,
+            wait_until,
+            budget_milli_per_s: budget,
+            traffic_milli_per_s: share,
+        }
     }
 }
 
@@ -279,7 +305,7 @@
                     p.may_have_run = p.may_have_run.take().or(out);
                 }
             }
-            Record::Ended(id, End::Over) => self.drop_entry(id),
+            Record::Ended(id, End::Closed) => self.drop_entry(id),
             Record::Ended(id, end) => {
                 if let Some(e) = self.entries.get_mut(&id) {
                     e.progress.end = Some(end);
@@ -463,10 +489,10 @@
     }
 
     /// Keeps what has changed in the health of the endpoints.
-    pub fn keep_health(&mut self, now: &BTreeMap<String, Health>) -> io::Result<()> {
+    pub fn keep_health(&mut self, now: &BTreeMap<String, EndpointHealth>) -> io::Result<()> {
         let gone = self.health.keys().filter(|n| !now.contains_key(*n)).map(|n| (n.clone(), None));
         let ailing = now.iter().map(|(name, h)| {
-            let (bad_since, trouble, warm_since) = (h.bad_since, h.trouble, h.warm_since);
+            let (bad_since, trouble, warm_since) = (h.failing_since, h.unhealthy, h.warming_since);
             (name.clone(), Some(Ailment { bad_since, trouble, warm_since }))
         });
         let news: Vec<_> = gone.chain(ailing.filter(|(n, a)| self.health.get(n) != a.as_ref())).collect();
@@ -518,10 +544,13 @@
         self.barred.get(name).is_some_and(|told| *told > index)
     }
 
-    pub fn health(&self) -> impl Iterator<Item = (&str, Health)> {
+    pub fn health(&self) -> impl Iterator<Item = (&str, EndpointHealth)> {
         self.health.iter().map(|(name, a)| {
             let Ailment { bad_since, trouble, warm_since } = *a;
-            (name.as_str(), Health { bad_since, trouble, warm_since })
+            (
+                name.as_str(),
+                EndpointHealth { failing_since: bad_since, unhealthy: trouble, warming_since: warm_since },
+            )
         })
     }
 
@@ -569,8 +598,9 @@
     #[test]
     fn what_is_known_of_receivers_outlasts_the_process_and_a_compaction() {
         let folder = tempfile::tempdir().unwrap();
-        let refused = ReceiverHealth { budget: Some(96), wait_until: Some(7), ..ReceiverHealth::default() };
-        let down = ReceiverHealth { bad_since: Some(3), down: true, ..ReceiverHealth::default() };
+        let refused =
+            ReceiverHealth { budget_milli_per_s: Some(96), wait_until: Some(7), ..ReceiverHealth::default() };
+        let down = ReceiverHealth { failing_since: Some(3), down: true, ..ReceiverHealth::default() };
         let route = Receiver::Route(2, "r2-1".into());
         let ailing = BTreeMap::from([(Receiver::Destination(1), refused), (route.clone(), down)]);
         let mut journal = reopen(folder.path());
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -3,7 +3,7 @@
 use crate::connection::Connection;
 use crate::input::{Input, Notice};
 use bytes::Bytes;
-use embershore_protocol::notice::line;
+use embershore_protocol::notice;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
 use std::io;
@@ -29,7 +29,8 @@
     let mut kept: Option<Connection> = None;
     let mut batch = Vec::new();
     while queue.recv_many(&mut batch, BATCH_MOST).await > 0 {
-        let body = Bytes::from(batch.iter().map(|n| line(&n.request_id, n.end)).collect::<String>());
+        let body =
+            Bytes::from(batch.iter().map(|n| notice::encode(&n.request_id, n.end)).collect::<String>());
         let (mut pause, mut patience) = (RETRY_FIRST, PATIENCE_FIRST);
         loop {
             let to = *addr.borrow_and_update();
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use embershore_placement::{Forwarding, Outcome, Step, Verdict};
 use embershore_protocol::resp::{Put, Reply};
-use embershore_protocol::resp_client::{LINE_MOST, decode_reply, encode_put};
+use embershore_protocol::resp_client::{MAX_REPLY_BYTES, decode_reply, encode_put};
 use heronroute::Micros;
 use std::io;
 use std::net::SocketAddr;
@@ -137,7 +137,7 @@
     async fn finish(&mut self) -> io::Result<Reply> {
         self.stream.write_all(&self.command[self.written..]).await?;
         while !self.answer.ends_with(b"\r\n") {
-            if self.answer.len() >= LINE_MOST || self.stream.read_buf(&mut self.answer).await? == 0 {
+            if self.answer.len() >= MAX_REPLY_BYTES || self.stream.read_buf(&mut self.answer).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
@@ -162,18 +162,18 @@
 
 fn outcome_of(reply: Reply) -> Outcome {
     match reply {
-        Reply::Taken => Outcome::Taken,
-        Reply::Busy { after_ms } => Outcome::Busy { after_ms },
+        Reply::Accepted => Outcome::Taken,
+        Reply::Busy { retry_after_ms: after_ms } => Outcome::Busy { after_ms },
         Reply::Failed => Outcome::Wrong("the message failed".into()),
-        Reply::Wrong(reason) => Outcome::Wrong(reason.into_owned()),
+        Reply::Invalid(reason) => Outcome::Wrong(reason.into_owned()),
     }
 }
 
 fn reply_of(verdict: Verdict) -> Reply {
     match verdict {
-        Verdict::Taken => Reply::Taken,
-        Verdict::Busy { after_ms } => Reply::Busy { after_ms },
+        Verdict::Taken => Reply::Accepted,
+        Verdict::Busy { after_ms } => Reply::Busy { retry_after_ms: after_ms },
         Verdict::Failed => Reply::Failed,
-        Verdict::Wrong(reason) => Reply::Wrong(reason.into()),
+        Verdict::Wrong(reason) => Reply::Invalid(reason.into()),
     }
 }
--- a/crates/sender/src/placement/reader.rs
+++ b/crates/sender/src/placement/reader.rs
@@ -1,23 +1,23 @@
 //! The list of endpoints as it is read: all of it, or what this sender keeps.
 
 use super::Placement;
-use embershore_protocol::listing::{Flaw, Listing, Listings};
-use embershore_protocol::listing_stream::FilteredListings;
+use embershore_protocol::listing::{Listing, ListingError, ListingReader};
+use embershore_protocol::listing_stream::FilteredListingReader;
 use std::rc::Rc;
 
 /// Reads listings from a stream that is cut at any byte.
 pub enum ListReader {
-    All(Listings),
+    All(ListingReader),
     /// Without the endpoints of destinations that this sender does not keep.
-    Kept(FilteredListings, Rc<Placement>),
+    Kept(FilteredListingReader, Rc<Placement>),
 }
 
 impl ListReader {
     /// Reads what this sender keeps; all of it without placement.
     pub fn new(placement: Option<&Rc<Placement>>) -> Self {
         match placement {
-            Some(placement) => ListReader::Kept(FilteredListings::default(), placement.clone()),
-            None => ListReader::All(Listings::default()),
+            Some(placement) => ListReader::Kept(FilteredListingReader::default(), placement.clone()),
+            None => ListReader::All(ListingReader::default()),
         }
     }
 
@@ -32,33 +32,33 @@
     /// Bytes that are held of a listing that is not whole yet.
     pub fn held(&self) -> usize {
         match self {
-            ListReader::All(listings) => listings.kept(),
-            ListReader::Kept(listings, _) => listings.held(),
+            ListReader::All(listings) => listings.buffered_bytes(),
+            ListReader::Kept(listings, _) => listings.buffered_bytes(),
         }
     }
 
     /// Endpoints that begin in what is held of a listing that is not whole yet.
-    pub fn endpoints_begun(&self) -> usize {
+    pub fn endpoints_started(&self) -> usize {
         match self {
-            ListReader::All(listings) => listings.endpoints_begun(),
+            ListReader::All(listings) => listings.endpoints_started(),
             ListReader::Kept(listings, _) => listings.entries_read(),
         }
     }
 
     /// A listing has begun and is not whole yet.
-    pub fn is_within(&self) -> bool {
+    pub fn is_partial(&self) -> bool {
         match self {
-            ListReader::All(listings) => listings.is_within(),
-            ListReader::Kept(listings, _) => listings.is_within(),
+            ListReader::All(listings) => listings.is_partial(),
+            ListReader::Kept(listings, _) => listings.is_partial(),
         }
     }
 
     /// The next listing that is whole.
-    pub fn next_whole(&mut self) -> Result<Option<Listing>, Flaw> {
+    pub fn next_listing(&mut self) -> Result<Option<Listing>, ListingError> {
         match self {
-            ListReader::All(listings) => listings.next_whole(),
+            ListReader::All(listings) => listings.next_listing(),
             ListReader::Kept(listings, placement) => {
-                let mut listing = listings.next_whole(&|dest| placement.keeps(dest))?;
+                let mut listing = listings.next_listing(&|dest| placement.keeps(dest))?;
                 if let Some(listing) = &mut listing {
                     placement.scale_limits(listing);
                 }
--- a/crates/sender/src/rows.rs
+++ b/crates/sender/src/rows.rs
@@ -130,7 +130,7 @@
     use heronroute::Effect;
 
     fn class(effect: Effect, attempts: u32) -> ClassSettings {
-        ClassSettings { effect, attempts: Some(attempts), ..ClassSettings::default() }
+        ClassSettings { effect, max_attempts: Some(attempts), ..ClassSettings::default() }
     }
 
     fn listed(classes: &[(&str, Effect, u32)]) -> Vec<(String, ClassSettings)> {
@@ -139,55 +139,58 @@
 
     #[test]
     fn a_class_that_comes_back_with_other_rules_is_a_row_beside_the_old_one() {
-        let mut rows = Rows::new(listed(&[("a", Effect::Free, 6), ("b", Effect::Free, 6)]));
+        let mut rows = Rows::new(listed(&[("a", Effect::Safe, 6), ("b", Effect::Safe, 6)]));
         let before = rows.newest("a", 0).unwrap();
         rows.enter(before);
-        rows.retune(listed(&[("b", Effect::Free, 6)]), 10);
+        rows.retune(listed(&[("b", Effect::Safe, 6)]), 10);
         assert_eq!(rows.newest("a", 11), Some(before), "clients hear of it later");
         assert_eq!(rows.newest("a", 10 + DROPPED_FOR), None);
-        rows.retune(listed(&[("a", Effect::SingleShot, 6), ("b", Effect::Free, 6)]), 20);
+        rows.retune(listed(&[("a", Effect::Unsafe, 6), ("b", Effect::Safe, 6)]), 20);
         let after = rows.newest("a", 21).unwrap();
         assert_ne!(after, before);
-        assert_eq!(rows.get(before).unwrap().effect, Effect::Free);
-        assert_eq!(rows.get(after).unwrap().effect, Effect::SingleShot);
+        assert_eq!(rows.get(before).unwrap().effect, Effect::Safe);
+        assert_eq!(rows.get(after).unwrap().effect, Effect::Unsafe);
     }
 
     #[test]
     fn fewer_attempts_are_other_rules_and_the_same_rules_are_the_same_row() {
-        let mut rows = Rows::new(listed(&[("a", Effect::Free, 6)]));
+        let mut rows = Rows::new(listed(&[("a", Effect::Safe, 6)]));
         let six = rows.newest("a", 0).unwrap();
         rows.enter(six);
-        rows.retune(listed(&[("a", Effect::Free, 2)]), 1);
+        rows.retune(listed(&[("a", Effect::Safe, 2)]), 1);
         let two = rows.newest("a", 2).unwrap();
-        assert_eq!((rows.get(two).unwrap().attempts, rows.get(six).unwrap().attempts), (Some(2), Some(6)));
-        rows.retune(listed(&[("a", Effect::Free, 6)]), 3);
+        assert_eq!(
+            (rows.get(two).unwrap().max_attempts, rows.get(six).unwrap().max_attempts),
+            (Some(2), Some(6))
+        );
+        rows.retune(listed(&[("a", Effect::Safe, 6)]), 3);
         assert_eq!(rows.newest("a", 4), Some(six));
     }
 
     #[test]
     fn rows_without_messages_are_used_again_and_others_never() {
-        let mut rows = Rows::new(listed(&[("a", Effect::Free, 6)]));
+        let mut rows = Rows::new(listed(&[("a", Effect::Safe, 6)]));
         let first = rows.newest("a", 0).unwrap();
         rows.enter(first);
         for n in 1..100 {
-            rows.retune(listed(&[("a", Effect::Free, n)]), Micros::from(n));
+            rows.retune(listed(&[("a", Effect::Safe, n)]), Micros::from(n));
         }
         assert_eq!(rows.classes().len(), 2, "the one with a message, and the newest");
-        assert_eq!(rows.get(first).unwrap().attempts, Some(6));
+        assert_eq!(rows.get(first).unwrap().max_attempts, Some(6));
         rows.leave(first);
-        rows.retune(listed(&[("a", Effect::Free, 200)]), 1000);
+        rows.retune(listed(&[("a", Effect::Safe, 200)]), 1000);
         assert_eq!(rows.classes().len(), 2);
     }
 
     #[test]
     fn a_restored_message_has_the_row_of_its_rules() {
-        let mut rows = Rows::new(listed(&[("a", Effect::SingleShot, 6)]));
-        let old = rows.of("a", Some(&class(Effect::Free, 6)), 0).unwrap();
-        assert_eq!(rows.get(old).unwrap().effect, Effect::Free);
+        let mut rows = Rows::new(listed(&[("a", Effect::Unsafe, 6)]));
+        let old = rows.of("a", Some(&class(Effect::Safe, 6)), 0).unwrap();
+        assert_eq!(rows.get(old).unwrap().effect, Effect::Safe);
         assert_ne!(rows.newest("a", 0), Some(old));
-        assert_eq!(rows.of("a", Some(&class(Effect::SingleShot, 6)), 0), rows.newest("a", 0));
+        assert_eq!(rows.of("a", Some(&class(Effect::Unsafe, 6)), 0), rows.newest("a", 0));
         assert_eq!(rows.of("a", None, 0), rows.newest("a", 0));
         assert_eq!(rows.of("gone", None, 0), None);
-        assert!(rows.of("gone", Some(&class(Effect::Free, 6)), 0).is_some());
+        assert!(rows.of("gone", Some(&class(Effect::Safe, 6)), 0).is_some());
     }
 }
--- a/crates/sender/tests/common/placement/relay.rs
+++ b/crates/sender/tests/common/placement/relay.rs
@@ -115,7 +115,7 @@
 /// Takes the whole commands off; how many of them hand a message in.
 fn whole_requests(unparsed: &mut BytesMut) -> usize {
     let mut requests = 0;
-    while let Ok(Some(args)) = resp::command(unparsed) {
+    while let Ok(Some(args)) = resp::decode_command(unparsed) {
         requests += usize::from(args.first().is_some_and(|name| &name[..] == b"MSG.PUT"));
     }
     requests
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -80,8 +80,8 @@
     let mut piece = [0; 4096];
     while let Ok(count @ 1..) = stream.read(&mut piece) {
         unread.extend_from_slice(&piece[..count]);
-        while let Some(arguments) = resp::command(&mut unread).unwrap() {
-            put.lock().unwrap().push(resp::put(&arguments).unwrap());
+        while let Some(arguments) = resp::decode_command(&mut unread).unwrap() {
+            put.lock().unwrap().push(resp::decode_put(&arguments).unwrap());
             let conduct = *conduct.lock().unwrap();
             match conduct {
                 Conduct::Answer(line) => _ = stream.write_all(format!("{line}\r\n").as_bytes()),
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -6,7 +6,7 @@
 
 use embershore_protocol::settings;
 use heronroute::{
-    Action, DestId, Dispatcher, EndpointEntry, EndpointId, Event, Micros, MsgId, Outcome, Report, Status,
+    Action, DestId, Dispatcher, EndpointEntry, EndpointId, Event, LoadReport, Micros, MsgId, Outcome, Status,
 };
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
@@ -124,11 +124,11 @@
         })
     }
 
-    fn report(&self, i: usize) -> Result<Option<Report>, String> {
+    fn report(&self, i: usize) -> Result<Option<LoadReport>, String> {
         let Some(v) = self.opt(i) else { return Ok(None) };
         let pairs: &Map<String, Value> = v.as_object().ok_or_else(|| self.wrong(i, "a load report"))?;
         let figure = |name: &str| pairs.get(name).and_then(Value::as_f64);
-        Ok(Some(Report { left: figure("x0"), limit: figure("x1") }))
+        Ok(Some(LoadReport { remaining: figure("x0"), limit: figure("x1") }))
     }
 }
 
@@ -270,7 +270,7 @@
             let number = f.int(3)?;
             let rows = tables.get(&number).ok_or_else(|| format!("Announce: no Table {number}"))?;
             let number_rows = |r: &Row| EndpointEntry { endpoint: inst.intern(&r.name), ..r.entry.clone() };
-            Event::Members { whole, entries: rows.iter().map(number_rows).collect() }
+            Event::Listing { complete: whole, entries: rows.iter().map(number_rows).collect() }
         }
         "Inbound" => Event::Message {
             id: f.msg(1)?,
@@ -279,7 +279,7 @@
             key: if f.opt(4).is_some() { Some(f.text(4)?.to_string()) } else { None },
             dest: DestId(f.int_or(7, 0)?),
             time_left: f.int(5)?,
-            again: f.int_or(8, 0)? & 2 != 0,
+            resubmitted: f.int_or(8, 0)? & 2 != 0,
         },
         "Outcome" => {
             let outcome = f.outcome(2)?;
@@ -289,13 +289,13 @@
                 attempt: f.index_or(4, 0)? as u32,
                 endpoint: inst.intern(f.text(7)?),
                 outcome,
-                last: f.flag(3)?,
+                closes_message: f.flag(3)?,
                 elapsed: f.int_or(5, 0)?,
                 wait: if outcome == Outcome::Busy { hold.saturating_mul(1000) } else { 0 },
                 report: f.report(8)?,
             }
         }
-        "Left" => Event::Left { id: f.msg(1)? },
+        "Left" => Event::MessageAbandoned { id: f.msg(1)? },
         "Elapsed" => {
             let token = u64::try_from(f.int(1)?).map_err(|_| f.wrong(1, "a token"))?;
             Event::Timer { token }
@@ -303,7 +303,7 @@
         "Pong" => {
             Event::Probed { endpoint: inst.intern(f.text(1)?), outcome: f.outcome(2)?, report: f.report(4)? }
         }
-        "Datagram" => Event::Note { from: f.index_or(1, 0)? as u32, text: f.text(2)?.to_string() },
+        "Datagram" => Event::PeerNote { from: f.index_or(1, 0)? as u32, text: f.text(2)?.to_string() },
         _ => return Ok(None),
     }))
 }
@@ -321,7 +321,7 @@
         Action::Fail { id } => json!(["Abort", sender, hex(id)]),
         Action::Timer { at, token } => json!(["After", sender, at, token]),
         Action::Probe { endpoint } => json!(["HealthCheck", sender, name(endpoint)]),
-        Action::Close { endpoint } => json!(["LetGo", sender, name(endpoint)]),
-        Action::Tell { text } => json!(["BroadcastTo", sender, null, text]),
+        Action::CloseIdle { endpoint } => json!(["LetGo", sender, name(endpoint)]),
+        Action::Broadcast { text } => json!(["BroadcastTo", sender, null, text]),
     }
 }
--- a/src/handed.rs
+++ b/src/handover.rs
@@ -7,10 +7,10 @@
 
 /// What a dispatcher knows of destinations and endpoints: their rates, latencies, budgets and pools, waits, outages
 /// and how far a return has come. Endpoints bear the numbers of the sender that learnt it until
-/// [`Learnt::renumber`] gives them others.
+/// [`DispatcherState::renumber`] gives them others.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct Learnt {
+pub struct DispatcherState {
     dests: Vec<(DestId, Rate, Rate)>,
     lanes: Vec<(LaneKey, Lane)>,
     endpoints: Vec<(EndpointId, Endpoint)>,
@@ -21,7 +21,7 @@
 /// A call that is out.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct OutCall {
+pub struct InFlightCall {
     call: Call,
     /// The messages in it, and for each the attempt that this call is to it.
     messages: Vec<(MsgId, u32, Adopted)>,
@@ -37,7 +37,7 @@
     sent: Micros,
 }
 
-impl Learnt {
+impl DispatcherState {
     /// The endpoints of which it tells.
     pub fn endpoints(&self) -> impl Iterator<Item = EndpointId> {
         self.endpoints.iter().map(|(id, _)| *id)
@@ -58,7 +58,7 @@
     }
 }
 
-impl OutCall {
+impl InFlightCall {
     /// The messages in it, and for each the attempt that this call is to it.
     pub fn messages(&self) -> impl Iterator<Item = (MsgId, u32)> {
         self.messages.iter().map(|(id, attempt, _)| (*id, *attempt))
@@ -76,9 +76,9 @@
 }
 
 impl Dispatcher {
-    /// What the next dispatcher is to know, by [`Event::Learnt`] and [`Event::Out`].
-    pub fn hand_over(&self) -> (Learnt, Vec<OutCall>) {
-        let learnt = Learnt {
+    /// What the next dispatcher is to know, by [`Event::StateInherited`] and [`Event::CallsInherited`].
+    pub fn handover_state(&self) -> (DispatcherState, Vec<InFlightCall>) {
+        let learnt = DispatcherState {
             dests: self.dests.iter().map(|(id, d)| (*id, d.rate, d.share)).collect(),
             lanes: self.lanes.iter().map(|(key, l)| (*key, l.clone())).collect(),
             endpoints: self.endpoints.iter().map(|(id, e)| (*id, e.clone())).collect(),
@@ -90,13 +90,13 @@
                 let Msg { class, dest, deadline, .. } = *msg;
                 Some((*id, a.no, Adopted { class, dest, deadline, sent: a.sent }))
             };
-            OutCall { call: call.clone(), messages: self.msgs.iter().filter_map(of).collect() }
+            InFlightCall { call: call.clone(), messages: self.msgs.iter().filter_map(of).collect() }
         });
         (learnt, out.collect())
     }
 
     /// Takes over what was learnt, for what the list names. What is out comes later, by [`Dispatcher::adopt`].
-    pub(crate) fn learn(&mut self, learnt: &Learnt) {
+    pub(crate) fn learn(&mut self, learnt: &DispatcherState) {
         for (id, rate, share) in &learnt.dests {
             if let Some(d) = self.dests.get_mut(id) {
                 (d.rate, d.share) = (*rate, *share);
@@ -129,15 +129,15 @@
 
     /// Counts calls that another process has out: their slots, permits and trials, and the messages that wait for
     /// their ends. Messages that are still owed an end have been restored before.
-    pub(crate) fn adopt(&mut self, calls: &[OutCall]) {
-        for OutCall { call, messages } in calls {
+    pub(crate) fn adopt(&mut self, calls: &[InFlightCall]) {
+        for InFlightCall { call, messages } in calls {
             let Some(e) = self.endpoints.get_mut(&call.endpoint).filter(|_| !messages.is_empty()) else {
                 continue;
             };
             let Some(lane) = self.lanes.get_mut(&e.lane) else { continue };
             self.seq += 1;
             (e.out, lane.out, self.used) = (e.out + 1, lane.out + 1, self.used + 1);
-            e.conns = e.conns.max(e.out.div_ceil(self.set.streams.max(1)));
+            e.conns = e.conns.max(e.out.div_ceil(self.set.streams_per_conn.max(1)));
             if let Some(t) = e.trouble.as_mut().filter(|_| call.trial) {
                 t.trial = Some(call.sent);
             }
--- a/src/kept.rs
+++ b/src/health.rs
@@ -1,5 +1,5 @@
-//! What a sender keeps of its dispatcher over a restart, to be given back by [`Event::Recalled`] and
-//! [`Event::RecalledReceiver`]. Nothing is decided here; the decisions that go by it are in `src/logic.rs`.
+//! What a sender keeps of its dispatcher over a restart, to be given back by [`Event::EndpointHealthRestored`] and
+//! [`Event::ReceiverHealthRestored`]. Nothing is decided here; the decisions that go by it are in `src/logic.rs`.
 
 use crate::interface::*;
 use crate::logic::{ALERT, Dispatcher};
@@ -9,21 +9,26 @@
 const WAIT_STEP: Micros = 100_000;
 
 impl Dispatcher {
-    /// What is to be kept of endpoints that have failed, or come back, for [`Event::Recalled`].
-    pub fn health(&self) -> impl Iterator<Item = (EndpointId, Health)> {
+    /// What is to be kept of endpoints that have failed, or come back, for [`Event::EndpointHealthRestored`].
+    pub fn endpoint_health(&self) -> impl Iterator<Item = (EndpointId, EndpointHealth)> {
         self.endpoints.iter().filter_map(|(id, e)| {
             let lane = self.lanes.get(&e.lane).and_then(|l| l.back.as_ref());
             let warm_since = e.warm.iter().chain(lane).map(|w| w.since).max();
-            let health = Health { bad_since: e.first_bad, trouble: e.trouble.is_some(), warm_since };
-            (health.bad_since.is_some() || health.trouble || warm_since.is_some()).then_some((*id, health))
+            let health = EndpointHealth {
+                failing_since: e.first_bad,
+                unhealthy: e.trouble.is_some(),
+                warming_since: warm_since,
+            };
+            (health.failing_since.is_some() || health.unhealthy || warm_since.is_some())
+                .then_some((*id, health))
         })
     }
 
     /// What is to be kept of receivers that have failed, refused calls or come back, for
-    /// [`Event::RecalledReceiver`]: the destination, the endpoint where it is a route of its own, and what is known.
-    pub fn receivers(&self) -> impl Iterator<Item = (DestId, Option<EndpointId>, ReceiverHealth)> {
+    /// [`Event::ReceiverHealthRestored`]: the destination, the endpoint where it is a route of its own, and what is known.
+    pub fn receiver_health(&self) -> impl Iterator<Item = (DestId, Option<EndpointId>, ReceiverHealth)> {
         self.lanes.iter().filter_map(|(key, lane)| {
-            let health = self.receiver_health(lane);
+            let health = self.lane_health(lane);
             let route = match key {
                 LaneKey::Route(id) => Some(*id),
                 _ => None,
@@ -32,7 +37,7 @@
                 return None;
             }
             let share = self.dests.get(&lane.dest).map(|d| round_down((d.share.get(self.now) * 1e3) as u32));
-            Some((lane.dest, route, ReceiverHealth { share, ..health }))
+            Some((lane.dest, route, ReceiverHealth { traffic_milli_per_s: share, ..health }))
         })
     }
 
@@ -43,16 +48,16 @@
         lanes.map(|(key, _)| *key).collect()
     }
 
-    fn receiver_health(&self, lane: &Lane) -> ReceiverHealth {
+    fn lane_health(&self, lane: &Lane) -> ReceiverHealth {
         let refused = lane.cut > 0 && self.now - lane.cut < ALERT && lane.budget.is_finite();
         let wait = Some(lane.wait_until).filter(|until| *until > self.now);
         ReceiverHealth {
-            bad_since: lane.bad,
+            failing_since: lane.bad,
             down: lane.down,
-            warm_since: lane.back.as_ref().map(|w| w.since),
+            warming_since: lane.back.as_ref().map(|w| w.since),
             wait_until: wait.map(round_up),
-            budget: refused.then(|| round_down((lane.budget * 1e3) as u32)),
-            share: None,
+            budget_milli_per_s: refused.then(|| round_down((lane.budget * 1e3) as u32)),
+            traffic_milli_per_s: None,
         }
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
 //! The types through which a sender and a [`Dispatcher`](crate::Dispatcher) talk: settings, events, actions.
 
-use crate::handed::{Learnt, OutCall};
+use crate::handover::{DispatcherState, InFlightCall};
 use std::fmt;
 
 /// Time in microseconds on the sender's own clock, or a span of it.
@@ -25,17 +25,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Effect {
     /// A repeat does no harm.
-    Free,
+    Safe,
     /// A repeat is dropped by the destination within the class's window.
-    Guarded,
+    Keyed,
     /// A repeat takes effect again.
     #[default]
-    SingleShot,
+    Unsafe,
 }
 
 /// Which endpoints of a destination share the memory that drops repeats of a guarded message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Group {
+pub enum DedupScope {
     /// All endpoints of the destination.
     #[default]
     All,
@@ -47,12 +47,12 @@
 
 /// How a message's worth falls after its aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Late {
+pub enum LateDecay {
     /// Evenly, down to the late share at the deadline.
     #[default]
-    Line,
+    Linear,
     /// By half with each further aim, down to the late share.
-    Halves,
+    Halving,
 }
 
 /// A class of messages.
@@ -65,7 +65,7 @@
     /// What a repeat would do.
     pub effect: Effect,
     /// For guarded classes: which endpoints drop repeats.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For guarded classes: how long repeats are dropped, from the first send that may have run.
     pub window: Micros,
     /// Messages with the same key go one at a time, in order.
@@ -75,7 +75,7 @@
     /// Share of the worth left at the deadline.
     pub late_share: f64,
     /// Attempts for one message of it at most, if not those of [`Settings::max_attempts`].
-    pub attempts: Option<u32>,
+    pub max_attempts: Option<u32>,
 }
 
 impl Default for ClassSettings {
@@ -83,13 +83,13 @@
         ClassSettings {
             aim: 1_000_000,
             deadline: 10_000_000,
-            effect: Effect::SingleShot,
-            group: Group::All,
+            effect: Effect::Unsafe,
+            dedup_scope: DedupScope::All,
             window: 0,
             ordered: false,
             worth: 1.0,
             late_share: 0.0,
-            attempts: None,
+            max_attempts: None,
         }
     }
 }
@@ -98,9 +98,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KindSettings {
     /// Messages in one call at most.
-    pub batch: u32,
+    pub max_batch: u32,
     /// The endpoints are separate routes, each with its own limit, pace and outages.
-    pub apart: bool,
+    pub separate_routes: bool,
 }
 
 /// A tenant, whose traffic beyond its quota is worth little.
@@ -112,14 +112,14 @@
 
 /// What a listed weight says of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Weights {
+pub enum WeightMeaning {
     /// Nothing.
     #[default]
-    Silent,
+    Ignored,
     /// The calls a second that the destination (or route) takes from all senders together.
     Nominal,
     /// The same, up to half too high or too low.
-    Rough,
+    Approximate,
 }
 
 /// Everything a dispatcher is told at its start.
@@ -148,7 +148,7 @@
     /// Idle connections close after this.
     pub idle_close: Micros,
     /// Calls that one connection carries at once.
-    pub streams: u32,
+    pub streams_per_conn: u32,
     /// Least time between two rounds.
     pub quantum: Micros,
     /// Grace in which sends to a draining or gone endpoint must end.
@@ -164,11 +164,11 @@
     /// For ordered classes: how long a key rests after an attempt that may still run.
     pub order_settle: Micros,
     /// How worth falls after the aim.
-    pub late: Late,
+    pub late_decay: LateDecay,
     /// Worth of a message beyond its tenant's quota, as a share.
     pub over_share_worth: f64,
     /// What listed weights say.
-    pub weights: Weights,
+    pub weights: WeightMeaning,
     /// Price of attempts that cross zones.
     pub cross_zone_price: f64,
     /// Price of new connections.
@@ -197,7 +197,7 @@
             peers: false,
             max_retry_after: 0,
             idle_close: 5_000_000,
-            streams: 1,
+            streams_per_conn: 1,
             quantum: 0,
             drain_grace: 0,
             fall_multiple: 2.0,
@@ -205,9 +205,9 @@
             cold_from: 0.2,
             warm_up: 10_000_000,
             order_settle: 0,
-            late: Late::Line,
+            late_decay: LateDecay::Linear,
             over_share_worth: 1.0,
-            weights: Weights::Silent,
+            weights: WeightMeaning::Ignored,
             cross_zone_price: 0.0,
             handshake_price: 0.0,
             zone_fees: Vec::new(),
@@ -226,14 +226,16 @@
     /// The class that it belongs to, by index.
     pub class: Option<usize>,
     /// What it must be.
-    pub must: &'static str,
+    pub requirement: &'static str,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.class {
-            Some(class) => write!(f, "settings: {} of class {class} must be {}", self.field, self.must),
-            None => write!(f, "settings: {} must be {}", self.field, self.must),
+            Some(class) => {
+                write!(f, "settings: {} of class {class} must be {}", self.field, self.requirement)
+            }
+            None => write!(f, "settings: {} must be {}", self.field, self.requirement),
         }
     }
 }
@@ -243,7 +245,7 @@
 impl Settings {
     /// Messages that a call of a kind takes; one where the kind is not known.
     pub(crate) fn batch(&self, kind: usize) -> u32 {
-        self.kinds.get(kind).map_or(1, |k| k.batch.max(1))
+        self.kinds.get(kind).map_or(1, |k| k.max_batch.max(1))
     }
 
     /// Checks the figures that the dispatcher relies on.
@@ -251,8 +253,8 @@
     /// # Errors
     /// Names the first figure that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let check = |good: bool, field, class, must| {
-            if good { Ok(()) } else { Err(SettingsError { field, class, must }) }
+        let check = |good: bool, field, class, requirement| {
+            if good { Ok(()) } else { Err(SettingsError { field, class, requirement }) }
         };
         let counts = [
             ("slots", self.slots),
@@ -330,7 +332,7 @@
     pub kind: usize,
     /// Its zone, by index.
     pub zone: usize,
-    /// Its weight, where one is given; see [`Weights`].
+    /// Its weight, where one is given; see [`WeightMeaning`].
     pub weight: Option<f64>,
 }
 
@@ -351,7 +353,8 @@
     /// The connection broke; it may have run.
     Reset,
     /// The destination answered with what can't be read; it may have run. Only real senders are told so.
-    Spoilt,
+    #[cfg_attr(feature = "serde", serde(rename = "Spoilt"))]
+    MalformedAnswer,
     /// Called off; it may have run.
     Cancelled,
     /// Never sent: no slot was free, the message was over, or its attempts were used up.
@@ -368,7 +371,7 @@
     }
 
     /// Whether no byte of it was written.
-    pub fn never_begun(self) -> bool {
+    pub fn never_sent(self) -> bool {
         matches!(self, Outcome::Skipped | Outcome::Unreached)
     }
 
@@ -381,22 +384,23 @@
 /// What an endpoint tells of its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct Report {
+pub struct LoadReport {
     /// Share of the allowance that is left.
-    pub left: Option<f64>,
+    #[cfg_attr(feature = "serde", serde(rename = "left"))]
+    pub remaining: Option<f64>,
     /// Calls a second that the limit allows; 0 where there is none.
     pub limit: Option<f64>,
 }
 
 /// What a dispatcher remembers of an endpoint's outage, for a sender that keeps it over a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Health {
+pub struct EndpointHealth {
     /// When its present troubles began, if it has any.
-    pub bad_since: Option<Micros>,
+    pub failing_since: Option<Micros>,
     /// It is in trouble: asked by single trials only.
-    pub trouble: bool,
+    pub unhealthy: bool,
     /// When it came back from an outage, if it is still being loaded bit by bit.
-    pub warm_since: Option<Micros>,
+    pub warming_since: Option<Micros>,
 }
 
 /// What a dispatcher remembers of a receiver as a whole, a destination or a route of it where routes are apart, for a
@@ -404,28 +408,28 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceiverHealth {
     /// Since when it has answered nothing well, if its last answers were bad.
-    pub bad_since: Option<Micros>,
+    pub failing_since: Option<Micros>,
     /// It is taken to be out as a whole.
     pub down: bool,
     /// When it came back from an outage, if it is still being loaded bit by bit.
-    pub warm_since: Option<Micros>,
+    pub warming_since: Option<Micros>,
     /// Until when it told its callers to wait.
     pub wait_until: Option<Micros>,
     /// What this sender holds itself to after refusals, in thousandths of a call a second.
-    pub budget: Option<u32>,
+    pub budget_milli_per_s: Option<u32>,
     /// This sender's own traffic for it, in thousandths of a message a second.
-    pub share: Option<u32>,
+    pub traffic_milli_per_s: Option<u32>,
 }
 
 impl ReceiverHealth {
     /// What is assumed of a receiver of which an earlier run has kept nothing, not even that it was well.
     pub const UNKNOWN: ReceiverHealth = ReceiverHealth {
-        bad_since: None,
+        failing_since: None,
         down: true,
-        warm_since: None,
+        warming_since: None,
         wait_until: None,
-        budget: None,
-        share: None,
+        budget_milli_per_s: None,
+        traffic_milli_per_s: None,
     };
 }
 
@@ -433,9 +437,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The directory: the whole list, or changes to it.
-    Members {
+    Listing {
         /// Endpoints missing from `entries` are gone.
-        whole: bool,
+        complete: bool,
         /// The lines.
         entries: Vec<EndpointEntry>,
     },
@@ -454,10 +458,10 @@
         /// Time until it is given up.
         time_left: Micros,
         /// It is known to have been handed in before.
-        again: bool,
+        resubmitted: bool,
     },
     /// A message taken on before this sender restarted, which is still owed its final answer.
-    Restored {
+    MessageRestored {
         /// The message.
         id: MsgId,
         /// Its class, by index; one that no longer exists counts as one whose repeats take effect again.
@@ -476,14 +480,14 @@
         may_have_run: Option<(EndpointId, Micros)>,
     },
     /// What an earlier run of this sender knew of an endpoint, once it has been listed.
-    Recalled {
+    EndpointHealthRestored {
         /// The endpoint.
         endpoint: EndpointId,
         /// As [`Dispatcher::health`](crate::Dispatcher::health) told it.
-        health: Health,
+        health: EndpointHealth,
     },
     /// What an earlier run of this sender knew of a receiver as a whole, after all that it knew of its endpoints.
-    RecalledReceiver {
+    ReceiverHealthRestored {
         /// The destination.
         dest: DestId,
         /// The endpoint, where it is a route of its own.
@@ -492,17 +496,17 @@
         health: ReceiverHealth,
     },
     /// What another process's dispatcher knew that this one goes on for, once its endpoints have been listed.
-    Learnt(Box<Learnt>),
+    StateInherited(Box<DispatcherState>),
     /// The calls which that process still has out, once its messages have been restored. Their outcomes come like any
     /// other's.
-    Out(Vec<OutCall>),
+    CallsInherited(Vec<InFlightCall>),
     /// The sender ends at this time: nothing is to begin that would not end before.
     Stopping {
         /// When.
         at: Micros,
     },
     /// Other classes hold from now on. A message keeps its class's index, and with it whatever stands there.
-    Classes(Vec<ClassSettings>),
+    ClassesChanged(Vec<ClassSettings>),
     /// An attempt ended.
     Outcome {
         /// The message.
@@ -514,16 +518,16 @@
         /// How it ended.
         outcome: Outcome,
         /// The message is closed; no answer is owed any more.
-        last: bool,
+        closes_message: bool,
         /// Time since it was sent.
         elapsed: Micros,
         /// For [`Outcome::Busy`]: the wait asked for, 0 if none.
         wait: Micros,
         /// What was told of the limit.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Nobody wants this message any more.
-    Left {
+    MessageAbandoned {
         /// The message.
         id: MsgId,
     },
@@ -539,10 +543,10 @@
         /// How it ended.
         outcome: Outcome,
         /// What was told of the limit.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A note from another sender.
-    Note {
+    PeerNote {
         /// Number of the sender it came from.
         from: u32,
         /// Its text.
@@ -596,12 +600,12 @@
         endpoint: EndpointId,
     },
     /// Close the idle connections to an endpoint.
-    Close {
+    CloseIdle {
         /// The endpoint.
         endpoint: EndpointId,
     },
     /// Send a note to all other senders.
-    Tell {
+    Broadcast {
         /// Its text, 256 bytes at most.
         text: String,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,25 +13,25 @@
 //! use heronroute::{KindSettings, MsgId, Outcome, Settings, Status};
 //!
 //! let mut settings = Settings { slots: 8, max_open: 100, max_attempts: 4, ..Settings::default() };
-//! settings.classes.push(ClassSettings { effect: Effect::Free, ..ClassSettings::default() });
-//! settings.kinds.push(KindSettings { batch: 1, apart: false });
+//! settings.classes.push(ClassSettings { effect: Effect::Safe, ..ClassSettings::default() });
+//! settings.kinds.push(KindSettings { max_batch: 1, separate_routes: false });
 //! let mut dispatcher = Dispatcher::new(0, 42, settings)?;
 //!
 //! let endpoint = EndpointEntry {
 //!     endpoint: EndpointId(1), dest: DestId(7), status: Status::Up, kind: 0, zone: 0, weight: None,
 //! };
 //! let message = Event::Message {
-//!     id: MsgId(1), class: 0, tenant: 0, key: None, dest: DestId(7), time_left: 5_000_000, again: false,
+//!     id: MsgId(1), class: 0, tenant: 0, key: None, dest: DestId(7), time_left: 5_000_000, resubmitted: false,
 //! };
 //! let mut actions = Vec::new();
-//! dispatcher.round(0, &[Event::Members { whole: true, entries: vec![endpoint] }, message], &mut actions);
+//! dispatcher.round(0, &[Event::Listing { complete: true, entries: vec![endpoint] }, message], &mut actions);
 //! let sent = actions.iter().any(|a| matches!(a, Action::Send { id: MsgId(1), endpoint: EndpointId(1), .. }));
 //! assert!(sent);
 //!
 //! // Later, the sender reports how the call ended; a delivered message needs no further answer.
 //! actions.clear();
 //! let outcome = Event::Outcome {
-//!     id: MsgId(1), attempt: 0, endpoint: EndpointId(1), outcome: Outcome::Done, last: true,
+//!     id: MsgId(1), attempt: 0, endpoint: EndpointId(1), outcome: Outcome::Done, closes_message: true,
 //!     elapsed: 80_000, wait: 0, report: None,
 //! };
 //! dispatcher.round(80_000, &[outcome], &mut actions);
@@ -43,23 +43,23 @@
 #![forbid(unsafe_code)]
 
 mod batching;
-mod handed;
+mod handover;
+mod health;
 mod interface;
-mod kept;
 mod logic;
 mod measure;
 mod random;
 mod rotation;
 mod state;
 
-pub use handed::{Learnt, OutCall};
+pub use handover::{DispatcherState, InFlightCall};
 pub use interface::*;
 pub use logic::Dispatcher;
 
 impl Dispatcher {
     /// How many destinations, lanes, endpoints, messages, calls and keys are remembered, for those who watch
     /// a sender's memory.
-    pub fn kept(&self) -> usize {
+    pub fn tracked_items(&self) -> usize {
         let fleet = self.dests.len() + self.lanes.len() + self.endpoints.len();
         fleet + self.msgs.len() + self.calls.len() + self.keys.len()
     }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -151,12 +151,12 @@
 
     fn absorb(&mut self, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::Members { whole, entries } => self.members(*whole, entries),
-            Event::Message { id, class, key, dest, time_left, again, .. } => {
+            Event::Listing { complete: whole, entries } => self.members(*whole, entries),
+            Event::Message { id, class, key, dest, time_left, resubmitted: again, .. } => {
                 let msg = Msg { class: *class, key: key.clone(), dest: *dest, ..Msg::default() };
                 self.admit(*id, msg, *time_left, !again);
             }
-            Event::Restored { id, class, key, dest, time_left, attempts, unreached, may_have_run } => {
+            Event::MessageRestored { id, class, key, dest, time_left, attempts, unreached, may_have_run } => {
                 let (class, key, dest, attempts) = (*class, key.clone(), *dest, *attempts);
                 let may_run = may_have_run.map(|(at, sent)| (sent, at));
                 let owed = may_run.is_none() && !self.succeeds;
@@ -164,23 +164,23 @@
                 let msg = Msg { class, key, dest, attempts, unreached, may_run, owed, ..Msg::default() };
                 self.restore(*id, msg, *time_left, out);
             }
-            Event::Learnt(learnt) => {
+            Event::StateInherited(learnt) => {
                 self.succeeds = true;
                 self.learn(learnt);
             }
-            Event::Out(calls) => self.adopt(calls),
-            Event::Classes(classes) => self.set.classes = classes.clone(),
-            Event::Recalled { endpoint, health } => self.recall(*endpoint, *health),
-            Event::RecalledReceiver { dest, route, health } => {
+            Event::CallsInherited(calls) => self.adopt(calls),
+            Event::ClassesChanged(classes) => self.set.classes = classes.clone(),
+            Event::EndpointHealthRestored { endpoint, health } => self.recall(*endpoint, *health),
+            Event::ReceiverHealthRestored { dest, route, health } => {
                 self.lanes_of(*dest, *route).into_iter().for_each(|key| self.recall_receiver(key, *health));
             }
             Event::Stopping { at } => self.stop_at = Some(*at),
-            Event::Outcome { id, attempt, outcome, last, elapsed, wait, report, .. } => {
+            Event::Outcome { id, attempt, outcome, closes_message: last, elapsed, wait, report, .. } => {
                 let wait = (*wait).clamp(0, MAX_SPAN);
                 let answer = Answer { outcome: *outcome, took: *elapsed, wait, report: *report };
                 self.outcome(*id, *attempt, *last, answer, out);
             }
-            Event::Left { id } => self.close(*id),
+            Event::MessageAbandoned { id } => self.close(*id),
             Event::Probed { endpoint, outcome, report } => {
                 let (now, gap) = (self.now, self.trial_gap(*endpoint));
                 self.read(*endpoint, *report);
@@ -231,7 +231,7 @@
         let first = self.dests.get(&msg.dest).is_none_or(|d| d.rate.value == 0.0);
         self.admit(id, msg, time_left, first);
         let Some(msg) = self.msgs.get(&id) else { return };
-        let guarded = self.set.classes.get(msg.class).filter(|c| c.effect == Effect::Guarded);
+        let guarded = self.set.classes.get(msg.class).filter(|c| c.effect == Effect::Keyed);
         if let (Some(c), Some((sent, _))) = (guarded, msg.may_run) {
             self.agenda.insert((sent + c.window, Due::Msg(id)));
         }
@@ -245,12 +245,12 @@
     }
 
     /// Guards against pushing over what was failing before a restart: its return is paced all the same.
-    fn recall(&mut self, id: EndpointId, health: Health) {
+    fn recall(&mut self, id: EndpointId, health: EndpointHealth) {
         let (now, gap) = (self.now, self.trial_gap(id));
         let Some(e) = self.endpoints.get_mut(&id) else { return };
-        e.first_bad = health.bad_since.map(|t| t.min(now));
-        e.trouble = health.trouble.then(|| Trouble::new(now, false, gap));
-        e.warm = health.warm_since.map(|since| Warm::new(since.min(now), now));
+        e.first_bad = health.failing_since.map(|t| t.min(now));
+        e.trouble = health.unhealthy.then(|| Trouble::new(now, false, gap));
+        e.warm = health.warming_since.map(|since| Warm::new(since.min(now), now));
     }
 
     /// Guards against a herd of restarted senders: what each knew of a receiver as a whole holds on. Found
@@ -258,13 +258,13 @@
     fn recall_receiver(&mut self, key: LaneKey, health: ReceiverHealth) {
         let (now, tokens) = (self.now, self.random.chance());
         let Some(l) = self.lanes.get_mut(&key) else { return };
-        if let (Some(share), Some(d)) = (health.share, self.dests.get_mut(&l.dest)) {
+        if let (Some(share), Some(d)) = (health.traffic_milli_per_s, self.dests.get_mut(&l.dest)) {
             d.share = Rate::known(now, SHARE_MEMORY, f64::from(share) / 1e3);
         }
         l.wait_until = l.wait_until.max(health.wait_until.unwrap_or(0));
-        l.bad = health.bad_since.map(|t| t.min(now));
-        l.back = health.warm_since.map(|since| Warm { tokens, ..Warm::new(since.min(now), now) });
-        if let Some(budget) = health.budget {
+        l.bad = health.failing_since.map(|t| t.min(now));
+        l.back = health.warming_since.map(|since| Warm { tokens, ..Warm::new(since.min(now), now) });
+        if let Some(budget) = health.budget_milli_per_s {
             // All restarted senders would save up their first call for the same moment.
             (l.budget, l.tokens, l.cut) = (f64::from(budget) / 1e3, tokens, now);
         }
@@ -294,7 +294,7 @@
             self.dests.iter().filter(|(_, d)| !d.endpoints.is_empty() && self.now - d.rate.born > BEGUN);
         let known: BTreeSet<DestId> = known.map(|(id, _)| *id).collect();
         for entry in entries {
-            let apart = self.set.kinds.get(entry.kind).is_some_and(|k| k.apart);
+            let apart = self.set.kinds.get(entry.kind).is_some_and(|k| k.separate_routes);
             let lane = if apart { LaneKey::Route(entry.endpoint) } else { LaneKey::Whole(entry.dest) };
             let now = self.now;
             let listed = entry.status == Status::Up;
@@ -304,9 +304,9 @@
             }
             self.dest(entry.dest).endpoints.insert(entry.endpoint);
             self.ready.insert(entry.dest);
-            let slack = if self.set.weights == Weights::Rough { ROUGH } else { 1.0 };
+            let slack = if self.set.weights == WeightMeaning::Approximate { ROUGH } else { 1.0 };
             let weight = entry.weight.filter(|w| w.is_finite() && *w > 0.0).map(|w| w * slack);
-            let limit = weight.filter(|_| self.set.weights != Weights::Silent);
+            let limit = weight.filter(|_| self.set.weights != WeightMeaning::Ignored);
             let dest = entry.dest;
             let accepted = Rate::new(now, RATE_MEMORY);
             let fresh = || Lane { permits, tokens: UNPACED, accepted, ..Lane::unhindered(dest, now) };
@@ -406,7 +406,7 @@
         self.scarce.retain(|_, t| now - *t <= SCARCE);
     }
 
-    fn read(&mut self, endpoint: EndpointId, report: Option<Report>) {
+    fn read(&mut self, endpoint: EndpointId, report: Option<LoadReport>) {
         let limit = report.and_then(|r| r.limit).filter(|l| l.is_finite() && *l > 0.0);
         if let Some(lane) = self.lane_of(endpoint) {
             lane.limit = limit.or(lane.limit);
@@ -430,7 +430,7 @@
         if !outcome.never_ran() && outcome != Outcome::Done {
             let sent = msg.may_run.map_or(a.sent, |m| m.0.min(a.sent));
             msg.may_run = Some((sent, msg.may_run.map_or(endpoint, |m| m.1)));
-            if let Some(c) = self.set.classes.get(msg.class).filter(|c| c.effect == Effect::Guarded) {
+            if let Some(c) = self.set.classes.get(msg.class).filter(|c| c.effect == Effect::Keyed) {
                 self.agenda.insert((sent + c.window, Due::Msg(id)));
             }
             let key = msg.key.as_ref().filter(|_| outcome != Outcome::Error);
@@ -439,7 +439,7 @@
             }
         }
         msg.unreached += u32::from(outcome == Outcome::Unreached);
-        msg.owed &= outcome.never_begun();
+        msg.owed &= outcome.never_sent();
         msg.avoid = Some(endpoint);
         let closed = last || outcome == Outcome::Done || msg.closed;
         if let Some(e) = self.endpoints.get_mut(&endpoint).filter(|_| over) {
@@ -509,7 +509,7 @@
         }
         match outcome {
             // A spoilt answer comes from the healthy too: it proves the endpoint alive and the call taken.
-            Outcome::Done | Outcome::Spoilt => {
+            Outcome::Done | Outcome::MalformedAnswer => {
                 if outcome == Outcome::Done {
                     if lane.latency.n > 0.0 {
                         e.turn.learn(now, took as f64 / lane.latency.mean());
@@ -682,14 +682,14 @@
     /// Whether a further attempt is allowed at all, now.
     fn may_retry(&self, id: MsgId) -> bool {
         let Some(msg) = self.msgs.get(&id) else { return false };
-        if msg.closed || msg.tried() >= self.class(msg).attempts.unwrap_or(self.set.max_attempts) {
+        if msg.closed || msg.tried() >= self.class(msg).max_attempts.unwrap_or(self.set.max_attempts) {
             return false;
         }
         let class = self.class(msg);
         match (class.effect, msg.may_run) {
-            (Effect::Free, _) | (_, None) => true,
-            (Effect::Guarded, Some((first, _))) => self.now < first + class.window,
-            (Effect::SingleShot, Some(_)) => false,
+            (Effect::Safe, _) | (_, None) => true,
+            (Effect::Keyed, Some((first, _))) => self.now < first + class.window,
+            (Effect::Unsafe, Some(_)) => false,
         }
     }
 
@@ -697,11 +697,11 @@
     fn repeatable(&self, msg: &Msg) -> bool {
         let (class, first) = (self.class(msg), msg.may_run.map_or(self.now, |m| m.0));
         let again = match class.effect {
-            Effect::Free => true,
-            Effect::Guarded => self.now < first + (class.window as f64 * WINDOW_PART) as Micros,
-            Effect::SingleShot => false,
+            Effect::Safe => true,
+            Effect::Keyed => self.now < first + (class.window as f64 * WINDOW_PART) as Micros,
+            Effect::Unsafe => false,
         };
-        again && msg.tried() + 1 < class.attempts.unwrap_or(self.set.max_attempts)
+        again && msg.tried() + 1 < class.max_attempts.unwrap_or(self.set.max_attempts)
     }
 
     /// Whether a client may be told that handing it in again does no harm. What comes of it is a new
@@ -711,12 +711,12 @@
         let class = self.class(msg);
         let first = msg.may_run.map(|m| m.0).into_iter().chain(msg.out.iter().map(|a| a.sent)).min();
         match (class.effect, first) {
-            (Effect::Free, _) | (_, None) => true,
-            (Effect::Guarded, Some(first)) => {
+            (Effect::Safe, _) | (_, None) => true,
+            (Effect::Keyed, Some(first)) => {
                 let left = (class.window as f64 * WINDOW_PART) as Micros;
-                class.group == Group::All && self.now < first + left
+                class.dedup_scope == DedupScope::All && self.now < first + left
             }
-            (Effect::SingleShot, Some(_)) => false,
+            (Effect::Unsafe, Some(_)) => false,
         }
     }
 
@@ -939,7 +939,7 @@
         let sick = doubtful && self.sick_out() >= self.share_of_slots(ALL_SICK_CAP);
         let (full, borrow) = (self.full(d), self.borrows(d));
         let open = |e: &Endpoint| {
-            now - e.used < self.set.idle_close && e.out < e.conns.saturating_mul(self.set.streams)
+            now - e.used < self.set.idle_close && e.out < e.conns.saturating_mul(self.set.streams_per_conn)
         };
         // What this sender's own traffic keeps in use costs a handshake once, and not for each call.
         let kept = d.share.get(now) * self.set.idle_close as f64 / 1e6;
@@ -1015,7 +1015,7 @@
     fn fits(&self, id: MsgId, endpoint: EndpointId, careful: bool) -> bool {
         let msg = &self.msgs[&id];
         let class = self.class(msg);
-        if !self.may_retry(id) || (careful && class.effect == Effect::SingleShot) {
+        if !self.may_retry(id) || (careful && class.effect == Effect::Unsafe) {
             return false;
         }
         if let Some(key) = msg.key.as_ref().and_then(|k| self.keys.get(k))
@@ -1023,9 +1023,9 @@
         {
             return false;
         }
-        match (class.effect, class.group, msg.may_run) {
-            (Effect::Guarded, Group::Endpoint, Some((_, at))) => at == endpoint,
-            (Effect::Guarded, Group::Zone, Some((_, at))) => {
+        match (class.effect, class.dedup_scope, msg.may_run) {
+            (Effect::Keyed, DedupScope::Endpoint, Some((_, at))) => at == endpoint,
+            (Effect::Keyed, DedupScope::Zone, Some((_, at))) => {
                 let zone = |e: EndpointId| self.endpoints.get(&e).map(|e| e.zone);
                 zone(at).is_some() && zone(at) == zone(endpoint)
             }
@@ -1038,11 +1038,11 @@
         let c = self.class(msg);
         let (aim, deadline) = (c.aim.max(1) as f64, c.deadline.max(1) as f64);
         let age = deadline - (msg.deadline - self.now) as f64 + ahead;
-        let share = match self.set.late {
+        let share = match self.set.late_decay {
             _ if age <= aim => 1.0,
             _ if age >= deadline => 0.0,
-            Late::Line => 1.0 - (1.0 - c.late_share) * (age - aim) / (deadline - aim).max(1.0),
-            Late::Halves => 0.5_f64.powf((age - aim) / aim).max(c.late_share),
+            LateDecay::Linear => 1.0 - (1.0 - c.late_share) * (age - aim) / (deadline - aim).max(1.0),
+            LateDecay::Halving => 0.5_f64.powf((age - aim) / aim).max(c.late_share),
         };
         c.worth * share
     }
@@ -1133,7 +1133,7 @@
             let scarce = rare && scarce.any(|(_, t)| self.now - t <= SCARCE);
             if e.crowded == Some(self.now) || scarce {
                 e.conns = e.out;
-                out.push(Action::Close { endpoint: id });
+                out.push(Action::CloseIdle { endpoint: id });
             }
         }
     }
@@ -1169,7 +1169,7 @@
         e.out += 1;
         e.used = now;
         e.turn.take(now);
-        e.conns = e.conns.max(e.out.div_ceil(self.set.streams.max(1)));
+        e.conns = e.conns.max(e.out.div_ceil(self.set.streams_per_conn.max(1)));
         if let Some(t) = &mut e.trouble {
             t.trial = Some(now);
         }
@@ -1183,9 +1183,9 @@
             let Some(msg) = self.msgs.get_mut(&id) else { continue };
             let class = self.set.classes.get(msg.class).cloned().unwrap_or_default();
             let timeout = match class.effect {
-                Effect::Free => patience,
-                Effect::Guarded => patience.min((class.window as f64 * WINDOW_PART) as Micros),
-                Effect::SingleShot => longest,
+                Effect::Safe => patience,
+                Effect::Keyed => patience.min((class.window as f64 * WINDOW_PART) as Micros),
+                Effect::Unsafe => longest,
             };
             let timeout = timeout.min(longest).clamp(1, (msg.deadline - now).max(1));
             msg.out.push(Attempt { no: msg.attempts, call, sent: now });
--- a/src/state.rs
+++ b/src/state.rs
@@ -200,7 +200,7 @@
     pub(crate) outcome: Outcome,
     pub(crate) took: Micros,
     pub(crate) wait: Micros,
-    pub(crate) report: Option<Report>,
+    pub(crate) report: Option<LoadReport>,
 }
 
 /// What can fall due.
--- a/tests/common/even.rs
+++ b/tests/common/even.rs
@@ -174,7 +174,7 @@
             weight: Some(self.limit),
             ..entry(self.number(line), 1, self.kind)
         };
-        Event::Members { whole: !joined, entries: there.map(line).collect() }
+        Event::Listing { complete: !joined, entries: there.map(line).collect() }
     }
 
     fn dispatcher(&self, i: usize, now: Micros, seed: u64) -> Dispatcher {
@@ -188,7 +188,7 @@
             zone: i % 2,
             slots: (1200 / self.senders as u32).max(6),
             max_open: (8000 / self.senders as u32).max(40),
-            weights: Weights::Nominal,
+            weights: WeightMeaning::Nominal,
             cross_zone_price: 0.01,
             handshake_price: 0.04,
             idle_close: IDLE,
@@ -262,7 +262,15 @@
                     s.open.insert(MsgId(id), now);
                     let (id, class, dest) = (MsgId(id), id as usize % 3, DestId(1));
                     let (tenant, key, time_left, again) = (0, None, LIVES, false);
-                    s.inbox.push(Event::Message { id, class, tenant, key, dest, time_left, again });
+                    s.inbox.push(Event::Message {
+                        id,
+                        class,
+                        tenant,
+                        key,
+                        dest,
+                        time_left,
+                        resubmitted: again,
+                    });
                 }
                 for (e, idle) in s.idle.iter_mut().enumerate() {
                     let before = idle.len();
@@ -328,7 +336,7 @@
                             let event = Event::Probed { endpoint, outcome, report: None };
                             queue.insert((now + after, order), (i, s.life, e, vec![event]));
                         }
-                        Action::Close { endpoint } => {
+                        Action::CloseIdle { endpoint } => {
                             let e = s.known[self.line(endpoint)];
                             conns[e] -= s.idle[e].len();
                             s.idle[e].clear();
@@ -365,7 +373,7 @@
                         attempt,
                         endpoint,
                         outcome,
-                        last,
+                        closes_message: last,
                         elapsed,
                         wait,
                         report,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -106,7 +106,7 @@
             senders: self.believed,
             slots: (500 / self.senders).max(5),
             max_open: (4000 / self.senders).max(40),
-            weights: Weights::Nominal,
+            weights: WeightMeaning::Nominal,
             ..settings()
         };
         let aim = set.classes[0].aim;
@@ -119,7 +119,7 @@
             .map(|i| Dispatcher::new(0, (self.seed << 8) + i as u64, set.clone()).expect("settings are good"))
             .collect();
         let mut inbox: Vec<Vec<Event>> =
-            vec![vec![Event::Members { whole: true, entries: listed.clone() }]; n];
+            vec![vec![Event::Listing { complete: true, entries: listed.clone() }]; n];
         let parts = self.skew + (n - 1) as f64;
         let mut buckets: Vec<Bucket> =
             self.receivers.iter().map(|r| Bucket { tokens: r.limit * DEPTH, filled: 0 }).collect();
@@ -153,7 +153,7 @@
                             key: None,
                             dest: DestId(dest as i64),
                             time_left: LIVES,
-                            again: false,
+                            resubmitted: false,
                         });
                     }
                 }
@@ -207,8 +207,16 @@
                     for (id, attempt) in msgs {
                         order += 1;
                         let (last, report) = (outcome == Outcome::Done, None);
-                        let event =
-                            Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report };
+                        let event = Event::Outcome {
+                            id,
+                            attempt,
+                            endpoint,
+                            outcome,
+                            closes_message: last,
+                            elapsed,
+                            wait,
+                            report,
+                        };
                         queue.insert((now + elapsed, order), (i, event));
                     }
                 }
--- a/tests/common/herd.rs
+++ b/tests/common/herd.rs
@@ -167,7 +167,7 @@
     fn settings(&self) -> Settings {
         let senders = self.believed;
         let cold_from = self.cold_from;
-        let weights = Weights::Nominal;
+        let weights = WeightMeaning::Nominal;
         Settings { senders, slots: self.slots, max_open: 200, cold_from, weights, ..settings() }
     }
 
@@ -176,7 +176,7 @@
         // Routes apart state their own.
         let limit = if self.kind == 2 { self.limit / self.endpoints as f64 } else { self.limit };
         let of = |n| EndpointEntry { weight: Some(limit), ..entry(base + n, 1, self.kind) };
-        Event::Members { whole: true, entries: (0..self.endpoints).map(of).collect() }
+        Event::Listing { complete: true, entries: (0..self.endpoints).map(of).collect() }
     }
 
     /// Whether a sender is restarted in the step that ends now.
@@ -241,25 +241,29 @@
                 inbox.iter_mut().for_each(|inbox| inbox.push(self.members(now)));
             }
             for i in (0..n).filter(|i| self.restarts(*i, now)) {
-                let health: Vec<_> = all[i].health().collect();
-                let receivers: Vec<_> = all[i].receivers().collect();
+                let health: Vec<_> = all[i].endpoint_health().collect();
+                let receivers: Vec<_> = all[i].receiver_health().collect();
                 all[i] = Dispatcher::new(now, rng.0 ^ i as u64, self.settings()).unwrap();
                 inbox[i] = vec![self.members(now)];
                 let held = open.keys().filter(|(sender, _)| *sender == i).count();
                 seen.trace
                     .push(format!("{now} sender {i} starts, holds {held}, knows {health:?} {receivers:?}"));
                 let health = health.into_iter().filter(|_| self.kept == Kept::All);
-                inbox[i].extend(health.map(|(endpoint, health)| Event::Recalled { endpoint, health }));
+                inbox[i].extend(
+                    health.map(|(endpoint, health)| Event::EndpointHealthRestored { endpoint, health }),
+                );
                 let receivers = match self.kept {
                     Kept::All => receivers,
                     Kept::Messages => vec![(DestId(1), None, ReceiverHealth::UNKNOWN)],
                     Kept::Nothing => vec![],
                 };
-                inbox[i].extend(receivers.into_iter().map(|(dest, route, health)| Event::RecalledReceiver {
-                    dest,
-                    route,
-                    health,
-                }));
+                inbox[i].extend(
+                    receivers.into_iter().map(|(dest, route, health)| Event::ReceiverHealthRestored {
+                        dest,
+                        route,
+                        health,
+                    }),
+                );
                 if self.kept == Kept::Nothing {
                     open.retain(|(sender, _), _| *sender != i);
                     // Nobody has told a new machine of the outage.
@@ -270,7 +274,7 @@
                     let attempts = attempts.get(&(i, *id)).copied().unwrap_or(0);
                     let (id, class, key, dest) = (*id, *class, None, DestId(1));
                     let time_left = until - now;
-                    let restored = Event::Restored {
+                    let restored = Event::MessageRestored {
                         id,
                         class,
                         key,
@@ -311,7 +315,7 @@
                         key: None,
                         dest: DestId(1),
                         time_left: left,
-                        again: false,
+                        resubmitted: false,
                     });
                 }
             }
@@ -329,7 +333,7 @@
                 told[sender] |= call.is_some_and(|(endpoint, outcome, elapsed)| {
                     outcome != Outcome::Done && self.is_out(now - elapsed, endpoint)
                 });
-                if let Event::Outcome { endpoint, outcome, last, id, .. } = &event {
+                if let Event::Outcome { endpoint, outcome, closes_message: last, id, .. } = &event {
                     if *outcome == Outcome::Done && *last && open.remove(&(sender, *id)).is_some() {
                         seen.delivered += 1;
                     }
@@ -436,8 +440,16 @@
                         let (endpoint, elapsed, last) = (v.endpoint, at - now, outcome == Outcome::Done);
                         let wait = if outcome == Outcome::Busy { wait } else { 0 };
                         let report = None;
-                        let event =
-                            Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report };
+                        let event = Event::Outcome {
+                            id,
+                            attempt,
+                            endpoint,
+                            outcome,
+                            closes_message: last,
+                            elapsed,
+                            wait,
+                            report,
+                        };
                         queue.insert((at, order), (i, event));
                     }
                 }
