--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -32,15 +32,15 @@
         drain_grace: 500 * MS,
         order_settle: S,
         classes: vec![
-            class(Effect::Free, false),
-            class(Effect::Guarded, false),
-            class(Effect::SingleShot, false),
-            class(Effect::Free, true),
+            class(Effect::Safe, false),
+            class(Effect::Keyed, false),
+            class(Effect::Unsafe, false),
+            class(Effect::Safe, true),
         ],
         kinds: vec![
-            KindSettings { batch: 1, apart: false },
-            KindSettings { batch: 10, apart: false },
-            KindSettings { batch: 1, apart: true },
+            KindSettings { max_batch: 1, separate_routes: false },
+            KindSettings { max_batch: 10, separate_routes: false },
+            KindSettings { max_batch: 1, separate_routes: true },
         ],
         ..Settings::default()
     }
@@ -53,12 +53,12 @@
 
 pub fn message(id: u64, class: usize, dest: i64) -> Event {
     let (id, dest) = (MsgId(id), DestId(dest));
-    Event::Message { id, class, tenant: 0, key: None, dest, time_left: 20 * S, again: false }
+    Event::Message { id, class, tenant: 0, key: None, dest, time_left: 20 * S, resubmitted: false }
 }
 
 pub fn keyed(id: u64, dest: i64, key: &str) -> Event {
     let (id, dest, key) = (MsgId(id), DestId(dest), Some(key.to_string()));
-    Event::Message { id, class: ORDERED, tenant: 0, key, dest, time_left: 20 * S, again: false }
+    Event::Message { id, class: ORDERED, tenant: 0, key, dest, time_left: 20 * S, resubmitted: false }
 }
 
 /// The models' random numbers; every figure follows from the seed.
@@ -116,7 +116,7 @@
             timers: 0,
             due: Default::default(),
         };
-        w.round(&[Event::Members { whole: true, entries }]);
+        w.round(&[Event::Listing { complete: true, entries }]);
         w
     }
 
@@ -137,7 +137,7 @@
                 Action::Fail { id } => self.failed.push(id.0),
                 Action::Probe { endpoint } => self.probes.push(endpoint.0),
                 Action::Cancel { id, attempt } => self.cancels.push((id.0, *attempt)),
-                Action::Close { endpoint } => self.closes.push(endpoint.0),
+                Action::CloseIdle { endpoint } => self.closes.push(endpoint.0),
                 Action::Timer { at, .. } => {
                     self.timers += 1;
                     self.due.insert(*at);
@@ -170,7 +170,7 @@
         self.out.retain(|x| x != o);
         let (id, endpoint) = (MsgId(o.id), EndpointId(o.endpoint));
         let (attempt, last, elapsed) = (o.attempt, outcome == Outcome::Done, self.now - o.sent);
-        Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report: None }
+        Event::Outcome { id, attempt, endpoint, outcome, closes_message: last, elapsed, wait, report: None }
     }
 
     pub fn finish(&mut self, o: &Out, outcome: Outcome) -> Vec<Out> {
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -27,7 +27,7 @@
     let mut w = World::new(settings(), vec![]);
     fill(&mut w, 0, 5, UNSAFE, 1);
     w.now += 10 * MS;
-    let sent = w.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
+    let sent = w.round(&[Event::Listing { complete: true, entries: vec![entry(1, 1, 0)] }]);
     let ids: Vec<u64> = sent.iter().map(|o| o.id).collect();
     let mut sorted = ids.clone();
     sorted.sort_unstable();
@@ -204,12 +204,12 @@
 fn late_messages_that_lose_nothing_let_fresh_ones_pass() {
     let mut set = settings();
     set.slots = 1;
-    set.late = Late::Halves;
+    set.late_decay = LateDecay::Halving;
     let mut w = World::new(set, vec![]);
     fill(&mut w, 0, 3, UNSAFE, 1);
     w.pass(10 * S);
     w.round(&[message(50, UNSAFE, 1)]);
-    let sent = w.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
+    let sent = w.round(&[Event::Listing { complete: true, entries: vec![entry(1, 1, 0)] }]);
     assert_eq!(sent[0].id, 50);
 }
 
@@ -236,10 +236,11 @@
 
 /// A message with this much time.
 fn timed(id: u64, class: usize, time: Micros) -> Event {
-    let Event::Message { id, class, tenant, key, dest, again, .. } = message(id, class, 1) else {
+    let Event::Message { id, class, tenant, key, dest, resubmitted: again, .. } = message(id, class, 1)
+    else {
         unreachable!()
     };
-    Event::Message { id, class, tenant, key, dest, time_left: time, again }
+    Event::Message { id, class, tenant, key, dest, time_left: time, resubmitted: again }
 }
 
 #[test]
@@ -279,7 +280,7 @@
         let sent = fill(&mut w, i, 1, UNSAFE, 1);
         assert_eq!(sent.len(), 1, "call {i} goes at once");
         w.now += 100 * MS;
-        w.finish(&sent[0], Outcome::Spoilt);
+        w.finish(&sent[0], Outcome::MalformedAnswer);
         assert_eq!(w.failed.len(), i as usize + 1, "it may have run");
     }
     assert!(w.probes.is_empty());
@@ -310,7 +311,7 @@
     // ... or, where nothing tells more, for a while; and where there is another way, it takes that.
     let sent = fill(&mut w, 50, 1, FREE, 2);
     w.now += 50 * MS;
-    w.round(&[Event::Left { id: MsgId(50) }]);
+    w.round(&[Event::MessageAbandoned { id: MsgId(50) }]);
     w.finish(&sent[0], Outcome::Error);
     let other = fill(&mut w, 51, 1, UNSAFE, 2);
     assert!(other.len() == 1 && other[0].endpoint != sent[0].endpoint, "{other:?}");
@@ -348,7 +349,7 @@
         assert_eq!(sent.len() == 1, goes, "after {i} errors in a row");
         for o in sent {
             w.now += 50 * MS;
-            w.round(&[Event::Left { id: MsgId(o.id) }]);
+            w.round(&[Event::MessageAbandoned { id: MsgId(o.id) }]);
             w.finish(&o, Outcome::Error);
         }
     }
@@ -505,7 +506,7 @@
     // Seen on a simulated overload: refused calls used up the limit, and no budget could fall far enough.
     let calls = |senders: u32| {
         let limited = EndpointEntry { weight: Some(10.0), ..entry(1, 1, 0) };
-        let set = Settings { senders, weights: Weights::Nominal, ..settings() };
+        let set = Settings { senders, weights: WeightMeaning::Nominal, ..settings() };
         let mut w = World::new(set, vec![limited]);
         for i in 0..400 {
             w.round(&[message(i, FREE, 1)]);
@@ -541,16 +542,16 @@
     let mut w = World::new(settings(), vec![]);
     for n in 0..300u32 {
         let entries = vec![entry(n, i64::from(n), (n % 3) as usize)];
-        w.round(&[Event::Members { whole: true, entries }]);
+        w.round(&[Event::Listing { complete: true, entries }]);
         let sent = w.round(&[keyed(u64::from(n), i64::from(n), &format!("k{n}"))]);
         w.now += S;
         for o in sent {
             w.finish(&o, Outcome::Done);
         }
     }
-    w.round(&[Event::Members { whole: true, entries: vec![] }]);
+    w.round(&[Event::Listing { complete: true, entries: vec![] }]);
     w.pass(60 * S);
-    let kept = w.d.kept();
+    let kept = w.d.tracked_items();
     assert!(kept <= 2, "{kept} items are kept of 300 destinations gone for a minute");
 }
 
@@ -578,7 +579,7 @@
         let (mut out, mut now) = (Vec::new(), 0);
         d.round(
             now,
-            &[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }, message(1, FREE, 1)],
+            &[Event::Listing { complete: true, entries: vec![entry(1, 1, 0)] }, message(1, FREE, 1)],
             &mut out,
         );
         now += 20 * MS;
@@ -587,7 +588,7 @@
         let (attempt, last, elapsed, report) = (0, false, 20 * MS, None);
         d.round(
             now,
-            &[Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report }],
+            &[Event::Outcome { id, attempt, endpoint, outcome, closes_message: last, elapsed, wait, report }],
             &mut out,
         );
         out.clear();
--- a/tests/even.rs
+++ b/tests/even.rs
@@ -94,7 +94,7 @@
         .map(|seed| {
             let mut d = Dispatcher::new(0, seed, settings()).expect("settings are good");
             let (entries, mut out) = ((1..=8).map(|n| entry(n, 1, 0)).collect(), Vec::new());
-            d.round(0, &[Event::Members { whole: true, entries }, message(1, FREE, 1)], &mut out);
+            d.round(0, &[Event::Listing { complete: true, entries }, message(1, FREE, 1)], &mut out);
             let sent = out
                 .iter()
                 .find_map(|a| if let Action::Send { endpoint, .. } = a { Some(endpoint.0) } else { None });
--- a/tests/handed.rs
+++ b/tests/handed.rs
@@ -6,13 +6,13 @@
 
 /// A second world that goes on for the first: its list, what was learnt, the messages with a call out, the calls.
 fn successor(first: &World, entries: Vec<EndpointEntry>, held: &[(u64, usize, u32)]) -> (World, Vec<Out>) {
-    let (learnt, out) = first.d.hand_over();
+    let (learnt, out) = first.d.handover_state();
     let mut next = World::new(settings(), entries);
     next.now = first.now;
-    let mut events = vec![Event::Learnt(Box::new(learnt))];
+    let mut events = vec![Event::StateInherited(Box::new(learnt))];
     for &(id, class, attempts) in held {
         next.attempts.insert(id, attempts);
-        events.push(Event::Restored {
+        events.push(Event::MessageRestored {
             id: MsgId(id),
             class,
             key: None,
@@ -23,7 +23,7 @@
             may_have_run: None,
         });
     }
-    events.push(Event::Out(out));
+    events.push(Event::CallsInherited(out));
     let sent = next.round(&events);
     (next, sent)
 }
@@ -53,11 +53,18 @@
     let set = Settings { slots: 1, ..settings() };
     let mut first = World::new(set.clone(), entries());
     let sent = first.round(&[message(1, UNSAFE, 1)]);
-    first.round(&[Event::Left { id: MsgId(1) }]);
-    let (learnt, out) = first.d.hand_over();
+    first.round(&[Event::MessageAbandoned { id: MsgId(1) }]);
+    let (learnt, out) = first.d.handover_state();
     let mut next = World::new(set, entries());
     next.now = first.now;
-    assert!(next.round(&[Event::Learnt(Box::new(learnt)), Event::Out(out), message(2, FREE, 1)]).is_empty());
+    assert!(
+        next.round(&[
+            Event::StateInherited(Box::new(learnt)),
+            Event::CallsInherited(out),
+            message(2, FREE, 1)
+        ])
+        .is_empty()
+    );
     let freed = next.finish(&sent[0], Outcome::Done);
     assert_eq!(freed.len() + next.pass(S).len(), 1);
 }
@@ -97,7 +104,7 @@
 fn endpoints_take_the_numbers_of_the_successor() {
     let mut first = World::new(settings(), vec![entry(1, 1, 0)]);
     let sent = first.round(&[message(1, UNSAFE, 1)]);
-    let (mut learnt, mut out) = first.d.hand_over();
+    let (mut learnt, mut out) = first.d.handover_state();
     learnt.renumber(|id| Some(EndpointId(id.0 + 40)));
     out.iter_mut().for_each(|call| call.renumber(EndpointId(41)));
     assert_eq!(learnt.endpoints().collect::<Vec<_>>(), [EndpointId(41)]);
--- a/tests/kept.rs
+++ b/tests/kept.rs
@@ -9,12 +9,12 @@
 const WAIT: Micros = 1500 * MS;
 
 fn listed() -> Event {
-    Event::Members { whole: true, entries: vec![entry(1, 1, 0), entry(2, 1, 0)] }
+    Event::Listing { complete: true, entries: vec![entry(1, 1, 0), entry(2, 1, 0)] }
 }
 
 fn message(id: u64) -> Event {
     let (id, class, tenant, key, dest) = (MsgId(id), 0, 0, None, DestId(1));
-    Event::Message { id, class, tenant, key, dest, time_left: 10 * S, again: false }
+    Event::Message { id, class, tenant, key, dest, time_left: 10 * S, resubmitted: false }
 }
 
 fn sends(actions: &[Action]) -> usize {
@@ -36,7 +36,7 @@
         attempt: 0,
         endpoint: *endpoint,
         outcome: Outcome::Busy,
-        last: false,
+        closes_message: false,
         elapsed: 10 * MS,
         wait,
         report: None,
@@ -49,9 +49,15 @@
 fn next_process(former: &Dispatcher, messages: u64) -> Dispatcher {
     let mut sender = Dispatcher::new(SENT_AT, 2, settings()).unwrap();
     let mut events = vec![listed()];
-    events.extend(former.health().map(|(endpoint, health)| Event::Recalled { endpoint, health }));
-    let receivers = former.receivers();
-    events.extend(receivers.map(|(dest, route, health)| Event::RecalledReceiver { dest, route, health }));
+    events.extend(
+        former.endpoint_health().map(|(endpoint, health)| Event::EndpointHealthRestored { endpoint, health }),
+    );
+    let receivers = former.receiver_health();
+    events.extend(receivers.map(|(dest, route, health)| Event::ReceiverHealthRestored {
+        dest,
+        route,
+        health,
+    }));
     events.extend((2..2 + messages).map(message));
     let mut actions = Vec::new();
     sender.round(SENT_AT, &events, &mut actions);
@@ -78,8 +84,11 @@
 #[test]
 fn a_budget_after_a_refusal_holds_over_a_restart() {
     let former = refused(0);
-    let (_, _, health) = former.receivers().next().unwrap();
-    assert!(health.budget.is_some() && !health.down && health.bad_since.is_none(), "{health:?}");
+    let (_, _, health) = former.receiver_health().next().unwrap();
+    assert!(
+        health.budget_milli_per_s.is_some() && !health.down && health.failing_since.is_none(),
+        "{health:?}"
+    );
     // Twenty messages do not go at once; the first goes as the budget allows.
     next_process(&former, 20);
 }
@@ -89,14 +98,14 @@
     let mut sender = Dispatcher::new(0, 1, settings()).unwrap();
     let mut actions = Vec::new();
     sender.round(0, &[listed(), message(1)], &mut actions);
-    assert_eq!((sender.health().count(), sender.receivers().count()), (0, 0));
+    assert_eq!((sender.endpoint_health().count(), sender.receiver_health().count()), (0, 0));
 }
 
 /// Calls that a sender begins within 3 s of its start, at `SENT_AT`, with twenty messages to send, if each probe is
 /// answered well and no call is answered.
 fn calls_before_an_answer(health: ReceiverHealth) -> usize {
     let mut sender = Dispatcher::new(SENT_AT, 3, settings()).unwrap();
-    let recalled = Event::RecalledReceiver { dest: DestId(1), route: None, health };
+    let recalled = Event::ReceiverHealthRestored { dest: DestId(1), route: None, health };
     let events: Vec<Event> = [listed(), recalled].into_iter().chain((1..=20).map(message)).collect();
     let mut calls = 0;
     for at in (0..3_000).map(|after| SENT_AT + after * MS) {
@@ -125,7 +134,8 @@
 #[test]
 fn a_receiver_whose_last_answers_were_bad_is_asked_by_single_calls() {
     let bad_since = Some(SENT_AT - 2 * S);
-    let calls = calls_before_an_answer(ReceiverHealth { bad_since, ..ReceiverHealth::default() });
+    let calls =
+        calls_before_an_answer(ReceiverHealth { failing_since: bad_since, ..ReceiverHealth::default() });
     assert!((1..=2).contains(&calls), "{calls} calls before any answer, of two endpoints");
 }
 
@@ -136,14 +146,14 @@
     let bad_since = Some(SENT_AT - 100 * MS);
     let events = [
         listed(),
-        Event::Recalled {
+        Event::EndpointHealthRestored {
             endpoint: EndpointId(1),
-            health: Health { bad_since, trouble: true, warm_since: None },
+            health: EndpointHealth { failing_since: bad_since, unhealthy: true, warming_since: None },
         },
-        Event::RecalledReceiver {
+        Event::ReceiverHealthRestored {
             dest: DestId(1),
             route: None,
-            health: ReceiverHealth { bad_since, ..ReceiverHealth::default() },
+            health: ReceiverHealth { failing_since: bad_since, ..ReceiverHealth::default() },
         },
     ];
     sender.round(SENT_AT, &events, &mut Vec::new());
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -46,7 +46,7 @@
     let kind_of = |dest: i64| [0usize, 1, 0, 2][dest as usize];
     let wait_key = |e: u32| (dest_of(e), if kind_of(dest_of(e)) == 2 { e } else { 0 });
     let list: Vec<EndpointEntry> = (0..8).map(|e| entry(e, dest_of(e), kind_of(dest_of(e)))).collect();
-    let mut events = vec![Event::Members { whole: true, entries: list }];
+    let mut events = vec![Event::Listing { complete: true, entries: list }];
     let mut id = 0;
     for step in 0..1500 {
         for _ in 0..rng.next(3) {
@@ -64,7 +64,7 @@
             };
             truth.insert(id, t);
             let (id, dest) = (MsgId(id), DestId(dest));
-            events.push(Event::Message { id, class, tenant: 0, key, dest, time_left, again: false });
+            events.push(Event::Message { id, class, tenant: 0, key, dest, time_left, resubmitted: false });
         }
         let outs: Vec<(u64, u32)> =
             truth.iter().flat_map(|(id, t)| t.out.keys().map(|a| (*id, *a)).collect::<Vec<_>>()).collect();
@@ -91,7 +91,16 @@
             let last = t.closed || outcome == Done;
             t.closed |= last;
             let (id, endpoint, elapsed) = (MsgId(id), EndpointId(endpoint), now - sent);
-            events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report: None });
+            events.push(Event::Outcome {
+                id,
+                attempt,
+                endpoint,
+                outcome,
+                closes_message: last,
+                elapsed,
+                wait,
+                report: None,
+            });
         }
         if rng.next(40) == 0 {
             let e = rng.next(8) as u32;
@@ -100,7 +109,7 @@
                 gone.insert(e, now);
                 line.status = if rng.next(2) == 0 { Status::Draining } else { Status::Removed };
             }
-            events.push(Event::Members { whole: false, entries: vec![line] });
+            events.push(Event::Listing { complete: false, entries: vec![line] });
         }
         for e in std::mem::take(&mut probing) {
             let outcome = if rng.next(2) == 0 { Outcome::Done } else { Outcome::TimedOut };
@@ -110,11 +119,20 @@
         if rng.next(20) == 0 {
             let (id, endpoint, outcome) = (MsgId(1 << 40), EndpointId(99), Outcome::Busy);
             let (attempt, last, elapsed, wait) = (7, false, -5, Micros::MAX);
-            events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report: None });
-            events.push(Event::Left { id });
+            events.push(Event::Outcome {
+                id,
+                attempt,
+                endpoint,
+                outcome,
+                closes_message: last,
+                elapsed,
+                wait,
+                report: None,
+            });
+            events.push(Event::MessageAbandoned { id });
             events.push(Event::Timer { token: u64::MAX });
-            events.push(Event::Note { from: 9, text: "?".into() });
-            let report = Some(Report { left: Some(f64::NAN), limit: Some(f64::NAN) });
+            events.push(Event::PeerNote { from: 9, text: "?".into() });
+            let report = Some(LoadReport { remaining: Some(f64::NAN), limit: Some(f64::NAN) });
             events.push(Event::Probed { endpoint, outcome, report });
         }
         let mut actions = Vec::new();
@@ -141,8 +159,8 @@
                     assert!(!gone.contains_key(&endpoint.0), "seed {seed}: sent to what is gone");
                     assert!(waits.get(&wait_key(endpoint.0)).is_none_or(|w| now >= *w), "seed {seed}: wait");
                     match (classes[t.class].effect, t.may_run) {
-                        (Effect::SingleShot, m) => assert!(m.is_none(), "seed {seed}: unsafe repeat"),
-                        (Effect::Guarded, Some(m)) => assert!(now <= m + classes[t.class].window),
+                        (Effect::Unsafe, m) => assert!(m.is_none(), "seed {seed}: unsafe repeat"),
+                        (Effect::Keyed, Some(m)) => assert!(now <= m + classes[t.class].window),
                         _ => {}
                     }
                     assert!(t.attempts < most && *timeout > 0);
@@ -155,7 +173,7 @@
                     t.closed = true;
                     t.answers += 1;
                     let refused = matches!(a, Action::Refuse { .. });
-                    if refused && classes[t.class].effect == Effect::SingleShot {
+                    if refused && classes[t.class].effect == Effect::Unsafe {
                         assert!(t.may_run.is_none() && t.out.is_empty(), "seed {seed}: unsafe refusal");
                     }
                 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -7,7 +7,7 @@
 fn restored(id: u64, class: usize, attempts: u32, may_have_run: Option<Micros>) -> Event {
     let may_have_run = may_have_run.map(|at| (EndpointId(1), at));
     let (id, dest, time_left) = (MsgId(id), DestId(1), 15 * S);
-    Event::Restored { id, class, key: None, dest, time_left, attempts, unreached: 0, may_have_run }
+    Event::MessageRestored { id, class, key: None, dest, time_left, attempts, unreached: 0, may_have_run }
 }
 
 /// A world in which 10 s have passed.
@@ -61,12 +61,14 @@
 fn an_endpoint_that_was_in_trouble_is_asked_before_it_is_used() {
     let mut w = World::new(settings(), vec![entry(1, 1, 0)]);
     w.now = 5 * S;
-    let health = Health { bad_since: Some(2 * S), trouble: true, warm_since: None };
+    let health = EndpointHealth { failing_since: Some(2 * S), unhealthy: true, warming_since: None };
     let messages = (1..=6).map(|id| message(id, FREE, 1));
-    let events: Vec<Event> =
-        [Event::Recalled { endpoint: EndpointId(1), health }].into_iter().chain(messages).collect();
+    let events: Vec<Event> = [Event::EndpointHealthRestored { endpoint: EndpointId(1), health }]
+        .into_iter()
+        .chain(messages)
+        .collect();
     assert!(w.round(&events).is_empty());
-    assert_eq!(w.d.health().collect::<Vec<_>>(), [(EndpointId(1), health)]);
+    assert_eq!(w.d.endpoint_health().collect::<Vec<_>>(), [(EndpointId(1), health)]);
     assert!(w.pass(3 * S).is_empty());
     assert_eq!(w.probes, [1]);
     // Well again, it is loaded bit by bit.
@@ -75,8 +77,8 @@
     assert_eq!(trial.len(), 1);
     w.now += 100 * MS;
     w.finish(&trial[0], Outcome::Done);
-    let (_, health) = w.d.health().next().unwrap();
-    assert_eq!(health, Health { bad_since: None, trouble: false, warm_since: Some(w.now) });
+    let (_, health) = w.d.endpoint_health().next().unwrap();
+    assert_eq!(health, EndpointHealth { failing_since: None, unhealthy: false, warming_since: Some(w.now) });
 }
 
 #[test]
@@ -84,9 +86,9 @@
     let calls = |recall: bool| {
         let mut w = World::new(settings(), vec![entry(1, 1, 0)]);
         w.now = 5 * S;
-        let health = Health { bad_since: None, trouble: false, warm_since: Some(4 * S) };
+        let health = EndpointHealth { failing_since: None, unhealthy: false, warming_since: Some(4 * S) };
         if recall {
-            w.round(&[Event::Recalled { endpoint: EndpointId(1), health }]);
+            w.round(&[Event::EndpointHealthRestored { endpoint: EndpointId(1), health }]);
         }
         w.healthy(1, 20, FREE, 1, 20 * MS);
         w.sent_at.len()
@@ -109,8 +111,8 @@
 fn a_recalled_illness_does_not_keep_a_new_pool_at_its_start() {
     // Seen on a recorded day: with one of two endpoints ill before a restart, the pool stayed at one permit.
     let mut w = later(vec![entry(1, 1, 0), entry(2, 1, 0)]);
-    let health = Health { bad_since: Some(w.now - 5 * S), trouble: true, warm_since: None };
-    w.round(&[Event::Recalled { endpoint: EndpointId(1), health }]);
+    let health = EndpointHealth { failing_since: Some(w.now - 5 * S), unhealthy: true, warming_since: None };
+    w.round(&[Event::EndpointHealthRestored { endpoint: EndpointId(1), health }]);
     let mut most = 0;
     for i in 0..200 {
         w.round(&[message(i, UNSAFE, 1)]);
@@ -130,7 +132,7 @@
     let mut w = later(vec![entry(1, 1, 0)]);
     let (id, dest, key) = (MsgId(1), DestId(1), Some("k".to_string()));
     let may_have_run = Some((EndpointId(1), 9 * S));
-    let first = Event::Restored {
+    let first = Event::MessageRestored {
         id,
         class: ORDERED,
         key,
@@ -153,7 +155,16 @@
 /// A message found at the start, untried, with this time left.
 fn found(id: u64, class: usize, dest: i64, time_left: Micros) -> Event {
     let (id, dest) = (MsgId(id), DestId(dest));
-    Event::Restored { id, class, key: None, dest, time_left, attempts: 0, unreached: 0, may_have_run: None }
+    Event::MessageRestored {
+        id,
+        class,
+        key: None,
+        dest,
+        time_left,
+        attempts: 0,
+        unreached: 0,
+        may_have_run: None,
+    }
 }
 
 /// Feeds a new sender this many untried messages, and new ones beside them; every call ends well after 100 ms. Which
@@ -223,7 +234,7 @@
 #[test]
 fn what_a_process_hands_over_keeps_its_order() {
     let mut w = World::new(settings(), vec![entry(1, 1, 0)]);
-    let learnt = Event::Learnt(Box::default());
+    let learnt = Event::StateInherited(Box::default());
     let sent = w.round(&[learnt, found(1, FREE, 1, 19_900 * MS), found(2, FREE, 1, 19_500 * MS)]);
     assert_eq!(sent.first().map(|o| o.id), Some(1), "the oldest first, as in the process that held it");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -44,9 +44,9 @@
     let mut gone = entry(1, 1, 0);
     gone.status = Status::Draining;
     let e = w.end(&sent[0], Outcome::Reset, 0);
-    w.round(&[Event::Members { whole: false, entries: vec![gone] }, e]);
+    w.round(&[Event::Listing { complete: false, entries: vec![gone] }, e]);
     w.pass(50 * MS);
-    let more = w.round(&[Event::Members { whole: false, entries: vec![entry(2, 1, 0)] }]);
+    let more = w.round(&[Event::Listing { complete: false, entries: vec![entry(2, 1, 0)] }]);
     assert!(more.is_empty() && w.pass(S).is_empty());
     assert_eq!(w.refused.len() + w.failed.len(), 1);
 }
@@ -66,12 +66,12 @@
     let mut w = World::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0)]);
     let mut drain = entry(1, 1, 0);
     drain.status = Status::Draining;
-    w.round(&[Event::Members { whole: false, entries: vec![drain] }]);
+    w.round(&[Event::Listing { complete: false, entries: vec![drain] }]);
     assert!(w.round(&[message(1, FREE, 1)]).is_empty());
-    w.round(&[Event::Members { whole: true, entries: vec![] }]);
+    w.round(&[Event::Listing { complete: true, entries: vec![] }]);
     assert!(w.round(&[message(2, FREE, 2)]).is_empty() && w.pass(S).is_empty());
     // Named again after its removal it serves as before.
-    let back = w.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0), entry(2, 2, 0)] }]);
+    let back = w.round(&[Event::Listing { complete: true, entries: vec![entry(1, 1, 0), entry(2, 2, 0)] }]);
     assert_eq!(back.len(), 2);
 }
 
@@ -122,7 +122,7 @@
     assert_eq!(next.iter().map(|o| o.id).collect::<Vec<_>>(), [2]);
     w.round(&[keyed(4, 1, "a")]);
     let reset = w.end(&next[0], Outcome::Reset, 0);
-    w.round(&[Event::Left { id: MsgId(2) }, reset]);
+    w.round(&[Event::MessageAbandoned { id: MsgId(2) }, reset]);
     assert!(w.pass(980 * MS).iter().all(|o| o.id != 4), "the key rests for the settling time");
     assert!(w.pass(500 * MS).iter().any(|o| o.id == 4));
 }
@@ -187,10 +187,14 @@
         let mut w = World::new(settings(), vec![entry(1, 1, kind)]);
         let sent = w.round(&[message(1, FREE, 1)]);
         let told = w.end(&sent[0], Outcome::Busy, 60 * S);
-        w.round(&[told, Event::Left { id: MsgId(1) }, Event::Members { whole: true, entries: vec![] }]);
+        w.round(&[
+            told,
+            Event::MessageAbandoned { id: MsgId(1) },
+            Event::Listing { complete: true, entries: vec![] },
+        ]);
         // Long past a warm-up, so that what is gone has been swept more than once.
         w.pass(55 * S);
-        w.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, kind)] }, message(2, FREE, 1)]);
+        w.round(&[Event::Listing { complete: true, entries: vec![entry(1, 1, kind)] }, message(2, FREE, 1)]);
         assert!(w.pass(4 * S).is_empty(), "kind {kind}: sent before the wait was over");
         assert!(!w.pass(6 * S).is_empty(), "kind {kind}: never sent after it");
     }
@@ -243,7 +247,7 @@
 #[test]
 fn refusals_leave_a_busy_sender_its_filled_calls() {
     let mut w = World::new(
-        Settings { senders: 100, weights: Weights::Nominal, slots: 120, max_open: 400, ..settings() },
+        Settings { senders: 100, weights: WeightMeaning::Nominal, slots: 120, max_open: 400, ..settings() },
         (1..=4).map(|n| EndpointEntry { weight: Some(60.0), ..entry(n, 1, 1) }).collect(),
     );
     let (mut calls, mut at, mut waits) = (0, -S, Vec::new());
@@ -284,7 +288,7 @@
         w.pass(300 * MS);
         let Some(o) = w.out.iter().find(|o| o.id == id).cloned() else { return };
         w.finish(&o, outcome);
-        w.round(&[Event::Left { id: MsgId(id) }]);
+        w.round(&[Event::MessageAbandoned { id: MsgId(id) }]);
     };
     call(&mut w, 1, 50, Outcome::Done);
     for i in 0..12 {
@@ -326,14 +330,14 @@
 
 fn timed_for(id: u64, time_left: Micros) -> Event {
     let (id, dest) = (MsgId(id), DestId(1));
-    Event::Message { id, class: FREE, tenant: 0, key: None, dest, time_left, again: false }
+    Event::Message { id, class: FREE, tenant: 0, key: None, dest, time_left, resubmitted: false }
 }
 
 #[test]
 fn a_sender_that_may_hold_one_message_serves_it() {
     let mut w = World::new(Settings { max_open: 1, ..settings() }, vec![]);
     assert!(w.round(&[message(1, FREE, 1)]).is_empty() && w.refused.is_empty(), "it waits for its receiver");
-    let listed = Event::Members { whole: true, entries: vec![entry(1, 1, 0)] };
+    let listed = Event::Listing { complete: true, entries: vec![entry(1, 1, 0)] };
     assert_eq!(w.round(&[listed]).len(), 1);
 }
 
@@ -343,13 +347,13 @@
 fn the_next_of_a_key_waits_until_an_end_has_been_told() {
     let mut w = World::new(settings(), vec![]);
     let (id, dest, key) = (MsgId(1), DestId(1), Some("k".to_string()));
-    let short = Event::Message { id, class: ORDERED, tenant: 0, key, dest, time_left: S, again: false };
+    let short = Event::Message { id, class: ORDERED, tenant: 0, key, dest, time_left: S, resubmitted: false };
     w.round(&[short, keyed(2, 1, "k")]);
     while w.refused.is_empty() {
         w.pass(5 * MS);
     }
     let told = w.now;
-    assert!(w.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]).is_empty());
+    assert!(w.round(&[Event::Listing { complete: true, entries: vec![entry(1, 1, 0)] }]).is_empty());
     assert!(w.pass(140 * MS).is_empty());
     w.pass(20 * MS);
     assert_eq!(w.out.iter().map(|o| o.id).collect::<Vec<_>>(), [2], "told at {told}");
