--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, BytesMut};
 use embershore_protocol::resp::{Put, Reply};
-use heronroute::{EndpointId, Learnt, Micros, MsgId, OutCall, Outcome, Report};
+use heronroute::{DispatcherState, EndpointId, InFlightCall, LoadReport, Micros, MsgId, Outcome};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -28,10 +28,10 @@
     pub names: Vec<(EndpointId, String)>,
     /// What the decision module has measured of destinations, lanes and endpoints.
     #[serde(rename = "learnt")]
-    pub inherited: Learnt,
+    pub inherited: DispatcherState,
     /// The calls in flight.
     #[serde(rename = "out")]
-    pub in_flight: Vec<OutCall>,
+    pub in_flight: Vec<InFlightCall>,
     /// The call that carries each pending message that has one in flight.
     pub calls: Vec<(MsgId, u64)>,
 }
@@ -92,7 +92,7 @@
         /// The wait that the response advertised, 0 if none.
         wait: Micros,
         /// The load report that the response carried.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Successor: asks the owner to cancel one of its calls.
     Cancel {
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{Fleet, FleetError, MAX_MEMBERS};
 use crate::member::MAX_NAME_BYTES;
 use crate::peers::Times;
-use embershore_finding::Placed;
+use embershore_finding::SpanFinding;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -75,12 +75,12 @@
 /// Collects findings.
 #[derive(Default)]
 struct Check {
-    findings: Vec<Placed>,
+    findings: Vec<SpanFinding>,
 }
 
 impl Check {
-    fn report(&mut self, place: Range<usize>, what: impl Into<String>) {
-        self.findings.push(Placed { place, what: what.into() });
+    fn report(&mut self, place: Range<usize>, message: impl Into<String>) {
+        self.findings.push(SpanFinding { span: place, message: message.into() });
     }
 
     fn check_text(&mut self, field: &str, text: &Spanned<String>) {
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     /// Returns all findings, with their byte ranges in the text.
-    pub fn check(&self) -> Result<FleetOptions, Vec<Placed>> {
+    pub fn check(&self) -> Result<FleetOptions, Vec<SpanFinding>> {
         let mut check = Check::default();
         check.check_text("name", &self.name);
         let probe_interval = check.time("probe", self.probe.as_ref(), Times::default().probe_interval);
@@ -193,8 +193,9 @@
 
     fn read(text: &str) -> Result<FleetOptions, Vec<(usize, String)>> {
         let section: Section = toml::from_str(text).map_err(|e| vec![(0, e.to_string())])?;
-        let found =
-            |found| embershore_finding::Placed::findings(text, found).into_iter().map(|f| (f.line, f.what));
+        let found = |found| {
+            embershore_finding::SpanFinding::resolve(text, found).into_iter().map(|f| (f.line, f.message))
+        };
         section.check().map_err(|all| found(all).collect())
     }
 
