--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -47,7 +47,7 @@
     pub outcome: Outcome,
     /// The message needs no further attempt.
     #[serde(rename = "over")]
-    pub last: bool,
+    pub closes_message: bool,
 }
 
 /// A message from one process to the other.
--- a/crates/handover/tests/handover.rs
+++ b/crates/handover/tests/handover.rs
@@ -86,7 +86,7 @@
 
 #[test]
 fn frames_are_decoded_from_pieces_of_any_size() {
-    let outcome = MessageOutcome { id: MsgId(7), attempt: 2, outcome: Outcome::Reset, last: false };
+    let outcome = MessageOutcome { id: MsgId(7), attempt: 2, outcome: Outcome::Reset, closes_message: false };
     let ended = Frame::Ended { call: 9, outcomes: vec![outcome], elapsed: 5, wait: 250_000, report: None };
     let frames = [HELLO, Frame::Take, ended, Frame::State(Box::default())];
     let bytes: Vec<u8> = frames.iter().flat_map(|f| encode(f).unwrap()).collect();
@@ -208,7 +208,8 @@
                 prop_assert!(world.locked_by_successor);
             }
         }
-        // After the successor has died, the owner either has the journal back or has retired because the successor took it.
+        // After the successor has died, the owner either has the journal back or has retired because the successor took
+        // it.
         for step in [5, 3, 6].into_iter().cycle().take(9) {
             world.step(step);
         }
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -1,6 +1,7 @@
-//! The operator's own file, in TOML: one section for each subsystem that it switches on. What has no section is off.
+//! The operator's options file, in TOML. Each section enables one subsystem; a subsystem without a section is off.
 //!
-//! A file is checked whole before any of it counts: unknown keys are errors, and each finding has its line and column.
+//! The complete file is checked before any of it takes effect. Unknown keys are errors, and each finding has its line
+//! and column.
 #![warn(missing_docs)]
 
 use embershore_finding::{Finding, SpanFinding};
@@ -11,8 +12,8 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// A file is no longer than this: 256 rules of a few hundred bytes, several times over.
-pub const FILE_MOST: u64 = 1 << 20;
+/// The maximum size of the file in bytes: several times the size of 256 rules of a few hundred bytes each.
+pub const MAX_FILE_BYTES: u64 = 1 << 20;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -22,44 +23,44 @@
     placement: Option<PlacementSection>,
 }
 
-/// What the operator has switched on.
+/// The subsystems that the operator has enabled.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Options {
-    /// What becomes of messages that could not be delivered; nothing of them is kept where there is none.
+    /// The rules for undeliverable messages. Without them no such message is retained.
     pub owed: Option<Rules>,
-    /// The other senders; none is known where there is none.
+    /// The fleet of senders. Without it no other sender is known.
     pub fleet: Option<FleetOptions>,
-    /// Which destinations this sender owns; it owns all where there is none.
+    /// The placement of destinations on senders. Without it this sender owns all of them.
     pub placement: Option<PlacementOptions>,
 }
 
-/// An options file that can't be used. Nothing of it has taken effect.
+/// An options file that is rejected. None of it has taken effect.
 pub use embershore_finding::FileError as OptionsError;
 
 impl Options {
-    /// Reads and checks a file against the classes that the daemon's settings know.
+    /// Reads a file and checks it against the message classes of the daemon's settings.
     ///
     /// # Errors
-    /// When it can't be read, or anything in it is wrong.
+    /// When the file can't be read, or when it has any finding.
     pub fn read(path: &Path, classes: &[ClassFacts]) -> Result<Options, OptionsError> {
         let io = |error| OptionsError::Io { path: path.into(), error };
-        let text = embershore_finding::read(path, FILE_MOST, "an options file").map_err(io)?;
+        let text = embershore_finding::read(path, MAX_FILE_BYTES, "an options file").map_err(io)?;
         Options::parse(&text, classes)
             .map_err(|findings| OptionsError::Invalid { name: path.display().to_string(), findings })
     }
 
-    /// Checks a file's text.
+    /// Checks the text of a file.
     ///
     /// # Errors
-    /// All that is wrong in it, in the order of the file.
+    /// Returns all findings, in the order of the file.
     pub fn parse(text: &str, classes: &[ClassFacts]) -> Result<Options, Vec<Finding>> {
         let root: Root = toml::from_str(text).map_err(|e| vec![Finding::from_toml_error(text, &e)])?;
-        let mut found: Vec<SpanFinding> = Vec::new();
-        let owed = root.owed.map(|section| section.check(classes).map_err(|f| found.extend(f)));
-        let fleet = root.fleet.map(|section| section.check().map_err(|f| found.extend(f)));
-        let placement = root.placement.map(|section| section.check().map_err(|f| found.extend(f)));
-        if !found.is_empty() {
-            return Err(SpanFinding::resolve(text, found));
+        let mut findings: Vec<SpanFinding> = Vec::new();
+        let owed = root.owed.map(|section| section.check(classes).map_err(|f| findings.extend(f)));
+        let fleet = root.fleet.map(|section| section.check().map_err(|f| findings.extend(f)));
+        let placement = root.placement.map(|section| section.check().map_err(|f| findings.extend(f)));
+        if !findings.is_empty() {
+            return Err(SpanFinding::resolve(text, findings));
         }
         Ok(Options {
             owed: owed.and_then(Result::ok),
--- a/crates/owed/benches/cost.rs
+++ b/crates/owed/benches/cost.rs
@@ -1,10 +1,10 @@
-//! What a debt costs: on disk, in memory, at the start, in a list. `cargo bench -p embershore-owed`, with sizes as
-//! arguments behind `--`; each store is filled by one process and
-//! measured by another, so that memory is that of an open store alone.
+//! Measures the cost of a debt: on disk, in memory, when the store is opened, and in lists. Run it with `cargo bench -p
+//! embershore-owed`, with numbers of debts as arguments after `--`. One process fills each store and another measures
+//! it, so that the memory is that of an open store alone.
 
 use bytes::Bytes;
 use embershore_owed::store::Filter;
-use embershore_owed::{Attempt, Debt, Ending, Message, Reason, Store};
+use embershore_owed::{Attempt, AttemptOutcome, Debt, Message, Reason, Store};
 use std::path::Path;
 use std::process::Command;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 const BODY: usize = 200;
 const BATCH: u64 = 1000;
 
-/// Anonymous resident memory of this process, in bytes.
+/// Returns the anonymous resident memory of this process in bytes.
 fn anonymous() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("RssAnon:"));
@@ -32,50 +32,51 @@
         order: n,
         body: Bytes::from(vec![b'x'; BODY]),
     };
-    let attempt = |at| Attempt { endpoint: "s-5be2a07c".into(), at, ending: Ending::NoConnection };
+    let attempt = |at| Attempt { endpoint: "s-5be2a07c".into(), at, outcome: AttemptOutcome::NoConnection };
     let attempts = (1..=3).map(|k| attempt(n as i64 + k)).collect();
     Debt::new(message, attempts, Reason::ALL[n as usize % 6], n as i64)
 }
 
-fn most(size: u64) -> u64 {
+/// Returns a size limit of the store that has room for this number of debts.
+fn max_bytes(size: u64) -> u64 {
     64_000_000 + size * 8_000
 }
 
 fn fill(path: &Path, size: u64) -> Result<(), Box<dyn std::error::Error>> {
-    let begun = Instant::now();
-    let store = Store::open(path, most(size))?;
+    let started = Instant::now();
+    let store = Store::open(path, max_bytes(size))?;
     let mut n = 0;
     while n < size {
         let batch: Vec<Debt> = (n..size.min(n + BATCH)).map(debt).collect();
         n += batch.len() as u64;
-        for became in store.keep_all(batch.iter().map(|d| (d, Some(d.since))))? {
-            became?;
+        for result in store.insert_all(batch.iter().map(|d| (d, Some(d.given_up_at))))? {
+            result?;
         }
     }
-    eprintln!("{size} debts kept, {BATCH} a transaction, in {:.1} s", begun.elapsed().as_secs_f64());
+    eprintln!("{size} debts inserted, {BATCH} per transaction, in {:.1} s", started.elapsed().as_secs_f64());
     Ok(())
 }
 
 fn measure(path: &Path, size: u64) -> Result<(), Box<dyn std::error::Error>> {
     let disk = std::fs::metadata(path)?.len();
     let before = anonymous();
-    let begun = Instant::now();
-    let store = Store::open(path, most(size))?;
-    let opened = begun.elapsed();
-    let (live, _) = store.room()?;
-    let timed = |filter: Filter, most: usize| -> Result<_, Box<dyn std::error::Error>> {
-        let begun = Instant::now();
-        let found = store.list(&filter, most)?.debts.len();
-        Ok((found, begun.elapsed()))
+    let started = Instant::now();
+    let store = Store::open(path, max_bytes(size))?;
+    let opened = started.elapsed();
+    let (live, _) = store.usage()?;
+    let timed = |filter: Filter, limit: usize| -> Result<_, Box<dyn std::error::Error>> {
+        let started = Instant::now();
+        let found = store.list(&filter, limit)?.debts.len();
+        Ok((found, started.elapsed()))
     };
     let (found, receiver) = timed(Filter { receiver: Some(7), ..Filter::default() }, 1000)?;
     let (_, reason) = timed(Filter { reason: Some(Reason::Gone), ..Filter::default() }, 1000)?;
-    let begun = Instant::now();
-    let sorts = store.counts()?.len();
-    let counted = begun.elapsed();
-    let begun = Instant::now();
-    let single = store.keep(&debt(size + 1), None);
-    let kept = begun.elapsed();
+    let started = Instant::now();
+    let combinations = store.counts()?.len();
+    let counted = started.elapsed();
+    let started = Instant::now();
+    let single = store.insert(&debt(size + 1), None);
+    let inserted = started.elapsed();
     single?;
     let memory = anonymous().saturating_sub(before);
     println!(
@@ -87,9 +88,9 @@
         receiver.as_secs_f64() * 1e3,
         reason.as_secs_f64() * 1e3,
         counted.as_secs_f64() * 1e3,
-        kept.as_secs_f64() * 1e3,
+        inserted.as_secs_f64() * 1e3,
     );
-    if found == 0 || sorts == 0 {
+    if found == 0 || combinations == 0 {
         return Err("the store is empty".into());
     }
     Ok(())
@@ -104,7 +105,7 @@
     let sizes = if sizes.is_empty() { vec![1_000, 100_000] } else { sizes };
     println!(
         "{:>9} {:>9} {:>9} {:>8} {:>9} {:>9} {:>9} {:>9} {:>9}",
-        "debts", "disk B", "booked B", "MB", "open ms", "by rcv ms", "by why ms", "counts ms", "keep ms"
+        "debts", "disk B", "booked B", "MB", "open ms", "by rcv ms", "by rsn ms", "counts ms", "insert ms"
     );
     for size in sizes {
         let folder = tempfile::tempdir()?;
--- a/crates/owed/src/debt.rs
+++ b/crates/owed/src/debt.rs
@@ -1,70 +1,73 @@
-//! A message that could not be delivered, and what has become of it since.
+//! An undeliverable message and its history.
 
 use bytes::Bytes;
 use heronroute::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Attempts that are kept by name; of older ones only what matters for a second effect is. A message has a handful,
-/// and each resend few more.
-pub const ATTEMPTS_KEPT: usize = 32;
-/// Words on one debt that are kept: an operator who has said so much about one message is a program gone wrong.
-pub const WORDS_KEPT: usize = 16;
+/// How many attempts are retained in full. Of older ones only the earliest that may have run is remembered, which is
+/// what decides about a second effect. A message has a handful of attempts, and each resend adds a few.
+pub const MAX_RETAINED_ATTEMPTS: usize = 32;
+/// How many resolutions of one debt are retained. More than this on one message come from a faulty program.
+pub const MAX_RESOLUTIONS: usize = 16;
 
-/// A debt, by the store's number for it. Numbers are never used twice.
+/// The number of a debt in the store. Numbers are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DebtId(pub u64);
 
-/// How one attempt ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ending {
-    /// The receiver turned it away unseen.
-    TurnedAway,
-    /// No connection came up; it never ran.
+pub enum AttemptOutcome {
+    /// The receiver rejected it without processing it.
+    #[serde(rename = "turned-away")]
+    Rejected,
+    /// No connection was established, so it did not run.
     NoConnection,
-    /// The receiver answered with an error, or with what can't be read; it may have run.
+    /// The receiver answered with an error or a malformed answer; it may have run.
     Error,
     /// The connection broke; it may have run.
     Reset,
-    /// No answer in time; it may have run, or may yet.
+    /// There was no answer in time; it may have run, or may still run.
     TimedOut,
-    /// The sender died with the attempt out; it may have run.
+    /// The sender died while the attempt was in flight; it may have run.
     Unknown,
 }
 
-impl Ending {
-    /// Whether the attempt may have taken effect.
+impl AttemptOutcome {
+    /// Returns whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Ending::TurnedAway | Ending::NoConnection)
+        !matches!(self, AttemptOutcome::Rejected | AttemptOutcome::NoConnection)
     }
 }
 
-/// One attempt. Times are wall-clock microseconds since the Unix epoch.
+/// An attempt to deliver a message. Times are wall-clock microseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The endpoint's name in the directory.
+    /// The name of the endpoint in the directory.
     pub endpoint: String,
-    /// When its call began.
+    /// When the call began.
     pub at: Micros,
-    /// How it ended.
-    pub ending: Ending,
+    /// How the attempt ended.
+    #[serde(rename = "ending")]
+    pub outcome: AttemptOutcome,
 }
 
-/// Why a message was given up. The categories are closed: rules and counts go by them.
+/// Why delivery of a message was given up. Rules and counts refer to these categories, so the set is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// Its time was up before any attempt.
+    /// Its deadline passed before the first attempt.
     Unsent,
-    /// The receiver turned it away until its time was up.
-    TurnedAway,
-    /// The receiver could not be reached until its time was up.
+    /// The receiver rejected it until its deadline passed.
+    #[serde(rename = "turned-away")]
+    Rejected,
+    /// The receiver was unreachable until its deadline passed.
     Down,
-    /// An attempt may have run, and the class allows no other.
+    /// An attempt may have run, and the class allows no further one.
     MayHaveRun,
-    /// It had as many attempts as a message may have.
+    /// The maximum number of attempts was reached.
     AttemptsUsedUp,
-    /// Its receiver had no endpoint any more.
+    /// The receiver no longer had any endpoint.
     Gone,
 }
 
@@ -72,18 +75,18 @@
     /// All reasons, in the order in which they are listed.
     pub const ALL: [Reason; 6] = [
         Reason::Unsent,
-        Reason::TurnedAway,
+        Reason::Rejected,
         Reason::Down,
         Reason::MayHaveRun,
         Reason::AttemptsUsedUp,
         Reason::Gone,
     ];
 
-    /// Its name in rules, filters and lists.
+    /// Returns the name used in rules, filters and lists.
     pub fn name(self) -> &'static str {
         match self {
             Reason::Unsent => "unsent",
-            Reason::TurnedAway => "turned-away",
+            Reason::Rejected => "turned-away",
             Reason::Down => "down",
             Reason::MayHaveRun => "may-have-run",
             Reason::AttemptsUsedUp => "attempts-used-up",
@@ -91,204 +94,235 @@
         }
     }
 
-    /// The reason of an end, from what was tried until then.
+    /// Derives the reason from the attempts made.
     ///
-    /// `listed` tells whether the receiver still had an endpoint, `most` how many attempts a message may have.
-    pub fn of(attempts: &[Attempt], listed: bool, most: u32) -> Reason {
-        if attempts.iter().any(|a| a.ending.may_have_run()) {
+    /// `listed` tells whether the receiver still had an endpoint.
+    pub fn of(attempts: &[Attempt], listed: bool, max_attempts: u32) -> Reason {
+        if attempts.iter().any(|a| a.outcome.may_have_run()) {
             Reason::MayHaveRun
         } else if !listed {
             Reason::Gone
-        } else if attempts.len() as u64 >= u64::from(most) {
+        } else if attempts.len() as u64 >= u64::from(max_attempts) {
             Reason::AttemptsUsedUp
         } else {
-            match attempts.last().map(|a| a.ending) {
+            match attempts.last().map(|a| a.outcome) {
                 None => Reason::Unsent,
-                Some(Ending::NoConnection) => Reason::Down,
-                Some(_) => Reason::TurnedAway,
+                Some(AttemptOutcome::NoConnection) => Reason::Down,
+                Some(_) => Reason::Rejected,
             }
         }
     }
 }
 
-/// The message as its client handed it in.
+/// The message as its client handed it over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The id under which its client knows it.
+    /// The client's id of the message.
     pub request_id: String,
-    /// In a keyed class: by what the receiver knows a repeat.
+    /// For a keyed class: the key by which the receiver recognizes a repeat.
     pub idempotency_key: Option<String>,
-    /// The class's name in the settings.
+    /// The name of the class in the settings.
     pub class: String,
-    /// The tenant's name in the settings.
+    /// The name of the tenant in the settings.
     pub tenant: String,
-    /// The receiver's number.
+    /// The number of the receiver.
     pub dest: i64,
-    /// What it is about: a newer one with the same overwrites it, where its class does so.
+    /// The subject of the message. A newer message with the same key supersedes it if its rule says so.
     pub key: String,
-    /// Its place in the order in which this sender accepted messages: a later one is newer, whatever a clock said.
+    /// The position in the order in which this sender accepted messages. A higher one is newer, whatever the clock
+    /// showed.
     pub order: u64,
     /// The body.
     pub body: Bytes,
 }
 
-/// What an operator, or the receiver itself, said of a message in doubt.
+/// The verdict of an operator, or of the receiver itself, on a message that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Word {
+pub enum Verdict {
     /// It took effect.
     Ran,
-    /// It never took effect, and none of its attempts still will.
+    /// It did not take effect, and none of its attempts still will.
     NeverRan,
 }
 
-/// A word, by whom, why and when. Kept for as long as the debt is.
+/// A verdict with its author, justification and time. It is retained as long as the debt is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resolution {
-    /// What was said.
-    pub word: Word,
-    /// By whom.
-    pub by: String,
+    /// The verdict.
+    #[serde(rename = "word")]
+    pub verdict: Verdict,
+    /// Who gave the verdict.
+    #[serde(rename = "by")]
+    pub author: String,
     /// Why.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub justification: String,
     /// When.
     pub at: Micros,
 }
 
-/// How a debt was settled. What is settled is never sent again.
+/// How a debt was settled. A settled debt is never sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Settled {
     /// Delivered by a resend.
     Delivered,
-    /// It had run after all, as somebody said.
+    /// It had run before, by a verdict.
     Ran,
-    /// A newer message with the same receiver, class and key took its place.
+    /// Replaced by a newer message with the same receiver, class and key.
     Superseded,
-    /// It was owed for as long as its rule says.
+    /// Its rule's time limit passed.
     Expired,
-    /// Dropped by hand.
+    /// Dropped by an operator.
     Dropped,
 }
 
-/// Where a debt stands.
+/// The state of a debt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Not sent at present. What comes next follows from the rules.
+    /// Not being sent. The rules decide on the next step.
     Owed,
-    /// Handed to the decision module: it may be on its way at any moment.
-    Out,
-    /// Done with, and kept for inspection only.
+    /// Handed to the decision module: it may be sent at any moment.
+    #[serde(rename = "out")]
+    InFlight,
+    /// Closed, and retained for inspection only.
     Settled(Settled),
 }
 
-/// A message that is still owed, or was.
+/// A message that is owed, or was.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debt {
     /// The message.
     pub message: Message,
-    /// Its latest attempts, oldest first: [`ATTEMPTS_KEPT`] at most.
+    /// The latest attempts, oldest first, at most [`MAX_RETAINED_ATTEMPTS`].
     pub attempts: Vec<Attempt>,
-    /// The first attempt that may have run and of which nobody has said that it did not.
+    /// The time of the first attempt that may have run, unless a verdict says that it did not.
     pub may_have_run: Option<Micros>,
-    /// Why it was given up first.
+    /// Why delivery was given up first.
     pub reason: Reason,
-    /// When it was given up first.
-    pub since: Micros,
-    /// When it last became what it is: given up, or come back from a resend.
-    pub last: Micros,
-    /// How often it was sent again.
+    /// When delivery was given up first.
+    #[serde(rename = "since")]
+    pub given_up_at: Micros,
+    /// When the state last changed.
+    #[serde(rename = "last")]
+    pub changed_at: Micros,
+    /// The number of resends.
     pub resends: u32,
-    /// Where it stands.
+    /// The state.
     pub state: State,
-    /// What was said of it.
-    pub words: Vec<Resolution>,
+    /// The verdicts given so far.
+    #[serde(rename = "words")]
+    pub resolutions: Vec<Resolution>,
 }
 
-/// A word that can't be taken.
+/// Why a verdict is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum WordError {
-    /// Nobody doubts it.
-    #[error("no attempt of it may have run: there is nothing to resolve")]
-    NoDoubt,
-    /// It is on its way.
-    #[error("it is being sent at this moment: come again once that has ended")]
-    Out,
-    /// It is settled.
-    #[error("it is settled already, as {0:?}")]
+pub enum ResolveError {
+    /// No attempt may have run.
+    #[error("no attempt of the message may have run: there is nothing to resolve")]
+    NotInDoubt,
+    /// The message is being sent.
+    #[error("the message is being sent now: try again when this resend has ended")]
+    InFlight,
+    /// The debt is settled.
+    #[error("the debt is already settled as {0:?}")]
     Settled(Settled),
-    /// Who and why are asked for.
-    #[error("say by whom and why: the word is kept with both")]
+    /// The author or the justification is missing.
+    #[error("author or justification missing: both are stored with the verdict")]
     Unsigned,
-    /// So much has been said of it that no more can be kept.
-    #[error("more than {WORDS_KEPT} words on one message: drop it, or deliver it by hand")]
+    /// The debt has [`MAX_RESOLUTIONS`] resolutions.
+    #[error(
+        "the debt already has the maximum of {MAX_RESOLUTIONS} resolutions: drop it, or deliver it by hand"
+    )]
     TooMany,
 }
 
 impl Debt {
-    /// A message that has just been given up, with all that was tried.
+    /// Creates the debt of a message that has just been given up, with all of its attempts.
     pub fn new(message: Message, mut attempts: Vec<Attempt>, reason: Reason, now: Micros) -> Debt {
-        let may_have_run = attempts.iter().filter(|a| a.ending.may_have_run()).map(|a| a.at).min();
-        attempts.drain(..attempts.len().saturating_sub(ATTEMPTS_KEPT));
-        let (state, words) = (State::Owed, Vec::new());
-        Debt { message, attempts, may_have_run, reason, since: now, last: now, resends: 0, state, words }
+        let may_have_run = attempts.iter().filter(|a| a.outcome.may_have_run()).map(|a| a.at).min();
+        attempts.drain(..attempts.len().saturating_sub(MAX_RETAINED_ATTEMPTS));
+        Debt {
+            message,
+            attempts,
+            may_have_run,
+            reason,
+            given_up_at: now,
+            changed_at: now,
+            resends: 0,
+            state: State::Owed,
+            resolutions: Vec::new(),
+        }
     }
 
-    /// The latest time that it knows of. A clock that shows less has been set back.
-    pub fn known(&self) -> Micros {
-        let tried = self.attempts.iter().map(|a| a.at);
-        tried.chain([self.since, self.last]).chain(self.may_have_run).max().unwrap_or(self.last)
+    /// Returns the latest time in the history. A clock that shows an earlier time has been set back.
+    pub fn latest_time(&self) -> Micros {
+        let attempts = self.attempts.iter().map(|a| a.at);
+        let times = attempts.chain([self.given_up_at, self.changed_at]).chain(self.may_have_run);
+        times.max().unwrap_or(self.changed_at)
     }
 
-    /// It is handed to the decision module. To be written down before that.
-    pub fn sent(&mut self, now: Micros) {
-        (self.state, self.last) = (State::Out, now);
+    /// Records a resend. It must be stored before the message is handed to the decision module.
+    pub fn start_resend(&mut self, now: Micros) {
+        (self.state, self.changed_at) = (State::InFlight, now);
         self.resends = self.resends.saturating_add(1);
     }
 
-    /// A resend has ended without delivering, after these attempts.
-    pub fn came_back(&mut self, tried: impl IntoIterator<Item = Attempt>, now: Micros) {
-        for attempt in tried {
-            if attempt.ending.may_have_run() {
+    /// Records a resend that ended without delivery, with its attempts.
+    pub fn resend_failed(&mut self, attempts: impl IntoIterator<Item = Attempt>, now: Micros) {
+        for attempt in attempts {
+            if attempt.outcome.may_have_run() {
                 self.may_have_run = Some(self.may_have_run.map_or(attempt.at, |at| at.min(attempt.at)));
             }
             self.attempts.push(attempt);
         }
-        self.attempts.drain(..self.attempts.len().saturating_sub(ATTEMPTS_KEPT));
-        (self.state, self.last) = (State::Owed, now);
+        self.attempts.drain(..self.attempts.len().saturating_sub(MAX_RETAINED_ATTEMPTS));
+        (self.state, self.changed_at) = (State::Owed, now);
     }
 
-    /// It is over: never sent again.
+    /// Settles the debt: the message is never sent again.
     pub fn settle(&mut self, how: Settled, now: Micros) {
-        (self.state, self.last) = (State::Settled(how), now);
+        (self.state, self.changed_at) = (State::Settled(how), now);
     }
 
-    /// Takes a word on whether it ran. The same word said again changes nothing.
+    /// Applies a verdict on whether the message ran. Repeating the same verdict changes nothing.
     ///
     /// # Errors
-    /// When there is no doubt, the message is on its way or settled, or the word is not signed.
-    pub fn resolve(&mut self, word: Word, by: &str, why: &str, now: Micros) -> Result<(), WordError> {
-        if by.trim().is_empty() || why.trim().is_empty() {
-            return Err(WordError::Unsigned);
+    /// When no attempt may have run, when the message is in flight or settled, or when the verdict is not signed.
+    pub fn resolve(
+        &mut self,
+        verdict: Verdict,
+        author: &str,
+        justification: &str,
+        now: Micros,
+    ) -> Result<(), ResolveError> {
+        if author.trim().is_empty() || justification.trim().is_empty() {
+            return Err(ResolveError::Unsigned);
         }
         match self.state {
-            State::Out => return Err(WordError::Out),
-            State::Settled(Settled::Ran) if word == Word::Ran => return Ok(()),
-            State::Settled(how) => return Err(WordError::Settled(how)),
+            State::InFlight => return Err(ResolveError::InFlight),
+            State::Settled(Settled::Ran) if verdict == Verdict::Ran => return Ok(()),
+            State::Settled(how) => return Err(ResolveError::Settled(how)),
             State::Owed => {}
         }
         if self.may_have_run.is_none() {
-            let said = self.words.last().is_some_and(|w| w.word == Word::NeverRan);
-            return if said && word == Word::NeverRan { Ok(()) } else { Err(WordError::NoDoubt) };
+            let repeated = self.resolutions.last().is_some_and(|r| r.verdict == Verdict::NeverRan);
+            return if repeated && verdict == Verdict::NeverRan {
+                Ok(())
+            } else {
+                Err(ResolveError::NotInDoubt)
+            };
         }
-        if self.words.len() >= WORDS_KEPT {
-            return Err(WordError::TooMany);
+        if self.resolutions.len() >= MAX_RESOLUTIONS {
+            return Err(ResolveError::TooMany);
         }
-        self.words.push(Resolution { word, by: by.into(), why: why.into(), at: now });
-        match word {
-            Word::Ran => self.settle(Settled::Ran, now),
-            Word::NeverRan => (self.may_have_run, self.last) = (None, now),
+        let (author, justification) = (author.into(), justification.into());
+        self.resolutions.push(Resolution { verdict, author, justification, at: now });
+        match verdict {
+            Verdict::Ran => self.settle(Settled::Ran, now),
+            Verdict::NeverRan => (self.may_have_run, self.changed_at) = (None, now),
         }
         Ok(())
     }
--- a/crates/owed/src/lib.rs
+++ b/crates/owed/src/lib.rs
@@ -1,8 +1,9 @@
-//! What could not be delivered: kept, open to inspection, and sent again by the operator's rule.
+//! Undeliverable messages: they are retained, open to inspection, and resent by the operator's rules.
 //!
-//! [`debt`] is the data, [`rules`] the operator's word and its checks, [`plan`] what follows from both for one message
-//! at one time, [`pace`] how many go out at once; none of them does I/O or reads a clock. [`store`] keeps debts on
-//! disk. A message never goes out past the decision module: what is due here is handed to it as a message.
+//! [`debt`] defines the data and [`rules`] the operator's rules and their checks. [`plan`] derives the next step of one
+//! message at one time from both, and [`pace`] limits how many are resent at once. None of them does I/O or reads a
+//! clock. [`store`] persists debts on disk. Every resend goes through the decision module: a debt that is due is handed
+//! to it as a message.
 #![warn(missing_docs)]
 
 pub mod debt;
@@ -11,8 +12,8 @@
 pub mod rules;
 pub mod store;
 
-pub use debt::{Attempt, Debt, DebtId, Ending, Message, Reason, Resolution, Settled, State, Word};
+pub use debt::{Attempt, AttemptOutcome, Debt, DebtId, Message, Reason, Resolution, Settled, State, Verdict};
 pub use pace::Pacer;
-pub use plan::{ClassFacts, Step, Why};
+pub use plan::{ClassFacts, IdleReason, Step};
 pub use rules::{Rules, RulesError};
 pub use store::{Store, StoreError};
--- a/crates/owed/src/plan.rs
+++ b/crates/owed/src/plan.rs
@@ -1,159 +1,166 @@
-//! What follows for one debt at one time, from its history, its class and the rules. One table for all.
+//! The next step of a debt at a given time, from its history, its class and the rules.
 //!
-//! | effect of the class | no attempt may have run | one may have run |
+//! | effect of the class | no attempt may have run | an attempt may have run |
 //! | --- | --- | --- |
-//! | safe to repeat | the rule's times | the rule's times |
-//! | keyed | the rule's times | the rule's times, while the receiver remembers the key; then in doubt |
-//! | unsafe | the rule's times | in doubt |
+//! | safe to repeat | resend by the rule | resend by the rule |
+//! | keyed | resend by the rule | resend by the rule while the receiver remembers the key; then in doubt |
+//! | unsafe | resend by the rule | in doubt |
 //!
-//! Doubt is left by a word alone, [`Debt::resolve`].
+//! Only a verdict ends the doubt, see [`Debt::resolve`].
 
 use crate::debt::{Debt, Settled, State};
-use crate::rules::{Rule, Rules, Then};
+use crate::rules::{ExpiryAction, Rule, Rules};
 use heronroute::{Effect, Micros};
 
-/// Of the time for which a receiver remembers a key, the part in which a repeat may still begin: what is sent later
-/// may arrive after it. The decision module has the same bound for its own repeats.
-const WINDOW_PART: f64 = 0.45;
+/// The part of the time for which a receiver remembers a key in which a repeat may still begin. A later repeat may
+/// arrive after the key is forgotten. The decision module has the same bound for its own repeats.
+const REPEAT_WINDOW_SHARE: f64 = 0.45;
 
-/// What the daemon's settings say of a class.
+/// The settings of a message class that matter for resends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassFacts {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// What a second delivery would do.
+    /// The effect of a second delivery.
     pub effect: Effect,
     /// For a keyed class: how long a receiver remembers a key.
     pub window: Micros,
-    /// The time that a message of it has: a resend is given as much.
+    /// The time that a message has until its deadline. A resend has the same.
     pub deadline: Micros,
 }
 
-/// Why a debt is not sent again, for as long as nothing changes.
+/// Why a debt is not resent unless something changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// No rule speaks of it any more.
+pub enum IdleReason {
+    /// No rule matches it any longer.
     NoRule,
-    /// Its rule sends nothing again.
+    /// Its rule has no resends.
     NotResent,
-    /// It was sent again as often as its rule says.
-    TimesUsedUp,
-    /// Its class is in the settings no more: nothing is known of what a repeat would do.
-    ClassGone,
+    /// It has been resent as often as its rule allows.
+    ResendsUsedUp,
+    /// Its class is no longer in the settings, so the effect of a repeat is unknown.
+    UnknownClass,
     /// It is settled.
     Settled(Settled),
 }
 
-/// What comes next for a debt.
+/// The next step of a debt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It is with the decision module.
-    Out,
-    /// It may have run and must not be sent again: a word is waited for.
-    Doubt,
-    /// It is sent again, not before this time, and once its receiver has been well for so long.
+    /// None: the decision module is delivering it.
+    InFlight,
+    /// Wait for a verdict: it may have run and must not be sent again.
+    InDoubt,
+    /// Resend it.
     Resend {
-        /// Not before this time.
+        /// The earliest time.
         at: Micros,
-        /// How long the receiver must have been well.
-        well_for: Micros,
+        /// How long the receiver must have been healthy.
+        healthy_for: Micros,
     },
-    /// It stays as it is.
-    Rest(Why),
-    /// It is owed no longer.
-    Expired(Then),
+    /// None: it stays as it is.
+    Idle(IdleReason),
+    /// Settle it as expired.
+    Expired(ExpiryAction),
 }
 
-/// What comes next for a debt. With a clock that was set back, times that are known go on from the latest of them.
-pub fn next(debt: &Debt, rules: &Rules, classes: &[ClassFacts], now: Micros) -> Step {
+/// Returns the next step of a debt. If the clock was set back, times count from the latest time in the debt's history.
+pub fn next_step(debt: &Debt, rules: &Rules, classes: &[ClassFacts], now: Micros) -> Step {
     match debt.state {
-        State::Out => return Step::Out,
-        State::Settled(how) => return Step::Rest(Why::Settled(how)),
+        State::InFlight => return Step::InFlight,
+        State::Settled(how) => return Step::Idle(IdleReason::Settled(how)),
         State::Owed => {}
     }
-    let rule = rules.of(debt);
+    let rule = rules.rule_for_debt(debt);
     if let Some(rule) = rule
-        && rule.owed_for.is_some_and(|span| now >= debt.since.saturating_add(span))
+        && rule.owed_for.is_some_and(|span| now >= debt.given_up_at.saturating_add(span))
     {
-        // A doubt does not end by itself: whoever looks for it later must find it.
-        let then = if in_doubt(debt, classes, now) { Then::Keep } else { rule.then };
-        return Step::Expired(then);
+        // Time does not end a doubt: the debt must still be there for whoever looks into it later.
+        let on_expiry = if in_doubt(debt, classes, now) { ExpiryAction::Keep } else { rule.on_expiry };
+        return Step::Expired(on_expiry);
     }
     if in_doubt(debt, classes, now) {
-        return Step::Doubt;
+        return Step::InDoubt;
     }
     if !classes.iter().any(|c| c.name == debt.message.class) {
-        return Step::Rest(Why::ClassGone);
+        return Step::Idle(IdleReason::UnknownClass);
     }
-    let Some(rule) = rule else { return Step::Rest(Why::NoRule) };
-    let Some(resend) = &rule.resend else { return Step::Rest(Why::NotResent) };
+    let Some(rule) = rule else { return Step::Idle(IdleReason::NoRule) };
+    let Some(resend) = &rule.resend else { return Step::Idle(IdleReason::NotResent) };
     if debt.resends >= resend.times {
-        return Step::Rest(Why::TimesUsedUp);
+        return Step::Idle(IdleReason::ResendsUsedUp);
     }
-    Step::Resend { at: at(debt, rule, now), well_for: resend.well_for }
+    Step::Resend { at: resend_time(debt, rule, now), healthy_for: resend.healthy_for }
 }
 
-/// When a rule sends a debt again. A clock that was set back would keep it waiting for as long: its gap counts from now.
-fn at(debt: &Debt, rule: &Rule, now: Micros) -> Micros {
+/// Returns when a rule resends a debt. If the clock was set back, the gap counts from now, because counting from the
+/// debt's times would extend the wait by as much.
+fn resend_time(debt: &Debt, rule: &Rule, now: Micros) -> Micros {
     let Some(resend) = &rule.resend else { return Micros::MAX };
-    let back = now < debt.last;
-    let first = if back { now } else { debt.since.saturating_add(resend.not_before) };
-    let gap = (if back { now } else { debt.last }).saturating_add(resend.gap_after(debt.resends));
-    resend.in_window(first.max(gap))
+    let set_back = now < debt.changed_at;
+    let earliest = if set_back { now } else { debt.given_up_at.saturating_add(resend.not_before) };
+    let gap_end =
+        (if set_back { now } else { debt.changed_at }).saturating_add(resend.gap_after(debt.resends));
+    resend.in_window(earliest.max(gap_end))
 }
 
-/// Whether it may have run, and sending it again might have a second effect.
+/// Returns whether a debt may have run and another delivery might have a second effect.
 pub fn in_doubt(debt: &Debt, classes: &[ClassFacts], now: Micros) -> bool {
     let Some(first) = debt.may_have_run else { return false };
     match classes.iter().find(|c| c.name == debt.message.class) {
-        Some(c) if c.effect == Effect::Safe => false,
-        // A clock that shows less than is known has been set back, and says nothing of how long a key is remembered.
-        Some(c) if c.effect == Effect::Keyed => {
-            let part = (c.window as f64 * WINDOW_PART) as Micros;
-            now < debt.known() || now >= first.saturating_add(part)
+        Some(class) if class.effect == Effect::Safe => false,
+        // A clock that shows less than the latest known time was set back. It does not tell how long a key is
+        // remembered.
+        Some(class) if class.effect == Effect::Keyed => {
+            let repeat_window = (class.window as f64 * REPEAT_WINDOW_SHARE) as Micros;
+            now < debt.latest_time() || now >= first.saturating_add(repeat_window)
         }
-        // Of a class that is gone the worst is assumed.
+        // A class that is no longer in the settings counts as unsafe.
         _ => true,
     }
 }
 
-/// Whether a message that was accepted, or delivered, takes the place of a debt: same receiver, class and key, and
-/// accepted later by this sender, whatever a clock said.
-pub fn superseded(debt: &Debt, rules: &Rules, dest: i64, class: &str, key: &str, order: u64) -> bool {
-    let m = &debt.message;
+/// Returns whether a newly accepted or delivered message supersedes a debt. It must have the same receiver, class and
+/// key, and this sender must have accepted it later, whatever the clock showed.
+pub fn is_superseded(debt: &Debt, rules: &Rules, dest: i64, class: &str, key: &str, order: u64) -> bool {
+    let message = &debt.message;
     debt.state == State::Owed
-        && m.dest == dest
-        && m.class == class
-        && m.key == key
-        && m.order < order
-        && rules.of(debt).is_some_and(|rule| rule.supersede)
+        && message.dest == dest
+        && message.class == class
+        && message.key == key
+        && message.order < order
+        && rules.rule_for_debt(debt).is_some_and(|rule| rule.supersede)
 }
 
-/// One line on where a debt stands, for an operator.
+/// Describes the next step of a debt in one line, for operators.
 pub fn explain(debt: &Debt, rules: &Rules, classes: &[ClassFacts], now: Micros) -> String {
-    let rule = rules.of(debt).map_or("no rule".into(), |r| format!("'{}'", r.name));
-    match next(debt, rules, classes, now) {
-        Step::Out => "it is being sent".into(),
-        Step::Doubt => "an attempt may have run: it waits for a word (resolve)".into(),
-        Step::Resend { at, well_for } => {
+    let rule = rules.rule_for_debt(debt).map_or("no rule".into(), |r| format!("rule '{}'", r.name));
+    match next_step(debt, rules, classes, now) {
+        Step::InFlight => "being sent now".into(),
+        Step::InDoubt => "an attempt may have run: waiting for a verdict (resolve)".into(),
+        Step::Resend { at, healthy_for } => {
             let wait = (at - now).max(0) / 1_000_000;
             format!(
-                "by {rule}: sent again in {wait} s at the soonest, once its receiver has been well for {} s",
-                well_for / 1_000_000
+                "by {rule}: resent in {wait} s at the earliest, once its receiver has been healthy for {} s",
+                healthy_for / 1_000_000
             )
         }
-        Step::Rest(why) => match why {
-            Why::NoRule => "no rule speaks of it: it stays until it is sent or dropped by hand".into(),
-            Why::NotResent => format!("by {rule}: kept, and not sent again"),
-            Why::TimesUsedUp => {
-                format!("by {rule}: sent again {} times, which is all that it says", debt.resends)
+        Step::Idle(reason) => match reason {
+            IdleReason::NoRule => {
+                "no rule matches: retained until it is resent or dropped by an operator".into()
             }
-            Why::ClassGone => format!("class '{}' is in the settings no more", debt.message.class),
-            Why::Settled(how) => format!("settled: {how:?}").to_lowercase(),
+            IdleReason::NotResent => format!("by {rule}: retained, not resent"),
+            IdleReason::ResendsUsedUp => {
+                format!("by {rule}: already resent {} times, the rule's maximum", debt.resends)
+            }
+            IdleReason::UnknownClass => {
+                format!("class '{}' is no longer in the settings: not resent", debt.message.class)
+            }
+            IdleReason::Settled(how) => format!("settled: {how:?}").to_lowercase(),
         },
-        Step::Expired(then) => match then {
-            Then::Keep => format!("by {rule}: owed no longer, kept for inspection"),
-            Then::Drop => format!("by {rule}: owed no longer, taken out"),
+        Step::Expired(on_expiry) => match on_expiry {
+            ExpiryAction::Keep => format!("by {rule}: expired, retained for inspection"),
+            ExpiryAction::Drop => format!("by {rule}: expired, removed"),
         },
     }
 }
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -1,7 +1,7 @@
-//! The operator's rules: which debts are kept, and when each is sent again. The first that matches holds.
+//! The operator's rules: which undeliverable messages are retained, and when each is resent. The first match applies.
 //!
-//! Read from the section `[owed]` of the options file, in TOML. A file is checked whole, every finding names its place
-//! and the mend, and a rule that could break one of the six rules is refused with the reason.
+//! They are the section `[owed]` of the options file, in TOML. The complete section is checked, and every finding gives
+//! its position and a remedy. A rule that could break one of the sender's six rules is rejected with the reason.
 
 use crate::debt::{Debt, Reason};
 use crate::plan::ClassFacts;
@@ -13,28 +13,27 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Rules at most: each debt is held against them in turn.
-pub const RULES_MOST: usize = 256;
-/// No span in a rule is longer: ten years, so that sums of times can't overflow.
-const SPAN_MOST: Duration = Duration::from_secs(3650 * 24 * 3600);
-/// A day, in minutes.
-const DAY: u32 = 24 * 60;
+/// The maximum number of rules. Each debt is compared with them one after the other.
+pub const MAX_RULES: usize = 256;
+/// The longest time in a rule, ten years, so that sums of times can't overflow.
+const MAX_SPAN: Duration = Duration::from_secs(3650 * 24 * 3600);
+const MINUTES_PER_DAY: u32 = 24 * 60;
 
-/// The section `[owed]` as it is written. [`Section::check`] makes [`Rules`] of it.
+/// The section `[owed]` as written in the file. [`Section::check`] turns it into [`Rules`].
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
-    /// What the store may take on disk, in MB of 10^6 bytes.
+    /// The maximum size of the store on disk, in MB of 10^6 bytes.
     max_mb: Spanned<f64>,
-    /// Resends a second, to all receivers together.
-    #[serde(default = "per_second")]
+    /// The rate of resends per second, to all receivers together.
+    #[serde(default = "default_resends_per_s")]
     resends_per_s: Spanned<f64>,
     /// The rules, in order.
     #[serde(default)]
     rule: Vec<Spanned<RawRule>>,
 }
 
-fn per_second() -> Spanned<f64> {
+fn default_resends_per_s() -> Spanned<f64> {
     Spanned::new(0..0, 5.0)
 }
 
@@ -45,17 +44,17 @@
     receiver: Option<Vec<i64>>,
     class: Option<Vec<Spanned<String>>>,
     reason: Option<Vec<Reason>>,
-    #[serde(default = "yes")]
+    #[serde(default = "default_keep")]
     keep: bool,
     resend: Option<Spanned<RawResend>>,
     #[serde(default, with = "humantime_serde")]
     owed_for: Option<Duration>,
-    then: Option<Then>,
+    then: Option<ExpiryAction>,
     #[serde(default)]
     supersede: bool,
 }
 
-fn yes() -> bool {
+fn default_keep() -> bool {
     true
 }
 
@@ -70,58 +69,58 @@
     times: Spanned<u32>,
     #[serde(with = "humantime_serde")]
     gap: Duration,
-    #[serde(default = "one")]
+    #[serde(default = "default_growth")]
     growth: Spanned<f64>,
     #[serde(default, with = "humantime_serde")]
     gap_most: Option<Duration>,
 }
 
-fn one() -> Spanned<f64> {
+fn default_growth() -> Spanned<f64> {
     Spanned::new(0..0, 1.0)
 }
 
-/// What becomes of a message that is owed no longer.
+/// What happens to a debt that expires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Then {
-    /// It stays, for inspection.
+pub enum ExpiryAction {
+    /// It is retained for inspection.
     #[default]
     Keep,
-    /// It is taken out of the store.
+    /// It is removed from the store.
     Drop,
 }
 
-/// When a debt is sent again.
+/// When a debt is resent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resend {
-    /// The receiver must have been well for so long.
-    pub well_for: Micros,
-    /// Minutes of the day, UTC, from which until which: past midnight where the second is the smaller.
+    /// How long the receiver must have been healthy.
+    pub healthy_for: Micros,
+    /// The start and the end of the daily window, in minutes of the day, UTC. It spans midnight if the end is smaller.
     pub window: Option<(u32, u32)>,
-    /// Not sooner than this after it was given up.
+    /// The minimum time since delivery was given up.
     pub not_before: Micros,
-    /// So many times at most.
+    /// The maximum number of resends.
     pub times: u32,
-    /// Between two resends; each is longer by the factor `growth`, and `gap_most` at most.
+    /// The gap before the second resend. Each further gap is longer by the factor `growth`, up to `max_gap`.
     pub gap: Micros,
-    /// By what the gap grows.
+    /// The factor by which the gap grows.
     pub growth: f64,
     /// The longest gap.
-    pub gap_most: Micros,
+    pub max_gap: Micros,
 }
 
 impl Resend {
-    /// The gap before the next resend, after so many.
+    /// Returns the gap before the next resend, given the number of resends so far. There is none before the first.
     pub fn gap_after(&self, resends: u32) -> Micros {
         let grown = self.gap as f64 * self.growth.powi(resends.saturating_sub(1).min(1000) as i32);
-        if resends == 0 { 0 } else { grown.min(self.gap_most as f64) as Micros }
+        if resends == 0 { 0 } else { grown.min(self.max_gap as f64) as Micros }
     }
 
-    /// From a time on, the first that lies in the window of the day.
+    /// Returns the first time in the daily window, not before `at`.
     pub fn in_window(&self, at: Micros) -> Micros {
         const MINUTE: Micros = 60_000_000;
         let Some((from, until)) = self.window else { return at };
-        let day = i64::from(DAY) * MINUTE;
+        let day = i64::from(MINUTES_PER_DAY) * MINUTE;
         let (midnight, minute) = (at.div_euclid(day) * day, (at.rem_euclid(day) / MINUTE) as u32);
         let inside =
             if from < until { (from..until).contains(&minute) } else { minute >= from || minute < until };
@@ -133,28 +132,28 @@
     }
 }
 
-/// One rule.
+/// A checked rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// What it is called in lists; its place in the file where it has no name of its own.
+    /// The name shown in lists. A rule without a name is named by its position in the file.
     pub name: String,
     receivers: Option<BTreeSet<i64>>,
     classes: Option<BTreeSet<String>>,
     reasons: Option<BTreeSet<Reason>>,
-    /// Whether what it matches is kept at all.
+    /// Whether matching messages are retained at all.
     pub keep: bool,
-    /// When it is sent again; never where there is none.
+    /// When debts are resent; never if `None`.
     pub resend: Option<Resend>,
-    /// How long it is owed.
+    /// How long after being given up a debt expires; never if `None`.
     pub owed_for: Option<Micros>,
-    /// What becomes of it then.
-    pub then: Then,
-    /// A newer message with the same receiver, class and key takes its place.
+    /// What happens to a debt that expires.
+    pub on_expiry: ExpiryAction,
+    /// Whether a newer message with the same receiver, class and key replaces a debt.
     pub supersede: bool,
 }
 
 impl Rule {
-    /// Whether it speaks of such a message.
+    /// Returns whether the rule applies to a message of this receiver, class and reason.
     pub fn matches(&self, dest: i64, class: &str, reason: Reason) -> bool {
         self.receivers.as_ref().is_none_or(|r| r.contains(&dest))
             && self.classes.as_ref().is_none_or(|c| c.contains(class))
@@ -162,128 +161,135 @@
     }
 }
 
-/// All of them, checked.
+/// The checked section `[owed]`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// What the store may take on disk, in bytes.
+    /// The maximum size of the store on disk, in bytes.
     pub max_bytes: u64,
-    /// Resends a second, to all receivers together.
+    /// The rate of resends per second, to all receivers together.
     pub resends_per_s: f64,
     /// The rules, in order.
     pub rules: Vec<Rule>,
 }
 
-/// Rules that can't be used. Nothing of them has taken effect.
+/// Rules that are rejected. None of them has taken effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RulesError {
-    /// It is no such section.
+    /// The text is not TOML, or not a section of this form.
     #[error("{0}")]
     Unreadable(String),
-    /// All that was found in it.
+    /// All findings.
     #[error("{}", .0.iter().map(|f| f.message.as_str()).collect::<Vec<_>>().join("; "))]
-    Wrong(Vec<Finding>),
+    Invalid(Vec<Finding>),
 }
 
 impl Rules {
-    /// Reads rules from the text of a section by itself.
+    /// Parses and checks the text of a section on its own.
     ///
     /// # Errors
-    /// When it can't be read, or something in it is wrong.
-    pub fn read(text: &str, classes: &[ClassFacts]) -> Result<Rules, RulesError> {
+    /// When it can't be parsed, or has any finding.
+    pub fn parse(text: &str, classes: &[ClassFacts]) -> Result<Rules, RulesError> {
         let section: Section = toml::from_str(text).map_err(|e| RulesError::Unreadable(e.to_string()))?;
-        section.check(classes).map_err(RulesError::Wrong)
+        section.check(classes).map_err(RulesError::Invalid)
     }
 
-    /// The rule that holds for such a message.
-    pub fn rule_of(&self, dest: i64, class: &str, reason: Reason) -> Option<&Rule> {
+    /// Returns the first rule that matches a message of this receiver, class and reason.
+    pub fn rule_for(&self, dest: i64, class: &str, reason: Reason) -> Option<&Rule> {
         self.rules.iter().find(|r| r.matches(dest, class, reason))
     }
 
-    /// The receivers that are named in any rule. All others fare alike.
-    pub fn receivers(&self) -> BTreeSet<i64> {
+    /// Returns the receivers named in any rule. The same rules apply to all others.
+    pub fn named_receivers(&self) -> BTreeSet<i64> {
         self.rules.iter().filter_map(|r| r.receivers.as_ref()).flatten().copied().collect()
     }
 
-    /// The rule that holds for a debt.
-    pub fn of(&self, debt: &Debt) -> Option<&Rule> {
-        self.rule_of(debt.message.dest, &debt.message.class, debt.reason)
+    /// Returns the first rule that matches a debt.
+    pub fn rule_for_debt(&self, debt: &Debt) -> Option<&Rule> {
+        self.rule_for(debt.message.dest, &debt.message.class, debt.reason)
     }
 
-    /// Whether a message that ends so is to be kept. One that no rule speaks of is not.
+    /// Returns whether a message given up for this reason is retained. It is not if no rule matches.
     pub fn keeps(&self, dest: i64, class: &str, reason: Reason) -> bool {
-        self.rule_of(dest, class, reason).is_some_and(|rule| rule.keep)
+        self.rule_for(dest, class, reason).is_some_and(|rule| rule.keep)
     }
 }
 
+/// Checks rules and collects the findings.
 struct Check<'a> {
     classes: &'a [ClassFacts],
-    found: Vec<Finding>,
+    findings: Vec<Finding>,
 }
 
 impl Check<'_> {
-    fn say(&mut self, place: Range<usize>, what: impl Into<String>) {
-        self.found.push(Finding { span: place, message: what.into() });
+    fn report(&mut self, place: Range<usize>, message: impl Into<String>) {
+        self.findings.push(Finding { span: place, message: message.into() });
     }
 
-    fn span(
-        &mut self,
-        place: &Range<usize>,
-        name: &str,
-        span: Option<Duration>,
-        otherwise: Micros,
-    ) -> Micros {
-        let Some(span) = span else { return otherwise };
-        if span > SPAN_MOST {
-            self.say(place.clone(), format!("'{name}' is ten years at most"));
+    fn span(&mut self, place: &Range<usize>, name: &str, span: Option<Duration>, default: Micros) -> Micros {
+        let Some(span) = span else { return default };
+        if span > MAX_SPAN {
+            self.report(place.clone(), format!("'{name}' must be at most ten years"));
         }
-        span.min(SPAN_MOST).as_micros() as Micros
+        span.min(MAX_SPAN).as_micros() as Micros
     }
 }
 
 impl Section {
-    /// Checks the whole of it against the classes that the daemon's settings know.
+    /// Checks the complete section against the message classes of the daemon's settings.
     ///
     /// # Errors
-    /// All findings, in the order of the file.
+    /// Returns all findings, with their byte ranges in the text.
     pub fn check(&self, classes: &[ClassFacts]) -> Result<Rules, Vec<Finding>> {
-        let mut c = Check { classes, found: Vec::new() };
+        let mut check = Check { classes, findings: Vec::new() };
         let max_mb = *self.max_mb.get_ref();
         if !(0.1..=1e6).contains(&max_mb) {
-            c.say(self.max_mb.span(), "'max_mb' lies between 0.1 and 1000000: room on disk in MB");
+            check.report(
+                self.max_mb.span(),
+                format!("'max_mb', the room on disk in MB, must be between 0.1 and 1000000, got {max_mb}"),
+            );
         }
         let resends_per_s = *self.resends_per_s.get_ref();
         if !(resends_per_s > 0.0 && resends_per_s <= 1e5) {
-            let what = "'resends_per_s' lies above 0, and at most at 100000; to send nothing again, give no 'resend'";
-            c.say(self.resends_per_s.span(), what);
+            let message = format!(
+                "'resends_per_s' must be above 0 and at most 100000, got {resends_per_s}; to resend nothing, leave out \
+                 'resend'"
+            );
+            check.report(self.resends_per_s.span(), message);
         }
-        if let Some(rule) = self.rule.get(RULES_MOST) {
-            c.say(
+        if let Some(rule) = self.rule.get(MAX_RULES) {
+            check.report(
                 rule.span(),
-                format!("more than {RULES_MOST} rules: give several receivers to one of them"),
+                format!("more than {MAX_RULES} rules: merge some by listing several receivers in one rule"),
             );
         }
         let mut names = BTreeSet::new();
         let mut rules: Vec<Rule> = Vec::new();
-        for (n, raw) in self.rule.iter().enumerate().take(RULES_MOST) {
-            let rule = c.rule(n, raw);
+        for (n, raw) in self.rule.iter().enumerate().take(MAX_RULES) {
+            let rule = check.rule(n, raw);
             if !names.insert(rule.name.clone()) {
-                c.say(raw.span(), format!("two rules are named '{}': rename one", rule.name));
+                check.report(raw.span(), format!("two rules are named '{}': rename one of them", rule.name));
             }
-            // What an earlier one takes in whole is never reached: the order is wrong, or the rule is dead.
+            // A rule is never reached if an earlier one matches everything that it does.
             if let Some(earlier) = rules.iter().find(|earlier| covers(earlier, &rule)) {
-                let what =
-                    format!("'{}' before it matches all that it does: put it first, or out", earlier.name);
-                c.say(raw.span(), what);
+                let message = format!(
+                    "this rule never applies: rule '{}' before it matches all that it does. Move this rule before it, or \
+                     remove it",
+                    earlier.name
+                );
+                check.report(raw.span(), message);
             }
             rules.push(rule);
         }
-        match c.found {
-            found if found.is_empty() => Ok(Rules { max_bytes: (max_mb * 1e6) as u64, resends_per_s, rules }),
-            found => Err(found),
+        match check.findings {
+            findings if findings.is_empty() => {
+                Ok(Rules { max_bytes: (max_mb * 1e6) as u64, resends_per_s, rules })
+            }
+            findings => Err(findings),
         }
     }
 }
 
+/// Returns whether `earlier` matches everything that `later` does.
 fn covers(earlier: &Rule, later: &Rule) -> bool {
     fn all<T: Ord>(earlier: &Option<BTreeSet<T>>, later: &Option<BTreeSet<T>>) -> bool {
         match (earlier, later) {
@@ -307,9 +313,9 @@
             (raw.reason.as_ref().map(Vec::is_empty), "reason"),
         ] {
             if list == Some(true) {
-                self.say(
+                self.report(
                     place.clone(),
-                    format!("'{field}' is empty and matches nothing: leave it out to match all"),
+                    format!("'{field}' is empty and matches nothing: leave it out to match everything"),
                 );
             }
         }
@@ -317,7 +323,10 @@
             if !self.classes.iter().any(|c| c.name == *class.get_ref()) {
                 let known: Vec<_> = self.classes.iter().map(|c| c.name.as_str()).collect();
                 let (class, place) = (class.get_ref(), class.span());
-                self.say(place, format!("no class is named '{class}': there are {}", known.join(", ")));
+                self.report(
+                    place,
+                    format!("no class is named '{class}': the classes are {}", known.join(", ")),
+                );
             }
         }
         let named: Option<BTreeSet<String>> =
@@ -325,54 +334,59 @@
         if !raw.keep
             && (raw.resend.is_some() || raw.owed_for.is_some() || raw.then.is_some() || raw.supersede)
         {
-            self.say(
+            self.report(
                 place.clone(),
-                "what is not kept can't be sent again, owed or replaced: 'keep = false' stands alone",
+                "'keep = false' stands alone: remove 'resend', 'owed_for', 'then' and 'supersede'",
             );
         }
         if raw.then.is_some() && raw.owed_for.is_none() {
-            self.say(place.clone(), "'then' tells what follows 'owed_for': give that too");
+            self.report(place.clone(), "'then' applies when 'owed_for' has passed: set that too");
         }
         let resend = raw.resend.as_ref().map(|r| self.resend(r));
         let classes = self.classes;
-        let mine = || classes.iter().filter(|c| named.as_ref().is_none_or(|n| n.contains(&c.name)));
+        let matched_classes =
+            || classes.iter().filter(|c| named.as_ref().is_none_or(|n| n.contains(&c.name)));
         if raw.supersede
-            && let Some(class) = mine().find(|c| c.effect != Effect::Safe)
+            && let Some(class) = matched_classes().find(|c| c.effect != Effect::Safe)
         {
-            let what = format!(
-                "'supersede' drops a message for a newer one, and class '{}' does not overwrite: each of its messages \
-                 has an effect of its own. Name the classes that are safe to repeat",
+            let message = format!(
+                "'supersede' drops a message for a newer one, but class '{}' does not overwrite: each of its messages \
+                 has an effect of its own. List only classes that are safe to repeat",
                 class.name
             );
-            self.say(place.clone(), what);
+            self.report(place.clone(), message);
         }
-        // With doubt named on purpose the operator expects it to be sent: that would break the second rule. Where a
-        // rule speaks of other reasons too, or of all, doubt is passed over in silence by the plan.
-        let doubt = raw.reason.as_ref().is_some_and(|r| r.contains(&Reason::MayHaveRun));
-        if let (true, Some(resend), Some(raw_resend)) = (doubt, &resend, &raw.resend) {
-            for class in mine() {
-                let what = match class.effect {
+        // An operator who lists 'may-have-run' expects such messages to be resent, which could give a second effect:
+        // the second of the six rules forbids it. A rule without a list of reasons is accepted, and `plan` does not
+        // resend messages in doubt.
+        let lists_doubt = raw.reason.as_ref().is_some_and(|r| r.contains(&Reason::MayHaveRun));
+        if let (true, Some(resend), Some(raw_resend)) = (lists_doubt, &resend, &raw.resend) {
+            for class in matched_classes() {
+                let message = match class.effect {
                     Effect::Unsafe => format!(
-                        "class '{}' must never take effect twice, and what may have run is not sent again by a rule: \
-                         leave 'may-have-run' out, and resolve each of them by its own word",
+                        "class '{}' must never take effect twice, so no rule may resend messages that may have run: \
+                         remove 'may-have-run', and resolve each such message by a verdict",
                         class.name
                     ),
                     Effect::Keyed if resend.not_before >= class.window => format!(
-                        "receivers forget a key of class '{}' after {} s, and this rule sends it again only later: \
-                         leave 'may-have-run' out, or resend sooner",
+                        "receivers forget a key of class '{}' after {} s, and 'not_before' of this rule is not shorter: \
+                         remove 'may-have-run', or shorten 'not_before'",
                         class.name,
                         class.window / 1_000_000
                     ),
                     _ => continue,
                 };
-                self.say(raw_resend.span(), what);
+                self.report(raw_resend.span(), message);
             }
         }
         let owed_for = raw.owed_for.map(|span| self.span(&place, "owed_for", Some(span), 0));
         if let (Some(owed_for), Some(resend)) = (owed_for, &resend)
             && resend.not_before >= owed_for
         {
-            self.say(place.clone(), "'not_before' lies past 'owed_for': it would never be sent again");
+            self.report(
+                place.clone(),
+                "'not_before' is not shorter than 'owed_for': the message would never be sent again",
+            );
         }
         Rule {
             name,
@@ -382,7 +396,7 @@
             keep: raw.keep,
             resend,
             owed_for,
-            then: raw.then.unwrap_or_default(),
+            on_expiry: raw.then.unwrap_or_default(),
             supersede: raw.supersede,
         }
     }
@@ -390,46 +404,47 @@
     fn resend(&mut self, raw: &Spanned<RawResend>) -> Resend {
         let (place, raw) = (raw.span(), raw.get_ref());
         if *raw.times.get_ref() == 0 {
-            self.say(raw.times.span(), "'times' is 0: leave 'resend' out to send nothing again");
+            self.report(raw.times.span(), "'times' is 0: to resend nothing, leave out 'resend'");
         }
         let growth = *raw.growth.get_ref();
         if !(1.0..=100.0).contains(&growth) {
-            self.say(
+            self.report(
                 raw.growth.span(),
-                "'growth' lies between 1 and 100: a gap is never shorter than the one before",
+                format!("'growth' must be between 1 and 100, so that gaps never shrink; got {growth}"),
             );
         }
-        // A resend that comes to nothing is at once due again where there is no gap.
+        // Without a gap, a resend that fails would be due again at once.
         if raw.gap < Duration::from_secs(1) {
-            self.say(place.clone(), "'gap' is a second at least");
+            self.report(place.clone(), format!("'gap' must be a second at least, got {:?}", raw.gap));
         }
         let gap = self.span(&place, "gap", Some(raw.gap), 0);
-        let gap_most = self.span(&place, "gap_most", raw.gap_most, gap.max(24 * 3_600_000_000));
-        if gap_most < gap {
-            self.say(place.clone(), "'gap_most' is shorter than 'gap'");
+        let max_gap = self.span(&place, "gap_most", raw.gap_most, gap.max(24 * 3_600_000_000));
+        if max_gap < gap {
+            self.report(place.clone(), "'gap_most' is shorter than 'gap'");
         }
         let window = raw.window.as_ref().and_then(|w| {
-            let read = window(w.get_ref());
-            if read.is_none() {
-                let what = "'window' is two unlike times of the day, UTC, such as \"18:00-23:30\" or \"22:00-02:00\"";
-                self.say(w.span(), what);
+            let parsed = parse_window(w.get_ref());
+            if parsed.is_none() {
+                let message = "'window' must be two different times of the day, UTC, such as \"18:00-23:30\" or \
+                               \"22:00-02:00\"";
+                self.report(w.span(), message);
             }
-            read
+            parsed
         });
         Resend {
-            well_for: self.span(&place, "well_for", raw.well_for, 0),
+            healthy_for: self.span(&place, "well_for", raw.well_for, 0),
             window,
             not_before: self.span(&place, "not_before", raw.not_before, 0),
             times: *raw.times.get_ref(),
             gap,
             growth: if growth.is_finite() { growth.clamp(1.0, 100.0) } else { 1.0 },
-            gap_most,
+            max_gap,
         }
     }
 }
 
-/// Minutes of the day from a window such as `18:00-23:30`.
-fn window(text: &str) -> Option<(u32, u32)> {
+/// Parses a window such as `18:00-23:30` into minutes of the day.
+fn parse_window(text: &str) -> Option<(u32, u32)> {
     let minute = |text: &str| -> Option<u32> {
         let (hours, minutes) = text.trim().split_once(':')?;
         let digits = |t: &str| t.len() == 2 && t.bytes().all(|b| b.is_ascii_digit());
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -1,16 +1,16 @@
-//! Debts on disk: one redb file, each change one transaction that is synced before it counts.
+//! The persistent store of debts: one redb file. Each change is one transaction, synced before the call returns.
 //!
 //! | table | key | value |
 //! | --- | --- | --- |
-//! | `debts` | number | [`Debt`] with no body, and when it is next looked at, in postcard's form |
+//! | `debts` | number | [`Debt`] without its body, and its due time, encoded with postcard |
 //! | `bodies` | number | the body |
-//! | `requests` | request id | number: a message is owed once |
-//! | `due` | time, number | nothing: what is looked at next |
-//! | `facets` | receiver, class, reason, number | nothing: lists by any of them |
-//! | `counts` | receiver, class, reason, state | how many |
-//! | `meta` | name | the form's version, the next number, live bytes |
+//! | `requests` | request id | number; a message is owed only once |
+//! | `due` | time, number | none; the order in which debts are due |
+//! | `facets` | receiver, class, reason, number | none; the index for lists |
+//! | `counts` | receiver, class, reason, state | number of debts |
+//! | `meta` | name | the format version, the next number, the live bytes |
 //!
-//! Calls block on the disk: a caller that must not block has them done on a thread of its own.
+//! All calls block on disk I/O. A caller that must not block runs them on a separate thread.
 
 use crate::debt::{Debt, DebtId, Reason, State};
 use bytes::Bytes;
@@ -29,109 +29,110 @@
 const COUNTS: TableDefinition<(i64, &str, u8, u8), u64> = TableDefinition::new("counts");
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 
-/// The form of what is stored. A file of a later one is refused, not misread.
-const VERSION: u64 = 1;
-/// What a debt takes beside its own bytes, in all tables together: keys, and its part of the pages.
-const OVERHEAD: u64 = 256;
-/// The file is this much larger than what is live at most: old pages stand beside new ones until a commit, and pages
-/// are filled in part.
-const SLACK: u64 = 2;
-/// What an empty file takes.
-const EMPTY: u64 = 1 << 20;
-/// Pages that are held in memory, in bytes: what a daemon on 32 MB can spare.
-const CACHE: usize = 1 << 20;
-
-/// Why a store could not do what it was asked for. Nothing has changed then.
+/// The version of the stored format. A file with a later version is rejected rather than misread.
+const FORMAT_VERSION: u64 = 1;
+/// The bytes that a debt takes in addition to its own, over all tables: keys and its share of the pages.
+const ENTRY_OVERHEAD_BYTES: u64 = 256;
+/// The maximum ratio of the file size to the live bytes: until a commit old pages coexist with new ones, and pages are
+/// only partly filled.
+const FILE_SIZE_FACTOR: u64 = 2;
+/// The size of an empty file.
+const EMPTY_FILE_BYTES: u64 = 1 << 20;
+/// The size of the page cache: what a daemon on 32 MB of memory can spare.
+const CACHE_BYTES: usize = 1 << 20;
+
+/// Why an operation of the store failed. Nothing has changed then.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// There is no room: the newcomer is not kept.
+    /// There is no room for a new debt.
     #[error(
-        "the store of what is owed is full: {live} of {most} bytes; raise 'max_mb', or settle some of it"
+        "the store of owed messages is full: {live} of {max} bytes in use; raise 'max_mb', or settle some debts"
     )]
     Full {
-        /// Live bytes.
+        /// The live bytes.
         live: u64,
-        /// What the operator allows, slack taken off.
-        most: u64,
+        /// The maximum of live bytes, which follows from the operator's limit on the file.
+        max: u64,
     },
     /// The file was written by a later release.
     #[error(
-        "the store has form {found}, and this release reads up to {VERSION}: start the release that wrote it"
+        "the store of owed messages has format version {found}, but this release reads only up to {FORMAT_VERSION}: \
+         start the release that wrote it"
     )]
     Version {
-        /// The form that it has.
+        /// The version of the file.
         found: u64,
     },
-    /// An entry can't be read. The others can.
-    #[error("what is owed under number {number} can't be read: {why}")]
+    /// A debt can't be read. Others still can.
+    #[error("owed message {number} can't be read: {cause}")]
     Damaged {
-        /// Its number.
+        /// The number of the debt.
         number: u64,
-        /// Why.
-        why: String,
+        /// The cause.
+        cause: String,
     },
-    /// No such debt.
-    #[error("nothing is owed under number {number}")]
+    /// There is no such debt.
+    #[error("no message is owed under number {number}")]
     Unknown {
-        /// The number that was asked for.
+        /// The requested number.
         number: u64,
     },
-    /// The disk, or the database on it.
-    #[error("the store of what is owed: {0}")]
+    /// The disk or the database failed.
+    #[error("the store of owed messages failed: {0}")]
     Disk(redb::Error),
 }
 
 impl<E: Into<redb::Error>> From<E> for StoreError {
-    fn from(e: E) -> Self {
-        StoreError::Disk(e.into())
+    fn from(error: E) -> Self {
+        StoreError::Disk(error.into())
     }
 }
 
 #[derive(Serialize, Deserialize)]
 struct Row {
     debt: Debt,
-    /// When it is next looked at.
+    /// When the debt is due to be examined next.
     due: Option<Micros>,
 }
 
-/// A row as it stands, and its bytes.
-struct Found {
+/// A stored row, and the length of its encoding.
+struct StoredRow {
     row: Row,
     length: u64,
 }
 
-/// What became of a message that was to be kept.
+/// The result of inserting a debt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
-    /// It is owed from now on.
+pub enum Inserted {
+    /// The debt is stored under this number.
     New(DebtId),
-    /// It was owed already, under this number; nothing has changed.
-    Before(DebtId),
+    /// The message was already owed under this number; nothing has changed.
+    Existing(DebtId),
 }
 
-/// Which debts a list is to show. All of what is given must hold.
+/// Selects the debts of a list. A debt must match all fields that are set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Filter {
-    /// Those to this receiver.
+    /// Debts to this receiver.
     pub receiver: Option<i64>,
-    /// Those of this class.
+    /// Debts of this class.
     pub class: Option<String>,
-    /// Those given up for this reason.
+    /// Debts given up for this reason.
     pub reason: Option<Reason>,
-    /// Those given up before this time.
+    /// Debts given up before this time.
     pub before: Option<Micros>,
 }
 
-/// What a filter let through.
+/// The debts that match a filter.
 #[derive(Debug, Default)]
-pub struct Listed {
-    /// The debts, with no bodies.
+pub struct DebtList {
+    /// The debts, without bodies.
     pub debts: Vec<(DebtId, Debt)>,
-    /// Those that can't be read.
+    /// The errors of debts that can't be read.
     pub damaged: Vec<StoreError>,
 }
 
-/// How many there are of a sort.
+/// The number of debts with the same receiver, class, reason and state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Count {
     /// The receiver.
@@ -140,62 +141,64 @@
     pub class: String,
     /// The reason.
     pub reason: Reason,
-    /// Whether they are owed, on their way, or settled.
+    /// The state: `owed`, `out` (in flight) or `settled`.
     pub state: &'static str,
-    /// How many.
+    /// The number of debts.
     pub debts: u64,
 }
 
-/// The store.
+/// The persistent store of debts.
 pub struct Store {
     db: Database,
-    most: u64,
+    max_live_bytes: u64,
 }
 
-fn facet(debt: &Debt) -> (i64, &str, u8) {
+fn facets_of(debt: &Debt) -> (i64, &str, u8) {
     (debt.message.dest, &debt.message.class, debt.reason as u8)
 }
 
-fn state(debt: &Debt) -> u8 {
+fn state_index(debt: &Debt) -> u8 {
     match debt.state {
         State::Owed => 0,
-        State::Out => 1,
+        State::InFlight => 1,
         State::Settled(_) => 2,
     }
 }
 
-const STATES: [&str; 3] = ["owed", "out", "settled"];
+/// The names of the states, by [`state_index`].
+const STATE_NAMES: [&str; 3] = ["owed", "out", "settled"];
 
 fn damaged(number: u64) -> impl Fn(postcard::Error) -> StoreError {
-    move |e| StoreError::Damaged { number, why: e.to_string() }
+    move |e| StoreError::Damaged { number, cause: e.to_string() }
 }
 
-fn read(number: u64, bytes: &[u8]) -> Result<Row, StoreError> {
+fn decode_row(number: u64, bytes: &[u8]) -> Result<Row, StoreError> {
     postcard::from_bytes(bytes).map_err(damaged(number))
 }
 
 fn builder() -> redb::Builder {
     let mut builder = redb::Builder::new();
-    builder.set_cache_size(CACHE);
+    builder.set_cache_size(CACHE_BYTES);
     builder
 }
 
-fn count(w: &WriteTransaction, debt: &Debt, more: bool) -> Result<(), StoreError> {
-    let (dest, class, reason) = facet(debt);
+/// Adds a debt to the counts or removes it from them.
+fn adjust_count(w: &WriteTransaction, debt: &Debt, add: bool) -> Result<(), StoreError> {
+    let (dest, class, reason) = facets_of(debt);
     let mut counts = w.open_table(COUNTS)?;
-    let key = (dest, class, reason, state(debt));
+    let key = (dest, class, reason, state_index(debt));
     let n = counts.get(key)?.map_or(0, |n| n.value());
-    match if more { n + 1 } else { n.saturating_sub(1) } {
+    match if add { n + 1 } else { n.saturating_sub(1) } {
         0 => _ = counts.remove(key)?,
         n => _ = counts.insert(key, n)?,
     }
     Ok(())
 }
 
-/// All tables exist from the first moment on, so that reading needs no case for one that does not.
-fn begin(db: &Database) -> Result<(), StoreError> {
+/// Creates all tables, so that reading need not handle a missing one.
+fn create_tables(db: &Database) -> Result<(), StoreError> {
     let w = db.begin_write()?;
-    w.open_table(META)?.insert("version", VERSION)?;
+    w.open_table(META)?.insert("version", FORMAT_VERSION)?;
     w.open_table(DEBTS)?;
     w.open_table(BODIES)?;
     w.open_table(REQUESTS)?;
@@ -207,11 +210,11 @@
 }
 
 impl Store {
-    /// Opens the store in a file, or begins one. It is begun under another name and moved once it is whole: a file
-    /// that a killed process left half made would open no more.
+    /// Opens the store in a file, or creates it. A new file is created under another name and renamed once it is
+    /// complete, because a file that a killed process left incomplete could not be opened.
     ///
     /// # Errors
-    /// When the file can't be opened, was written by a later release, or is no such store.
+    /// When the file can't be opened, was written by a later release, or is not a store.
     pub fn open(path: &Path, max_bytes: u64) -> Result<Store, StoreError> {
         let new = path.with_extension("new");
         if let Err(e) = std::fs::remove_file(&new)
@@ -220,87 +223,91 @@
             return Err(redb::Error::Io(e).into());
         }
         if !path.try_exists().map_err(redb::Error::Io)? {
-            drop(Store::with(builder().create(&new)?, max_bytes)?);
+            drop(Store::from_database(builder().create(&new)?, max_bytes)?);
             std::fs::rename(&new, path).map_err(redb::Error::Io)?;
         }
-        Store::with(builder().create(path)?, max_bytes)
+        Store::from_database(builder().create(path)?, max_bytes)
     }
 
-    /// The same on any backend: tests give one that fails on command.
+    /// Opens or creates the store on another storage backend. Tests use one that fails on command.
     ///
     /// # Errors
-    /// As [`Store::open`].
-    pub fn on(backend: impl StorageBackend, max_bytes: u64) -> Result<Store, StoreError> {
-        Store::with(builder().create_with_backend(backend)?, max_bytes)
+    /// As for [`Store::open`].
+    pub fn with_backend(backend: impl StorageBackend, max_bytes: u64) -> Result<Store, StoreError> {
+        Store::from_database(builder().create_with_backend(backend)?, max_bytes)
     }
 
-    /// A store that stands is only read at its start: writing would cost a sync.
-    fn with(db: Database, max_bytes: u64) -> Result<Store, StoreError> {
+    /// Opens a database. An existing one is only read, since writing would cost a sync.
+    fn from_database(db: Database, max_bytes: u64) -> Result<Store, StoreError> {
         match db.begin_read()?.open_table(META) {
-            Ok(meta) => match meta.get("version")?.map_or(VERSION, |v| v.value()) {
-                found if found > VERSION => return Err(StoreError::Version { found }),
+            Ok(meta) => match meta.get("version")?.map_or(FORMAT_VERSION, |v| v.value()) {
+                found if found > FORMAT_VERSION => return Err(StoreError::Version { found }),
                 _ => {}
             },
-            Err(TableError::TableDoesNotExist(_)) => begin(&db)?,
+            Err(TableError::TableDoesNotExist(_)) => create_tables(&db)?,
             Err(e) => return Err(e.into()),
         }
-        Ok(Store { db, most: max_bytes.saturating_sub(EMPTY) / SLACK })
+        Ok(Store { db, max_live_bytes: max_bytes.saturating_sub(EMPTY_FILE_BYTES) / FILE_SIZE_FACTOR })
     }
 
-    /// Keeps a message that was given up; synced when this returns. One that is owed already stays as it is: a
-    /// hand-over that was cut off is done again at the next start.
+    /// Stores the debt of a message; it is synced when this returns. A message that is already owed is left unchanged:
+    /// a transfer into the store that was interrupted is repeated at the next start.
     ///
     /// # Errors
-    /// When there is no room, or the disk fails: then it is not owed.
-    pub fn keep(&self, debt: &Debt, due: Option<Micros>) -> Result<Kept, StoreError> {
+    /// When there is no room, or the disk fails: then the message is not owed.
+    pub fn insert(&self, debt: &Debt, due: Option<Micros>) -> Result<Inserted, StoreError> {
         let w = self.db.begin_write()?;
-        let kept = self.enter(&w, debt, due)?;
+        let inserted = self.insert_in(&w, debt, due)?;
         w.commit()?;
-        Ok(kept)
+        Ok(inserted)
     }
 
-    /// Keeps many in one transaction, with one sync for all; in order, what became of each. One for which there is no
-    /// room does not keep out the others.
+    /// Stores many debts in one transaction with one sync, and returns the result of each in the same order. A debt for
+    /// which there is no room does not prevent the others.
     ///
     /// # Errors
-    /// When the disk fails: then none of them is owed.
-    pub fn keep_all<'a>(
+    /// When the disk fails: then none of the messages is owed.
+    pub fn insert_all<'a>(
         &self,
         debts: impl IntoIterator<Item = (&'a Debt, Option<Micros>)>,
-    ) -> Result<Vec<Result<Kept, StoreError>>, StoreError> {
+    ) -> Result<Vec<Result<Inserted, StoreError>>, StoreError> {
         let w = self.db.begin_write()?;
-        let mut became = Vec::new();
+        let mut results = Vec::new();
         for (debt, due) in debts {
-            match self.enter(&w, debt, due) {
-                Err(e @ StoreError::Full { .. }) => became.push(Err(e)),
-                other => became.push(Ok(other?)),
+            match self.insert_in(&w, debt, due) {
+                Err(e @ StoreError::Full { .. }) => results.push(Err(e)),
+                other => results.push(Ok(other?)),
             }
         }
         w.commit()?;
-        Ok(became)
+        Ok(results)
     }
 
-    /// Room is asked for first, so that one that finds none leaves no trace.
-    fn enter(&self, w: &WriteTransaction, debt: &Debt, due: Option<Micros>) -> Result<Kept, StoreError> {
+    /// Inserts a debt within a transaction. The room is checked first, so that a debt that finds none leaves no trace.
+    fn insert_in(
+        &self,
+        w: &WriteTransaction,
+        debt: &Debt,
+        due: Option<Micros>,
+    ) -> Result<Inserted, StoreError> {
         let request = debt.message.request_id.as_str();
         if let Some(number) = w.open_table(REQUESTS)?.get(request)?.map(|n| n.value()) {
-            return Ok(Kept::Before(DebtId(number)));
+            return Ok(Inserted::Existing(DebtId(number)));
         }
         let number = w.open_table(META)?.get("next")?.map_or(1, |n| n.value());
         self.put(w, number, debt, due, None)?;
         w.open_table(META)?.insert("next", number + 1)?;
         w.open_table(REQUESTS)?.insert(request, number)?;
         w.open_table(BODIES)?.insert(number, debt.message.body.as_ref())?;
-        let (dest, class, reason) = facet(debt);
+        let (dest, class, reason) = facets_of(debt);
         w.open_table(FACETS)?.insert((dest, class, reason, number), ())?;
-        Ok(Kept::New(DebtId(number)))
+        Ok(Inserted::New(DebtId(number)))
     }
 
-    /// Writes a debt as it is now in the place of what it was; synced when this returns. Receiver, class, reason and
-    /// body stay.
+    /// Replaces a stored debt; it is synced when this returns. Receiver, class, reason and body must not change.
     ///
     /// # Errors
-    /// When there is no such debt, or the disk fails: then it stays as it was.
+    /// When there is no such debt, or the disk fails: then it is unchanged.
     pub fn update(&self, id: DebtId, debt: &Debt, due: Option<Micros>) -> Result<(), StoreError> {
         let w = self.db.begin_write()?;
         let before = self.row(&w, id.0)?;
@@ -309,41 +316,42 @@
         Ok(())
     }
 
-    /// Takes a debt out.
+    /// Removes a debt.
     ///
     /// # Errors
-    /// When there is no such debt, or the disk fails: then it stays.
+    /// When there is no such debt, or the disk fails: then it is unchanged.
     pub fn remove(&self, id: DebtId) -> Result<(), StoreError> {
         let w = self.db.begin_write()?;
-        let Found { row, length } = self.row(&w, id.0)?;
+        let StoredRow { row, length } = self.row(&w, id.0)?;
         w.open_table(DEBTS)?.remove(id.0)?;
         let body = w.open_table(BODIES)?.remove(id.0)?.map_or(0, |b| b.value().len() as u64);
         w.open_table(REQUESTS)?.remove(row.debt.message.request_id.as_str())?;
-        let (dest, class, reason) = facet(&row.debt);
+        let (dest, class, reason) = facets_of(&row.debt);
         w.open_table(FACETS)?.remove((dest, class, reason, id.0))?;
         if let Some(due) = row.due {
             w.open_table(DUE)?.remove((due, id.0))?;
         }
-        count(&w, &row.debt, false)?;
-        self.weigh(&w, length + body + OVERHEAD, 0)?;
+        adjust_count(&w, &row.debt, false)?;
+        self.book_bytes(&w, length + body + ENTRY_OVERHEAD_BYTES, 0)?;
         w.commit()?;
         Ok(())
     }
 
-    fn row(&self, w: &WriteTransaction, number: u64) -> Result<Found, StoreError> {
+    fn row(&self, w: &WriteTransaction, number: u64) -> Result<StoredRow, StoreError> {
         let debts = w.open_table(DEBTS)?;
         let bytes = debts.get(number)?.ok_or(StoreError::Unknown { number })?;
         let bytes = bytes.value();
-        Ok(Found { row: read(number, bytes)?, length: bytes.len() as u64 })
+        Ok(StoredRow { row: decode_row(number, bytes)?, length: bytes.len() as u64 })
     }
 
-    /// Books live bytes. What becomes smaller, or stays, always fits: else a full store could settle nothing.
-    fn weigh(&self, w: &WriteTransaction, before: u64, after: u64) -> Result<(), StoreError> {
+    /// Replaces `before` by `after` in the count of live bytes. Only a new entry is checked against the limit;
+    /// otherwise nothing in a full store could be settled.
+    fn book_bytes(&self, w: &WriteTransaction, before: u64, after: u64) -> Result<(), StoreError> {
         let mut meta = w.open_table(META)?;
         let live = meta.get("live")?.map_or(0, |n| n.value());
         let now = live.saturating_sub(before) + after;
-        if before == 0 && now > self.most {
-            return Err(StoreError::Full { live, most: self.most });
+        if before == 0 && now > self.max_live_bytes {
+            return Err(StoreError::Full { live, max: self.max_live_bytes });
         }
         meta.insert("live", now)?;
         Ok(())
@@ -355,25 +363,25 @@
         number: u64,
         debt: &Debt,
         due: Option<Micros>,
-        before: Option<Found>,
+        before: Option<StoredRow>,
     ) -> Result<(), StoreError> {
-        let bare = crate::debt::Message { body: Bytes::new(), ..debt.message.clone() };
-        let row = Row { debt: Debt { message: bare, ..debt.clone() }, due };
+        let without_body = crate::debt::Message { body: Bytes::new(), ..debt.message.clone() };
+        let row = Row { debt: Debt { message: without_body, ..debt.clone() }, due };
         let bytes = postcard::to_stdvec(&row).map_err(damaged(number))?;
         let length = bytes.len() as u64;
         match &before {
-            // What is booked for the body stays: the debt may have been read without it.
-            Some(before) => self.weigh(w, before.length, length)?,
-            None => self.weigh(w, 0, length + debt.message.body.len() as u64 + OVERHEAD)?,
+            // The bytes booked for the body stay, because the debt may have been read without its body.
+            Some(before) => self.book_bytes(w, before.length, length)?,
+            None => self.book_bytes(w, 0, length + debt.message.body.len() as u64 + ENTRY_OVERHEAD_BYTES)?,
         }
         let mut dues = w.open_table(DUE)?;
-        if let Some(Found { row: before, .. }) = &before {
-            count(w, &before.debt, false)?;
+        if let Some(StoredRow { row: before, .. }) = &before {
+            adjust_count(w, &before.debt, false)?;
             if let Some(due) = before.due {
                 dues.remove((due, number))?;
             }
         }
-        count(w, &row.debt, true)?;
+        adjust_count(w, &row.debt, true)?;
         if let Some(due) = due {
             dues.insert((due, number), ())?;
         }
@@ -381,25 +389,25 @@
         Ok(())
     }
 
-    /// A debt, with its body if that is asked for.
+    /// Returns a debt, with its body if `with_body` is set.
     ///
     /// # Errors
-    /// When there is none, or it can't be read.
-    pub fn get(&self, id: DebtId, body: bool) -> Result<Debt, StoreError> {
+    /// When there is no such debt, or it can't be read.
+    pub fn get(&self, id: DebtId, with_body: bool) -> Result<Debt, StoreError> {
         let r = self.db.begin_read()?;
         let debts = r.open_table(DEBTS)?;
         let bytes = debts.get(id.0)?.ok_or(StoreError::Unknown { number: id.0 })?;
-        let mut debt = read(id.0, bytes.value())?.debt;
-        if body {
+        let mut debt = decode_row(id.0, bytes.value())?.debt;
+        if with_body {
             let bodies = r.open_table(BODIES)?;
             let body = bodies.get(id.0)?.map(|b| Bytes::copy_from_slice(b.value()));
             debt.message.body =
-                body.ok_or(StoreError::Damaged { number: id.0, why: "its body is gone".into() })?;
+                body.ok_or(StoreError::Damaged { number: id.0, cause: "its body is missing".into() })?;
         }
         Ok(debt)
     }
 
-    /// The number under which a message is owed.
+    /// Returns the number under which a message is owed, if it is.
     ///
     /// # Errors
     /// When the disk fails.
@@ -408,25 +416,25 @@
         Ok(requests.get(request_id)?.map(|n| DebtId(n.value())))
     }
 
-    /// What is due by now, soonest first, at most so many.
+    /// Returns at most `limit` debts that are due, earliest first.
     ///
     /// # Errors
     /// When the disk fails.
-    pub fn due(&self, now: Micros, most: usize) -> Result<Vec<DebtId>, StoreError> {
+    pub fn due(&self, now: Micros, limit: usize) -> Result<Vec<DebtId>, StoreError> {
         let dues = self.db.begin_read()?.open_table(DUE)?;
         let mut list = Vec::new();
-        for entry in dues.range(..=(now, u64::MAX))?.take(most) {
+        for entry in dues.range(..=(now, u64::MAX))?.take(limit) {
             list.push(DebtId(entry?.0.value().1));
         }
         Ok(list)
     }
 
-    /// Debts that a filter lets through, by receiver, class, reason and number, at most so many. Those that can't be
-    /// read are told beside them.
+    /// Returns at most `limit` debts that match a filter, ordered by receiver, class, reason and number. Debts that
+    /// can't be read are reported separately.
     ///
     /// # Errors
     /// When the disk fails.
-    pub fn list(&self, filter: &Filter, most: usize) -> Result<Listed, StoreError> {
+    pub fn list(&self, filter: &Filter, limit: usize) -> Result<DebtList, StoreError> {
         let r = self.db.begin_read()?;
         let (facets, debts) = (r.open_table(FACETS)?, r.open_table(DEBTS)?);
         let (from, until) = match filter.receiver {
@@ -434,7 +442,7 @@
             None => ((i64::MIN, "", 0, 0), (i64::MAX, char::MAX.to_string(), u8::MAX, u64::MAX)),
         };
         let until = (until.0, until.1.as_str(), until.2, until.3);
-        let mut listed = Listed::default();
+        let mut listed = DebtList::default();
         for entry in facets.range(from..=until)? {
             let key = entry?.0;
             let (_, class, reason, number) = key.value();
@@ -444,13 +452,13 @@
                 continue;
             }
             let row = match debts.get(number)? {
-                Some(bytes) => read(number, bytes.value()),
-                None => Err(StoreError::Damaged { number, why: "its entry is gone".into() }),
+                Some(bytes) => decode_row(number, bytes.value()),
+                None => Err(StoreError::Damaged { number, cause: "its entry is missing".into() }),
             };
             match row {
-                Ok(row) if filter.before.is_none_or(|t| row.debt.since < t) => {
+                Ok(row) if filter.before.is_none_or(|t| row.debt.given_up_at < t) => {
                     listed.debts.push((DebtId(number), row.debt));
-                    if listed.debts.len() >= most {
+                    if listed.debts.len() >= limit {
                         break;
                     }
                 }
@@ -461,7 +469,8 @@
         Ok(listed)
     }
 
-    /// How many there are of each sort, at a cost that goes by the sorts.
+    /// Returns the number of debts by receiver, class, reason and state. The cost depends on the number of
+    /// combinations, not on the number of debts.
     ///
     /// # Errors
     /// When the disk fails.
@@ -472,18 +481,18 @@
             let (key, n) = entry?;
             let (receiver, class, reason, state) = key.value();
             let reason = Reason::ALL.get(usize::from(reason)).copied().unwrap_or(Reason::Unsent);
-            let state = STATES.get(usize::from(state)).copied().unwrap_or("unknown");
+            let state = STATE_NAMES.get(usize::from(state)).copied().unwrap_or("unknown");
             list.push(Count { receiver, class: class.into(), reason, state, debts: n.value() });
         }
         Ok(list)
     }
 
-    /// Live bytes, and how many there may be.
+    /// Returns the live bytes and their maximum.
     ///
     /// # Errors
     /// When the disk fails.
-    pub fn room(&self) -> Result<(u64, u64), StoreError> {
+    pub fn usage(&self) -> Result<(u64, u64), StoreError> {
         let meta = self.db.begin_read()?.open_table(META)?;
-        Ok((meta.get("live")?.map_or(0, |n| n.value()), self.most))
+        Ok((meta.get("live")?.map_or(0, |n| n.value()), self.max_live_bytes))
     }
 }
--- a/crates/owed/tests/common/mod.rs
+++ b/crates/owed/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Debts by hand, and a disk that fails on command.
+//! Test data, and a simulated disk that fails on command.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -33,29 +33,29 @@
     }
 }
 
-pub fn attempt(at: Micros, ending: Ending) -> Attempt {
-    Attempt { endpoint: "s-1".into(), at, ending }
+pub fn attempt(at: Micros, outcome: AttemptOutcome) -> Attempt {
+    Attempt { endpoint: "s-1".into(), at, outcome }
 }
 
-pub fn debt(class: &str, endings: &[Ending]) -> Debt {
+pub fn debt(class: &str, outcomes: &[AttemptOutcome]) -> Debt {
     let attempts: Vec<_> =
-        endings.iter().enumerate().map(|(n, e)| attempt((n as Micros + 1) * S, *e)).collect();
+        outcomes.iter().enumerate().map(|(n, outcome)| attempt((n as Micros + 1) * S, *outcome)).collect();
     let reason = Reason::of(&attempts, true, 8);
     Debt::new(message("m1", class, 3), attempts, reason, 20 * S)
 }
 
-/// What a disk has, and what it has been told but not yet synced.
+/// The contents of a disk, and the writes that are not synced yet.
 #[derive(Debug, Default)]
 pub struct Disk {
     synced: Vec<u8>,
     written: Vec<u8>,
     pending: Vec<(u64, Vec<u8>)>,
     ops: u64,
-    /// After so many writes, syncs and changes of length all fails.
+    /// After this number of writes, syncs and length changes, every operation fails.
     pub dies_at: Option<u64>,
 }
 
-/// A handle on it; clones share the disk.
+/// A handle on a disk; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct Faulty(pub Arc<Mutex<Disk>>);
 
@@ -68,15 +68,16 @@
         self.disk().ops
     }
 
-    /// What is there after the process has died: all that was written.
-    pub fn killed(&self) -> Faulty {
+    /// Returns the disk as it is after the process was killed: with everything that was written.
+    pub fn after_kill(&self) -> Faulty {
         let disk = self.disk();
         let (synced, written) = (disk.written.clone(), disk.written.clone());
         Faulty(Arc::new(Mutex::new(Disk { synced, written, ..Disk::default() })))
     }
 
-    /// What is there after the power has gone: what was synced, and of the rest what the seed's bits say.
-    pub fn cut(&self, seed: u64) -> Faulty {
+    /// Returns the disk as it is after a power failure: with everything that was synced, and those of the other writes
+    /// that the bits of the seed select.
+    pub fn after_power_failure(&self, seed: u64) -> Faulty {
         let disk = self.disk();
         let mut bytes = disk.synced.clone();
         bytes.resize(bytes.len().max(disk.written.len()), 0);
@@ -94,7 +95,7 @@
 }
 
 impl Disk {
-    fn op(&mut self) -> io::Result<()> {
+    fn count_op(&mut self) -> io::Result<()> {
         self.ops += 1;
         match self.dies_at {
             Some(at) if self.ops > at => Err(io::Error::other("the disk has died")),
@@ -115,17 +116,17 @@
     }
     fn set_len(&self, len: u64) -> io::Result<()> {
         let mut disk = self.disk();
-        disk.op()?;
+        disk.count_op()?;
         disk.written.resize(len as usize, 0);
         Ok(())
     }
     fn sync_data(&self) -> io::Result<()> {
         let mut disk = self.disk();
-        disk.op()?;
+        disk.count_op()?;
         let len = disk.written.len();
         disk.synced.resize(len, 0);
         for (at, data) in std::mem::take(&mut disk.pending) {
-            // What was cut off since is gone.
+            // Skips writes beyond the length to which the file was truncated since.
             if let Some(place) = disk.synced.get_mut(at as usize..at as usize + data.len()) {
                 place.copy_from_slice(&data);
             }
@@ -134,7 +135,7 @@
     }
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let mut disk = self.disk();
-        disk.op()?;
+        disk.count_op()?;
         let at = offset as usize;
         disk.written[at..at + data.len()].copy_from_slice(data);
         disk.pending.push((offset, data.to_vec()));
--- a/crates/owed/tests/pace.rs
+++ b/crates/owed/tests/pace.rs
@@ -1,76 +1,82 @@
-//! Resends have a rate of their own, go to the well, and after fresh messages.
+//! Resends have a rate of their own, go only to healthy receivers, and yield to fresh messages.
 
 mod common;
 use common::*;
 use embershore_owed::Pacer;
-use embershore_owed::pace::RECEIVERS_MOST;
+use embershore_owed::pace::MAX_RECEIVERS;
 
-/// Resends to a receiver in so many seconds, asked for every 10 ms.
-fn resends(p: &mut Pacer, dest: &[i64], from: i64, seconds: i64) -> Vec<usize> {
-    let mut sent = vec![0; dest.len()];
+/// Returns the number of resends to each receiver within `seconds`, with an attempt to send every 10 ms.
+fn resends(p: &mut Pacer, dests: &[i64], from: i64, seconds: i64) -> Vec<usize> {
+    let mut sent = vec![0; dests.len()];
     for step in 0..seconds * 100 {
-        for (n, d) in dest.iter().enumerate() {
-            sent[n] += usize::from(p.take(*d, false, dest.len() > 1, (from + step * 10_000).max(0)));
+        for (n, dest) in dests.iter().enumerate() {
+            sent[n] += usize::from(p.try_take(*dest, false, dests.len() > 1, (from + step * 10_000).max(0)));
         }
     }
     sent
 }
 
 #[test]
-fn the_whole_backlog_goes_at_its_own_rate_and_no_receiver_takes_it_all() {
+fn the_backlog_is_resent_at_its_own_rate_and_no_receiver_takes_it_all() {
     let mut p = Pacer::new(10.0, 0);
-    (1..=3).for_each(|d| p.heard(d, true, 0));
+    (1..=3).for_each(|d| p.record_call(d, true, 0));
     let one = resends(&mut p, &[1], 0, 20)[0];
-    assert!((195..=211).contains(&one), "10 a second for 20 s, and a second's worth saved up: {one}");
+    assert!((195..=211).contains(&one), "10 a second for 20 s, and one second of burst: {one}");
     let three = resends(&mut p, &[1, 2, 3], 20 * S, 20);
     let all: usize = three.iter().sum();
     assert!((195..=211).contains(&all), "{three:?}");
-    assert!(three.iter().all(|n| *n <= 106), "one of them took more than half of it: {three:?}");
-    // An hour of quiet saves up a second's worth.
+    assert!(three.iter().all(|n| *n <= 106), "one receiver took more than half of the rate: {three:?}");
+    // An hour without resends accumulates only one second of burst.
     assert!(resends(&mut p, &[1], 3600 * S, 1)[0] <= 21);
-    // A clock that is set back fills nothing twice over.
+    // A clock that is set back does not refill the same time twice.
     assert!(resends(&mut p, &[1], 1800 * S, 10)[0] <= 1);
 }
 
 #[test]
-fn fresh_messages_go_first_and_the_unwell_get_none() {
+fn fresh_messages_go_first_and_unhealthy_receivers_get_no_resends() {
     let mut p = Pacer::new(10.0, 0);
-    p.heard(1, true, 0);
-    assert!(!p.take(1, true, false, S), "fresh ones wait for it");
-    assert!(p.take(1, false, false, S));
-    assert!(p.well(1, 5 * S, 5 * S) && !p.well(1, 5 * S, 4 * S));
-    p.heard(1, false, 6 * S);
-    assert!(!p.well(1, 0, 15 * S), "the last that was heard was a failure");
-    p.heard(1, true, 60 * S);
-    assert!(!p.well(1, 5 * S, 64 * S) && p.well(1, 5 * S, 65 * S), "counted anew");
+    p.record_call(1, true, 0);
+    assert!(!p.try_take(1, true, false, S), "fresh messages are pending");
+    assert!(p.try_take(1, false, false, S));
+    assert!(p.is_healthy(1, 5 * S, 5 * S) && !p.is_healthy(1, 5 * S, 4 * S));
+    p.record_call(1, false, 6 * S);
+    assert!(!p.is_healthy(1, 0, 15 * S), "the last call failed");
+    p.record_call(1, true, 60 * S);
+    assert!(
+        !p.is_healthy(1, 5 * S, 64 * S) && p.is_healthy(1, 5 * S, 65 * S),
+        "the time counts from the first success after the failure"
+    );
 }
 
 #[test]
-fn a_receiver_to_which_nothing_fresh_goes_is_tried_one_at_a_time() {
+fn a_receiver_without_fresh_messages_is_tried_with_one_debt_at_a_time() {
     let mut p = Pacer::new(10.0, 0);
-    assert!(p.well(2, 0, 0) && !p.well(2, 20 * S, 19 * S), "never heard of: as long a silence");
+    assert!(
+        p.is_healthy(2, 0, 0) && !p.is_healthy(2, 20 * S, 19 * S),
+        "no call yet: tried after the same time without calls"
+    );
     let mut tried = Vec::new();
     for step in 0..6000 {
         let now = step * 10_000;
-        if p.well(2, 20 * S, now) && p.take(2, false, false, now) {
+        if p.is_healthy(2, 20 * S, now) && p.try_take(2, false, false, now) {
             tried.push(now / S);
         }
-        // Each fails, a while after it went.
+        // Each try fails three seconds later.
         if tried.last().is_some_and(|at| now == (at + 3) * S) {
-            p.heard(2, false, now);
+            p.record_call(2, false, now);
         }
     }
-    assert_eq!(tried, [20, 43], "one, and the next after 20 s of silence");
-    p.heard(2, true, 60 * S);
-    assert!(p.well(2, 20 * S, 80 * S));
+    assert_eq!(tried, [20, 43], "one try, and the next after 20 s without calls");
+    p.record_call(2, true, 60 * S);
+    assert!(p.is_healthy(2, 20 * S, 80 * S));
 }
 
 #[test]
-fn what_is_remembered_of_receivers_is_bounded() {
+fn the_number_of_tracked_receivers_is_bounded() {
     let mut p = Pacer::new(10.0, 0);
-    for dest in 0..RECEIVERS_MOST as i64 + 10 {
-        p.heard(dest, false, dest);
+    for dest in 0..MAX_RECEIVERS as i64 + 10 {
+        p.record_call(dest, false, dest);
     }
-    assert!(p.well(0, 0, 5 * S), "the one heard of longest ago is forgotten");
-    assert!(!p.well(RECEIVERS_MOST as i64 + 9, 0, 5 * S));
+    assert!(p.is_healthy(0, 0, 5 * S), "the receiver with the oldest call is evicted");
+    assert!(!p.is_healthy(MAX_RECEIVERS as i64 + 9, 0, 5 * S));
 }
--- a/crates/owed/tests/rules.rs
+++ b/crates/owed/tests/rules.rs
@@ -1,26 +1,26 @@
-//! Rule files: bad ones are refused with the reason and the place, good ones hold as written.
+//! Rule files: invalid ones are rejected with the reason and the position, valid ones apply as written.
 
 mod common;
 use common::*;
-use embershore_owed::rules::{Finding, Then};
+use embershore_owed::rules::{ExpiryAction, Finding};
 use embershore_owed::*;
 
-fn refused(text: &str) -> Vec<Finding> {
-    match Rules::read(text, &classes()) {
-        Err(RulesError::Wrong(found)) => found,
-        other => panic!("{text} was not refused for what it says: {other:?}"),
+fn rejected(text: &str) -> Vec<Finding> {
+    match Rules::parse(text, &classes()) {
+        Err(RulesError::Invalid(found)) => found,
+        other => panic!("{text} was not rejected with findings: {other:?}"),
     }
 }
 
 #[test]
-fn a_bad_file_is_refused_with_the_reason_and_the_place() {
+fn an_invalid_file_is_rejected_with_the_reason_and_the_position() {
     let cases = [
         ("max_mb = 0", "room on disk", "0"),
         ("max_mb = 9\nresends_per_s = -1", "resends_per_s", "-1"),
         ("max_mb = 9\n[[rule]]\nclass = [\"pay\"]", "no class is named 'pay'", "\"pay\""),
         ("max_mb = 9\n[[rule]]\nreceiver = []", "matches nothing", "[[rule]]"),
         ("max_mb = 9\n[[rule]]\nkeep = false\nsupersede = true", "stands alone", "[[rule]]"),
-        ("max_mb = 9\n[[rule]]\nthen = \"drop\"", "give that too", "[[rule]]"),
+        ("max_mb = 9\n[[rule]]\nthen = \"drop\"", "set that too", "[[rule]]"),
         ("max_mb = 9\n[[rule]]\nsupersede = true", "does not overwrite", "[[rule]]"),
         ("max_mb = 9\n[[rule]]\n[[rule]]\nreceiver = [3]", "matches all that it does", "[[rule]]"),
         (
@@ -63,52 +63,55 @@
         ),
     ];
     for (text, what, place) in cases {
-        let found = refused(text);
+        let found = rejected(text);
         let hit = found.iter().find(|f| f.message.contains(what));
-        let hit = hit.unwrap_or_else(|| panic!("{text}\nwas refused for other reasons: {found:?}"));
+        let hit = hit.unwrap_or_else(|| panic!("{text}\nwas rejected for other reasons: {found:?}"));
         assert!(text[hit.span.clone()].starts_with(place), "{text}\npoints at {:?}", &text[hit.span.clone()]);
     }
     for text in
         ["max_mb = 9\nrules = 3", "max_mb = 9\n[[rule]]\nreason = [\"lost\"]", "max_mb = \"9\"", "[[rule]]"]
     {
-        assert!(matches!(Rules::read(text, &classes()), Err(RulesError::Unreadable(_))), "{text}");
+        assert!(matches!(Rules::parse(text, &classes()), Err(RulesError::Unreadable(_))), "{text}");
     }
     let many = format!(
         "max_mb = 9\n{}",
         (0..300).map(|n| format!("[[rule]]\nreceiver = [{n}]\n")).collect::<String>()
     );
-    assert!(refused(&many)[0].message.contains("more than 256 rules"));
-    // All that is wrong is told at once.
-    assert_eq!(refused("max_mb = 0\nresends_per_s = 0\n[[rule]]\nclass = [\"x\", \"y\"]").len(), 4);
+    assert!(rejected(&many)[0].message.contains("more than 256 rules"));
+    // All findings are reported at once.
+    assert_eq!(rejected("max_mb = 0\nresends_per_s = 0\n[[rule]]\nclass = [\"x\", \"y\"]").len(), 4);
 }
 
 #[test]
-fn the_first_rule_that_matches_holds() {
-    let rules = Rules::read(
+fn the_first_rule_that_matches_applies() {
+    let rules = Rules::parse(
         "max_mb = 9\n\
          [[rule]]\nname = \"none of 4\"\nreceiver = [4]\nkeep = false\n\
          [[rule]]\nname = \"payouts\"\nclass = [\"payout\"]\nreason = [\"down\", \"unsent\"]\nowed_for = \"2days\"\nthen = \"drop\"\n\
          [[rule]]\nname = \"rest\"",
         &classes(),
     )
-    .expect("a good file");
-    let name = |dest, class, reason| rules.rule_of(dest, class, reason).map(|r| r.name.as_str());
+    .expect("a valid file");
+    let name = |dest, class, reason| rules.rule_for(dest, class, reason).map(|r| r.name.as_str());
     assert_eq!(name(4, "payout", Reason::Down), Some("none of 4"));
     assert_eq!(name(3, "payout", Reason::Down), Some("payouts"));
     assert_eq!(name(3, "payout", Reason::MayHaveRun), Some("rest"));
     assert!(!rules.keeps(4, "quota", Reason::Gone) && rules.keeps(3, "quota", Reason::Gone));
-    assert_eq!((rules.rules[1].owed_for, rules.rules[1].then), (Some(2 * 86_400 * S), Then::Drop));
+    assert_eq!(
+        (rules.rules[1].owed_for, rules.rules[1].on_expiry),
+        (Some(2 * 86_400 * S), ExpiryAction::Drop)
+    );
     assert_eq!(rules.max_bytes, 9_000_000);
-    let none = Rules::read("max_mb = 9\n[[rule]]\nreceiver = [1]", &classes()).expect("a good file");
-    assert!(!none.keeps(2, "quota", Reason::Down), "what no rule speaks of is not kept");
+    let none = Rules::parse("max_mb = 9\n[[rule]]\nreceiver = [1]", &classes()).expect("a valid file");
+    assert!(!none.keeps(2, "quota", Reason::Down), "a message without a matching rule is not retained");
 }
 
 #[test]
-fn gaps_grow_and_windows_of_the_day_hold() {
+fn gaps_grow_and_daily_windows_apply() {
     let text = "max_mb = 9\n[[rule]]\nresend = { times = 9, gap = \"10s\", growth = 2.0, gap_most = \"35s\", \
                 window = \"22:00-02:30\", not_before = \"1min\" }";
-    let rules = Rules::read(text, &classes()).expect("a good file");
-    let resend = rules.rules[0].resend.as_ref().expect("it resends");
+    let rules = Rules::parse(text, &classes()).expect("a valid file");
+    let resend = rules.rules[0].resend.as_ref().expect("the rule resends");
     let gaps: Vec<_> = (0..5).map(|n| resend.gap_after(n) / S).collect();
     assert_eq!(gaps, [0, 10, 20, 35, 35]);
     let (day, hour) = (86_400 * S, 3600 * S);
@@ -118,10 +121,10 @@
     assert_eq!(
         resend.in_window(5 * day + 2 * hour + 30 * 60 * S),
         5 * day + 22 * hour,
-        "its end lies outside"
+        "the end of the window is exclusive"
     );
     let (at, after) = ("\"08:00-09:00\"", "\"22:00-02:30\"");
-    let rules = Rules::read(&text.replace(after, at), &classes()).expect("a good file");
-    let resend = rules.rules[0].resend.as_ref().expect("it resends");
+    let rules = Rules::parse(&text.replace(after, at), &classes()).expect("a valid file");
+    let resend = rules.rules[0].resend.as_ref().expect("the rule resends");
     assert_eq!(resend.in_window(5 * day + 10 * hour), 6 * day + 8 * hour, "the next day");
 }
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -6,8 +6,8 @@
 /// The maximum length of a name or a failure domain in bytes. Several records must fit into one datagram.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// No process starts or changes its record this often. A record with higher numbers is invalid, and no valid record could
-/// ever replace it.
+/// No process starts or changes its record this often. A record with higher numbers is invalid, and no valid record
+/// could ever replace it.
 const MAX_INCARNATION: u64 = 1 << 40;
 const MAX_REVISION: u32 = 1 << 24;
 
@@ -31,8 +31,8 @@
 pub struct Member {
     /// The name on the agreed member list, at most [`MAX_NAME_BYTES`] bytes.
     pub name: String,
-    /// The number of the process start on this state folder, from 1 for an empty folder. It is not the incarnation number
-    /// of SWIM, which `foca` keeps itself.
+    /// The number of the process start on this state folder, from 1 for an empty folder. It is not the incarnation
+    /// number of SWIM, which `foca` keeps itself.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// Grows within an incarnation, with each change of the record and each refutation of a reported death.
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -20,17 +20,19 @@
 
 /// The maximum size of a datagram in bytes: it fits into one Ethernet frame, with room for headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The maximum number of datagrams waiting to be sent. The oldest are dropped first, since any datagram may be lost anyway.
+/// The maximum number of datagrams waiting to be sent. The oldest are dropped first, since any datagram may be lost
+/// anyway.
 const MAX_SEND_QUEUE: usize = 1024;
 /// How often members that are not reachable are sent a request to join.
 const ANNOUNCE_INTERVAL_US: Micros = 1_000_000;
 /// How many of them are sent one each time.
 const ANNOUNCES_PER_INTERVAL: usize = 3;
-/// A member receives datagrams from the members it probes and from those that probe it, at least two a second. Fewer than
-/// this many senders within [`Times::recent_window`], itself included, mean that no majority is reachable.
+/// A member receives datagrams from the members it probes and from those that probe it, at least two a second. A majority
+/// counts as reachable only if this many members, itself included, have sent one within [`Times::recent_window`], or all
+/// of a smaller majority.
 const MIN_RECENT_MEMBERS: usize = 6;
-/// A process that has to refute its own death this often within [`Times::recent_window`] is displaced: the fleet accepts
-/// another process of the same name.
+/// A process that has to refute its own death this often within [`Times::recent_window`] is displaced: the fleet
+/// accepts another process of the same name.
 const DISPLACING_REFUTATIONS: usize = 3;
 /// Each member repeats an update this many times as often as a fleet without one-way network cuts needs.
 const GOSSIP_FACTOR: u8 = 3;
@@ -160,8 +162,8 @@
 }
 
 impl Peers {
-    /// Creates the state of a process that has just started and knows of no other member. The random choice of members to
-    /// probe and to gossip to follows from `seed`.
+    /// Creates the state of a process that has just started and knows of no other member. The random choice of members
+    /// to probe and to gossip to follows from `seed`.
     ///
     /// # Errors
     /// When its name is not on the agreed list.
@@ -271,7 +273,8 @@
         }
     }
 
-    /// Returns when to call [`Peers::tick`] next: early enough that a suspension of the process can be told from idleness.
+    /// Returns when to call [`Peers::tick`] next: early enough that a suspension of the process can be distinguished
+    /// from idleness.
     pub fn next_tick(&self) -> Micros {
         let pause_check = self.last_call + self.times.max_pause / 2;
         // A displaced process only keeps track of the time.
@@ -331,8 +334,8 @@
         View { others, majority, stale, displaced: self.displaced, dropped: self.dropped }
     }
 
-    /// Detects by the clock that this process was suspended. Pending timers are postponed by the length of the gap, so that
-    /// no member is declared down because this process did not read its datagrams.
+    /// Detects by the clock that this process was suspended. Pending timers are postponed by the length of the gap, so
+    /// that no member is declared down because this process did not read its datagrams.
     fn check_for_pause(&mut self, now: Micros) {
         let gap = now - self.last_call;
         self.last_call = now;
@@ -344,10 +347,10 @@
         (self.stale_until, self.announce_at) = (now + self.settle_time, now);
     }
 
-    /// Ends suspicions that would otherwise last forever: only the member that raised a suspicion runs a timer for it, and a
-    /// suspicion that arrives late, as from a process that was stopped, is no longer news to the suspect, which does not
-    /// refute it. If datagrams from the suspect arrived meanwhile, it is suspected again with a higher incarnation number,
-    /// so that it learns of the suspicion and refutes it; otherwise it is declared down.
+    /// Ends suspicions that would otherwise last forever: only the member that raised a suspicion runs a timer for it,
+    /// and a suspicion that arrives late, as from a process that was stopped, is outdated for the suspect, which does
+    /// not refute it. If datagrams from the suspect arrived meanwhile, it is suspected again with a higher incarnation
+    /// number, so that it learns of the suspicion and refutes it; otherwise it is declared down.
     fn renew_stuck_suspicions(&mut self, now: Micros) {
         let suspects: Vec<foca::Member<Member>> =
             self.foca.iter_members().filter(|m| m.state() == State::Suspect).cloned().collect();
--- a/crates/peer/src/view.rs
+++ b/crates/peer/src/view.rs
@@ -37,13 +37,13 @@
 pub struct View {
     /// The other members of the agreed list, by name.
     pub others: Vec<PeerView>,
-    /// More than half of the agreed list is reachable, and recent datagrams from others confirm it. This may become true
-    /// late, but becomes false early.
+    /// More than half of the agreed list is reachable, and recent datagrams from others confirm it. This may become
+    /// true late, but becomes false early.
     pub majority: bool,
     /// This process was suspended, and what it knows must not be acted on yet.
     pub stale: bool,
-    /// Another process uses this one's name, and the fleet accepts the other one. This process sends nothing more and must
-    /// not act under the name until it is restarted.
+    /// Another process uses this one's name, and the fleet accepts the other one. This process sends nothing more and
+    /// must not act under the name until it is restarted.
     pub displaced: bool,
     /// The number of datagrams dropped so far: too long, malformed, or with invalid records.
     pub dropped: u64,
--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -273,7 +273,7 @@
                 None => (answer.outcome, answer.over),
                 Some(states) => outcome_of_state(states.get(&item.request_id).map(String::as_str)),
             };
-            MessageOutcome { id: item.id, attempt: item.attempt, outcome, last: over }
+            MessageOutcome { id: item.id, attempt: item.attempt, outcome, closes_message: over }
         });
         let elapsed = start.elapsed().as_micros() as Micros;
         let Answer { wait, report, .. } = answer;
--- a/crates/sender/src/check.rs
+++ b/crates/sender/src/check.rs
@@ -4,7 +4,7 @@
 use crate::daemon::{Config, class_facts};
 use clap::Args;
 use embershore_options::{Options, OptionsError};
-use embershore_owed::rules::Then;
+use embershore_owed::rules::ExpiryAction;
 use embershore_owed::{ClassFacts, Reason, Rules};
 use embershore_peer::options::FleetOptions;
 use embershore_placement::options::PlacementOptions;
@@ -132,7 +132,7 @@
 
 /// In words, what a rule does with a message of this class that ended for this reason.
 fn fate(rules: &Rules, receiver: i64, class: &ClassFacts, reason: Reason) -> (Option<String>, String) {
-    let Some(rule) = rules.rule_of(receiver, &class.name, reason) else {
+    let Some(rule) = rules.rule_for(receiver, &class.name, reason) else {
         return (None, "not kept".into());
     };
     let name = Some(rule.name.clone());
@@ -146,7 +146,7 @@
     } else if let Some(r) = &rule.resend {
         words.push(format!("sent again {} times at most, {} apart", r.times, span(r.gap)));
         if r.growth > 1.0 {
-            words.push(format!("growing to {}", span(r.gap_most)));
+            words.push(format!("growing to {}", span(r.max_gap)));
         }
         if doubt && class.effect == Effect::Keyed {
             words.push("while its key is remembered, then in doubt".into());
@@ -158,9 +158,9 @@
         words.push("dropped for a newer one".into());
     }
     if let Some(owed_for) = rule.owed_for {
-        let then = match rule.then {
-            Then::Keep => "kept for inspection",
-            Then::Drop => "taken out",
+        let then = match rule.on_expiry {
+            ExpiryAction::Keep => "kept for inspection",
+            ExpiryAction::Drop => "taken out",
         };
         words.push(format!("after {} {then}", span(owed_for)));
     }
@@ -168,7 +168,7 @@
 }
 
 fn fates(rules: &Rules, classes: &[ClassFacts]) -> Vec<Fate> {
-    let named = rules.receivers();
+    let named = rules.named_receivers();
     // Any number that no rule names stands for all others.
     let other = (0..).find(|n| !named.contains(n)).unwrap_or(-1);
     let receivers = named.iter().map(|n| (Some(*n), *n)).chain([(None, other)]);
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -344,7 +344,7 @@
         self.out.remove(&call);
         let Ended { endpoint, fates, elapsed, wait, report } = ended;
         for fate in fates {
-            let (id, outcome, last) = (fate.id, fate.outcome, fate.last);
+            let (id, outcome, last) = (fate.id, fate.outcome, fate.closes_message);
             self.tell_called(id);
             if let Some(live) = self.live.get_mut(&id) {
                 live.call = None;
--- a/crates/sender/src/driver/replace.rs
+++ b/crates/sender/src/driver/replace.rs
@@ -98,7 +98,7 @@
         let begun = |id: MsgId| journal.get(id.0).is_none_or(|entry| entry.progress.out.is_some());
         let fate = |(id, attempt)| {
             let outcome = if begun(id) { Outcome::Cancelled } else { Outcome::Skipped };
-            MessageOutcome { id, attempt, outcome, last: false }
+            MessageOutcome { id, attempt, outcome, closes_message: false }
         };
         let fates: Vec<MessageOutcome> = former.out.into_keys().map(fate).collect();
         drop(journal);
