--- a/crates/placement/examples/bounds.rs
+++ b/crates/placement/examples/bounds.rs
@@ -67,7 +67,7 @@
             figure.name, figure.best, figure.worst
         );
     }
-    println!("table: {} bytes; budget 8000000", table.bytes());
+    println!("table: {} bytes; budget 8000000", table.memory_bytes());
     let broken = figures.iter().find(|figure| figure.budget.is_some_and(|budget| figure.best > budget));
     match broken {
         Some(figure) => {
--- a/crates/placement/examples/schemes.rs
+++ b/crates/placement/examples/schemes.rs
@@ -86,7 +86,7 @@
     Figures {
         name: "bounded loads, seat by seat (taken)".into(),
         build,
-        bytes: table.bytes(),
+        bytes: table.memory_bytes(),
         lookup: per_lookup(LOOKUPS, |dest| u32::from(table.owners(shard(i64::from(dest)))[0].0)),
         owners: owners(&table),
         after: owners(&lost),
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 
 use crate::conflicts::{ConflictRows, Domain, Grade, Layout, NOBODY, ROW, SPARES, pair_cost};
-use crate::hash::{GOLDEN, mix, mix_pair, scale};
+use crate::hash::{FIBONACCI_MULTIPLIER, mix, mix_pair, scale};
 use crate::list::SeatId;
 use crate::target::{Shares, Units, Weights};
 
@@ -101,7 +101,7 @@
 impl Search {
     fn probe(&mut self) -> u64 {
         self.probes += 1;
-        mix(self.key.wrapping_add(self.probes.wrapping_mul(GOLDEN)))
+        mix(self.key.wrapping_add(self.probes.wrapping_mul(FIBONACCI_MULTIPLIER)))
     }
 }
 
--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -33,7 +33,7 @@
     /// A seat is added behind the last one.
     Append(SeatForm),
     /// A destination's width changes; 1 makes it plain.
-    Widen(WideForm),
+    SetWidth(WideForm),
 }
 
 impl MemberList {
@@ -68,11 +68,11 @@
             Change::Vacate { seat } => self.vacate(*seat),
             Change::Fill { seat, member } => self.fill(*seat, member),
             Change::Append(seat) => self.append(seat),
-            Change::Widen(wide) => self.widen(*wide),
+            Change::SetWidth(wide) => self.set_checked_width(*wide),
         }
     }
 
-    fn widen(&mut self, wide: WideForm) -> Result<(), ListError> {
+    fn set_checked_width(&mut self, wide: WideForm) -> Result<(), ListError> {
         match u16::try_from(wide.width) {
             Ok(width @ 1..=MAX_WIDTH) => self.set_width(wide.dest, width),
             _ => Err(ListError::Width { dest: wide.dest, width: wide.width, max: MAX_WIDTH }),
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -200,7 +200,7 @@
     },
     /// An entry of `changes` that is none of the known ones, or several at once.
     #[error("changes[{index}] is not one change: give either seat with member, or append, or wide")]
-    NotOneChange {
+    AmbiguousChange {
         /// Index of the entry.
         index: usize,
     },
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -1,7 +1,7 @@
 //! The mixing functions that scheme 1 is pinned to: changing any of them is a new scheme number.
 
 /// 2^64 divided by the golden ratio, odd: the multiplier of Fibonacci hashing (Knuth, TAOCP volume 3, section 6.4).
-pub const GOLDEN: u64 = 0x9E37_79B9_7F4A_7C15;
+pub const FIBONACCI_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// The finaliser of SplitMix64 (Steele, Lea, Flood 2014): each bit of the input reaches each bit of the output.
 pub const fn mix(value: u64) -> u64 {
@@ -12,7 +12,7 @@
 
 /// A hash of two numbers, in which their order counts.
 pub const fn mix_pair(first: u64, second: u64) -> u64 {
-    mix(mix(first.wrapping_add(GOLDEN)).wrapping_add(second))
+    mix(mix(first.wrapping_add(FIBONACCI_MULTIPLIER)).wrapping_add(second))
 }
 
 /// Scales a 32-bit hash to `0..bound` without division (Lemire 2019); the bias is below `bound / 2^32`.
@@ -27,7 +27,7 @@
 impl Digest {
     /// A digest that begins at `start`, which sets apart digests of different things.
     pub const fn new(start: u64) -> Self {
-        Self(mix(start.wrapping_add(GOLDEN)))
+        Self(mix(start.wrapping_add(FIBONACCI_MULTIPLIER)))
     }
 
     /// Takes in one number.
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -15,11 +15,11 @@
 
 /// So many former owner lists of a shard are remembered; it has one more with each epoch that changes its owners within a
 /// hold. With more, the whole shard is put on hold instead.
-const MAX_FORMER: usize = 16;
+const MAX_SUPERSEDED_OWNER_LISTS: usize = 16;
 
 /// Something that was true and may still be acted upon by others until a time.
 #[derive(Clone, Debug)]
-struct Former<T> {
+struct Superseded<T> {
     value: T,
     until: Micros,
 }
@@ -30,13 +30,13 @@
     /// Until then another may have been the owner in place of this sender.
     ready_at: Option<Micros>,
     /// Earlier owners, this sender among them, under which keys may have had another preferred owner.
-    former: Vec<Former<Vec<SeatId>>>,
+    former: Vec<Superseded<Vec<SeatId>>>,
 }
 
 impl ShardHold {
     fn remember(&mut self, owners: &[SeatId], until: Micros) {
-        if self.former.len() < MAX_FORMER {
-            self.former.push(Former { value: owners.to_vec(), until });
+        if self.former.len() < MAX_SUPERSEDED_OWNER_LISTS {
+            self.former.push(Superseded { value: owners.to_vec(), until });
         } else {
             self.former.clear();
             self.ready_at = Some(until);
@@ -50,12 +50,12 @@
 
 /// A placement as one sender sees it: with the seat that it fills there.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Seated<'a> {
+pub(crate) struct SeatedPlacement<'a> {
     pub(crate) placement: &'a Placement,
     pub(crate) seat: Option<SeatId>,
 }
 
-impl Seated<'_> {
+impl SeatedPlacement<'_> {
     pub(crate) fn owns(&self, shard: ShardId) -> bool {
         self.seat.is_some_and(|seat| self.placement.owners(shard).contains(&seat))
     }
@@ -67,14 +67,14 @@
 
 /// The shards that an epoch gave to this sender and took from it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Difference {
+pub(crate) struct OwnershipDiff {
     pub(crate) gained: Vec<ShardId>,
     pub(crate) lost: Vec<ShardId>,
 }
 
-impl Difference {
+impl OwnershipDiff {
     /// What is owned after and was not before, and the other way round.
-    pub(crate) fn between(before: Option<Seated<'_>>, after: Seated<'_>) -> Self {
+    pub(crate) fn between(before: Option<SeatedPlacement<'_>>, after: SeatedPlacement<'_>) -> Self {
         let owned_before = |shard: ShardId| before.is_some_and(|before| before.owns(shard));
         let mut gained = after.shards();
         gained.retain(|&shard| !owned_before(shard));
@@ -82,7 +82,7 @@
         lost.retain(|&shard| !after.owns(shard));
         gained.sort_unstable();
         lost.sort_unstable();
-        Difference { gained, lost }
+        OwnershipDiff { gained, lost }
     }
 }
 
@@ -121,8 +121,8 @@
     }
 
     /// Takes over the next placement: what was not owned before is on hold, and so is a key whose preference moves here.
-    pub(crate) fn step(&mut self, before: Seated<'_>, after: Seated<'_>, until: Micros) {
-        let difference = Difference::between(Some(before), after);
+    pub(crate) fn step(&mut self, before: SeatedPlacement<'_>, after: SeatedPlacement<'_>, until: Micros) {
+        let difference = OwnershipDiff::between(Some(before), after);
         for shard in difference.gained {
             self.lost.remove(&shard);
             self.shards.insert(shard, ShardHold { ready_at: Some(until), former: Vec::new() });
@@ -162,29 +162,29 @@
 
 /// The numbers of owners that share a destination's limit, formerly.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FormerSharers {
-    replicas: Vec<Former<usize>>,
-    widths: BTreeMap<i64, Vec<Former<u16>>>,
+pub(crate) struct RecentSharing {
+    replicas: Vec<Superseded<usize>>,
+    widths: BTreeMap<i64, Vec<Superseded<u16>>>,
 }
 
-impl FormerSharers {
+impl RecentSharing {
     /// Remembers what changes from one list to the next.
     pub(crate) fn step(&mut self, before: &MemberList, after: &MemberList, until: Micros) {
         if before.replicas() != after.replicas() {
-            self.replicas.push(Former { value: before.replicas(), until });
+            self.replicas.push(Superseded { value: before.replicas(), until });
         }
-        let listed = before.wide().chain(after.wide()).map(|(dest, _)| dest);
+        let listed = before.wide_destinations().chain(after.wide_destinations()).map(|(dest, _)| dest);
         for dest in listed.filter(|&dest| before.width(dest) != after.width(dest)) {
             let widths = self.widths.entry(dest).or_default();
-            widths.push(Former { value: before.width(dest), until });
+            widths.push(Superseded { value: before.width(dest), until });
         }
     }
 
     /// Takes over what the last run remembered.
     pub(crate) fn restore(&mut self, replicas: usize, wide: &BTreeMap<i64, u16>, until: Micros) {
-        self.replicas.push(Former { value: replicas, until });
+        self.replicas.push(Superseded { value: replicas, until });
         for (&dest, &width) in wide {
-            self.widths.entry(dest).or_default().push(Former { value: width, until });
+            self.widths.entry(dest).or_default().push(Superseded { value: width, until });
         }
     }
 
@@ -202,7 +202,7 @@
 
     /// Destinations that are or were wide, with their greatest width.
     pub(crate) fn wide(&self, list: &MemberList, now: Micros) -> BTreeMap<i64, u16> {
-        let dests = self.widths.keys().copied().chain(list.wide().map(|(dest, _)| dest));
+        let dests = self.widths.keys().copied().chain(list.wide_destinations().map(|(dest, _)| dest));
         let widths = dests.map(|dest| (dest, self.greatest_width(dest, list.width(dest), now)));
         widths.filter(|&(_, width)| width > 1).collect()
     }
@@ -218,7 +218,7 @@
 
     /// Until when a key is on hold, as it belonged to another part of the destination.
     pub(crate) fn key(&self, dest: i64, width: u16, spread: u64, now: Micros) -> Option<Micros> {
-        let moved = |former: &&Former<u16>| part(spread, former.value) != part(spread, width);
+        let moved = |former: &&Superseded<u16>| part(spread, former.value) != part(spread, width);
         self.widths_of(dest, now).filter(moved).map(|former| former.until).max()
     }
 
@@ -237,7 +237,7 @@
         widths.chain(self.replicas.iter().map(|former| former.until)).max().filter(|&end| now < end)
     }
 
-    fn widths_of(&self, dest: i64, now: Micros) -> impl Iterator<Item = &Former<u16>> {
+    fn widths_of(&self, dest: i64, now: Micros) -> impl Iterator<Item = &Superseded<u16>> {
         self.widths.get(&dest).into_iter().flatten().filter(move |former| now < former.until)
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -31,18 +31,19 @@
 pub use changes::{Change, Changes};
 pub use domains::{RackId, ZoneId};
 pub use error::ListError;
-pub use forwarding::{DEFAULT_WAIT_MS, Forwarding, LEAST_PATIENCE, Outcome, Step, Verdict};
-pub use lease::{CLOCK_RATE_ALLOWANCE, Lease, LeaseTimes};
+pub use forwarding::{ClientReply, DEFAULT_WAIT_MS, ForwardOutcome, Forwarding, MIN_ANSWER_TIMEOUT_US, Step};
+pub use lease::{CLOCK_DRIFT_DIVISOR, Lease, LeaseTimes};
 pub use list::{
-    MAX_REGIONS, MAX_REPLICAS, MAX_SEATS, MAX_WIDE, MAX_WIDTH, Member, MemberList, Region, RegionId, SeatId,
+    MAX_REGIONS, MAX_REPLICAS, MAX_SEATS, MAX_WIDE_DESTINATIONS, MAX_WIDTH, Member, MemberList, Region,
+    RegionId, SeatId,
 };
-pub use ownership::{Heard, MAX_REPLAYED, Ownership, Remembered, Route, Takes};
-pub use placement::{Placement, Placements, Unshared};
+pub use ownership::{Admission, EpochUpdate, MAX_REPLAYED_CHANGES, Ownership, PersistedPlacement, Route};
+pub use placement::{Placement, PlacementSource, UnsharedPlacements};
 pub use preference::Request;
 pub use shard::{SHARDS, ShardId, shard, sub_shard};
 pub use table::Table;
 pub use weight::{MAX_WEIGHT, Weight};
-pub use wire::Answer;
+pub use wire::AgentAnswer;
 
 /// The scheme of placement that this version knows. Senders that share it and a member list share all owners; the golden
 /// digests in the tests pin it.
--- a/crates/placement/src/list.rs
+++ b/crates/placement/src/list.rs
@@ -24,7 +24,7 @@
 pub const MAX_WIDTH: u16 = 1024;
 
 /// The greatest number of wide destinations: they are exceptions, and each sender holds all of them (24 bytes each).
-pub const MAX_WIDE: usize = 65_536;
+pub const MAX_WIDE_DESTINATIONS: usize = 65_536;
 
 /// Number of a seat in the member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -128,7 +128,7 @@
             return Err(ListError::UnknownScheme { scheme: form.scheme, known: SCHEME });
         }
         check_count("seats", form.seats.len(), MAX_SEATS)?;
-        check_count("wide", form.wide.len(), MAX_WIDE)?;
+        check_count("wide", form.wide.len(), MAX_WIDE_DESTINATIONS)?;
         let mut list = Self {
             epoch: form.epoch,
             replicas: replicas(form.replicas)?,
@@ -214,7 +214,7 @@
     }
 
     /// Wide destinations and their widths, in order.
-    pub fn wide(&self) -> impl Iterator<Item = (i64, u16)> + '_ {
+    pub fn wide_destinations(&self) -> impl Iterator<Item = (i64, u16)> + '_ {
         self.wide.iter().map(|(&dest, &width)| (dest, width))
     }
 
@@ -334,7 +334,7 @@
             self.contents = self.contents.wrapping_sub(wide_digest(dest, before));
         }
         if width > 1 {
-            check_count("wide", self.wide.len() + 1, MAX_WIDE)?;
+            check_count("wide", self.wide.len() + 1, MAX_WIDE_DESTINATIONS)?;
             self.wide.insert(dest, width);
             self.contents = self.contents.wrapping_add(wide_digest(dest, width));
         }
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -11,22 +11,22 @@
 use toml::Spanned;
 
 /// Bytes of a member's name at most.
-const NAME_MOST: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// Control agents that can be named. More than a few only lengthen the search for one that answers.
-const CONTROL_MOST: usize = 8;
+const MAX_CONTROL_AGENTS: usize = 8;
 /// A shorter lease expires between two questions on a busy machine; a longer one keeps gained shards on hold for
 /// longer than an outage of most causes lasts.
 const LEASE_BOUNDS: RangeInclusive<Duration> = Duration::from_secs(2)..=Duration::from_secs(300);
-const LEASE_DEFAULT: Duration = Duration::from_secs(10);
+const DEFAULT_LEASE: Duration = Duration::from_secs(10);
 /// Questions to the control agent by default in the time of one lease.
-const ASKS_PER_LEASE: u32 = 4;
+const POLLS_PER_LEASE: u32 = 4;
 /// More frequent questions cost more than all else that a quiet member does.
-const ASK_EVERY_LEAST: Duration = Duration::from_millis(100);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// A longer lag of an agent keeps gained shards on hold for longer than an outage of most causes lasts.
-const AGENT_LAG_MOST: Duration = Duration::from_secs(300);
+const MAX_AGENT_LAG: Duration = Duration::from_secs(300);
 /// Kept connections to other members; they are taken from the descriptors that endpoints' connections may use.
 const OWNER_CONNECTIONS_BOUNDS: RangeInclusive<usize> = 1..=1024;
-const OWNER_CONNECTIONS_DEFAULT: usize = 64;
+const DEFAULT_OWNER_CONNECTIONS: usize = 64;
 
 /// The section as it is written. [`Section::check`] makes [`PlacementOptions`] of it.
 #[derive(Debug, Deserialize)]
@@ -52,16 +52,16 @@
     /// Where it listens for requests that other members forward.
     pub listen: SocketAddr,
     /// The control agents that tell the member list, asked in turn.
-    pub control: Vec<SocketAddr>,
+    pub control_agents: Vec<SocketAddr>,
     /// How long an answer of a control agent holds, counted from the question, in microseconds.
     pub lease: Micros,
     /// How often a control agent is asked, in microseconds.
-    pub ask_every: Micros,
+    pub poll_interval: Micros,
     /// How long an agent may still answer with an epoch after a later one was first told, in microseconds; see
     /// [`crate::LeaseTimes::agent_lag`].
     pub agent_lag: Micros,
     /// Kept connections to other members at most.
-    pub owner_connections: usize,
+    pub max_owner_connections: usize,
 }
 
 #[derive(Default)]
@@ -76,8 +76,8 @@
 
     fn name(&mut self, name: &Spanned<String>) -> String {
         let length = name.get_ref().len();
-        if !(1..=NAME_MOST).contains(&length) {
-            self.report(name.span(), format!("'name' has 1 to {NAME_MOST} bytes"));
+        if !(1..=MAX_NAME_BYTES).contains(&length) {
+            self.report(name.span(), format!("'name' has 1 to {MAX_NAME_BYTES} bytes"));
         }
         name.get_ref().clone()
     }
@@ -93,10 +93,11 @@
         usable
     }
 
-    fn control(&mut self, control: &Spanned<Vec<Spanned<String>>>) -> Vec<SocketAddr> {
+    fn control_agents(&mut self, control: &Spanned<Vec<Spanned<String>>>) -> Vec<SocketAddr> {
         let listed = control.get_ref();
-        if !(1..=CONTROL_MOST).contains(&listed.len()) {
-            let what = format!("'control' names 1 to {CONTROL_MOST} control agents, not {}", listed.len());
+        if !(1..=MAX_CONTROL_AGENTS).contains(&listed.len()) {
+            let what =
+                format!("'control' names 1 to {MAX_CONTROL_AGENTS} control agents, not {}", listed.len());
             self.report(control.span(), what);
         }
         let mut seen = BTreeSet::new();
@@ -113,7 +114,7 @@
     }
 
     fn lease(&mut self, lease: Option<&Spanned<Span>>) -> Duration {
-        let Some(lease) = lease else { return LEASE_DEFAULT };
+        let Some(lease) = lease else { return DEFAULT_LEASE };
         let Span(span) = *lease.get_ref();
         if !LEASE_BOUNDS.contains(&span) {
             self.report(lease.span(), "'lease' lies between 2s and 5m");
@@ -121,10 +122,10 @@
         span.clamp(*LEASE_BOUNDS.start(), *LEASE_BOUNDS.end())
     }
 
-    fn ask_every(&mut self, ask_every: Option<&Spanned<Span>>, lease: Duration) -> Duration {
-        let Some(ask_every) = ask_every else { return lease / ASKS_PER_LEASE };
+    fn poll_interval(&mut self, ask_every: Option<&Spanned<Span>>, lease: Duration) -> Duration {
+        let Some(ask_every) = ask_every else { return lease / POLLS_PER_LEASE };
         let Span(span) = *ask_every.get_ref();
-        if span < ASK_EVERY_LEAST {
+        if span < MIN_POLL_INTERVAL {
             self.report(ask_every.span(), "'ask_every' is 100ms at least");
         }
         if span > lease / 2 {
@@ -132,27 +133,27 @@
                 "'ask_every' is half of 'lease' at most, or one lost answer would let the lease expire";
             self.report(ask_every.span(), what);
         }
-        span.clamp(ASK_EVERY_LEAST, lease)
+        span.clamp(MIN_POLL_INTERVAL, lease)
     }
 
     fn agent_lag(&mut self, agent_lag: Option<&Spanned<Span>>) -> Duration {
         let Some(agent_lag) = agent_lag else { return Duration::ZERO };
         let Span(span) = *agent_lag.get_ref();
-        if span > AGENT_LAG_MOST {
+        if span > MAX_AGENT_LAG {
             self.report(agent_lag.span(), "'agent_lag' is 5m at most");
         }
-        span.min(AGENT_LAG_MOST)
+        span.min(MAX_AGENT_LAG)
     }
 
-    fn owner_connections(&mut self, count: Option<&Spanned<i64>>) -> usize {
-        let Some(count) = count else { return OWNER_CONNECTIONS_DEFAULT };
+    fn max_owner_connections(&mut self, count: Option<&Spanned<i64>>) -> usize {
+        let Some(count) = count else { return DEFAULT_OWNER_CONNECTIONS };
         let checked = usize::try_from(*count.get_ref()).ok();
         let checked = checked.filter(|count| OWNER_CONNECTIONS_BOUNDS.contains(count));
         if checked.is_none() {
             let (least, most) = (OWNER_CONNECTIONS_BOUNDS.start(), OWNER_CONNECTIONS_BOUNDS.end());
             self.report(count.span(), format!("'owner_connections' lies between {least} and {most}"));
         }
-        checked.unwrap_or(OWNER_CONNECTIONS_DEFAULT)
+        checked.unwrap_or(DEFAULT_OWNER_CONNECTIONS)
     }
 }
 
@@ -165,15 +166,23 @@
         let mut checker = Checker::default();
         let name = checker.name(&self.name);
         let listen = checker.address(&self.listen);
-        let control = checker.control(&self.control);
+        let control_agents = checker.control_agents(&self.control);
         let lease = checker.lease(self.lease.as_ref());
-        let ask_every = checker.ask_every(self.ask_every.as_ref(), lease);
+        let poll_interval = checker.poll_interval(self.ask_every.as_ref(), lease);
         let agent_lag = micros(checker.agent_lag(self.agent_lag.as_ref()));
-        let owner_connections = checker.owner_connections(self.owner_connections.as_ref());
+        let max_owner_connections = checker.max_owner_connections(self.owner_connections.as_ref());
         match listen {
             Some(listen) if checker.found.is_empty() => {
-                let (lease, ask_every) = (micros(lease), micros(ask_every));
-                Ok(PlacementOptions { name, listen, control, lease, ask_every, agent_lag, owner_connections })
+                let (lease, poll_interval) = (micros(lease), micros(poll_interval));
+                Ok(PlacementOptions {
+                    name,
+                    listen,
+                    control_agents,
+                    lease,
+                    poll_interval,
+                    agent_lag,
+                    max_owner_connections,
+                })
             }
             _ => Err(checker.found),
         }
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -21,7 +21,7 @@
 //! - from one epoch to the next it compares the two;
 //! - changes over several epochs are played one change at a time (they tell each change that was made, in order), and what this
 //!   sender did not own after any of them is new to it;
-//! - a whole list over several epochs, or more changes than [`MAX_REPLAYED`], says nothing of those between: all is new.
+//! - a whole list over several epochs, or more changes than [`MAX_REPLAYED_CHANGES`], says nothing of those between: all is new.
 //!
 //! # Order
 //!
@@ -40,23 +40,23 @@
 
 use crate::changes::{Change, Changes};
 use crate::error::ListError;
-use crate::holds::{Difference, FormerSharers, Holds, Seated};
+use crate::holds::{Holds, OwnershipDiff, RecentSharing, SeatedPlacement};
 use crate::lease::{Lease, LeaseTimes};
 use crate::list::{MAX_REPLICAS, MemberList, SeatId};
-use crate::placement::{Placement, Placements, Unshared};
+use crate::placement::{Placement, PlacementSource, UnsharedPlacements};
 use crate::preference::{Request, by_preference, part, preferred};
 use crate::shard::{ShardId, sub_shard};
-use crate::wire::Answer;
+use crate::wire::AgentAnswer;
 use heronroute::Micros;
 
 /// So many changes over several epochs are played one by one, as each takes up to 5 ms at full size.
-pub const MAX_REPLAYED: usize = 32;
+pub const MAX_REPLAYED_CHANGES: usize = 32;
 
 /// Where a request goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// This sender decides: it takes the request on if [`Ownership::admits`] says so, and refuses it as busy otherwise.
-    Here,
+    /// This sender decides: it takes the request on if [`Ownership::admission`] says so, and refuses it as busy otherwise.
+    Local,
     /// To these owners, the preferred one first, by [`crate::Forwarding`]. An ordered request has exactly one.
     Forward(Vec<SeatId>),
     /// No list was heard yet, or nobody owns the destination.
@@ -65,9 +65,9 @@
 
 /// Whether this sender takes on requests as an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Takes {
+pub enum Admission {
     /// It does.
-    Yes,
+    Accepted,
     /// Another sender is the owner, or an ordered request prefers another.
     NotOwner,
     /// A former owner may still be delivering until then.
@@ -78,7 +78,7 @@
 
 /// What an answer of the control agent changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct EpochUpdate {
     /// The epoch in force.
     pub epoch: u64,
     /// Whether it is another than before.
@@ -91,7 +91,7 @@
 
 /// What the state folder remembers of a process's last run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Remembered {
+pub struct PersistedPlacement {
     /// The epoch in force.
     pub epoch: u64,
     /// [`MemberList::digest`] of its list.
@@ -118,10 +118,10 @@
     address: Option<SocketAddr>,
     times: LeaseTimes,
     lease: Lease,
-    remembered: Option<Remembered>,
+    persisted: Option<PersistedPlacement>,
     view: Option<View>,
     holds: Holds,
-    former_sharers: FormerSharers,
+    recent_sharing: RecentSharing,
 }
 
 impl Ownership {
@@ -133,10 +133,10 @@
             address: None,
             times: LeaseTimes { lease, agent_lag: 0, longest_deadline },
             lease: Lease::new(lease),
-            remembered: None,
+            persisted: None,
             view: None,
             holds: Holds::default(),
-            former_sharers: FormerSharers::default(),
+            recent_sharing: RecentSharing::default(),
         }
     }
 
@@ -157,40 +157,45 @@
 
     /// What the state folder remembers of the last run.
     #[must_use]
-    pub fn with_memory(mut self, remembered: Option<Remembered>) -> Self {
-        self.remembered = remembered;
+    pub fn with_persisted(mut self, remembered: Option<PersistedPlacement>) -> Self {
+        self.persisted = remembered;
         self
     }
 
-    /// Takes over what the agent answered at `now` to what was asked at `asked_at`. Any answer that confirms the epoch in force
+    /// Takes over what the agent answered at `now` to what was asked at `polled_at`. Any answer that confirms the epoch in force
     /// or leads to a later one renews the lease.
     ///
     /// # Errors
     /// An older epoch, another list under the epoch in force, changes that don't fit. The list in force stays, and the lease
     /// is not renewed.
-    pub fn heard(&mut self, asked_at: Micros, now: Micros, answer: Answer) -> Result<Heard, ListError> {
-        self.heard_with(&mut Unshared, asked_at, now, answer)
+    pub fn apply_answer(
+        &mut self,
+        polled_at: Micros,
+        now: Micros,
+        answer: AgentAnswer,
+    ) -> Result<EpochUpdate, ListError> {
+        self.apply_answer_with(&mut UnsharedPlacements, polled_at, now, answer)
     }
 
     /// The same, with placements that other senders in this process may share.
     ///
     /// # Errors
-    /// As [`Self::heard`].
-    pub fn heard_with(
+    /// As [`Self::apply_answer`].
+    pub fn apply_answer_with(
         &mut self,
-        placements: &mut impl Placements,
-        asked_at: Micros,
+        placements: &mut impl PlacementSource,
+        polled_at: Micros,
         now: Micros,
-        answer: Answer,
-    ) -> Result<Heard, ListError> {
+        answer: AgentAnswer,
+    ) -> Result<EpochUpdate, ListError> {
         let heard = match answer {
-            Answer::Unchanged { epoch } => self.confirm(epoch)?,
-            Answer::Whole(list) => self.take_whole(placements, now, *list)?,
-            Answer::Changes(changes) => self.take_changes(placements, now, &changes)?,
+            AgentAnswer::Unchanged { epoch } => self.confirm_epoch(epoch)?,
+            AgentAnswer::Full(list) => self.apply_full_list(placements, now, *list)?,
+            AgentAnswer::Changes(changes) => self.apply_changes(placements, now, &changes)?,
         };
-        self.lease.renew(asked_at.min(now));
+        self.lease.renew(polled_at.min(now));
         self.holds.prune(now);
-        self.former_sharers.prune(now);
+        self.recent_sharing.prune(now);
         Ok(heard)
     }
 
@@ -216,7 +221,7 @@
 
     /// Whether control was heard of in time.
     pub fn lease_valid(&self, now: Micros) -> bool {
-        self.lease.valid(now)
+        self.lease.is_valid(now)
     }
 
     /// The lease, for the figures.
@@ -225,24 +230,24 @@
     }
 
     /// Until when anything is on hold; none if nothing is.
-    pub fn on_hold(&self, now: Micros) -> Option<Micros> {
-        self.holds.end(now).max(self.former_sharers.end(now))
+    pub fn holds_end(&self, now: Micros) -> Option<Micros> {
+        self.holds.end(now).max(self.recent_sharing.end(now))
     }
 
     /// What the state folder is to remember. It is written whenever it is another than before; where replicas or widths
     /// change, before anything is done under the new list.
-    pub fn remembered(&self, now: Micros) -> Option<Remembered> {
+    pub fn persisted_state(&self, now: Micros) -> Option<PersistedPlacement> {
         let list = self.list()?;
-        Some(Remembered {
+        Some(PersistedPlacement {
             epoch: list.epoch(),
             digest: list.digest(),
-            settled: self.on_hold(now).is_none(),
-            replicas: self.former_sharers.replicas(list.replicas(), now),
-            wide: self.former_sharers.wide(list, now),
+            settled: self.holds_end(now).is_none(),
+            replicas: self.recent_sharing.replicas(list.replicas(), now),
+            wide: self.recent_sharing.wide(list, now),
         })
     }
 
-    /// Where a client's request goes. What comes from another sender is never routed: [`Self::admits`] serves or refuses it.
+    /// Where a client's request goes. What comes from another sender is never routed: [`Self::admission`] serves or refuses it.
     pub fn route(&self, now: Micros, request: &Request<'_>) -> Route {
         let Some(view) = &self.view else { return Route::Unknown };
         let spread = request.spread();
@@ -250,54 +255,54 @@
         if request.is_ordered() {
             return match preferred(owners, spread) {
                 None => Route::Unknown,
-                Some(owner) if Some(owner) == view.seat => Route::Here,
+                Some(owner) if Some(owner) == view.seat => Route::Local,
                 Some(owner) => Route::Forward(vec![owner]),
             };
         }
         if owners.is_empty() {
             return Route::Unknown;
         }
-        if self.admits(now, request) == Takes::Yes {
-            return Route::Here;
+        if self.admission(now, request) == Admission::Accepted {
+            return Route::Local;
         }
         let mut candidates = by_preference(owners, spread);
         candidates.retain(|&owner| Some(owner) != view.seat);
-        if candidates.is_empty() { Route::Here } else { Route::Forward(candidates) }
+        if candidates.is_empty() { Route::Local } else { Route::Forward(candidates) }
     }
 
     /// Whether this sender takes this request on, be it from a client or from another sender.
-    pub fn admits(&self, now: Micros, request: &Request<'_>) -> Takes {
+    pub fn admission(&self, now: Micros, request: &Request<'_>) -> Admission {
         if !request.is_ordered() {
-            return self.takes(now, request.dest);
+            return self.unordered_admission(now, request.dest);
         }
-        let Some(view) = &self.view else { return Takes::LeaseExpired };
-        let Some(seat) = view.seat else { return Takes::NotOwner };
+        let Some(view) = &self.view else { return Admission::LeaseExpired };
+        let Some(seat) = view.seat else { return Admission::NotOwner };
         let spread = request.spread();
         let width = view.placement.list().width(request.dest);
         let shard = sub_shard(request.dest, part(spread, width));
         if preferred(view.placement.owners(shard), spread) != Some(seat) {
-            return Takes::NotOwner;
+            return Admission::NotOwner;
         }
         let by_owners = self.holds.key(shard, seat, spread, now);
-        let by_width = self.former_sharers.key(request.dest, width, spread, now);
-        self.under_lease(now, by_owners.max(by_width))
+        let by_width = self.recent_sharing.key(request.dest, width, spread, now);
+        self.admission_under_lease(now, by_owners.max(by_width))
     }
 
     /// Whether this sender takes on requests for the destination that need not keep order.
-    pub fn takes(&self, now: Micros, dest: i64) -> Takes {
-        let Some(view) = &self.view else { return Takes::LeaseExpired };
+    pub fn unordered_admission(&self, now: Micros, dest: i64) -> Admission {
+        let Some(view) = &self.view else { return Admission::LeaseExpired };
         let owned = view.parts(dest).filter(|&part| view.seated().owns(sub_shard(dest, part)));
         let holds = owned.map(|part| {
             let by_shard = self.holds.shard(sub_shard(dest, part), now);
-            by_shard.max(self.former_sharers.part(dest, part, now))
+            by_shard.max(self.recent_sharing.part(dest, part, now))
         });
         // `None` is less than any hold: one part that is not on hold is enough.
-        holds.min().map_or(Takes::NotOwner, |held| self.under_lease(now, held))
+        holds.min().map_or(Admission::NotOwner, |held| self.admission_under_lease(now, held))
     }
 
     /// Whether this sender keeps the destination from the list of destinations: it owns a part of it, or did and may still be
     /// delivering. Destinations of restored messages are the caller's to keep.
-    pub fn keeps(&self, dest: i64) -> bool {
+    pub fn needs_destination(&self, dest: i64) -> bool {
         let Some(view) = &self.view else { return false };
         let keeps = |shard: ShardId| view.seated().owns(shard) || self.holds.is_lost(shard);
         view.parts(dest).any(|part| keeps(sub_shard(dest, part)))
@@ -305,24 +310,24 @@
 
     /// Among how many owners a destination's limit is shared: this sender's share is one part in so many. While an epoch with
     /// more owners may still be acted upon, it is that number; before the first list, the last run's.
-    pub fn sharers(&self, now: Micros, dest: i64) -> usize {
-        match (self.list(), &self.remembered) {
-            (Some(list), _) => self.former_sharers.greatest(list, dest, now),
+    pub fn limit_sharers(&self, now: Micros, dest: i64) -> usize {
+        match (self.list(), &self.persisted) {
+            (Some(list), _) => self.recent_sharing.greatest(list, dest, now),
             (None, Some(last)) => last.replicas * usize::from(last.wide.get(&dest).copied().unwrap_or(1)),
             (None, None) => MAX_REPLICAS,
         }
     }
 
-    fn under_lease(&self, now: Micros, held: Option<Micros>) -> Takes {
+    fn admission_under_lease(&self, now: Micros, held: Option<Micros>) -> Admission {
         match held {
-            _ if !self.lease.valid(now) => Takes::LeaseExpired,
-            Some(until) => Takes::OnHold(until),
-            None => Takes::Yes,
+            _ if !self.lease.is_valid(now) => Admission::LeaseExpired,
+            Some(until) => Admission::OnHold(until),
+            None => Admission::Accepted,
         }
     }
 
     /// The agent says that the epoch in force is the latest.
-    fn confirm(&self, epoch: u64) -> Result<Heard, ListError> {
+    fn confirm_epoch(&self, epoch: u64) -> Result<EpochUpdate, ListError> {
         let current = self.epoch().unwrap_or(0);
         if epoch < current {
             return Err(ListError::StaleEpoch { current, offered: epoch });
@@ -330,63 +335,64 @@
         if epoch > current || self.view.is_none() {
             return Err(ListError::SinceMismatch { current, since: epoch });
         }
-        Ok(Heard { epoch, ..Heard::default() })
+        Ok(EpochUpdate { epoch, ..EpochUpdate::default() })
     }
 
-    fn take_whole(
+    fn apply_full_list(
         &mut self,
-        placements: &mut impl Placements,
+        placements: &mut impl PlacementSource,
         now: Micros,
         list: MemberList,
-    ) -> Result<Heard, ListError> {
+    ) -> Result<EpochUpdate, ListError> {
         let Some(view) = &self.view else {
-            self.hold_first(now, &list)?;
-            return Ok(self.put_in_force(placements.build(list)));
+            self.hold_for_first_list(now, &list)?;
+            return Ok(self.activate(placements.build(list)));
         };
         let epoch = view.placement.list().epoch();
         view.placement.list().check_successor(&list)?;
         if list.epoch() == epoch {
-            return self.confirm(epoch);
+            return self.confirm_epoch(epoch);
         }
         let consecutive = list.epoch() == epoch + 1;
         let before = view.placement.clone();
         let after = placements.build(list);
         self.step(now, &before, &after);
         if !consecutive {
-            self.holds.hold_all(self.held_until(now));
+            self.holds.hold_all(self.hold_end(now));
         }
-        Ok(self.put_in_force(after))
+        Ok(self.activate(after))
     }
 
     /// The first list of this process: what it says is new, unless the last run had settled in it or nobody came before.
-    fn hold_first(&mut self, now: Micros, list: &MemberList) -> Result<(), ListError> {
-        let until = self.held_until(now);
-        if let Some(last) = &self.remembered {
+    fn hold_for_first_list(&mut self, now: Micros, list: &MemberList) -> Result<(), ListError> {
+        let until = self.hold_end(now);
+        if let Some(last) = &self.persisted {
             if list.epoch() < last.epoch {
                 return Err(ListError::StaleEpoch { current: last.epoch, offered: list.epoch() });
             }
-            self.former_sharers.restore(last.replicas, &last.wide, until);
+            self.recent_sharing.restore(last.replicas, &last.wide, until);
         }
-        let settled =
-            |last: &Remembered| last.settled && last.epoch == list.epoch() && last.digest == list.digest();
-        if !list.is_first() && !self.remembered.as_ref().is_some_and(settled) {
+        let settled = |last: &PersistedPlacement| {
+            last.settled && last.epoch == list.epoch() && last.digest == list.digest()
+        };
+        if !list.is_first() && !self.persisted.as_ref().is_some_and(settled) {
             self.holds.hold_all(until);
         }
         Ok(())
     }
 
-    fn take_changes(
+    fn apply_changes(
         &mut self,
-        placements: &mut impl Placements,
+        placements: &mut impl PlacementSource,
         now: Micros,
         changes: &Changes,
-    ) -> Result<Heard, ListError> {
+    ) -> Result<EpochUpdate, ListError> {
         let Some(view) = &self.view else {
             return Err(ListError::SinceMismatch { current: 0, since: changes.since });
         };
         let epoch = view.placement.list().epoch();
         if changes.epoch <= epoch {
-            return self.confirm(changes.epoch);
+            return self.confirm_epoch(changes.epoch);
         }
         let before = view.placement.clone();
         let after = placements.apply(&before, changes)?;
@@ -394,20 +400,20 @@
             self.step(now, &before, &after);
         } else if !self.replay(placements, now, &before, &changes.changes) {
             self.step(now, &before, &after);
-            self.holds.hold_all(self.held_until(now));
+            self.holds.hold_all(self.hold_end(now));
         }
-        Ok(self.put_in_force(after))
+        Ok(self.activate(after))
     }
 
     /// Accounts for changes over several epochs one by one. False if they are too many, or can't stand alone.
     fn replay(
         &mut self,
-        placements: &mut impl Placements,
+        placements: &mut impl PlacementSource,
         now: Micros,
         before: &Placement,
         changes: &[Change],
     ) -> bool {
-        if changes.len() > MAX_REPLAYED {
+        if changes.len() > MAX_REPLAYED_CHANGES {
             return false;
         }
         // Numbered from 0 on: the epochs between are not told, and may be fewer than the changes.
@@ -424,24 +430,24 @@
 
     /// Puts on hold what a step from one epoch to the next gives to this sender.
     fn step(&mut self, now: Micros, before: &Placement, after: &Placement) {
-        let until = self.held_until(now);
+        let until = self.hold_end(now);
         let [seated_before, seated_after] = [before, after].map(|placement| self.seated(placement));
         self.holds.step(seated_before, seated_after, until);
-        self.former_sharers.step(before.list(), after.list(), until);
+        self.recent_sharing.step(before.list(), after.list(), until);
     }
 
-    fn put_in_force(&mut self, placement: Arc<Placement>) -> Heard {
+    fn activate(&mut self, placement: Arc<Placement>) -> EpochUpdate {
         let before = self.view.as_ref().map(View::seated);
         let after = self.seated(&placement);
         let seat = after.seat;
-        let Difference { gained, lost } = Difference::between(before, after);
-        let heard = Heard { epoch: placement.list().epoch(), changed: true, gained, lost };
+        let OwnershipDiff { gained, lost } = OwnershipDiff::between(before, after);
+        let heard = EpochUpdate { epoch: placement.list().epoch(), changed: true, gained, lost };
         self.view = Some(View { placement, seat });
         heard
     }
 
-    fn seated<'a>(&self, placement: &'a Placement) -> Seated<'a> {
-        Seated { placement, seat: self.seat_in(placement.list()) }
+    fn seated<'a>(&self, placement: &'a Placement) -> SeatedPlacement<'a> {
+        SeatedPlacement { placement, seat: self.seat_in(placement.list()) }
     }
 
     fn seat_in(&self, list: &MemberList) -> Option<SeatId> {
@@ -450,14 +456,14 @@
         self.address.is_none_or(|own| own == listed).then_some(seat)
     }
 
-    fn held_until(&self, now: Micros) -> Micros {
+    fn hold_end(&self, now: Micros) -> Micros {
         now + self.times.hold()
     }
 }
 
 impl View {
-    fn seated(&self) -> Seated<'_> {
-        Seated { placement: &self.placement, seat: self.seat }
+    fn seated(&self) -> SeatedPlacement<'_> {
+        SeatedPlacement { placement: &self.placement, seat: self.seat }
     }
 
     fn parts(&self, dest: i64) -> std::ops::Range<u16> {
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -32,7 +32,7 @@
     /// For models of many senders that look at a few shards only: [`Self::shards_of`] leaves out all others, in this placement
     /// and in those that changes lead to.
     #[must_use]
-    pub fn with_focus(mut self, shards: Arc<[ShardId]>) -> Self {
+    pub fn restricted_to(mut self, shards: Arc<[ShardId]>) -> Self {
         self.focus = Some(shards);
         self
     }
@@ -80,7 +80,7 @@
 }
 
 /// Where a sender has its placements from: its own, or, with many senders in one process, ones that they share.
-pub trait Placements {
+pub trait PlacementSource {
     /// The placement of a whole list.
     fn build(&mut self, list: MemberList) -> Arc<Placement>;
 
@@ -93,9 +93,9 @@
 
 /// Each sender builds its own.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Unshared;
+pub struct UnsharedPlacements;
 
-impl Placements for Unshared {
+impl PlacementSource for UnsharedPlacements {
     fn build(&mut self, list: MemberList) -> Arc<Placement> {
         Arc::new(Placement::build(list))
     }
--- a/crates/placement/src/shard.rs
+++ b/crates/placement/src/shard.rs
@@ -1,6 +1,6 @@
 //! Destinations to shards: a fixed number of shards, whatever the number of destinations or members.
 
-use crate::hash::{GOLDEN, mix_pair};
+use crate::hash::{FIBONACCI_MULTIPLIER, mix_pair};
 
 /// Binary logarithm of [`SHARDS`].
 pub const SHARD_BITS: u32 = 18;
@@ -33,7 +33,7 @@
 /// The shard of a destination, by multiplicative hashing: destinations that are numbered densely come out almost
 /// perfectly even.
 pub const fn shard(dest: i64) -> ShardId {
-    ShardId(((dest as u64).wrapping_mul(GOLDEN) >> (u64::BITS - SHARD_BITS)) as u32)
+    ShardId(((dest as u64).wrapping_mul(FIBONACCI_MULTIPLIER) >> (u64::BITS - SHARD_BITS)) as u32)
 }
 
 /// The shard of one part of a wide destination; part 0 is the destination's plain shard.
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -52,7 +52,7 @@
                 Change::Fill { seat, .. } | Change::Vacate { seat } => {
                     self.take_member(next, *seat, &mut pending)
                 }
-                Change::Widen(_) => {}
+                Change::SetWidth(_) => {}
             }
         }
         for (region, pending) in self.regions.iter_mut().zip(&pending) {
@@ -84,7 +84,7 @@
     }
 
     /// Memory that the table holds, in bytes.
-    pub fn bytes(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         let seats = self.seats.capacity() * size_of::<(RegionId, u16)>();
         self.regions.iter().map(RegionTable::bytes).sum::<usize>() + seats
     }
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -105,9 +105,9 @@
 
 /// What a control agent answers to `GET /v1/members?since=EPOCH`.
 #[derive(Clone, Debug)]
-pub enum Answer {
+pub enum AgentAnswer {
     /// The whole list.
-    Whole(Box<MemberList>),
+    Full(Box<MemberList>),
     /// Changes to the list that was asked from.
     Changes(Changes),
     /// The list that was asked from is in force still.
@@ -117,7 +117,7 @@
     },
 }
 
-impl Answer {
+impl AgentAnswer {
     /// Reads an answer.
     ///
     /// # Errors
@@ -125,7 +125,7 @@
     pub fn parse_json(bytes: &[u8]) -> Result<Self, ListError> {
         let kind: AnswerKind = parse(bytes)?;
         if kind.seats.is_some() {
-            return MemberList::parse_json(bytes).map(|list| Self::Whole(Box::new(list)));
+            return MemberList::parse_json(bytes).map(|list| Self::Full(Box::new(list)));
         }
         let changes = Changes::parse_json(bytes)?;
         if changes.changes.is_empty() && changes.epoch == changes.since {
@@ -167,7 +167,10 @@
                 .map(|region| RegionForm { name: region.name().to_owned(), share: region.share() })
                 .collect(),
             seats: self.seat_ids().map(|seat| self.seat_form(seat)).collect(),
-            wide: self.wide().map(|(dest, width)| WideForm { dest, width: u64::from(width) }).collect(),
+            wide: self
+                .wide_destinations()
+                .map(|(dest, width)| WideForm { dest, width: u64::from(width) })
+                .collect(),
         }
     }
 
@@ -234,8 +237,8 @@
             Ok(member.map_or(Change::Vacate { seat }, |member| Change::Fill { seat, member }))
         }
         ChangeForm { seat: None, member: None, append: Some(seat), wide: None } => Ok(Change::Append(seat)),
-        ChangeForm { seat: None, member: None, append: None, wide: Some(wide) } => Ok(Change::Widen(wide)),
-        _ => Err(ListError::NotOneChange { index }),
+        ChangeForm { seat: None, member: None, append: None, wide: Some(wide) } => Ok(Change::SetWidth(wide)),
+        _ => Err(ListError::AmbiguousChange { index }),
     }
 }
 
@@ -254,7 +257,7 @@
                 Self { seat: Some(u64::from(seat.0)), member: Some(Some(member.clone())), ..Self::default() }
             }
             Change::Append(seat) => Self { append: Some(seat.clone()), ..Self::default() },
-            Change::Widen(wide) => Self { wide: Some(*wide), ..Self::default() },
+            Change::SetWidth(wide) => Self { wide: Some(*wide), ..Self::default() },
         }
     }
 }
--- a/crates/placement/tests/forwarding.rs
+++ b/crates/placement/tests/forwarding.rs
@@ -1,6 +1,8 @@
 //! One request on its way: each outcome's next step, for each effect.
 
-use embershore_placement::{DEFAULT_WAIT_MS, Forwarding, LEAST_PATIENCE, Outcome, SeatId, Step, Verdict};
+use embershore_placement::{
+    ClientReply, DEFAULT_WAIT_MS, ForwardOutcome, Forwarding, MIN_ANSWER_TIMEOUT_US, SeatId, Step,
+};
 use heronroute::{Effect, Micros};
 use proptest::prelude::*;
 
@@ -15,7 +17,7 @@
 fn sent_to(step: &Step) -> SeatId {
     match step {
         Step::Send { to, .. } => *to,
-        Step::Answer(verdict) => panic!("answered {verdict:?}, not sent"),
+        Step::Reply(verdict) => panic!("answered {verdict:?}, not sent"),
     }
 }
 
@@ -24,23 +26,26 @@
     for effect in EFFECTS {
         let mut taken = forwarding(effect, 2);
         assert_eq!(sent_to(&taken.start(0)), SeatId(0));
-        assert_eq!(taken.outcome(1_000, Outcome::Taken), Step::Answer(Verdict::Taken));
+        assert_eq!(taken.record_outcome(1_000, ForwardOutcome::Accepted), Step::Reply(ClientReply::Accepted));
         let mut wrong = forwarding(effect, 2);
         wrong.start(0);
         let reason = "unknown class".to_string();
-        let step = wrong.outcome(1_000, Outcome::Wrong(reason.clone()));
-        assert_eq!(step, Step::Answer(Verdict::Wrong(reason)));
+        let step = wrong.record_outcome(1_000, ForwardOutcome::Invalid(reason.clone()));
+        assert_eq!(step, Step::Reply(ClientReply::Invalid(reason)));
     }
 }
 
 #[test]
 fn what_surely_was_not_taken_goes_to_the_next_owner() {
     for effect in EFFECTS {
-        for refusal in [Outcome::Busy { after_ms: 40 }, Outcome::NeverSent] {
+        for refusal in [ForwardOutcome::Busy { after_ms: 40 }, ForwardOutcome::NotSent] {
             let mut request = forwarding(effect, 2);
             assert_eq!(sent_to(&request.start(0)), SeatId(0));
-            assert_eq!(sent_to(&request.outcome(1_000, refusal)), SeatId(1));
-            assert_eq!(request.outcome(2_000, Outcome::Taken), Step::Answer(Verdict::Taken));
+            assert_eq!(sent_to(&request.record_outcome(1_000, refusal)), SeatId(1));
+            assert_eq!(
+                request.record_outcome(2_000, ForwardOutcome::Accepted),
+                Step::Reply(ClientReply::Accepted)
+            );
         }
     }
 }
@@ -49,25 +54,25 @@
 fn busy_tells_the_least_wait_of_all_owners() {
     let mut request = forwarding(Effect::SingleShot, 3);
     request.start(0);
-    request.outcome(1_000, Outcome::Busy { after_ms: 90 });
-    request.outcome(2_000, Outcome::Busy { after_ms: 40 });
-    let step = request.outcome(3_000, Outcome::Busy { after_ms: 0 });
-    assert_eq!(step, Step::Answer(Verdict::Busy { after_ms: 40 }));
+    request.record_outcome(1_000, ForwardOutcome::Busy { after_ms: 90 });
+    request.record_outcome(2_000, ForwardOutcome::Busy { after_ms: 40 });
+    let step = request.record_outcome(3_000, ForwardOutcome::Busy { after_ms: 0 });
+    assert_eq!(step, Step::Reply(ClientReply::Busy { after_ms: 40 }));
     let mut unsaid = forwarding(Effect::SingleShot, 1);
     unsaid.start(0);
-    let step = unsaid.outcome(1_000, Outcome::NeverSent);
-    assert_eq!(step, Step::Answer(Verdict::Busy { after_ms: DEFAULT_WAIT_MS }));
+    let step = unsaid.record_outcome(1_000, ForwardOutcome::NotSent);
+    assert_eq!(step, Step::Reply(ClientReply::Busy { after_ms: DEFAULT_WAIT_MS }));
 }
 
 #[test]
 fn an_unknown_outcome_goes_to_a_second_owner_only_where_a_repeat_does_no_harm() {
     let mut free = forwarding(Effect::Free, 2);
     free.start(0);
-    assert_eq!(sent_to(&free.outcome(1_000, Outcome::Unknown)), SeatId(1));
+    assert_eq!(sent_to(&free.record_outcome(1_000, ForwardOutcome::Unknown)), SeatId(1));
     for effect in [Effect::Guarded, Effect::SingleShot] {
         let mut request = forwarding(effect, 2);
         request.start(0);
-        assert_eq!(request.outcome(1_000, Outcome::Unknown), Step::Answer(Verdict::Failed));
+        assert_eq!(request.record_outcome(1_000, ForwardOutcome::Unknown), Step::Reply(ClientReply::Failed));
     }
 }
 
@@ -75,42 +80,42 @@
 fn a_free_request_that_nobody_answered_is_busy() {
     let mut request = forwarding(Effect::Free, 2);
     request.start(0);
-    request.outcome(150_000, Outcome::Unknown);
-    let step = request.outcome(BUDGET, Outcome::Unknown);
-    assert_eq!(step, Step::Answer(Verdict::Busy { after_ms: DEFAULT_WAIT_MS }));
+    request.record_outcome(150_000, ForwardOutcome::Unknown);
+    let step = request.record_outcome(BUDGET, ForwardOutcome::Unknown);
+    assert_eq!(step, Step::Reply(ClientReply::Busy { after_ms: DEFAULT_WAIT_MS }));
 }
 
 #[test]
 fn without_a_candidate_or_time_the_answer_is_busy() {
-    let busy = Step::Answer(Verdict::Busy { after_ms: DEFAULT_WAIT_MS });
+    let busy = Step::Reply(ClientReply::Busy { after_ms: DEFAULT_WAIT_MS });
     assert_eq!(forwarding(Effect::Free, 0).start(0), busy);
-    assert_eq!(forwarding(Effect::Free, 2).start(BUDGET - LEAST_PATIENCE + 1), busy);
+    assert_eq!(forwarding(Effect::Free, 2).start(BUDGET - MIN_ANSWER_TIMEOUT_US + 1), busy);
 }
 
 #[test]
 fn a_free_request_leaves_time_for_the_next_owner_and_another_waits_for_the_one_it_has() {
     let step = forwarding(Effect::Free, 2).start(0);
-    assert_eq!(step, Step::Send { to: SeatId(0), begin_within: BUDGET / 2, patience: BUDGET / 2 });
+    assert_eq!(step, Step::Send { to: SeatId(0), write_timeout: BUDGET / 2, answer_timeout: BUDGET / 2 });
     let step = forwarding(Effect::SingleShot, 2).start(0);
-    assert_eq!(step, Step::Send { to: SeatId(0), begin_within: BUDGET / 2, patience: BUDGET });
+    assert_eq!(step, Step::Send { to: SeatId(0), write_timeout: BUDGET / 2, answer_timeout: BUDGET });
 }
 
 #[test]
 fn an_answer_never_changes() {
     let mut request = forwarding(Effect::SingleShot, 2);
     request.start(0);
-    let failed = request.outcome(1_000, Outcome::Unknown);
-    assert_eq!(request.outcome(2_000, Outcome::Taken), failed);
-    assert_eq!(request.outcome(2_000, Outcome::NeverSent), failed);
+    let failed = request.record_outcome(1_000, ForwardOutcome::Unknown);
+    assert_eq!(request.record_outcome(2_000, ForwardOutcome::Accepted), failed);
+    assert_eq!(request.record_outcome(2_000, ForwardOutcome::NotSent), failed);
 }
 
-fn any_outcome() -> impl Strategy<Value = Outcome> {
+fn any_outcome() -> impl Strategy<Value = ForwardOutcome> {
     prop_oneof![
-        Just(Outcome::Taken),
-        (0u64..500).prop_map(|after_ms| Outcome::Busy { after_ms }),
-        Just(Outcome::Wrong("no".to_string())),
-        Just(Outcome::NeverSent),
-        Just(Outcome::Unknown),
+        Just(ForwardOutcome::Accepted),
+        (0u64..500).prop_map(|after_ms| ForwardOutcome::Busy { after_ms }),
+        Just(ForwardOutcome::Invalid("no".to_string())),
+        Just(ForwardOutcome::NotSent),
+        Just(ForwardOutcome::Unknown),
     ]
 }
 
@@ -129,18 +134,18 @@
         let mut sent = Vec::new();
         let mut possibly_taken = false;
         for (outcome, part) in outcomes {
-            let Step::Send { to, begin_within, patience } = step else { break };
+            let Step::Send { to, write_timeout, answer_timeout } = step else { break };
             prop_assert!(!sent.contains(&to));
             prop_assert!(!possibly_taken || effect == Effect::Free);
-            prop_assert!(begin_within <= patience && patience >= LEAST_PATIENCE);
+            prop_assert!(write_timeout <= answer_timeout && answer_timeout >= MIN_ANSWER_TIMEOUT_US);
             sent.push(to);
-            now += (part * patience as f64) as Micros;
+            now += (part * answer_timeout as f64) as Micros;
             prop_assert!(now <= BUDGET);
-            possibly_taken |= outcome == Outcome::Unknown;
-            let taken = outcome == Outcome::Taken;
-            step = request.outcome(now, outcome);
-            prop_assert_eq!(taken, step == Step::Answer(Verdict::Taken));
+            possibly_taken |= outcome == ForwardOutcome::Unknown;
+            let taken = outcome == ForwardOutcome::Accepted;
+            step = request.record_outcome(now, outcome);
+            prop_assert_eq!(taken, step == Step::Reply(ClientReply::Accepted));
         }
-        prop_assert!(matches!(step, Step::Answer(_)));
+        prop_assert!(matches!(step, Step::Reply(_)));
     }
 }
--- a/crates/placement/tests/full_size.rs
+++ b/crates/placement/tests/full_size.rs
@@ -218,8 +218,8 @@
     println!(
         "told in bytes: one lost {lost}, one filled {filled}, one appended {appended}, the whole list {whole}"
     );
-    println!("table in memory: {} bytes", FULL.table.bytes());
-    assert!(FULL.table.bytes() < TABLE_BYTES);
+    println!("table in memory: {} bytes", FULL.table.memory_bytes());
+    assert!(FULL.table.memory_bytes() < TABLE_BYTES);
     // A zone's loss within the 18 s in which a change is to be in force everywhere.
     const SECONDS: usize = 18;
     let zone = support::changes(list, vacate(&FULL.zone("r0", "z0"))).to_json().len();
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -4,7 +4,8 @@
 use std::collections::BinaryHeap;
 
 use embershore_placement::{
-    Answer, Forwarding, Outcome, Ownership, Remembered, Request, Route, SeatId, Step, Takes, Verdict,
+    Admission, AgentAnswer, ClientReply, ForwardOutcome, Forwarding, Ownership, PersistedPlacement, Request,
+    Route, SeatId, Step,
 };
 use heronroute::{Effect, Micros};
 use rand::prelude::*;
@@ -35,11 +36,11 @@
         member: usize,
     },
     /// An answer reaches a member.
-    Heard {
+    AnswerReceived {
         member: usize,
         life: u32,
-        asked_at: Micros,
-        answer: Answer,
+        polled_at: Micros,
+        answer: AgentAnswer,
         genuine: bool,
     },
     Fault {
@@ -73,19 +74,19 @@
         send: u32,
     },
     /// What became of a forwarded request, at the forwarding member.
-    Outcome {
+    ForwardOutcome {
         member: usize,
         life: u32,
         transit: usize,
         send: u32,
-        outcome: Outcome,
+        outcome: ForwardOutcome,
         job: Option<usize>,
     },
     /// An answer reaches a client; none if it gives up waiting.
     Reply {
         message: usize,
         attempt: u32,
-        verdict: Option<Verdict>,
+        verdict: Option<ClientReply>,
         job: Option<usize>,
     },
     /// A member turns to a message that it holds.
@@ -115,7 +116,7 @@
     life: u32,
     clock_error: Micros,
     ownership: Ownership,
-    memory: Option<Remembered>,
+    memory: Option<PersistedPlacement>,
     /// By what reached it, for the ledger: the highest epoch and the end of the lease by its own clock.
     heard_epoch: u64,
     lease_until: Option<Micros>,
@@ -247,8 +248,8 @@
         let Some(event) = self.unless_away(event) else { return };
         match event {
             Event::Ask { member } => self.ask(member),
-            Event::Heard { member, asked_at, answer, genuine, .. } => {
-                self.heard(member, asked_at, answer, genuine)
+            Event::AnswerReceived { member, polled_at, answer, genuine, .. } => {
+                self.heard(member, polled_at, answer, genuine)
             }
             Event::Fault { member, fault, until } => self.fault(member, fault, until),
             Event::Restart { member } => self.restart(member),
@@ -256,7 +257,9 @@
             Event::Next { stream } => self.next_of_stream(stream),
             Event::Request { member, message, attempt, .. } => self.request(member, message, attempt),
             Event::Forwarded { member, transit, send, .. } => self.forwarded(member, transit, send),
-            Event::Outcome { transit, send, outcome, job, .. } => self.outcome(transit, send, outcome, job),
+            Event::ForwardOutcome { transit, send, outcome, job, .. } => {
+                self.outcome(transit, send, outcome, job)
+            }
             Event::Reply { message, attempt, verdict, job } => self.reply(message, attempt, verdict, job),
             Event::Call { member, job, .. } => self.call(member, job),
             Event::CallEnded { member, job, works, .. } => self.call_ended(member, job, works),
@@ -266,10 +269,10 @@
     /// What happens at a stopped member waits until it is continued; what was meant for a dead process is gone.
     fn unless_away(&mut self, event: Event) -> Option<Event> {
         let (member, life) = match &event {
-            Event::Heard { member, life, .. }
+            Event::AnswerReceived { member, life, .. }
             | Event::Request { member, life, .. }
             | Event::Forwarded { member, life, .. }
-            | Event::Outcome { member, life, .. }
+            | Event::ForwardOutcome { member, life, .. }
             | Event::Call { member, life, .. }
             | Event::CallEnded { member, life, .. } => (*member, *life),
             Event::Ask { member } => (*member, self.members[*member].life),
@@ -298,7 +301,7 @@
             return;
         }
         let Some(epoch) = self.course.agent_epoch(&mut self.rng, member, self.now) else { return };
-        let asked_at = self.members[member].local(self.now);
+        let polled_at = self.members[member].local(self.now);
         let answer = self.answer(member, epoch);
         let delay = match self.rng.random_range(0..20) {
             0 => self.rng.random_range(0..25 * SECOND),
@@ -309,28 +312,28 @@
         if self.rng.random_bool(0.05) {
             let later = self.rng.random_range(0..20 * SECOND);
             let answer = answer.clone();
-            self.after(later, Event::Heard { member, life, asked_at, answer, genuine: true });
+            self.after(later, Event::AnswerReceived { member, life, polled_at, answer, genuine: true });
         }
-        self.after(delay, Event::Heard { member, life, asked_at, answer, genuine: true });
-        self.disturb(member, asked_at);
+        self.after(delay, Event::AnswerReceived { member, life, polled_at, answer, genuine: true });
+        self.disturb(member, polled_at);
     }
 
     /// What an agent answers that knows this epoch.
-    fn answer(&mut self, member: usize, epoch: u64) -> Answer {
+    fn answer(&mut self, member: usize, epoch: u64) -> AgentAnswer {
         let since = self.members[member].ownership.epoch();
-        let whole = |world: &World| Answer::Whole(Box::new(world.list(epoch).clone()));
+        let whole = |world: &World| AgentAnswer::Full(Box::new(world.list(epoch).clone()));
         match since {
-            Some(since) if since == epoch && self.rng.random_bool(0.95) => Answer::Unchanged { epoch },
+            Some(since) if since == epoch && self.rng.random_bool(0.95) => AgentAnswer::Unchanged { epoch },
             Some(since) if since < epoch && self.rng.random_bool(0.9) => {
                 let changes = self.world.changes_between(since, epoch);
-                changes.map_or_else(|| whole(self.world), Answer::Changes)
+                changes.map_or_else(|| whole(self.world), AgentAnswer::Changes)
             }
             _ => whole(self.world),
         }
     }
 
     /// Now and then an older list, or another one under the same epoch, comes as well.
-    fn disturb(&mut self, member: usize, asked_at: Micros) {
+    fn disturb(&mut self, member: usize, polled_at: Micros) {
         let Some(epoch) = self.members[member].ownership.epoch() else { return };
         let list = if epoch > 1 && self.rng.random_bool(0.1) {
             self.world.list(self.rng.random_range(1..epoch)).clone()
@@ -339,33 +342,36 @@
         } else {
             return;
         };
-        let answer = Answer::Whole(Box::new(list));
+        let answer = AgentAnswer::Full(Box::new(list));
         let life = self.members[member].life;
-        self.after(5 * MILLISECOND, Event::Heard { member, life, asked_at, answer, genuine: false });
+        self.after(
+            5 * MILLISECOND,
+            Event::AnswerReceived { member, life, polled_at, answer, genuine: false },
+        );
     }
 
-    fn heard(&mut self, number: usize, asked_at: Micros, answer: Answer, genuine: bool) {
+    fn heard(&mut self, number: usize, polled_at: Micros, answer: AgentAnswer, genuine: bool) {
         let world = self.world;
         let member = &mut self.members[number];
         let local = member.local(self.now);
         let before = member.ownership.epoch();
         let epoch = match &answer {
-            Answer::Whole(list) => list.epoch(),
-            Answer::Changes(changes) => changes.epoch,
-            Answer::Unchanged { epoch } => *epoch,
+            AgentAnswer::Full(list) => list.epoch(),
+            AgentAnswer::Changes(changes) => changes.epoch,
+            AgentAnswer::Unchanged { epoch } => *epoch,
         };
         if genuine && epoch >= member.heard_epoch {
-            member.lease_until = member.lease_until.max(Some(asked_at + LEASE));
+            member.lease_until = member.lease_until.max(Some(polled_at + LEASE));
             member.heard_epoch = epoch;
         }
-        match member.ownership.heard_with(&mut &world.tables, asked_at, local, answer) {
+        match member.ownership.apply_answer_with(&mut &world.tables, polled_at, local, answer) {
             Ok(_) => {
                 let skipped = before.is_some_and(|before| epoch > before + 1);
                 self.ledger.counts.epochs_skipped += u64::from(skipped);
             }
             Err(_) => self.ledger.counts.lists_refused += 1,
         }
-        member.memory = member.ownership.remembered(local).or(member.memory.take());
+        member.memory = member.ownership.persisted_state(local).or(member.memory.take());
     }
 
     // Faults.
@@ -437,25 +443,25 @@
         self.after(CLIENT_TIMEOUT, Event::Reply { message, attempt, verdict: None, job: None });
     }
 
-    fn reply(&mut self, message: usize, attempt: u32, verdict: Option<Verdict>, job: Option<usize>) {
+    fn reply(&mut self, message: usize, attempt: u32, verdict: Option<ClientReply>, job: Option<usize>) {
         if self.handings[message].done || self.handings[message].attempt != attempt {
             return;
         }
         let free = self.ledger.messages[message].effect == Effect::Free;
         let again_after = match verdict {
-            Some(Verdict::Taken) => {
+            Some(ClientReply::Accepted) => {
                 self.ledger.promised(job.expect("who answers that it has taken it on has a job"));
                 None
             }
-            Some(Verdict::Busy { after_ms }) => {
+            Some(ClientReply::Busy { after_ms }) => {
                 self.ledger.told_busy(self.now, message);
                 Some(after_ms as Micros * MILLISECOND)
             }
-            Some(Verdict::Failed) => {
+            Some(ClientReply::Failed) => {
                 self.ledger.counts.failed += 1;
                 None
             }
-            Some(Verdict::Wrong(_)) => None,
+            Some(ClientReply::Invalid(_)) => None,
             None => free.then_some(CLIENT_TIMEOUT),
         };
         match again_after.filter(|_| attempt < MOST_TRIES && self.now < CLIENTS_STOP_AT) {
@@ -477,7 +483,7 @@
         }
     }
 
-    fn reply_from(&mut self, message: usize, attempt: u32, verdict: Verdict, job: Option<usize>) {
+    fn reply_from(&mut self, message: usize, attempt: u32, verdict: ClientReply, job: Option<usize>) {
         let delay = self.rng.random_range(MILLISECOND..5 * MILLISECOND);
         self.after(delay, Event::Reply { message, attempt, verdict: Some(verdict), job });
     }
@@ -489,10 +495,10 @@
         let route =
             self.with_request(message, |request| self.members[number].ownership.route(local, request));
         match route {
-            Route::Unknown => self.reply_from(message, attempt, Verdict::Busy { after_ms: 0 }, None),
-            Route::Here => match self.admit(number, message) {
-                Some(job) => self.reply_from(message, attempt, Verdict::Taken, Some(job)),
-                None => self.reply_from(message, attempt, Verdict::Busy { after_ms: 300 }, None),
+            Route::Unknown => self.reply_from(message, attempt, ClientReply::Busy { after_ms: 0 }, None),
+            Route::Local => match self.admit(number, message) {
+                Some(job) => self.reply_from(message, attempt, ClientReply::Accepted, Some(job)),
+                None => self.reply_from(message, attempt, ClientReply::Busy { after_ms: 300 }, None),
             },
             Route::Forward(candidates) => {
                 self.ledger.counts.forwarded += 1;
@@ -515,13 +521,13 @@
     fn admit(&mut self, number: usize, message: usize) -> Option<usize> {
         let member = &self.members[number];
         let local = member.local(self.now);
-        let takes = self.with_request(message, |request| member.ownership.admits(local, request));
+        let takes = self.with_request(message, |request| member.ownership.admission(local, request));
         let counts = &mut self.ledger.counts;
         let refused = match takes {
-            Takes::Yes => None,
-            Takes::NotOwner => Some(&mut counts.refused_as_not_owner),
-            Takes::OnHold(_) => Some(&mut counts.refused_by_hold),
-            Takes::LeaseExpired => Some(&mut counts.refused_by_lease),
+            Admission::Accepted => None,
+            Admission::NotOwner => Some(&mut counts.refused_as_not_owner),
+            Admission::OnHold(_) => Some(&mut counts.refused_by_hold),
+            Admission::LeaseExpired => Some(&mut counts.refused_by_lease),
         };
         if let Some(count) = refused {
             *count += 1;
@@ -536,8 +542,10 @@
 
     fn follow(&mut self, index: usize, step: Step, job: Option<usize>) {
         match step {
-            Step::Send { to, begin_within, patience } => self.forward(index, to, begin_within, patience),
-            Step::Answer(verdict) => {
+            Step::Send { to, write_timeout, answer_timeout } => {
+                self.forward(index, to, write_timeout, answer_timeout)
+            }
+            Step::Reply(verdict) => {
                 let Transit { message, attempt, .. } = self.transits[index];
                 self.reply_from(message, attempt, verdict, job);
             }
@@ -545,24 +553,24 @@
     }
 
     /// A forwarded request, on a kept connection or a new one, with the faults of both.
-    fn forward(&mut self, index: usize, to: SeatId, begin_within: Micros, patience: Micros) {
+    fn forward(&mut self, index: usize, to: SeatId, write_timeout: Micros, answer_timeout: Micros) {
         self.transits[index].sends += 1;
         let (from, send) = (self.transits[index].member, self.transits[index].sends);
         let list = self.members[from].ownership.list().expect("a route came from it");
         let Some(owner) = list.member(to).map(|member| member_number(member.name())) else {
             // The list changed meanwhile.
-            self.outcome_after(0, index, Outcome::NeverSent, None);
+            self.outcome_after(0, index, ForwardOutcome::NotSent, None);
             return;
         };
         let kept = self.rng.random_bool(KEPT_CONNECTION);
         let reachable = self.course.reach_each_other(from, owner, self.now);
         let cut = self.rng.random_range(0..40);
         if self.members[owner].state == State::Dead || (reachable && cut == 0) {
-            self.outcome_after(MILLISECOND, index, Outcome::NeverSent, None);
+            self.outcome_after(MILLISECOND, index, ForwardOutcome::NotSent, None);
             return;
         }
         if !reachable && !kept {
-            self.outcome_after(begin_within, index, Outcome::NeverSent, None);
+            self.outcome_after(write_timeout, index, ForwardOutcome::NotSent, None);
             return;
         }
         if reachable {
@@ -572,28 +580,28 @@
             self.after(delay, Event::Forwarded { member: owner, life, transit: index, send });
             if cut == 2 {
                 // Cut after the last byte: it arrives, its answer does not.
-                self.outcome_after(MILLISECOND, index, Outcome::Unknown, None);
+                self.outcome_after(MILLISECOND, index, ForwardOutcome::Unknown, None);
                 return;
             }
         }
-        self.outcome_after(patience, index, Outcome::Unknown, None);
+        self.outcome_after(answer_timeout, index, ForwardOutcome::Unknown, None);
     }
 
-    fn outcome_after(&mut self, span: Micros, index: usize, outcome: Outcome, job: Option<usize>) {
+    fn outcome_after(&mut self, span: Micros, index: usize, outcome: ForwardOutcome, job: Option<usize>) {
         let Transit { member, sends, .. } = self.transits[index];
         let life = self.members[member].life;
-        self.after(span, Event::Outcome { member, life, transit: index, send: sends, outcome, job });
+        self.after(span, Event::ForwardOutcome { member, life, transit: index, send: sends, outcome, job });
     }
 
     /// A forwarded request is served or refused, never routed.
     fn forwarded(&mut self, owner: usize, index: usize, send: u32) {
         let Transit { member, message, sends, .. } = self.transits[index];
         let outcome = if self.rng.random_bool(0.01) {
-            (Outcome::Wrong("no such class".to_string()), None)
+            (ForwardOutcome::Invalid("no such class".to_string()), None)
         } else {
             match self.admit(owner, message) {
-                Some(job) => (Outcome::Taken, Some(job)),
-                None => (Outcome::Busy { after_ms: 300 }, None),
+                Some(job) => (ForwardOutcome::Accepted, Some(job)),
+                None => (ForwardOutcome::Busy { after_ms: 300 }, None),
             }
         };
         if send == sends && self.course.reach_each_other(member, owner, self.now) {
@@ -602,16 +610,16 @@
         }
     }
 
-    fn outcome(&mut self, index: usize, send: u32, outcome: Outcome, job: Option<usize>) {
+    fn outcome(&mut self, index: usize, send: u32, outcome: ForwardOutcome, job: Option<usize>) {
         if self.transits[index].sends != send {
             return;
         }
         // Later outcomes of the same sending are those of a connection that is no longer looked at.
         self.transits[index].sends += 1;
-        self.ledger.counts.unknown += u64::from(outcome == Outcome::Unknown);
-        self.ledger.counts.never_sent += u64::from(outcome == Outcome::NeverSent);
+        self.ledger.counts.unknown += u64::from(outcome == ForwardOutcome::Unknown);
+        self.ledger.counts.never_sent += u64::from(outcome == ForwardOutcome::NotSent);
         let local = self.members[self.transits[index].member].local(self.now);
-        let step = self.transits[index].machine.outcome(local, outcome);
+        let step = self.transits[index].machine.record_outcome(local, outcome);
         self.follow(index, step, job);
     }
 
@@ -663,9 +671,11 @@
                 self.ledger.messages[job.message].dest == dest && self.now < job.deadline
             };
             member.jobs.iter().any(holds)
-                || member.ownership.takes(member.local(self.now), dest) == Takes::Yes
+                || member.ownership.unordered_admission(member.local(self.now), dest) == Admission::Accepted
         });
-        may_call.map(|member| 1.0 / member.ownership.sharers(member.local(self.now), dest) as f64).collect()
+        may_call
+            .map(|member| 1.0 / member.ownership.limit_sharers(member.local(self.now), dest) as f64)
+            .collect()
     }
 
     fn call_ended(&mut self, number: usize, job: usize, works: bool) {
@@ -687,10 +697,10 @@
     }
 }
 
-fn ownership(number: usize, memory: Option<Remembered>) -> Ownership {
+fn ownership(number: usize, memory: Option<PersistedPlacement>) -> Ownership {
     let longest = DEADLINE + LONGEST_CALL;
     let ownership = Ownership::new(member_name(number), LEASE, longest);
-    ownership.with_agent_lag(AGENT_LAG).with_memory(memory)
+    ownership.with_agent_lag(AGENT_LAG).with_persisted(memory)
 }
 
 const _: () = assert!(HEALED_AT < ENDS_AT && CLIENTS_STOP_AT < HEALED_AT);
--- a/crates/placement/tests/history/world.rs
+++ b/crates/placement/tests/history/world.rs
@@ -1,7 +1,7 @@
 //! The member lists of a history, epoch after epoch, and their tables, which all senders share.
 
 use embershore_placement::wire::{ListForm, MemberForm, RegionForm, SeatForm, WideForm};
-use embershore_placement::{Change, Changes, MemberList, Placement, Placements, SeatId, sub_shard};
+use embershore_placement::{Change, Changes, MemberList, Placement, PlacementSource, SeatId, sub_shard};
 use rand::prelude::*;
 use rand_chacha::ChaCha8Rng;
 
@@ -143,7 +143,7 @@
             }
             _ => {
                 let width = rng.random_range(1..=u64::from(GREATEST_WIDTH));
-                Some(Change::Widen(WideForm { dest: *self.dests.choose(rng)?, width }))
+                Some(Change::SetWidth(WideForm { dest: *self.dests.choose(rng)?, width }))
             }
         }
     }
--- a/crates/placement/tests/lease.rs
+++ b/crates/placement/tests/lease.rs
@@ -7,10 +7,10 @@
 #[test]
 fn an_answer_renews_from_the_ask() {
     let mut lease = Lease::new(10 * SECOND);
-    assert!(!lease.valid(0));
+    assert!(!lease.is_valid(0));
     lease.renew(SECOND);
-    assert!(lease.valid(11 * SECOND - 1));
-    assert!(!lease.valid(11 * SECOND));
+    assert!(lease.is_valid(11 * SECOND - 1));
+    assert!(!lease.is_valid(11 * SECOND));
 }
 
 #[test]
@@ -18,7 +18,7 @@
     let mut lease = Lease::new(10 * SECOND);
     lease.renew(5 * SECOND);
     lease.renew(SECOND);
-    assert_eq!(lease.until(), Some(15 * SECOND));
+    assert_eq!(lease.expires_at(), Some(15 * SECOND));
 }
 
 #[test]
@@ -26,6 +26,6 @@
     let times = LeaseTimes { lease: 10 * SECOND, agent_lag: 3 * SECOND, longest_deadline: 20 * SECOND };
     let hold = times.hold();
     let by_a_fast_clock = 33 * SECOND + 33 * SECOND / 1_000;
-    assert_eq!(times.until_none_takes(), 13 * SECOND);
+    assert_eq!(times.stale_accept_window(), 13 * SECOND);
     assert!(hold >= by_a_fast_clock && hold < 34 * SECOND);
 }
--- a/crates/placement/tests/options.rs
+++ b/crates/placement/tests/options.rs
@@ -23,15 +23,15 @@
     let expected = PlacementOptions {
         name: "n0".into(),
         listen: ([10, 0, 0, 1], 7001).into(),
-        control: vec![([10, 0, 0, 9], 7100).into()],
+        control_agents: vec![([10, 0, 0, 9], 7100).into()],
         lease: 10_000_000,
-        ask_every: 2_500_000,
+        poll_interval: 2_500_000,
         agent_lag: 0,
-        owner_connections: 64,
+        max_owner_connections: 64,
     };
     assert_eq!(read(SMALLEST), Ok(expected));
     let options = with("lease = \"2s\"").expect("good");
-    assert_eq!((options.lease, options.ask_every), (2_000_000, 500_000), "questions follow the lease");
+    assert_eq!((options.lease, options.poll_interval), (2_000_000, 500_000), "questions follow the lease");
 }
 
 #[test]
@@ -39,9 +39,9 @@
     let text = "name = \"n1\"\nlisten = \"127.0.0.1:7001\"\ncontrol = [\"127.0.0.2:1\", \"127.0.0.3:1\"]\n\
                 lease = \"4s\"\nask_every = \"500ms\"\nagent_lag = \"3s\"\nowner_connections = 3\n";
     let options = read(text).expect("good");
-    assert_eq!(options.control, [([127, 0, 0, 2], 1).into(), ([127, 0, 0, 3], 1).into()]);
-    assert_eq!((options.lease, options.ask_every), (4_000_000, 500_000));
-    assert_eq!((options.agent_lag, options.owner_connections), (3_000_000, 3));
+    assert_eq!(options.control_agents, [([127, 0, 0, 2], 1).into(), ([127, 0, 0, 3], 1).into()]);
+    assert_eq!((options.lease, options.poll_interval), (4_000_000, 500_000));
+    assert_eq!((options.agent_lag, options.max_owner_connections), (3_000_000, 3));
 }
 
 #[test]
--- a/crates/placement/tests/ownership.rs
+++ b/crates/placement/tests/ownership.rs
@@ -9,8 +9,8 @@
 
 use embershore_placement::wire::{ListForm, WideForm};
 use embershore_placement::{
-    Answer, Change, Changes, Heard, ListError, MAX_REPLAYED, MAX_REPLICAS, MemberList, Ownership, Remembered,
-    Request, Route, SeatId, ShardId, Table, Takes, shard, sub_shard,
+    Admission, AgentAnswer, Change, Changes, EpochUpdate, ListError, MAX_REPLAYED_CHANGES, MAX_REPLICAS,
+    MemberList, Ownership, PersistedPlacement, Request, Route, SeatId, ShardId, Table, shard, sub_shard,
 };
 use heronroute::Micros;
 use support::{fleet, list, member_form, seat_form};
@@ -25,11 +25,11 @@
 /// An answer reaches a sender.
 fn hear(
     ownership: &mut Ownership,
-    asked_at: Micros,
+    polled_at: Micros,
     now: Micros,
-    answer: Answer,
-) -> Result<Heard, ListError> {
-    ownership.heard_with(&mut &*TABLES, asked_at, now, answer)
+    answer: AgentAnswer,
+) -> Result<EpochUpdate, ListError> {
+    ownership.apply_answer_with(&mut &*TABLES, polled_at, now, answer)
 }
 
 const SECOND: Micros = 1_000_000;
@@ -47,8 +47,8 @@
     list(first_form())
 }
 
-fn whole(list: &MemberList) -> Answer {
-    Answer::Whole(Box::new(list.clone()))
+fn whole(list: &MemberList) -> AgentAnswer {
+    AgentAnswer::Full(Box::new(list.clone()))
 }
 
 fn unheard(seat: SeatId) -> Ownership {
@@ -75,7 +75,7 @@
 }
 
 fn widen(dest: i64, width: u64) -> Change {
-    Change::Widen(WideForm { dest, width })
+    Change::SetWidth(WideForm { dest, width })
 }
 
 fn request(dest: i64, request_id: &str) -> Request<'_> {
@@ -101,10 +101,10 @@
 fn a_sender_that_heard_nothing_knows_no_way_and_takes_nothing() {
     let ownership = unheard(OWN);
     assert_eq!(ownership.route(0, &request(1, "r")), Route::Unknown);
-    assert_eq!(ownership.takes(0, 1), Takes::LeaseExpired);
-    assert_eq!(ownership.admits(0, &ordered(1, "k")), Takes::LeaseExpired);
-    assert_eq!(ownership.remembered(0), None);
-    assert!(!ownership.keeps(1));
+    assert_eq!(ownership.unordered_admission(0, 1), Admission::LeaseExpired);
+    assert_eq!(ownership.admission(0, &ordered(1, "k")), Admission::LeaseExpired);
+    assert_eq!(ownership.persisted_state(0), None);
+    assert!(!ownership.needs_destination(1));
 }
 
 #[test]
@@ -112,48 +112,48 @@
     let started_earlier = list(fleet(&[3], 6, 1));
     let dest = dest_where(&started_earlier, |owners| owners.contains(&OWN));
     let mut ownership = heard(OWN, &started_earlier);
-    assert_eq!(ownership.takes(1, dest), Takes::OnHold(HOLD));
-    assert!(!ownership.remembered(HOLD - 1).unwrap().settled);
-    assert!(ownership.remembered(HOLD).unwrap().settled);
-    hear(&mut ownership, HOLD - 1, HOLD - 1, Answer::Unchanged { epoch: 1 }).unwrap();
-    assert_eq!(ownership.takes(HOLD - 1, dest), Takes::OnHold(HOLD));
-    assert_eq!(ownership.takes(HOLD, dest), Takes::Yes);
+    assert_eq!(ownership.unordered_admission(1, dest), Admission::OnHold(HOLD));
+    assert!(!ownership.persisted_state(HOLD - 1).unwrap().settled);
+    assert!(ownership.persisted_state(HOLD).unwrap().settled);
+    hear(&mut ownership, HOLD - 1, HOLD - 1, AgentAnswer::Unchanged { epoch: 1 }).unwrap();
+    assert_eq!(ownership.unordered_admission(HOLD - 1, dest), Admission::OnHold(HOLD));
+    assert_eq!(ownership.unordered_admission(HOLD, dest), Admission::Accepted);
 }
 
 #[test]
 fn an_agent_that_may_be_behind_makes_the_hold_longer() {
     let mut ownership = unheard(OWN).with_agent_lag(5 * SECOND);
     hear(&mut ownership, 0, 0, whole(&list(fleet(&[3], 6, 1)))).unwrap();
-    let until = ownership.on_hold(1).unwrap();
+    let until = ownership.holds_end(1).unwrap();
     assert!(until >= 35 * SECOND, "{until}");
 }
 
-fn memory(epoch: u64, digest: u64) -> Remembered {
-    Remembered { epoch, digest, settled: true, replicas: 2, wide: BTreeMap::new() }
+fn memory(epoch: u64, digest: u64) -> PersistedPlacement {
+    PersistedPlacement { epoch, digest, settled: true, replicas: 2, wide: BTreeMap::new() }
 }
 
 #[test]
 fn a_new_fleet_and_a_settled_sender_that_restarts_wait_for_nobody() {
     let new_fleet = first_list();
     let dest = dest_where(&new_fleet, |owners| owners.contains(&OWN));
-    assert_eq!(heard(OWN, &new_fleet).takes(1, dest), Takes::Yes);
+    assert_eq!(heard(OWN, &new_fleet).unordered_admission(1, dest), Admission::Accepted);
     let running = list(fleet(&[3], 6, 1));
     let memory = memory(1, running.digest());
-    let mut restarted = unheard(OWN).with_memory(Some(memory.clone()));
+    let mut restarted = unheard(OWN).with_persisted(Some(memory.clone()));
     hear(&mut restarted, 0, 0, whole(&running)).unwrap();
-    assert_eq!(restarted.takes(1, dest), Takes::Yes);
-    assert!(restarted.remembered(HOLD).unwrap().settled);
+    assert_eq!(restarted.unordered_admission(1, dest), Admission::Accepted);
+    assert!(restarted.persisted_state(HOLD).unwrap().settled);
 }
 
 #[test]
 fn what_the_state_folder_remembers_counts_for_that_list_alone() {
     let running = list(fleet(&[3], 6, 1));
     let dest = dest_where(&running, |owners| owners.contains(&OWN));
-    let unsettled = Remembered { settled: false, ..memory(1, running.digest()) };
+    let unsettled = PersistedPlacement { settled: false, ..memory(1, running.digest()) };
     for memory in [memory(0, running.digest()), memory(1, running.digest() ^ 1), unsettled] {
-        let mut restarted = unheard(OWN).with_memory(Some(memory));
+        let mut restarted = unheard(OWN).with_persisted(Some(memory));
         hear(&mut restarted, 0, 0, whole(&running)).unwrap();
-        assert_eq!(restarted.takes(1, dest), Takes::OnHold(HOLD));
+        assert_eq!(restarted.unordered_admission(1, dest), Admission::OnHold(HOLD));
     }
 }
 
@@ -162,32 +162,35 @@
     let members = first_list();
     let dest = dest_where(&members, |owners| owners.contains(&OWN));
     let mut ownership = heard(OWN, &members);
-    hear(&mut ownership, 4 * SECOND, 9 * SECOND, Answer::Unchanged { epoch: 1 }).unwrap();
-    assert_eq!(ownership.takes(14 * SECOND - 1, dest), Takes::Yes);
-    assert_eq!(ownership.takes(14 * SECOND, dest), Takes::LeaseExpired);
-    assert_eq!(ownership.admits(14 * SECOND, &request(dest, "r")), Takes::LeaseExpired);
+    hear(&mut ownership, 4 * SECOND, 9 * SECOND, AgentAnswer::Unchanged { epoch: 1 }).unwrap();
+    assert_eq!(ownership.unordered_admission(14 * SECOND - 1, dest), Admission::Accepted);
+    assert_eq!(ownership.unordered_admission(14 * SECOND, dest), Admission::LeaseExpired);
+    assert_eq!(ownership.admission(14 * SECOND, &request(dest, "r")), Admission::LeaseExpired);
     let Route::Forward(candidates) = ownership.route(14 * SECOND, &request(dest, "r")) else { panic!() };
     assert_eq!(candidates.len(), 1);
     assert!(!candidates.contains(&OWN));
-    assert!(ownership.keeps(dest));
+    assert!(ownership.needs_destination(dest));
 }
 
 #[test]
 fn answers_that_do_not_fit_are_refused_and_renew_nothing() {
     let members = first_list();
     let mut ownership = heard(OWN, &members);
-    hear(&mut ownership, 0, 0, Answer::Changes(changes(1, 2, vec![vacate(5)]))).unwrap();
+    hear(&mut ownership, 0, 0, AgentAnswer::Changes(changes(1, 2, vec![vacate(5)]))).unwrap();
     let digest = ownership.list().unwrap().digest();
     let other = list(ListForm { epoch: 2, ..fleet(&[3], 7, 1) });
     let stale = ListError::StaleEpoch { current: 2, offered: 1 };
     let refused = [
         (whole(&members), stale.clone()),
-        (Answer::Unchanged { epoch: 1 }, stale.clone()),
-        (Answer::Changes(changes(0, 1, vec![vacate(4)])), stale),
+        (AgentAnswer::Unchanged { epoch: 1 }, stale.clone()),
+        (AgentAnswer::Changes(changes(0, 1, vec![vacate(4)])), stale),
         (whole(&other), ListError::DifferentList { epoch: 2 }),
-        (Answer::Unchanged { epoch: 3 }, ListError::SinceMismatch { current: 2, since: 3 }),
-        (Answer::Changes(changes(1, 3, vec![vacate(4)])), ListError::SinceMismatch { current: 2, since: 1 }),
-        (Answer::Changes(changes(2, 3, vec![vacate(5)])), ListError::SeatVacant { seat: 5 }),
+        (AgentAnswer::Unchanged { epoch: 3 }, ListError::SinceMismatch { current: 2, since: 3 }),
+        (
+            AgentAnswer::Changes(changes(1, 3, vec![vacate(4)])),
+            ListError::SinceMismatch { current: 2, since: 1 },
+        ),
+        (AgentAnswer::Changes(changes(2, 3, vec![vacate(5)])), ListError::SeatVacant { seat: 5 }),
     ];
     for (answer, error) in refused {
         assert_eq!(hear(&mut ownership, 9 * SECOND, 9 * SECOND, answer), Err(error));
@@ -202,13 +205,13 @@
     let members = first_list();
     let mut ownership = heard(OWN, &members);
     let step = changes(1, 2, vec![vacate(5)]);
-    assert!(hear(&mut ownership, 0, 0, Answer::Changes(step.clone())).unwrap().changed);
-    let on_hold = ownership.on_hold(1);
-    for answer in [Answer::Changes(step), whole(&ownership.list().unwrap().clone())] {
+    assert!(hear(&mut ownership, 0, 0, AgentAnswer::Changes(step.clone())).unwrap().changed);
+    let on_hold = ownership.holds_end(1);
+    for answer in [AgentAnswer::Changes(step), whole(&ownership.list().unwrap().clone())] {
         let again = hear(&mut ownership, SECOND, SECOND, answer).unwrap();
         assert!(!again.changed);
         assert_eq!((again.gained.len(), again.lost.len()), (0, 0));
-        assert_eq!(ownership.on_hold(SECOND), on_hold);
+        assert_eq!(ownership.holds_end(SECOND), on_hold);
     }
     assert!(ownership.lease_valid(LEASE + SECOND - 1));
 }
@@ -220,19 +223,19 @@
     let step = changes(1, 2, vec![vacate(5)]);
     let next = members.apply(&step).unwrap();
     let (before, after) = (table(&members), table(&next));
-    let heard = hear(&mut ownership, SECOND, SECOND, Answer::Changes(step)).unwrap();
+    let heard = hear(&mut ownership, SECOND, SECOND, AgentAnswer::Changes(step)).unwrap();
     let is_new = |shard: ShardId| !before.owners(shard).contains(&OWN);
     let mut expected: Vec<ShardId> = after.shards_of(OWN).filter(|&shard| is_new(shard)).collect();
     expected.sort_unstable();
     assert!(!expected.is_empty());
     assert_eq!((heard.epoch, heard.gained, heard.lost), (2, expected, vec![]));
     let kept = dest_where(&members, |owners| owners.contains(&OWN));
-    assert_eq!(ownership.takes(SECOND, kept), Takes::Yes);
+    assert_eq!(ownership.unordered_admission(SECOND, kept), Admission::Accepted);
     let owned_after = |dest: i64| after.owners(shard(dest)).contains(&OWN);
     let gained = (0..).find(|&dest| owned_after(dest) && is_new(shard(dest))).unwrap();
-    assert_eq!(ownership.takes(SECOND, gained), Takes::OnHold(SECOND + HOLD));
-    hear(&mut ownership, SECOND + HOLD, SECOND + HOLD, Answer::Unchanged { epoch: 2 }).unwrap();
-    assert_eq!(ownership.takes(SECOND + HOLD, gained), Takes::Yes);
+    assert_eq!(ownership.unordered_admission(SECOND, gained), Admission::OnHold(SECOND + HOLD));
+    hear(&mut ownership, SECOND + HOLD, SECOND + HOLD, AgentAnswer::Unchanged { epoch: 2 }).unwrap();
+    assert_eq!(ownership.unordered_admission(SECOND + HOLD, gained), Admission::Accepted);
 }
 
 #[test]
@@ -242,13 +245,15 @@
     let step = changes(1, 2, vec![fill(5)]);
     let after = table(&vacant.apply(&step).unwrap());
     let owned_after = |dest: i64| after.owners(shard(dest)).contains(&OWN);
-    let dest = (0..).find(|&dest| ownership.takes(0, dest) == Takes::Yes && !owned_after(dest)).unwrap();
-    let heard = hear(&mut ownership, SECOND, SECOND, Answer::Changes(step)).unwrap();
+    let dest = (0..)
+        .find(|&dest| ownership.unordered_admission(0, dest) == Admission::Accepted && !owned_after(dest))
+        .unwrap();
+    let heard = hear(&mut ownership, SECOND, SECOND, AgentAnswer::Changes(step)).unwrap();
     assert!(heard.lost.contains(&shard(dest)));
-    assert_eq!(ownership.takes(SECOND, dest), Takes::NotOwner);
-    assert!(ownership.keeps(dest));
-    hear(&mut ownership, SECOND + HOLD, SECOND + HOLD, Answer::Unchanged { epoch: 2 }).unwrap();
-    assert!(!ownership.keeps(dest));
+    assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::NotOwner);
+    assert!(ownership.needs_destination(dest));
+    hear(&mut ownership, SECOND + HOLD, SECOND + HOLD, AgentAnswer::Unchanged { epoch: 2 }).unwrap();
+    assert!(!ownership.needs_destination(dest));
 }
 
 fn with_vacant(seat: usize) -> ListForm {
@@ -268,11 +273,11 @@
     let dest = (0..).filter(own).find(|&dest| lost_between(shard(dest))).unwrap();
     let kept = (0..).filter(own).find(|&dest| !lost_between(shard(dest))).unwrap();
     let mut ownership = heard(OWN, &vacant);
-    let answer = Answer::Changes(changes(1, 3, vec![fill(5), vacate(5)]));
+    let answer = AgentAnswer::Changes(changes(1, 3, vec![fill(5), vacate(5)]));
     let heard = hear(&mut ownership, SECOND, SECOND, answer).unwrap();
     assert_eq!((heard.gained.len(), heard.lost.len()), (0, 0));
-    assert_eq!(ownership.takes(SECOND, dest), Takes::OnHold(SECOND + HOLD));
-    assert_eq!(ownership.takes(SECOND, kept), Takes::Yes);
+    assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::OnHold(SECOND + HOLD));
+    assert_eq!(ownership.unordered_admission(SECOND, kept), Admission::Accepted);
 }
 
 #[test]
@@ -280,9 +285,9 @@
     let members = first_list();
     let dest = dest_where(&members, |owners| owners.contains(&OWN));
     let mut ownership = heard(OWN, &members);
-    let answer = Answer::Changes(changes(1, 3, vec![vacate(0), fill(0)]));
+    let answer = AgentAnswer::Changes(changes(1, 3, vec![vacate(0), fill(0)]));
     hear(&mut ownership, SECOND, SECOND, answer).unwrap();
-    assert_eq!(ownership.takes(SECOND, dest), Takes::OnHold(SECOND + HOLD));
+    assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::OnHold(SECOND + HOLD));
 }
 
 /// Preferences of keys go by seat: what a member keeps in another seat is as new to it as what it gains.
@@ -297,21 +302,21 @@
         |shard: ShardId| before.owners(shard).contains(&OWN) && after.owners(shard).contains(&SeatId(5));
     let dest = (0..).find(|&dest| keeps(shard(dest))).unwrap();
     let mut ownership = heard(OWN, &vacant);
-    assert_eq!(ownership.takes(0, dest), Takes::Yes);
-    hear(&mut ownership, SECOND, SECOND, Answer::Changes(step)).unwrap();
+    assert_eq!(ownership.unordered_admission(0, dest), Admission::Accepted);
+    hear(&mut ownership, SECOND, SECOND, AgentAnswer::Changes(step)).unwrap();
     assert_eq!(ownership.seat(), Some(SeatId(5)));
-    assert_eq!(ownership.takes(SECOND, dest), Takes::OnHold(SECOND + HOLD));
+    assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::OnHold(SECOND + HOLD));
 }
 
 #[test]
 fn a_whole_list_makes_all_new_unless_it_is_the_next_one() {
     let members = first_list();
     let dest = dest_where(&members, |owners| owners.contains(&OWN));
-    for (epoch, expected) in [(2, Takes::Yes), (3, Takes::OnHold(SECOND + HOLD))] {
+    for (epoch, expected) in [(2, Admission::Accepted), (3, Admission::OnHold(SECOND + HOLD))] {
         let mut ownership = heard(OWN, &members);
         let later = list(ListForm { epoch, first: false, ..first_form() });
         hear(&mut ownership, SECOND, SECOND, whole(&later)).unwrap();
-        assert_eq!(ownership.takes(SECOND, dest), expected);
+        assert_eq!(ownership.unordered_admission(SECOND, dest), expected);
     }
 }
 
@@ -319,12 +324,15 @@
 fn too_many_changes_over_several_epochs_make_all_new() {
     let members = first_list();
     let dest = dest_where(&members, |owners| owners.contains(&OWN));
-    for (count, expected) in [(MAX_REPLAYED, Takes::Yes), (MAX_REPLAYED + 2, Takes::OnHold(SECOND + HOLD))] {
+    for (count, expected) in [
+        (MAX_REPLAYED_CHANGES, Admission::Accepted),
+        (MAX_REPLAYED_CHANGES + 2, Admission::OnHold(SECOND + HOLD)),
+    ] {
         let mut ownership = heard(OWN, &members);
         let toggled = (0..count).map(|index| if index % 2 == 0 { vacate(5) } else { fill(5) });
-        let answer = Answer::Changes(changes(1, 3, toggled.collect()));
+        let answer = AgentAnswer::Changes(changes(1, 3, toggled.collect()));
         hear(&mut ownership, SECOND, SECOND, answer).unwrap();
-        assert_eq!(ownership.takes(SECOND, dest), expected, "{count} changes");
+        assert_eq!(ownership.unordered_admission(SECOND, dest), expected, "{count} changes");
     }
 }
 
@@ -333,10 +341,10 @@
     let members = first_list();
     let dest = dest_where(&members, |owners| owners.contains(&OWN));
     let owners = table(&members).owners(shard(dest)).to_vec();
-    assert_eq!(heard(OWN, &members).route(0, &request(dest, "r")), Route::Here);
+    assert_eq!(heard(OWN, &members).route(0, &request(dest, "r")), Route::Local);
     let other = (0..6).map(SeatId).find(|seat| !owners.contains(seat)).unwrap();
     let forwarder = heard(other, &members);
-    assert_eq!(forwarder.takes(0, dest), Takes::NotOwner);
+    assert_eq!(forwarder.unordered_admission(0, dest), Admission::NotOwner);
     let mut preferred_own = 0;
     for number in 0..1_000 {
         let id = format!("request-{number}");
@@ -359,12 +367,12 @@
     for number in 0..200 {
         let key = format!("key-{number}");
         let request = ordered(number, &key);
-        let takers = all.iter().filter(|ownership| ownership.admits(0, &request) == Takes::Yes);
+        let takers = all.iter().filter(|ownership| ownership.admission(0, &request) == Admission::Accepted);
         let taker = takers.map(|ownership| ownership.seat().unwrap()).collect::<Vec<_>>();
         assert_eq!(taker.len(), 1);
         for ownership in &all {
             let expected =
-                if ownership.seat() == Some(taker[0]) { Route::Here } else { Route::Forward(taker.clone()) };
+                if ownership.seat() == Some(taker[0]) { Route::Local } else { Route::Forward(taker.clone()) };
             assert_eq!(ownership.route(0, &request), expected);
         }
     }
@@ -375,9 +383,9 @@
     let members = first_list();
     let dest = dest_where(&members, |owners| owners.contains(&OWN));
     let ownership = heard(OWN, &members);
-    let key = key_where(|key| ownership.admits(0, &ordered(dest, key)) == Takes::Yes);
-    assert_eq!(ownership.route(LEASE, &ordered(dest, &key)), Route::Here);
-    assert_eq!(ownership.admits(LEASE, &ordered(dest, &key)), Takes::LeaseExpired);
+    let key = key_where(|key| ownership.admission(0, &ordered(dest, key)) == Admission::Accepted);
+    assert_eq!(ownership.route(LEASE, &ordered(dest, &key)), Route::Local);
+    assert_eq!(ownership.admission(LEASE, &ordered(dest, &key)), Admission::LeaseExpired);
 }
 
 #[test]
@@ -387,20 +395,20 @@
     let dest = dest_where(&members, |owners| owners.contains(&OWN) && owners.contains(&lost));
     let mut ownership = heard(OWN, &members);
     let other = heard(lost, &members);
-    let stays = key_where(|key| ownership.admits(0, &ordered(dest, key)) == Takes::Yes);
+    let stays = key_where(|key| ownership.admission(0, &ordered(dest, key)) == Admission::Accepted);
     let moves = key_where(|key| {
         let mut after = ownership.clone();
-        hear(&mut after, 0, 0, Answer::Changes(changes(1, 2, vec![vacate(5)]))).unwrap();
-        let was_the_others = other.admits(0, &ordered(dest, key)) == Takes::Yes;
-        was_the_others && after.admits(0, &ordered(dest, key)) != Takes::NotOwner
+        hear(&mut after, 0, 0, AgentAnswer::Changes(changes(1, 2, vec![vacate(5)]))).unwrap();
+        let was_the_others = other.admission(0, &ordered(dest, key)) == Admission::Accepted;
+        was_the_others && after.admission(0, &ordered(dest, key)) != Admission::NotOwner
     });
-    hear(&mut ownership, SECOND, SECOND, Answer::Changes(changes(1, 2, vec![vacate(5)]))).unwrap();
-    assert_eq!(ownership.takes(SECOND, dest), Takes::Yes);
-    assert_eq!(ownership.admits(SECOND, &ordered(dest, &moves)), Takes::OnHold(SECOND + HOLD));
-    let stayed = ownership.admits(SECOND, &ordered(dest, &stays));
-    assert!(matches!(stayed, Takes::Yes | Takes::NotOwner), "{stayed:?}");
-    hear(&mut ownership, SECOND + HOLD, SECOND + HOLD, Answer::Unchanged { epoch: 2 }).unwrap();
-    assert_eq!(ownership.admits(SECOND + HOLD, &ordered(dest, &moves)), Takes::Yes);
+    hear(&mut ownership, SECOND, SECOND, AgentAnswer::Changes(changes(1, 2, vec![vacate(5)]))).unwrap();
+    assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::Accepted);
+    assert_eq!(ownership.admission(SECOND, &ordered(dest, &moves)), Admission::OnHold(SECOND + HOLD));
+    let stayed = ownership.admission(SECOND, &ordered(dest, &stays));
+    assert!(matches!(stayed, Admission::Accepted | Admission::NotOwner), "{stayed:?}");
+    hear(&mut ownership, SECOND + HOLD, SECOND + HOLD, AgentAnswer::Unchanged { epoch: 2 }).unwrap();
+    assert_eq!(ownership.admission(SECOND + HOLD, &ordered(dest, &moves)), Admission::Accepted);
 }
 
 #[test]
@@ -409,8 +417,9 @@
     let dest = 7;
     let all = (0..6).map(|seat| {
         let mut ownership = heard(SeatId(seat), &members);
-        assert_eq!(ownership.sharers(0, dest), 2);
-        hear(&mut ownership, SECOND, SECOND, Answer::Changes(changes(1, 2, vec![widen(dest, 8)]))).unwrap();
+        assert_eq!(ownership.limit_sharers(0, dest), 2);
+        hear(&mut ownership, SECOND, SECOND, AgentAnswer::Changes(changes(1, 2, vec![widen(dest, 8)])))
+            .unwrap();
         ownership
     });
     let all: Vec<Ownership> = all.collect();
@@ -419,17 +428,18 @@
     for ownership in &all {
         let seat = ownership.seat().unwrap();
         let expected = match (is_owner(0, seat), (1..8).any(|part| is_owner(part, seat))) {
-            (true, _) => Takes::Yes,
-            (false, true) => Takes::OnHold(SECOND + HOLD),
-            (false, false) => Takes::NotOwner,
+            (true, _) => Admission::Accepted,
+            (false, true) => Admission::OnHold(SECOND + HOLD),
+            (false, false) => Admission::NotOwner,
         };
-        assert_eq!(ownership.takes(SECOND, dest), expected);
-        assert_eq!(ownership.sharers(SECOND, dest), 16);
+        assert_eq!(ownership.unordered_admission(SECOND, dest), expected);
+        assert_eq!(ownership.limit_sharers(SECOND, dest), 16);
     }
     let mut narrowed = all[0].clone();
-    hear(&mut narrowed, SECOND, 2 * SECOND, Answer::Changes(changes(2, 3, vec![widen(dest, 1)]))).unwrap();
-    assert_eq!(narrowed.sharers(2 * SECOND + HOLD - 1, dest), 16);
-    assert_eq!(narrowed.sharers(2 * SECOND + HOLD, dest), 2);
+    hear(&mut narrowed, SECOND, 2 * SECOND, AgentAnswer::Changes(changes(2, 3, vec![widen(dest, 1)])))
+        .unwrap();
+    assert_eq!(narrowed.limit_sharers(2 * SECOND + HOLD - 1, dest), 16);
+    assert_eq!(narrowed.limit_sharers(2 * SECOND + HOLD, dest), 2);
 }
 
 #[test]
@@ -441,18 +451,18 @@
     for seat in (0..6).map(SeatId) {
         let before = heard(seat, &members);
         let mut after = before.clone();
-        hear(&mut after, 0, SECOND, Answer::Changes(step.clone())).unwrap();
+        hear(&mut after, 0, SECOND, AgentAnswer::Changes(step.clone())).unwrap();
         for number in 0..200 {
             let key = format!("key-{number}");
             let request = ordered(dest, &key);
-            match after.admits(SECOND, &request) {
-                Takes::Yes => assert_eq!(before.admits(SECOND, &request), Takes::Yes),
-                Takes::OnHold(until) => {
+            match after.admission(SECOND, &request) {
+                Admission::Accepted => assert_eq!(before.admission(SECOND, &request), Admission::Accepted),
+                Admission::OnHold(until) => {
                     assert_eq!(until, SECOND + HOLD);
                     moved += 1;
                 }
-                Takes::NotOwner => {}
-                Takes::LeaseExpired => panic!("the lease is valid"),
+                Admission::NotOwner => {}
+                Admission::LeaseExpired => panic!("the lease is valid"),
             }
         }
     }
@@ -464,27 +474,28 @@
     let three = list(ListForm { replicas: 3, ..first_form() });
     let two = list(ListForm { epoch: 2, first: false, ..first_form() });
     let mut ownership = heard(OWN, &three);
-    assert_eq!(ownership.sharers(0, 1), 3);
+    assert_eq!(ownership.limit_sharers(0, 1), 3);
     hear(&mut ownership, SECOND, SECOND, whole(&two)).unwrap();
-    assert_eq!(ownership.sharers(SECOND + HOLD - 1, 1), 3);
-    assert_eq!(ownership.sharers(SECOND + HOLD, 1), 2);
+    assert_eq!(ownership.limit_sharers(SECOND + HOLD - 1, 1), 3);
+    assert_eq!(ownership.limit_sharers(SECOND + HOLD, 1), 2);
 }
 
 #[test]
 fn a_restarted_sender_keeps_the_smaller_share_of_its_last_run() {
     let members = list(fleet(&[3], 6, 1));
-    let last = Remembered { replicas: 3, wide: BTreeMap::from([(7, 4)]), ..memory(1, members.digest()) };
-    let mut restarted = unheard(OWN).with_memory(Some(last));
-    assert_eq!((restarted.sharers(0, 1), restarted.sharers(0, 7)), (3, 12));
+    let last =
+        PersistedPlacement { replicas: 3, wide: BTreeMap::from([(7, 4)]), ..memory(1, members.digest()) };
+    let mut restarted = unheard(OWN).with_persisted(Some(last));
+    assert_eq!((restarted.limit_sharers(0, 1), restarted.limit_sharers(0, 7)), (3, 12));
     hear(&mut restarted, 0, 0, whole(&members)).unwrap();
-    assert_eq!((restarted.sharers(HOLD - 1, 1), restarted.sharers(HOLD - 1, 7)), (3, 12));
-    assert_eq!((restarted.sharers(HOLD, 1), restarted.sharers(HOLD, 7)), (2, 2));
-    assert_eq!(unheard(OWN).sharers(0, 1), MAX_REPLICAS);
+    assert_eq!((restarted.limit_sharers(HOLD - 1, 1), restarted.limit_sharers(HOLD - 1, 7)), (3, 12));
+    assert_eq!((restarted.limit_sharers(HOLD, 1), restarted.limit_sharers(HOLD, 7)), (2, 2));
+    assert_eq!(unheard(OWN).limit_sharers(0, 1), MAX_REPLICAS);
 }
 
 #[test]
 fn a_restarted_sender_refuses_an_epoch_before_its_last() {
-    let mut restarted = unheard(OWN).with_memory(Some(memory(2, 0)));
+    let mut restarted = unheard(OWN).with_persisted(Some(memory(2, 0)));
     let refused = hear(&mut restarted, 0, 0, whole(&first_list()));
     assert_eq!(refused, Err(ListError::StaleEpoch { current: 2, offered: 1 }));
     assert!(!restarted.lease_valid(0));
@@ -497,12 +508,12 @@
     let dest = dest_where(&members, |owners| owners.contains(&OWN));
     let mut ownership = unheard(OWN).with_address(own_address);
     hear(&mut ownership, 0, 0, whole(&members)).unwrap();
-    assert_eq!(ownership.takes(0, dest), Takes::Yes);
+    assert_eq!(ownership.unordered_admission(0, dest), Admission::Accepted);
     let mut replacement = member_form(0);
     replacement.address = "127.9.9.9:7001".to_string();
     let replaced = vec![vacate(0), Change::Fill { seat: OWN, member: replacement }];
-    hear(&mut ownership, 0, SECOND, Answer::Changes(changes(1, 2, replaced))).unwrap();
-    assert_eq!(ownership.takes(SECOND, dest), Takes::NotOwner);
+    hear(&mut ownership, 0, SECOND, AgentAnswer::Changes(changes(1, 2, replaced))).unwrap();
+    assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::NotOwner);
     assert_eq!(ownership.seat(), None);
 }
 
@@ -512,8 +523,8 @@
     let mut ownership = Ownership::new("not-listed", LEASE, DEADLINE);
     hear(&mut ownership, 0, 0, whole(&members)).unwrap();
     assert!(matches!(ownership.route(0, &request(1, "r")), Route::Forward(owners) if owners.len() == 2));
-    assert_eq!(ownership.takes(0, 1), Takes::NotOwner);
-    assert!(!ownership.keeps(1));
+    assert_eq!(ownership.unordered_admission(0, 1), Admission::NotOwner);
+    assert!(!ownership.needs_destination(1));
 }
 
 #[test]
@@ -524,12 +535,12 @@
     hear(&mut ownership, 0, 0, whole(&members)).unwrap();
     assert_eq!(ownership.seat(), None);
     let step = changes(1, 2, vec![Change::Append(joined)]);
-    let heard = hear(&mut ownership, SECOND, SECOND, Answer::Changes(step)).unwrap();
+    let heard = hear(&mut ownership, SECOND, SECOND, AgentAnswer::Changes(step)).unwrap();
     assert_eq!(ownership.seat(), Some(SeatId(6)));
     assert!(!heard.gained.is_empty());
     let after = ownership.list().unwrap().clone();
     let dest = dest_where(&after, |owners| owners.contains(&SeatId(6)));
-    assert_eq!(ownership.takes(SECOND, dest), Takes::OnHold(SECOND + HOLD));
+    assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::OnHold(SECOND + HOLD));
 }
 
 /// Senders of all versions that know scheme 1 agree on these; another result is a new scheme number.
--- a/crates/placement/tests/properties.rs
+++ b/crates/placement/tests/properties.rs
@@ -343,6 +343,6 @@
 fn a_change_of_width_moves_nothing() {
     let mut fleet = Fleet::new(fleet(&[3], 12, 2));
     let wide = embershore_placement::wire::WideForm { dest: 5, width: 8 };
-    assert_eq!(fleet.change(vec![Change::Widen(wide)]), Moves::default());
+    assert_eq!(fleet.change(vec![Change::SetWidth(wide)]), Moves::default());
     assert_eq!(fleet.list.width(5), 8);
 }
--- a/crates/placement/tests/refusals.rs
+++ b/crates/placement/tests/refusals.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use embershore_placement::wire::{ListForm, MemberForm, WideForm};
-use embershore_placement::{Answer, Change, Changes, ListError, MAX_SEATS, MemberList, SeatId};
+use embershore_placement::{AgentAnswer, Change, Changes, ListError, MAX_SEATS, MemberList, SeatId};
 use support::{fleet, list, member_form, seat_form};
 
 /// A fault, and words that its error has to say: the place, and the mend.
@@ -228,8 +228,8 @@
             next(vec![append(|seat| seat.member = Some(member_form(1)))]),
             &["seats[8]"],
         ),
-        ("width 0", next(vec![Change::Widen(wide(7, 0))]), &["destination 7", "width 0", "1 in a change"]),
-        ("width 1,025", next(vec![Change::Widen(wide(7, 1025))]), &["width 1025", "2 to 1024"]),
+        ("width 0", next(vec![Change::SetWidth(wide(7, 0))]), &["destination 7", "width 0", "1 in a change"]),
+        ("width 1,025", next(vec![Change::SetWidth(wide(7, 1025))]), &["width 1025", "2 to 1024"]),
     ];
     let list = list(ListForm { epoch: 7, ..small() });
     let digest = list.digest();
@@ -305,7 +305,7 @@
         ),
     ];
     for (name, json, words) in cases {
-        let error = Answer::parse_json(json.as_bytes()).expect_err(name);
+        let error = AgentAnswer::parse_json(json.as_bytes()).expect_err(name);
         assert_says(name, &error, words);
     }
 }
--- a/crates/placement/tests/support/tables.rs
+++ b/crates/placement/tests/support/tables.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
-use embershore_placement::{Changes, ListError, MemberList, Placement, Placements, ShardId, Table};
+use embershore_placement::{Changes, ListError, MemberList, Placement, PlacementSource, ShardId, Table};
 
 /// Tables by the digests of their lists.
 #[derive(Default)]
@@ -37,13 +37,13 @@
     fn placement(&self, list: MemberList, table: Arc<Table>) -> Arc<Placement> {
         let placement = Placement::from_parts(list, table);
         Arc::new(match &self.focus {
-            Some(focus) => placement.with_focus(focus.clone()),
+            Some(focus) => placement.restricted_to(focus.clone()),
             None => placement,
         })
     }
 }
 
-impl Placements for &SharedTables {
+impl PlacementSource for &SharedTables {
     fn build(&mut self, list: MemberList) -> Arc<Placement> {
         let table = self.table(&list);
         self.placement(list, table)
--- a/crates/placement/tests/wire.rs
+++ b/crates/placement/tests/wire.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use embershore_placement::wire::WideForm;
-use embershore_placement::{Answer, Change, Changes, MemberList, SeatId};
+use embershore_placement::{AgentAnswer, Change, Changes, MemberList, SeatId};
 use support::{fleet, list, member_form, seat_form};
 
 const WHOLE: &str = r#"{"epoch":7,"scheme":1,"replicas":1,"first":true,"regions":[{"name":"r1","share":1}],"seats":[
@@ -12,7 +12,9 @@
 
 #[test]
 fn a_whole_list_is_read() {
-    let Ok(Answer::Whole(list)) = Answer::parse_json(WHOLE.as_bytes()) else { panic!("a whole list") };
+    let Ok(AgentAnswer::Full(list)) = AgentAnswer::parse_json(WHOLE.as_bytes()) else {
+        panic!("a whole list")
+    };
     assert_eq!((list.epoch(), list.replicas(), list.is_first()), (7, 1, true));
     assert_eq!((list.seat_count(), list.member_count()), (2, 1));
     let seat = list.seat_of("n0").expect("the member's seat");
@@ -31,12 +33,14 @@
     let json = r#"{"epoch":8,"since":7,"changes":[{"seat":3,"member":null},
         {"seat":4,"member":{"name":"sender-00004","address":"127.0.0.4:7001"}},
         {"append":{"region":"r0","zone":"z1","rack":"k0","weight":1.0,"member":null}},{"wide":{"dest":7,"width":4}}]}"#;
-    let Ok(Answer::Changes(changes)) = Answer::parse_json(json.as_bytes()) else { panic!("changes") };
+    let Ok(AgentAnswer::Changes(changes)) = AgentAnswer::parse_json(json.as_bytes()) else {
+        panic!("changes")
+    };
     let expected = vec![
         Change::Vacate { seat: SeatId(3) },
         Change::Fill { seat: SeatId(4), member: member_form(4) },
         Change::Append(seat_form(0, 1, 0, None)),
-        Change::Widen(WideForm { dest: 7, width: 4 }),
+        Change::SetWidth(WideForm { dest: 7, width: 4 }),
     ];
     assert_eq!(changes, Changes { epoch: 8, since: 7, changes: expected });
     assert_eq!(Changes::parse_json(&changes.to_json()), Ok(changes));
@@ -44,8 +48,8 @@
 
 #[test]
 fn nothing_new_is_told_from_changes() {
-    let answer = Answer::parse_json(br#"{"epoch":7,"since":7,"changes":[]}"#);
-    assert!(matches!(answer, Ok(Answer::Unchanged { epoch: 7 })));
+    let answer = AgentAnswer::parse_json(br#"{"epoch":7,"since":7,"changes":[]}"#);
+    assert!(matches!(answer, Ok(AgentAnswer::Unchanged { epoch: 7 })));
 }
 
 #[test]
@@ -67,9 +71,9 @@
         Change::Vacate { seat: SeatId(2) },
         Change::Append(seat_form(0, 0, 7, Some(2))),
         Change::Fill { seat: SeatId(2), member: member_form(77) },
-        Change::Widen(WideForm { dest: 5, width: 8 }),
-        Change::Widen(WideForm { dest: 6, width: 2 }),
-        Change::Widen(WideForm { dest: 6, width: 1 }),
+        Change::SetWidth(WideForm { dest: 5, width: 8 }),
+        Change::SetWidth(WideForm { dest: 6, width: 2 }),
+        Change::SetWidth(WideForm { dest: 6, width: 1 }),
     ];
     let (after, _) = support::applied(&before, entries);
     let mut form = fleet(&[2], 6, 2);
--- a/crates/scale/src/slopes/fleet.rs
+++ b/crates/scale/src/slopes/fleet.rs
@@ -13,7 +13,7 @@
 };
 use anyhow::Result;
 use embershore_placement::wire::WideForm;
-use embershore_placement::{Answer, Change, Changes, MAX_WIDTH, MemberList, Table, sub_shard};
+use embershore_placement::{AgentAnswer, Change, Changes, MAX_WIDTH, MemberList, Table, sub_shard};
 use embershore_protocol::listing::Line;
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
@@ -93,7 +93,7 @@
         report.figure(format!("{name}: a sender's messages, none wide"), Unit::PerSecond, plain);
         let wide = load.wide();
         let (count, parts) = (wide.len() as f64, wide.iter().map(|w| w.width as f64).sum::<f64>());
-        let widened = following(list, wide.into_iter().map(Change::Widen).collect());
+        let widened = following(list, wide.into_iter().map(Change::SetWidth).collect());
         report.figure(format!("{name}: wide destinations"), Unit::Count, Spread::exact(count));
         report.figure(format!("{name}: their parts"), Unit::Count, Spread::exact(parts));
         let told = widened.to_json().len() as f64;
@@ -199,7 +199,7 @@
 fn apply_time(list: &MemberList, table: &Table, text: &[u8]) -> Result<f64> {
     let mut table = table.clone();
     let begun = thread_cpu_time()?;
-    if let Answer::Changes(changes) = Answer::parse_json(text)? {
+    if let AgentAnswer::Changes(changes) = AgentAnswer::parse_json(text)? {
         let next = list.apply(&changes)?;
         table.apply(&next, &changes);
         std::hint::black_box(next);
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -178,7 +178,7 @@
     let repeats = if setup.small { 3 } else { 15 };
     let text = serde_json::to_vec(form)?;
     let memory = list_memory(&text)?;
-    let table_bytes = placement.table.bytes() as f64;
+    let table_bytes = placement.table.memory_bytes() as f64;
     report.figure("list as JSON", Unit::Bytes, Spread::exact(text.len() as f64));
     report.figure("list in memory", Unit::Bytes, Spread::exact(memory));
     report.bounded("table in memory", Unit::Bytes, Spread::exact(table_bytes), TABLE_BYTES);
--- a/crates/sender/src/check.rs
+++ b/crates/sender/src/check.rs
@@ -111,11 +111,11 @@
         ShownPlacement {
             name: placement.name.clone(),
             listen: placement.listen,
-            control: placement.control.clone(),
+            control: placement.control_agents.clone(),
             lease: span(placement.lease),
-            ask_every: span(placement.ask_every),
+            ask_every: span(placement.poll_interval),
             agent_lag: span(placement.agent_lag),
-            owner_connections: placement.owner_connections,
+            owner_connections: placement.max_owner_connections,
         }
     }
 
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -111,7 +111,7 @@
     /// Idle connections to endpoints: what clients, calls, probes, other members and the sender's own files leave.
     fn idle(&self, slots: usize, door: bool, placement: Option<&PlacementOptions>) -> usize {
         let door = if door { DOOR_FILES } else { 0 };
-        let members = placement.map_or(0, |options| options.owner_connections + PLACEMENT_FILES);
+        let members = placement.map_or(0, |options| options.max_owner_connections + PLACEMENT_FILES);
         let others = self.clients().places + slots + calls::PROBES_MOST + OWN_FILES + door + members;
         self.sockets.saturating_sub(others)
     }
--- a/crates/sender/src/placement/follow.rs
+++ b/crates/sender/src/placement/follow.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Fleet;
 use crate::input::Input;
 use bytes::Bytes;
-use embershore_placement::{Answer, Heard, ListError, Ownership};
+use embershore_placement::{AgentAnswer, EpochUpdate, ListError, Ownership};
 use heronroute::Micros;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Request;
@@ -35,7 +35,7 @@
 impl Follower {
     /// Follows the member list for ever.
     pub async fn run(self) {
-        let every = micros(self.placement.options.ask_every);
+        let every = micros(self.placement.options.poll_interval);
         let mut asking = ControlAgents::new(&self.placement);
         let mut drop_at = Instant::now() + DROP_EVERY;
         loop {
@@ -77,8 +77,8 @@
 
 impl ControlAgents {
     fn new(placement: &Placement) -> Self {
-        let answer_time = micros(placement.options.ask_every).max(ANSWER_TIME_LEAST);
-        let addresses = placement.options.control.clone();
+        let answer_time = micros(placement.options.poll_interval).max(ANSWER_TIME_LEAST);
+        let addresses = placement.options.control_agents.clone();
         ControlAgents { addresses, current: 0, whole: false, answer_time, logged: None }
     }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    async fn ask(&mut self, placement: &Placement) -> Result<Heard, Box<dyn Error>> {
+    async fn ask(&mut self, placement: &Placement) -> Result<EpochUpdate, Box<dyn Error>> {
         let known = placement.epoch().filter(|_| !self.whole);
         let asked_at = clock::now();
         let question = question(self.addresses[self.current], known.unwrap_or(0));
@@ -105,7 +105,7 @@
         Ok(heard?)
     }
 
-    fn log_success(&mut self, heard: &Heard) {
+    fn log_success(&mut self, heard: &EpochUpdate) {
         if self.logged.take().is_some() {
             eprintln!("placement: control answers again, epoch {}", heard.epoch);
         }
@@ -142,7 +142,7 @@
 
 /// Takes an answer over. What changes the table does so beside the sender's one thread: it takes the time of many rounds.
 /// Until it is done the former table and its lease stay in force.
-async fn take_over(placement: &Placement, asked_at: Micros, text: Bytes) -> Result<Heard, ListError> {
+async fn take_over(placement: &Placement, asked_at: Micros, text: Bytes) -> Result<EpochUpdate, ListError> {
     placement.reading.set(true);
     let before = placement.ownership.borrow().clone();
     let read = tokio::task::spawn_blocking(move || hear(before, asked_at, &text)).await;
@@ -154,9 +154,13 @@
 }
 
 /// Reads an answer; the view that it leads to, and what changed.
-fn hear(mut ownership: Ownership, asked_at: Micros, text: &[u8]) -> Result<(Ownership, Heard), ListError> {
-    let answer = Answer::parse_json(text)?;
-    let heard = ownership.heard(asked_at, clock::now(), answer)?;
+fn hear(
+    mut ownership: Ownership,
+    asked_at: Micros,
+    text: &[u8],
+) -> Result<(Ownership, EpochUpdate), ListError> {
+    let answer = AgentAnswer::parse_json(text)?;
+    let heard = ownership.apply_answer(asked_at, clock::now(), answer)?;
     Ok((ownership, heard))
 }
 
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -4,7 +4,7 @@
 use super::pool::{Place, Pool};
 use super::{Forwarded, Placement, clock};
 use bytes::BytesMut;
-use embershore_placement::{Forwarding, Outcome, Step, Verdict};
+use embershore_placement::{ClientReply, ForwardOutcome, Forwarding, Step};
 use embershore_protocol::resp::{Put, Reply};
 use embershore_protocol::resp_client::{LINE_MOST, decode_reply, encode_put};
 use heronroute::Micros;
@@ -37,7 +37,7 @@
 impl Forwarder {
     /// Passes on by what `placement` knows.
     pub fn new(placement: Rc<Placement>) -> Rc<Self> {
-        let pool = Pool::new(placement.options.owner_connections);
+        let pool = Pool::new(placement.options.max_owner_connections);
         Rc::new(Forwarder { placement, pool })
     }
 
@@ -64,34 +64,41 @@
         });
     }
 
-    async fn forward(&self, put: &Put, to: Forwarded, read_at: Micros) -> Verdict {
+    async fn forward(&self, put: &Put, to: Forwarded, read_at: Micros) -> ClientReply {
         let mut forwarding = Forwarding::new(to.effect, to.candidates, read_at, BUDGET);
         let mut step = forwarding.start(clock::now());
         loop {
             match step {
-                Step::Answer(verdict) => return verdict,
-                Step::Send { to, begin_within, patience } => {
+                Step::Reply(verdict) => return verdict,
+                Step::Send { to, write_timeout, answer_timeout } => {
                     let outcome = match self.placement.address_of(to) {
                         Some(owner) => {
-                            self.send(owner, put, read_at, patience_from_now(begin_within, patience)).await
+                            self.send(owner, put, read_at, patience_from_now(write_timeout, answer_timeout))
+                                .await
                         }
-                        None => Outcome::NeverSent,
+                        None => ForwardOutcome::NotSent,
                     };
-                    if outcome == Outcome::Unknown {
+                    if outcome == ForwardOutcome::Unknown {
                         count(&self.counters().unknown);
                     }
-                    step = forwarding.outcome(clock::now(), outcome);
+                    step = forwarding.record_outcome(clock::now(), outcome);
                 }
             }
         }
     }
 
     /// Sends the message to one owner.
-    async fn send(&self, owner: SocketAddr, put: &Put, read_at: Micros, patience: Patience) -> Outcome {
+    async fn send(
+        &self,
+        owner: SocketAddr,
+        put: &Put,
+        read_at: Micros,
+        patience: Patience,
+    ) -> ForwardOutcome {
         let begun = timeout_at(patience.begin_by, self.begin(owner, put, read_at)).await;
-        let Ok(Ok(mut exchange)) = begun else { return Outcome::NeverSent };
+        let Ok(Ok(mut exchange)) = begun else { return ForwardOutcome::NotSent };
         let answered = timeout_at(patience.answer_by, exchange.finish()).await;
-        let Ok(Ok(reply)) = answered else { return Outcome::Unknown };
+        let Ok(Ok(reply)) = answered else { return ForwardOutcome::Unknown };
         exchange.keep();
         outcome_of(reply)
     }
@@ -113,12 +120,12 @@
         &self.placement.counters.forwarded
     }
 
-    fn count(&self, verdict: &Verdict) {
+    fn count(&self, verdict: &ClientReply) {
         let counters = self.counters();
         count(match verdict {
-            Verdict::Taken => &counters.taken,
-            Verdict::Busy { .. } => &counters.busy,
-            Verdict::Failed | Verdict::Wrong(_) => &counters.failed,
+            ClientReply::Accepted => &counters.taken,
+            ClientReply::Busy { .. } => &counters.busy,
+            ClientReply::Failed | ClientReply::Invalid(_) => &counters.failed,
         });
     }
 }
@@ -160,20 +167,20 @@
     Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
 
-fn outcome_of(reply: Reply) -> Outcome {
+fn outcome_of(reply: Reply) -> ForwardOutcome {
     match reply {
-        Reply::Taken => Outcome::Taken,
-        Reply::Busy { after_ms } => Outcome::Busy { after_ms },
-        Reply::Failed => Outcome::Wrong("the message failed".into()),
-        Reply::Wrong(reason) => Outcome::Wrong(reason.into_owned()),
+        Reply::Taken => ForwardOutcome::Accepted,
+        Reply::Busy { after_ms } => ForwardOutcome::Busy { after_ms },
+        Reply::Failed => ForwardOutcome::Invalid("the message failed".into()),
+        Reply::Wrong(reason) => ForwardOutcome::Invalid(reason.into_owned()),
     }
 }
 
-fn reply_of(verdict: Verdict) -> Reply {
+fn reply_of(verdict: ClientReply) -> Reply {
     match verdict {
-        Verdict::Taken => Reply::Taken,
-        Verdict::Busy { after_ms } => Reply::Busy { after_ms },
-        Verdict::Failed => Reply::Failed,
-        Verdict::Wrong(reason) => Reply::Wrong(reason.into()),
+        ClientReply::Accepted => Reply::Taken,
+        ClientReply::Busy { after_ms } => Reply::Busy { after_ms },
+        ClientReply::Failed => Reply::Failed,
+        ClientReply::Invalid(reason) => Reply::Wrong(reason.into()),
     }
 }
--- a/crates/sender/src/placement/memory.rs
+++ b/crates/sender/src/placement/memory.rs
@@ -1,7 +1,7 @@
 //! What the state folder remembers of the member list: a restarted owner need not wait as a new one, and does not take a
 //! larger share of a limit than its last run left it.
 
-use embershore_placement::Remembered;
+use embershore_placement::PersistedPlacement;
 use std::cell::RefCell;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct Memory {
     folder: PathBuf,
-    written: RefCell<Option<Remembered>>,
+    written: RefCell<Option<PersistedPlacement>>,
 }
 
 impl Memory {
@@ -25,7 +25,7 @@
     }
 
     /// What an earlier run left, or this one has written.
-    pub fn get(&self) -> Option<Remembered> {
+    pub fn get(&self) -> Option<PersistedPlacement> {
         self.written.borrow().clone()
     }
 
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// When the folder can't be written; what stood there before stays.
-    pub fn keep(&self, remembered: Remembered) -> io::Result<()> {
+    pub fn keep(&self, remembered: PersistedPlacement) -> io::Result<()> {
         if self.written.borrow().as_ref() == Some(&remembered) {
             return Ok(());
         }
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -16,7 +16,8 @@
 
 use embershore_placement::options::PlacementOptions;
 use embershore_placement::{
-    DEFAULT_WAIT_MS, Heard, MAX_REPLICAS, Ownership, Request, Route, SeatId, ShardId, Takes, sub_shard,
+    Admission, DEFAULT_WAIT_MS, EpochUpdate, MAX_REPLICAS, Ownership, Request, Route, SeatId, ShardId,
+    sub_shard,
 };
 use embershore_protocol::listing::Listing;
 use embershore_protocol::resp::Put;
@@ -87,7 +88,7 @@
         let delivered_within = longest_deadline + DEADLINE_ROUNDING + settings.order_settle;
         let ownership = Ownership::new(&*options.name, options.lease, delivered_within)
             .with_agent_lag(options.agent_lag)
-            .with_memory(memory.get());
+            .with_persisted(memory.get());
         let placement = Placement {
             options,
             ownership: RefCell::new(ownership),
@@ -113,7 +114,7 @@
     /// Settles among how many owners the module shares a destination's limit: the most replicas that may still be acted upon,
     /// by the list in force or else by the last run, or that a list can name. It holds until the process ends.
     pub fn settle_sharers(&self) -> u32 {
-        let known = self.ownership.borrow().remembered(clock::now()).or_else(|| self.memory.get());
+        let known = self.ownership.borrow().persisted_state(clock::now()).or_else(|| self.memory.get());
         let replicas = known.map_or(MAX_REPLICAS, |remembered| remembered.replicas);
         let sharers = u32::try_from(replicas).unwrap_or(u32::MAX).max(1);
         self.sharers.set(sharers);
@@ -131,7 +132,7 @@
     }
 
     /// Puts a view in force that was made of the one in force.
-    fn put_in_force(&self, ownership: Ownership, heard: &Heard) {
+    fn put_in_force(&self, ownership: Ownership, heard: &EpochUpdate) {
         // Before anything is done under the new list.
         self.write_down(&ownership);
         let before = self.ownership.replace(ownership);
@@ -148,7 +149,7 @@
     }
 
     fn write_down(&self, ownership: &Ownership) {
-        let Some(remembered) = ownership.remembered(clock::now()) else { return };
+        let Some(remembered) = ownership.persisted_state(clock::now()) else { return };
         if let Err(e) = self.memory.keep(remembered) {
             eprintln!(
                 "placement: the state folder can't be written: {e}; after a restart this sender waits as a new owner"
@@ -161,7 +162,7 @@
         let Some(rule) = self.rule_of(put) else { return Destination::Here };
         let route = self.ownership.borrow().route(clock::now(), &request_of(put, rule));
         match route {
-            Route::Here => Destination::Here,
+            Route::Local => Destination::Here,
             Route::Forward(candidates) => Destination::Forward(Forwarded { candidates, effect: rule.effect }),
             Route::Unknown => Destination::Nowhere,
         }
@@ -171,15 +172,17 @@
     pub fn refuses(&self, put: &Put) -> Option<u64> {
         let rule = self.rule_of(put)?;
         let (ownership, now) = (self.ownership.borrow(), clock::now());
-        match ownership.admits(now, &request_of(put, rule)) {
-            Takes::Yes if self.shares_enough(&ownership) && self.endpoints_known(&ownership, put.dest) => {
+        match ownership.admission(now, &request_of(put, rule)) {
+            Admission::Accepted
+                if self.shares_enough(&ownership) && self.endpoints_known(&ownership, put.dest) =>
+            {
                 None
             }
-            Takes::OnHold(until) => {
+            Admission::OnHold(until) => {
                 let left_ms = u64::try_from((until - now) / 1000).unwrap_or(0);
                 Some(left_ms.clamp(DEFAULT_WAIT_MS, HOLD_WAIT_MOST_MS))
             }
-            Takes::Yes | Takes::NotOwner | Takes::LeaseExpired => Some(DEFAULT_WAIT_MS),
+            Admission::Accepted | Admission::NotOwner | Admission::LeaseExpired => Some(DEFAULT_WAIT_MS),
         }
     }
 
@@ -190,7 +193,7 @@
 
     /// Whether this sender keeps the destination from the list of endpoints.
     pub fn keeps(&self, dest: i64) -> bool {
-        self.ownership.borrow().keeps(dest) || self.held.borrow().contains(dest)
+        self.ownership.borrow().needs_destination(dest) || self.held.borrow().contains(dest)
     }
 
     /// Told limits of wide destinations are shared by more owners than the module reckons with: it is told this sender's part
@@ -199,7 +202,7 @@
         let (ownership, now) = (self.ownership.borrow(), clock::now());
         for line in &mut listing.endpoints {
             let Some(limit) = &mut line.weight else { continue };
-            let part = f64::from(self.sharers.get()) / ownership.sharers(now, line.group) as f64;
+            let part = f64::from(self.sharers.get()) / ownership.limit_sharers(now, line.group) as f64;
             *limit *= part.min(1.0);
         }
     }
@@ -217,7 +220,7 @@
     /// Asks for the list of endpoints where messages are held whose destinations it was not kept for.
     pub fn want_held_destinations(&self) {
         let ownership = self.ownership.borrow();
-        if self.held.borrow().destinations().any(|dest| !ownership.keeps(dest)) {
+        if self.held.borrow().destinations().any(|dest| !ownership.needs_destination(dest)) {
             self.endpoint_list.want([]);
         }
     }
@@ -235,10 +238,10 @@
             |until: Option<Micros>| until.map_or(0, |until| u64::try_from((until - now) / 1000).unwrap_or(0));
         PlacementFigures {
             epoch: ownership.epoch(),
-            lease_left_ms: left_ms(ownership.lease().until()),
+            lease_left_ms: left_ms(ownership.lease().expires_at()),
             owned_shards: self.owned_shards.get(),
             unread_shards: self.endpoint_list.unread(),
-            on_hold_ms: left_ms(ownership.on_hold(now)),
+            on_hold_ms: left_ms(ownership.holds_end(now)),
             lists_refused: self.counters.lists_refused.get(),
             forwarded: self.counters.forwarded.tell(),
             taken_for_others: self.counters.taken_for_others.get(),
@@ -263,7 +266,7 @@
 }
 
 fn wide_of(ownership: &Ownership) -> Vec<(i64, u16)> {
-    ownership.list().into_iter().flat_map(|list| list.wide()).collect()
+    ownership.list().into_iter().flat_map(|list| list.wide_destinations()).collect()
 }
 
 fn request_of(put: &Put, rule: ClassRule) -> Request<'_> {
