--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -4,7 +4,7 @@
 use crate::list::{MAX_WIDTH, MemberList, SeatId};
 use crate::wire::{MemberForm, SeatForm, WideForm};
 
-/// Changes from one epoch to a later one, not yet checked against a list.
+/// Changes from one epoch to a later one, not yet validated against a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Changes {
     /// Epoch that the changes lead to.
@@ -15,33 +15,33 @@
     pub changes: Vec<Change>,
 }
 
-/// One change.
+/// One change to a member list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A member is gone.
+    /// A member leaves its seat.
     Vacate {
-        /// Its seat, which stays.
+        /// The seat, which stays in the list.
         seat: SeatId,
     },
     /// A member takes a vacant seat.
     Fill {
         /// The seat.
         seat: SeatId,
-        /// Who takes it.
+        /// The member.
         member: MemberForm,
     },
-    /// A seat is added behind the last one.
+    /// A seat is appended to the list.
     Append(SeatForm),
-    /// A destination's width changes; 1 makes it plain.
+    /// A destination's width changes; 1 makes it a plain destination again.
     SetWidth(WideForm),
 }
 
 impl MemberList {
-    /// The list that `changes` lead to. This one stays as it is.
+    /// Returns the list that `changes` lead to. This list is not modified.
     ///
     /// # Errors
-    /// Changes that begin at another epoch or don't raise it, and each change that doesn't fit the list as the changes
-    /// before it left it; fewer members than replicas in a region at the end.
+    /// Fails if the changes begin at another epoch than this list's or do not raise it, if a change does not apply to the
+    /// list as the changes before it left it, or if a region has fewer members than replicas afterwards.
     pub fn apply(&self, changes: &Changes) -> Result<Self, ListError> {
         self.check_epochs(changes)?;
         let mut next = self.successor(changes.epoch);
--- a/crates/placement/src/domains.rs
+++ b/crates/placement/src/domains.rs
@@ -1,15 +1,15 @@
-//! Failure domains by number: names are kept once, and comparing two seats' zones compares two numbers.
+//! Failure domains by number. Each name is stored once, and comparing two seats' zones compares two numbers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::list::RegionId;
 
-/// Number of a zone in the order of first appearance.
+/// Number of a zone, in the order in which the list first names them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ZoneId(pub u16);
 
-/// Number of a rack in the order of first appearance.
+/// Number of a rack, in the order in which the list first names them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RackId(pub u16);
 
@@ -25,7 +25,7 @@
     name: Arc<str>,
 }
 
-/// The zones and racks of a list; never more than its seats.
+/// The zones and racks of a list. There are never more of either than seats.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Domains {
     zones: Vec<Zone>,
@@ -35,7 +35,7 @@
 }
 
 impl Domains {
-    /// The number of a rack, which is given one if it is new.
+    /// Returns the number of a rack; assigns the next one if the rack is new.
     pub(crate) fn intern(&mut self, region: RegionId, zone: &str, rack: &str) -> RackId {
         let zone = self.intern_zone(region, zone);
         let name: Arc<str> = rack.into();
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -1,72 +1,72 @@
-//! Why a member list or a change to one is refused: each error names the place and what mends it.
+//! Why a member list, or a change to one, is rejected. Each error names the place of the fault and how to correct it.
 
-/// A member list, or changes to one, that were refused. The list in force stays in force.
+/// The reason why a member list, or changes to one, were rejected. The list in force stays in force.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ListError {
-    /// Not JSON of the expected form.
-    #[error("member list is not readable: {reason}: send one of the forms of docs/design/placement.md")]
+    /// The text is not JSON of the expected form.
+    #[error("malformed member list: {reason}: send one of the forms of docs/design/placement.md")]
     Malformed {
-        /// The parser's words, with line and column.
+        /// The parser's message, with line and column.
         reason: String,
     },
-    /// A scheme that this version doesn't know.
+    /// The list names a placement scheme that this version does not support.
     #[error(
-        "scheme is {scheme}, this version knows only {known}: update this program or keep to scheme {known}"
+        "scheme is {scheme}, this version supports only {known}: update this program or keep to scheme {known}"
     )]
     UnknownScheme {
-        /// The scheme that was asked for.
+        /// The scheme of the list.
         scheme: u16,
-        /// The scheme that this version knows.
+        /// The scheme that this version supports.
         known: u16,
     },
-    /// Number of replicas out of range.
-    #[error("replicas is {replicas}: give 1 to {max}, usually 2")]
+    /// The number of replicas is out of range.
+    #[error("replicas is {replicas}: must be 1 to {max}, usually 2")]
     Replicas {
-        /// The number that was given.
+        /// The number in the list.
         replicas: u64,
-        /// The greatest that is allowed.
+        /// The maximum.
         max: usize,
     },
-    /// A list without regions.
-    #[error("regions is empty: name at least one region with its share")]
+    /// The list has no regions.
+    #[error("regions is empty: list at least one region with its share")]
     NoRegions,
-    /// More regions, seats or wide destinations than a list can hold.
-    #[error("{what} has {count} entries, at most {max} are allowed: shorten it")]
+    /// The list has more regions, seats or wide destinations than allowed.
+    #[error("{what} has {count} entries, at most {max} are allowed: remove some")]
     TooMany {
-        /// Which part of the list.
+        /// Name of the field.
         what: &'static str,
-        /// How many entries it has.
+        /// Number of its entries.
         count: usize,
-        /// The bound.
+        /// The maximum.
         max: usize,
     },
-    /// A name that is empty.
+    /// A name is empty.
     #[error("{place} is empty: give it a name")]
     EmptyName {
         /// The field, such as `seats[3].rack`.
         place: String,
     },
-    /// A region named twice.
-    #[error("regions[{second}] repeats the name {name:?} of regions[{first}]: name each region once")]
+    /// Two regions have the same name.
+    #[error("regions[{second}] repeats the name {name:?} of regions[{first}]: list each region once")]
     DuplicateRegion {
         /// The name.
         name: String,
-        /// Index where it stood first.
+        /// Index of its first appearance.
         first: usize,
-        /// Index where it stood again.
+        /// Index of its second appearance.
         second: usize,
     },
-    /// A region that owns no part of the destinations.
-    #[error("regions[{index}] ({name}) has share 0: give a share of at least 1 or take the region out")]
+    /// A region has share 0, and so would own no shards.
+    #[error("regions[{index}] ({name}) has share 0: set a share of at least 1 or remove the region")]
     ZeroShare {
         /// Index of the region.
         index: usize,
         /// Its name.
         name: String,
     },
-    /// A seat in a region that the list doesn't have.
+    /// A seat is in a region that the list does not have.
     #[error(
-        "seats[{seat}].region is {region:?}, which regions does not name: add the region or correct the seat"
+        "seats[{seat}].region is {region:?}, which is not in regions: add the region or correct the seat"
     )]
     UnknownRegion {
         /// Index of the seat.
@@ -74,101 +74,103 @@
         /// The region's name.
         region: String,
     },
-    /// A weight that is not a number above 0 and up to the bound.
+    /// A weight is not a number above 0 and up to the maximum.
     #[error(
-        "seats[{seat}].weight is {weight}: give a number of at least 1/1024 and at most {max}, 1 for a usual machine"
+        "seats[{seat}].weight is {weight}: must be at least 1/1024 and at most {max}, 1 for a usual machine"
     )]
     Weight {
         /// Index of the seat.
         seat: usize,
-        /// The weight as it was given.
+        /// The weight in the list.
         weight: f64,
-        /// The greatest that is allowed.
+        /// The maximum.
         max: u32,
     },
-    /// A member's address that is not an IP address and a port.
-    #[error("seats[{seat}].member.address is {address:?}: give an IP address and a port other than 0")]
+    /// A member's address is not an IP address with a port.
+    #[error("seats[{seat}].member.address is {address:?}: must be an IP address and a port other than 0")]
     Address {
         /// Index of the seat.
         seat: usize,
-        /// The address as it was given.
+        /// The address in the list.
         address: String,
     },
-    /// A member that fills two seats.
+    /// A member fills two seats.
     #[error(
-        "seats[{second}] repeats the member name {name:?} of seats[{first}]: one seat a member, vacate one of them"
+        "seats[{second}] repeats the member name {name:?} of seats[{first}]: a member fills only one seat, vacate one of them"
     )]
     DuplicateName {
         /// The member's name.
         name: String,
-        /// Index of the seat that has it.
+        /// Index of the seat that has it already.
         first: usize,
-        /// Index of the seat that was to have it as well.
+        /// Index of the seat that repeats it.
         second: usize,
     },
-    /// An address that two members have.
-    #[error("seats[{second}] repeats the address {address} of seats[{first}]: give each member its own")]
+    /// Two members have the same address.
+    #[error(
+        "seats[{second}] repeats the address {address} of seats[{first}]: give each member its own address"
+    )]
     DuplicateAddress {
         /// The address.
         address: std::net::SocketAddr,
-        /// Index of the seat that has it.
+        /// Index of the seat that has it already.
         first: usize,
-        /// Index of the seat that was to have it as well.
+        /// Index of the seat that repeats it.
         second: usize,
     },
-    /// A region with fewer filled seats than replicas.
+    /// A region has fewer filled seats than replicas.
     #[error(
         "region {region} has {members} members for {replicas} replicas: fill seats there or lower replicas"
     )]
     TooFewMembers {
         /// Name of the region.
         region: String,
-        /// Its filled seats.
+        /// Number of its filled seats.
         members: usize,
         /// Replicas that each shard needs.
         replicas: usize,
     },
-    /// A width out of range.
+    /// The width of a wide destination is out of range.
     #[error(
-        "wide destination {dest} has width {width}: give 2 to {max}, or 1 in a change to make it plain again"
+        "wide destination {dest} has width {width}: must be 2 to {max}, or 1 in a change to make it plain again"
     )]
     Width {
         /// The destination.
         dest: i64,
-        /// The width that was given.
+        /// The width in the list or the change.
         width: u64,
-        /// The greatest that is allowed.
+        /// The maximum.
         max: u16,
     },
-    /// A wide destination listed twice.
+    /// A wide destination is listed twice.
     #[error("wide lists destination {dest} twice: list it once")]
     DuplicateWide {
         /// The destination.
         dest: i64,
     },
-    /// A list that is older than the one in force.
+    /// The list is older than the one in force.
     #[error("epoch {offered} is older than epoch {current} in force: send an epoch above {current}")]
     StaleEpoch {
         /// Epoch in force.
         current: u64,
-        /// Epoch that was offered.
+        /// Epoch of the rejected list.
         offered: u64,
     },
-    /// Another list under the number in force.
-    #[error("epoch {epoch} is in force with another list: raise the epoch with each change")]
+    /// The list has the epoch in force but other contents.
+    #[error("epoch {epoch} is already in force with another list: raise the epoch with each change")]
     DifferentList {
         /// The epoch.
         epoch: u64,
     },
-    /// Changes that don't begin at the epoch in force.
-    #[error("changes since epoch {since} do not fit epoch {current} in force: send the whole list")]
+    /// The changes do not begin at the epoch in force.
+    #[error("changes since epoch {since} do not apply to epoch {current} in force: send the full list")]
     SinceMismatch {
-        /// Epoch in force.
+        /// Epoch in force; 0 before the first list.
         current: u64,
         /// Epoch that the changes begin at.
         since: u64,
     },
-    /// Changes under the epoch that they begin at.
+    /// The changes do not lead to a later epoch than they begin at.
     #[error("changes since epoch {since} lead to epoch {epoch}: raise the epoch with each change")]
     EpochNotRaised {
         /// Epoch that the changes begin at.
@@ -176,30 +178,30 @@
         /// Epoch that they lead to.
         epoch: u64,
     },
-    /// A seat that the list doesn't have.
-    #[error("seat {seat} does not exist, the list has {seats}: append it or correct the number")]
+    /// A change names a seat that the list does not have.
+    #[error("seat {seat} does not exist, the list has {seats} seats: append it or correct the number")]
     SeatOutOfRange {
-        /// Number that was given.
+        /// Number of the seat.
         seat: u64,
-        /// Seats of the list.
+        /// Number of seats of the list.
         seats: usize,
     },
-    /// A seat to be filled that has a member.
+    /// A change fills a seat that has a member.
     #[error("seat {seat} is filled by {member}: vacate it first")]
     SeatFilled {
         /// The seat.
         seat: usize,
-        /// The member that has it.
+        /// Its member.
         member: String,
     },
-    /// A seat to be vacated that has no member.
+    /// A change vacates a seat that has no member.
     #[error("seat {seat} is vacant already: correct the number")]
     SeatVacant {
         /// The seat.
         seat: usize,
     },
-    /// An entry of `changes` that is none of the known ones, or several at once.
-    #[error("changes[{index}] is not one change: give either seat with member, or append, or wide")]
+    /// An entry of `changes` is no known change, or several at once.
+    #[error("changes[{index}] is not exactly one change: give either seat with member, or append, or wide")]
     AmbiguousChange {
         /// Index of the entry.
         index: usize,
--- a/crates/placement/src/fallback.rs
+++ b/crates/placement/src/fallback.rs
@@ -1,15 +1,15 @@
-//! The order in which a shard falls back to seats beyond its base row: a pseudo-random permutation of its own, so that
-//! the shards of lost seats spread over all others, and a seat that comes or goes changes nobody else's rank.
+//! The order in which a shard falls back to seats beyond its base row. Each shard has its own pseudo-random permutation, so
+//! that the shards of lost seats spread over all others, and adding or removing a seat changes no other seat's rank.
 
 use crate::hash::{mix_pair, scale};
 use crate::shard::ShardId;
 
-/// Ranks and ordinals are below this.
+/// Exclusive upper bound of ranks and ordinals.
 pub(crate) const RANKS: u32 = 1 << 16;
 
 const ROUNDS: usize = 4;
 
-/// A shard's permutation of the numbers below [`RANKS`]: a Feistel network of four rounds on two bytes.
+/// A shard's permutation of the numbers below [`RANKS`], a Feistel network of four rounds on two bytes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FallbackOrder {
     keys: [u16; ROUNDS],
@@ -17,12 +17,13 @@
 
 impl FallbackOrder {
     pub(crate) fn of(shard: ShardId) -> Self {
-        const PURPOSE: u64 = 0x7761_6c6b;
-        let hash = mix_pair(PURPOSE, u64::from(shard.0));
+        // Sets this hash apart from other hashes of shard numbers; part of the scheme.
+        const DOMAIN_TAG: u64 = 0x7761_6c6b;
+        let hash = mix_pair(DOMAIN_TAG, u64::from(shard.0));
         Self { keys: [hash as u16, (hash >> 16) as u16, (hash >> 32) as u16, (hash >> 48) as u16] }
     }
 
-    /// The ordinal at a rank.
+    /// Returns the ordinal at a rank.
     pub(crate) fn ordinal(&self, rank: u16) -> u16 {
         let (mut left, mut right) = ((rank >> 8) as u8, rank as u8);
         for key in self.keys {
@@ -31,7 +32,7 @@
         join(left, right)
     }
 
-    /// The rank of an ordinal.
+    /// Returns the rank of an ordinal; the inverse of [`Self::ordinal`].
     pub(crate) fn rank(&self, ordinal: u16) -> u16 {
         let (mut left, mut right) = ((ordinal >> 8) as u8, ordinal as u8);
         for key in self.keys.iter().rev() {
@@ -45,7 +46,7 @@
     (left as u16) << 8 | right as u16
 }
 
-/// One round's function of half a number: the top bits of a product with an odd multiplier.
+/// The round function of the network: the top bits of a product with an odd multiplier.
 const fn round(half: u8, key: u16) -> u8 {
     const MULTIPLIER: u32 = 0x9E37_79B1;
     let product = ((half as u32) << 16 | key as u32).wrapping_mul(MULTIPLIER);
@@ -58,7 +59,7 @@
     use super::*;
 
     #[test]
-    fn each_ordinal_has_one_rank_and_the_other_way_round() {
+    fn ranks_and_ordinals_are_inverse_permutations() {
         for shard in [0, 1, 99, 262_143] {
             let order = FallbackOrder::of(ShardId(shard));
             let mut seen = vec![false; RANKS as usize];
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -1,16 +1,16 @@
-//! The mixing functions that scheme 1 is pinned to: changing any of them is a new scheme number.
+//! The hash functions of scheme 1. A change to any of them needs a new scheme number.
 
-/// 2^64 divided by the golden ratio, odd: the multiplier of Fibonacci hashing (Knuth, TAOCP volume 3, section 6.4).
+/// The multiplier of Fibonacci hashing (Knuth, TAOCP volume 3, section 6.4): 2^64 divided by the golden ratio, odd.
 pub const FIBONACCI_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The finaliser of SplitMix64 (Steele, Lea, Flood 2014): each bit of the input reaches each bit of the output.
+/// Mixes a number by the finaliser of SplitMix64 (Steele, Lea, Flood 2014): each input bit affects each output bit.
 pub const fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     value ^ (value >> 31)
 }
 
-/// A hash of two numbers, in which their order counts.
+/// Hashes two numbers; their order matters.
 pub const fn mix_pair(first: u64, second: u64) -> u64 {
     mix(mix(first.wrapping_add(FIBONACCI_MULTIPLIER)).wrapping_add(second))
 }
@@ -20,22 +20,23 @@
     ((hash as u64 * bound as u64) >> 32) as u32
 }
 
-/// A running digest of typed values, for comparing lists and tables. Not cryptographic.
+/// A running digest of typed values, for comparing lists and tables. It is not cryptographic.
 #[derive(Clone, Copy, Debug)]
 pub struct Digest(u64);
 
 impl Digest {
-    /// A digest that begins at `start`, which sets apart digests of different things.
+    /// Creates a digest. `start` separates digests of different kinds of things.
     pub const fn new(start: u64) -> Self {
         Self(mix(start.wrapping_add(FIBONACCI_MULTIPLIER)))
     }
 
-    /// Takes in one number.
+    /// Adds a number.
     pub const fn number(self, value: u64) -> Self {
         Self(mix_pair(self.0, value))
     }
 
-    /// Takes in a text with its length, so that two texts in a row can't be confused with other two.
+    /// Adds a text with its length, so that two consecutive texts can't be confused with a different split of the same
+    /// bytes.
     pub fn text(self, text: &str) -> Self {
         let mut digest = self.number(text.len() as u64);
         for chunk in text.as_bytes().chunks(8) {
@@ -46,7 +47,7 @@
         digest
     }
 
-    /// The digest of what was taken in so far.
+    /// Returns the digest of everything added so far.
     pub const fn value(self) -> u64 {
         self.0
     }
--- a/crates/placement/src/list.rs
+++ b/crates/placement/src/list.rs
@@ -1,4 +1,4 @@
-//! The member list of one epoch: checked when it is taken over, so that what holds one needs no checks of its own.
+//! The member list of one epoch. A list is validated when it is constructed, so that its users need no checks of their own.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,44 +11,44 @@
 use crate::weight::{MAX_WEIGHT, Weight};
 use crate::wire::{ListForm, MemberForm, RegionForm, SeatForm, WideForm};
 
-/// The greatest number of replicas.
+/// Maximum number of replicas.
 pub const MAX_REPLICAS: usize = 4;
 
-/// The greatest number of seats, so that a seat's number takes two bytes and one value is left for "none".
+/// Maximum number of seats: a seat's number takes two bytes, and one value is left for "none".
 pub const MAX_SEATS: usize = u16::MAX as usize;
 
-/// The greatest number of regions; a fleet has a few.
+/// Maximum number of regions; a fleet has a few.
 pub const MAX_REGIONS: usize = 256;
 
-/// The greatest width of a wide destination.
+/// Maximum width of a wide destination.
 pub const MAX_WIDTH: u16 = 1024;
 
-/// The greatest number of wide destinations: they are exceptions, and each sender holds all of them (24 bytes each).
+/// Maximum number of wide destinations. They are exceptions, and each sender holds all of them (24 bytes each).
 pub const MAX_WIDE_DESTINATIONS: usize = 65_536;
 
-/// Number of a seat in the member list.
+/// Number of a seat: its index in the member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SeatId(pub u16);
 
 impl SeatId {
-    /// The number as an index.
+    /// Returns the number as an index.
     pub const fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Number of a region in the member list.
+/// Number of a region: its index in the member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RegionId(pub u16);
 
 impl RegionId {
-    /// The number as an index.
+    /// Returns the number as an index.
     pub const fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// A region, which owns a fixed part of the shards.
+/// A region, which owns a fixed part of the shards, in proportion to its share.
 #[derive(Clone, Debug)]
 pub struct Region {
     name: Arc<str>,
@@ -57,23 +57,23 @@
 }
 
 impl Region {
-    /// Name of the region.
+    /// Returns the name, which no other region of the list has.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its part of the shards, relative to the sum of all shares.
+    /// Returns its part of the shards, relative to the sum of all shares.
     pub const fn share(&self) -> u32 {
         self.share
     }
 
-    /// Number of its filled seats.
+    /// Returns the number of its filled seats.
     pub const fn filled(&self) -> usize {
         self.filled
     }
 }
 
-/// Who fills a seat.
+/// The process that fills a seat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     name: Arc<str>,
@@ -81,18 +81,18 @@
 }
 
 impl Member {
-    /// Name of the member, one in the whole list.
+    /// Returns the name, which no other member of the list has.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Where it takes forwarded requests.
+    /// Returns the address at which it accepts forwarded requests.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// A numbered place in the list, with a failure domain and weight that are fixed for life.
+/// A numbered place in the list. Its failure domain and weight never change; its member does.
 #[derive(Clone, Debug)]
 struct Seat {
     rack: RackId,
@@ -114,15 +114,15 @@
     by_name: Vec<SeatId>,
     /// Filled seats in the order of their members' addresses.
     by_address: Vec<SeatId>,
-    /// Sum of the digests of seats and wide destinations, kept up by each change.
-    contents: u64,
+    /// Wrapping sum of the digests of seats and wide destinations, updated by each change.
+    contents_digest: u64,
 }
 
 impl MemberList {
-    /// Checks a list and takes it over.
+    /// Validates a list.
     ///
     /// # Errors
-    /// The first fault found, with its place and what mends it.
+    /// Returns the first fault found, with its place and how to correct it.
     pub fn from_form(form: ListForm) -> Result<Self, ListError> {
         if form.scheme != SCHEME {
             return Err(ListError::UnknownScheme { scheme: form.scheme, known: SCHEME });
@@ -131,132 +131,132 @@
         check_count("wide", form.wide.len(), MAX_WIDE_DESTINATIONS)?;
         let mut list = Self {
             epoch: form.epoch,
-            replicas: replicas(form.replicas)?,
+            replicas: checked_replicas(form.replicas)?,
             first: form.first,
-            regions: regions(&form.regions)?,
+            regions: checked_regions(&form.regions)?,
             domains: Domains::default(),
             seats: Vec::with_capacity(form.seats.len()),
             wide: BTreeMap::new(),
             by_name: Vec::new(),
             by_address: Vec::new(),
-            contents: 0,
+            contents_digest: 0,
         };
         for seat in &form.seats {
             list.append_vacant(seat)?;
         }
         list.fill_all(&form.seats)?;
         for &wide in &form.wide {
-            list.list_wide(wide)?;
+            list.add_wide(wide)?;
         }
         list.check_members()?;
         Ok(list)
     }
 
-    /// Number of the list.
+    /// Returns the number of the list, which grows with each change.
     pub const fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether this is a new fleet's first list, before which nobody owned anything.
+    /// Returns whether this is a new fleet's first list, before which no sender owned anything.
     pub const fn is_first(&self) -> bool {
         self.first
     }
 
-    /// Owners of each shard.
+    /// Returns the number of owners of each shard.
     pub const fn replicas(&self) -> usize {
         self.replicas
     }
 
-    /// Regions in the order of the list.
+    /// Returns the regions in the order of the list.
     pub fn regions(&self) -> &[Region] {
         &self.regions
     }
 
-    /// A digest of all that placement depends on, except the epoch: the same for a list that was told whole and one
-    /// that was reached by changes.
+    /// Returns a digest of all that placement depends on, except the epoch. A list that was received in full and one that
+    /// was reached by changes have the same digest if their contents are the same.
     pub fn digest(&self) -> u64 {
         let mut digest = Digest::new(u64::from(SCHEME)).number(self.replicas as u64);
         for region in &self.regions {
             digest = digest.text(&region.name).number(u64::from(region.share));
         }
-        digest.number(self.seats.len() as u64).number(self.contents).value()
+        digest.number(self.seats.len() as u64).number(self.contents_digest).value()
     }
 
-    /// Number of seats, filled or vacant.
+    /// Returns the number of seats, filled or vacant.
     pub fn seat_count(&self) -> usize {
         self.seats.len()
     }
 
-    /// Number of filled seats.
+    /// Returns the number of filled seats.
     pub fn member_count(&self) -> usize {
         self.by_name.len()
     }
 
-    /// All seats in order.
+    /// Returns all seats in order.
     pub fn seat_ids(&self) -> impl Iterator<Item = SeatId> + use<> {
         (0..self.seats.len() as u32).map(|seat| SeatId(seat as u16))
     }
 
-    /// Who fills a seat; none if it is vacant or doesn't exist.
+    /// Returns the member that fills a seat; `None` if the seat is vacant or does not exist.
     pub fn member(&self, seat: SeatId) -> Option<&Member> {
         self.seats.get(seat.index())?.member.as_ref()
     }
 
-    /// The seat that a member fills.
+    /// Returns the seat that the member of this name fills.
     pub fn seat_of(&self, name: &str) -> Option<SeatId> {
         let found = self.by_name.binary_search_by(|&seat| self.name_at(seat).cmp(name));
         found.ok().map(|index| self.by_name[index])
     }
 
-    /// Number of shards over which a destination's requests are spread; 1 for most.
+    /// Returns the number of shards over which a destination's requests are spread; 1 for most.
     pub fn width(&self, dest: i64) -> u16 {
         self.wide.get(&dest).copied().unwrap_or(1)
     }
 
-    /// Wide destinations and their widths, in order.
+    /// Returns the wide destinations with their widths, in the order of their numbers.
     pub fn wide_destinations(&self) -> impl Iterator<Item = (i64, u16)> + '_ {
         self.wide.iter().map(|(&dest, &width)| (dest, width))
     }
 
-    /// The region of a seat of this list.
+    /// Returns the region of a seat, which must be of this list.
     pub fn region(&self, seat: SeatId) -> RegionId {
         self.domains.region(self.zone(seat))
     }
 
-    /// The zone of a seat of this list.
+    /// Returns the zone of a seat, which must be of this list.
     pub fn zone(&self, seat: SeatId) -> ZoneId {
         self.domains.zone(self.rack(seat))
     }
 
-    /// The rack of a seat of this list.
+    /// Returns the rack of a seat, which must be of this list.
     pub fn rack(&self, seat: SeatId) -> RackId {
         self.seats[seat.index()].rack
     }
 
-    /// Name of a seat's region.
+    /// Returns the name of a seat's region.
     pub fn region_name(&self, seat: SeatId) -> &str {
         self.regions[self.region(seat).index()].name()
     }
 
-    /// Name of a seat's zone, within the region.
+    /// Returns the name of a seat's zone, which is unique within the region.
     pub fn zone_name(&self, seat: SeatId) -> &str {
         self.domains.zone_name(self.zone(seat))
     }
 
-    /// Name of a seat's rack, within the zone.
+    /// Returns the name of a seat's rack, which is unique within the zone.
     pub fn rack_name(&self, seat: SeatId) -> &str {
         self.domains.rack_name(self.rack(seat))
     }
 
-    /// The weight of a seat of this list.
+    /// Returns the weight of a seat, which must be of this list.
     pub fn weight(&self, seat: SeatId) -> Weight {
         self.seats[seat.index()].weight
     }
 
-    /// Whether `next` may take this list's place.
+    /// Checks that `next` may replace this list.
     ///
     /// # Errors
-    /// An older epoch, or another list under the same epoch.
+    /// Fails for an older epoch, and for other contents under the same epoch.
     pub fn check_successor(&self, next: &Self) -> Result<(), ListError> {
         if next.epoch < self.epoch {
             return Err(ListError::StaleEpoch { current: self.epoch, offered: next.epoch });
@@ -267,15 +267,15 @@
         Ok(())
     }
 
-    /// This list under a later epoch, to be changed.
+    /// Returns a copy of this list under another epoch, as the start of a change.
     pub(crate) fn successor(&self, epoch: u64) -> Self {
         Self { epoch, first: false, ..self.clone() }
     }
 
-    /// Checks that each region has a member for each replica.
+    /// Checks that each region has at least as many members as replicas.
     pub(crate) fn check_members(&self) -> Result<(), ListError> {
-        let short = self.regions.iter().find(|region| region.filled < self.replicas);
-        short.map_or(Ok(()), |region| {
+        let lacking_members = self.regions.iter().find(|region| region.filled < self.replicas);
+        lacking_members.map_or(Ok(()), |region| {
             Err(ListError::TooFewMembers {
                 region: region.name.to_string(),
                 members: region.filled,
@@ -284,14 +284,14 @@
         })
     }
 
-    /// Adds a seat behind the last one, with its member.
+    /// Appends a seat, with its member if it has one.
     pub(crate) fn append(&mut self, form: &SeatForm) -> Result<(), ListError> {
         check_count("seats", self.seats.len() + 1, MAX_SEATS)?;
         let seat = self.append_vacant(form)?;
         form.member.as_ref().map_or(Ok(()), |member| self.fill(seat, member))
     }
 
-    /// Takes the member out of a seat.
+    /// Removes the member from a seat.
     pub(crate) fn vacate(&mut self, seat: SeatId) -> Result<(), ListError> {
         self.check_seat(seat)?;
         let Some(member) = self.member(seat).cloned() else {
@@ -307,13 +307,13 @@
         Ok(())
     }
 
-    /// Puts a member into a vacant seat.
+    /// Assigns a member to a vacant seat.
     pub(crate) fn fill(&mut self, seat: SeatId, form: &MemberForm) -> Result<(), ListError> {
         self.check_seat(seat)?;
         if let Some(present) = self.member(seat) {
             return Err(ListError::SeatFilled { seat: seat.index(), member: present.name.to_string() });
         }
-        let member = member(seat, form)?;
+        let member = checked_member(seat, form)?;
         let name_index = match self.find_name(&member.name) {
             Ok(index) => return Err(duplicate_name(&member, self.by_name[index], seat)),
             Err(index) => index,
@@ -328,15 +328,15 @@
         Ok(())
     }
 
-    /// Sets a destination's width, which has been checked; 1 makes it plain.
+    /// Sets a destination's width, which the caller has checked; 1 makes it a plain destination again.
     pub(crate) fn set_width(&mut self, dest: i64, width: u16) -> Result<(), ListError> {
         if let Some(before) = self.wide.remove(&dest) {
-            self.contents = self.contents.wrapping_sub(wide_digest(dest, before));
+            self.contents_digest = self.contents_digest.wrapping_sub(wide_digest(dest, before));
         }
         if width > 1 {
             check_count("wide", self.wide.len() + 1, MAX_WIDE_DESTINATIONS)?;
             self.wide.insert(dest, width);
-            self.contents = self.contents.wrapping_add(wide_digest(dest, width));
+            self.contents_digest = self.contents_digest.wrapping_add(wide_digest(dest, width));
         }
         Ok(())
     }
@@ -355,27 +355,29 @@
         let rack = self.domains.intern(RegionId(region as u16), &form.zone, &form.rack);
         self.seats.push(Seat { rack, weight, member: None });
         let seat = SeatId(index as u16);
-        self.contents = self.contents.wrapping_add(self.seat_digest(seat));
+        self.contents_digest = self.contents_digest.wrapping_add(self.seat_digest(seat));
         Ok(seat)
     }
 
-    /// Fills the seats of a whole list: sorted once, where filling one after another would take quadratic time.
+    /// Assigns the members of a full list. The indices are sorted once; assigning one member after another would take
+    /// quadratic time.
     fn fill_all(&mut self, forms: &[SeatForm]) -> Result<(), ListError> {
         for (seat, form) in self.seat_ids().zip(forms) {
             if let Some(form) = &form.member {
-                let member = member(seat, form)?;
+                let member = checked_member(seat, form)?;
                 self.set_member(seat, Some(member));
                 self.by_name.push(seat);
             }
         }
         let seats = &self.seats;
-        let at = |seat: &SeatId| seats[seat.index()].member.as_ref();
+        let member_at = |seat: &SeatId| seats[seat.index()].member.as_ref();
         self.by_address = self.by_name.clone();
-        self.by_name.sort_by_key(|seat| at(seat).map(|member| &member.name));
-        self.by_address.sort_by_key(|seat| at(seat).map(|member| member.address));
+        self.by_name.sort_by_key(|seat| member_at(seat).map(|member| &member.name));
+        self.by_address.sort_by_key(|seat| member_at(seat).map(|member| member.address));
         self.check_distinct()
     }
 
+    /// Checks that no two members have the same name or address.
     fn check_distinct(&self) -> Result<(), ListError> {
         for pair in self.by_name.windows(2) {
             if let (Some(first), Some(second)) = (self.member(pair[0]), self.member(pair[1]))
@@ -394,7 +396,7 @@
         Ok(())
     }
 
-    fn list_wide(&mut self, wide: WideForm) -> Result<(), ListError> {
+    fn add_wide(&mut self, wide: WideForm) -> Result<(), ListError> {
         let Ok(width @ 2..=MAX_WIDTH) = u16::try_from(wide.width) else {
             return Err(ListError::Width { dest: wide.dest, width: wide.width, max: MAX_WIDTH });
         };
@@ -411,7 +413,7 @@
         Err(ListError::SeatOutOfRange { seat: u64::from(seat.0), seats: self.seats.len() })
     }
 
-    /// Changes who fills a seat, with the counts and the digest that depend on it.
+    /// Sets the member of a seat, and updates the counts and the digest that depend on it.
     fn set_member(&mut self, seat: SeatId, member: Option<Member>) {
         let region = self.region(seat).index();
         let before = self.seat_digest(seat);
@@ -420,7 +422,7 @@
         self.seats[seat.index()].member = member;
         let filled = &mut self.regions[region].filled;
         *filled = *filled + usize::from(is_filled) - usize::from(was_filled);
-        self.contents = self.contents.wrapping_sub(before).wrapping_add(self.seat_digest(seat));
+        self.contents_digest = self.contents_digest.wrapping_sub(before).wrapping_add(self.seat_digest(seat));
     }
 
     fn seat_digest(&self, seat: SeatId) -> u64 {
@@ -439,16 +441,20 @@
         self.member(seat).map_or("", Member::name)
     }
 
+    /// Returns the index in `by_name` of the member of this name, or else the index at which it would be inserted.
     fn find_name(&self, name: &str) -> Result<usize, usize> {
         self.by_name.binary_search_by(|&seat| self.name_at(seat).cmp(name))
     }
 
+    /// Returns the index in `by_address` of the member with this address, or else the index at which it would be
+    /// inserted.
     fn find_address(&self, address: SocketAddr) -> Result<usize, usize> {
         self.by_address.binary_search_by_key(&Some(address), |&seat| self.member(seat).map(Member::address))
     }
 }
 
 fn wide_digest(dest: i64, width: u16) -> u64 {
+    // No seat's digest begins with this number.
     const WIDE: u64 = u64::MAX;
     Digest::new(WIDE).number(dest as u64).number(u64::from(width)).value()
 }
@@ -461,12 +467,12 @@
     if name.trim().is_empty() { Err(ListError::EmptyName { place: place() }) } else { Ok(()) }
 }
 
-fn replicas(replicas: u64) -> Result<usize, ListError> {
-    let within = usize::try_from(replicas).ok().filter(|replicas| (1..=MAX_REPLICAS).contains(replicas));
-    within.ok_or(ListError::Replicas { replicas, max: MAX_REPLICAS })
+fn checked_replicas(replicas: u64) -> Result<usize, ListError> {
+    let valid = usize::try_from(replicas).ok().filter(|replicas| (1..=MAX_REPLICAS).contains(replicas));
+    valid.ok_or(ListError::Replicas { replicas, max: MAX_REPLICAS })
 }
 
-fn regions(forms: &[RegionForm]) -> Result<Vec<Region>, ListError> {
+fn checked_regions(forms: &[RegionForm]) -> Result<Vec<Region>, ListError> {
     if forms.is_empty() {
         return Err(ListError::NoRegions);
     }
@@ -485,7 +491,7 @@
     Ok(regions)
 }
 
-fn member(seat: SeatId, form: &MemberForm) -> Result<Member, ListError> {
+fn checked_member(seat: SeatId, form: &MemberForm) -> Result<Member, ListError> {
     check_name(&form.name, || format!("seats[{}].member.name", seat.0))?;
     let address = form.address.parse().ok().filter(|address: &SocketAddr| address.port() != 0);
     let Some(address) = address else {
--- a/crates/placement/src/target.rs
+++ b/crates/placement/src/target.rs
@@ -1,15 +1,16 @@
-//! How many positions of a region a seat should hold: its part of the weight, and never more than one a shard.
+//! The number of a region's positions that each seat should hold: in proportion to its weight, and at most one position
+//! per shard.
 
 use crate::list::MAX_REPLICAS;
 
-/// A seat's weight in 1/1024 as the table counts it.
+/// A seat's weight in units of 1/1024, or a sum of weights.
 pub(crate) type Units = u64;
 
-/// Sum of the weights of a region's seats, and the greatest of them.
+/// The sum of the weights of a region's seats, and the greatest of these weights.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Weights {
     total: Units,
-    /// The greatest weights, in falling order; only so many can exceed what one seat may hold.
+    /// The greatest weights, in descending order. No more than these can exceed what one seat may hold.
     greatest: [Units; MAX_REPLICAS],
 }
 
@@ -17,15 +18,16 @@
     pub(crate) fn add(&mut self, weight: Units) {
         self.total += weight;
         let mut carried = weight;
-        for place in &mut self.greatest {
-            if carried > *place {
-                std::mem::swap(place, &mut carried);
+        for slot in &mut self.greatest {
+            if carried > *slot {
+                std::mem::swap(slot, &mut carried);
             }
         }
     }
 
-    /// The part that each weight makes of all positions, where `replicas` positions of a shard go to different seats: a
-    /// seat can't hold more than one position a shard, so that a weight counts up to `1 / replicas` of the sum only.
+    /// Returns what part of all positions each weight is entitled to, where the `replicas` positions of a shard go to
+    /// different seats. As a seat can't hold more than one position per shard, a weight counts only up to `1 / replicas` of
+    /// the sum.
     pub(crate) fn shares(&self, replicas: usize) -> Shares {
         let mut rest = self.total;
         for capped in 0..replicas {
@@ -39,7 +41,7 @@
     }
 }
 
-/// What each weight is entitled to.
+/// The part of all positions that each weight is entitled to: the weight, up to `cap`, over `total`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shares {
     cap: Units,
@@ -47,18 +49,18 @@
 }
 
 impl Shares {
-    /// Positions that a seat of this weight should hold out of `positions`, rounded to the nearest.
+    /// Returns how many of `positions` a seat of this weight should hold, rounded to the nearest integer.
     pub(crate) fn quota(self, positions: u64, weight: Units) -> u32 {
         let exact = positions * weight.min(self.cap);
         ((exact + self.total / 2) / self.total) as u32
     }
 
-    /// The greatest load of a seat of this weight that is not above its target.
+    /// Returns the greatest load of a seat of this weight that is not above its target.
     pub(crate) fn target(self, positions: u64, weight: Units) -> u32 {
         (positions * weight.min(self.cap) / self.total) as u32
     }
 
-    /// Whether a load exceeds so many sixteenths of the target.
+    /// Returns whether a load exceeds `sixteenths` / 16 of the target.
     pub(crate) fn exceeds(self, load: u32, positions: u64, weight: Units, sixteenths: u64) -> bool {
         let target = positions * weight.min(self.cap);
         u64::from(load) * self.total * 16 > target * sixteenths
--- a/crates/placement/tests/refusals.rs
+++ b/crates/placement/tests/refusals.rs
@@ -22,12 +22,12 @@
     Case {
         name: "an address twice",
         spoil: |form| member(form, 5).address = "127.0.0.2:7001".into(),
-        says: &["seats[5]", "127.0.0.2:7001", "seats[2]", "each member its own"],
+        says: &["seats[5]", "127.0.0.2:7001", "seats[2]", "each member its own address"],
     },
     Case {
         name: "an address without a port",
         spoil: |form| member(form, 5).address = "127.0.0.2".into(),
-        says: &["seats[5].member.address", "IP address and a port"],
+        says: &["seats[5].member.address", "must be an IP address and a port"],
     },
     Case {
         name: "port 0",
@@ -70,8 +70,12 @@
         spoil: |form| form.scheme = 2,
         says: &["scheme is 2", "keep to scheme 1"],
     },
-    Case { name: "no replicas", spoil: |form| form.replicas = 0, says: &["replicas is 0", "give 1 to 4"] },
-    Case { name: "five replicas", spoil: |form| form.replicas = 5, says: &["replicas is 5", "give 1 to 4"] },
+    Case { name: "no replicas", spoil: |form| form.replicas = 0, says: &["replicas is 0", "must be 1 to 4"] },
+    Case {
+        name: "five replicas",
+        spoil: |form| form.replicas = 5,
+        says: &["replicas is 5", "must be 1 to 4"],
+    },
     Case {
         name: "fewer members than replicas",
         spoil: |form| {
@@ -89,7 +93,7 @@
     Case {
         name: "no regions",
         spoil: |form| form.regions.clear(),
-        says: &["regions is empty", "name at least one"],
+        says: &["regions is empty", "list at least one"],
     },
     Case {
         name: "a region twice",
@@ -180,11 +184,11 @@
     let fill = |seat, number| Change::Fill { seat: SeatId(seat), member: member_form(number) };
     let vacate = |seat| Change::Vacate { seat: SeatId(seat) };
     let cases: Vec<(&str, Changes, &[&str])> = vec![
-        ("another epoch's changes", from(6, 8, vec![vacate(0)]), &["since epoch 6", "epoch 7", "whole list"]),
+        ("another epoch's changes", from(6, 8, vec![vacate(0)]), &["since epoch 6", "epoch 7", "full list"]),
         (
             "changes since a later epoch",
             from(8, 9, vec![vacate(0)]),
-            &["since epoch 8", "epoch 7", "whole list"],
+            &["since epoch 8", "epoch 7", "full list"],
         ),
         ("the same epoch", from(7, 7, vec![vacate(0)]), &["lead to epoch 7", "raise the epoch"]),
         ("an older epoch", from(7, 6, vec![vacate(0)]), &["lead to epoch 6", "raise the epoch"]),
@@ -279,14 +283,14 @@
 #[test]
 fn json_of_another_form_is_refused_with_its_place() {
     let cases: &[(&str, &str, &[&str])] = &[
-        ("cut off", r#"{"epoch":7,"#, &["not readable", "line 1 column"]),
-        ("no list", "[]", &["not readable"]),
+        ("cut off", r#"{"epoch":7,"#, &["malformed member list", "line 1 column"]),
+        ("no list", "[]", &["malformed member list"]),
         (
             "weight NaN",
             r#"{"epoch":1,"scheme":1,"replicas":1,"regions":[],"seats":[{"weight":NaN}]}"#,
-            &["not readable"],
+            &["malformed member list"],
         ),
-        ("negative epoch", r#"{"epoch":-7,"since":7,"changes":[]}"#, &["not readable", "-7"]),
+        ("negative epoch", r#"{"epoch":-7,"since":7,"changes":[]}"#, &["malformed member list", "-7"]),
         (
             "no change",
             r#"{"epoch":8,"since":7,"changes":[{}]}"#,
@@ -296,7 +300,7 @@
         (
             "two changes in one",
             r#"{"epoch":8,"since":7,"changes":[{"seat":1,"member":null},{"seat":3,"member":null,"wide":{"dest":1,"width":2}}]}"#,
-            &["changes[1]", "not one change"],
+            &["changes[1]", "not exactly one change"],
         ),
         (
             "a seat beyond all",
