--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -10,7 +10,7 @@
 //! | `-BUSY ms` | [`ForwardOutcome::Busy`] | next candidate; after the last, busy with the least wait told |
 //! | `-ERR` | [`ForwardOutcome::Invalid`] | the client is told so |
 //! | refused, not connected in time, closed before the first byte, the seat is vacant by now | [`ForwardOutcome::NotSent`] | next candidate |
-//! | after the first byte: timeout, reset, close, an unreadable answer | [`ForwardOutcome::Unknown`] | [`Effect::Free`]: next candidate; otherwise failed at once |
+//! | after the first byte: timeout, reset, close, an unreadable answer | [`ForwardOutcome::Unknown`] | [`Effect::Safe`]: next candidate; otherwise failed at once |
 //!
 //! An owner that is down is never sent the request, one that is full or on another epoch answers busy, one that is stopped or
 //! slow ends as unknown when its answer_timeout is over.
@@ -33,7 +33,7 @@
     /// The owner answered `-BUSY`: it surely has not taken it on.
     Busy {
         /// When to come again, in milliseconds; 0 says nothing of it.
-        after_ms: u64,
+        retry_after_ms: u64,
     },
     /// The owner answered `-ERR`, with this reason: no sender can take it on.
     Invalid(String),
@@ -51,7 +51,7 @@
     /// Nobody has taken it on, or a repeat does no harm: the client may hand it in again.
     Busy {
         /// When to come again, in milliseconds.
-        after_ms: u64,
+        retry_after_ms: u64,
     },
     /// An owner may have taken it on, and a repeat might have its effect twice.
     Failed,
@@ -112,8 +112,8 @@
         match outcome {
             ForwardOutcome::Accepted => self.answer(ClientReply::Accepted),
             ForwardOutcome::Invalid(reason) => self.answer(ClientReply::Invalid(reason)),
-            ForwardOutcome::Busy { after_ms } => {
-                self.note_wait(after_ms);
+            ForwardOutcome::Busy { retry_after_ms } => {
+                self.note_wait(retry_after_ms);
                 self.try_next(now)
             }
             ForwardOutcome::NotSent => self.try_next(now),
@@ -129,8 +129,8 @@
     /// The owner may have the request: a second owner only where a repeat does no harm.
     fn after_unknown(&mut self, now: Micros) -> Step {
         match self.effect {
-            Effect::Free => self.try_next(now),
-            Effect::Guarded | Effect::SingleShot => self.answer(ClientReply::Failed),
+            Effect::Safe => self.try_next(now),
+            Effect::Keyed | Effect::Unsafe => self.answer(ClientReply::Failed),
         }
     }
 
@@ -143,22 +143,23 @@
         let Some(to) = self.candidates.next() else { return self.answer_busy() };
         let fair_part = (left / untried).max(MIN_ANSWER_TIMEOUT_US);
         let answer_timeout = match self.effect {
-            Effect::Free => fair_part,
+            Effect::Safe => fair_part,
             // Without an answer nobody else is asked, so that nobody else needs the time.
-            Effect::Guarded | Effect::SingleShot => left,
+            Effect::Keyed | Effect::Unsafe => left,
         };
         Step::Send { to, write_timeout: fair_part, answer_timeout }
     }
 
-    fn note_wait(&mut self, after_ms: u64) {
-        if after_ms > 0 {
-            self.min_wait_ms = Some(self.min_wait_ms.map_or(after_ms, |least| least.min(after_ms)));
+    fn note_wait(&mut self, retry_after_ms: u64) {
+        if retry_after_ms > 0 {
+            self.min_wait_ms =
+                Some(self.min_wait_ms.map_or(retry_after_ms, |least| least.min(retry_after_ms)));
         }
     }
 
     fn answer_busy(&mut self) -> Step {
-        let after_ms = self.min_wait_ms.unwrap_or(DEFAULT_WAIT_MS);
-        self.answer(ClientReply::Busy { after_ms })
+        let retry_after_ms = self.min_wait_ms.unwrap_or(DEFAULT_WAIT_MS);
+        self.answer(ClientReply::Busy { retry_after_ms })
     }
 
     fn answer(&mut self, verdict: ClientReply) -> Step {
--- a/crates/placement/tests/forwarding.rs
+++ b/crates/placement/tests/forwarding.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 
 const BUDGET: Micros = 300_000;
-const EFFECTS: [Effect; 3] = [Effect::Free, Effect::Guarded, Effect::SingleShot];
+const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
 
 fn forwarding(effect: Effect, candidates: u16) -> Forwarding {
     Forwarding::new(effect, (0..candidates).map(SeatId).collect(), 0, BUDGET)
@@ -38,7 +38,7 @@
 #[test]
 fn what_surely_was_not_taken_goes_to_the_next_owner() {
     for effect in EFFECTS {
-        for refusal in [ForwardOutcome::Busy { after_ms: 40 }, ForwardOutcome::NotSent] {
+        for refusal in [ForwardOutcome::Busy { retry_after_ms: 40 }, ForwardOutcome::NotSent] {
             let mut request = forwarding(effect, 2);
             assert_eq!(sent_to(&request.start(0)), SeatId(0));
             assert_eq!(sent_to(&request.record_outcome(1_000, refusal)), SeatId(1));
@@ -52,24 +52,24 @@
 
 #[test]
 fn busy_tells_the_least_wait_of_all_owners() {
-    let mut request = forwarding(Effect::SingleShot, 3);
+    let mut request = forwarding(Effect::Unsafe, 3);
     request.start(0);
-    request.record_outcome(1_000, ForwardOutcome::Busy { after_ms: 90 });
-    request.record_outcome(2_000, ForwardOutcome::Busy { after_ms: 40 });
-    let step = request.record_outcome(3_000, ForwardOutcome::Busy { after_ms: 0 });
-    assert_eq!(step, Step::Reply(ClientReply::Busy { after_ms: 40 }));
-    let mut unsaid = forwarding(Effect::SingleShot, 1);
+    request.record_outcome(1_000, ForwardOutcome::Busy { retry_after_ms: 90 });
+    request.record_outcome(2_000, ForwardOutcome::Busy { retry_after_ms: 40 });
+    let step = request.record_outcome(3_000, ForwardOutcome::Busy { retry_after_ms: 0 });
+    assert_eq!(step, Step::Reply(ClientReply::Busy { retry_after_ms: 40 }));
+    let mut unsaid = forwarding(Effect::Unsafe, 1);
     unsaid.start(0);
     let step = unsaid.record_outcome(1_000, ForwardOutcome::NotSent);
-    assert_eq!(step, Step::Reply(ClientReply::Busy { after_ms: DEFAULT_WAIT_MS }));
+    assert_eq!(step, Step::Reply(ClientReply::Busy { retry_after_ms: DEFAULT_WAIT_MS }));
 }
 
 #[test]
 fn an_unknown_outcome_goes_to_a_second_owner_only_where_a_repeat_does_no_harm() {
-    let mut free = forwarding(Effect::Free, 2);
+    let mut free = forwarding(Effect::Safe, 2);
     free.start(0);
     assert_eq!(sent_to(&free.record_outcome(1_000, ForwardOutcome::Unknown)), SeatId(1));
-    for effect in [Effect::Guarded, Effect::SingleShot] {
+    for effect in [Effect::Keyed, Effect::Unsafe] {
         let mut request = forwarding(effect, 2);
         request.start(0);
         assert_eq!(request.record_outcome(1_000, ForwardOutcome::Unknown), Step::Reply(ClientReply::Failed));
@@ -78,31 +78,31 @@
 
 #[test]
 fn a_free_request_that_nobody_answered_is_busy() {
-    let mut request = forwarding(Effect::Free, 2);
+    let mut request = forwarding(Effect::Safe, 2);
     request.start(0);
     request.record_outcome(150_000, ForwardOutcome::Unknown);
     let step = request.record_outcome(BUDGET, ForwardOutcome::Unknown);
-    assert_eq!(step, Step::Reply(ClientReply::Busy { after_ms: DEFAULT_WAIT_MS }));
+    assert_eq!(step, Step::Reply(ClientReply::Busy { retry_after_ms: DEFAULT_WAIT_MS }));
 }
 
 #[test]
 fn without_a_candidate_or_time_the_answer_is_busy() {
-    let busy = Step::Reply(ClientReply::Busy { after_ms: DEFAULT_WAIT_MS });
-    assert_eq!(forwarding(Effect::Free, 0).start(0), busy);
-    assert_eq!(forwarding(Effect::Free, 2).start(BUDGET - MIN_ANSWER_TIMEOUT_US + 1), busy);
+    let busy = Step::Reply(ClientReply::Busy { retry_after_ms: DEFAULT_WAIT_MS });
+    assert_eq!(forwarding(Effect::Safe, 0).start(0), busy);
+    assert_eq!(forwarding(Effect::Safe, 2).start(BUDGET - MIN_ANSWER_TIMEOUT_US + 1), busy);
 }
 
 #[test]
 fn a_free_request_leaves_time_for_the_next_owner_and_another_waits_for_the_one_it_has() {
-    let step = forwarding(Effect::Free, 2).start(0);
+    let step = forwarding(Effect::Safe, 2).start(0);
     assert_eq!(step, Step::Send { to: SeatId(0), write_timeout: BUDGET / 2, answer_timeout: BUDGET / 2 });
-    let step = forwarding(Effect::SingleShot, 2).start(0);
+    let step = forwarding(Effect::Unsafe, 2).start(0);
     assert_eq!(step, Step::Send { to: SeatId(0), write_timeout: BUDGET / 2, answer_timeout: BUDGET });
 }
 
 #[test]
 fn an_answer_never_changes() {
-    let mut request = forwarding(Effect::SingleShot, 2);
+    let mut request = forwarding(Effect::Unsafe, 2);
     request.start(0);
     let failed = request.record_outcome(1_000, ForwardOutcome::Unknown);
     assert_eq!(request.record_outcome(2_000, ForwardOutcome::Accepted), failed);
@@ -112,7 +112,7 @@
 fn any_outcome() -> impl Strategy<Value = ForwardOutcome> {
     prop_oneof![
         Just(ForwardOutcome::Accepted),
-        (0u64..500).prop_map(|after_ms| ForwardOutcome::Busy { after_ms }),
+        (0u64..500).prop_map(|retry_after_ms| ForwardOutcome::Busy { retry_after_ms }),
         Just(ForwardOutcome::Invalid("no".to_string())),
         Just(ForwardOutcome::NotSent),
         Just(ForwardOutcome::Unknown),
@@ -136,7 +136,7 @@
         for (outcome, part) in outcomes {
             let Step::Send { to, write_timeout, answer_timeout } = step else { break };
             prop_assert!(!sent.contains(&to));
-            prop_assert!(!possibly_taken || effect == Effect::Free);
+            prop_assert!(!possibly_taken || effect == Effect::Safe);
             prop_assert!(write_timeout <= answer_timeout && answer_timeout >= MIN_ANSWER_TIMEOUT_US);
             sent.push(to);
             now += (part * answer_timeout as f64) as Micros;
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -400,7 +400,7 @@
         member.lease_until = None;
         for (job, called) in std::mem::take(&mut member.jobs) {
             let effect = self.ledger.messages[self.ledger.jobs[job].message].effect;
-            if called && effect == Effect::SingleShot {
+            if called && effect == Effect::Unsafe {
                 self.ledger.ended(job);
             } else {
                 self.hold(number, job);
@@ -411,7 +411,7 @@
     // Clients.
 
     fn random_effect(&mut self) -> Effect {
-        *[Effect::Free, Effect::Guarded, Effect::SingleShot].choose(&mut self.rng).expect("there are three")
+        *[Effect::Safe, Effect::Keyed, Effect::Unsafe].choose(&mut self.rng).expect("there are three")
     }
 
     fn hand_in(&mut self, message: Message, stream: Option<usize>) -> usize {
@@ -447,15 +447,15 @@
         if self.handings[message].done || self.handings[message].attempt != attempt {
             return;
         }
-        let free = self.ledger.messages[message].effect == Effect::Free;
+        let free = self.ledger.messages[message].effect == Effect::Safe;
         let again_after = match verdict {
             Some(ClientReply::Accepted) => {
                 self.ledger.promised(job.expect("who answers that it has taken it on has a job"));
                 None
             }
-            Some(ClientReply::Busy { after_ms }) => {
+            Some(ClientReply::Busy { retry_after_ms }) => {
                 self.ledger.told_busy(self.now, message);
-                Some(after_ms as Micros * MILLISECOND)
+                Some(retry_after_ms as Micros * MILLISECOND)
             }
             Some(ClientReply::Failed) => {
                 self.ledger.counts.failed += 1;
@@ -495,10 +495,12 @@
         let route =
             self.with_request(message, |request| self.members[number].ownership.route(local, request));
         match route {
-            Route::Unknown => self.reply_from(message, attempt, ClientReply::Busy { after_ms: 0 }, None),
+            Route::Unknown => {
+                self.reply_from(message, attempt, ClientReply::Busy { retry_after_ms: 0 }, None)
+            }
             Route::Local => match self.admit(number, message) {
                 Some(job) => self.reply_from(message, attempt, ClientReply::Accepted, Some(job)),
-                None => self.reply_from(message, attempt, ClientReply::Busy { after_ms: 300 }, None),
+                None => self.reply_from(message, attempt, ClientReply::Busy { retry_after_ms: 300 }, None),
             },
             Route::Forward(candidates) => {
                 self.ledger.counts.forwarded += 1;
@@ -601,7 +603,7 @@
         } else {
             match self.admit(owner, message) {
                 Some(job) => (ForwardOutcome::Accepted, Some(job)),
-                None => (ForwardOutcome::Busy { after_ms: 300 }, None),
+                None => (ForwardOutcome::Busy { retry_after_ms: 300 }, None),
             }
         };
         if send == sends && self.course.reach_each_other(member, owner, self.now) {
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use embershore_placement::{ClientReply, ForwardOutcome, Forwarding, Step};
 use embershore_protocol::resp::{Put, Reply};
-use embershore_protocol::resp_client::{LINE_MOST, decode_reply, encode_put};
+use embershore_protocol::resp_client::{MAX_REPLY_BYTES, decode_reply, encode_put};
 use heronroute::Micros;
 use std::io;
 use std::net::SocketAddr;
@@ -144,7 +144,7 @@
     async fn finish(&mut self) -> io::Result<Reply> {
         self.stream.write_all(&self.command[self.written..]).await?;
         while !self.answer.ends_with(b"\r\n") {
-            if self.answer.len() >= LINE_MOST || self.stream.read_buf(&mut self.answer).await? == 0 {
+            if self.answer.len() >= MAX_REPLY_BYTES || self.stream.read_buf(&mut self.answer).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
@@ -169,18 +169,18 @@
 
 fn outcome_of(reply: Reply) -> ForwardOutcome {
     match reply {
-        Reply::Taken => ForwardOutcome::Accepted,
-        Reply::Busy { after_ms } => ForwardOutcome::Busy { after_ms },
+        Reply::Accepted => ForwardOutcome::Accepted,
+        Reply::Busy { retry_after_ms } => ForwardOutcome::Busy { retry_after_ms },
         Reply::Failed => ForwardOutcome::Invalid("the message failed".into()),
-        Reply::Wrong(reason) => ForwardOutcome::Invalid(reason.into_owned()),
+        Reply::Invalid(reason) => ForwardOutcome::Invalid(reason.into_owned()),
     }
 }
 
 fn reply_of(verdict: ClientReply) -> Reply {
     match verdict {
-        ClientReply::Accepted => Reply::Taken,
-        ClientReply::Busy { after_ms } => Reply::Busy { after_ms },
+        ClientReply::Accepted => Reply::Accepted,
+        ClientReply::Busy { retry_after_ms } => Reply::Busy { retry_after_ms },
         ClientReply::Failed => Reply::Failed,
-        ClientReply::Invalid(reason) => Reply::Wrong(reason.into()),
+        ClientReply::Invalid(reason) => Reply::Invalid(reason.into()),
     }
 }
