--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -1,119 +1,121 @@
-//! One request on its way to an owner: whom it goes to, how long each has, and what the client is told.
+//! The state machine of one forwarded request: which owner it goes to next, how long each owner has, and what the client is
+//! answered.
 //!
-//! The machine knows nothing of connections. It says [`Step::Send`], is told the [`ForwardOutcome`], and ends in
-//! [`Step::Reply`]. Its one rule: a request that may have been taken on goes to a second owner only where a repeat does no
-//! harm. What the caller must tell apart is therefore whether the first byte of the request was written:
+//! The machine does no I/O. It returns [`Step::Send`], is given the [`ForwardOutcome`], and ends with [`Step::Reply`]. Its one
+//! rule: a request that an owner may have accepted goes to a second owner only if a repeat does no harm. The caller must
+//! therefore distinguish whether the first byte of the request was written:
 //!
-//! | what happened | outcome | next |
+//! | event | outcome | next step |
 //! | --- | --- | --- |
-//! | `+OK` | [`ForwardOutcome::Accepted`] | the client is told so |
-//! | `-BUSY ms` | [`ForwardOutcome::Busy`] | next candidate; after the last, busy with the least wait told |
-//! | `-ERR` | [`ForwardOutcome::Invalid`] | the client is told so |
-//! | refused, not connected in time, closed before the first byte, the seat is vacant by now | [`ForwardOutcome::NotSent`] | next candidate |
-//! | after the first byte: timeout, reset, close, an unreadable answer | [`ForwardOutcome::Unknown`] | [`Effect::Safe`]: next candidate; otherwise failed at once |
+//! | `+OK` | [`ForwardOutcome::Accepted`] | the client is answered so |
+//! | `-BUSY ms` | [`ForwardOutcome::Busy`] | next candidate; after the last, busy with the shortest wait reported |
+//! | `-ERR` | [`ForwardOutcome::Invalid`] | the client is answered so |
+//! | connection refused, not connected in time, closed before the first byte, or the seat has become vacant | [`ForwardOutcome::NotSent`] | next candidate |
+//! | after the first byte: timeout, reset, close, or an unreadable answer | [`ForwardOutcome::Unknown`] | [`Effect::Safe`]: next candidate; otherwise failed at once |
 //!
-//! An owner that is down is never sent the request, one that is full or on another epoch answers busy, one that is stopped or
-//! slow ends as unknown when its answer_timeout is over.
+//! An owner that is down never receives the request. An owner that is full or on another epoch answers busy. An owner that is
+//! stopped or slow leads to an unknown outcome when its answer timeout expires.
 
 use crate::SeatId;
 use heronroute::{Effect, Micros};
 
-/// A candidate that would have less time than this is not tried: on a loaded machine its answer would come too late, and
-/// the outcome would be unknown for nothing.
+/// The shortest time that a candidate is given; with less time left none is tried. On a loaded machine the answer would come
+/// too late, and the outcome would be unknown without need.
 pub const MIN_ANSWER_TIMEOUT_US: Micros = 20_000;
 
-/// What a client is told to wait, in milliseconds, where no owner said how long.
+/// The wait that a client is told, in milliseconds, if no owner reported one.
 pub const DEFAULT_WAIT_MS: u64 = 250;
 
-/// What became of a request that was sent to one owner.
+/// The outcome of sending a request to one owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardOutcome {
-    /// The owner answered `+OK`: it owes the message its end.
+    /// The owner answered `+OK`: it is responsible for the message until its end.
     Accepted,
-    /// The owner answered `-BUSY`: it surely has not taken it on.
+    /// The owner answered `-BUSY`: it certainly has not accepted the request.
     Busy {
-        /// When to come again, in milliseconds; 0 says nothing of it.
+        /// The wait that it reported, in milliseconds; 0 if it reported none.
         retry_after_ms: u64,
     },
-    /// The owner answered `-ERR`, with this reason: no sender can take it on.
+    /// The owner answered `-ERR` with this reason: no sender can accept the request.
     Invalid(String),
-    /// Not one byte of the request was written: it surely was not taken on.
+    /// No byte of the request was written: it certainly was not accepted.
     NotSent,
-    /// At least one byte was written and no answer came: it may have been taken on.
+    /// At least one byte was written and no valid answer came: the owner may have accepted the request.
     Unknown,
 }
 
-/// What the client is told in the end.
+/// The reply to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientReply {
-    /// An owner has taken it on.
+    /// An owner has accepted the request.
     Accepted,
-    /// Nobody has taken it on, or a repeat does no harm: the client may hand it in again.
+    /// No owner has accepted the request, or a repeat does no harm: the client may submit it again.
     Busy {
-        /// When to come again, in milliseconds.
+        /// How long the client is to wait before that, in milliseconds.
         retry_after_ms: u64,
     },
-    /// An owner may have taken it on, and a repeat might have its effect twice.
+    /// An owner may have accepted the request, and a repeat could have its effect twice.
     Failed,
-    /// No sender can take it on, for this reason.
+    /// No sender can accept the request, for this reason.
     Invalid(String),
 }
 
-/// What is to be done next for the request.
+/// What the caller has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Send the request to an owner.
     Send {
         /// The owner's seat.
         to: SeatId,
-        /// The first byte must be written within this time from now; otherwise give up without writing any, and the outcome
-        /// is [`ForwardOutcome::NotSent`].
+        /// The time from now within which the first byte must be written. If it expires, the caller must not write any, and
+        /// the outcome is [`ForwardOutcome::NotSent`].
         write_timeout: Micros,
-        /// The answer must have come within this time from now; otherwise the outcome is [`ForwardOutcome::Unknown`].
+        /// The time from now within which the answer must arrive. If it expires, the outcome is [`ForwardOutcome::Unknown`].
         answer_timeout: Micros,
     },
-    /// Tell the client, and forget the request.
+    /// Send the reply to the client. The request is finished.
     Reply(ClientReply),
 }
 
-/// One request on its way, from the candidates that [`crate::Ownership::route`] gave to the client's answer.
+/// One forwarded request, from the candidates that [`crate::Ownership::route`] returned to the client's reply.
 #[derive(Clone, Debug)]
 pub struct Forwarding {
     effect: Effect,
     candidates: std::vec::IntoIter<SeatId>,
     deadline: Micros,
+    /// The shortest wait that an owner has reported.
     min_wait_ms: Option<u64>,
-    verdict: Option<ClientReply>,
+    reply: Option<ClientReply>,
 }
 
 impl Forwarding {
-    /// A request with this effect that was read at `read_at` and must be answered within `budget` from then. `candidates` are
-    /// tried in their order, each at most once.
+    /// Creates the state of a request with this effect that was read at `read_at` and must be answered within `budget` of
+    /// that. `candidates` are tried in order, each at most once.
     pub fn new(effect: Effect, candidates: Vec<SeatId>, read_at: Micros, budget: Micros) -> Self {
         Forwarding {
             effect,
             candidates: candidates.into_iter(),
             deadline: read_at + budget,
             min_wait_ms: None,
-            verdict: None,
+            reply: None,
         }
     }
 
-    /// The first step, at `now`.
+    /// Returns the first step.
     pub fn start(&mut self, now: Micros) -> Step {
         self.try_next(now)
     }
 
-    /// The step after the outcome of the last [`Step::Send`]. Once there is an answer it never changes.
+    /// Records the outcome of the last [`Step::Send`] and returns the next step. Once there is a reply it never changes.
     pub fn record_outcome(&mut self, now: Micros, outcome: ForwardOutcome) -> Step {
-        if let Some(verdict) = &self.verdict {
-            return Step::Reply(verdict.clone());
+        if let Some(reply) = &self.reply {
+            return Step::Reply(reply.clone());
         }
         match outcome {
-            ForwardOutcome::Accepted => self.answer(ClientReply::Accepted),
-            ForwardOutcome::Invalid(reason) => self.answer(ClientReply::Invalid(reason)),
+            ForwardOutcome::Accepted => self.finish(ClientReply::Accepted),
+            ForwardOutcome::Invalid(reason) => self.finish(ClientReply::Invalid(reason)),
             ForwardOutcome::Busy { retry_after_ms } => {
-                self.note_wait(retry_after_ms);
+                self.record_wait(retry_after_ms);
                 self.try_next(now)
             }
             ForwardOutcome::NotSent => self.try_next(now),
@@ -121,49 +123,48 @@
         }
     }
 
-    /// When the client must have its answer.
+    /// Returns the time by which the client must have its reply.
     pub fn deadline(&self) -> Micros {
         self.deadline
     }
 
-    /// The owner may have the request: a second owner only where a repeat does no harm.
+    /// The owner may have accepted the request: a second owner is tried only if a repeat does no harm.
     fn after_unknown(&mut self, now: Micros) -> Step {
         match self.effect {
             Effect::Safe => self.try_next(now),
-            Effect::Keyed | Effect::Unsafe => self.answer(ClientReply::Failed),
+            Effect::Keyed | Effect::Unsafe => self.finish(ClientReply::Failed),
         }
     }
 
     fn try_next(&mut self, now: Micros) -> Step {
-        let left = self.deadline - now;
-        if left < MIN_ANSWER_TIMEOUT_US {
-            return self.answer_busy();
+        let time_left = self.deadline - now;
+        if time_left < MIN_ANSWER_TIMEOUT_US {
+            return self.finish_busy();
         }
         let untried = self.candidates.len() as Micros;
-        let Some(to) = self.candidates.next() else { return self.answer_busy() };
-        let fair_part = (left / untried).max(MIN_ANSWER_TIMEOUT_US);
+        let Some(to) = self.candidates.next() else { return self.finish_busy() };
+        let equal_share = (time_left / untried).max(MIN_ANSWER_TIMEOUT_US);
         let answer_timeout = match self.effect {
-            Effect::Safe => fair_part,
-            // Without an answer nobody else is asked, so that nobody else needs the time.
-            Effect::Keyed | Effect::Unsafe => left,
+            Effect::Safe => equal_share,
+            // If no answer comes, no other owner is tried, so this one may use all the time that is left.
+            Effect::Keyed | Effect::Unsafe => time_left,
         };
-        Step::Send { to, write_timeout: fair_part, answer_timeout }
+        Step::Send { to, write_timeout: equal_share, answer_timeout }
     }
 
-    fn note_wait(&mut self, retry_after_ms: u64) {
-        if retry_after_ms > 0 {
-            self.min_wait_ms =
-                Some(self.min_wait_ms.map_or(retry_after_ms, |least| least.min(retry_after_ms)));
+    fn record_wait(&mut self, wait_ms: u64) {
+        if wait_ms > 0 {
+            self.min_wait_ms = Some(self.min_wait_ms.map_or(wait_ms, |shortest| shortest.min(wait_ms)));
         }
     }
 
-    fn answer_busy(&mut self) -> Step {
+    fn finish_busy(&mut self) -> Step {
         let retry_after_ms = self.min_wait_ms.unwrap_or(DEFAULT_WAIT_MS);
-        self.answer(ClientReply::Busy { retry_after_ms })
+        self.finish(ClientReply::Busy { retry_after_ms })
     }
 
-    fn answer(&mut self, verdict: ClientReply) -> Step {
-        self.verdict = Some(verdict.clone());
-        Step::Reply(verdict)
+    fn finish(&mut self, reply: ClientReply) -> Step {
+        self.reply = Some(reply.clone());
+        Step::Reply(reply)
     }
 }
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -1,71 +1,72 @@
-//! The lease under which a sender takes on requests as an owner, and the times derived from it.
+//! The lease under which a sender accepts requests as an owner, and the times derived from it.
 //!
-//! A sender asks its control agent again and again. An answer that was asked for at `polled_at` renews the lease until
-//! `polled_at + lease`: counted from the ask, an answer that was delayed on its way renews it by that much less.
+//! A sender polls its control agent periodically. An answer to a request that was sent at `polled_at` renews the lease until
+//! `polled_at + lease`. As the lease counts from the request, an answer that is delayed on its way renews it by that much less.
 //!
 //! All times are of one monotonic clock of this process that also advances while the process is stopped and, where the
 //! system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`). Clocks of different machines are never compared, but
-//! their rates are: the hold is longer by [`CLOCK_DRIFT_DIVISOR`].
+//! their rates are: the hold is longer by one part in [`CLOCK_DRIFT_DIVISOR`].
 
 use heronroute::Micros;
 
-/// The hold is longer by one part in so many: two clocks that are each off by up to 500 parts in a million differ by
-/// one part in a thousand.
+/// The hold is longer by one part in this number: two clocks that are each off by up to 500 parts in a million differ by one
+/// part in a thousand.
 pub const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
-/// The times on which all members of a fleet agree. All are in microseconds.
+/// The times that all members of a fleet must agree on, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTimes {
-    /// How long an answer of the control agent, counted from the ask, lets a sender take on requests.
+    /// How long an answer of the control agent, counted from the poll, allows a sender to accept requests.
     pub lease: Micros,
-    /// How far an agent may be behind: it answers with an epoch for at most this long after a later one was first told to any
-    /// sender, and then not at all until it has caught up. 0 where each answer is confirmed with control after the ask.
+    /// How far an agent may lag behind. It may answer with an epoch for at most this long after a later epoch was first sent to
+    /// any sender; after that it must not answer until it has caught up. 0 where an agent confirms each answer with the
+    /// control service after the poll.
     pub agent_lag: Micros,
     /// The longest deadline of any class, plus how long a call may still run after it (`order_settle`).
     pub longest_deadline: Micros,
 }
 
 impl LeaseTimes {
-    /// How long after the first sender heard of an epoch a former owner may still take on requests: until then its agent
-    /// may have renewed its lease under the earlier epoch.
+    /// Returns how long a former owner may still accept requests after any sender first received the later epoch: its agent
+    /// may renew its lease under the earlier epoch for up to `agent_lag`.
     pub fn stale_accept_window(&self) -> Micros {
         self.agent_lag + self.lease
     }
 
-    /// How long a new owner waits from when it heard of the epoch that made it one: until then a former owner may take on
-    /// requests and deliver them.
+    /// Returns how long a new owner waits, counted from when it received the epoch that made it one: until no former owner can
+    /// still accept or deliver requests.
     pub fn hold(&self) -> Micros {
         let span = self.stale_accept_window() + self.longest_deadline;
         span + span / CLOCK_DRIFT_DIVISOR
     }
 }
 
-/// Until when this sender may take on requests as an owner.
+/// The time until which this sender may accept requests as an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     length: Micros,
-    until: Option<Micros>,
+    expires_at: Option<Micros>,
 }
 
 impl Lease {
-    /// A lease of this length that no answer has renewed yet.
+    /// Creates a lease of this length that no answer has renewed yet.
     pub fn new(length: Micros) -> Self {
-        Lease { length, until: None }
+        Lease { length, expires_at: None }
     }
 
-    /// An answer came for what was asked at `polled_at`. An answer to an earlier ask never shortens the lease.
+    /// Renews the lease by the answer to the poll sent at `polled_at`. An answer to an earlier poll never shortens the lease.
     pub fn renew(&mut self, polled_at: Micros) {
-        let until = polled_at + self.length;
-        self.until = Some(self.until.map_or(until, |earlier| earlier.max(until)));
+        let expires_at = polled_at + self.length;
+        self.expires_at = Some(self.expires_at.map_or(expires_at, |earlier| earlier.max(expires_at)));
     }
 
-    /// Whether requests may be taken on at `now`.
+    /// Returns whether requests may be accepted at `now`.
     pub fn is_valid(&self, now: Micros) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.expires_at.is_some_and(|expires_at| now < expires_at)
     }
 
-    /// When the lease ends or ended; `None` before the first answer.
+    /// Returns when the lease expires or expired; `None` before the first answer.
     pub fn expires_at(&self) -> Option<Micros> {
-        self.until
+        self.expires_at
     }
 }
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,5 +1,5 @@
-//! The section `[placement]` of the operator's options: this member's name, where it takes forwarded requests, who
-//! tells the member list, and the times and bounds that go with it.
+//! The section `[placement]` of the operator's options: this member's name, the address at which it accepts forwarded
+//! requests, the control agents that serve the member list, and the related times and limits.
 
 use embershore_finding::SpanFinding;
 use heronroute::Micros;
@@ -10,25 +10,26 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Bytes of a member's name at most.
+/// Maximum length of a member's name.
 const MAX_NAME_BYTES: usize = 128;
-/// Control agents that can be named. More than a few only lengthen the search for one that answers.
+/// Maximum number of control agents. More than a few only lengthen the search for one that answers.
 const MAX_CONTROL_AGENTS: usize = 8;
-/// A shorter lease expires between two questions on a busy machine; a longer one keeps gained shards on hold for
-/// longer than an outage of most causes lasts.
+/// A shorter lease would expire between two polls on a busy machine; a longer one would keep gained shards on hold for
+/// longer than most outages last.
 const LEASE_BOUNDS: RangeInclusive<Duration> = Duration::from_secs(2)..=Duration::from_secs(300);
 const DEFAULT_LEASE: Duration = Duration::from_secs(10);
-/// Questions to the control agent by default in the time of one lease.
+/// Default number of polls to the control agent during one lease.
 const POLLS_PER_LEASE: u32 = 4;
-/// More frequent questions cost more than all else that a quiet member does.
+/// More frequent polls would cost more than everything else that an idle member does.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// A longer lag of an agent keeps gained shards on hold for longer than an outage of most causes lasts.
+/// A longer lag of an agent would keep gained shards on hold for longer than most outages last.
 const MAX_AGENT_LAG: Duration = Duration::from_secs(300);
-/// Kept connections to other members; they are taken from the descriptors that endpoints' connections may use.
+/// Persistent connections to other members. They reduce the number of descriptors that are left for connections to
+/// endpoints.
 const OWNER_CONNECTIONS_BOUNDS: RangeInclusive<usize> = 1..=1024;
 const DEFAULT_OWNER_CONNECTIONS: usize = 64;
 
-/// The section as it is written. [`Section::check`] makes [`PlacementOptions`] of it.
+/// The section as it is written. [`Section::check`] validates it and returns [`PlacementOptions`].
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
@@ -44,51 +45,57 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 struct Span(#[serde(with = "humantime_serde")] Duration);
 
-/// What the operator has agreed on.
+/// The validated options, with defaults filled in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementOptions {
     /// This sender's name in the member list.
     pub name: String,
-    /// Where it listens for requests that other members forward.
+    /// The address at which it listens for requests that other members forward.
     pub listen: SocketAddr,
-    /// The control agents that tell the member list, asked in turn.
+    /// The control agents that serve the member list. If one does not answer, the next is polled.
     pub control_agents: Vec<SocketAddr>,
-    /// How long an answer of a control agent holds, counted from the question, in microseconds.
+    /// How long an answer of a control agent is valid, counted from the poll, in microseconds.
     pub lease: Micros,
-    /// How often a control agent is asked, in microseconds.
+    /// The interval between polls of a control agent, in microseconds.
     pub poll_interval: Micros,
-    /// How long an agent may still answer with an epoch after a later one was first told, in microseconds; see
+    /// How long an agent may still answer with an epoch after a later one was first sent to any sender, in microseconds; see
     /// [`crate::LeaseTimes::agent_lag`].
     pub agent_lag: Micros,
-    /// Kept connections to other members at most.
+    /// Maximum number of persistent connections to other members.
     pub max_owner_connections: usize,
 }
 
 #[derive(Default)]
 struct Checker {
-    found: Vec<SpanFinding>,
+    findings: Vec<SpanFinding>,
 }
 
 impl Checker {
-    fn report(&mut self, place: Range<usize>, what: impl Into<String>) {
-        self.found.push(SpanFinding { span: place, message: what.into() });
+    fn report(&mut self, span: Range<usize>, message: impl Into<String>) {
+        self.findings.push(SpanFinding { span, message: message.into() });
     }
 
     fn name(&mut self, name: &Spanned<String>) -> String {
         let length = name.get_ref().len();
         if !(1..=MAX_NAME_BYTES).contains(&length) {
-            self.report(name.span(), format!("'name' has 1 to {MAX_NAME_BYTES} bytes"));
+            let message = format!("'name' must have 1 to {MAX_NAME_BYTES} bytes, not {length}");
+            self.report(name.span(), message);
         }
         name.get_ref().clone()
     }
 
-    /// An address with a port that others can connect to.
+    /// Parses an IP address with a port that other processes can connect to.
     fn address(&mut self, text: &Spanned<String>) -> Option<SocketAddr> {
         let address: Option<SocketAddr> = text.get_ref().parse().ok();
-        let usable = address.filter(|a| a.port() != 0 && !a.ip().is_unspecified() && !a.ip().is_multicast());
+        let usable = address.filter(|address| {
+            address.port() != 0 && !address.ip().is_unspecified() && !address.ip().is_multicast()
+        });
         if usable.is_none() {
-            let what = "is no address to connect to; write one like \"10.1.0.7:7001\"";
-            self.report(text.span(), format!("'{}' {what}", text.get_ref()));
+            let message = format!(
+                "'{}' is not an address to connect to; write an IP address and a port like \"10.1.0.7:7001\"",
+                text.get_ref()
+            );
+            self.report(text.span(), message);
         }
         usable
     }
@@ -96,9 +103,9 @@
     fn control_agents(&mut self, control: &Spanned<Vec<Spanned<String>>>) -> Vec<SocketAddr> {
         let listed = control.get_ref();
         if !(1..=MAX_CONTROL_AGENTS).contains(&listed.len()) {
-            let what =
-                format!("'control' names 1 to {MAX_CONTROL_AGENTS} control agents, not {}", listed.len());
-            self.report(control.span(), what);
+            let message =
+                format!("'control' must name 1 to {MAX_CONTROL_AGENTS} control agents, not {}", listed.len());
+            self.report(control.span(), message);
         }
         let mut seen = BTreeSet::new();
         let mut addresses = Vec::new();
@@ -107,7 +114,7 @@
             if seen.insert(address) {
                 addresses.push(address);
             } else {
-                self.report(text.span(), format!("'{address}' is named twice; leave one out"));
+                self.report(text.span(), format!("'{address}' is listed twice; remove one"));
             }
         }
         addresses
@@ -117,7 +124,7 @@
         let Some(lease) = lease else { return DEFAULT_LEASE };
         let Span(span) = *lease.get_ref();
         if !LEASE_BOUNDS.contains(&span) {
-            self.report(lease.span(), "'lease' lies between 2s and 5m");
+            self.report(lease.span(), format!("'lease' must be between 2s and 5m, not {span:?}"));
         }
         span.clamp(*LEASE_BOUNDS.start(), *LEASE_BOUNDS.end())
     }
@@ -126,12 +133,15 @@
         let Some(ask_every) = ask_every else { return lease / POLLS_PER_LEASE };
         let Span(span) = *ask_every.get_ref();
         if span < MIN_POLL_INTERVAL {
-            self.report(ask_every.span(), "'ask_every' is 100ms at least");
+            self.report(ask_every.span(), format!("'ask_every' must be at least 100ms, not {span:?}"));
         }
         if span > lease / 2 {
-            let what =
-                "'ask_every' is half of 'lease' at most, or one lost answer would let the lease expire";
-            self.report(ask_every.span(), what);
+            let message = format!(
+                "'ask_every' must be at most half of 'lease', {:?}, not {span:?}, or one lost answer would let the \
+                 lease expire",
+                lease / 2
+            );
+            self.report(ask_every.span(), message);
         }
         span.clamp(MIN_POLL_INTERVAL, lease)
     }
@@ -140,7 +150,7 @@
         let Some(agent_lag) = agent_lag else { return Duration::ZERO };
         let Span(span) = *agent_lag.get_ref();
         if span > MAX_AGENT_LAG {
-            self.report(agent_lag.span(), "'agent_lag' is 5m at most");
+            self.report(agent_lag.span(), format!("'agent_lag' must be at most 5m, not {span:?}"));
         }
         span.min(MAX_AGENT_LAG)
     }
@@ -150,18 +160,20 @@
         let checked = usize::try_from(*count.get_ref()).ok();
         let checked = checked.filter(|count| OWNER_CONNECTIONS_BOUNDS.contains(count));
         if checked.is_none() {
-            let (least, most) = (OWNER_CONNECTIONS_BOUNDS.start(), OWNER_CONNECTIONS_BOUNDS.end());
-            self.report(count.span(), format!("'owner_connections' lies between {least} and {most}"));
+            let (min, max) = (OWNER_CONNECTIONS_BOUNDS.start(), OWNER_CONNECTIONS_BOUNDS.end());
+            let given = count.get_ref();
+            let message = format!("'owner_connections' must be between {min} and {max}, not {given}");
+            self.report(count.span(), message);
         }
         checked.unwrap_or(DEFAULT_OWNER_CONNECTIONS)
     }
 }
 
 impl Section {
-    /// Checks the whole of it.
+    /// Validates the section.
     ///
     /// # Errors
-    /// All findings; places are bytes of the text that was read.
+    /// Returns all findings; their spans are byte ranges of the text that was read.
     pub fn check(&self) -> Result<PlacementOptions, Vec<SpanFinding>> {
         let mut checker = Checker::default();
         let name = checker.name(&self.name);
@@ -172,7 +184,7 @@
         let agent_lag = micros(checker.agent_lag(self.agent_lag.as_ref()));
         let max_owner_connections = checker.max_owner_connections(self.owner_connections.as_ref());
         match listen {
-            Some(listen) if checker.found.is_empty() => {
+            Some(listen) if checker.findings.is_empty() => {
                 let (lease, poll_interval) = (micros(lease), micros(poll_interval));
                 Ok(PlacementOptions {
                     name,
@@ -184,12 +196,12 @@
                     max_owner_connections,
                 })
             }
-            _ => Err(checker.found),
+            _ => Err(checker.findings),
         }
     }
 }
 
-/// Spans of the section are bounded by minutes: they fit.
+/// Converts to microseconds. The spans of the section are at most minutes, so they fit.
 fn micros(span: Duration) -> Micros {
     Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX)
 }
--- a/crates/placement/tests/options.rs
+++ b/crates/placement/tests/options.rs
@@ -59,13 +59,13 @@
         let found = with(line).expect_err(line);
         assert!(found.len() == 1 && found[0].0 == 4 && found[0].1.contains(part), "{line}: {found:?}");
     };
-    wrong("lease = \"1999ms\"", "between 2s and 5m");
-    wrong("lease = \"301s\"", "between 2s and 5m");
-    wrong("ask_every = \"99ms\"", "100ms at least");
-    wrong("ask_every = \"5001ms\"", "half of 'lease'");
-    wrong("agent_lag = \"301s\"", "5m at most");
-    wrong("owner_connections = -1", "between 1 and 1024");
-    wrong("owner_connections = 1025", "between 1 and 1024");
+    wrong("lease = \"1999ms\"", "must be between 2s and 5m");
+    wrong("lease = \"301s\"", "must be between 2s and 5m");
+    wrong("ask_every = \"99ms\"", "must be at least 100ms");
+    wrong("ask_every = \"5001ms\"", "must be at most half of 'lease'");
+    wrong("agent_lag = \"301s\"", "must be at most 5m");
+    wrong("owner_connections = -1", "must be between 1 and 1024");
+    wrong("owner_connections = 1025", "must be between 1 and 1024");
     for good in ["lease = \"2s\"", "lease = \"5m\"", "ask_every = \"5s\"", "owner_connections = 1024"] {
         assert!(with(good).is_ok(), "{good}");
     }
--- a/crates/sender/tests/check.rs
+++ b/crates/sender/tests/check.rs
@@ -132,7 +132,7 @@
         let (code, err) = daemon(arguments, variable);
         assert_eq!(code, Some(1), "{err}");
         assert!(
-            err.contains("options.toml:5:9: 'lease' lies between 2s and 5m") && !err.contains("listen on"),
+            err.contains("options.toml:5:9: 'lease' must be between 2s and 5m") && !err.contains("listen on"),
             "{err}"
         );
     }
