--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -1,17 +1,17 @@
-//! The base table of one region: for each shard a row of seats, owners first and spares behind them, whether the seats
+//! The base table of one region. It has a row of seats for each shard, owners first and spares after them, whether the seats
 //! are filled or not.
 //!
-//! Consistent hashing with bounded loads, built seat by seat: each seat that is added takes its quota of positions from
+//! The table is built by consistent hashing with bounded loads, seat by seat. Each added seat takes its quota of positions from
 //! seats that hold more than their new target, so that adding a seat moves positions to it and never between others.
 
 use std::cmp::Reverse;
 
-use crate::conflicts::{ConflictRows, Domain, Grade, Layout, NOBODY, ROW, SPARES, pair_cost};
+use crate::conflicts::{ConflictRows, ConflictScope, Domain, EMPTY, Layout, ROW_LENGTH, SPARES, pair_cost};
 use crate::hash::{FIBONACCI_MULTIPLIER, mix, mix_pair, scale};
 use crate::list::SeatId;
 use crate::target::{Shares, Units, Weights};
 
-/// A seat as the base table counts it.
+/// The properties of a seat that the base table depends on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BaseSeat {
     pub(crate) id: SeatId,
@@ -19,81 +19,85 @@
     pub(crate) weight: u32,
 }
 
-/// The two kinds of positions in a row, each with a quota of its own.
+/// The two kinds of positions in a row. Each seat has a quota of either kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum PositionKind {
     Owner,
     Spare,
 }
 
-/// From whom a seat takes a position.
+/// The seats from which an added seat may take positions.
 #[derive(Clone, Copy, Debug)]
 enum Donors {
-    /// Seats that hold more than their target; domains stay as distinct as they were.
+    /// Seats that hold more than their target, in rows whose cost does not rise.
     AboveTarget,
-    /// Seats that would still hold no less than the taker, by weight; domains stay as distinct as they were.
+    /// Seats that afterwards still hold at least as many as the added seat, relative to their weights, in rows whose cost does
+    /// not rise.
     MoreLoaded,
-    /// Seats that hold more than 15/16 of their target; for rows whose domains become more distinct.
+    /// Seats that hold more than 15/16 of their target, in rows whose cost falls.
     NearTarget,
-    /// Seats that hold more than 9/8 of their target, even where the row's domains are less distinct afterwards.
+    /// Seats that hold more than 9/8 of their target, even in rows whose cost rises.
     Overloaded,
 }
 
-/// The order in which a seat looks for donors.
-const SEARCHES: [Donors; 3] = [Donors::AboveTarget, Donors::MoreLoaded, Donors::Overloaded];
+/// The order in which an added seat searches for donors.
+const DONOR_ORDER: [Donors; 3] = [Donors::AboveTarget, Donors::MoreLoaded, Donors::Overloaded];
 
-/// A search ends after so many probes in a row that found nothing.
-const PROBE_MISSES: u32 = 64;
+/// A search ends after this number of consecutive probes that found nothing.
+const MAX_PROBE_MISSES: u32 = 64;
 
-/// Rows that a probe looks at, one after another: at two replicas, those of a cache line.
-const PROBE_ROWS: u32 = 8;
+/// Number of consecutive rows that a probe visits: at two replicas, those of a cache line.
+const ROWS_PER_PROBE: u32 = 8;
 
-/// A seat takes up to this part more than its quota where a row's owners share a zone otherwise.
-const EXTRA_PART: u32 = 16;
+/// An added seat may exceed its quota by one part in this number, in rows whose owners would otherwise share a zone.
+const EXTRA_QUOTA_DIVISOR: u32 = 16;
 
-/// A seat gives up on rows whose domains could be more distinct after so many of them in a row that it can't help.
-const CONFLICT_MISSES: u32 = 64;
+/// A search of the conflict rows ends after this number of consecutive rows that the seat can't improve.
+const MAX_CONFLICT_MISSES: u32 = 64;
 
 /// The base table of one region.
 #[derive(Clone, Debug)]
 pub(crate) struct BaseTable {
     layout: Layout,
-    /// Seats by ordinal (their order within the region).
-    rows: Vec<[u16; ROW]>,
-    /// Seats by ordinal, one array for each thing that probing looks at, so that those stay in the fastest cache.
+    /// The seats of each row, by ordinal (their order within the region).
+    rows: Vec<[u16; ROW_LENGTH]>,
+    /// The seats' properties by ordinal, in one array each, so that those that a probe reads stay in the fastest cache.
     ids: Vec<SeatId>,
     domains: Vec<Domain>,
     weights: Vec<u32>,
-    /// Positions that each seat holds, by kind.
+    /// Number of positions that each seat holds, by kind and ordinal.
     loads: [Vec<u32>; 2],
     total: Weights,
     zones: Vec<u16>,
-    /// By [`Grade`].
+    /// The rows with conflicts, by [`ConflictScope`].
     conflicts: [ConflictRows; 2],
-    /// Where displaced owners go while rows have positions that nobody holds.
+    /// The empty position that displaced owners move to while the first seats are added.
     open_position: Option<usize>,
-    touched: Vec<u32>,
+    /// The rows that the last added seat changed.
+    changed_rows: Vec<u32>,
 }
 
-/// A position that may be taken.
-struct Found {
+/// A position that an added seat may take.
+struct FoundPosition {
     row: u32,
     position: usize,
-    /// Whether the row's domains are less distinct afterwards.
-    worse: bool,
+    /// Whether the row's cost is higher afterwards.
+    increases_cost: bool,
 }
 
-/// A seat's search for the positions that it lacks.
+/// An added seat's search for positions of one kind.
 struct Search {
     seat: u16,
-    kind: Kind,
+    kind: PositionKind,
     weight: Units,
     shares: Shares,
-    /// Positions of this kind in the region.
+    /// Number of positions of this kind in the region.
     positions: u64,
     /// The greatest load with which a seat of the same weight is not above its target.
     target: u32,
-    lacking: u32,
+    /// Number of positions that the seat has yet to take.
+    missing: u32,
+    /// Start of the pseudo-random sequence of probes.
     key: u64,
     probes: u64,
 }
@@ -109,7 +113,7 @@
     pub(crate) fn new(rows: u32, replicas: usize) -> Self {
         Self {
             layout: Layout::new(replicas),
-            rows: vec![[NOBODY; ROW]; rows as usize],
+            rows: vec![[EMPTY; ROW_LENGTH]; rows as usize],
             ids: Vec::new(),
             domains: Vec::new(),
             weights: Vec::new(),
@@ -118,7 +122,7 @@
             zones: Vec::new(),
             conflicts: [ConflictRows::new(rows), ConflictRows::new(rows)],
             open_position: None,
-            touched: Vec::new(),
+            changed_rows: Vec::new(),
         }
     }
 
@@ -126,38 +130,38 @@
         self.rows.len() as u32
     }
 
-    /// Seats by ordinal; their numbers rise.
+    /// Returns the seats by ordinal. Their numbers ascend.
     pub(crate) fn seats(&self) -> &[SeatId] {
         &self.ids
     }
 
-    /// A row's owners and spares.
+    /// Returns a row's owners and spares.
     pub(crate) fn row(&self, row: u32) -> (&[u16], &[u16]) {
         let (owners, spares) = self.rows[row as usize].split_at(self.layout.owners);
         (owners, &spares[..SPARES])
     }
 
-    /// Rows that the last added seat changed.
-    pub(crate) fn touched(&self) -> &[u32] {
-        &self.touched
+    /// Returns the rows that the last added seat changed.
+    pub(crate) fn changed_rows(&self) -> &[u32] {
+        &self.changed_rows
     }
 
-    /// Memory that the table holds.
+    /// Returns the memory that the table takes, in bytes.
     pub(crate) fn bytes(&self) -> usize {
-        self.rows.capacity() * size_of::<[u16; ROW]>()
+        self.rows.capacity() * size_of::<[u16; ROW_LENGTH]>()
             + self.ids.capacity() * size_of::<BaseSeat>()
             + self.loads.iter().map(|loads| loads.capacity() * size_of::<u32>()).sum::<usize>()
             + self.conflicts.iter().map(ConflictRows::bytes).sum::<usize>()
-            + self.touched.capacity() * size_of::<u32>()
+            + self.changed_rows.capacity() * size_of::<u32>()
     }
 
-    /// Gives back memory that only building needs.
+    /// Releases memory that only building needs.
     pub(crate) fn shrink(&mut self) {
-        self.touched = Vec::new();
+        self.changed_rows = Vec::new();
         self.conflicts.iter_mut().for_each(ConflictRows::shrink);
     }
 
-    /// Adds a seat behind the region's last one.
+    /// Adds a seat after the region's last one.
     pub(crate) fn append(&mut self, seat: BaseSeat) {
         let ordinal = self.ids.len();
         self.ids.push(seat.id);
@@ -167,7 +171,7 @@
         for loads in &mut self.loads {
             loads.push(0);
         }
-        self.touched.clear();
+        self.changed_rows.clear();
         let zone = seat.domain.zone();
         let new_zone = !self.zones.contains(&zone);
         if new_zone {
@@ -175,66 +179,66 @@
         }
         if ordinal < self.layout.positions {
             self.append_to_open_rows(ordinal);
-            self.list_conflicts();
+            self.rebuild_conflicts();
             return;
         }
         if new_zone && self.zones.len() <= self.layout.positions {
-            self.list_conflicts();
+            self.rebuild_conflicts();
         }
-        self.take_quota(ordinal as u16, Kind::Owner);
-        self.take_quota(ordinal as u16, Kind::Spare);
+        self.take_quota(ordinal as u16, PositionKind::Owner);
+        self.take_quota(ordinal as u16, PositionKind::Spare);
     }
 
-    /// Adds one of the first seats: rows have a position that nobody holds, so that each row gets the seat.
+    /// Adds one of the first seats. As each row has an empty position, each row gets the seat.
     fn append_to_open_rows(&mut self, ordinal: usize) {
         let seat = ordinal as u16;
         if ordinal >= self.layout.owners {
             self.open_position = Some(ordinal);
-            self.take_quota(seat, Kind::Owner);
+            self.take_quota(seat, PositionKind::Owner);
             self.open_position = None;
         }
         let kind = self.layout.kind(ordinal);
-        for row in self.rows.iter_mut().filter(|row| row[ordinal] == NOBODY) {
+        for row in self.rows.iter_mut().filter(|row| row[ordinal] == EMPTY) {
             row[ordinal] = seat;
             self.loads[kind as usize][ordinal] += 1;
         }
-        self.touched.clear();
-        self.touched.extend(0..self.rows());
+        self.changed_rows.clear();
+        self.changed_rows.extend(0..self.rows());
     }
 
-    /// Lists anew which rows' domains could be more distinct.
-    fn list_conflicts(&mut self) {
-        let least_cost = self.layout.least_cost(self.zones.len());
-        for (conflicts, grade) in self.conflicts.iter_mut().zip([Grade::Owners, Grade::Any]) {
-            conflicts.clear(least_cost, grade);
+    /// Rebuilds the lists of rows whose cost could be lower.
+    fn rebuild_conflicts(&mut self) {
+        let min_cost = self.layout.min_cost(self.zones.len());
+        for (conflicts, scope) in self.conflicts.iter_mut().zip([ConflictScope::Owners, ConflictScope::Any]) {
+            conflicts.reset(min_cost, scope);
         }
         for row in 0..self.rows() {
-            self.note_conflicts(row);
+            self.list_if_improvable(row);
         }
     }
 
-    fn take_quota(&mut self, seat: u16, kind: Kind) {
-        let mut search = self.search(seat, kind);
-        let quota = search.lacking;
-        if kind == Kind::Owner {
-            self.take_from_conflicts(&mut search, Grade::Owners, Donors::AboveTarget);
+    fn take_quota(&mut self, seat: u16, kind: PositionKind) {
+        let mut search = self.new_search(seat, kind);
+        let quota = search.missing;
+        if kind == PositionKind::Owner {
+            self.take_from_conflicts(&mut search, ConflictScope::Owners, Donors::AboveTarget);
         }
-        self.take_from_conflicts(&mut search, Grade::Any, Donors::AboveTarget);
-        for donors in SEARCHES {
+        self.take_from_conflicts(&mut search, ConflictScope::Any, Donors::AboveTarget);
+        for donors in DONOR_ORDER {
             self.take_by_probing(&mut search, donors);
         }
-        if kind == Kind::Owner {
-            // Quotas are rounded, which can leave a few rows whose owners share a zone.
-            search.lacking += quota.div_ceil(EXTRA_PART);
-            self.take_from_conflicts(&mut search, Grade::Owners, Donors::NearTarget);
+        if kind == PositionKind::Owner {
+            // As quotas are rounded, a few rows can be left whose owners share a zone.
+            search.missing += quota.div_ceil(EXTRA_QUOTA_DIVISOR);
+            self.take_from_conflicts(&mut search, ConflictScope::Owners, Donors::NearTarget);
         }
     }
 
-    fn search(&self, seat: u16, kind: Kind) -> Search {
+    fn new_search(&self, seat: u16, kind: PositionKind) -> Search {
         let seats = self.ids.len();
         let width = match kind {
-            Kind::Owner => self.layout.owners.min(seats),
-            Kind::Spare => SPARES,
+            PositionKind::Owner => self.layout.owners.min(seats),
+            PositionKind::Spare => SPARES,
         };
         let positions = u64::from(self.rows()) * width as u64;
         let shares = self.total.shares(self.layout.owners.min(seats));
@@ -246,97 +250,108 @@
             shares,
             positions,
             target: shares.target(positions, weight),
-            lacking: shares.quota(positions, weight).min(self.rows()),
+            missing: shares.quota(positions, weight).min(self.rows()),
             key: mix_pair(u64::from(self.ids[usize::from(seat)].0), kind as u64),
             probes: 0,
         }
     }
 
-    /// Takes positions where the row's domains are more distinct afterwards.
-    fn take_from_conflicts(&mut self, search: &mut Search, grade: Grade, donors: Donors) {
+    /// Takes positions in rows whose cost falls by it.
+    fn take_from_conflicts(&mut self, search: &mut Search, scope: ConflictScope, donors: Donors) {
         let mut misses = 0;
-        while search.lacking > 0 && misses < CONFLICT_MISSES && !self.conflicts[grade as usize].is_empty() {
-            let index = scale(search.probe() as u32, self.conflicts[grade as usize].len());
-            let row = self.conflicts[grade as usize].row(index);
-            let cost = self.cost(row);
-            if self.conflicts[grade as usize].settle(index, cost) {
+        while search.missing > 0 && misses < MAX_CONFLICT_MISSES && !self.conflicts[scope as usize].is_empty()
+        {
+            let index = scale(search.probe() as u32, self.conflicts[scope as usize].len());
+            let row = self.conflicts[scope as usize].row(index);
+            let cost = self.row_cost(row);
+            if self.conflicts[scope as usize].remove_if_resolved(index, cost) {
                 continue;
             }
             misses += 1;
-            if let Some(position) = self.best_improvement(row, grade, donors, search) {
-                self.place(row, position, search);
+            if let Some(position) = self.best_improvement(row, scope, donors, search) {
+                self.assign(row, position, search);
                 misses = 0;
             }
         }
     }
 
-    /// Lists a row if its domains could be more distinct.
-    fn note_conflicts(&mut self, row: u32) {
-        let cost = self.cost(row);
+    /// Lists a row as a conflict if its cost could be lower.
+    fn list_if_improvable(&mut self, row: u32) {
+        let cost = self.row_cost(row);
         for conflicts in &mut self.conflicts {
-            conflicts.note(row, cost);
+            conflicts.add(row, cost);
         }
     }
 
-    /// The position of a row whose taking makes its domains most distinct.
-    fn best_improvement(&self, row: u32, grade: Grade, donors: Donors, search: &Search) -> Option<usize> {
+    /// Returns the position of a row that lowers its cost most if the seat takes it.
+    fn best_improvement(
+        &self,
+        row: u32,
+        scope: ConflictScope,
+        donors: Donors,
+        search: &Search,
+    ) -> Option<usize> {
         let seats = &self.rows[row as usize];
-        let positions =
-            self.layout.range(search.kind).filter(|&position| self.gives(seats[position], donors, search));
+        let positions = self
+            .layout
+            .range(search.kind)
+            .filter(|&position| self.can_donate(seats[position], donors, search));
         let load = |position: usize| self.load(seats[position], search.kind);
         let changes = positions
             .filter_map(|position| Some((self.cost_change(seats, position, search.seat)?, position)));
         let (change, position) =
             changes.min_by_key(|&(change, position)| (change, Reverse(load(position))))?;
-        (change <= -grade.least_gain()).then_some(position)
+        (change <= -scope.min_gain()).then_some(position)
     }
 
     fn take_by_probing(&mut self, search: &mut Search, donors: Donors) {
         let mut misses = 0;
-        while search.lacking > 0 && misses < PROBE_MISSES {
+        while search.missing > 0 && misses < MAX_PROBE_MISSES {
             misses += 1;
             let first = scale(search.probe() as u32, self.rows());
-            let Some(found) = self.find(first, donors, search) else { continue };
-            self.place(found.row, found.position, search);
+            let Some(found) = self.find_position(first, donors, search) else { continue };
+            self.assign(found.row, found.position, search);
             misses = 0;
-            if found.worse {
-                self.note_conflicts(found.row);
+            if found.increases_cost {
+                self.list_if_improvable(found.row);
             }
         }
     }
 
-    /// The first position that may be taken, in the rows of one probe.
-    fn find(&self, first: u32, donors: Donors, search: &Search) -> Option<Found> {
-        // One loop for each kind of donors: it is run millions of times.
+    /// Returns the first position that may be taken in the rows of one probe.
+    fn find_position(&self, first: u32, donors: Donors, search: &Search) -> Option<FoundPosition> {
+        // The first kind of donors has a loop of its own, as it runs millions of times.
         match donors {
             Donors::AboveTarget => {
-                self.find_from(first, false, search, |donor| self.is_above_target(donor, search))
+                self.find_position_where(first, false, search, |donor| self.is_above_target(donor, search))
             }
             _ => {
-                let worse = matches!(donors, Donors::Overloaded);
-                self.find_from(first, worse, search, |donor| self.gives(donor, donors, search))
+                let allow_increase = matches!(donors, Donors::Overloaded);
+                self.find_position_where(first, allow_increase, search, |donor| {
+                    self.can_donate(donor, donors, search)
+                })
             }
         }
     }
 
     #[inline]
-    fn find_from(
+    fn find_position_where(
         &self,
         first: u32,
-        worse: bool,
+        allow_increase: bool,
         search: &Search,
-        gives: impl Fn(u16) -> bool,
-    ) -> Option<Found> {
+        can_donate: impl Fn(u16) -> bool,
+    ) -> Option<FoundPosition> {
         let range = self.layout.range(search.kind);
-        let end = (first + PROBE_ROWS).min(self.rows());
+        let end = (first + ROWS_PER_PROBE).min(self.rows());
         for (seats, row) in self.rows[first as usize..end as usize].iter().zip(first..) {
             for (&donor, position) in seats[range.clone()].iter().zip(range.start..) {
-                if !gives(donor) {
+                if !can_donate(donor) {
                     continue;
                 }
                 let Some(change) = self.cost_change(seats, position, search.seat) else { break };
-                if change <= 0 || worse {
-                    return Some(Found { row, position, worse: change > 0 });
+                if change <= 0 || allow_increase {
+                    return Some(FoundPosition { row, position, increases_cost: change > 0 });
                 }
             }
         }
@@ -353,13 +368,13 @@
         search.shares.exceeds(load, search.positions, weight, 16)
     }
 
-    /// How many domains a seat shares with a row's owners except one, zones before racks.
+    /// Returns the cost of the domains that a seat shares with a row's owners except one; a zone counts more than a rack.
     pub(crate) fn shared_domains(&self, seat: u16, owners: &[u16], except: u16) -> u32 {
         let others = owners.iter().filter(|&&owner| owner != except);
         others.map(|&owner| pair_cost(self.domain(seat), self.domain(owner), 1)).sum()
     }
 
-    fn gives(&self, donor: u16, donors: Donors, search: &Search) -> bool {
+    fn can_donate(&self, donor: u16, donors: Donors, search: &Search) -> bool {
         let load = self.load(donor, search.kind);
         let weight = Units::from(self.weights[usize::from(donor)]);
         match donors {
@@ -373,41 +388,41 @@
         }
     }
 
-    fn load(&self, seat: u16, kind: Kind) -> u32 {
+    fn load(&self, seat: u16, kind: PositionKind) -> u32 {
         self.loads[kind as usize][usize::from(seat)]
     }
 
-    /// Gives a position to the searching seat.
-    fn place(&mut self, row: u32, position: usize, search: &mut Search) {
+    /// Assigns a position to the searching seat.
+    fn assign(&mut self, row: u32, position: usize, search: &mut Search) {
         let donor = std::mem::replace(&mut self.rows[row as usize][position], search.seat);
         self.loads[search.kind as usize][usize::from(donor)] -= 1;
         self.loads[search.kind as usize][usize::from(search.seat)] += 1;
-        search.lacking -= 1;
-        self.touched.push(row);
+        search.missing -= 1;
+        self.changed_rows.push(row);
         if let Some(open) = self.open_position {
             self.rows[row as usize][open] = donor;
-            self.loads[Kind::Spare as usize][usize::from(donor)] += 1;
+            self.loads[PositionKind::Spare as usize][usize::from(donor)] += 1;
         }
     }
 
-    /// How far a row is from distinct domains; see [`pair_cost`].
-    fn cost(&self, row: u32) -> u32 {
+    /// Returns the cost of a row, see [`pair_cost`].
+    fn row_cost(&self, row: u32) -> u32 {
         self.layout.cost(&self.rows[row as usize].map(|seat| self.domain(seat)))
     }
 
-    /// What the row's cost changes by if `seat` takes the position; none if the row has the seat already.
+    /// Returns the change of a row's cost if `seat` takes the position; `None` if the row has the seat already.
     #[inline]
-    fn cost_change(&self, seats: &[u16; ROW], position: usize, seat: u16) -> Option<i32> {
+    fn cost_change(&self, seats: &[u16; ROW_LENGTH], position: usize, seat: u16) -> Option<i32> {
         if seats.contains(&seat) {
             return None;
         }
         let (before, after) = (self.domain(seats[position]), self.domain(seat));
-        let grades = self.layout.grades(position);
+        let weights = self.layout.pair_weights(position);
         let mut change = 0;
-        for (&neighbour, grade) in seats[..self.layout.positions].iter().zip(grades) {
+        for (&neighbour, weight) in seats[..self.layout.positions].iter().zip(weights) {
             let neighbour = self.domain(neighbour);
             let difference = pair_cost(after, neighbour, 1) as i32 - pair_cost(before, neighbour, 1) as i32;
-            change += difference * *grade as i32;
+            change += difference * *weight as i32;
         }
         Some(change)
     }
@@ -418,14 +433,14 @@
 }
 
 impl Layout {
-    fn kind(self, position: usize) -> Kind {
-        if position < self.owners { Kind::Owner } else { Kind::Spare }
+    fn kind(self, position: usize) -> PositionKind {
+        if position < self.owners { PositionKind::Owner } else { PositionKind::Spare }
     }
 
-    fn range(self, kind: Kind) -> std::ops::Range<usize> {
+    fn range(self, kind: PositionKind) -> std::ops::Range<usize> {
         match kind {
-            Kind::Owner => 0..self.owners,
-            Kind::Spare => self.owners..self.positions,
+            PositionKind::Owner => 0..self.owners,
+            PositionKind::Spare => self.owners..self.positions,
         }
     }
 }
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -1,52 +1,55 @@
-//! How distinct the failure domains of a row are, and which rows could do better.
+//! The cost of a row's shared failure domains, and the rows whose cost could be lower.
 
 use crate::domains::{RackId, ZoneId};
 use crate::list::MAX_REPLICAS;
-/// Spare seats of a row, which take a lost owner's place. With two, a lost owner's shards stay in distinct zones, and
-/// the shards of a lost zone go to seats that share them out by their quota.
+/// Number of spare seats of a row, which replace lost owners. With two, a lost owner's shards stay in distinct zones, and the
+/// shards of a lost zone go to seats in proportion to their quotas.
 pub(crate) const SPARES: usize = 2;
 
-/// The longest row. Shorter ones end in [`NOBODY`]: a fixed length lets the compiler unroll what is done most often.
-pub(crate) const ROW: usize = MAX_REPLICAS + SPARES;
+/// Length of the longest row. Shorter rows are filled up with [`EMPTY`]: a fixed length lets the compiler unroll the hottest
+/// loops.
+pub(crate) const ROW_LENGTH: usize = MAX_REPLICAS + SPARES;
 
-/// A position that no seat holds: the region has fewer seats than a row has positions, or the row is shorter.
-pub(crate) const NOBODY: u16 = u16::MAX;
+/// Marks a position that no seat holds: the region has fewer seats than a row has positions, or the row is shorter.
+pub(crate) const EMPTY: u16 = u16::MAX;
 
-/// Two seats of a row that share a rack, and what sharing a zone adds to it.
-const SHARED_RACK: u32 = 1;
-const SHARED_ZONE: u32 = 1 << 3;
+/// Cost of two seats of a row that share a rack.
+const SHARED_RACK_COST: u32 = 1;
+/// Cost of two seats of a row that share a zone, added to the cost of a shared rack.
+const SHARED_ZONE_COST: u32 = 1 << 3;
 
-/// How much it counts that two owners share a domain, and two seats of which one is a spare: six pairs of owners at most,
-/// 15 pairs in all.
-const OWNERS: u32 = 1 << 8;
-const OTHERS: u32 = 1;
+/// Weight of a pair of owners in the cost. It outweighs all other pairs: a row has at most six pairs of owners, and 15 pairs in
+/// all.
+const OWNER_PAIR_WEIGHT: u32 = 1 << 8;
+/// Weight of a pair with a spare in the cost.
+const OTHER_PAIR_WEIGHT: u32 = 1;
 
-/// Which conflicts are looked for.
+/// Which conflicts a search resolves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Grade {
-    /// Owners share a zone.
+pub(crate) enum ConflictScope {
+    /// Owners that share a zone.
     Owners,
-    /// Any two seats of the row share a domain.
+    /// Any two seats of the row that share a domain.
     Any,
 }
 
-impl Grade {
-    /// What a row's cost falls by, at least, if such a conflict is resolved.
-    pub(crate) const fn least_gain(self) -> i32 {
+impl ConflictScope {
+    /// Returns the least amount by which a row's cost falls when such a conflict is resolved.
+    pub(crate) const fn min_gain(self) -> i32 {
         match self {
-            // Half, as lesser conflicts may arise in its place.
-            Self::Owners => (OWNERS * SHARED_ZONE / 2) as i32,
+            // Half, as lesser conflicts may replace the resolved one.
+            Self::Owners => (OWNER_PAIR_WEIGHT * SHARED_ZONE_COST / 2) as i32,
             Self::Any => 1,
         }
     }
 }
 
-/// Zone and rack of a seat, in one number for quick comparison.
+/// Zone and rack of a seat, packed into one number for fast comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Domain(u32);
 
 impl Domain {
-    /// The domain of a position that nobody holds: no zone has this number, as there are fewer zones than seats.
+    /// The domain of an empty position. No zone has this number, as there are fewer zones than seats.
     pub(crate) const NONE: Self = Self(u32::MAX);
 
     pub(crate) fn new(zone: ZoneId, rack: RackId) -> Self {
@@ -58,50 +61,51 @@
     }
 }
 
-/// Positions of a row: owners first, spares behind them.
+/// The positions of a row, owners first and spares after them, and the weights of their pairs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Layout {
     pub(crate) owners: usize,
     pub(crate) positions: usize,
-    grades: [[u32; ROW]; ROW],
+    pair_weights: [[u32; ROW_LENGTH]; ROW_LENGTH],
 }
 
 impl Layout {
     pub(crate) fn new(owners: usize) -> Self {
-        let mut grades = [[0; ROW]; ROW];
-        for (first, grades) in grades.iter_mut().enumerate() {
-            for (second, grade) in grades.iter_mut().enumerate().filter(|&(second, _)| second != first) {
-                *grade = grade_of(owners, first, second);
+        let mut pair_weights = [[0; ROW_LENGTH]; ROW_LENGTH];
+        for (first, pair_weights) in pair_weights.iter_mut().enumerate() {
+            for (second, weight) in pair_weights.iter_mut().enumerate().filter(|&(second, _)| second != first)
+            {
+                *weight = pair_weight(owners, first, second);
             }
         }
-        Self { owners, positions: owners + SPARES, grades }
+        Self { owners, positions: owners + SPARES, pair_weights }
     }
 
-    /// How much it counts that the seats of a position and of each other share a domain; nothing for itself.
-    pub(crate) fn grades(&self, position: usize) -> &[u32; ROW] {
-        &self.grades[position]
+    /// Returns the weights of the pairs of a position with each position; 0 with itself.
+    pub(crate) fn pair_weights(&self, position: usize) -> &[u32; ROW_LENGTH] {
+        &self.pair_weights[position]
     }
 
-    /// The cost of a row; see [`pair_cost`].
-    pub(crate) fn cost(&self, domains: &[Domain; ROW]) -> u32 {
+    /// Returns the cost of a row, the sum of [`pair_cost`] over all pairs.
+    pub(crate) fn cost(&self, domains: &[Domain; ROW_LENGTH]) -> u32 {
         let mut cost = 0;
         for (first, &domain) in domains.iter().enumerate().filter(|&(_, &domain)| domain != Domain::NONE) {
             for (second, &other) in domains.iter().enumerate().skip(first + 1) {
-                cost += pair_cost(domain, other, self.grades[first][second]);
+                cost += pair_cost(domain, other, self.pair_weights[first][second]);
             }
         }
         cost
     }
 
-    /// The least cost that a row can have in a region of so many zones: the best of all ways to spread its seats over
-    /// them, in distinct racks.
-    pub(crate) fn least_cost(&self, zones: usize) -> u32 {
+    /// Returns the lowest cost that a row can have in a region with this number of zones: the minimum over all assignments to spread its
+    /// seats over the zones, in distinct racks.
+    pub(crate) fn min_cost(&self, zones: usize) -> u32 {
         let zones = zones.clamp(1, self.positions) as u32;
-        let ways = zones.pow(self.positions as u32);
-        let costs = (0..ways).map(|way| {
-            let mut domains = [Domain::NONE; ROW];
+        let assignments = zones.pow(self.positions as u32);
+        let costs = (0..assignments).map(|assignment| {
+            let mut domains = [Domain::NONE; ROW_LENGTH];
             for (position, domain) in domains.iter_mut().enumerate().take(self.positions) {
-                let zone = way / zones.pow(position as u32) % zones;
+                let zone = assignment / zones.pow(position as u32) % zones;
                 *domain = Domain::new(ZoneId(zone as u16), RackId(position as u16));
             }
             self.cost(&domains)
@@ -110,43 +114,41 @@
     }
 }
 
-/// The grade of two positions.
-fn grade_of(owners: usize, first: usize, second: usize) -> u32 {
-    if first.max(second) < owners { OWNERS } else { OTHERS }
+/// Returns the weight of a pair of positions.
+fn pair_weight(owners: usize, first: usize, second: usize) -> u32 {
+    if first.max(second) < owners { OWNER_PAIR_WEIGHT } else { OTHER_PAIR_WEIGHT }
 }
 
-/// What two seats of a row add to its cost.
-pub(crate) fn pair_cost(first: Domain, second: Domain, grade: u32) -> u32 {
+/// Returns what two seats of a row add to its cost.
+pub(crate) fn pair_cost(first: Domain, second: Domain, weight: u32) -> u32 {
     let difference = first.0 ^ second.0;
-    let shared_zone = if difference >> u16::BITS == 0 { SHARED_ZONE } else { 0 };
-    let shared_rack = if difference == 0 { SHARED_RACK } else { 0 };
-    (shared_zone + shared_rack) * grade
+    let shared_zone = if difference >> u16::BITS == 0 { SHARED_ZONE_COST } else { 0 };
+    let shared_rack = if difference == 0 { SHARED_RACK_COST } else { 0 };
+    (shared_zone + shared_rack) * weight
 }
 
-/// The rows whose cost is above the least possible. A row that has become better stays listed until it is looked at.
+/// The rows whose cost is above a threshold. A row whose cost has fallen stays listed until it is visited.
 #[derive(Clone, Debug)]
 pub(crate) struct ConflictRows {
     rows: Vec<u32>,
+    /// A bit per row: whether it is listed.
     listed: Vec<u64>,
-    least_cost: u32,
+    threshold: u32,
 }
 
 impl ConflictRows {
     pub(crate) fn new(rows: u32) -> Self {
-        Self {
-            rows: Vec::new(),
-            listed: vec![0; (rows as usize).div_ceil(u64::BITS as usize)],
-            least_cost: 0,
-        }
+        Self { rows: Vec::new(), listed: vec![0; (rows as usize).div_ceil(u64::BITS as usize)], threshold: 0 }
     }
 
-    /// Forgets all rows; from now on rows are listed that have conflicts of a grade beyond `least_cost`.
-    pub(crate) fn clear(&mut self, least_cost: u32, grade: Grade) {
+    /// Removes all rows and sets the threshold. `min_cost` is the cost of a row without avoidable conflicts; one conflict of
+    /// this scope raises it above the threshold.
+    pub(crate) fn reset(&mut self, min_cost: u32, scope: ConflictScope) {
         self.rows = Vec::new();
         self.listed.fill(0);
-        self.least_cost = match grade {
-            Grade::Owners => least_cost + OWNERS * SHARED_ZONE - 1,
-            Grade::Any => least_cost,
+        self.threshold = match scope {
+            ConflictScope::Owners => min_cost + OWNER_PAIR_WEIGHT * SHARED_ZONE_COST - 1,
+            ConflictScope::Any => min_cost,
         };
     }
 
@@ -170,26 +172,27 @@
         self.rows.capacity() * size_of::<u32>() + self.listed.capacity() * size_of::<u64>()
     }
 
-    /// Lists a row if its cost is above the least and it isn't listed yet.
-    pub(crate) fn note(&mut self, row: u32, cost: u32) {
-        let (word, bit) = place(row);
-        if cost > self.least_cost && self.listed[word] & bit == 0 {
+    /// Lists a row if its cost is above the threshold and it is not listed yet.
+    pub(crate) fn add(&mut self, row: u32, cost: u32) {
+        let (word, bit) = word_and_bit(row);
+        if cost > self.threshold && self.listed[word] & bit == 0 {
             self.listed[word] |= bit;
             self.rows.push(row);
         }
     }
 
-    /// Takes the row at `index` off the list if its cost is the least by now. Says whether it did.
-    pub(crate) fn settle(&mut self, index: u32, cost: u32) -> bool {
-        if cost > self.least_cost {
+    /// Removes the row at `index` from the list if its cost is no longer above the threshold. Returns whether it did.
+    pub(crate) fn remove_if_resolved(&mut self, index: u32, cost: u32) -> bool {
+        if cost > self.threshold {
             return false;
         }
-        let (word, bit) = place(self.rows.swap_remove(index as usize));
+        let (word, bit) = word_and_bit(self.rows.swap_remove(index as usize));
         self.listed[word] &= !bit;
         true
     }
 }
 
-fn place(row: u32) -> (usize, u64) {
+/// Returns the index of a row's word in `listed` and its bit in the word.
+fn word_and_bit(row: u32) -> (usize, u64) {
     ((row / u64::BITS) as usize, 1 << (row % u64::BITS))
 }
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -1,9 +1,9 @@
-//! What of this sender's ownership is new, and until when it has to wait for others to finish.
+//! Tracks which parts of this sender's ownership are new, and until when it must wait for former owners to finish.
 //!
-//! Everything that an epoch gives to this sender, and another may have had before, is on hold for
-//! [`LeaseTimes::hold`](crate::LeaseTimes::hold) from when it was heard of: a shard; an order key whose preferred owner was
-//! another; a part of a wide destination; a larger share of a destination's limit. Only what is on hold is remembered, so that
-//! a sender at rest holds nothing here.
+//! Everything that an epoch gives to this sender, and that another sender may have had before, is on hold for
+//! [`LeaseTimes::hold`](crate::LeaseTimes::hold), counted from when this sender received the epoch: a shard; an order key that
+//! preferred another owner; a part of a wide destination; a larger share of a destination's limit. Only what is on hold is
+//! stored, so that a sender without changes stores nothing here.
 
 use std::collections::BTreeMap;
 
@@ -13,42 +13,42 @@
 use crate::shard::ShardId;
 use heronroute::Micros;
 
-/// So many former owner lists of a shard are remembered; it has one more with each epoch that changes its owners within a
-/// hold. With more, the whole shard is put on hold instead.
+/// Maximum number of superseded owner lists stored for a shard. Each epoch that changes its owners within a hold adds one.
+/// With more, the whole shard is put on hold instead.
 const MAX_SUPERSEDED_OWNER_LISTS: usize = 16;
 
-/// Something that was true and may still be acted upon by others until a time.
+/// A value that an epoch has replaced, and the time until which other senders may still act upon it.
 #[derive(Clone, Debug)]
 struct Superseded<T> {
     value: T,
     until: Micros,
 }
 
-/// What of one owned shard is on hold.
+/// The holds of one owned shard.
 #[derive(Clone, Debug, Default)]
 struct ShardHold {
-    /// Until then another may have been the owner in place of this sender.
+    /// Before this time another sender may own the shard in place of this one.
     ready_at: Option<Micros>,
-    /// Earlier owners, this sender among them, under which keys may have had another preferred owner.
-    former: Vec<Superseded<Vec<SeatId>>>,
+    /// Earlier owners, this sender among them, under which keys may have preferred another owner.
+    superseded: Vec<Superseded<Vec<SeatId>>>,
 }
 
 impl ShardHold {
-    fn remember(&mut self, owners: &[SeatId], until: Micros) {
-        if self.former.len() < MAX_SUPERSEDED_OWNER_LISTS {
-            self.former.push(Superseded { value: owners.to_vec(), until });
+    fn record(&mut self, owners: &[SeatId], until: Micros) {
+        if self.superseded.len() < MAX_SUPERSEDED_OWNER_LISTS {
+            self.superseded.push(Superseded { value: owners.to_vec(), until });
         } else {
-            self.former.clear();
+            self.superseded.clear();
             self.ready_at = Some(until);
         }
     }
 
-    fn end(&self) -> Option<Micros> {
-        self.former.iter().map(|former| former.until).max().max(self.ready_at)
+    fn last_end(&self) -> Option<Micros> {
+        self.superseded.iter().map(|superseded| superseded.until).max().max(self.ready_at)
     }
 }
 
-/// A placement as one sender sees it: with the seat that it fills there.
+/// A placement and the seat that this sender fills in it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SeatedPlacement<'a> {
     pub(crate) placement: &'a Placement,
@@ -65,7 +65,7 @@
     }
 }
 
-/// The shards that an epoch gave to this sender and took from it.
+/// The shards that this sender gained and lost by an epoch, each in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OwnershipDiff {
     pub(crate) gained: Vec<ShardId>,
@@ -73,7 +73,7 @@
 }
 
 impl OwnershipDiff {
-    /// What is owned after and was not before, and the other way round.
+    /// Compares the shards owned before and after; without `before`, all owned shards are gained.
     pub(crate) fn between(before: Option<SeatedPlacement<'_>>, after: SeatedPlacement<'_>) -> Self {
         let owned_before = |shard: ShardId| before.is_some_and(|before| before.owns(shard));
         let mut gained = after.shards();
@@ -86,81 +86,89 @@
     }
 }
 
-/// What is on hold of the shards that this sender owns, and what it lost and may still be delivering for.
+/// The holds on shards that this sender owns, and the shards that it lost and may still be delivering for.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Holds {
     all_until: Option<Micros>,
     shards: BTreeMap<ShardId, ShardHold>,
-    /// Shards that were lost, and until when messages of theirs may be delivered.
+    /// Shards that were lost, with the time until which their messages may be delivered.
     lost: BTreeMap<ShardId, Micros>,
 }
 
 impl Holds {
-    /// Until when an owned shard is on hold, if it is at `now`.
-    pub(crate) fn shard(&self, shard: ShardId, now: Micros) -> Option<Micros> {
+    /// Returns the end of an owned shard's hold if it is on hold at `now`.
+    pub(crate) fn shard_hold(&self, shard: ShardId, now: Micros) -> Option<Micros> {
         let ready_at = self.shards.get(&shard).and_then(|hold| hold.ready_at);
         ready_at.max(self.all_until).filter(|&until| now < until)
     }
 
-    /// Until when a key that `own` is the preferred owner of is on hold: while another may have messages of it.
-    pub(crate) fn key(&self, shard: ShardId, own: SeatId, spread: u64, now: Micros) -> Option<Micros> {
-        let former = self.shards.get(&shard).into_iter().flat_map(|hold| &hold.former);
-        let moved = former.filter(|former| preferred(&former.value, spread) != Some(own));
-        let until = moved.map(|former| former.until).filter(|&until| now < until).max();
-        until.max(self.shard(shard, now))
-    }
-
-    /// Whether messages of a shard that was lost may still be delivered.
-    pub(crate) fn is_lost(&self, shard: ShardId) -> bool {
+    /// Returns the end of the hold of a key whose preferred owner is `own_seat`: the time until which another sender may have
+    /// messages of the key.
+    pub(crate) fn key_hold(
+        &self,
+        shard: ShardId,
+        own_seat: SeatId,
+        spread_hash: u64,
+        now: Micros,
+    ) -> Option<Micros> {
+        let superseded = self.shards.get(&shard).into_iter().flat_map(|hold| &hold.superseded);
+        let preferred_another =
+            superseded.filter(|owners| preferred(&owners.value, spread_hash) != Some(own_seat));
+        let until = preferred_another.map(|owners| owners.until).filter(|&until| now < until).max();
+        until.max(self.shard_hold(shard, now))
+    }
+
+    /// Returns whether messages of a lost shard may still be delivered by this sender.
+    pub(crate) fn recently_lost(&self, shard: ShardId) -> bool {
         self.lost.contains_key(&shard)
     }
 
-    /// Puts everything on hold until then.
+    /// Puts everything on hold until the given time.
     pub(crate) fn hold_all(&mut self, until: Micros) {
         self.all_until = self.all_until.max(Some(until));
     }
 
-    /// Takes over the next placement: what was not owned before is on hold, and so is a key whose preference moves here.
-    pub(crate) fn step(&mut self, before: SeatedPlacement<'_>, after: SeatedPlacement<'_>, until: Micros) {
-        let difference = OwnershipDiff::between(Some(before), after);
-        for shard in difference.gained {
+    /// Accounts for the step to the next placement: puts gained shards on hold, and keys that now prefer this sender.
+    pub(crate) fn advance(&mut self, before: SeatedPlacement<'_>, after: SeatedPlacement<'_>, until: Micros) {
+        let diff = OwnershipDiff::between(Some(before), after);
+        for shard in diff.gained {
             self.lost.remove(&shard);
-            self.shards.insert(shard, ShardHold { ready_at: Some(until), former: Vec::new() });
+            self.shards.insert(shard, ShardHold { ready_at: Some(until), superseded: Vec::new() });
         }
-        for shard in difference.lost {
+        for shard in diff.lost {
             self.shards.remove(&shard);
             self.lost.insert(shard, until);
         }
         for shard in after.shards() {
             let owners_before = before.placement.owners(shard);
             if before.owns(shard) && owners_before != after.placement.owners(shard) {
-                self.shards.entry(shard).or_default().remember(owners_before, until);
+                self.shards.entry(shard).or_default().record(owners_before, until);
             }
         }
         if before.seat != after.seat {
-            // Preferences of keys are by seat: a sender in another seat starts anew.
+            // Keys prefer seats, not members: in another seat everything is new to a sender.
             self.hold_all(until);
         }
     }
 
-    /// Forgets what is over.
+    /// Removes holds that have ended.
     pub(crate) fn prune(&mut self, now: Micros) {
         self.all_until = self.all_until.filter(|&until| now < until);
         self.lost.retain(|_, until| now < *until);
         self.shards.retain(|_, hold| {
-            hold.former.retain(|former| now < former.until);
-            hold.end().is_some_and(|end| now < end)
+            hold.superseded.retain(|owners| now < owners.until);
+            hold.last_end().is_some_and(|end| now < end)
         });
     }
 
-    /// The latest end of any hold after `now`.
-    pub(crate) fn end(&self, now: Micros) -> Option<Micros> {
-        let shards = self.shards.values().filter_map(ShardHold::end).max();
+    /// Returns the latest end of any hold after `now`.
+    pub(crate) fn last_end(&self, now: Micros) -> Option<Micros> {
+        let shards = self.shards.values().filter_map(ShardHold::last_end).max();
         shards.max(self.all_until).filter(|&end| now < end)
     }
 }
 
-/// The numbers of owners that share a destination's limit, formerly.
+/// Superseded numbers of owners that share a destination's limit, as long as other senders may still act upon them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentSharing {
     replicas: Vec<Superseded<usize>>,
@@ -168,8 +176,8 @@
 }
 
 impl RecentSharing {
-    /// Remembers what changes from one list to the next.
-    pub(crate) fn step(&mut self, before: &MemberList, after: &MemberList, until: Micros) {
+    /// Records what changes from one list to the next.
+    pub(crate) fn advance(&mut self, before: &MemberList, after: &MemberList, until: Micros) {
         if before.replicas() != after.replicas() {
             self.replicas.push(Superseded { value: before.replicas(), until });
         }
@@ -180,7 +188,7 @@
         }
     }
 
-    /// Takes over what the last run remembered.
+    /// Restores what the last run persisted.
     pub(crate) fn restore(&mut self, replicas: usize, wide: &BTreeMap<i64, u16>, until: Micros) {
         self.replicas.push(Superseded { value: replicas, until });
         for (&dest, &width) in wide {
@@ -188,56 +196,59 @@
         }
     }
 
-    /// The greatest number of owners among which the limit may be shared at `now`, with `list` in force.
-    pub(crate) fn greatest(&self, list: &MemberList, dest: i64, now: Micros) -> usize {
-        let width = self.greatest_width(dest, list.width(dest), now);
-        self.replicas(list.replicas(), now) * usize::from(width)
+    /// Returns the maximum number of owners that may share the destination's limit at `now`, with `list` in force.
+    pub(crate) fn max_sharers(&self, list: &MemberList, dest: i64, now: Micros) -> usize {
+        let width = self.max_width(dest, list.width(dest), now);
+        self.max_replicas(list.replicas(), now) * usize::from(width)
     }
 
-    /// The greatest number of replicas, `present` included.
-    pub(crate) fn replicas(&self, present: usize, now: Micros) -> usize {
-        let former = self.replicas.iter().filter(|former| now < former.until);
-        former.map(|former| former.value).fold(present, usize::max)
+    /// Returns the maximum number of replicas at `now`, with `current` in force.
+    pub(crate) fn max_replicas(&self, current: usize, now: Micros) -> usize {
+        let superseded = self.replicas.iter().filter(|superseded| now < superseded.until);
+        superseded.map(|superseded| superseded.value).fold(current, usize::max)
     }
 
-    /// Destinations that are or were wide, with their greatest width.
-    pub(crate) fn wide(&self, list: &MemberList, now: Micros) -> BTreeMap<i64, u16> {
+    /// Returns the destinations that are or were wide, with their maximum width.
+    pub(crate) fn max_widths(&self, list: &MemberList, now: Micros) -> BTreeMap<i64, u16> {
         let dests = self.widths.keys().copied().chain(list.wide_destinations().map(|(dest, _)| dest));
-        let widths = dests.map(|dest| (dest, self.greatest_width(dest, list.width(dest), now)));
+        let widths = dests.map(|dest| (dest, self.max_width(dest, list.width(dest), now)));
         widths.filter(|&(_, width)| width > 1).collect()
     }
 
-    fn greatest_width(&self, dest: i64, present: u16, now: Micros) -> u16 {
-        self.widths_of(dest, now).map(|former| former.value).fold(present, u16::max)
+    fn max_width(&self, dest: i64, current: u16, now: Micros) -> u16 {
+        self.superseded_widths(dest, now).map(|superseded| superseded.value).fold(current, u16::max)
     }
 
-    /// Until when a part of a destination is on hold, as the destination did not have it.
-    pub(crate) fn part(&self, dest: i64, part: u16, now: Micros) -> Option<Micros> {
-        self.widths_of(dest, now).filter(|former| part >= former.value).map(|former| former.until).max()
+    /// Returns the end of the hold of a part that the destination did not have under a superseded width.
+    pub(crate) fn part_hold(&self, dest: i64, part: u16, now: Micros) -> Option<Micros> {
+        let narrower = self.superseded_widths(dest, now).filter(|superseded| part >= superseded.value);
+        narrower.map(|superseded| superseded.until).max()
     }
 
-    /// Until when a key is on hold, as it belonged to another part of the destination.
-    pub(crate) fn key(&self, dest: i64, width: u16, spread: u64, now: Micros) -> Option<Micros> {
-        let moved = |former: &&Superseded<u16>| part(spread, former.value) != part(spread, width);
-        self.widths_of(dest, now).filter(moved).map(|former| former.until).max()
+    /// Returns the end of the hold of a key that belonged to another part under a superseded width.
+    pub(crate) fn key_hold(&self, dest: i64, width: u16, spread_hash: u64, now: Micros) -> Option<Micros> {
+        let moved =
+            |superseded: &&Superseded<u16>| part(spread_hash, superseded.value) != part(spread_hash, width);
+        self.superseded_widths(dest, now).filter(moved).map(|superseded| superseded.until).max()
     }
 
-    /// Forgets what is over.
+    /// Removes values that no sender acts upon any more.
     pub(crate) fn prune(&mut self, now: Micros) {
-        self.replicas.retain(|former| now < former.until);
+        self.replicas.retain(|superseded| now < superseded.until);
         self.widths.retain(|_, widths| {
-            widths.retain(|former| now < former.until);
+            widths.retain(|superseded| now < superseded.until);
             !widths.is_empty()
         });
     }
 
-    /// The latest end of any hold after `now`.
-    pub(crate) fn end(&self, now: Micros) -> Option<Micros> {
-        let widths = self.widths.values().flatten().map(|former| former.until);
-        widths.chain(self.replicas.iter().map(|former| former.until)).max().filter(|&end| now < end)
+    /// Returns the latest time after `now` until which a superseded value may be acted upon.
+    pub(crate) fn last_end(&self, now: Micros) -> Option<Micros> {
+        let widths = self.widths.values().flatten().map(|superseded| superseded.until);
+        let replicas = self.replicas.iter().map(|superseded| superseded.until);
+        widths.chain(replicas).max().filter(|&end| now < end)
     }
 
-    fn widths_of(&self, dest: i64, now: Micros) -> impl Iterator<Item = &Superseded<u16>> {
-        self.widths.get(&dest).into_iter().flatten().filter(move |former| now < former.until)
+    fn superseded_widths(&self, dest: i64, now: Micros) -> impl Iterator<Item = &Superseded<u16>> {
+        self.widths.get(&dest).into_iter().flatten().filter(move |superseded| now < superseded.until)
     }
 }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -1,4 +1,4 @@
-//! A member list with the table that follows from it, and how one leads to the next.
+//! A member list with the table computed from it, and the step from one placement to the next.
 
 use std::sync::Arc;
 
@@ -8,90 +8,90 @@
 use crate::shard::ShardId;
 use crate::table::Table;
 
-/// The member list of one epoch with its table.
+/// The member list of one epoch and its table.
 #[derive(Clone, Debug)]
 pub struct Placement {
     list: MemberList,
     table: Arc<Table>,
-    /// In models: the only shards that are looked at.
-    focus: Option<Arc<[ShardId]>>,
+    /// The only shards that [`Self::shards_of`] returns, for models; `None` for all.
+    visible_shards: Option<Arc<[ShardId]>>,
 }
 
 impl Placement {
-    /// The placement of a list; takes as long as [`Table::build`].
+    /// Builds the placement of a list. Takes as long as [`Table::build`].
     pub fn build(list: MemberList) -> Self {
         let table = Arc::new(Table::build(&list));
         Placement::from_parts(list, table)
     }
 
-    /// The placement of a list whose table is at hand; a table of another list makes it wrong.
+    /// Combines a list with its table. The result is wrong if the table was built from another list.
     pub fn from_parts(list: MemberList, table: Arc<Table>) -> Self {
-        Placement { list, table, focus: None }
+        Placement { list, table, visible_shards: None }
     }
 
-    /// For models of many senders that look at a few shards only: [`Self::shards_of`] leaves out all others, in this placement
-    /// and in those that changes lead to.
+    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in those that changes lead to. It is for models
+    /// of many senders that look at a few shards only.
     #[must_use]
     pub fn restricted_to(mut self, shards: Arc<[ShardId]>) -> Self {
-        self.focus = Some(shards);
+        self.visible_shards = Some(shards);
         self
     }
 
-    /// The placement that changes lead to.
+    /// Returns the placement that changes lead to.
     ///
     /// # Errors
-    /// Changes that don't fit the list, see [`MemberList::apply`].
+    /// Fails if the changes do not apply to the list, see [`MemberList::apply`].
     pub fn apply(&self, changes: &Changes) -> Result<Self, ListError> {
         let list = self.list.apply(changes)?;
         let mut table = Table::clone(&self.table);
         table.apply(&list, changes);
-        Ok(Placement { list, table: Arc::new(table), focus: self.focus.clone() })
+        Ok(Placement { list, table: Arc::new(table), visible_shards: self.visible_shards.clone() })
     }
 
-    /// The member list.
+    /// Returns the member list.
     pub fn list(&self) -> &MemberList {
         &self.list
     }
 
-    /// The table.
+    /// Returns the table.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// A shard's owners in the order of the table.
+    /// Returns a shard's owners in the order of the table.
     pub fn owners(&self, shard: ShardId) -> &[SeatId] {
         self.table.owners(shard)
     }
 
-    /// The shards that a seat owns.
+    /// Returns the shards that a seat owns.
     pub fn shards_of(&self, seat: SeatId) -> Vec<ShardId> {
-        match &self.focus {
-            Some(focus) => {
-                focus.iter().copied().filter(|&shard| self.owners(shard).contains(&seat)).collect()
+        match &self.visible_shards {
+            Some(visible) => {
+                visible.iter().copied().filter(|&shard| self.owners(shard).contains(&seat)).collect()
             }
             None => self.table.shards_of(seat).collect(),
         }
     }
 
-    /// The same placement under another number, as a start for changes that are played one by one.
-    pub(crate) fn renumbered(&self, epoch: u64) -> Self {
+    /// Returns the same placement under another epoch, as the start of changes that are replayed one by one.
+    pub(crate) fn with_epoch(&self, epoch: u64) -> Self {
         Placement { list: self.list.successor(epoch), ..self.clone() }
     }
 }
 
-/// Where a sender has its placements from: its own, or, with many senders in one process, ones that they share.
+/// Provides a sender's placements. Many senders in one process may share theirs; otherwise each computes its own.
 pub trait PlacementSource {
-    /// The placement of a whole list.
+    /// Returns the placement of a full list.
     fn build(&mut self, list: MemberList) -> Arc<Placement>;
 
-    /// The placement that changes lead to.
+    /// Returns the placement that changes lead to.
     ///
     /// # Errors
-    /// Changes that don't fit the list.
+    /// Fails if the changes do not apply to the list.
     fn apply(&mut self, before: &Arc<Placement>, changes: &Changes) -> Result<Arc<Placement>, ListError>;
 }
 
-/// Each sender builds its own.
+/// Computes each placement anew, shared with no other sender.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UnsharedPlacements;
 
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -1,42 +1,42 @@
-//! One region's part of the table: the base rows, which seats are filled, and the owners that follow from both.
+//! One region's part of the table: the base rows, which seats are filled, and the owners that result from both.
 
 use crate::base::{BaseSeat, BaseTable};
-use crate::conflicts::NOBODY;
+use crate::conflicts::EMPTY;
 use crate::fallback::{FallbackOrder, RANKS};
 use crate::hash::Digest;
 use crate::list::{MAX_REPLICAS, SeatId};
 use crate::shard::ShardId;
 
-/// Stands for a missing owner where a region has fewer filled seats than replicas.
+/// Marks a missing owner where a region has fewer filled seats than replicas.
 const NO_SEAT: SeatId = SeatId(u16::MAX);
 
-/// Up to this many filled seats the next one of a shard's fallback order is found by comparing all their ranks, above it
-/// by stepping through the ranks: either takes at most so many steps on average.
-const FEW_SEATS: usize = 256;
+/// Up to this number of filled seats, the next seat of a shard's fallback order is found by comparing the ranks of all of them;
+/// above it, by iterating over the ranks. Either way takes at most this number of steps on average.
+const MAX_SEATS_TO_COMPARE_RANKS: usize = 256;
 
-/// A region's shards and their owners.
+/// The shards of a region and their owners.
 #[derive(Clone, Debug)]
 pub(crate) struct RegionTable {
-    /// Place of the first row in the interleaved order of shards.
+    /// Position of the first row in the interleaved order of shards.
     first_position: u32,
     replicas: usize,
     base: BaseTable,
-    /// By ordinal.
+    /// Whether each seat is filled, by ordinal.
     filled: Vec<bool>,
-    /// Ordinals of filled seats in order.
+    /// Ordinals of the filled seats, in order.
     members: Vec<u16>,
     owners: Vec<SeatId>,
-    /// Rows with an owner from beyond the base row.
-    walked: Vec<bool>,
+    /// Whether each row has an owner from beyond its base row.
+    uses_fallback: Vec<bool>,
 }
 
-/// Owners of a row while it is worked out.
-struct Chosen {
+/// The owners of a row while they are being selected, by ordinal.
+struct OwnerSelection {
     seats: [u16; MAX_REPLICAS],
     len: usize,
 }
 
-impl Chosen {
+impl OwnerSelection {
     fn push(&mut self, seat: u16) {
         self.seats[self.len] = seat;
         self.len += 1;
@@ -48,7 +48,7 @@
 }
 
 impl RegionTable {
-    /// A region without seats, of `rows` shards from `first_position` on.
+    /// Creates a region without seats that owns `rows` shards from `first_position` on.
     pub(crate) fn new(first_position: u32, rows: u32, replicas: usize) -> Self {
         Self {
             first_position,
@@ -57,7 +57,7 @@
             filled: Vec::new(),
             members: Vec::new(),
             owners: vec![NO_SEAT; rows as usize * replicas],
-            walked: vec![false; rows as usize],
+            uses_fallback: vec![false; rows as usize],
         }
     }
 
@@ -69,18 +69,18 @@
         self.base.seats().len()
     }
 
-    /// Adds a vacant seat to the base rows. Owners follow by [`Self::resolve_all`] or [`Self::update`].
+    /// Appends a vacant seat to the base rows. [`Self::resolve_all`] or [`Self::update`] must follow to update the owners.
     pub(crate) fn append(&mut self, seat: BaseSeat) {
         self.base.append(seat);
         self.filled.push(false);
     }
 
-    /// Rows that the last appended seat changed.
-    pub(crate) fn touched(&self) -> &[u32] {
-        self.base.touched()
+    /// Returns the rows that the last appended seat changed.
+    pub(crate) fn changed_rows(&self) -> &[u32] {
+        self.base.changed_rows()
     }
 
-    /// Notes whether a seat is filled. Says whether that is new.
+    /// Sets whether a seat is filled. Returns whether that is a change.
     pub(crate) fn set_filled(&mut self, ordinal: u16, filled: bool) -> bool {
         let before = std::mem::replace(&mut self.filled[usize::from(ordinal)], filled);
         match (self.members.binary_search(&ordinal), filled) {
@@ -93,7 +93,7 @@
         before != filled
     }
 
-    /// Works out the owners of all rows, once all seats are appended.
+    /// Resolves the owners of all rows, after all seats have been appended.
     pub(crate) fn resolve_all(&mut self) {
         self.base.shrink();
         for row in 0..self.base.rows() {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Works out the owners that can have changed: of `rows`, and of rows that depend on the seats `toggled`.
+    /// Resolves the owners that may have changed: those of `rows`, and of rows that depend on the seats in `toggled`.
     pub(crate) fn update(&mut self, rows: &[u32], toggled: &[u16]) {
         for &row in rows {
             self.resolve(row);
@@ -115,16 +115,16 @@
         }
         for row in 0..self.base.rows() {
             let (owners, spares) = self.base.row(row);
-            let mut base = owners.iter().chain(spares).filter(|&&seat| seat != NOBODY);
-            if base.any(|&seat| is_toggled[usize::from(seat)]) || self.walk_changes(row, toggled) {
+            let mut base = owners.iter().chain(spares).filter(|&&seat| seat != EMPTY);
+            if base.any(|&seat| is_toggled[usize::from(seat)]) || self.fallback_may_change(row, toggled) {
                 self.resolve(row);
             }
         }
     }
 
-    /// Whether a row that has owners from beyond its base row can get others from there.
-    fn walk_changes(&self, row: u32, toggled: &[u16]) -> bool {
-        if !self.walked[row as usize] {
+    /// Returns whether a row that has owners from beyond its base row may now get other ones.
+    fn fallback_may_change(&self, row: u32, toggled: &[u16]) -> bool {
+        if !self.uses_fallback[row as usize] {
             return false;
         }
         let owners = self.owners(row);
@@ -144,12 +144,12 @@
         FallbackOrder::of(self.shard(row))
     }
 
-    /// The shard of a row.
+    /// Returns the shard of a row.
     pub(crate) fn shard(&self, row: u32) -> ShardId {
         ShardId::at_position(self.first_position + row)
     }
 
-    /// A row's owners in order.
+    /// Returns a row's owners in order.
     pub(crate) fn owners(&self, row: u32) -> &[SeatId] {
         let start = row as usize * self.replicas;
         let owners = &self.owners[start..start + self.replicas];
@@ -157,82 +157,84 @@
         &owners[..len]
     }
 
-    /// The shards that a seat owns.
+    /// Returns the shards that a seat owns.
     pub(crate) fn shards_of(&self, seat: SeatId) -> impl Iterator<Item = ShardId> + '_ {
         let rows = self.owners.chunks_exact(self.replicas).zip(0..);
         rows.filter(move |(owners, _)| owners.contains(&seat)).map(|(_, row)| self.shard(row))
     }
 
-    /// Works out a row's owners: the base owners that are filled, then spares, then the shard's own fallback order.
+    /// Resolves a row's owners: the filled base owners, then filled spares, then the shard's own fallback order.
     fn resolve(&mut self, row: u32) {
-        let wanted = self.replicas.min(self.members.len());
-        let mut chosen = Chosen { seats: [NOBODY; MAX_REPLICAS], len: 0 };
+        let owner_count = self.replicas.min(self.members.len());
+        let mut selection = OwnerSelection { seats: [EMPTY; MAX_REPLICAS], len: 0 };
         let (owners, _) = self.base.row(row);
         for &seat in owners.iter().filter(|&&seat| self.is_filled(seat)) {
-            chosen.push(seat);
+            selection.push(seat);
         }
-        self.choose_spares(row, wanted, &mut chosen);
-        let walks = chosen.len < wanted;
-        if walks {
-            self.walk(self.order(row), wanted, &mut chosen);
+        self.add_spares(row, owner_count, &mut selection);
+        let needs_fallback = selection.len < owner_count;
+        if needs_fallback {
+            self.add_fallback_seats(self.order(row), owner_count, &mut selection);
         }
-        self.walked[row as usize] = walks;
+        self.uses_fallback[row as usize] = needs_fallback;
         let start = row as usize * self.replicas;
         for (index, owner) in self.owners[start..start + self.replicas].iter_mut().enumerate() {
-            let seat = chosen.seats().get(index).and_then(|&seat| self.base.seats().get(usize::from(seat)));
+            let seat =
+                selection.seats().get(index).and_then(|&seat| self.base.seats().get(usize::from(seat)));
             *owner = seat.copied().unwrap_or(NO_SEAT);
         }
     }
 
     fn is_filled(&self, seat: u16) -> bool {
-        seat != NOBODY && self.filled[usize::from(seat)]
+        seat != EMPTY && self.filled[usize::from(seat)]
     }
 
-    /// Puts filled spares in the place of missing owners, for each that spare first which shares the fewest domains with
-    /// the row's other owners. Filled or not, those stay the same, so that a seat that is lost or filled changes the
-    /// place of no other.
-    fn choose_spares(&self, row: u32, wanted: usize, chosen: &mut Chosen) {
+    /// Selects a filled spare for each missing owner: the one that shares the fewest domains with the row's other base owners.
+    /// These count whether filled or not, so that vacating or filling a seat does not change which spare is
+    /// preferred for another.
+    fn add_spares(&self, row: u32, owner_count: usize, selection: &mut OwnerSelection) {
         let (owners, spares) = self.base.row(row);
         for missing in owners.iter().filter(|&&owner| !self.is_filled(owner)) {
             let free =
-                spares.iter().filter(|spare| self.is_filled(**spare) && !chosen.seats().contains(spare));
-            let others = |spare: &&u16| self.base.shared_domains(**spare, owners, *missing);
-            if let Some(&spare) = free.min_by_key(others).filter(|_| chosen.len < wanted) {
-                chosen.push(spare);
+                spares.iter().filter(|spare| self.is_filled(**spare) && !selection.seats().contains(spare));
+            let shared_with_others = |spare: &&u16| self.base.shared_domains(**spare, owners, *missing);
+            if let Some(&spare) = free.min_by_key(shared_with_others).filter(|_| selection.len < owner_count)
+            {
+                selection.push(spare);
             }
         }
     }
 
     /// Adds the first filled seats of the shard's fallback order.
-    fn walk(&self, order: FallbackOrder, wanted: usize, chosen: &mut Chosen) {
-        if self.members.len() > FEW_SEATS {
+    fn add_fallback_seats(&self, order: FallbackOrder, owner_count: usize, selection: &mut OwnerSelection) {
+        if self.members.len() > MAX_SEATS_TO_COMPARE_RANKS {
             let mut ordinals = (0..RANKS).map(|rank| order.ordinal(rank as u16));
-            while chosen.len < wanted {
+            while selection.len < owner_count {
                 let Some(seat) = ordinals.next() else { return };
-                let known = usize::from(seat) < self.filled.len();
-                if known && self.is_filled(seat) && !chosen.seats().contains(&seat) {
-                    chosen.push(seat);
+                let exists = usize::from(seat) < self.filled.len();
+                if exists && self.is_filled(seat) && !selection.seats().contains(&seat) {
+                    selection.push(seat);
                 }
             }
             return;
         }
-        while chosen.len < wanted {
-            let others = self.members.iter().filter(|seat| !chosen.seats().contains(seat));
+        while selection.len < owner_count {
+            let others = self.members.iter().filter(|seat| !selection.seats().contains(seat));
             let Some(&seat) = others.min_by_key(|&&seat| order.rank(seat)) else { return };
-            chosen.push(seat);
+            selection.push(seat);
         }
     }
 
-    /// Takes all owners into a digest.
+    /// Adds all owners to a digest.
     pub(crate) fn digest(&self, digest: Digest) -> Digest {
         self.owners.iter().fold(digest, |digest, owner| digest.number(u64::from(owner.0)))
     }
 
-    /// Memory that the region's table holds.
+    /// Returns the memory that the region's table takes, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.base.bytes()
             + self.owners.capacity() * size_of::<SeatId>()
-            + self.walked.capacity()
+            + self.uses_fallback.capacity()
             + self.filled.capacity()
             + self.members.capacity() * size_of::<u16>()
     }
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of one member list: each shard's owners in order.
+//! The table of one member list, which gives each shard's owners in order.
 
 use std::ops::Range;
 
@@ -10,17 +10,15 @@
 use crate::region::RegionTable;
 use crate::shard::{SHARDS, ShardId};
 
-/// The owners of all shards under one member list.
-///
-/// Some 4 MB at two replicas, whatever the number of members.
+/// The owners of all shards under one member list. It takes some 4 MB at two replicas, whatever the number of members.
 #[derive(Clone, Debug)]
 pub struct Table {
     regions: Vec<RegionTable>,
-    /// Each seat's region and its ordinal there.
+    /// Each seat's region and its ordinal within the region.
     seats: Vec<(RegionId, u16)>,
 }
 
-/// What a table has to work out anew in one region.
+/// The rows and seats of one region whose owners must be resolved again.
 #[derive(Clone, Debug, Default)]
 struct Pending {
     rows: Vec<u32>,
@@ -28,29 +26,29 @@
 }
 
 impl Table {
-    /// Builds the table of a list. Depends on nothing but the list: the same on each machine and in each version that
-    /// knows the scheme.
+    /// Builds the table of a list. It depends on nothing but the list, and is the same on each machine and in each version that
+    /// supports the scheme.
     pub fn build(list: &MemberList) -> Self {
         let mut regions = empty_regions(list);
-        // Region after region, as one region's rows fit into a processor's cache.
+        // Region by region, as the rows of one region fit into a processor's cache.
         for (region, number) in regions.iter_mut().zip(0..) {
             for seat in list.seat_ids().filter(|&seat| list.region(seat) == RegionId(number)) {
                 append(region, list, seat);
             }
             region.resolve_all();
         }
-        Self { seats: places(list, regions.len()), regions }
+        Self { seats: seat_locations(list, regions.len()), regions }
     }
 
-    /// Takes over `changes`, which led from this table's list to `next`. Afterwards the table is the same as one built
-    /// from `next`.
+    /// Applies `changes`, which lead from this table's list to `next`. Afterwards the table is the same as one built from
+    /// `next`.
     pub fn apply(&mut self, next: &MemberList, changes: &Changes) {
         let mut pending = vec![Pending::default(); self.regions.len()];
         for change in &changes.changes {
             match change {
-                Change::Append(_) => self.take_appended(next, &mut pending),
+                Change::Append(_) => self.apply_append(next, &mut pending),
                 Change::Fill { seat, .. } | Change::Vacate { seat } => {
-                    self.take_member(next, *seat, &mut pending)
+                    self.apply_member_change(next, *seat, &mut pending)
                 }
                 Change::SetWidth(_) => {}
             }
@@ -60,46 +58,46 @@
         }
     }
 
-    /// A shard's owners in order; empty if its region has no filled seat.
+    /// Returns a shard's owners in order; empty if its region has no filled seat.
     pub fn owners(&self, shard: ShardId) -> &[SeatId] {
         let position = shard.position();
-        let behind = self.regions.partition_point(|region| region.first_position() <= position);
-        let Some(region) = behind.checked_sub(1).and_then(|index| self.regions.get(index)) else {
+        let next_region = self.regions.partition_point(|region| region.first_position() <= position);
+        let Some(region) = next_region.checked_sub(1).and_then(|index| self.regions.get(index)) else {
             return &[];
         };
         region.owners(position - region.first_position())
     }
 
-    /// The shards that a seat owns, in no particular order.
+    /// Returns the shards that a seat owns, in no particular order.
     pub fn shards_of(&self, seat: SeatId) -> impl Iterator<Item = ShardId> + '_ {
-        let place = self.seats.get(seat.index());
-        let region = place.and_then(|(region, _)| self.regions.get(region.index()));
+        let location = self.seats.get(seat.index());
+        let region = location.and_then(|(region, _)| self.regions.get(region.index()));
         region.into_iter().flat_map(move |region| region.shards_of(seat))
     }
 
-    /// A digest of all owners, for comparing tables between machines and versions.
+    /// Returns a digest of all owners, for comparing tables between machines and versions.
     pub fn digest(&self) -> u64 {
         const TABLE: u64 = 0x7461_626c;
         self.regions.iter().fold(Digest::new(TABLE), |digest, region| region.digest(digest)).value()
     }
 
-    /// Memory that the table holds, in bytes.
+    /// Returns the memory that the table takes, in bytes.
     pub fn memory_bytes(&self) -> usize {
         let seats = self.seats.capacity() * size_of::<(RegionId, u16)>();
         self.regions.iter().map(RegionTable::bytes).sum::<usize>() + seats
     }
 
-    fn take_appended(&mut self, next: &MemberList, pending: &mut [Pending]) {
+    fn apply_append(&mut self, next: &MemberList, pending: &mut [Pending]) {
         let seat = SeatId(self.seats.len() as u16);
         let region = next.region(seat);
         let (table, pending) = (&mut self.regions[region.index()], &mut pending[region.index()]);
         let ordinal = append(table, next, seat);
         self.seats.push((region, ordinal));
-        pending.rows.extend(table.touched());
+        pending.rows.extend(table.changed_rows());
         pending.toggled.push(ordinal);
     }
 
-    fn take_member(&mut self, next: &MemberList, seat: SeatId, pending: &mut [Pending]) {
+    fn apply_member_change(&mut self, next: &MemberList, seat: SeatId, pending: &mut [Pending]) {
         let (region, ordinal) = self.seats[seat.index()];
         if self.regions[region.index()].set_filled(ordinal, next.member(seat).is_some()) {
             pending[region.index()].toggled.push(ordinal);
@@ -107,7 +105,7 @@
     }
 }
 
-/// Adds a seat of a list to its region. Returns its ordinal there.
+/// Appends a seat of a list to its region. Returns its ordinal within the region.
 fn append(region: &mut RegionTable, list: &MemberList, seat: SeatId) -> u16 {
     let ordinal = region.seat_count() as u16;
     let domain = Domain::new(list.zone(seat), list.rack(seat));
@@ -116,16 +114,16 @@
     ordinal
 }
 
-/// Each seat's region and its ordinal there.
-fn places(list: &MemberList, regions: usize) -> Vec<(RegionId, u16)> {
+/// Returns each seat's region and its ordinal within the region.
+fn seat_locations(list: &MemberList, regions: usize) -> Vec<(RegionId, u16)> {
     let mut counts = vec![0; regions];
-    let place = |seat| {
+    let location = |seat| {
         let region = list.region(seat);
         let ordinal = counts[region.index()];
         counts[region.index()] += 1;
         (region, ordinal)
     };
-    list.seat_ids().map(place).collect()
+    list.seat_ids().map(location).collect()
 }
 
 fn empty_regions(list: &MemberList) -> Vec<RegionTable> {
@@ -133,7 +131,7 @@
     ranges.map(|range| RegionTable::new(range.start, range.end - range.start, list.replicas())).collect()
 }
 
-/// The ranges of the interleaved order of shards that regions own, by their shares.
+/// Returns the ranges of the interleaved order of shards that the regions own, in proportion to their shares.
 fn position_ranges(regions: &[Region]) -> impl Iterator<Item = Range<u32>> + '_ {
     let total: u64 = regions.iter().map(|region| u64::from(region.share())).sum();
     let mut shares = 0;
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -1,5 +1,5 @@
-//! The JSON forms in which a control agent tells members, as they stand on the wire: read and written here, checked by
-//! [`MemberList`].
+//! The JSON forms in which a control agent sends member lists and changes. They are parsed and written here, and validated
+//! by [`MemberList`].
 
 use serde::{Deserialize, Deserializer, Serialize};
 
@@ -7,31 +7,31 @@
 use crate::error::ListError;
 use crate::list::{MAX_SEATS, Member, MemberList, SeatId};
 
-/// A whole member list.
+/// A full member list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListForm {
-    /// Number of the list; grows with each change.
+    /// Number of the list, which grows with each change.
     pub epoch: u64,
-    /// Scheme of placement, see [`crate::SCHEME`].
+    /// Placement scheme, see [`crate::SCHEME`].
     pub scheme: u16,
-    /// Owners of each shard.
+    /// Number of owners of each shard.
     pub replicas: u64,
-    /// Whether this is a new fleet's first list, before which nobody owned anything.
+    /// Whether this is a new fleet's first list, before which no sender owned anything.
     #[serde(default)]
     pub first: bool,
     /// Regions and their shares of the shards.
     pub regions: Vec<RegionForm>,
     /// Seats in the order of their numbers.
     pub seats: Vec<SeatForm>,
-    /// Destinations with more traffic than one owner takes.
+    /// Destinations with more traffic than one shard's owners can carry, spread over several shards.
     #[serde(default)]
     pub wide: Vec<WideForm>,
 }
 
-/// A region.
+/// A region of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionForm {
-    /// Name of the region.
+    /// Name, which no other region of the list has.
     pub name: String,
     /// Its part of the shards, relative to the sum of all shares.
     pub share: u32,
@@ -40,37 +40,37 @@
 /// A seat: a numbered place for a member, with a fixed failure domain and weight.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SeatForm {
-    /// Name of the region.
+    /// Name of its region.
     pub region: String,
-    /// Name of the zone, within the region.
+    /// Name of its zone, unique within the region.
     pub zone: String,
-    /// Name of the rack, within the zone.
+    /// Name of its rack, unique within the zone.
     pub rack: String,
-    /// Capacity relative to a usual machine's 1.
+    /// Capacity relative to a usual machine, which has weight 1.
     pub weight: f64,
-    /// Who fills the seat, if anybody does.
+    /// The member that fills the seat; `null` if it is vacant.
     pub member: Option<MemberForm>,
 }
 
-/// A member.
+/// A member: a sender process that fills a seat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberForm {
-    /// Name of the member, one in the whole list.
+    /// Name, which no other member of the list has.
     pub name: String,
-    /// Where it takes forwarded requests: IP address and port.
+    /// IP address and port at which it accepts forwarded requests.
     pub address: String,
 }
 
-/// A wide destination.
+/// A wide destination, whose requests are spread over several shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WideForm {
-    /// The destination.
+    /// Number of the destination.
     pub dest: i64,
     /// Number of shards over which its requests are spread.
     pub width: u64,
 }
 
-/// Changes from one epoch to a later one; without entries: nothing new.
+/// Changes from one epoch to a later one. If there are none and both epochs are the same, the list has not changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangesForm {
     /// Epoch that the changes lead to.
@@ -81,16 +81,16 @@
     pub changes: Vec<ChangeForm>,
 }
 
-/// One change: either `seat` with `member`, or `append`, or `wide`.
+/// One change, which is exactly one of: `seat` with `member`, `append`, `wide`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChangeForm {
     /// Number of the seat that is filled or vacated.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seat: Option<u64>,
-    /// Who fills the seat; `Some(None)`, on the wire `null`, vacates it.
+    /// The member that fills the seat; `Some(None)`, `null` on the wire, vacates it.
     #[serde(default, skip_serializing_if = "Option::is_none", deserialize_with = "present")]
     pub member: Option<Option<MemberForm>>,
-    /// A seat that is added behind the last one.
+    /// A seat that is appended to the list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub append: Option<SeatForm>,
     /// A destination whose width changes.
@@ -98,19 +98,19 @@
     pub wide: Option<WideForm>,
 }
 
-/// Keeps `null` apart from a field that is missing.
+/// Reads `null` as `Some(None)`, which distinguishes it from a missing field.
 fn present<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Option<MemberForm>>, D::Error> {
     Option::deserialize(deserializer).map(Some)
 }
 
-/// What a control agent answers to `GET /v1/members?since=EPOCH`.
+/// A control agent's answer to `GET /v1/members?since=EPOCH`.
 #[derive(Clone, Debug)]
 pub enum AgentAnswer {
-    /// The whole list.
+    /// The full list.
     Full(Box<MemberList>),
-    /// Changes to the list that was asked from.
+    /// Changes to the list of epoch `since`.
     Changes(Changes),
-    /// The list that was asked from is in force still.
+    /// The list of epoch `since` is still in force.
     Unchanged {
         /// Its epoch.
         epoch: u64,
@@ -118,10 +118,10 @@
 }
 
 impl AgentAnswer {
-    /// Reads an answer.
+    /// Parses an answer.
     ///
     /// # Errors
-    /// Anything that isn't one of the three forms, and a whole list that doesn't hold.
+    /// Fails if the text has none of the three forms, or if a full list is invalid.
     pub fn parse_json(bytes: &[u8]) -> Result<Self, ListError> {
         let kind: AnswerKind = parse(bytes)?;
         if kind.seats.is_some() {
@@ -135,7 +135,7 @@
     }
 }
 
-/// Tells the forms of an answer apart.
+/// Distinguishes a full list, which has `seats`, from changes.
 #[derive(Deserialize)]
 struct AnswerKind {
     seats: Option<serde::de::IgnoredAny>,
@@ -146,15 +146,15 @@
 }
 
 impl MemberList {
-    /// Reads a whole list from JSON.
+    /// Parses and validates a full list.
     ///
     /// # Errors
-    /// JSON of another form, and each fault that [`MemberList::from_form`] finds.
+    /// Fails for JSON of another form, and for each fault that [`MemberList::from_form`] finds.
     pub fn parse_json(bytes: &[u8]) -> Result<Self, ListError> {
         Self::from_form(parse(bytes)?)
     }
 
-    /// The list as it goes over the wire.
+    /// Returns the list in its wire form.
     pub fn to_form(&self) -> ListForm {
         ListForm {
             epoch: self.epoch(),
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The list in JSON.
+    /// Returns the list as JSON.
     pub fn to_json(&self) -> Vec<u8> {
         to_json(&self.to_form())
     }
@@ -197,25 +197,25 @@
 }
 
 impl Changes {
-    /// Reads changes from JSON. Whether they fit a list is found out by [`MemberList::apply`].
+    /// Parses changes. Whether they apply to a list is checked by [`MemberList::apply`].
     ///
     /// # Errors
-    /// JSON of another form, and an entry that isn't exactly one change.
+    /// Fails for JSON of another form, and for an entry that is not exactly one change.
     pub fn parse_json(bytes: &[u8]) -> Result<Self, ListError> {
         Self::from_form(parse(bytes)?)
     }
 
-    /// Takes changes over from their form on the wire.
+    /// Converts changes from their wire form.
     ///
     /// # Errors
-    /// An entry that isn't exactly one change.
+    /// Fails for an entry that is not exactly one change.
     pub fn from_form(form: ChangesForm) -> Result<Self, ListError> {
         let entries = form.changes.into_iter().enumerate();
-        let changes = entries.map(|(index, entry)| change(index, entry)).collect::<Result<_, _>>()?;
+        let changes = entries.map(|(index, entry)| checked_change(index, entry)).collect::<Result<_, _>>()?;
         Ok(Self { epoch: form.epoch, since: form.since, changes })
     }
 
-    /// The changes as they go over the wire.
+    /// Returns the changes in their wire form.
     pub fn to_form(&self) -> ChangesForm {
         ChangesForm {
             epoch: self.epoch,
@@ -224,16 +224,16 @@
         }
     }
 
-    /// The changes in JSON.
+    /// Returns the changes as JSON.
     pub fn to_json(&self) -> Vec<u8> {
         to_json(&self.to_form())
     }
 }
 
-fn change(index: usize, form: ChangeForm) -> Result<Change, ListError> {
+fn checked_change(index: usize, form: ChangeForm) -> Result<Change, ListError> {
     match form {
         ChangeForm { seat: Some(seat), member: Some(member), append: None, wide: None } => {
-            let seat = seat_id(seat)?;
+            let seat = checked_seat(seat)?;
             Ok(member.map_or(Change::Vacate { seat }, |member| Change::Fill { seat, member }))
         }
         ChangeForm { seat: None, member: None, append: Some(seat), wide: None } => Ok(Change::Append(seat)),
@@ -242,9 +242,9 @@
     }
 }
 
-fn seat_id(seat: u64) -> Result<SeatId, ListError> {
-    let within = u16::try_from(seat).ok().filter(|&seat| usize::from(seat) < MAX_SEATS);
-    within.map(SeatId).ok_or(ListError::SeatOutOfRange { seat, seats: MAX_SEATS })
+fn checked_seat(seat: u64) -> Result<SeatId, ListError> {
+    let valid = u16::try_from(seat).ok().filter(|&seat| usize::from(seat) < MAX_SEATS);
+    valid.map(SeatId).ok_or(ListError::SeatOutOfRange { seat, seats: MAX_SEATS })
 }
 
 impl From<&Change> for ChangeForm {
@@ -262,7 +262,8 @@
     }
 }
 
-/// The forms hold nothing that JSON can't (a weight that isn't finite becomes `null`), so that writing doesn't fail.
+/// Serializes a form. This can't fail, as the forms hold nothing that JSON can't express (a weight that is not finite becomes
+/// `null`).
 fn to_json<T: Serialize>(form: &T) -> Vec<u8> {
     serde_json::to_vec(form).unwrap_or_default()
 }
