--- a/crates/placement/tests/forwarding.rs
+++ b/crates/placement/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! One request on its way: each outcome's next step, for each effect.
+//! The state machine of one forwarded request: the step after each outcome, for each effect.
 
 use embershore_placement::{
     ClientReply, DEFAULT_WAIT_MS, ForwardOutcome, Forwarding, MIN_ANSWER_TIMEOUT_US, SeatId, Step,
@@ -13,35 +13,38 @@
     Forwarding::new(effect, (0..candidates).map(SeatId).collect(), 0, BUDGET)
 }
 
-/// The seat that a step sends to.
-fn sent_to(step: &Step) -> SeatId {
+/// Returns the seat that a step sends to.
+fn target_seat(step: &Step) -> SeatId {
     match step {
         Step::Send { to, .. } => *to,
-        Step::Reply(verdict) => panic!("answered {verdict:?}, not sent"),
+        Step::Reply(reply) => panic!("expected a step that sends, got the reply {reply:?}"),
     }
 }
 
 #[test]
-fn an_owners_ok_and_error_are_final() {
+fn ok_and_error_answers_of_an_owner_are_final() {
     for effect in EFFECTS {
-        let mut taken = forwarding(effect, 2);
-        assert_eq!(sent_to(&taken.start(0)), SeatId(0));
-        assert_eq!(taken.record_outcome(1_000, ForwardOutcome::Accepted), Step::Reply(ClientReply::Accepted));
-        let mut wrong = forwarding(effect, 2);
-        wrong.start(0);
+        let mut accepted = forwarding(effect, 2);
+        assert_eq!(target_seat(&accepted.start(0)), SeatId(0));
+        assert_eq!(
+            accepted.record_outcome(1_000, ForwardOutcome::Accepted),
+            Step::Reply(ClientReply::Accepted)
+        );
+        let mut invalid = forwarding(effect, 2);
+        invalid.start(0);
         let reason = "unknown class".to_string();
-        let step = wrong.record_outcome(1_000, ForwardOutcome::Invalid(reason.clone()));
+        let step = invalid.record_outcome(1_000, ForwardOutcome::Invalid(reason.clone()));
         assert_eq!(step, Step::Reply(ClientReply::Invalid(reason)));
     }
 }
 
 #[test]
-fn what_surely_was_not_taken_goes_to_the_next_owner() {
+fn a_request_that_was_certainly_not_accepted_goes_to_the_next_owner() {
     for effect in EFFECTS {
-        for refusal in [ForwardOutcome::Busy { retry_after_ms: 40 }, ForwardOutcome::NotSent] {
+        for outcome in [ForwardOutcome::Busy { retry_after_ms: 40 }, ForwardOutcome::NotSent] {
             let mut request = forwarding(effect, 2);
-            assert_eq!(sent_to(&request.start(0)), SeatId(0));
-            assert_eq!(sent_to(&request.record_outcome(1_000, refusal)), SeatId(1));
+            assert_eq!(target_seat(&request.start(0)), SeatId(0));
+            assert_eq!(target_seat(&request.record_outcome(1_000, outcome)), SeatId(1));
             assert_eq!(
                 request.record_outcome(2_000, ForwardOutcome::Accepted),
                 Step::Reply(ClientReply::Accepted)
@@ -51,24 +54,24 @@
 }
 
 #[test]
-fn busy_tells_the_least_wait_of_all_owners() {
+fn busy_reports_the_shortest_wait_of_all_owners() {
     let mut request = forwarding(Effect::Unsafe, 3);
     request.start(0);
     request.record_outcome(1_000, ForwardOutcome::Busy { retry_after_ms: 90 });
     request.record_outcome(2_000, ForwardOutcome::Busy { retry_after_ms: 40 });
     let step = request.record_outcome(3_000, ForwardOutcome::Busy { retry_after_ms: 0 });
     assert_eq!(step, Step::Reply(ClientReply::Busy { retry_after_ms: 40 }));
-    let mut unsaid = forwarding(Effect::Unsafe, 1);
-    unsaid.start(0);
-    let step = unsaid.record_outcome(1_000, ForwardOutcome::NotSent);
+    let mut unreported = forwarding(Effect::Unsafe, 1);
+    unreported.start(0);
+    let step = unreported.record_outcome(1_000, ForwardOutcome::NotSent);
     assert_eq!(step, Step::Reply(ClientReply::Busy { retry_after_ms: DEFAULT_WAIT_MS }));
 }
 
 #[test]
 fn an_unknown_outcome_goes_to_a_second_owner_only_where_a_repeat_does_no_harm() {
-    let mut free = forwarding(Effect::Safe, 2);
-    free.start(0);
-    assert_eq!(sent_to(&free.record_outcome(1_000, ForwardOutcome::Unknown)), SeatId(1));
+    let mut safe = forwarding(Effect::Safe, 2);
+    safe.start(0);
+    assert_eq!(target_seat(&safe.record_outcome(1_000, ForwardOutcome::Unknown)), SeatId(1));
     for effect in [Effect::Keyed, Effect::Unsafe] {
         let mut request = forwarding(effect, 2);
         request.start(0);
@@ -77,7 +80,7 @@
 }
 
 #[test]
-fn a_free_request_that_nobody_answered_is_busy() {
+fn a_safe_request_that_no_owner_answered_is_busy() {
     let mut request = forwarding(Effect::Safe, 2);
     request.start(0);
     request.record_outcome(150_000, ForwardOutcome::Unknown);
@@ -86,14 +89,14 @@
 }
 
 #[test]
-fn without_a_candidate_or_time_the_answer_is_busy() {
+fn without_a_candidate_or_time_the_reply_is_busy() {
     let busy = Step::Reply(ClientReply::Busy { retry_after_ms: DEFAULT_WAIT_MS });
     assert_eq!(forwarding(Effect::Safe, 0).start(0), busy);
     assert_eq!(forwarding(Effect::Safe, 2).start(BUDGET - MIN_ANSWER_TIMEOUT_US + 1), busy);
 }
 
 #[test]
-fn a_free_request_leaves_time_for_the_next_owner_and_another_waits_for_the_one_it_has() {
+fn only_a_safe_request_leaves_time_to_wait_for_the_next_owner() {
     let step = forwarding(Effect::Safe, 2).start(0);
     assert_eq!(step, Step::Send { to: SeatId(0), write_timeout: BUDGET / 2, answer_timeout: BUDGET / 2 });
     let step = forwarding(Effect::Unsafe, 2).start(0);
@@ -101,7 +104,7 @@
 }
 
 #[test]
-fn an_answer_never_changes() {
+fn a_reply_never_changes() {
     let mut request = forwarding(Effect::Unsafe, 2);
     request.start(0);
     let failed = request.record_outcome(1_000, ForwardOutcome::Unknown);
@@ -120,10 +123,10 @@
 }
 
 proptest! {
-    /// Whatever the owners do: no owner twice, nobody after a possible taking that must not be repeated, an answer within the
-    /// budget, and "taken" only where an owner said so.
+    /// Whatever the owners do: no owner is tried twice, none after a possible acceptance that must not be repeated, the reply
+    /// comes within the budget, and it is "accepted" only if an owner answered so.
     #[test]
-    fn every_course_ends_in_time_and_repeats_nothing(
+    fn every_sequence_of_outcomes_ends_in_time_without_a_harmful_repeat(
         effect in prop::sample::select(&EFFECTS[..]),
         candidates in 0u16..5,
         outcomes in prop::collection::vec((any_outcome(), 0.0..=1.0f64), 5),
@@ -132,19 +135,19 @@
         let mut now = 0;
         let mut step = request.start(now);
         let mut sent = Vec::new();
-        let mut possibly_taken = false;
-        for (outcome, part) in outcomes {
+        let mut possibly_accepted = false;
+        for (outcome, fraction) in outcomes {
             let Step::Send { to, write_timeout, answer_timeout } = step else { break };
             prop_assert!(!sent.contains(&to));
-            prop_assert!(!possibly_taken || effect == Effect::Safe);
+            prop_assert!(!possibly_accepted || effect == Effect::Safe);
             prop_assert!(write_timeout <= answer_timeout && answer_timeout >= MIN_ANSWER_TIMEOUT_US);
             sent.push(to);
-            now += (part * answer_timeout as f64) as Micros;
+            now += (fraction * answer_timeout as f64) as Micros;
             prop_assert!(now <= BUDGET);
-            possibly_taken |= outcome == ForwardOutcome::Unknown;
-            let taken = outcome == ForwardOutcome::Accepted;
+            possibly_accepted |= outcome == ForwardOutcome::Unknown;
+            let accepted = outcome == ForwardOutcome::Accepted;
             step = request.record_outcome(now, outcome);
-            prop_assert_eq!(taken, step == Step::Reply(ClientReply::Accepted));
+            prop_assert_eq!(accepted, step == Step::Reply(ClientReply::Accepted));
         }
         prop_assert!(matches!(step, Step::Reply(_)));
     }
--- a/crates/placement/tests/golden.rs
+++ b/crates/placement/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Scheme 1 is pinned: these values hold on each machine and in each version that knows it. A change that breaks one
+//! Pins scheme 1: these values are the same on each machine and in each version that supports it. A change that breaks one
 //! needs a new scheme number.
 
 mod support;
@@ -8,7 +8,7 @@
 use support::{fleet, full_size, list};
 
 #[test]
-fn hashes_and_shards() {
+fn hashes_and_shards_are_pinned() {
     assert_eq!((mix(1), mix_pair(1, 2)), (6238072747940578789, 583880340377267059));
     assert_eq!([0, 1, 2, -1, i64::MAX].map(shard), [0, 162013, 61883, 100130, 231202].map(ShardId));
     assert_eq!([0, 1, 2, 1023].map(|part| sub_shard(7, part)), [85521, 187059, 248898, 162460].map(ShardId));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn tables() {
+fn tables_are_pinned() {
     let small = list(fleet(&[1], 3, 1));
     let mut form = fleet(&[3, 2], 60, 4);
     for (index, seat) in form.seats.iter_mut().enumerate() {
--- a/crates/placement/tests/histories.rs
+++ b/crates/placement/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Thousands of histories of a fleet: whatever happens to its members, its network and its control, no message is lost, none
-//! has its effect twice, keys keep their order, and shares never add up past a destination's limit.
+//! Simulates thousands of histories of a fleet. Whatever happens to its members, its network and its control agents, no message
+//! is lost, none has its effect twice, keys keep their order, and shares never add up to more than a destination's limit.
 
 mod history;
 #[path = "support/tables.rs"]
@@ -8,31 +8,31 @@
 use std::ops::Range;
 
 use history::ledger::Counts;
-use history::model::play;
+use history::model::simulate;
 use history::world::World;
 
 const WORLDS: Range<u64> = 0..12;
 const SEEDS_PER_WORLD: u64 = 200;
-/// Histories are played by so many threads.
+/// Number of threads that simulate histories.
 const THREADS: usize = 4;
-/// Violations that are printed of one history.
-const MOST_PRINTED: usize = 5;
+/// Maximum number of violations printed for one history.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// Plays some seeds of a world. Panics with the first seed that breaks a rule.
-fn play_seeds(world: &World, number: u64, seeds: impl Iterator<Item = u64>) -> Counts {
+/// Simulates some seeds of a world. Panics at the first seed that breaks a rule.
+fn simulate_seeds(world: &World, number: u64, seeds: impl Iterator<Item = u64>) -> Counts {
     let mut counts = Counts::default();
     for seed in seeds {
-        let ledger = play(world, seed);
-        let violations = ledger.violations.iter().take(MOST_PRINTED).cloned().collect::<Vec<_>>();
+        let ledger = simulate(world, seed);
+        let violations = ledger.violations.iter().take(MAX_PRINTED_VIOLATIONS).cloned().collect::<Vec<_>>();
         assert!(violations.is_empty(), "world {number}, seed {seed}:\n{}", violations.join("\n"));
         counts.add(&ledger.counts);
     }
     counts
 }
 
-fn play_world(number: u64) -> Counts {
+fn simulate_world(number: u64) -> Counts {
     let world = World::generate(number);
-    play_seeds(&world, number, 0..SEEDS_PER_WORLD)
+    simulate_seeds(&world, number, 0..SEEDS_PER_WORLD)
 }
 
 #[test]
@@ -43,7 +43,7 @@
             scope.spawn(move || {
                 let mut counts = Counts::default();
                 for number in WORLDS.filter(|number| number % THREADS as u64 == worker) {
-                    counts.add(&play_world(number));
+                    counts.add(&simulate_world(number));
                 }
                 counts
             })
@@ -56,21 +56,21 @@
     assert_reached(&counts);
 }
 
-/// Histories in which nothing happens would prove nothing.
+/// Checks that the histories reached the cases under test; without them they would prove nothing.
 fn assert_reached(counts: &Counts) {
     let histories = WORLDS.end * SEEDS_PER_WORLD;
     assert!(counts.promised * 2 > counts.messages, "{counts:?}");
     for (what, count) in [
         ("forwarded", counts.forwarded),
         ("unknown", counts.unknown),
-        ("never sent", counts.never_sent),
-        ("refused by hold", counts.refused_by_hold),
-        ("refused by lease", counts.refused_by_lease),
-        ("refused as not owner", counts.refused_as_not_owner),
-        ("lists refused", counts.lists_refused),
+        ("not sent", counts.not_sent),
+        ("rejected by hold", counts.rejected_by_hold),
+        ("rejected by lease", counts.rejected_by_lease),
+        ("rejected as not owner", counts.rejected_as_not_owner),
+        ("answers rejected", counts.answers_rejected),
         ("failed", counts.failed),
     ] {
-        assert!(count > histories, "{what}: {count} in {histories} histories");
+        assert!(count > histories, "{what}: {count} in {histories} histories, expected more than one each");
     }
     assert!(counts.epochs_skipped > 0, "{counts:?}");
 }
--- a/crates/placement/tests/history/ledger.rs
+++ b/crates/placement/tests/history/ledger.rs
@@ -1,24 +1,24 @@
-//! What is true of each message, by what happened, and the rules that must hold. It knows nothing of the code under test.
+//! Records what happens to each message and checks the rules. It is independent of the code under test.
 
 use heronroute::{Effect, Micros};
 
-/// A message as a client hands it in; the client's name for it is its index.
+/// A message as a client submits it, identified by its index in the ledger.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub dest: i64,
-    /// In an ordered class: the number of its key.
+    /// The number of its key, in an ordered class.
     pub key: Option<usize>,
     pub effect: Effect,
 }
 
-/// A message that one member took on once.
+/// One acceptance of a message by a member.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub message: usize,
     pub member: usize,
-    /// No call begins from then on.
+    /// No call may begin from this time on.
     pub deadline: Micros,
-    /// The receiver has been working on a call until then.
+    /// The receiver may work on a call until this time.
     pub call_until: Micros,
     pub effects: u32,
     pub promised: bool,
@@ -26,26 +26,26 @@
 }
 
 impl Job {
-    /// Whether a call for it may begin or is under way.
+    /// Returns whether a call for it may begin or is in flight.
     pub fn is_open(&self, now: Micros) -> bool {
         now < self.call_until || (!self.ended && now < self.deadline)
     }
 }
 
-/// How often things happened, so that a run of histories shows that it reached them.
+/// Counts of events, which show that the histories reached the cases under test.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub messages: u64,
-    pub taken: u64,
+    pub accepted: u64,
     pub forwarded: u64,
     pub promised: u64,
     pub calls: u64,
     pub unknown: u64,
-    pub never_sent: u64,
-    pub refused_by_hold: u64,
-    pub refused_by_lease: u64,
-    pub refused_as_not_owner: u64,
-    pub lists_refused: u64,
+    pub not_sent: u64,
+    pub rejected_by_hold: u64,
+    pub rejected_by_lease: u64,
+    pub rejected_as_not_owner: u64,
+    pub answers_rejected: u64,
     pub epochs_skipped: u64,
     pub failed: u64,
     pub busy: u64,
@@ -54,24 +54,24 @@
 impl Counts {
     pub fn add(&mut self, other: &Counts) {
         self.messages += other.messages;
-        self.taken += other.taken;
+        self.accepted += other.accepted;
         self.forwarded += other.forwarded;
         self.promised += other.promised;
         self.calls += other.calls;
         self.unknown += other.unknown;
-        self.never_sent += other.never_sent;
-        self.refused_by_hold += other.refused_by_hold;
-        self.refused_by_lease += other.refused_by_lease;
-        self.refused_as_not_owner += other.refused_as_not_owner;
-        self.lists_refused += other.lists_refused;
+        self.not_sent += other.not_sent;
+        self.rejected_by_hold += other.rejected_by_hold;
+        self.rejected_by_lease += other.rejected_by_lease;
+        self.rejected_as_not_owner += other.rejected_as_not_owner;
+        self.answers_rejected += other.answers_rejected;
         self.epochs_skipped += other.epochs_skipped;
         self.failed += other.failed;
         self.busy += other.busy;
     }
 }
 
-/// Shares are sums of a few fractions.
-const ROUNDING: f64 = 1e-9;
+/// Rounding error allowed in a sum of shares, each one part in a small number.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 #[derive(Default)]
 pub struct Ledger {
@@ -88,8 +88,8 @@
         self.messages.len() - 1
     }
 
-    /// A member takes a message on. `lease_until` follows from the answers of control that reached it.
-    pub fn taken(
+    /// Records that a member accepts a message. `lease_until` is computed from the answers of its control agent that reached it.
+    pub fn accepted(
         &mut self,
         now: Micros,
         member: usize,
@@ -97,16 +97,16 @@
         deadline: Micros,
         lease_until: Option<Micros>,
     ) -> usize {
-        self.counts.taken += 1;
+        self.counts.accepted += 1;
         if lease_until.is_none_or(|until| now >= until) {
             self.violation(
                 now,
-                format!("member {member} takes {message} on, its lease ended {lease_until:?}"),
+                format!("member {member} accepts message {message}, but its lease ended at {lease_until:?}"),
             );
         }
         if self.messages[message].effect != Effect::Safe && self.jobs.iter().any(|job| job.message == message)
         {
-            self.violation(now, format!("{message} is taken on twice: {:?}", self.messages[message]));
+            self.violation(now, format!("message {message} is accepted twice: {:?}", self.messages[message]));
         }
         self.jobs.push(Job {
             message,
@@ -120,37 +120,40 @@
         self.jobs.len() - 1
     }
 
-    /// The client reads `+OK`.
+    /// Records that the client receives `+OK`.
     pub fn promised(&mut self, job: usize) {
         self.counts.promised += 1;
         self.jobs[job].promised = true;
     }
 
-    /// The client reads `-BUSY`: it will hand the message in again.
-    pub fn told_busy(&mut self, now: Micros, message: usize) {
+    /// Records that the client receives `-BUSY`, after which it submits the message again.
+    pub fn answered_busy(&mut self, now: Micros, message: usize) {
         self.counts.busy += 1;
-        let taken = self.jobs.iter().any(|job| job.message == message);
-        if taken && self.messages[message].effect != Effect::Safe {
-            self.violation(now, format!("{message} was taken on, and its client is told busy"));
+        let accepted = self.jobs.iter().any(|job| job.message == message);
+        if accepted && self.messages[message].effect != Effect::Safe {
+            self.violation(now, format!("message {message} was accepted, but its client is answered busy"));
         }
     }
 
-    /// A call begins. `shares` are those of all members that may begin one to this destination now.
-    pub fn call_begins(&mut self, now: Micros, job: usize, until: Micros, works: bool, shares: &[f64]) {
+    /// Records the start of a call. `shares` are the shares of all members that may now begin a call to this destination.
+    pub fn begin_call(&mut self, now: Micros, job: usize, until: Micros, takes_effect: bool, shares: &[f64]) {
         self.counts.calls += 1;
         let sum: f64 = shares.iter().sum();
-        if sum > 1.0 + ROUNDING {
+        if sum > 1.0 + ROUNDING_TOLERANCE {
             let dest = self.messages[self.jobs[job].message].dest;
-            self.violation(now, format!("the shares of destination {dest} add up to {sum}: {shares:?}"));
+            self.violation(
+                now,
+                format!("the shares of destination {dest} add up to {sum}, expected at most 1: {shares:?}"),
+            );
         }
         self.check_order(now, job);
         let called = &mut self.jobs[job];
         called.call_until = until;
-        called.effects += u32::from(works);
+        called.effects += u32::from(takes_effect);
         let message = called.message;
         let effects: u32 = self.jobs.iter().filter(|job| job.message == message).map(|job| job.effects).sum();
         if effects > 1 && self.messages[message].effect == Effect::Unsafe {
-            self.violation(now, format!("{message} has its effect twice"));
+            self.violation(now, format!("message {message} has its effect twice"));
         }
     }
 
@@ -158,31 +161,35 @@
         self.jobs[job].ended = true;
     }
 
-    /// Each message that anybody took on has ended.
+    /// Checks that each accepted message has ended.
     pub fn finish(&mut self, now: Micros) {
         for index in 0..self.jobs.len() {
             let job = &self.jobs[index];
             if !job.ended {
-                let what = if job.promised { "promised and lost" } else { "taken on and never ended" };
-                self.violation(now, format!("{} is {what}: {:?}", job.message, job));
+                let what = if job.promised {
+                    "confirmed to its client and lost"
+                } else {
+                    "accepted and never ended"
+                };
+                self.violation(now, format!("message {} is {what}: {:?}", job.message, job));
             }
         }
     }
 
-    /// No message of the key that was taken on earlier may still be called.
+    /// Checks that no call for a message of the same key that was accepted earlier may still begin or be in flight.
     fn check_order(&mut self, now: Micros, job: usize) {
         let message = self.jobs[job].message;
         let Message { dest, key: Some(key), .. } = self.messages[message] else { return };
         let same_key = |other: &Job| {
-            let of = &self.messages[other.message];
-            of.dest == dest && of.key == Some(key)
+            let other_message = &self.messages[other.message];
+            other_message.dest == dest && other_message.key == Some(key)
         };
         let earlier = self.jobs[..job].iter().position(|other| same_key(other) && other.is_open(now));
         if let Some(earlier) = earlier {
             let (first, second) = (&self.jobs[earlier], &self.jobs[job]);
             let members = (second.member, first.member);
             let what = format!(
-                "key {key} of {dest} out of order at members {members:?}: {second:?} while {first:?}"
+                "key {key} of destination {dest} is out of order at members {members:?}: {second:?} while {first:?}"
             );
             self.violation(now, what);
         }
--- a/crates/placement/tests/history/mod.rs
+++ b/crates/placement/tests/history/mod.rs
@@ -1,5 +1,5 @@
-//! Histories of a fleet in simulated time: hollow senders with the real deciding code, on a network, under control and
-//! among clients that a seed decides, judged by a ledger.
+//! Histories of a fleet in simulated time. Simulated senders run the real placement code; a seed decides the behaviour of the
+//! network, the control agents and the clients; a ledger checks the rules.
 
 pub mod ledger;
 pub mod model;
@@ -11,11 +11,11 @@
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-/// How long an answer of control holds.
+/// How long an answer of a control agent is valid.
 pub const LEASE: Micros = 10 * SECOND;
-/// How far an agent may be behind.
+/// How far an agent may lag behind.
 pub const AGENT_LAG: Micros = 3 * SECOND;
-/// How long a message may be called after it was taken on.
+/// How long after its acceptance a call for a message may begin.
 pub const DEADLINE: Micros = 8 * SECOND;
-/// How long a call lasts at most.
-pub const LONGEST_CALL: Micros = 200 * MILLISECOND;
+/// Maximum duration of a call.
+pub const MAX_CALL_TIME: Micros = 200 * MILLISECOND;
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -1,4 +1,5 @@
-//! The fleet: members with the real deciding code, their clients, and the messages between them, in simulated time.
+//! The simulated fleet: members that run the real placement code, their clients, and the messages between them, in simulated
+//! time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,36 +13,39 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::ledger::{Ledger, Message};
-use super::network::{Course, Fault, HEALED_AT};
+use super::network::{FAULTS_END_AT, Fault, FaultPlan};
 use super::world::{World, member_name, member_number};
-use super::{AGENT_LAG, DEADLINE, LEASE, LONGEST_CALL, MILLISECOND, SECOND};
+use super::{AGENT_LAG, DEADLINE, LEASE, MAX_CALL_TIME, MILLISECOND, SECOND};
 
 const CLIENTS_STOP_AT: Micros = 70 * SECOND;
 const ENDS_AT: Micros = 100 * SECOND;
-/// Within this time a client has its answer, or goes away.
+/// A client that has no reply within this time gives up waiting.
 const CLIENT_TIMEOUT: Micros = 400 * MILLISECOND;
 const FORWARD_BUDGET: Micros = 300 * MILLISECOND;
-const ASK_EVERY: Micros = 2_500 * MILLISECOND;
+const POLL_INTERVAL: Micros = 2_500 * MILLISECOND;
+/// Number of order keys of each destination.
 const KEYS: usize = 2;
-/// A client hands a message in so often at most.
-const MOST_TRIES: u32 = 12;
-const KEPT_CONNECTION: f64 = 0.7;
+/// Maximum number of times that a client submits a message.
+const MAX_SUBMISSIONS: u32 = 12;
+/// Probability that a forwarding member has an open connection to the owner.
+const POOLED_CONNECTION_PROBABILITY: f64 = 0.7;
 const MILLION: Micros = 1_000_000;
-/// Clocks run too fast or too slow by so many parts in a million at most.
-const CLOCK_ERROR: Micros = 400;
+/// Maximum error of a clock's rate, in parts per million.
+const MAX_CLOCK_ERROR_PPM: Micros = 400;
 
 enum Event {
-    /// A member asks its agent.
-    Ask {
+    /// A member polls its agent.
+    Poll {
         member: usize,
     },
-    /// An answer reaches a member.
+    /// An answer of an agent reaches a member. A `regular` one is what the agent answers; the others are lists that the member
+    /// must reject.
     AnswerReceived {
         member: usize,
-        life: u32,
+        incarnation: u32,
         polled_at: Micros,
         answer: AgentAnswer,
-        genuine: bool,
+        regular: bool,
     },
     Fault {
         member: usize,
@@ -51,55 +55,55 @@
     Restart {
         member: usize,
     },
-    /// A client hands in a message.
-    Send {
+    /// A client submits a message.
+    Submit {
         message: usize,
     },
-    /// The next message of an ordered stream is made.
-    Next {
+    /// The client creates the next message of an ordered stream.
+    NextOfStream {
         stream: usize,
     },
     /// A client's request reaches a member.
     Request {
         member: usize,
-        life: u32,
+        incarnation: u32,
         message: usize,
-        attempt: u32,
+        submission: u32,
     },
     /// A forwarded request reaches an owner.
     Forwarded {
         member: usize,
-        life: u32,
-        transit: usize,
+        incarnation: u32,
+        forward_index: usize,
         send: u32,
     },
-    /// What became of a forwarded request, at the forwarding member.
+    /// The forwarding member learns the outcome of a forwarded request.
     ForwardOutcome {
         member: usize,
-        life: u32,
-        transit: usize,
+        incarnation: u32,
+        forward_index: usize,
         send: u32,
         outcome: ForwardOutcome,
         job: Option<usize>,
     },
-    /// An answer reaches a client; none if it gives up waiting.
+    /// A reply reaches a client; `None` if it gives up waiting.
     Reply {
         message: usize,
-        attempt: u32,
-        verdict: Option<ClientReply>,
+        submission: u32,
+        reply: Option<ClientReply>,
         job: Option<usize>,
     },
-    /// A member turns to a message that it holds.
+    /// A member may begin a call for a message that it has accepted.
     Call {
         member: usize,
-        life: u32,
+        incarnation: u32,
         job: usize,
     },
     CallEnded {
         member: usize,
-        life: u32,
+        incarnation: u32,
         job: usize,
-        works: bool,
+        takes_effect: bool,
     },
 }
 
@@ -112,93 +116,98 @@
 
 struct Member {
     state: State,
-    /// Counts its processes.
-    life: u32,
-    clock_error: Micros,
+    /// Number of its processes that have been killed.
+    incarnation: u32,
+    clock_error_ppm: Micros,
     ownership: Ownership,
-    memory: Option<PersistedPlacement>,
-    /// By what reached it, for the ledger: the highest epoch and the end of the lease by its own clock.
-    heard_epoch: u64,
+    persisted: Option<PersistedPlacement>,
+    /// The highest epoch that it received, and the end of its lease by its own clock; tracked for the ledger, independently of
+    /// the code under test.
+    received_epoch: u64,
     lease_until: Option<Micros>,
-    /// Jobs that have not ended, in the order in which they were taken on, and whether a call for it is under way.
+    /// Jobs that have not ended, in the order of their acceptance, and whether a call for each is in flight.
     jobs: Vec<(usize, bool)>,
 }
 
 impl Member {
+    /// Returns the time by the member's own clock.
     fn local(&self, now: Micros) -> Micros {
-        now + now * self.clock_error / MILLION
+        now + now * self.clock_error_ppm / MILLION
     }
 
+    /// Returns the time at which `span` has passed by the member's own clock.
     fn after(&self, now: Micros, span: Micros) -> Micros {
-        now + span - span * self.clock_error / MILLION
+        now + span - span * self.clock_error_ppm / MILLION
     }
 }
 
-/// A client's side of a message.
-struct Handing {
+/// The client's state of a message.
+struct ClientMessage {
     id: String,
     key: Option<String>,
-    attempt: u32,
+    /// Number of the current submission; replies to earlier ones are ignored.
+    submission: u32,
     done: bool,
     stream: Option<usize>,
 }
 
-/// A request on its way through a forwarding member.
-struct Transit {
+/// A request that a member forwards.
+struct ForwardedRequest {
     member: usize,
     message: usize,
-    attempt: u32,
-    machine: Forwarding,
+    submission: u32,
+    forwarding: Forwarding,
+    /// Number of the current send; outcomes of earlier ones are ignored.
     sends: u32,
 }
 
 pub struct Model<'a> {
     world: &'a World,
-    course: Course,
+    plan: FaultPlan,
     rng: ChaCha8Rng,
     now: Micros,
     sequence: u64,
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
     events: Vec<Option<Event>>,
     members: Vec<Member>,
-    handings: Vec<Handing>,
-    transits: Vec<Transit>,
+    client_messages: Vec<ClientMessage>,
+    forwards: Vec<ForwardedRequest>,
     pub ledger: Ledger,
 }
 
-/// Plays one history.
-pub fn play(world: &World, seed: u64) -> Ledger {
+/// Simulates one history.
+pub fn simulate(world: &World, seed: u64) -> Ledger {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let course = Course::generate(&mut rng, world);
-    let mut model = Model::new(world, course, rng);
+    let plan = FaultPlan::generate(&mut rng, world);
+    let mut model = Model::new(world, plan, rng);
     model.run();
     model.ledger.finish(model.now);
     model.ledger
 }
 
 impl<'a> Model<'a> {
-    fn new(world: &'a World, course: Course, mut rng: ChaCha8Rng) -> Self {
+    fn new(world: &'a World, plan: FaultPlan, mut rng: ChaCha8Rng) -> Self {
         let members = (0..world.members).map(|number| Member {
             state: State::Running,
-            life: 0,
-            clock_error: rng.random_range(-CLOCK_ERROR..=CLOCK_ERROR),
+            incarnation: 0,
+            clock_error_ppm: rng.random_range(-MAX_CLOCK_ERROR_PPM..=MAX_CLOCK_ERROR_PPM),
             ownership: ownership(number, None),
-            memory: None,
-            heard_epoch: 0,
+            persisted: None,
+            received_epoch: 0,
             lease_until: None,
             jobs: Vec::new(),
         });
         let mut model = Model {
             members: members.collect(),
             world,
-            course,
+            plan,
             rng,
             now: 0,
             sequence: 0,
             queue: BinaryHeap::new(),
             events: Vec::new(),
-            handings: Vec::new(),
-            transits: Vec::new(),
+            client_messages: Vec::new(),
+            forwards: Vec::new(),
             ledger: Ledger::default(),
         };
         model.schedule_all();
@@ -207,22 +216,22 @@
 
     fn schedule_all(&mut self) {
         for member in 0..self.world.members {
-            let first_ask = self.rng.random_range(0..SECOND);
-            self.at(first_ask, Event::Ask { member });
+            let first_poll = self.rng.random_range(0..SECOND);
+            self.at(first_poll, Event::Poll { member });
         }
-        for (member, fault, from, until) in self.course.faults.clone() {
+        for (member, fault, from, until) in self.plan.faults.clone() {
             self.at(from, Event::Fault { member, fault, until });
         }
         for stream in 0..self.world.dests.len() * KEYS {
             let at = self.rng.random_range(0..2 * SECOND);
-            self.at(at, Event::Next { stream });
+            self.at(at, Event::NextOfStream { stream });
         }
         for _ in 0..150 {
-            let dest = *self.world.dests.choose(&mut self.rng).expect("there are some");
+            let dest = *self.world.dests.choose(&mut self.rng).expect("a world has destinations");
             let effect = self.random_effect();
             let at = self.rng.random_range(0..CLIENTS_STOP_AT);
-            let message = self.hand_in(Message { dest, key: None, effect }, None);
-            self.at(at, Event::Send { message });
+            let message = self.submit(Message { dest, key: None, effect }, None);
+            self.at(at, Event::Submit { message });
         }
     }
 
@@ -245,62 +254,65 @@
     }
 
     fn handle(&mut self, event: Event) {
-        let Some(event) = self.unless_away(event) else { return };
+        let Some(event) = self.deliverable(event) else { return };
         match event {
-            Event::Ask { member } => self.ask(member),
-            Event::AnswerReceived { member, polled_at, answer, genuine, .. } => {
-                self.heard(member, polled_at, answer, genuine)
+            Event::Poll { member } => self.poll(member),
+            Event::AnswerReceived { member, polled_at, answer, regular, .. } => {
+                self.receive_answer(member, polled_at, answer, regular)
             }
             Event::Fault { member, fault, until } => self.fault(member, fault, until),
             Event::Restart { member } => self.restart(member),
-            Event::Send { message } => self.send(message),
-            Event::Next { stream } => self.next_of_stream(stream),
-            Event::Request { member, message, attempt, .. } => self.request(member, message, attempt),
-            Event::Forwarded { member, transit, send, .. } => self.forwarded(member, transit, send),
-            Event::ForwardOutcome { transit, send, outcome, job, .. } => {
-                self.outcome(transit, send, outcome, job)
+            Event::Submit { message } => self.send_submission(message),
+            Event::NextOfStream { stream } => self.next_of_stream(stream),
+            Event::Request { member, message, submission, .. } => self.request(member, message, submission),
+            Event::Forwarded { member, forward_index, send, .. } => {
+                self.forwarded(member, forward_index, send)
             }
-            Event::Reply { message, attempt, verdict, job } => self.reply(message, attempt, verdict, job),
+            Event::ForwardOutcome { forward_index, send, outcome, job, .. } => {
+                self.outcome(forward_index, send, outcome, job)
+            }
+            Event::Reply { message, submission, reply, job } => self.reply(message, submission, reply, job),
             Event::Call { member, job, .. } => self.call(member, job),
-            Event::CallEnded { member, job, works, .. } => self.call_ended(member, job, works),
+            Event::CallEnded { member, job, takes_effect, .. } => self.call_ended(member, job, takes_effect),
         }
     }
 
-    /// What happens at a stopped member waits until it is continued; what was meant for a dead process is gone.
-    fn unless_away(&mut self, event: Event) -> Option<Event> {
-        let (member, life) = match &event {
-            Event::AnswerReceived { member, life, .. }
-            | Event::Request { member, life, .. }
-            | Event::Forwarded { member, life, .. }
-            | Event::ForwardOutcome { member, life, .. }
-            | Event::Call { member, life, .. }
-            | Event::CallEnded { member, life, .. } => (*member, *life),
-            Event::Ask { member } => (*member, self.members[*member].life),
+    /// Returns an event that can happen now. An event at a stopped member is postponed until the member continues; one for a dead
+    /// process is dropped.
+    fn deliverable(&mut self, event: Event) -> Option<Event> {
+        let (member, incarnation) = match &event {
+            Event::AnswerReceived { member, incarnation, .. }
+            | Event::Request { member, incarnation, .. }
+            | Event::Forwarded { member, incarnation, .. }
+            | Event::ForwardOutcome { member, incarnation, .. }
+            | Event::Call { member, incarnation, .. }
+            | Event::CallEnded { member, incarnation, .. } => (*member, *incarnation),
+            Event::Poll { member } => (*member, self.members[*member].incarnation),
             _ => return Some(event),
         };
         match self.members[member].state {
-            _ if life != self.members[member].life => None,
+            _ if incarnation != self.members[member].incarnation => None,
             State::Running => Some(event),
             State::Stopped { until } => {
                 self.at(until, event);
                 None
             }
-            State::Dead if matches!(event, Event::Ask { .. }) => Some(event),
+            State::Dead if matches!(event, Event::Poll { .. }) => Some(event),
             State::Dead => None,
         }
     }
 
-    // Control.
+    // Control agents.
 
-    fn ask(&mut self, member: usize) {
+    fn poll(&mut self, member: usize) {
         if self.now < ENDS_AT {
-            let next = self.rng.random_range(ASK_EVERY / 2..ASK_EVERY * 3 / 2);
-            self.after(next, Event::Ask { member });
+            let next = self.rng.random_range(POLL_INTERVAL / 2..POLL_INTERVAL * 3 / 2);
+            self.after(next, Event::Poll { member });
         }
         if self.members[member].state == State::Dead {
             return;
         }
-        let Some(epoch) = self.course.agent_epoch(&mut self.rng, member, self.now) else { return };
+        let Some(epoch) = self.plan.agent_epoch(&mut self.rng, member, self.now) else { return };
         let polled_at = self.members[member].local(self.now);
         let answer = self.answer(member, epoch);
         let delay = match self.rng.random_range(0..20) {
@@ -308,49 +320,52 @@
             1..4 => self.rng.random_range(0..2 * SECOND),
             _ => self.rng.random_range(MILLISECOND..50 * MILLISECOND),
         };
-        let life = self.members[member].life;
+        let incarnation = self.members[member].incarnation;
         if self.rng.random_bool(0.05) {
             let later = self.rng.random_range(0..20 * SECOND);
             let answer = answer.clone();
-            self.after(later, Event::AnswerReceived { member, life, polled_at, answer, genuine: true });
+            self.after(
+                later,
+                Event::AnswerReceived { member, incarnation, polled_at, answer, regular: true },
+            );
         }
-        self.after(delay, Event::AnswerReceived { member, life, polled_at, answer, genuine: true });
-        self.disturb(member, polled_at);
+        self.after(delay, Event::AnswerReceived { member, incarnation, polled_at, answer, regular: true });
+        self.maybe_send_invalid_list(member, polled_at);
     }
 
-    /// What an agent answers that knows this epoch.
+    /// Returns the answer of an agent whose latest epoch is this one.
     fn answer(&mut self, member: usize, epoch: u64) -> AgentAnswer {
         let since = self.members[member].ownership.epoch();
-        let whole = |world: &World| AgentAnswer::Full(Box::new(world.list(epoch).clone()));
+        let full = |world: &World| AgentAnswer::Full(Box::new(world.list(epoch).clone()));
         match since {
             Some(since) if since == epoch && self.rng.random_bool(0.95) => AgentAnswer::Unchanged { epoch },
             Some(since) if since < epoch && self.rng.random_bool(0.9) => {
                 let changes = self.world.changes_between(since, epoch);
-                changes.map_or_else(|| whole(self.world), AgentAnswer::Changes)
+                changes.map_or_else(|| full(self.world), AgentAnswer::Changes)
             }
-            _ => whole(self.world),
+            _ => full(self.world),
         }
     }
 
-    /// Now and then an older list, or another one under the same epoch, comes as well.
-    fn disturb(&mut self, member: usize, polled_at: Micros) {
+    /// Sometimes sends an older list, or another list under the same epoch, in addition.
+    fn maybe_send_invalid_list(&mut self, member: usize, polled_at: Micros) {
         let Some(epoch) = self.members[member].ownership.epoch() else { return };
         let list = if epoch > 1 && self.rng.random_bool(0.1) {
             self.world.list(self.rng.random_range(1..epoch)).clone()
         } else if self.rng.random_bool(0.02) {
-            self.world.forged(epoch)
+            self.world.conflicting_list(epoch)
         } else {
             return;
         };
         let answer = AgentAnswer::Full(Box::new(list));
-        let life = self.members[member].life;
+        let incarnation = self.members[member].incarnation;
         self.after(
             5 * MILLISECOND,
-            Event::AnswerReceived { member, life, polled_at, answer, genuine: false },
+            Event::AnswerReceived { member, incarnation, polled_at, answer, regular: false },
         );
     }
 
-    fn heard(&mut self, number: usize, polled_at: Micros, answer: AgentAnswer, genuine: bool) {
+    fn receive_answer(&mut self, number: usize, polled_at: Micros, answer: AgentAnswer, regular: bool) {
         let world = self.world;
         let member = &mut self.members[number];
         let local = member.local(self.now);
@@ -360,18 +375,18 @@
             AgentAnswer::Changes(changes) => changes.epoch,
             AgentAnswer::Unchanged { epoch } => *epoch,
         };
-        if genuine && epoch >= member.heard_epoch {
+        if regular && epoch >= member.received_epoch {
             member.lease_until = member.lease_until.max(Some(polled_at + LEASE));
-            member.heard_epoch = epoch;
+            member.received_epoch = epoch;
         }
         match member.ownership.apply_answer_with(&mut &world.tables, polled_at, local, answer) {
             Ok(_) => {
                 let skipped = before.is_some_and(|before| epoch > before + 1);
                 self.ledger.counts.epochs_skipped += u64::from(skipped);
             }
-            Err(_) => self.ledger.counts.lists_refused += 1,
+            Err(_) => self.ledger.counts.answers_rejected += 1,
         }
-        member.memory = member.ownership.persisted_state(local).or(member.memory.take());
+        member.persisted = member.ownership.persisted_state(local).or(member.persisted.take());
     }
 
     // Faults.
@@ -382,28 +397,28 @@
             Fault::Killed => {
                 let member = &mut self.members[number];
                 member.state = State::Dead;
-                member.life += 1;
+                member.incarnation += 1;
             }
         }
         self.at(until, Event::Restart { member: number });
     }
 
-    /// A stopped process goes on; a killed one starts on its state folder, and has its journal back.
+    /// Continues a stopped process, or starts a killed one on its state folder, with the messages of its journal.
     fn restart(&mut self, number: usize) {
         let member = &mut self.members[number];
-        let was = std::mem::replace(&mut member.state, State::Running);
-        if was != State::Dead {
+        let previous = std::mem::replace(&mut member.state, State::Running);
+        if previous != State::Dead {
             return;
         }
-        member.ownership = ownership(number, member.memory.clone());
-        member.heard_epoch = 0;
+        member.ownership = ownership(number, member.persisted.clone());
+        member.received_epoch = 0;
         member.lease_until = None;
         for (job, called) in std::mem::take(&mut member.jobs) {
             let effect = self.ledger.messages[self.ledger.jobs[job].message].effect;
             if called && effect == Effect::Unsafe {
                 self.ledger.ended(job);
             } else {
-                self.hold(number, job);
+                self.add_job(number, job);
             }
         }
     }
@@ -411,13 +426,19 @@
     // Clients.
 
     fn random_effect(&mut self) -> Effect {
-        *[Effect::Safe, Effect::Keyed, Effect::Unsafe].choose(&mut self.rng).expect("there are three")
+        *[Effect::Safe, Effect::Keyed, Effect::Unsafe].choose(&mut self.rng).expect("the list is not empty")
     }
 
-    fn hand_in(&mut self, message: Message, stream: Option<usize>) -> usize {
+    fn submit(&mut self, message: Message, stream: Option<usize>) -> usize {
         let key = message.key.map(|key| format!("key-{key}"));
         let index = self.ledger.message(message);
-        self.handings.push(Handing { id: format!("r{index}"), key, attempt: 0, done: false, stream });
+        self.client_messages.push(ClientMessage {
+            id: format!("r{index}"),
+            key,
+            submission: 0,
+            done: false,
+            stream,
+        });
         index
     }
 
@@ -426,35 +447,35 @@
             let dest = self.world.dests[stream / KEYS];
             let effect = self.random_effect();
             let message = Message { dest, key: Some(stream % KEYS), effect };
-            let message = self.hand_in(message, Some(stream));
-            self.send(message);
+            let message = self.submit(message, Some(stream));
+            self.send_submission(message);
         }
     }
 
-    fn send(&mut self, message: usize) {
-        self.handings[message].attempt += 1;
-        let attempt = self.handings[message].attempt;
-        let there = (0..self.members.len()).filter(|&member| self.members[member].state != State::Dead);
-        if let Some(member) = there.choose(&mut self.rng) {
-            let life = self.members[member].life;
+    fn send_submission(&mut self, message: usize) {
+        self.client_messages[message].submission += 1;
+        let submission = self.client_messages[message].submission;
+        let alive = (0..self.members.len()).filter(|&member| self.members[member].state != State::Dead);
+        if let Some(member) = alive.choose(&mut self.rng) {
+            let incarnation = self.members[member].incarnation;
             let delay = self.rng.random_range(0..3 * MILLISECOND);
-            self.after(delay, Event::Request { member, life, message, attempt });
+            self.after(delay, Event::Request { member, incarnation, message, submission });
         }
-        self.after(CLIENT_TIMEOUT, Event::Reply { message, attempt, verdict: None, job: None });
+        self.after(CLIENT_TIMEOUT, Event::Reply { message, submission, reply: None, job: None });
     }
 
-    fn reply(&mut self, message: usize, attempt: u32, verdict: Option<ClientReply>, job: Option<usize>) {
-        if self.handings[message].done || self.handings[message].attempt != attempt {
+    fn reply(&mut self, message: usize, submission: u32, reply: Option<ClientReply>, job: Option<usize>) {
+        if self.client_messages[message].done || self.client_messages[message].submission != submission {
             return;
         }
-        let free = self.ledger.messages[message].effect == Effect::Safe;
-        let again_after = match verdict {
+        let safe = self.ledger.messages[message].effect == Effect::Safe;
+        let resubmit_after = match reply {
             Some(ClientReply::Accepted) => {
-                self.ledger.promised(job.expect("who answers that it has taken it on has a job"));
+                self.ledger.promised(job.expect("a member that accepted a message has a job for it"));
                 None
             }
             Some(ClientReply::Busy { retry_after_ms }) => {
-                self.ledger.told_busy(self.now, message);
+                self.ledger.answered_busy(self.now, message);
                 Some(retry_after_ms as Micros * MILLISECOND)
             }
             Some(ClientReply::Failed) => {
@@ -462,126 +483,132 @@
                 None
             }
             Some(ClientReply::Invalid(_)) => None,
-            None => free.then_some(CLIENT_TIMEOUT),
+            None => safe.then_some(CLIENT_TIMEOUT),
         };
-        match again_after.filter(|_| attempt < MOST_TRIES && self.now < CLIENTS_STOP_AT) {
+        match resubmit_after.filter(|_| submission < MAX_SUBMISSIONS && self.now < CLIENTS_STOP_AT) {
             Some(wait) => {
                 let wait = wait.min(SECOND) + self.rng.random_range(0..SECOND);
-                // Until it is handed in again, nothing is awaited.
-                self.handings[message].attempt += 1;
-                self.after(wait, Event::Send { message });
+                // Until the message is submitted again, replies are ignored.
+                self.client_messages[message].submission += 1;
+                self.after(wait, Event::Submit { message });
             }
             None => self.done(message),
         }
     }
 
     fn done(&mut self, message: usize) {
-        self.handings[message].done = true;
-        if let Some(stream) = self.handings[message].stream {
+        self.client_messages[message].done = true;
+        if let Some(stream) = self.client_messages[message].stream {
             let pause = self.rng.random_range(0..2 * SECOND);
-            self.after(pause, Event::Next { stream });
+            self.after(pause, Event::NextOfStream { stream });
         }
     }
 
-    fn reply_from(&mut self, message: usize, attempt: u32, verdict: ClientReply, job: Option<usize>) {
+    fn reply_from(&mut self, message: usize, submission: u32, reply: ClientReply, job: Option<usize>) {
         let delay = self.rng.random_range(MILLISECOND..5 * MILLISECOND);
-        self.after(delay, Event::Reply { message, attempt, verdict: Some(verdict), job });
+        self.after(delay, Event::Reply { message, submission, reply: Some(reply), job });
     }
 
     // Requests.
 
-    fn request(&mut self, number: usize, message: usize, attempt: u32) {
+    fn request(&mut self, number: usize, message: usize, submission: u32) {
         let local = self.members[number].local(self.now);
         let route =
             self.with_request(message, |request| self.members[number].ownership.route(local, request));
         match route {
             Route::Unknown => {
-                self.reply_from(message, attempt, ClientReply::Busy { retry_after_ms: 0 }, None)
+                self.reply_from(message, submission, ClientReply::Busy { retry_after_ms: 0 }, None)
             }
             Route::Local => match self.admit(number, message) {
-                Some(job) => self.reply_from(message, attempt, ClientReply::Accepted, Some(job)),
-                None => self.reply_from(message, attempt, ClientReply::Busy { retry_after_ms: 300 }, None),
+                Some(job) => self.reply_from(message, submission, ClientReply::Accepted, Some(job)),
+                None => self.reply_from(message, submission, ClientReply::Busy { retry_after_ms: 300 }, None),
             },
             Route::Forward(candidates) => {
                 self.ledger.counts.forwarded += 1;
                 let effect = self.ledger.messages[message].effect;
-                let mut machine = Forwarding::new(effect, candidates, local, FORWARD_BUDGET);
-                let step = machine.start(local);
-                self.transits.push(Transit { member: number, message, attempt, machine, sends: 0 });
-                self.follow(self.transits.len() - 1, step, None);
+                let mut forwarding = Forwarding::new(effect, candidates, local, FORWARD_BUDGET);
+                let step = forwarding.start(local);
+                self.forwards.push(ForwardedRequest {
+                    member: number,
+                    message,
+                    submission,
+                    forwarding,
+                    sends: 0,
+                });
+                self.take_step(self.forwards.len() - 1, step, None);
             }
         }
     }
 
     fn with_request<T>(&self, message: usize, act: impl FnOnce(&Request<'_>) -> T) -> T {
-        let handing = &self.handings[message];
+        let client_message = &self.client_messages[message];
         let dest = self.ledger.messages[message].dest;
-        act(&Request { dest, order_key: handing.key.as_deref(), request_id: &handing.id })
+        act(&Request { dest, order_key: client_message.key.as_deref(), request_id: &client_message.id })
     }
 
-    /// A member takes a message on, if its ownership says so.
+    /// Lets a member accept a message if its ownership allows it. Returns the job.
     fn admit(&mut self, number: usize, message: usize) -> Option<usize> {
         let member = &self.members[number];
         let local = member.local(self.now);
-        let takes = self.with_request(message, |request| member.ownership.admission(local, request));
+        let admission = self.with_request(message, |request| member.ownership.admission(local, request));
         let counts = &mut self.ledger.counts;
-        let refused = match takes {
+        let rejected = match admission {
             Admission::Accepted => None,
-            Admission::NotOwner => Some(&mut counts.refused_as_not_owner),
-            Admission::OnHold(_) => Some(&mut counts.refused_by_hold),
-            Admission::LeaseExpired => Some(&mut counts.refused_by_lease),
+            Admission::NotOwner => Some(&mut counts.rejected_as_not_owner),
+            Admission::OnHold(_) => Some(&mut counts.rejected_by_hold),
+            Admission::LeaseExpired => Some(&mut counts.rejected_by_lease),
         };
-        if let Some(count) = refused {
+        if let Some(count) = rejected {
             *count += 1;
             return None;
         }
         let deadline = member.after(self.now, DEADLINE);
         let lease_until = member.lease_until.map(|until| self.now + (until - local));
-        let job = self.ledger.taken(self.now, number, message, deadline, lease_until);
-        self.hold(number, job);
+        let job = self.ledger.accepted(self.now, number, message, deadline, lease_until);
+        self.add_job(number, job);
         Some(job)
     }
 
-    fn follow(&mut self, index: usize, step: Step, job: Option<usize>) {
+    fn take_step(&mut self, index: usize, step: Step, job: Option<usize>) {
         match step {
             Step::Send { to, write_timeout, answer_timeout } => {
                 self.forward(index, to, write_timeout, answer_timeout)
             }
-            Step::Reply(verdict) => {
-                let Transit { message, attempt, .. } = self.transits[index];
-                self.reply_from(message, attempt, verdict, job);
+            Step::Reply(reply) => {
+                let ForwardedRequest { message, submission, .. } = self.forwards[index];
+                self.reply_from(message, submission, reply, job);
             }
         }
     }
 
-    /// A forwarded request, on a kept connection or a new one, with the faults of both.
+    /// Sends a request to an owner, on a pooled connection or a new one, with the faults of both.
     fn forward(&mut self, index: usize, to: SeatId, write_timeout: Micros, answer_timeout: Micros) {
-        self.transits[index].sends += 1;
-        let (from, send) = (self.transits[index].member, self.transits[index].sends);
-        let list = self.members[from].ownership.list().expect("a route came from it");
+        self.forwards[index].sends += 1;
+        let (from, send) = (self.forwards[index].member, self.forwards[index].sends);
+        let list = self.members[from].ownership.list().expect("the route was computed from this list");
         let Some(owner) = list.member(to).map(|member| member_number(member.name())) else {
-            // The list changed meanwhile.
+            // The list has changed since the route was computed.
             self.outcome_after(0, index, ForwardOutcome::NotSent, None);
             return;
         };
-        let kept = self.rng.random_bool(KEPT_CONNECTION);
-        let reachable = self.course.reach_each_other(from, owner, self.now);
-        let cut = self.rng.random_range(0..40);
-        if self.members[owner].state == State::Dead || (reachable && cut == 0) {
+        let pooled = self.rng.random_bool(POOLED_CONNECTION_PROBABILITY);
+        let reachable = self.plan.reach_each_other(from, owner, self.now);
+        let fault_draw = self.rng.random_range(0..40);
+        if self.members[owner].state == State::Dead || (reachable && fault_draw == 0) {
             self.outcome_after(MILLISECOND, index, ForwardOutcome::NotSent, None);
             return;
         }
-        if !reachable && !kept {
+        if !reachable && !pooled {
             self.outcome_after(write_timeout, index, ForwardOutcome::NotSent, None);
             return;
         }
         if reachable {
-            let slowest = if cut == 1 { 600 * MILLISECOND } else { 10 * MILLISECOND };
-            let delay = self.rng.random_range(MILLISECOND..slowest);
-            let life = self.members[owner].life;
-            self.after(delay, Event::Forwarded { member: owner, life, transit: index, send });
-            if cut == 2 {
-                // Cut after the last byte: it arrives, its answer does not.
+            let max_delay = if fault_draw == 1 { 600 * MILLISECOND } else { 10 * MILLISECOND };
+            let delay = self.rng.random_range(MILLISECOND..max_delay);
+            let incarnation = self.members[owner].incarnation;
+            self.after(delay, Event::Forwarded { member: owner, incarnation, forward_index: index, send });
+            if fault_draw == 2 {
+                // The connection is cut after the last byte: the request arrives, its answer does not.
                 self.outcome_after(MILLISECOND, index, ForwardOutcome::Unknown, None);
                 return;
             }
@@ -590,14 +617,17 @@
     }
 
     fn outcome_after(&mut self, span: Micros, index: usize, outcome: ForwardOutcome, job: Option<usize>) {
-        let Transit { member, sends, .. } = self.transits[index];
-        let life = self.members[member].life;
-        self.after(span, Event::ForwardOutcome { member, life, transit: index, send: sends, outcome, job });
+        let ForwardedRequest { member, sends, .. } = self.forwards[index];
+        let incarnation = self.members[member].incarnation;
+        self.after(
+            span,
+            Event::ForwardOutcome { member, incarnation, forward_index: index, send: sends, outcome, job },
+        );
     }
 
-    /// A forwarded request is served or refused, never routed.
+    /// Handles a forwarded request at an owner, which accepts or rejects it, but never routes it.
     fn forwarded(&mut self, owner: usize, index: usize, send: u32) {
-        let Transit { member, message, sends, .. } = self.transits[index];
+        let ForwardedRequest { member, message, sends, .. } = self.forwards[index];
         let outcome = if self.rng.random_bool(0.01) {
             (ForwardOutcome::Invalid("no such class".to_string()), None)
         } else {
@@ -606,73 +636,76 @@
                 None => (ForwardOutcome::Busy { retry_after_ms: 300 }, None),
             }
         };
-        if send == sends && self.course.reach_each_other(member, owner, self.now) {
+        if send == sends && self.plan.reach_each_other(member, owner, self.now) {
             let delay = self.rng.random_range(MILLISECOND..10 * MILLISECOND);
             self.outcome_after(delay, index, outcome.0, outcome.1);
         }
     }
 
     fn outcome(&mut self, index: usize, send: u32, outcome: ForwardOutcome, job: Option<usize>) {
-        if self.transits[index].sends != send {
+        if self.forwards[index].sends != send {
             return;
         }
-        // Later outcomes of the same sending are those of a connection that is no longer looked at.
-        self.transits[index].sends += 1;
+        // Later outcomes of the same send belong to a connection that the member no longer reads.
+        self.forwards[index].sends += 1;
         self.ledger.counts.unknown += u64::from(outcome == ForwardOutcome::Unknown);
-        self.ledger.counts.never_sent += u64::from(outcome == ForwardOutcome::NotSent);
-        let local = self.members[self.transits[index].member].local(self.now);
-        let step = self.transits[index].machine.record_outcome(local, outcome);
-        self.follow(index, step, job);
+        self.ledger.counts.not_sent += u64::from(outcome == ForwardOutcome::NotSent);
+        let local = self.members[self.forwards[index].member].local(self.now);
+        let step = self.forwards[index].forwarding.record_outcome(local, outcome);
+        self.take_step(index, step, job);
     }
 
     // Calls.
 
-    fn hold(&mut self, number: usize, job: usize) {
+    fn add_job(&mut self, number: usize, job: usize) {
         self.members[number].jobs.push((job, false));
         let slow = self.rng.random_bool(0.1);
         let delay = self.rng.random_range(0..if slow { 6 * SECOND } else { 200 * MILLISECOND });
-        let life = self.members[number].life;
-        self.after(delay, Event::Call { member: number, life, job });
+        let incarnation = self.members[number].incarnation;
+        self.after(delay, Event::Call { member: number, incarnation, job });
     }
 
     fn call(&mut self, number: usize, job: usize) {
-        let life = self.members[number].life;
+        let incarnation = self.members[number].incarnation;
         if self.now >= self.ledger.jobs[job].deadline {
             self.end(number, job);
             return;
         }
-        if self.earlier_of_key(number, job) {
-            self.after(50 * MILLISECOND, Event::Call { member: number, life, job });
+        if self.has_earlier_of_key(number, job) {
+            self.after(50 * MILLISECOND, Event::Call { member: number, incarnation, job });
             return;
         }
-        let duration = self.rng.random_range(10 * MILLISECOND..LONGEST_CALL);
-        let works = self.rng.random_bool(0.85);
+        let duration = self.rng.random_range(10 * MILLISECOND..MAX_CALL_TIME);
+        let takes_effect = self.rng.random_bool(0.85);
         let dest = self.ledger.messages[self.ledger.jobs[job].message].dest;
         let shares = self.shares(dest);
-        self.ledger.call_begins(self.now, job, self.now + duration, works, &shares);
-        for held in self.members[number].jobs.iter_mut().filter(|held| held.0 == job) {
-            held.1 = true;
+        self.ledger.begin_call(self.now, job, self.now + duration, takes_effect, &shares);
+        for entry in self.members[number].jobs.iter_mut().filter(|entry| entry.0 == job) {
+            entry.1 = true;
         }
-        self.after(duration, Event::CallEnded { member: number, life, job, works });
+        self.after(duration, Event::CallEnded { member: number, incarnation, job, takes_effect });
     }
 
-    /// Whether the member holds an earlier message of the same key.
-    fn earlier_of_key(&self, number: usize, job: usize) -> bool {
-        let of = |job: usize| &self.ledger.messages[self.ledger.jobs[job].message];
-        let Message { dest, key: Some(key), .. } = *of(job) else { return false };
-        let held = self.members[number].jobs.iter().take_while(|held| held.0 != job);
-        held.map(|held| of(held.0)).any(|message| message.dest == dest && message.key == Some(key))
+    /// Returns whether the member has an earlier message of the same key that has not ended.
+    fn has_earlier_of_key(&self, number: usize, job: usize) -> bool {
+        let message_of = |job: usize| &self.ledger.messages[self.ledger.jobs[job].message];
+        let Message { dest, key: Some(key), .. } = *message_of(job) else { return false };
+        let earlier = self.members[number].jobs.iter().take_while(|entry| entry.0 != job);
+        earlier
+            .map(|entry| message_of(entry.0))
+            .any(|message| message.dest == dest && message.key == Some(key))
     }
 
-    /// The shares of all members that may begin a call to a destination now: they take requests on, or hold some.
+    /// Returns the shares of all members that may now begin a call to a destination, as they accept requests for it or have
+    /// accepted some.
     fn shares(&self, dest: i64) -> Vec<f64> {
         let running = self.members.iter().filter(|member| member.state == State::Running);
         let may_call = running.filter(|member| {
-            let holds = |&(job, _): &(usize, bool)| {
+            let is_open = |&(job, _): &(usize, bool)| {
                 let job = &self.ledger.jobs[job];
                 self.ledger.messages[job.message].dest == dest && self.now < job.deadline
             };
-            member.jobs.iter().any(holds)
+            member.jobs.iter().any(is_open)
                 || member.ownership.unordered_admission(member.local(self.now), dest) == Admission::Accepted
         });
         may_call
@@ -680,29 +713,29 @@
             .collect()
     }
 
-    fn call_ended(&mut self, number: usize, job: usize, works: bool) {
-        if works {
+    fn call_ended(&mut self, number: usize, job: usize, takes_effect: bool) {
+        if takes_effect {
             self.end(number, job);
             return;
         }
-        for held in self.members[number].jobs.iter_mut().filter(|held| held.0 == job) {
-            held.1 = false;
+        for entry in self.members[number].jobs.iter_mut().filter(|entry| entry.0 == job) {
+            entry.1 = false;
         }
-        let life = self.members[number].life;
+        let incarnation = self.members[number].incarnation;
         let pause = self.rng.random_range(100 * MILLISECOND..2 * SECOND);
-        self.after(pause, Event::Call { member: number, life, job });
+        self.after(pause, Event::Call { member: number, incarnation, job });
     }
 
     fn end(&mut self, number: usize, job: usize) {
-        self.members[number].jobs.retain(|held| held.0 != job);
+        self.members[number].jobs.retain(|entry| entry.0 != job);
         self.ledger.ended(job);
     }
 }
 
-fn ownership(number: usize, memory: Option<PersistedPlacement>) -> Ownership {
-    let longest = DEADLINE + LONGEST_CALL;
-    let ownership = Ownership::new(member_name(number), LEASE, longest);
-    ownership.with_agent_lag(AGENT_LAG).with_persisted(memory)
+fn ownership(number: usize, persisted: Option<PersistedPlacement>) -> Ownership {
+    let longest_deadline = DEADLINE + MAX_CALL_TIME;
+    let ownership = Ownership::new(member_name(number), LEASE, longest_deadline);
+    ownership.with_agent_lag(AGENT_LAG).with_persisted(persisted)
 }
 
-const _: () = assert!(HEALED_AT < ENDS_AT && CLIENTS_STOP_AT < HEALED_AT);
+const _: () = assert!(FAULTS_END_AT < ENDS_AT && CLIENTS_STOP_AT < FAULTS_END_AT);
--- a/crates/placement/tests/history/world.rs
+++ b/crates/placement/tests/history/world.rs
@@ -1,4 +1,4 @@
-//! The member lists of a history, epoch after epoch, and their tables, which all senders share.
+//! The member lists of a history by epoch, and their tables, which all senders share.
 
 use embershore_placement::wire::{ListForm, MemberForm, RegionForm, SeatForm, WideForm};
 use embershore_placement::{Change, Changes, MemberList, Placement, PlacementSource, SeatId, sub_shard};
@@ -7,20 +7,20 @@
 
 use crate::tables::SharedTables;
 
-/// Destinations of a history.
+/// Number of destinations in a history.
 pub const DESTINATIONS: usize = 6;
-/// Members that fill no seat at first.
+/// Number of members that fill no seat at first.
 const SPARE_MEMBERS: usize = 3;
-/// Epochs after the first.
+/// Number of epochs after the first.
 const LATER_EPOCHS: usize = 8;
-const GREATEST_WIDTH: u16 = 8;
-/// A multiple of the golden ratio sets destinations of different worlds apart.
+const MAX_WIDTH: u16 = 8;
+/// Distance between the destinations of successive worlds, so that these differ.
 const DEST_STRIDE: i64 = 7_919;
 
-/// Lists by epoch, from 1 on, and how each follows from the one before.
+/// The lists by epoch, from 1 on, and the changes that lead to them.
 pub struct World {
     pub lists: Vec<MemberList>,
-    /// The changes that led to each list; none for the first and for those that can only be told whole.
+    /// The changes that lead to each list; `None` for the first list and for those that can only be sent in full.
     pub changes: Vec<Option<Changes>>,
     pub dests: Vec<i64>,
     pub members: usize,
@@ -28,14 +28,14 @@
     pub tables: SharedTables,
 }
 
-/// The member's name; the number is its place in the model.
+/// Returns the name of the member with this index in the model.
 pub fn member_name(number: usize) -> String {
     format!("n{number}")
 }
 
-/// The number in a member's name.
+/// Returns the index of the member with this name.
 pub fn member_number(name: &str) -> usize {
-    name[1..].parse().expect("a name of this world")
+    name[1..].parse().expect("the name was made by member_name")
 }
 
 fn member_form(number: usize) -> MemberForm {
@@ -49,10 +49,10 @@
         let seats = form.seats.len();
         let dests: Vec<i64> =
             (0..DESTINATIONS as i64).map(|dest| dest + number as i64 * DEST_STRIDE).collect();
-        let parts = dests.iter().flat_map(|&dest| (0..GREATEST_WIDTH).map(move |part| sub_shard(dest, part)));
+        let parts = dests.iter().flat_map(|&dest| (0..MAX_WIDTH).map(move |part| sub_shard(dest, part)));
         let mut world = World {
             regions: form.regions.len(),
-            lists: vec![MemberList::from_form(form).expect("a list that holds")],
+            lists: vec![MemberList::from_form(form).expect("the list is valid")],
             changes: vec![None],
             tables: SharedTables::new(Some(parts.collect())),
             dests,
@@ -62,12 +62,12 @@
         world
     }
 
-    /// The latest list under its epoch.
+    /// Returns the list of an epoch.
     pub fn list(&self, epoch: u64) -> &MemberList {
         &self.lists[epoch as usize - 1]
     }
 
-    /// All changes between two epochs, in order, if they can be told as changes.
+    /// Returns all changes between two epochs, in order; `None` if one of them can only be sent in full.
     pub fn changes_between(&self, since: u64, epoch: u64) -> Option<Changes> {
         let steps = &self.changes[since as usize..epoch as usize];
         let all: Option<Vec<Vec<Change>>> =
@@ -75,18 +75,18 @@
         all.map(|all| Changes { epoch, since, changes: all.concat() })
     }
 
-    /// Another list under the same epoch.
-    pub fn forged(&self, epoch: u64) -> MemberList {
+    /// Returns a list of the same epoch with other contents.
+    pub fn conflicting_list(&self, epoch: u64) -> MemberList {
         let mut form = self.list(epoch).to_form();
         form.seats[0].weight += 1.0;
-        MemberList::from_form(form).expect("a list that holds")
+        MemberList::from_form(form).expect("the list is valid")
     }
 
     fn add_epochs(&mut self, rng: &mut ChaCha8Rng, number: u64) {
         let mut before = (&self.tables).build(self.lists[0].clone());
-        let whole_at = (number.is_multiple_of(3)).then(|| rng.random_range(1..=LATER_EPOCHS));
+        let full_list_at = (number.is_multiple_of(3)).then(|| rng.random_range(1..=LATER_EPOCHS));
         for step in 1..=LATER_EPOCHS {
-            if whole_at == Some(step)
+            if full_list_at == Some(step)
                 && let Some(list) = with_other_replicas(before.list())
             {
                 before = (&self.tables).build(list.clone());
@@ -95,13 +95,14 @@
                 continue;
             }
             let changes = self.random_changes(rng, &before);
-            before = (&self.tables).apply(&before, &changes).expect("checked when it was made");
+            before =
+                (&self.tables).apply(&before, &changes).expect("random_changes has checked that they apply");
             self.lists.push(before.list().clone());
             self.changes.push(Some(changes));
         }
     }
 
-    /// One to three changes that fit the list.
+    /// Returns one to three changes that apply to the list.
     fn random_changes(&self, rng: &mut ChaCha8Rng, before: &Placement) -> Changes {
         let since = before.list().epoch();
         let mut changes = Changes { epoch: since + 1, since, changes: Vec::new() };
@@ -142,7 +143,7 @@
                 Some(Change::Append(SeatForm { member: spare, ..form }))
             }
             _ => {
-                let width = rng.random_range(1..=u64::from(GREATEST_WIDTH));
+                let width = rng.random_range(1..=u64::from(MAX_WIDTH));
                 Some(Change::SetWidth(WideForm { dest: *self.dests.choose(rng)?, width }))
             }
         }
@@ -172,7 +173,7 @@
     }
 }
 
-/// The next list, with one replica more or less.
+/// Returns the next list, with one replica more or less; `None` if it would be invalid.
 fn with_other_replicas(list: &MemberList) -> Option<MemberList> {
     let mut form = list.to_form();
     form.epoch += 1;
--- a/crates/placement/tests/lease.rs
+++ b/crates/placement/tests/lease.rs
@@ -1,11 +1,11 @@
-//! The lease: counted from the ask, never shortened, over at its end.
+//! The lease counts from the poll, is never shortened, and is invalid from its end on; the hold covers all its parts.
 
 use embershore_placement::{Lease, LeaseTimes};
 
 const SECOND: i64 = 1_000_000;
 
 #[test]
-fn an_answer_renews_from_the_ask() {
+fn an_answer_renews_the_lease_from_the_poll() {
     let mut lease = Lease::new(10 * SECOND);
     assert!(!lease.is_valid(0));
     lease.renew(SECOND);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_answer_to_an_earlier_ask_does_not_shorten_it() {
+fn an_answer_to_an_earlier_poll_does_not_shorten_the_lease() {
     let mut lease = Lease::new(10 * SECOND);
     lease.renew(5 * SECOND);
     lease.renew(SECOND);
@@ -22,10 +22,10 @@
 }
 
 #[test]
-fn the_hold_covers_a_late_agent_the_lease_the_longest_deadline_and_clocks_that_differ_in_rate() {
+fn the_hold_covers_agent_lag_lease_longest_deadline_and_clock_drift() {
     let times = LeaseTimes { lease: 10 * SECOND, agent_lag: 3 * SECOND, longest_deadline: 20 * SECOND };
     let hold = times.hold();
-    let by_a_fast_clock = 33 * SECOND + 33 * SECOND / 1_000;
+    let hold_by_a_fast_clock = 33 * SECOND + 33 * SECOND / 1_000;
     assert_eq!(times.stale_accept_window(), 13 * SECOND);
-    assert!(hold >= by_a_fast_clock && hold < 34 * SECOND);
+    assert!(hold >= hold_by_a_fast_clock && hold < 34 * SECOND);
 }
--- a/crates/placement/tests/options.rs
+++ b/crates/placement/tests/options.rs
@@ -1,9 +1,9 @@
-//! The section `[placement]`: its defaults, its bounds, and where a finding stands.
+//! The section `[placement]`: its defaults, its limits, and the lines of its findings.
 
 use embershore_finding::SpanFinding;
 use embershore_placement::options::{PlacementOptions, Section};
 
-/// The options of a text, or each finding with its line.
+/// Parses a text; returns the options, or each finding with its line.
 fn read(text: &str) -> Result<PlacementOptions, Vec<(usize, String)>> {
     let section: Section = toml::from_str(text).map_err(|e| vec![(0, e.to_string())])?;
     section.check().map_err(|found| {
@@ -12,14 +12,14 @@
     })
 }
 
-const SMALLEST: &str = "name = \"n0\"\nlisten = \"10.0.0.1:7001\"\ncontrol = [\"10.0.0.9:7100\"]\n";
+const MINIMAL: &str = "name = \"n0\"\nlisten = \"10.0.0.1:7001\"\ncontrol = [\"10.0.0.9:7100\"]\n";
 
 fn with(line: &str) -> Result<PlacementOptions, Vec<(usize, String)>> {
-    read(&format!("{SMALLEST}{line}\n"))
+    read(&format!("{MINIMAL}{line}\n"))
 }
 
 #[test]
-fn what_is_not_said_has_its_default() {
+fn missing_keys_have_defaults() {
     let expected = PlacementOptions {
         name: "n0".into(),
         listen: ([10, 0, 0, 1], 7001).into(),
@@ -29,13 +29,17 @@
         agent_lag: 0,
         max_owner_connections: 64,
     };
-    assert_eq!(read(SMALLEST), Ok(expected));
+    assert_eq!(read(MINIMAL), Ok(expected));
     let options = with("lease = \"2s\"").expect("good");
-    assert_eq!((options.lease, options.poll_interval), (2_000_000, 500_000), "questions follow the lease");
+    assert_eq!(
+        (options.lease, options.poll_interval),
+        (2_000_000, 500_000),
+        "the poll interval follows the lease"
+    );
 }
 
 #[test]
-fn all_that_is_said_is_taken() {
+fn all_keys_are_read() {
     let text = "name = \"n1\"\nlisten = \"127.0.0.1:7001\"\ncontrol = [\"127.0.0.2:1\", \"127.0.0.3:1\"]\n\
                 lease = \"4s\"\nask_every = \"500ms\"\nagent_lag = \"3s\"\nowner_connections = 3\n";
     let options = read(text).expect("good");
@@ -45,7 +49,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_its_line() {
+fn all_findings_are_reported_at_their_lines() {
     let text = "name = \"\"\nlisten = \"0.0.0.0:7001\"\n\
                 control = [\"127.0.0.1:0\",\n\"somewhere:1\",\n\"127.0.0.1:5\",\n\"127.0.0.1:5\"]\n\
                 lease = \"1s\"\nask_every = \"1500ms\"\nowner_connections = 0\n";
@@ -54,7 +58,7 @@
 }
 
 #[test]
-fn bounds_hold_at_both_ends() {
+fn limits_are_checked_at_both_ends() {
     let wrong = |line: &str, part: &str| {
         let found = with(line).expect_err(line);
         assert!(found.len() == 1 && found[0].0 == 4 && found[0].1.contains(part), "{line}: {found:?}");
@@ -72,10 +76,10 @@
 }
 
 #[test]
-fn control_agents_are_one_to_eight() {
+fn one_to_eight_control_agents_are_allowed() {
     let listed = |count: u8| {
         let control: Vec<String> = (0..count).map(|n| format!("\"10.0.0.{n}:7100\"")).collect();
-        read(&SMALLEST.replace("\"10.0.0.9:7100\"", &control.join(", ")))
+        read(&MINIMAL.replace("\"10.0.0.9:7100\"", &control.join(", ")))
     };
     assert!(listed(1).is_ok() && listed(8).is_ok());
     assert!(listed(0).expect_err("none")[0].1.contains("1 to 8"));
@@ -83,11 +87,11 @@
 }
 
 #[test]
-fn unknown_and_missing_keys_are_refused() {
+fn unknown_and_missing_keys_are_rejected() {
     assert!(with("leases = \"3s\"").expect_err("unknown")[0].1.contains("unknown field"));
     for (field, rest) in [("name", "listen"), ("listen", "control"), ("control", "name")] {
         let text: String =
-            SMALLEST.lines().filter(|l| !l.starts_with(field)).map(|l| format!("{l}\n")).collect();
+            MINIMAL.lines().filter(|l| !l.starts_with(field)).map(|l| format!("{l}\n")).collect();
         let found = read(&text).expect_err(rest);
         assert!(found[0].1.contains(&format!("missing field `{field}`")), "{found:?}");
     }
--- a/crates/placement/tests/refusals.rs
+++ b/crates/placement/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Lists and changes that don't hold are refused with place and mend named, and the list in force stays.
+//! Invalid lists and changes are rejected with errors that name the place and the correction, and the list in force stays.
 
 mod support;
 
@@ -6,139 +6,151 @@
 use embershore_placement::{AgentAnswer, Change, Changes, ListError, MAX_SEATS, MemberList, SeatId};
 use support::{fleet, list, member_form, seat_form};
 
-/// A fault, and words that its error has to say: the place, and the mend.
+/// A fault in a list, and the texts that its error must contain: the place and the correction.
 struct Case {
     name: &'static str,
-    spoil: fn(&mut ListForm),
-    says: &'static [&'static str],
+    break_form: fn(&mut ListForm),
+    expected: &'static [&'static str],
 }
 
 const LISTS: &[Case] = &[
     Case {
         name: "a name twice",
-        spoil: |form| member(form, 4).name = "sender-00001".into(),
-        says: &["seats[4]", "sender-00001", "seats[1]", "vacate one"],
+        break_form: |form| member(form, 4).name = "sender-00001".into(),
+        expected: &["seats[4]", "sender-00001", "seats[1]", "vacate one"],
     },
     Case {
         name: "an address twice",
-        spoil: |form| member(form, 5).address = "127.0.0.2:7001".into(),
-        says: &["seats[5]", "127.0.0.2:7001", "seats[2]", "each member its own address"],
+        break_form: |form| member(form, 5).address = "127.0.0.2:7001".into(),
+        expected: &["seats[5]", "127.0.0.2:7001", "seats[2]", "each member its own address"],
     },
     Case {
         name: "an address without a port",
-        spoil: |form| member(form, 5).address = "127.0.0.2".into(),
-        says: &["seats[5].member.address", "must be an IP address and a port"],
+        break_form: |form| member(form, 5).address = "127.0.0.2".into(),
+        expected: &["seats[5].member.address", "must be an IP address and a port"],
     },
     Case {
         name: "port 0",
-        spoil: |form| member(form, 5).address = "127.0.0.2:0".into(),
-        says: &["seats[5].member.address", "port other than 0"],
+        break_form: |form| member(form, 5).address = "127.0.0.2:0".into(),
+        expected: &["seats[5].member.address", "port other than 0"],
     },
     Case {
         name: "a member without a name",
-        spoil: |form| member(form, 5).name = " ".into(),
-        says: &["seats[5].member.name", "give it a name"],
+        break_form: |form| member(form, 5).name = " ".into(),
+        expected: &["seats[5].member.name", "give it a name"],
     },
     Case {
         name: "no region of that name",
-        spoil: |form| form.seats[3].region = "r9".into(),
-        says: &["seats[3].region", "r9", "add the region"],
+        break_form: |form| form.seats[3].region = "r9".into(),
+        expected: &["seats[3].region", "r9", "add the region"],
     },
     Case {
         name: "no region",
-        spoil: |form| form.seats[3].region.clear(),
-        says: &["seats[3].region", "add the region"],
+        break_form: |form| form.seats[3].region.clear(),
+        expected: &["seats[3].region", "add the region"],
     },
     Case {
         name: "no zone",
-        spoil: |form| form.seats[3].zone.clear(),
-        says: &["seats[3].zone", "give it a name"],
+        break_form: |form| form.seats[3].zone.clear(),
+        expected: &["seats[3].zone", "give it a name"],
     },
     Case {
         name: "no rack",
-        spoil: |form| form.seats[3].rack.clear(),
-        says: &["seats[3].rack", "give it a name"],
+        break_form: |form| form.seats[3].rack.clear(),
+        expected: &["seats[3].rack", "give it a name"],
     },
-    Case { name: "weight 0", spoil: |form| form.seats[2].weight = 0.0, says: WEIGHT },
-    Case { name: "weight that rounds to 0", spoil: |form| form.seats[2].weight = 0.0001, says: WEIGHT },
-    Case { name: "weight NaN", spoil: |form| form.seats[2].weight = f64::NAN, says: WEIGHT },
-    Case { name: "weight infinite", spoil: |form| form.seats[2].weight = f64::INFINITY, says: WEIGHT },
-    Case { name: "weight negative", spoil: |form| form.seats[2].weight = -1.0, says: WEIGHT },
-    Case { name: "weight over 100", spoil: |form| form.seats[2].weight = 100.5, says: WEIGHT },
+    Case { name: "weight 0", break_form: |form| form.seats[2].weight = 0.0, expected: WEIGHT },
+    Case {
+        name: "weight that rounds to 0",
+        break_form: |form| form.seats[2].weight = 0.0001,
+        expected: WEIGHT,
+    },
+    Case { name: "weight NaN", break_form: |form| form.seats[2].weight = f64::NAN, expected: WEIGHT },
+    Case {
+        name: "weight infinite",
+        break_form: |form| form.seats[2].weight = f64::INFINITY,
+        expected: WEIGHT,
+    },
+    Case { name: "weight negative", break_form: |form| form.seats[2].weight = -1.0, expected: WEIGHT },
+    Case { name: "weight over 100", break_form: |form| form.seats[2].weight = 100.5, expected: WEIGHT },
     Case {
         name: "unknown scheme",
-        spoil: |form| form.scheme = 2,
-        says: &["scheme is 2", "keep to scheme 1"],
+        break_form: |form| form.scheme = 2,
+        expected: &["scheme is 2", "keep to scheme 1"],
+    },
+    Case {
+        name: "no replicas",
+        break_form: |form| form.replicas = 0,
+        expected: &["replicas is 0", "must be 1 to 4"],
     },
-    Case { name: "no replicas", spoil: |form| form.replicas = 0, says: &["replicas is 0", "must be 1 to 4"] },
     Case {
         name: "five replicas",
-        spoil: |form| form.replicas = 5,
-        says: &["replicas is 5", "must be 1 to 4"],
+        break_form: |form| form.replicas = 5,
+        expected: &["replicas is 5", "must be 1 to 4"],
     },
     Case {
         name: "fewer members than replicas",
-        spoil: |form| {
+        break_form: |form| {
             for seat in form.seats.iter_mut().filter(|seat| seat.region == "r1").skip(1) {
                 seat.member = None;
             }
         },
-        says: &["region r1 has 1 members for 2 replicas", "fill seats there"],
+        expected: &["region r1 has 1 members for 2 replicas", "fill seats there"],
     },
     Case {
         name: "a region without seats",
-        spoil: |form| form.regions.push(region("r2", 1)),
-        says: &["region r2 has 0 members", "fill seats there"],
+        break_form: |form| form.regions.push(region("r2", 1)),
+        expected: &["region r2 has 0 members", "fill seats there"],
     },
     Case {
         name: "no regions",
-        spoil: |form| form.regions.clear(),
-        says: &["regions is empty", "list at least one"],
+        break_form: |form| form.regions.clear(),
+        expected: &["regions is empty", "list at least one"],
     },
     Case {
         name: "a region twice",
-        spoil: |form| form.regions.push(region("r0", 1)),
-        says: &["regions[2]", "r0", "regions[0]", "once"],
+        break_form: |form| form.regions.push(region("r0", 1)),
+        expected: &["regions[2]", "r0", "regions[0]", "once"],
     },
     Case {
         name: "share 0",
-        spoil: |form| form.regions[1].share = 0,
-        says: &["regions[1]", "share 0", "at least 1"],
+        break_form: |form| form.regions[1].share = 0,
+        expected: &["regions[1]", "share 0", "at least 1"],
     },
     Case {
         name: "a region without a name",
-        spoil: |form| form.regions[1].name.clear(),
-        says: &["regions[1].name", "give it a name"],
+        break_form: |form| form.regions[1].name.clear(),
+        expected: &["regions[1].name", "give it a name"],
     },
     Case {
         name: "too many regions",
-        spoil: |form| form.regions = (0..257).map(|number| region(&number.to_string(), 1)).collect(),
-        says: &["regions has 257", "at most 256"],
+        break_form: |form| form.regions = (0..257).map(|number| region(&number.to_string(), 1)).collect(),
+        expected: &["regions has 257", "at most 256"],
     },
     Case {
         name: "too many seats",
-        spoil: |form| form.seats = vec![form.seats[0].clone(); MAX_SEATS + 1],
-        says: &["seats has 65536", "at most 65535"],
+        break_form: |form| form.seats = vec![form.seats[0].clone(); MAX_SEATS + 1],
+        expected: &["seats has 65536", "at most 65535"],
     },
     Case {
         name: "width 1",
-        spoil: |form| form.wide.push(wide(7, 1)),
-        says: &["destination 7", "width 1", "2 to 1024"],
+        break_form: |form| form.wide.push(wide(7, 1)),
+        expected: &["destination 7", "width 1", "2 to 1024"],
     },
     Case {
         name: "width 1,025",
-        spoil: |form| form.wide.push(wide(7, 1025)),
-        says: &["width 1025", "2 to 1024"],
+        break_form: |form| form.wide.push(wide(7, 1025)),
+        expected: &["width 1025", "2 to 1024"],
     },
     Case {
         name: "a wide destination twice",
-        spoil: |form| form.wide.extend([wide(7, 2), wide(7, 3)]),
-        says: &["destination 7 twice", "list it once"],
+        break_form: |form| form.wide.extend([wide(7, 2), wide(7, 3)]),
+        expected: &["destination 7 twice", "list it once"],
     },
     Case {
         name: "too many wide destinations",
-        spoil: |form| form.wide = (0..65_537).map(|dest| wide(dest, 2)).collect(),
-        says: &["wide has 65537", "at most 65536"],
+        break_form: |form| form.wide = (0..65_537).map(|dest| wide(dest, 2)).collect(),
+        expected: &["wide has 65537", "at most 65536"],
     },
 ];
 
@@ -161,26 +173,26 @@
 }
 
 #[track_caller]
-fn assert_says(case: &str, error: &ListError, words: &[&str]) {
+fn assert_mentions(case: &str, error: &ListError, words: &[&str]) {
     let text = error.to_string();
     for word in words {
-        assert!(text.contains(word), "{case}: {text:?} does not say {word:?}");
+        assert!(text.contains(word), "{case}: {text:?} does not contain {word:?}");
     }
 }
 
 #[test]
-fn a_list_that_does_not_hold_is_refused_with_place_and_mend() {
+fn an_invalid_list_is_rejected_with_the_place_and_the_correction() {
     assert!(MemberList::from_form(small()).is_ok());
     for case in LISTS {
         let mut form = small();
-        (case.spoil)(&mut form);
+        (case.break_form)(&mut form);
         let error = MemberList::from_form(form).expect_err(case.name);
-        assert_says(case.name, &error, case.says);
+        assert_mentions(case.name, &error, case.expected);
     }
 }
 
 #[test]
-fn changes_that_do_not_fit_are_refused_and_the_list_stays() {
+fn changes_that_do_not_apply_are_rejected_and_the_list_stays() {
     let fill = |seat, number| Change::Fill { seat: SeatId(seat), member: member_form(number) };
     let vacate = |seat| Change::Vacate { seat: SeatId(seat) };
     let cases: Vec<(&str, Changes, &[&str])> = vec![
@@ -239,7 +251,7 @@
     let digest = list.digest();
     for (name, changes, words) in cases {
         let error = list.apply(&changes).expect_err(name);
-        assert_says(name, &error, words);
+        assert_mentions(name, &error, words);
         assert_eq!((list.epoch(), list.digest()), (7, digest), "{name}");
     }
     assert!(list.apply(&next(vec![vacate(0), fill(0, 99)])).is_ok());
@@ -253,9 +265,9 @@
     from(7, 8, changes)
 }
 
-fn append(spoil: fn(&mut embershore_placement::wire::SeatForm)) -> Change {
+fn append(break_form: fn(&mut embershore_placement::wire::SeatForm)) -> Change {
     let mut seat = seat_form(0, 1, 0, Some(99));
-    spoil(&mut seat);
+    break_form(&mut seat);
     Change::Append(seat)
 }
 
@@ -265,23 +277,27 @@
 }
 
 #[test]
-fn an_older_or_different_list_does_not_follow() {
+fn an_older_or_different_list_is_no_successor() {
     let current = list(ListForm { epoch: 7, ..small() });
     let older = list(ListForm { epoch: 6, ..small() });
     let error = current.check_successor(&older).expect_err("an older epoch");
-    assert_says("an older epoch", &error, &["epoch 6", "epoch 7", "above 7"]);
+    assert_mentions("an older epoch", &error, &["epoch 6", "epoch 7", "above 7"]);
 
     let mut form = ListForm { epoch: 7, ..small() };
     member(&mut form, 3).name = "somebody-else".into();
     let error = current.check_successor(&list(form)).expect_err("another list");
-    assert_says("another list under the same epoch", &error, &["epoch 7", "another list", "raise the epoch"]);
+    assert_mentions(
+        "another list under the same epoch",
+        &error,
+        &["epoch 7", "another list", "raise the epoch"],
+    );
 
     assert_eq!(current.check_successor(&current), Ok(()));
     assert_eq!(current.check_successor(&list(ListForm { epoch: 8, ..small() })), Ok(()));
 }
 
 #[test]
-fn json_of_another_form_is_refused_with_its_place() {
+fn json_of_another_form_is_rejected_with_its_place() {
     let cases: &[(&str, &str, &[&str])] = &[
         ("cut off", r#"{"epoch":7,"#, &["malformed member list", "line 1 column"]),
         ("no list", "[]", &["malformed member list"]),
@@ -310,6 +326,6 @@
     ];
     for (name, json, words) in cases {
         let error = AgentAnswer::parse_json(json.as_bytes()).expect_err(name);
-        assert_says(name, &error, words);
+        assert_mentions(name, &error, words);
     }
 }
--- a/crates/placement/tests/wire.rs
+++ b/crates/placement/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON forms of docs/design/placement.md are read, and what is written is read back as the same.
+//! The JSON forms of docs/design/placement.md are parsed, and written lists and changes are parsed back unchanged.
 
 mod support;
 
@@ -6,14 +6,14 @@
 use embershore_placement::{AgentAnswer, Change, Changes, MemberList, SeatId};
 use support::{fleet, list, member_form, seat_form};
 
-const WHOLE: &str = r#"{"epoch":7,"scheme":1,"replicas":1,"first":true,"regions":[{"name":"r1","share":1}],"seats":[
+const FULL: &str = r#"{"epoch":7,"scheme":1,"replicas":1,"first":true,"regions":[{"name":"r1","share":1}],"seats":[
     {"region":"r1","zone":"a","rack":"a1","weight":1.5,"member":{"name":"n0","address":"127.0.0.1:7001"}},
     {"region":"r1","zone":"b","rack":"b1","weight":1.0,"member":null}],"wide":[{"dest":-7,"width":4}]}"#;
 
 #[test]
-fn a_whole_list_is_read() {
-    let Ok(AgentAnswer::Full(list)) = AgentAnswer::parse_json(WHOLE.as_bytes()) else {
-        panic!("a whole list")
+fn a_full_list_is_parsed() {
+    let Ok(AgentAnswer::Full(list)) = AgentAnswer::parse_json(FULL.as_bytes()) else {
+        panic!("expected a full list")
     };
     assert_eq!((list.epoch(), list.replicas(), list.is_first()), (7, 1, true));
     assert_eq!((list.seat_count(), list.member_count()), (2, 1));
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn changes_are_read() {
+fn changes_are_parsed() {
     let json = r#"{"epoch":8,"since":7,"changes":[{"seat":3,"member":null},
         {"seat":4,"member":{"name":"sender-00004","address":"127.0.0.4:7001"}},
         {"append":{"region":"r0","zone":"z1","rack":"k0","weight":1.0,"member":null}},{"wide":{"dest":7,"width":4}}]}"#;
     let Ok(AgentAnswer::Changes(changes)) = AgentAnswer::parse_json(json.as_bytes()) else {
-        panic!("changes")
+        panic!("expected changes")
     };
     let expected = vec![
         Change::Vacate { seat: SeatId(3) },
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn nothing_new_is_told_from_changes() {
+fn an_unchanged_list_is_distinguished_from_changes() {
     let answer = AgentAnswer::parse_json(br#"{"epoch":7,"since":7,"changes":[]}"#);
     assert!(matches!(answer, Ok(AgentAnswer::Unchanged { epoch: 7 })));
 }
 
 #[test]
-fn a_list_written_and_read_is_the_same() {
+fn a_list_is_the_same_after_writing_and_parsing() {
     let mut form = fleet(&[3, 2], 40, 4);
     form.seats[17].member = None;
     form.seats[18].weight = 0.5;
@@ -65,9 +65,9 @@
 }
 
 #[test]
-fn a_list_reached_by_changes_has_the_digest_of_the_one_told_whole() {
+fn a_list_reached_by_changes_has_the_digest_of_the_full_list() {
     let before = list(fleet(&[2], 6, 2));
-    let entries = vec![
+    let changes = vec![
         Change::Vacate { seat: SeatId(2) },
         Change::Append(seat_form(0, 0, 7, Some(2))),
         Change::Fill { seat: SeatId(2), member: member_form(77) },
@@ -75,7 +75,7 @@
         Change::SetWidth(WideForm { dest: 6, width: 2 }),
         Change::SetWidth(WideForm { dest: 6, width: 1 }),
     ];
-    let (after, _) = support::applied(&before, entries);
+    let (after, _) = support::applied(&before, changes);
     let mut form = fleet(&[2], 6, 2);
     form.epoch = 2;
     form.seats[2].member = Some(member_form(77));
