--- a/crates/placement/examples/bounds.rs
+++ b/crates/placement/examples/bounds.rs
@@ -1,6 +1,6 @@
-//! Times of placement at 15,000 seats against their budgets; exits with 1 if one is broken.
+//! Measures the times of placement at 15,000 seats against their budgets. Exits with 1 if one is exceeded.
 //!
-//! `cargo run --release -p embershore-placement --example bounds`, on a machine that is otherwise idle.
+//! `cargo run --release -p embershore-placement --example bounds`, on an otherwise idle machine.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -14,21 +14,22 @@
 
 const ROUNDS: u32 = 5;
 
-/// A figure and the budget that it has to keep; a budget of none is for information.
-struct Figure {
+/// The time of an operation and its budget; without a budget it is for information only.
+struct Measurement {
     name: &'static str,
     best: Duration,
     worst: Duration,
     budget: Option<Duration>,
 }
 
-/// Times `work` over some rounds.
-fn measured(name: &'static str, budget: Option<Duration>, mut work: impl FnMut() -> Duration) -> Figure {
+/// Runs `work`, which returns its own time, for [`ROUNDS`] rounds.
+fn measured(name: &'static str, budget: Option<Duration>, mut work: impl FnMut() -> Duration) -> Measurement {
     let times: Vec<Duration> = (0..ROUNDS).map(|_| work()).collect();
     let best = times.iter().copied().min().unwrap_or_default();
-    Figure { name, best, worst: times.into_iter().max().unwrap_or_default(), budget }
+    Measurement { name, best, worst: times.into_iter().max().unwrap_or_default(), budget }
 }
 
+/// Returns how long `work` takes.
 fn timed<T>(work: impl FnOnce() -> T) -> Duration {
     let start = Instant::now();
     black_box(work());
@@ -50,35 +51,37 @@
     let zone =
         vacate(&seats_where(&list, |seat| list.region_name(seat) == "r0" && list.zone_name(seat) == "z0"));
     let json = list.to_json();
-    let figures = [
-        measured("whole table", milliseconds(1_000), || timed(|| Table::build(&list))),
+    let measurements = [
+        measured("full table built", milliseconds(1_000), || timed(|| Table::build(&list))),
         measured("one member lost, list and table", milliseconds(5), || change(&lost)),
         measured("one member added, list and table", milliseconds(5), || change(&added)),
         measured("a zone of 1,364 lost in one change", None, || change(&zone)),
         measured("lookup of a destination's owners", Some(Duration::from_micros(1)), || lookup(&table)),
-        measured("whole list from JSON", None, || {
+        measured("full list from JSON", None, || {
             timed(|| embershore_placement::MemberList::parse_json(&json))
         }),
     ];
-    for figure in &figures {
-        let budget = figure.budget.map_or("none".to_owned(), |budget| format!("{budget:?}"));
+    for measurement in &measurements {
+        let budget = measurement.budget.map_or("none".to_owned(), |budget| format!("{budget:?}"));
         println!(
             "{}: best {:?}, worst {:?} of {ROUNDS}; budget {budget}",
-            figure.name, figure.best, figure.worst
+            measurement.name, measurement.best, measurement.worst
         );
     }
     println!("table: {} bytes; budget 8000000", table.memory_bytes());
-    let broken = figures.iter().find(|figure| figure.budget.is_some_and(|budget| figure.best > budget));
-    match broken {
-        Some(figure) => {
-            println!("BROKEN: budget of {}", figure.name);
+    let exceeded = measurements
+        .iter()
+        .find(|measurement| measurement.budget.is_some_and(|budget| measurement.best > budget));
+    match exceeded {
+        Some(measurement) => {
+            println!("BROKEN: budget of {}", measurement.name);
             ExitCode::FAILURE
         }
         None => ExitCode::SUCCESS,
     }
 }
 
-/// Mean time of one lookup over all destinations.
+/// Returns the mean time of one lookup over all destinations.
 fn lookup(table: &Table) -> Duration {
     let all = timed(|| (0..FULL_DESTINATIONS).map(|dest| table.owners(shard(dest)).len()).sum::<usize>());
     all / FULL_DESTINATIONS as u32
--- a/crates/placement/examples/schemes.rs
+++ b/crates/placement/examples/schemes.rs
@@ -1,5 +1,6 @@
-//! The well-known schemes beside the one that was taken, at 15,000 members with two replicas: evenness, what one lost
-//! member moves, time and bytes. Domains are left out of the others: they would only be less even with them.
+//! Compares the placement scheme in use with well-known ones, at 15,000 members with two replicas: evenness, the shards
+//! that one lost member moves, time and memory. The others ignore failure domains, which would only make them less
+//! even.
 //!
 //! `cargo run --release -p embershore-placement --example schemes`
 
@@ -17,14 +18,14 @@
 const LOST: u32 = 7_000;
 const REPLICAS: usize = 2;
 const RING_POINTS: u32 = 100;
-/// A prime some hundred times the number of members, as its authors advise.
+/// A prime about a hundred times the number of members, as the authors of Maglev advise.
 const MAGLEV_SLOTS: u32 = 1_500_007;
 const LOOKUPS: u32 = 1_000_000;
 
 type Owners = [u32; REPLICAS];
 
-/// One scheme's figures.
-struct Figures {
+/// The measurements of one scheme.
+struct Measurements {
     name: String,
     build: Duration,
     bytes: usize,
@@ -33,7 +34,7 @@
     after: Vec<Owners>,
 }
 
-impl Figures {
+impl Measurements {
     fn print(&self) {
         let mut loads = vec![0; FULL_SEATS];
         for &owner in self.owners.iter().flatten() {
@@ -51,10 +52,10 @@
             }
         }
         println!(
-            "{}: busiest {:.3}, least {:.3} of the mean {:.1}; one lost moves {own} of its own, {between} between others; build {:?}; {} bytes; lookup {:?}",
+            "{}: busiest {:.3}, idlest {:.3} of the mean {:.1}; one lost moves {own} of its own, {between} between others; build {:?}; {} bytes; lookup {:?}",
             self.name,
             evenness.busiest(),
-            evenness.least / evenness.mean,
+            evenness.min / evenness.mean,
             evenness.mean,
             self.build,
             self.bytes,
@@ -73,7 +74,7 @@
     timed(|| (0..count).map(lookup).fold(0, u32::wrapping_add)).1 / count
 }
 
-fn taken() -> Figures {
+fn in_use() -> Measurements {
     let list = full_size();
     let (table, build) = timed(|| Table::build(&list));
     let (next, changes) = applied(&list, vacate(&[SeatId(LOST as u16)]));
@@ -83,8 +84,8 @@
         let shards = (0..SHARDS).map(|shard| table.owners(ShardId(shard)));
         shards.map(|owners| [u32::from(owners[0].0), u32::from(owners[1].0)]).collect()
     };
-    Figures {
-        name: "bounded loads, seat by seat (taken)".into(),
+    Measurements {
+        name: "bounded loads, seat by seat (in use)".into(),
         build,
         bytes: table.memory_bytes(),
         lookup: per_lookup(LOOKUPS, |dest| u32::from(table.owners(shard(i64::from(dest)))[0].0)),
@@ -93,7 +94,7 @@
     }
 }
 
-/// The members with the greatest hashes of (shard, member).
+/// Returns the members with the greatest hashes of (shard, member).
 fn rendezvous_owners(shard: u32, lost: Option<u32>) -> Owners {
     let mut best = [(0, u32::MAX); REPLICAS];
     for member in (0..MEMBERS).filter(|&member| Some(member) != lost) {
@@ -107,10 +108,10 @@
     best.map(|(_, member)| member)
 }
 
-fn rendezvous() -> Figures {
+fn rendezvous() -> Measurements {
     let table = |lost| (0..SHARDS).map(|shard| rendezvous_owners(shard, lost)).collect::<Vec<_>>();
     let (owners, build) = timed(|| table(None));
-    Figures {
+    Measurements {
         name: "rendezvous hashing".into(),
         build,
         bytes: SHARDS as usize * REPLICAS * size_of::<u16>(),
@@ -120,7 +121,7 @@
     }
 }
 
-/// Points of members on a ring of hashes, in order.
+/// A ring of hashes: the members' points, in order.
 struct Ring(Vec<(u64, u32)>);
 
 impl Ring {
@@ -136,16 +137,16 @@
     fn owners(&self, shard: u32) -> Owners {
         let hash = mix_pair(u64::MAX, u64::from(shard));
         let first = self.0.partition_point(|&(point, _)| point < hash);
-        let mut walk = (first..first + self.0.len()).map(|index| self.0[index % self.0.len()].1);
-        let owner = walk.next().unwrap_or(0);
-        [owner, walk.find(|&other| other != owner).unwrap_or(owner)]
+        let mut members_from_hash = (first..first + self.0.len()).map(|index| self.0[index % self.0.len()].1);
+        let owner = members_from_hash.next().unwrap_or(0);
+        [owner, members_from_hash.find(|&other| other != owner).unwrap_or(owner)]
     }
 }
 
-fn ring() -> Figures {
+fn ring() -> Measurements {
     let (ring, build) = timed(|| Ring::new(None));
     let lost = Ring::new(Some(LOST));
-    Figures {
+    Measurements {
         name: format!("consistent hashing ring, {RING_POINTS} points a member"),
         build,
         bytes: ring.0.len() * size_of::<(u64, u32)>(),
@@ -155,7 +156,7 @@
     }
 }
 
-/// Members take turns to claim the next free slot of their own permutation.
+/// The Maglev table: members take turns to claim the next free slot of their own permutation.
 struct Maglev(Vec<u32>);
 
 impl Maglev {
@@ -183,7 +184,7 @@
         Self(slots)
     }
 
-    /// The first owner by the shard's hash, the second by the next hash that names another.
+    /// Returns the first owner by the shard's hash, and the second by the next hash that gives another member.
     fn owners(&self, shard: u32) -> Owners {
         let slot =
             |attempt: u64| self.0[scale(mix_pair(attempt, u64::from(shard)) as u32, MAGLEV_SLOTS) as usize];
@@ -192,10 +193,10 @@
     }
 }
 
-fn maglev() -> Figures {
+fn maglev() -> Measurements {
     let (maglev, build) = timed(|| Maglev::new(None));
     let lost = Maglev::new(Some(LOST));
-    Figures {
+    Measurements {
         name: format!("Maglev, {MAGLEV_SLOTS} slots"),
         build,
         bytes: maglev.0.len() * size_of::<u32>(),
@@ -207,7 +208,7 @@
 
 fn main() {
     println!("{SHARDS} shards, {MEMBERS} members, {REPLICAS} replicas; member {LOST} is lost");
-    for scheme in [taken, rendezvous, ring, maglev] {
+    for scheme in [in_use, rendezvous, ring, maglev] {
         scheme().print();
     }
 }
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -1,8 +1,9 @@
-//! The base table of one region. It has a row of seats for each shard, owners first and spares after them, whether the seats
-//! are filled or not.
+//! The base table of one region. It has a row of seats for each shard, owners first and spares after them, whether the
+//! seats are filled or not.
 //!
-//! The table is built by consistent hashing with bounded loads, seat by seat. Each added seat takes its quota of positions from
-//! seats that hold more than their new target, so that adding a seat moves positions to it and never between others.
+//! The table is built by consistent hashing with bounded loads, seat by seat. Each added seat takes its quota of
+//! positions from seats that hold more than their new target, so that adding a seat moves positions to it and never
+//! between others.
 
 use std::cmp::Reverse;
 
@@ -31,8 +32,8 @@
 enum Donors {
     /// Seats that hold more than their target, in rows whose cost does not rise.
     AboveTarget,
-    /// Seats that afterwards still hold at least as many as the added seat, relative to their weights, in rows whose cost does
-    /// not rise.
+    /// Seats that afterwards still hold at least as many as the added seat, relative to their weights, in rows whose
+    /// cost does not rise.
     MoreLoaded,
     /// Seats that hold more than 15/16 of their target, in rows whose cost falls.
     NearTarget,
@@ -368,7 +369,8 @@
         search.shares.exceeds(load, search.positions, weight, 16)
     }
 
-    /// Returns the cost of the domains that a seat shares with a row's owners except one; a zone counts more than a rack.
+    /// Returns the cost of the domains that a seat shares with a row's owners except one; a zone counts more than a
+    /// rack.
     pub(crate) fn shared_domains(&self, seat: u16, owners: &[u16], except: u16) -> u32 {
         let others = owners.iter().filter(|&&owner| owner != except);
         others.map(|&owner| pair_cost(self.domain(seat), self.domain(owner), 1)).sum()
--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -40,8 +40,8 @@
     /// Returns the list that `changes` lead to. This list is not modified.
     ///
     /// # Errors
-    /// Fails if the changes begin at another epoch than this list's or do not raise it, if a change does not apply to the
-    /// list as the changes before it left it, or if a region has fewer members than replicas afterwards.
+    /// Fails if the changes begin at another epoch than this list's or do not raise it, if a change does not apply to
+    /// the list as the changes before it left it, or if a region has fewer members than replicas afterwards.
     pub fn apply(&self, changes: &Changes) -> Result<Self, ListError> {
         self.check_epochs(changes)?;
         let mut next = self.successor(changes.epoch);
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -2,12 +2,12 @@
 
 use crate::domains::{RackId, ZoneId};
 use crate::list::MAX_REPLICAS;
-/// Number of spare seats of a row, which replace lost owners. With two, a lost owner's shards stay in distinct zones, and the
-/// shards of a lost zone go to seats in proportion to their quotas.
+/// Number of spare seats of a row, which replace lost owners. With two, a lost owner's shards stay in distinct zones,
+/// and the shards of a lost zone go to seats in proportion to their quotas.
 pub(crate) const SPARES: usize = 2;
 
-/// Length of the longest row. Shorter rows are filled up with [`EMPTY`]: a fixed length lets the compiler unroll the hottest
-/// loops.
+/// Length of the longest row. Shorter rows are filled up with [`EMPTY`]: a fixed length lets the compiler unroll the
+/// hottest loops.
 pub(crate) const ROW_LENGTH: usize = MAX_REPLICAS + SPARES;
 
 /// Marks a position that no seat holds: the region has fewer seats than a row has positions, or the row is shorter.
@@ -18,8 +18,8 @@
 /// Cost of two seats of a row that share a zone, added to the cost of a shared rack.
 const SHARED_ZONE_COST: u32 = 1 << 3;
 
-/// Weight of a pair of owners in the cost. It outweighs all other pairs: a row has at most six pairs of owners, and 15 pairs in
-/// all.
+/// Weight of a pair of owners in the cost. It outweighs all other pairs: a row has at most six pairs of owners, and 15
+/// pairs in all.
 const OWNER_PAIR_WEIGHT: u32 = 1 << 8;
 /// Weight of a pair with a spare in the cost.
 const OTHER_PAIR_WEIGHT: u32 = 1;
@@ -97,8 +97,8 @@
         cost
     }
 
-    /// Returns the lowest cost that a row can have in a region with this number of zones: the minimum over all assignments to spread its
-    /// seats over the zones, in distinct racks.
+    /// Returns the lowest cost that a row can have in a region with this number of zones: the minimum over all
+    /// assignments of its seats to the zones, in distinct racks.
     pub(crate) fn min_cost(&self, zones: usize) -> u32 {
         let zones = zones.clamp(1, self.positions) as u32;
         let assignments = zones.pow(self.positions as u32);
@@ -141,8 +141,8 @@
         Self { rows: Vec::new(), listed: vec![0; (rows as usize).div_ceil(u64::BITS as usize)], threshold: 0 }
     }
 
-    /// Removes all rows and sets the threshold. `min_cost` is the cost of a row without avoidable conflicts; one conflict of
-    /// this scope raises it above the threshold.
+    /// Removes all rows and sets the threshold. `min_cost` is the cost of a row without avoidable conflicts; one
+    /// conflict of this scope raises it above the threshold.
     pub(crate) fn reset(&mut self, min_cost: u32, scope: ConflictScope) {
         self.rows = Vec::new();
         self.listed.fill(0);
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -41,10 +41,10 @@
         max: usize,
     },
     /// A name is empty.
-    #[error("{place} is empty: give it a name")]
+    #[error("{field} is empty: give it a name")]
     EmptyName {
         /// The field, such as `seats[3].rack`.
-        place: String,
+        field: String,
     },
     /// Two regions have the same name.
     #[error("regions[{second}] repeats the name {name:?} of regions[{first}]: list each region once")]
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -1,9 +1,9 @@
-//! The state machine of one forwarded request: which owner it goes to next, how long each owner has, and what the client is
-//! answered.
+//! The state machine of one forwarded request: which owner it goes to next, how long each owner has, and what the
+//! client is answered.
 //!
-//! The machine does no I/O. It returns [`Step::Send`], is given the [`ForwardOutcome`], and ends with [`Step::Reply`]. Its one
-//! rule: a request that an owner may have accepted goes to a second owner only if a repeat does no harm. The caller must
-//! therefore distinguish whether the first byte of the request was written:
+//! The machine does no I/O. It returns [`Step::Send`], is given the [`ForwardOutcome`], and ends with [`Step::Reply`].
+//! Its one rule: a request that an owner may have accepted goes to a second owner only if a repeat does no harm. The
+//! caller must therefore distinguish whether the first byte of the request was written:
 //!
 //! | event | outcome | next step |
 //! | --- | --- | --- |
@@ -13,14 +13,14 @@
 //! | connection refused, not connected in time, closed before the first byte, or the seat has become vacant | [`ForwardOutcome::NotSent`] | next candidate |
 //! | after the first byte: timeout, reset, close, or an unreadable answer | [`ForwardOutcome::Unknown`] | [`Effect::Safe`]: next candidate; otherwise failed at once |
 //!
-//! An owner that is down never receives the request. An owner that is full or on another epoch answers busy. An owner that is
-//! stopped or slow leads to an unknown outcome when its answer timeout expires.
+//! An owner that is down never receives the request. An owner that is full or on another epoch answers busy. An owner
+//! that is stopped or slow leads to an unknown outcome when its answer timeout expires.
 
 use crate::SeatId;
 use heronroute::{Effect, Micros};
 
-/// The shortest time that a candidate is given; with less time left none is tried. On a loaded machine the answer would come
-/// too late, and the outcome would be unknown without need.
+/// The shortest time that a candidate is given; with less time left none is tried. On a loaded machine the answer would
+/// come too late, and the outcome would be unknown without need.
 pub const MIN_ANSWER_TIMEOUT_US: Micros = 20_000;
 
 /// The wait that a client is told, in milliseconds, if no owner reported one.
@@ -67,10 +67,11 @@
     Send {
         /// The owner's seat.
         to: SeatId,
-        /// The time from now within which the first byte must be written. If it expires, the caller must not write any, and
-        /// the outcome is [`ForwardOutcome::NotSent`].
+        /// The time from now within which the first byte must be written. If it expires, the caller must not write any,
+        /// and the outcome is [`ForwardOutcome::NotSent`].
         write_timeout: Micros,
-        /// The time from now within which the answer must arrive. If it expires, the outcome is [`ForwardOutcome::Unknown`].
+        /// The time from now within which the answer must arrive. If it expires, the outcome is
+        /// [`ForwardOutcome::Unknown`].
         answer_timeout: Micros,
     },
     /// Send the reply to the client. The request is finished.
@@ -89,8 +90,8 @@
 }
 
 impl Forwarding {
-    /// Creates the state of a request with this effect that was read at `read_at` and must be answered within `budget` of
-    /// that. `candidates` are tried in order, each at most once.
+    /// Creates the state of a request with this effect that was read at `read_at` and must be answered within `budget`
+    /// of that. `candidates` are tried in order, each at most once.
     pub fn new(effect: Effect, candidates: Vec<SeatId>, read_at: Micros, budget: Micros) -> Self {
         Forwarding {
             effect,
@@ -106,7 +107,8 @@
         self.try_next(now)
     }
 
-    /// Records the outcome of the last [`Step::Send`] and returns the next step. Once there is a reply it never changes.
+    /// Records the outcome of the last [`Step::Send`] and returns the next step. Once there is a reply it never
+    /// changes.
     pub fn record_outcome(&mut self, now: Micros, outcome: ForwardOutcome) -> Step {
         if let Some(reply) = &self.reply {
             return Step::Reply(reply.clone());
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -1,9 +1,9 @@
 //! Tracks which parts of this sender's ownership are new, and until when it must wait for former owners to finish.
 //!
 //! Everything that an epoch gives to this sender, and that another sender may have had before, is on hold for
-//! [`LeaseTimes::hold`](crate::LeaseTimes::hold), counted from when this sender received the epoch: a shard; an order key that
-//! preferred another owner; a part of a wide destination; a larger share of a destination's limit. Only what is on hold is
-//! stored, so that a sender without changes stores nothing here.
+//! [`LeaseTimes::hold`](crate::LeaseTimes::hold), counted from when this sender received the epoch: a shard; an order
+//! key that preferred another owner; a part of a wide destination; a larger share of a destination's limit. Only what
+//! is on hold is stored, so that a sender without changes stores nothing here.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,8 @@
 use crate::shard::ShardId;
 use heronroute::Micros;
 
-/// Maximum number of superseded owner lists stored for a shard. Each epoch that changes its owners within a hold adds one.
-/// With more, the whole shard is put on hold instead.
+/// Maximum number of superseded owner lists stored for a shard. Each epoch that changes its owners within a hold adds
+/// one. With more, the whole shard is put on hold instead.
 const MAX_SUPERSEDED_OWNER_LISTS: usize = 16;
 
 /// A value that an epoch has replaced, and the time until which other senders may still act upon it.
@@ -102,8 +102,8 @@
         ready_at.max(self.all_until).filter(|&until| now < until)
     }
 
-    /// Returns the end of the hold of a key whose preferred owner is `own_seat`: the time until which another sender may have
-    /// messages of the key.
+    /// Returns the end of the hold of a key whose preferred owner is `own_seat`: the time until which another sender
+    /// may have messages of the key.
     pub(crate) fn key_hold(
         &self,
         shard: ShardId,
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -1,16 +1,17 @@
 //! The lease under which a sender accepts requests as an owner, and the times derived from it.
 //!
-//! A sender polls its control agent periodically. An answer to a request that was sent at `polled_at` renews the lease until
-//! `polled_at + lease`. As the lease counts from the request, an answer that is delayed on its way renews it by that much less.
+//! A sender polls its control agent periodically. An answer to a request that was sent at `polled_at` renews the lease
+//! until `polled_at + lease`. As the lease counts from the request, an answer that is delayed on its way renews it by
+//! that much less.
 //!
 //! All times are of one monotonic clock of this process that also advances while the process is stopped and, where the
-//! system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`). Clocks of different machines are never compared, but
-//! their rates are: the hold is longer by one part in [`CLOCK_DRIFT_DIVISOR`].
+//! system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`). Clocks of different machines are never
+//! compared, but their rates are: the hold is longer by one part in [`CLOCK_DRIFT_DIVISOR`].
 
 use heronroute::Micros;
 
-/// The hold is longer by one part in this number: two clocks that are each off by up to 500 parts in a million differ by one
-/// part in a thousand.
+/// The hold is longer by one part in this number: two clocks that are each off by up to 500 parts in a million differ
+/// by one part in a thousand.
 pub const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
 /// The times that all members of a fleet must agree on, in microseconds.
@@ -18,23 +19,23 @@
 pub struct LeaseTimes {
     /// How long an answer of the control agent, counted from the poll, allows a sender to accept requests.
     pub lease: Micros,
-    /// How far an agent may lag behind. It may answer with an epoch for at most this long after a later epoch was first sent to
-    /// any sender; after that it must not answer until it has caught up. 0 where an agent confirms each answer with the
-    /// control service after the poll.
+    /// How far an agent may lag behind. It may answer with an epoch for at most this long after a later epoch was first
+    /// sent to any sender; after that it must not answer until it has caught up. 0 where an agent confirms each answer
+    /// with the control service after the poll.
     pub agent_lag: Micros,
     /// The longest deadline of any class, plus how long a call may still run after it (`order_settle`).
     pub longest_deadline: Micros,
 }
 
 impl LeaseTimes {
-    /// Returns how long a former owner may still accept requests after any sender first received the later epoch: its agent
-    /// may renew its lease under the earlier epoch for up to `agent_lag`.
+    /// Returns how long a former owner may still accept requests after any sender first received the later epoch: its
+    /// agent may renew its lease under the earlier epoch for up to `agent_lag`.
     pub fn stale_accept_window(&self) -> Micros {
         self.agent_lag + self.lease
     }
 
-    /// Returns how long a new owner waits, counted from when it received the epoch that made it one: until no former owner can
-    /// still accept or deliver requests.
+    /// Returns how long a new owner waits, counted from when it received the epoch that made it one: until no former
+    /// owner can still accept or deliver requests.
     pub fn hold(&self) -> Micros {
         let span = self.stale_accept_window() + self.longest_deadline;
         span + span / CLOCK_DRIFT_DIVISOR
@@ -54,7 +55,8 @@
         Lease { length, expires_at: None }
     }
 
-    /// Renews the lease by the answer to the poll sent at `polled_at`. An answer to an earlier poll never shortens the lease.
+    /// Renews the lease by the answer to the poll sent at `polled_at`. An answer to an earlier poll never shortens the
+    /// lease.
     pub fn renew(&mut self, polled_at: Micros) {
         let expires_at = polled_at + self.length;
         self.expires_at = Some(self.expires_at.map_or(expires_at, |earlier| earlier.max(expires_at)));
--- a/crates/placement/src/list.rs
+++ b/crates/placement/src/list.rs
@@ -1,4 +1,5 @@
-//! The member list of one epoch. A list is validated when it is constructed, so that its users need no checks of their own.
+//! The member list of one epoch. A list is validated when it is constructed, so that its users need no checks of their
+//! own.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -172,8 +173,8 @@
         &self.regions
     }
 
-    /// Returns a digest of all that placement depends on, except the epoch. A list that was received in full and one that
-    /// was reached by changes have the same digest if their contents are the same.
+    /// Returns a digest of all that placement depends on, except the epoch. A list that was received in full and one
+    /// that was reached by changes have the same digest if their contents are the same.
     pub fn digest(&self) -> u64 {
         let mut digest = Digest::new(u64::from(SCHEME)).number(self.replicas as u64);
         for region in &self.regions {
@@ -463,8 +464,8 @@
     if count > max { Err(ListError::TooMany { what, count, max }) } else { Ok(()) }
 }
 
-fn check_name(name: &str, place: impl FnOnce() -> String) -> Result<(), ListError> {
-    if name.trim().is_empty() { Err(ListError::EmptyName { place: place() }) } else { Ok(()) }
+fn check_name(name: &str, field: impl FnOnce() -> String) -> Result<(), ListError> {
+    if name.trim().is_empty() { Err(ListError::EmptyName { field: field() }) } else { Ok(()) }
 }
 
 fn checked_replicas(replicas: u64) -> Result<usize, ListError> {
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -58,8 +58,8 @@
     pub lease: Micros,
     /// The interval between polls of a control agent, in microseconds.
     pub poll_interval: Micros,
-    /// How long an agent may still answer with an epoch after a later one was first sent to any sender, in microseconds; see
-    /// [`crate::LeaseTimes::agent_lag`].
+    /// How long an agent may still answer with an epoch after a later one was first sent to any sender, in
+    /// microseconds; see [`crate::LeaseTimes::agent_lag`].
     pub agent_lag: Micros,
     /// Maximum number of persistent connections to other members.
     pub max_owner_connections: usize,
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -1,4 +1,5 @@
-//! One sender's view of the placement: the epoch in force, where a request goes, and which requests this sender may accept.
+//! One sender's view of the placement: the epoch in force, where a request goes, and which requests this sender may
+//! accept.
 //!
 //! # What a sender may do
 //!
@@ -8,30 +9,33 @@
 //! | lease valid | what it owns by its own epoch and is not on hold | yes | by its own table |
 //! | lease expired | nothing | yes | by its last table |
 //!
-//! Another sender's epoch does not matter: the owner decides by its own epoch, and answers busy for what it does not own.
+//! Another sender's epoch does not matter: the owner decides by its own epoch, and answers busy for what it does not
+//! own.
 //!
 //! # Why holds are long enough
 //!
-//! Let epoch `g` first be sent to any sender at time `t`. An agent answers with an earlier epoch until `t + agent_lag` at most,
-//! so a lease under an earlier epoch ends by `t + agent_lag + lease`, and messages accepted under it end within
-//! `longest_deadline` of that. A sender that `g` makes an owner receives `g` at `t` or later and waits for the sum of the
-//! three. Therefore, at no instant do members of two epochs' owner sets act for one shard, except those that are in both. This
-//! requires that a sender which keeps a shard without a hold owned it *in each epoch* between the two that it compares:
+//! Let epoch `g` first be sent to any sender at time `t`. An agent answers with an earlier epoch until `t + agent_lag`
+//! at most, so a lease under an earlier epoch ends by `t + agent_lag + lease`, and messages accepted under it end
+//! within `longest_deadline` of that. A sender that `g` makes an owner receives `g` at `t` or later and waits for the
+//! sum of the three. Therefore, at no instant do members of two epochs' owner sets act for one shard, except those that
+//! are in both. This requires that a sender which keeps a shard without a hold owned it *in each epoch* between the two
+//! that it compares:
 //!
 //! - From one epoch to the next, it compares the two.
-//! - Changes over several epochs are replayed one change at a time (they list each change that was made, in order). What this
-//!   sender did not own after any of them is new to it.
+//! - Changes over several epochs are replayed one change at a time (they list each change that was made, in order).
+//!   What this sender did not own after any of them is new to it.
 //! - A full list over several epochs, or more changes than [`MAX_REPLAYED_CHANGES`], gives no information on the epochs
 //!   between: everything is new.
 //!
 //! # Order
 //!
-//! All messages of an order key go to one owner, the preferred one of its shard ([`crate::Request`]). There is no fallback: if
-//! that owner rejects the message or can't be reached, the client is answered busy. Another owner accepts messages of the key
-//! only after an epoch makes it the preferred one and the hold has ended; by then each message of the key that the former owner
-//! accepted has ended. The owner checks the preference itself, by its own epoch, and rejects messages that prefer another
-//! owner, so that a forwarder on an older epoch can't spread a key over two owners. The price: while its preferred owner is
-//! down, a key waits until an epoch without that owner has been received and the hold has ended.
+//! All messages of an order key go to one owner, the preferred one of its shard ([`crate::Request`]). There is no
+//! fallback: if that owner rejects the message or can't be reached, the client is answered busy. Another owner accepts
+//! messages of the key only after an epoch makes it the preferred one and the hold has ended; by then each message of
+//! the key that the former owner accepted has ended. The owner checks the preference itself, by its own epoch, and
+//! rejects messages that prefer another owner, so that a forwarder on an older epoch can't spread a key over two
+//! owners. The price: while its preferred owner is down, a key waits until an epoch without that owner has been
+//! received and the hold has ended.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -128,8 +132,8 @@
 }
 
 impl Ownership {
-    /// Creates the view of a sender that has received no list yet. `lease` and `longest_deadline` are as in [`LeaseTimes`];
-    /// the agent lag is 0 unless set by [`Self::with_agent_lag`].
+    /// Creates the view of a sender that has received no list yet. `lease` and `longest_deadline` are as in
+    /// [`LeaseTimes`]; the agent lag is 0 unless set by [`Self::with_agent_lag`].
     pub fn new(own_name: impl Into<String>, lease: Micros, longest_deadline: Micros) -> Self {
         Ownership {
             name: own_name.into(),
@@ -165,12 +169,12 @@
         self
     }
 
-    /// Applies the agent's answer, received at `now`, to the poll sent at `polled_at`. Any answer that confirms the epoch in
-    /// force or leads to a later one renews the lease.
+    /// Applies the agent's answer, received at `now`, to the poll sent at `polled_at`. Any answer that confirms the
+    /// epoch in force or leads to a later one renews the lease.
     ///
     /// # Errors
-    /// Fails for an older epoch, another list under the epoch in force, and changes that do not apply. The list in force
-    /// stays, and the lease is not renewed.
+    /// Fails for an older epoch, another list under the epoch in force, and changes that do not apply. The list in
+    /// force stays, and the lease is not renewed.
     pub fn apply_answer(
         &mut self,
         polled_at: Micros,
@@ -237,8 +241,8 @@
         self.holds.last_end(now).max(self.recent_sharing.last_end(now))
     }
 
-    /// Returns the state to persist. The caller writes it whenever it has changed; if replicas or widths have changed, before
-    /// it acts under the new list.
+    /// Returns the state to persist. The caller writes it whenever it has changed; if replicas or widths have changed,
+    /// before it acts under the new list.
     pub fn persisted_state(&self, now: Micros) -> Option<PersistedPlacement> {
         let list = self.list()?;
         Some(PersistedPlacement {
@@ -250,8 +254,8 @@
         })
     }
 
-    /// Returns where a client's request goes. A request from another sender is never routed: [`Self::admission`] accepts or
-    /// rejects it.
+    /// Returns where a client's request goes. A request from another sender is never routed: [`Self::admission`]
+    /// accepts or rejects it.
     pub fn route(&self, now: Micros, request: &Request<'_>) -> Route {
         let Some(view) = &self.view else { return Route::Unknown };
         let spread_hash = request.spread_hash();
@@ -304,16 +308,17 @@
         hold_ends.min().map_or(Admission::NotOwner, |hold_end| self.admission_under_lease(now, hold_end))
     }
 
-    /// Returns whether this sender needs the endpoints of a destination: it owns a part of the destination, or did and may
-    /// still be delivering to it. The caller must retain the destinations of restored messages itself.
+    /// Returns whether this sender needs the endpoints of a destination: it owns a part of the destination, or did and
+    /// may still be delivering to it. The caller must retain the destinations of restored messages itself.
     pub fn needs_destination(&self, dest: i64) -> bool {
         let Some(view) = &self.view else { return false };
         let needs = |shard: ShardId| view.seated().owns(shard) || self.holds.recently_lost(shard);
         view.parts(dest).any(|part| needs(sub_shard(dest, part)))
     }
 
-    /// Returns the number of owners that share a destination's limit equally. While senders may still act upon an epoch with
-    /// more owners, it is that epoch's number; before the first list, it is the number that the last run persisted.
+    /// Returns the number of owners that share a destination's limit equally. While senders may still act upon an epoch
+    /// with more owners, it is that epoch's number; before the first list, it is the number that the last run
+    /// persisted.
     pub fn limit_sharers(&self, now: Micros, dest: i64) -> usize {
         match (self.list(), &self.persisted) {
             (Some(list), _) => self.recent_sharing.max_sharers(list, dest, now),
@@ -367,8 +372,8 @@
         Ok(self.activate(after))
     }
 
-    /// Sets the holds for this process's first list. Everything is on hold, unless all holds of the last run had ended under
-    /// the same list, or the list is the first of a new fleet.
+    /// Sets the holds for this process's first list. Everything is on hold, unless all holds of the last run had ended
+    /// under the same list, or the list is the first of a new fleet.
     fn hold_for_first_list(&mut self, now: Micros, list: &MemberList) -> Result<(), ListError> {
         let until = self.hold_end(now);
         if let Some(last) = &self.persisted {
@@ -410,8 +415,8 @@
         Ok(self.activate(after))
     }
 
-    /// Accounts for changes over several epochs one by one. Returns false if they are too many, or if one can't be applied
-    /// alone.
+    /// Accounts for changes over several epochs one by one. Returns false if they are too many, or if one can't be
+    /// applied alone.
     fn replay(
         &mut self,
         placements: &mut impl PlacementSource,
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -29,8 +29,8 @@
         Placement { list, table, visible_shards: None }
     }
 
-    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in those that changes lead to. It is for models
-    /// of many senders that look at a few shards only.
+    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in those that changes lead to. It is
+    /// for models of many senders that look at a few shards only.
     #[must_use]
     pub fn restricted_to(mut self, shards: Arc<[ShardId]>) -> Self {
         self.visible_shards = Some(shards);
--- a/crates/placement/src/preference.rs
+++ b/crates/placement/src/preference.rs
@@ -1,11 +1,12 @@
-//! Selects which of a shard's owners a request prefers, by rendezvous hashing (Thaler and Ravishankar, 1998) over the owners.
+//! Selects which of a shard's owners a request prefers, by rendezvous hashing (Thaler and Ravishankar, 1998) over the
+//! owners.
 //!
-//! All senders must agree on the preference, whatever their versions: it is part of the scheme ([`crate::SCHEME`]) and pinned
-//! by a test.
+//! All senders must agree on the preference, whatever their versions: it is part of the scheme ([`crate::SCHEME`]) and
+//! pinned by a test.
 //!
-//! An ordered request is hashed by its order key, any other by its id. The preference depends on the set of owners alone, not
-//! on their order in the table, and each request has its own order of fallbacks. So the requests of a lost owner are spread
-//! over all others, and a key whose preferred owner stays changes it only in favour of a new owner.
+//! An ordered request is hashed by its order key, any other by its id. The preference depends on the set of owners
+//! alone, not on their order in the table, and each request has its own order of fallbacks. So the requests of a lost
+//! owner are spread over all others, and a key whose preferred owner stays changes it only in favour of a new owner.
 
 use crate::hash::{Digest, mix_pair, scale};
 use crate::list::SeatId;
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -10,8 +10,8 @@
 /// Marks a missing owner where a region has fewer filled seats than replicas.
 const NO_SEAT: SeatId = SeatId(u16::MAX);
 
-/// Up to this number of filled seats, the next seat of a shard's fallback order is found by comparing the ranks of all of them;
-/// above it, by iterating over the ranks. Either way takes at most this number of steps on average.
+/// Up to this number of filled seats, the next seat of a shard's fallback order is found by comparing the ranks of all
+/// of them; above it, by iterating over the ranks. Either way takes at most this number of steps on average.
 const MAX_SEATS_TO_COMPARE_RANKS: usize = 256;
 
 /// The shards of a region and their owners.
@@ -69,7 +69,8 @@
         self.base.seats().len()
     }
 
-    /// Appends a vacant seat to the base rows. [`Self::resolve_all`] or [`Self::update`] must follow to update the owners.
+    /// Appends a vacant seat to the base rows. [`Self::resolve_all`] or [`Self::update`] must follow to update the
+    /// owners.
     pub(crate) fn append(&mut self, seat: BaseSeat) {
         self.base.append(seat);
         self.filled.push(false);
@@ -189,8 +190,8 @@
         seat != EMPTY && self.filled[usize::from(seat)]
     }
 
-    /// Selects a filled spare for each missing owner: the one that shares the fewest domains with the row's other base owners.
-    /// These count whether filled or not, so that vacating or filling a seat does not change which spare is
+    /// Selects a filled spare for each missing owner: the one that shares the fewest domains with the row's other base
+    /// owners. These count whether filled or not, so that vacating or filling a seat does not change which spare is
     /// preferred for another.
     fn add_spares(&self, row: u32, owner_count: usize, selection: &mut OwnerSelection) {
         let (owners, spares) = self.base.row(row);
--- a/crates/placement/src/shard.rs
+++ b/crates/placement/src/shard.rs
@@ -6,8 +6,8 @@
 /// Binary logarithm of [`SHARDS`].
 pub const SHARD_BITS: u32 = 18;
 
-/// Number of shards. With 15,000 members and two replicas a member owns 35 of them, enough for evenness within 3%, and a
-/// table of all shards takes a few megabytes.
+/// Number of shards. With 15,000 members and two replicas a member owns 35 of them, enough for evenness within 3%, and
+/// a table of all shards takes a few megabytes.
 pub const SHARDS: u32 = 1 << SHARD_BITS;
 
 /// Number of a shard, below [`SHARDS`]. A shard is a set of destinations that always have the same owners.
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -26,8 +26,8 @@
 }
 
 impl Table {
-    /// Builds the table of a list. It depends on nothing but the list, and is the same on each machine and in each version that
-    /// supports the scheme.
+    /// Builds the table of a list. It depends on nothing but the list, and is the same on each machine and in each
+    /// version that supports the scheme.
     pub fn build(list: &MemberList) -> Self {
         let mut regions = empty_regions(list);
         // Region by region, as the rows of one region fit into a processor's cache.
@@ -40,8 +40,8 @@
         Self { seats: seat_locations(list, regions.len()), regions }
     }
 
-    /// Applies `changes`, which lead from this table's list to `next`. Afterwards the table is the same as one built from
-    /// `next`.
+    /// Applies `changes`, which lead from this table's list to `next`. Afterwards the table is the same as one built
+    /// from `next`.
     pub fn apply(&mut self, next: &MemberList, changes: &Changes) {
         let mut pending = vec![Pending::default(); self.regions.len()];
         for change in &changes.changes {
--- a/crates/placement/src/target.rs
+++ b/crates/placement/src/target.rs
@@ -26,8 +26,8 @@
     }
 
     /// Returns what part of all positions each weight is entitled to, where the `replicas` positions of a shard go to
-    /// different seats. As a seat can't hold more than one position per shard, a weight counts only up to `1 / replicas` of
-    /// the sum.
+    /// different seats. As a seat can't hold more than one position per shard, a weight counts only up to `1 /
+    /// replicas` of the sum.
     pub(crate) fn shares(&self, replicas: usize) -> Shares {
         let mut rest = self.total;
         for capped in 0..replicas {
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -1,5 +1,5 @@
-//! The JSON forms in which a control agent sends member lists and changes. They are parsed and written here, and validated
-//! by [`MemberList`].
+//! The JSON forms in which a control agent sends member lists and changes. They are parsed and written here, and
+//! validated by [`MemberList`].
 
 use serde::{Deserialize, Deserializer, Serialize};
 
@@ -262,8 +262,8 @@
     }
 }
 
-/// Serializes a form. This can't fail, as the forms hold nothing that JSON can't express (a weight that is not finite becomes
-/// `null`).
+/// Serializes a form. This can't fail, as the forms hold nothing that JSON can't express (a weight that is not finite
+/// becomes `null`).
 fn to_json<T: Serialize>(form: &T) -> Vec<u8> {
     serde_json::to_vec(form).unwrap_or_default()
 }
--- a/crates/placement/tests/forwarding.rs
+++ b/crates/placement/tests/forwarding.rs
@@ -123,8 +123,8 @@
 }
 
 proptest! {
-    /// Whatever the owners do: no owner is tried twice, none after a possible acceptance that must not be repeated, the reply
-    /// comes within the budget, and it is "accepted" only if an owner answered so.
+    /// Whatever the owners do: no owner is tried twice, none after a possible acceptance that must not be repeated, the
+    /// reply comes within the budget, and it is "accepted" only if an owner answered so.
     #[test]
     fn every_sequence_of_outcomes_ends_in_time_without_a_harmful_repeat(
         effect in prop::sample::select(&EFFECTS[..]),
--- a/crates/placement/tests/full_size.rs
+++ b/crates/placement/tests/full_size.rs
@@ -1,5 +1,5 @@
-//! The bounds of docs/design/placement.md at 15,000 seats and 4.1 million destinations. Run with `--nocapture` for the
-//! figures. Times are in `examples/bounds.rs`, as they need a release build and a quiet machine.
+//! Checks the bounds of docs/design/placement.md at 15,000 seats and 4.1 million destinations. `--nocapture` prints the
+//! values. Times are measured by `examples/bounds.rs`, as they need a release build and an idle machine.
 
 mod support;
 
@@ -9,15 +9,15 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::{
-    Evenness, FULL_DESTINATIONS, FULL_SEATS, FULL_ZONES, Moves, RACK, applied, destination_loads, fleet,
-    full_size, list, refill, seat_form, seats_where, shard_loads, shards, vacate,
+    Evenness, FULL_DESTINATIONS, FULL_SEATS, FULL_ZONES, Moves, SEATS_PER_RACK, applied, destination_loads,
+    fleet, full_size, list, refill, seat_form, seats_where, shard_loads, shards, vacate,
 };
 
-const BUSIEST: f64 = 1.15;
-const BUSIEST_AFTER_ZONE_LOSS: f64 = 1.35;
-const MOVES: f64 = 1.3;
-const TABLE_BYTES: usize = 8_000_000;
-const BYTES_A_SECOND: usize = 5_000;
+const MAX_LOAD_TO_MEAN: f64 = 1.15;
+const MAX_LOAD_TO_MEAN_AFTER_ZONE_LOSS: f64 = 1.35;
+const MAX_MOVES_PER_SHARE: f64 = 1.3;
+const MAX_TABLE_BYTES: usize = 8_000_000;
+const MAX_BYTES_PER_SECOND: usize = 5_000;
 
 struct Fleet {
     list: MemberList,
@@ -30,7 +30,7 @@
 });
 
 impl Fleet {
-    /// The fleet after changes, and what they moved.
+    /// Returns the fleet after changes, and what they moved.
     fn changed(&self, entries: Vec<Change>) -> (Self, Moves) {
         let (next, changes) = applied(&self.list, entries);
         let mut table = self.table.clone();
@@ -43,6 +43,7 @@
         Evenness::of_members(&shard_loads(&self.table, &self.list), &self.list, region)
     }
 
+    /// Returns the mean number of shards of a member.
     fn share(&self) -> f64 {
         self.evenness(None).mean
     }
@@ -53,6 +54,7 @@
         })
     }
 
+    /// Checks that each shard has all its replicas, on filled seats.
     fn assert_owned(&self) {
         let replicas = self.list.replicas();
         for shard in shards() {
@@ -60,34 +62,34 @@
             assert_eq!(owners.len(), replicas, "{shard:?}");
             assert!(
                 owners.iter().all(|&owner| self.list.member(owner).is_some()),
-                "{shard:?} has a vacant owner"
+                "{shard:?} has an owner on a vacant seat"
             );
         }
     }
 }
 
 #[test]
-fn the_busiest_owner_is_within_its_bound() {
+fn the_load_of_the_busiest_owner_is_within_its_bound() {
     let fleet = &*FULL;
     fleet.assert_owned();
     let by_shards = fleet.evenness(None);
-    println!("shards a member: {by_shards}");
-    assert!(by_shards.busiest() <= BUSIEST, "{by_shards}");
+    println!("shards per member: {by_shards}");
+    assert!(by_shards.busiest() <= MAX_LOAD_TO_MEAN, "{by_shards}");
 
     let by = |destinations: &mut dyn Iterator<Item = i64>| {
         let loads = destination_loads(&fleet.table, &fleet.list, destinations);
         Evenness::of_members(&loads, &fleet.list, None)
     };
     let dense = by(&mut (0..FULL_DESTINATIONS));
-    println!("destinations a member, numbered densely: {dense}");
-    assert!(dense.busiest() <= BUSIEST, "{dense}");
+    println!("destinations per member, numbered densely: {dense}");
+    assert!(dense.busiest() <= MAX_LOAD_TO_MEAN, "{dense}");
     println!(
-        "destinations a member, each thousandth number: {}",
+        "destinations per member, every thousandth number: {}",
         by(&mut (0..FULL_DESTINATIONS).map(|n| n * 1000))
     );
     let mut random = ChaCha8Rng::seed_from_u64(1);
     println!(
-        "destinations a member, random numbers: {}",
+        "destinations per member, random numbers: {}",
         by(&mut (0..FULL_DESTINATIONS).map(|_| random.random()))
     );
 }
@@ -106,19 +108,19 @@
 fn one_member_lost_moves_its_share_and_nothing_between_others() {
     let fleet = &*FULL;
     let share = fleet.share();
-    let mut most = 0;
+    let mut max_moves = 0;
     for seat in [0, 1, 4_999, 7_500, 14_999].map(SeatId) {
         let (lost, moves) = fleet.changed(vacate(&[seat]));
         assert!(moves.lost.keys().all(|&loser| loser == seat), "{moves:?}");
-        assert!(f64::from(moves.count()) <= MOVES * share, "{}", moves.count());
-        most = most.max(moves.count());
+        assert!(f64::from(moves.count()) <= MAX_MOVES_PER_SHARE * share, "{}", moves.count());
+        max_moves = max_moves.max(moves.count());
         let (_, back) = lost.changed(refill(&fleet.list, &[seat]));
-        assert!(back.gained.keys().all(|&winner| winner == seat), "{back:?}");
+        assert!(back.gained.keys().all(|&gainer| gainer == seat), "{back:?}");
         assert_eq!(back.count(), moves.count());
     }
     println!(
-        "one member lost moves at most {most} shards, {:.3} of its share {share:.2}",
-        f64::from(most) / share
+        "one member lost moves at most {max_moves} shards, {:.3} of its share {share:.2}",
+        f64::from(max_moves) / share
     );
 }
 
@@ -134,8 +136,8 @@
             moves.count(),
             f64::from(moves.count()) / share
         );
-        assert!(moves.gained.keys().all(|&winner| winner == added), "{moves:?}");
-        assert!(f64::from(moves.count()) <= MOVES * share, "{}", moves.count());
+        assert!(moves.gained.keys().all(|&gainer| gainer == added), "{moves:?}");
+        assert!(f64::from(moves.count()) <= MAX_MOVES_PER_SHARE * share, "{}", moves.count());
     }
 }
 
@@ -144,28 +146,28 @@
     let fleet = &*FULL;
     let zone = fleet.zone("r1", "z1");
     let rack: Vec<SeatId> = zone.into_iter().filter(|&seat| fleet.list.rack_name(seat) == "k3").collect();
-    assert_eq!(rack.len(), RACK);
+    assert_eq!(rack.len(), SEATS_PER_RACK);
     let (lost, moves) = fleet.changed(vacate(&rack));
     lost.assert_owned();
     let evenness = lost.evenness(None);
     println!(
-        "a rack of {RACK} lost moves {} shards, {:.3} of its share; then {evenness}",
+        "a rack of {SEATS_PER_RACK} lost moves {} shards, {:.3} of its share; then {evenness}",
         moves.count(),
-        f64::from(moves.count()) / fleet.share() / RACK as f64
+        f64::from(moves.count()) / fleet.share() / SEATS_PER_RACK as f64
     );
     assert!(moves.lost.keys().all(|loser| rack.contains(loser)));
-    assert!(f64::from(moves.count()) <= MOVES * fleet.share() * RACK as f64);
+    assert!(f64::from(moves.count()) <= MAX_MOVES_PER_SHARE * fleet.share() * SEATS_PER_RACK as f64);
     let (back, _) = lost.changed(refill(&fleet.list, &rack));
     assert_eq!(back.table.digest(), fleet.table.digest());
 }
 
 #[test]
-fn a_zone_lost_leaves_each_shard_its_owners_and_nobody_overloaded() {
+fn a_zone_lost_leaves_each_shard_its_replicas_and_no_member_overloaded() {
     let fleet = &*FULL;
     for (region, zone) in [("r0", "z0"), ("r1", "z2"), ("r3", "z0"), ("r3", "z1")] {
         let seats = fleet.zone(region, zone);
         let entries = vacate(&seats);
-        let told = support::changes(&fleet.list, entries.clone()).to_json().len();
+        let bytes = support::changes(&fleet.list, entries.clone()).to_json().len();
         let (lost, moves) = fleet.changed(entries);
         lost.assert_owned();
         assert!(moves.lost.keys().all(|loser| seats.contains(loser)));
@@ -173,25 +175,29 @@
         let of_region = lost.evenness(Some(region));
         let of_all = lost.evenness(None);
         println!(
-            "zone {zone} of {region} lost ({} members, told in {told} bytes) moves {} shards; in the region {of_region}; of all members {:.3} of the mean",
+            "zone {zone} of {region} lost ({} members, {bytes} bytes of changes) moves {} shards; in the region {of_region}; over all members max/mean {:.3}",
             seats.len(),
             moves.count(),
             of_all.busiest()
         );
-        assert!(of_region.busiest() <= BUSIEST_AFTER_ZONE_LOSS, "{of_region}");
+        assert!(of_region.busiest() <= MAX_LOAD_TO_MEAN_AFTER_ZONE_LOSS, "{of_region}");
 
         let entries = refill(&fleet.list, &seats);
-        let told = support::changes(&lost.list, entries.clone()).to_json().len();
+        let bytes = support::changes(&lost.list, entries.clone()).to_json().len();
         let (back, moves) = lost.changed(entries);
-        println!("its return, told in {told} bytes, moves {} shards; {}", moves.count(), back.evenness(None));
-        assert!(moves.gained.keys().all(|winner| seats.contains(winner)));
+        println!(
+            "its return, {bytes} bytes of changes, moves {} shards; {}",
+            moves.count(),
+            back.evenness(None)
+        );
+        assert!(moves.gained.keys().all(|gainer| seats.contains(gainer)));
         assert_eq!(back.table.digest(), fleet.table.digest());
     }
 }
 
 #[test]
-fn weights_are_honoured_at_full_size() {
-    let mut form = fleet(&FULL_ZONES, FULL_SEATS, RACK);
+fn shards_are_distributed_by_weight_at_full_size() {
+    let mut form = fleet(&FULL_ZONES, FULL_SEATS, SEATS_PER_RACK);
     for (index, seat) in form.seats.iter_mut().enumerate() {
         seat.weight = [0.5, 1.0, 2.0][index / 11 % 3];
     }
@@ -201,28 +207,28 @@
     for weight in [0.5, 1.0, 2.0] {
         let seats = seats_where(&list, |seat| list.weight(seat).as_f64() == weight);
         let evenness = Evenness::of(seats.iter().map(|seat| f64::from(loads[seat.index()])));
-        println!("shards of members of weight {weight}: {evenness}");
-        assert!(evenness.busiest() <= BUSIEST, "{evenness}");
+        println!("shards per member of weight {weight}: {evenness}");
+        assert!(evenness.busiest() <= MAX_LOAD_TO_MEAN, "{evenness}");
     }
 }
 
 #[test]
-fn bytes_are_within_their_bounds() {
+fn table_and_message_sizes_are_within_their_bounds() {
     let list = &FULL.list;
     let lost = support::changes(list, vacate(&[SeatId(14_999)])).to_json().len();
     let (vacant, _) = applied(list, vacate(&[SeatId(14_999)]));
     let filled = support::changes(&vacant, refill(list, &[SeatId(14_999)])).to_json().len();
     let appended =
         support::changes(list, vec![Change::Append(seat_form(3, 1, 99, Some(15_000)))]).to_json().len();
-    let whole = list.to_json().len();
+    let full = list.to_json().len();
     println!(
-        "told in bytes: one lost {lost}, one filled {filled}, one appended {appended}, the whole list {whole}"
+        "bytes sent: one lost {lost}, one filled {filled}, one appended {appended}, the full list {full}"
     );
     println!("table in memory: {} bytes", FULL.table.memory_bytes());
-    assert!(FULL.table.memory_bytes() < TABLE_BYTES);
-    // A zone's loss within the 18 s in which a change is to be in force everywhere.
+    assert!(FULL.table.memory_bytes() < MAX_TABLE_BYTES);
+    // A change must be in force everywhere within 18 s, the loss of a zone too.
     const SECONDS: usize = 18;
     let zone = support::changes(list, vacate(&FULL.zone("r0", "z0"))).to_json().len();
-    println!("a zone lost, told over {SECONDS} s: {} bytes a second", zone / SECONDS);
-    assert!(zone / SECONDS < BYTES_A_SECOND);
+    println!("a zone lost, sent over {SECONDS} s: {} bytes per second", zone / SECONDS);
+    assert!(zone / SECONDS < MAX_BYTES_PER_SECOND);
 }
--- a/crates/placement/tests/histories.rs
+++ b/crates/placement/tests/histories.rs
@@ -1,5 +1,6 @@
-//! Simulates thousands of histories of a fleet. Whatever happens to its members, its network and its control agents, no message
-//! is lost, none has its effect twice, keys keep their order, and shares never add up to more than a destination's limit.
+//! Simulates thousands of histories of a fleet. Whatever happens to its members, its network and its control agents, no
+//! message is lost, none has its effect twice, keys keep their order, and shares never add up to more than a
+//! destination's limit.
 
 mod history;
 #[path = "support/tables.rs"]
--- a/crates/placement/tests/history/ledger.rs
+++ b/crates/placement/tests/history/ledger.rs
@@ -88,7 +88,8 @@
         self.messages.len() - 1
     }
 
-    /// Records that a member accepts a message. `lease_until` is computed from the answers of its control agent that reached it.
+    /// Records that a member accepts a message. `lease_until` is computed from the answers of its control agent that
+    /// reached it.
     pub fn accepted(
         &mut self,
         now: Micros,
@@ -135,7 +136,8 @@
         }
     }
 
-    /// Records the start of a call. `shares` are the shares of all members that may now begin a call to this destination.
+    /// Records the start of a call. `shares` are the shares of all members that may now begin a call to this
+    /// destination.
     pub fn begin_call(&mut self, now: Micros, job: usize, until: Micros, takes_effect: bool, shares: &[f64]) {
         self.counts.calls += 1;
         let sum: f64 = shares.iter().sum();
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -1,5 +1,5 @@
-//! The simulated fleet: members that run the real placement code, their clients, and the messages between them, in simulated
-//! time.
+//! The simulated fleet: members that run the real placement code, their clients, and the messages between them, in
+//! simulated time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -38,8 +38,8 @@
     Poll {
         member: usize,
     },
-    /// An answer of an agent reaches a member. A `regular` one is what the agent answers; the others are lists that the member
-    /// must reject.
+    /// An answer of an agent reaches a member. A `regular` one is what the agent answers; the others are lists that the
+    /// member must reject.
     AnswerReceived {
         member: usize,
         incarnation: u32,
@@ -121,8 +121,8 @@
     clock_error_ppm: Micros,
     ownership: Ownership,
     persisted: Option<PersistedPlacement>,
-    /// The highest epoch that it received, and the end of its lease by its own clock; tracked for the ledger, independently of
-    /// the code under test.
+    /// The highest epoch that it received, and the end of its lease by its own clock; tracked for the ledger,
+    /// independently of the code under test.
     received_epoch: u64,
     lease_until: Option<Micros>,
     /// Jobs that have not ended, in the order of their acceptance, and whether a call for each is in flight.
@@ -277,8 +277,8 @@
         }
     }
 
-    /// Returns an event that can happen now. An event at a stopped member is postponed until the member continues; one for a dead
-    /// process is dropped.
+    /// Returns an event that can happen now. An event at a stopped member is postponed until the member continues; one
+    /// for a dead process is dropped.
     fn deliverable(&mut self, event: Event) -> Option<Event> {
         let (member, incarnation) = match &event {
             Event::AnswerReceived { member, incarnation, .. }
@@ -696,8 +696,8 @@
             .any(|message| message.dest == dest && message.key == Some(key))
     }
 
-    /// Returns the shares of all members that may now begin a call to a destination, as they accept requests for it or have
-    /// accepted some.
+    /// Returns the shares of all members that may now begin a call to a destination, as they accept requests for it or
+    /// have accepted some.
     fn shares(&self, dest: i64) -> Vec<f64> {
         let running = self.members.iter().filter(|member| member.state == State::Running);
         let may_call = running.filter(|member| {
--- a/crates/placement/tests/ownership.rs
+++ b/crates/placement/tests/ownership.rs
@@ -181,7 +181,7 @@
     let digest = ownership.list().unwrap().digest();
     let other = list(ListForm { epoch: 2, ..fleet(&[3], 7, 1) });
     let stale = ListError::StaleEpoch { current: 2, offered: 1 };
-    let refused = [
+    let rejected = [
         (full(&members), stale.clone()),
         (AgentAnswer::Unchanged { epoch: 1 }, stale.clone()),
         (AgentAnswer::Changes(changes(0, 1, vec![vacate(4)])), stale),
@@ -193,7 +193,7 @@
         ),
         (AgentAnswer::Changes(changes(2, 3, vec![vacate(5)])), ListError::SeatVacant { seat: 5 }),
     ];
-    for (answer, error) in refused {
+    for (answer, error) in rejected {
         assert_eq!(receive(&mut ownership, 9 * SECOND, 9 * SECOND, answer), Err(error));
         assert_eq!(ownership.epoch(), Some(2));
         assert_eq!(ownership.list().unwrap().digest(), digest);
@@ -263,8 +263,8 @@
     form
 }
 
-/// A shard that this sender owns in place of a vacant seat is lost while the seat is filled, and its own again afterwards. It
-/// must be on hold, as the other owner may still be delivering.
+/// A shard that this sender owns in place of a vacant seat is lost while the seat is filled, and its own again
+/// afterwards. It must be on hold, as the other owner may still be delivering.
 #[test]
 fn a_shard_that_another_owned_between_two_epochs_is_on_hold() {
     let vacant = list(ListForm { first: true, ..with_vacant(5) });
@@ -508,8 +508,8 @@
 #[test]
 fn a_restarted_sender_rejects_an_epoch_before_its_last() {
     let mut restarted = new_sender(OWN).with_persisted(Some(persisted(2, 0)));
-    let refused = receive(&mut restarted, 0, 0, full(&first_list()));
-    assert_eq!(refused, Err(ListError::StaleEpoch { current: 2, offered: 1 }));
+    let rejected = receive(&mut restarted, 0, 0, full(&first_list()));
+    assert_eq!(rejected, Err(ListError::StaleEpoch { current: 2, offered: 1 }));
     assert!(!restarted.lease_valid(0));
 }
 
--- a/crates/placement/tests/properties.rs
+++ b/crates/placement/tests/properties.rs
@@ -1,5 +1,5 @@
-//! What a table promises, over many small fleets: different numbers of regions, zones, racks and replicas, weights,
-//! orders of seats and vacant seats.
+//! Properties of tables over many small fleets with different numbers of regions, zones, racks and replicas, and with
+//! different weights, orders of seats and vacant seats.
 
 mod support;
 
@@ -14,7 +14,7 @@
 
 const SEEDS: u64 = 4;
 
-/// A small fleet with its table.
+/// A small fleet and its table.
 struct Fleet {
     list: MemberList,
     table: Table,
@@ -26,7 +26,7 @@
         Self { table: Table::build(&list), list }
     }
 
-    /// Some fleet: zones, racks and weights uneven, some seats vacant.
+    /// Returns a random fleet with uneven zones, racks and weights, and some vacant seats.
     fn random(random: &mut ChaCha8Rng) -> Self {
         let zones: Vec<usize> = (0..random.random_range(1..=2)).map(|_| random.random_range(1..=4)).collect();
         let seats = random.random_range(8 * zones.len()..=20 * zones.len());
@@ -46,7 +46,7 @@
         Self::new(form)
     }
 
-    /// Makes changes and returns what they moved, after comparing the table with one built anew.
+    /// Applies changes and returns what they moved. Checks that the table is the same as one built from the new list.
     #[track_caller]
     fn change(&mut self, entries: Vec<Change>) -> Moves {
         let (next, changes) = applied(&self.list, entries);
@@ -59,7 +59,10 @@
         self.table.apply(&next, changes);
         self.list = next;
         let fresh = Table::build(&self.list);
-        assert!(shards().all(|shard| self.table.owners(shard) == fresh.owners(shard)), "not as built anew");
+        assert!(
+            shards().all(|shard| self.table.owners(shard) == fresh.owners(shard)),
+            "the updated table differs from one built from the list"
+        );
         assert_eq!(self.table.digest(), fresh.digest());
         Moves::between(&before, &self.table)
     }
@@ -68,7 +71,7 @@
         support::seats_where(&self.list, |seat| self.list.member(seat).is_some())
     }
 
-    /// Shards whose owners share a zone, and those whose owners share a rack.
+    /// Returns the number of shards whose owners share a zone, and of those whose owners share a rack.
     fn conflicts(&self) -> (usize, usize) {
         let distinct = |domains: BTreeSet<(&str, &str, &str)>, owners: usize| domains.len() == owners;
         let count = |rack: bool| {
@@ -130,17 +133,17 @@
             let moves =
                 fleet.change(vec![Change::Fill { seat, member: member_form(60_000 + usize::from(seat.0)) }]);
             assert!(
-                moves.gained.keys().all(|&winner| winner == seat),
+                moves.gained.keys().all(|&gainer| gainer == seat),
                 "seed {seed}: {seat:?} filled, {moves:?}"
             );
             assert_eq!(fleet.table.digest(), before, "seed {seed}");
-            fleet.change(entries_after(&fleet.list, random));
+            fleet.change(vacate_random_seat(&fleet.list, random));
         }
     }
 }
 
-/// Some member gone, so that the next round begins with more vacant seats.
-fn entries_after(list: &MemberList, random: &mut ChaCha8Rng) -> Vec<Change> {
+/// Returns a change that vacates a random seat, if possible, so that the next round begins with more vacant seats.
+fn vacate_random_seat(list: &MemberList, random: &mut ChaCha8Rng) -> Vec<Change> {
     let filled = support::seats_where(list, |seat| list.member(seat).is_some());
     let seat = *filled.choose(random).expect("a filled seat");
     let entries = vec![Change::Vacate { seat }];
@@ -157,7 +160,7 @@
         fleet.change(vacant.iter().map(fill).collect());
         for number in 0..2 {
             let (added, moves) = append_some_seat(&mut fleet, random, number);
-            assert!(moves.gained.keys().all(|&winner| winner == added), "seed {seed}: {added:?}, {moves:?}");
+            assert!(moves.gained.keys().all(|&gainer| gainer == added), "seed {seed}: {added:?}, {moves:?}");
             let region = fleet.list.region(added);
             let in_region = support::seats_where(&fleet.list, |seat| fleet.list.region(seat) == region);
             let weight = |seat: SeatId| fleet.list.weight(seat).as_f64();
@@ -172,7 +175,8 @@
     }
 }
 
-/// Where owners are missing, the base row that a new seat joins can prefer another spare: those rows only.
+/// In rows with a vacant owner, a new seat can change which spare replaces that owner. Only in these rows may shards
+/// move between other seats.
 #[test]
 fn a_seat_appended_while_seats_are_vacant_moves_few_shards_between_others() {
     for seed in 0..SEEDS {
@@ -194,7 +198,7 @@
 }
 
 #[test]
-fn many_changes_at_once_give_the_table_that_is_built_from_the_list() {
+fn many_changes_at_once_give_the_same_table_as_the_final_list() {
     for seed in 0..SEEDS {
         let random = &mut random(seed);
         let mut fleet = Fleet::random(random);
@@ -211,28 +215,31 @@
 }
 
 #[test]
-fn owners_are_in_distinct_zones_and_racks_where_zones_are_of_one_size() {
+fn owners_are_in_distinct_zones_and_racks_if_zones_have_the_same_size() {
     for (zones, replicas) in [(2, 2), (3, 2), (4, 2), (5, 3)] {
         for by_zone in [false, true] {
             let mut fleet = fleet_by(zones, replicas, by_zone);
             let case = format!("{zones} zones, {replicas} replicas, zone by zone {by_zone}");
-            let tight = zones as u64 == replicas && by_zone;
-            if !tight {
+            let exact_fit_by_zone = zones as u64 == replicas && by_zone;
+            if !exact_fit_by_zone {
                 assert_eq!(fleet.conflicts(), (0, 0), "{case}");
             }
             fleet.change(vec![Change::Vacate { seat: SeatId(4) }]);
             let (zones_shared, racks_shared) = fleet.conflicts();
-            println!("{case}, one member lost: {zones_shared} shards share a zone, {racks_shared} a rack");
+            println!(
+                "{case}, one member lost: owners of {zones_shared} shards share a zone, of {racks_shared} a rack"
+            );
             assert_eq!(racks_shared, 0, "{case}, one member lost");
-            let allowed = if tight { SHARDS / 33 } else { 0 };
+            let allowed = if exact_fit_by_zone { SHARDS / 33 } else { 0 };
             assert!(zones_shared <= allowed as usize, "{case}, one member lost: {zones_shared}");
         }
     }
 }
 
-/// With as many zones as replicas each zone has to hold each shard exactly once, which rounded quotas miss.
+/// With as many zones as replicas, each zone has to own each shard exactly once, which rounded quotas can't fully
+/// achieve.
 #[test]
-fn owners_share_a_zone_in_at_most_two_shards_of_a_hundred_where_zones_are_as_many_as_replicas() {
+fn with_as_many_zones_as_replicas_owners_share_a_zone_in_at_most_two_percent_of_the_shards() {
     for (zones, replicas) in [(2, 2), (3, 3), (4, 4)] {
         for by_zone in [false, true] {
             let (zones_shared, racks_shared) = fleet_by(zones, replicas, by_zone).conflicts();
@@ -243,7 +250,7 @@
     }
 }
 
-/// A region whose seats come zone by zone, or one from each zone in turn.
+/// Returns a fleet of one region whose seats are listed zone by zone, or one from each zone in turn.
 fn fleet_by(zones: usize, replicas: u64, by_zone: bool) -> Fleet {
     let mut form = fleet(&[zones], zones * 9, 3);
     form.replicas = replicas;
@@ -261,7 +268,7 @@
 }
 
 #[test]
-fn a_zone_of_two_seats_more_than_the_other_shares_no_shard_with_itself() {
+fn a_zone_with_two_seats_more_than_the_other_owns_no_shard_twice() {
     let mut form = fleet(&[2], 40, 4);
     form.seats.push(seat_form(0, 0, 9, Some(900)));
     form.seats.push(seat_form(0, 0, 9, Some(901)));
@@ -270,7 +277,7 @@
 }
 
 #[test]
-fn shards_are_shared_out_by_weight() {
+fn shards_are_distributed_by_weight() {
     for seed in 0..SEEDS {
         let random = &mut random(seed);
         let zones = random.random_range(3..=4);
@@ -285,10 +292,7 @@
             .seat_ids()
             .map(|seat| f64::from(loads[seat.index()]) / fleet.list.weight(seat).as_f64());
         let evenness = Evenness::of(by_weight);
-        assert!(
-            evenness.busiest() <= 1.1 && evenness.least >= 0.9 * evenness.mean,
-            "seed {seed}: {evenness}"
-        );
+        assert!(evenness.busiest() <= 1.1 && evenness.min >= 0.9 * evenness.mean, "seed {seed}: {evenness}");
     }
 }
 
@@ -319,14 +323,14 @@
         let loads = shard_loads(&fleet.table, &fleet.list);
         let evenness = Evenness::of_members(&loads, &fleet.list, None);
         assert!(
-            evenness.busiest() <= 1.15 && evenness.least >= 0.85 * evenness.mean,
+            evenness.busiest() <= 1.15 && evenness.min >= 0.85 * evenness.mean,
             "seed {seed}: {evenness}"
         );
     }
 }
 
 #[test]
-fn a_region_that_is_nearly_empty_is_owned_by_those_who_are_left() {
+fn a_nearly_empty_region_is_owned_evenly_by_the_members_left() {
     let mut form = fleet(&[3], 400, 40);
     for seat in form.seats.iter_mut().skip(3) {
         seat.member = None;
--- a/crates/placement/tests/refusals.rs
+++ b/crates/placement/tests/refusals.rs
@@ -1,4 +1,5 @@
-//! Invalid lists and changes are rejected with errors that name the place and the correction, and the list in force stays.
+//! Invalid lists and changes are rejected with errors that name the place and the correction, and the list in force
+//! stays.
 
 mod support;
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,31 +1,32 @@
-//! Fleets for tests and measurements of placement.
-#![allow(dead_code, reason = "each program uses a part")]
+//! Fleets and load statistics for the tests and examples of placement.
+#![allow(dead_code, reason = "each program uses only a part")]
 
 use std::collections::BTreeMap;
 
 use embershore_placement::wire::{ListForm, MemberForm, RegionForm, SeatForm};
 use embershore_placement::{Change, Changes, MemberList, SHARDS, SeatId, ShardId, Table, shard};
 
-/// Seats of a rack.
-pub const RACK: usize = 40;
+/// Number of seats of a rack.
+pub const SEATS_PER_RACK: usize = 40;
 
-/// Zones of each region at full size.
+/// Number of zones of each region at full size.
 pub const FULL_ZONES: [usize; 4] = [3, 3, 3, 2];
 
-/// Seats at full size.
+/// Number of seats at full size.
 pub const FULL_SEATS: usize = 15_000;
 
-/// Destinations at full size.
+/// Number of destinations at full size.
 pub const FULL_DESTINATIONS: i64 = 4_100_000;
 
-/// A fleet of `seats` seats over regions with so many zones each, zone after zone in turn, racks filled one after another.
+/// Returns a fleet of `seats` seats. `zones` gives the number of zones of each region; seats go to the zones in turn,
+/// and fill the racks of a zone one after another.
 pub fn fleet(zones: &[usize], seats: usize, rack: usize) -> ListForm {
-    let all: Vec<(usize, usize)> = zones_in_turn(zones);
-    let mut counts = vec![0; all.len()];
+    let all_zones: Vec<(usize, usize)> = zones_in_turn(zones);
+    let mut counts = vec![0; all_zones.len()];
     let seat_forms = (0..seats).map(|index| {
-        let zone = index % all.len();
+        let zone = index % all_zones.len();
         counts[zone] += 1;
-        let (region, zone_number) = all[zone];
+        let (region, zone_number) = all_zones[zone];
         seat_form(region, zone_number, (counts[zone] - 1) / rack, Some(index))
     });
     ListForm {
@@ -39,19 +40,19 @@
     }
 }
 
-/// The fleet of full size, checked.
+/// Returns the fleet of full size.
 pub fn full_size() -> MemberList {
-    list(fleet(&FULL_ZONES, FULL_SEATS, RACK))
+    list(fleet(&FULL_ZONES, FULL_SEATS, SEATS_PER_RACK))
 }
 
-/// A checked list.
+/// Validates a list.
 pub fn list(form: ListForm) -> MemberList {
-    MemberList::from_form(form).expect("a list that holds")
+    MemberList::from_form(form).expect("the list is valid")
 }
 
 fn zones_in_turn(zones: &[usize]) -> Vec<(usize, usize)> {
-    let most = zones.iter().copied().max().unwrap_or(0);
-    let rounds = (0..most).flat_map(|zone| (0..zones.len()).map(move |region| (region, zone)));
+    let max_zones = zones.iter().copied().max().unwrap_or(0);
+    let rounds = (0..max_zones).flat_map(|zone| (0..zones.len()).map(move |region| (region, zone)));
     rounds.filter(|&(region, zone)| zone < zones[region]).collect()
 }
 
@@ -59,7 +60,7 @@
     RegionForm { name: format!("r{region}"), share }
 }
 
-/// A seat; `member` is the number of the member that fills it.
+/// Returns a seat. `member` is the number of the member that fills it.
 pub fn seat_form(region: usize, zone: usize, rack: usize, member: Option<usize>) -> SeatForm {
     SeatForm {
         region: format!("r{region}"),
@@ -70,50 +71,50 @@
     }
 }
 
-/// The member of a number, with a name and address of its own.
+/// Returns the member with a number, which determines its name and address.
 pub fn member_form(number: usize) -> MemberForm {
     let address = format!("127.{}.{}.{}:7001", number >> 16, (number >> 8) & 255, number & 255);
     MemberForm { name: format!("sender-{number:05}"), address }
 }
 
-/// The seats for which `chosen` holds.
+/// Returns the seats for which `chosen` returns true.
 pub fn seats_where(list: &MemberList, chosen: impl Fn(SeatId) -> bool) -> Vec<SeatId> {
     list.seat_ids().filter(|&seat| chosen(seat)).collect()
 }
 
-/// Changes from a list to the next epoch.
+/// Returns changes that lead from a list to the next epoch.
 pub fn changes(list: &MemberList, changes: Vec<Change>) -> Changes {
     Changes { epoch: list.epoch() + 1, since: list.epoch(), changes }
 }
 
-/// The list that changes lead to.
+/// Returns the list that changes lead to, and the changes.
 pub fn applied(list: &MemberList, entries: Vec<Change>) -> (MemberList, Changes) {
     let changes = changes(list, entries);
-    (list.apply(&changes).expect("changes that fit"), changes)
+    (list.apply(&changes).expect("the changes apply to the list"), changes)
 }
 
-/// Changes that vacate seats.
+/// Returns changes that vacate seats.
 pub fn vacate(seats: &[SeatId]) -> Vec<Change> {
     seats.iter().map(|&seat| Change::Vacate { seat }).collect()
 }
 
-/// Changes that fill seats with the members that `list` has there.
+/// Returns changes that fill seats with the members that `list` has there.
 pub fn refill(list: &MemberList, seats: &[SeatId]) -> Vec<Change> {
-    let member = |seat| list.member(seat).expect("a filled seat");
+    let member = |seat| list.member(seat).expect("the seat is filled in the list");
     seats.iter().map(|&seat| Change::Fill { seat, member: member(seat).into() }).collect()
 }
 
-/// All shards.
+/// Returns all shards.
 pub fn shards() -> impl Iterator<Item = ShardId> {
     (0..SHARDS).map(ShardId)
 }
 
-/// What one change moved.
+/// The shards that one change moved.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Moves {
-    /// Shards that each seat gained.
+    /// Number of shards that each seat gained.
     pub gained: BTreeMap<SeatId, u32>,
-    /// Shards that each seat lost.
+    /// Number of shards that each seat lost.
     pub lost: BTreeMap<SeatId, u32>,
 }
 
@@ -137,7 +138,7 @@
     }
 }
 
-/// Shards that each seat owns.
+/// Returns the number of shards that each seat owns.
 pub fn shard_loads(table: &Table, list: &MemberList) -> Vec<u32> {
     let mut loads = vec![0; list.seat_count()];
     for owner in shards().flat_map(|shard| table.owners(shard)) {
@@ -146,7 +147,7 @@
     loads
 }
 
-/// Destinations that each seat owns.
+/// Returns the number of destinations that each seat owns.
 pub fn destination_loads(
     table: &Table,
     list: &MemberList,
@@ -159,12 +160,12 @@
     loads
 }
 
-/// Evenness of some seats' loads.
+/// Mean, minimum and maximum of some seats' loads.
 #[derive(Clone, Copy, Debug)]
 pub struct Evenness {
     pub mean: f64,
-    pub least: f64,
-    pub most: f64,
+    pub min: f64,
+    pub max: f64,
 }
 
 impl Evenness {
@@ -172,31 +173,27 @@
         let loads: Vec<f64> = loads.into_iter().collect();
         Self {
             mean: loads.iter().sum::<f64>() / loads.len() as f64,
-            least: loads.iter().copied().fold(f64::INFINITY, f64::min),
-            most: loads.iter().copied().fold(0.0, f64::max),
+            min: loads.iter().copied().fold(f64::INFINITY, f64::min),
+            max: loads.iter().copied().fold(0.0, f64::max),
         }
     }
 
-    /// Evenness over the filled seats of a region, or of all.
+    /// Returns the evenness over the filled seats of a region, or of all regions.
     pub fn of_members(loads: &[u32], list: &MemberList, region: Option<&str>) -> Self {
         let members = list.seat_ids().filter(|&seat| list.member(seat).is_some());
         let chosen = members.filter(|&seat| region.is_none_or(|region| list.region_name(seat) == region));
         Self::of(chosen.map(|seat| f64::from(loads[seat.index()])))
     }
 
-    /// The busiest relative to the mean.
+    /// Returns the maximum load relative to the mean.
     pub fn busiest(&self) -> f64 {
-        self.most / self.mean
+        self.max / self.mean
     }
 }
 
 impl std::fmt::Display for Evenness {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (mean, least, most) = (self.mean, self.least, self.most);
-        write!(
-            formatter,
-            "mean {mean:.2}, least {least}, most {most}, busiest {:.3} of the mean",
-            self.busiest()
-        )
+        let (mean, min, max) = (self.mean, self.min, self.max);
+        write!(formatter, "mean {mean:.2}, min {min}, max {max}, max/mean {:.3}", self.busiest())
     }
 }
--- a/crates/placement/tests/support/tables.rs
+++ b/crates/placement/tests/support/tables.rs
@@ -1,4 +1,4 @@
-//! Tables that all senders of a test share, each made once: they follow from the list alone.
+//! Tables that all senders of a test share. Each is built once, as it depends on the list alone.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -9,35 +9,36 @@
 #[derive(Default)]
 pub struct SharedTables {
     tables: Mutex<HashMap<u64, Arc<Table>>>,
-    /// The shards that are looked at, if not all.
-    focus: Option<Arc<[ShardId]>>,
+    /// The only shards that tests look at; `None` for all.
+    visible_shards: Option<Arc<[ShardId]>>,
 }
 
 impl SharedTables {
-    /// Tables of which only these shards are looked at; none means all.
-    pub fn new(focus: Option<Arc<[ShardId]>>) -> Self {
-        SharedTables { focus, ..Self::default() }
+    /// Creates a store whose placements show only these shards; `None` for all.
+    pub fn new(visible_shards: Option<Arc<[ShardId]>>) -> Self {
+        SharedTables { visible_shards, ..Self::default() }
     }
 
-    /// The table of a list.
+    /// Returns the table of a list.
     pub fn table(&self, list: &MemberList) -> Arc<Table> {
-        self.made_once(list, || Table::build(list))
+        self.get_or_build(list, || Table::build(list))
     }
 
-    fn made_once(&self, list: &MemberList, make: impl FnOnce() -> Table) -> Arc<Table> {
+    fn get_or_build(&self, list: &MemberList, build: impl FnOnce() -> Table) -> Arc<Table> {
         let digest = list.digest();
-        let known = self.tables.lock().expect("nobody fails while it is locked").get(&digest).cloned();
+        let known =
+            self.tables.lock().expect("no thread panicked while it held the lock").get(&digest).cloned();
         known.unwrap_or_else(|| {
-            let table = Arc::new(make());
-            let mut tables = self.tables.lock().expect("nobody fails while it is locked");
+            let table = Arc::new(build());
+            let mut tables = self.tables.lock().expect("no thread panicked while it held the lock");
             tables.entry(digest).or_insert(table).clone()
         })
     }
 
     fn placement(&self, list: MemberList, table: Arc<Table>) -> Arc<Placement> {
         let placement = Placement::from_parts(list, table);
-        Arc::new(match &self.focus {
-            Some(focus) => placement.restricted_to(focus.clone()),
+        Arc::new(match &self.visible_shards {
+            Some(visible) => placement.restricted_to(visible.clone()),
             None => placement,
         })
     }
@@ -51,7 +52,7 @@
 
     fn apply(&mut self, before: &Arc<Placement>, changes: &Changes) -> Result<Arc<Placement>, ListError> {
         let list = before.list().apply(changes)?;
-        let table = self.made_once(&list, || {
+        let table = self.get_or_build(&list, || {
             let mut table = before.table().clone();
             table.apply(&list, changes);
             table
