--- a/crates/placement/tests/wire.rs
+++ b/crates/placement/tests/wire.rs
@@ -1,18 +1,20 @@
-//! The JSON forms of docs/design/placement.md are read, and what is written is read back as the same.
+//! The JSON forms of docs/design/placement.md are parsed, and written lists and changes are parsed back unchanged.
 
 mod support;
 
 use embershore_placement::wire::WideForm;
-use embershore_placement::{Answer, Change, Changes, MemberList, SeatId};
+use embershore_placement::{AgentAnswer, Change, Changes, MemberList, SeatId};
 use support::{fleet, list, member_form, seat_form};
 
-const WHOLE: &str = r#"{"epoch":7,"scheme":1,"replicas":1,"first":true,"regions":[{"name":"r1","share":1}],"seats":[
+const FULL: &str = r#"{"epoch":7,"scheme":1,"replicas":1,"first":true,"regions":[{"name":"r1","share":1}],"seats":[
     {"region":"r1","zone":"a","rack":"a1","weight":1.5,"member":{"name":"n0","address":"127.0.0.1:7001"}},
     {"region":"r1","zone":"b","rack":"b1","weight":1.0,"member":null}],"wide":[{"dest":-7,"width":4}]}"#;
 
 #[test]
-fn a_whole_list_is_read() {
-    let Ok(Answer::Whole(list)) = Answer::parse_json(WHOLE.as_bytes()) else { panic!("a whole list") };
+fn a_full_list_is_parsed() {
+    let Ok(AgentAnswer::Full(list)) = AgentAnswer::parse_json(FULL.as_bytes()) else {
+        panic!("expected a full list")
+    };
     assert_eq!((list.epoch(), list.replicas(), list.is_first()), (7, 1, true));
     assert_eq!((list.seat_count(), list.member_count()), (2, 1));
     let seat = list.seat_of("n0").expect("the member's seat");
@@ -27,29 +29,31 @@
 }
 
 #[test]
-fn changes_are_read() {
+fn changes_are_parsed() {
     let json = r#"{"epoch":8,"since":7,"changes":[{"seat":3,"member":null},
         {"seat":4,"member":{"name":"sender-00004","address":"127.0.0.4:7001"}},
         {"append":{"region":"r0","zone":"z1","rack":"k0","weight":1.0,"member":null}},{"wide":{"dest":7,"width":4}}]}"#;
-    let Ok(Answer::Changes(changes)) = Answer::parse_json(json.as_bytes()) else { panic!("changes") };
+    let Ok(AgentAnswer::Changes(changes)) = AgentAnswer::parse_json(json.as_bytes()) else {
+        panic!("expected changes")
+    };
     let expected = vec![
         Change::Vacate { seat: SeatId(3) },
         Change::Fill { seat: SeatId(4), member: member_form(4) },
         Change::Append(seat_form(0, 1, 0, None)),
-        Change::Widen(WideForm { dest: 7, width: 4 }),
+        Change::SetWidth(WideForm { dest: 7, width: 4 }),
     ];
     assert_eq!(changes, Changes { epoch: 8, since: 7, changes: expected });
     assert_eq!(Changes::parse_json(&changes.to_json()), Ok(changes));
 }
 
 #[test]
-fn nothing_new_is_told_from_changes() {
-    let answer = Answer::parse_json(br#"{"epoch":7,"since":7,"changes":[]}"#);
-    assert!(matches!(answer, Ok(Answer::Unchanged { epoch: 7 })));
+fn an_unchanged_list_is_distinguished_from_changes() {
+    let answer = AgentAnswer::parse_json(br#"{"epoch":7,"since":7,"changes":[]}"#);
+    assert!(matches!(answer, Ok(AgentAnswer::Unchanged { epoch: 7 })));
 }
 
 #[test]
-fn a_list_written_and_read_is_the_same() {
+fn a_list_is_the_same_after_writing_and_parsing() {
     let mut form = fleet(&[3, 2], 40, 4);
     form.seats[17].member = None;
     form.seats[18].weight = 0.5;
@@ -61,17 +65,17 @@
 }
 
 #[test]
-fn a_list_reached_by_changes_has_the_digest_of_the_one_told_whole() {
+fn a_list_reached_by_changes_has_the_digest_of_the_full_list() {
     let before = list(fleet(&[2], 6, 2));
-    let entries = vec![
+    let changes = vec![
         Change::Vacate { seat: SeatId(2) },
         Change::Append(seat_form(0, 0, 7, Some(2))),
         Change::Fill { seat: SeatId(2), member: member_form(77) },
-        Change::Widen(WideForm { dest: 5, width: 8 }),
-        Change::Widen(WideForm { dest: 6, width: 2 }),
-        Change::Widen(WideForm { dest: 6, width: 1 }),
+        Change::SetWidth(WideForm { dest: 5, width: 8 }),
+        Change::SetWidth(WideForm { dest: 6, width: 2 }),
+        Change::SetWidth(WideForm { dest: 6, width: 1 }),
     ];
-    let (after, _) = support::applied(&before, entries);
+    let (after, _) = support::applied(&before, changes);
     let mut form = fleet(&[2], 6, 2);
     form.epoch = 2;
     form.seats[2].member = Some(member_form(77));
