--- a/crates/rehearsal/src/capture.rs
+++ b/crates/rehearsal/src/capture.rs
@@ -3,7 +3,7 @@
 //! The tap passes every byte on unchanged, both ways. Of each message it keeps class, tenant, receiver and size; of
 //! what it can't read it keeps nothing and passes it on all the same.
 
-use crate::trace::{LINES_MOST, Line};
+use crate::trace::{Line, MAX_LINES};
 use bytes::BytesMut;
 use embershore_protocol::resp::{command, put};
 use std::cell::{Cell, RefCell};
@@ -17,9 +17,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Connections that pass at once.
-const CONNECTIONS_MOST: usize = 1024;
+const MAX_CONNECTIONS: usize = 1024;
 /// What is read at a time.
-const PIECE: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Where a tap stands.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     /// The sender behind it.
     pub to: SocketAddr,
     /// For how long it stands; until Ctrl-C if nothing is said.
-    pub lasting: Option<Duration>,
+    pub duration: Option<Duration>,
 }
 
 struct Trace {
@@ -40,8 +40,8 @@
 }
 
 impl Trace {
-    fn take(&self, line: &Line) {
-        if self.lines.get() >= LINES_MOST || self.failed.borrow().is_some() {
+    fn write(&self, line: &Line) {
+        if self.lines.get() >= MAX_LINES || self.failed.borrow().is_some() {
             return;
         }
         let mut out = self.out.borrow_mut();
@@ -65,13 +65,13 @@
         let (out, start) = (RefCell::new(BufWriter::new(File::create(path)?)), Instant::now());
         let trace = Rc::new(Trace { start, out, lines: Cell::new(0), failed: RefCell::default() });
         let until = async {
-            match tap.lasting {
-                Some(lasting) => tokio::time::sleep(lasting).await,
+            match tap.duration {
+                Some(duration) => tokio::time::sleep(duration).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = stand(listener, tap.to, trace.clone()) => {}
+            () = accept_connections(listener, tap.to, trace.clone()) => {}
             () = until => {}
             _ = tokio::signal::ctrl_c() => {}
         }
@@ -83,47 +83,47 @@
     })
 }
 
-async fn stand(listener: TcpListener, to: SocketAddr, trace: Rc<Trace>) {
+async fn accept_connections(listener: TcpListener, to: SocketAddr, trace: Rc<Trace>) {
     let open = Rc::new(Cell::new(0));
     loop {
         let Ok((client, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        if open.get() >= CONNECTIONS_MOST {
+        if open.get() >= MAX_CONNECTIONS {
             continue;
         }
         open.set(open.get() + 1);
         let (trace, open) = (trace.clone(), open.clone());
         tokio::task::spawn_local(async move {
-            _ = pass(client, to, &trace).await;
+            _ = relay(client, to, &trace).await;
             open.set(open.get() - 1);
         });
     }
 }
 
-async fn pass(client: TcpStream, to: SocketAddr, trace: &Trace) -> io::Result<()> {
+async fn relay(client: TcpStream, to: SocketAddr, trace: &Trace) -> io::Result<()> {
     let sender = TcpStream::connect(to).await?;
     client.set_nodelay(true)?;
     sender.set_nodelay(true)?;
     let (mut from_client, mut to_client) = client.into_split();
     let (mut from_sender, mut to_sender) = sender.into_split();
     let up = async {
-        let mut piece = vec![0; PIECE];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         // What has come and is no whole command yet; nothing once something came that is no command.
-        let mut read = Some(BytesMut::new());
+        let mut pending = Some(BytesMut::new());
         loop {
-            let n = from_client.read(&mut piece).await?;
+            let n = from_client.read(&mut buffer).await?;
             if n == 0 {
                 return to_sender.shutdown().await;
             }
-            if let Some(buf) = &mut read {
-                buf.extend_from_slice(&piece[..n]);
-                if !look(buf, trace) {
-                    read = None;
+            if let Some(buf) = &mut pending {
+                buf.extend_from_slice(&buffer[..n]);
+                if !scan(buf, trace) {
+                    pending = None;
                 }
             }
-            to_sender.write_all(&piece[..n]).await?;
+            to_sender.write_all(&buffer[..n]).await?;
         }
     };
     let down = async {
@@ -134,13 +134,13 @@
 }
 
 /// Takes whole commands off what has come; false once something is no command.
-fn look(buf: &mut BytesMut, trace: &Trace) -> bool {
+fn scan(buf: &mut BytesMut, trace: &Trace) -> bool {
     loop {
         match command(buf) {
             Ok(Some(args)) => {
                 let is_put = args.first().is_some_and(|n| n.eq_ignore_ascii_case(b"MSG.PUT"));
                 let Some(put) = put(&args).ok().filter(|p| is_put && !p.again) else { continue };
-                trace.take(&Line {
+                trace.write(&Line {
                     at_ms: trace.start.elapsed().as_millis() as u64,
                     class: put.class,
                     tenant: put.tenant,
--- a/crates/rehearsal/src/event.rs
+++ b/crates/rehearsal/src/event.rs
@@ -8,7 +8,7 @@
 /// What to do, as it is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Deed {
+pub enum EventKind {
     /// Receivers take calls, carry them out and answer none.
     Silent,
     /// Receivers read nothing: calls never begin.
@@ -65,27 +65,31 @@
     Crowd,
 }
 
-impl Deed {
+impl EventKind {
     /// The fields that it needs, and those that it may have beside them.
     fn fields(self) -> Fields {
         match self {
-            Deed::Silent | Deed::Hang | Deed::Shut | Deed::Down => (&["for"], &["receiver", "endpoints"]),
-            Deed::Slow => (&["for", "factor"], &["receiver", "endpoints"]),
-            Deed::Reset | Deed::Fail => (&["for", "share"], &["receiver", "endpoints"]),
-            Deed::Late => (&["for", "by"], &["receiver", "endpoints"]),
-            Deed::Wait => (&["for"], &["receiver", "endpoints"]),
-            Deed::Cold => (&[], &["receiver"]),
-            Deed::Drain => (&["share"], &["receiver", "gone_after"]),
-            Deed::Replace => (&["share"], &["receiver", "over", "gone_after"]),
-            Deed::Join => (&["receiver", "endpoints"], &[]),
-            Deed::DirectoryLag => (&["for", "by"], &["sender", "share"]),
-            Deed::DirectorySilent | Deed::DirectorySnapshots | Deed::DirectoryDeaf => (&["for"], &["sender"]),
-            Deed::DirectoryBack => (&[], &["sender"]),
-            Deed::Sigterm | Deed::Sigkill => (&[], &["sender", "down", "share"]),
-            Deed::Sighup => (&[], &["sender"]),
-            Deed::Sigstop | Deed::LameDuck | Deed::Retune => (&["for"], &["sender"]),
-            Deed::Upgrade | Deed::RetuneWrong => (&[], &["sender"]),
-            Deed::Crowd => (&["for", "connections"], &["sender"]),
+            EventKind::Silent | EventKind::Hang | EventKind::Shut | EventKind::Down => {
+                (&["for"], &["receiver", "endpoints"])
+            }
+            EventKind::Slow => (&["for", "factor"], &["receiver", "endpoints"]),
+            EventKind::Reset | EventKind::Fail => (&["for", "share"], &["receiver", "endpoints"]),
+            EventKind::Late => (&["for", "by"], &["receiver", "endpoints"]),
+            EventKind::Wait => (&["for"], &["receiver", "endpoints"]),
+            EventKind::Cold => (&[], &["receiver"]),
+            EventKind::Drain => (&["share"], &["receiver", "gone_after"]),
+            EventKind::Replace => (&["share"], &["receiver", "over", "gone_after"]),
+            EventKind::Join => (&["receiver", "endpoints"], &[]),
+            EventKind::DirectoryLag => (&["for", "by"], &["sender", "share"]),
+            EventKind::DirectorySilent | EventKind::DirectorySnapshots | EventKind::DirectoryDeaf => {
+                (&["for"], &["sender"])
+            }
+            EventKind::DirectoryBack => (&[], &["sender"]),
+            EventKind::Sigterm | EventKind::Sigkill => (&[], &["sender", "down", "share"]),
+            EventKind::Sighup => (&[], &["sender"]),
+            EventKind::Sigstop | EventKind::LameDuck | EventKind::Retune => (&["for"], &["sender"]),
+            EventKind::Upgrade | EventKind::RetuneWrong => (&[], &["sender"]),
+            EventKind::Crowd => (&["for", "connections"], &["sender"]),
         }
     }
 }
@@ -99,7 +103,7 @@
     pub at: Option<Span>,
     /// What.
     #[serde(rename = "do")]
-    pub deed: Deed,
+    pub kind: EventKind,
     /// To which receiver, by number; to all where none is named.
     #[serde(default)]
     pub receiver: Option<i64>,
@@ -108,7 +112,7 @@
     pub endpoints: Option<usize>,
     /// For how long.
     #[serde(default, rename = "for")]
-    pub lasting: Option<Span>,
+    pub duration: Option<Span>,
     /// How many times slower.
     #[serde(default)]
     pub factor: Option<f64>,
@@ -136,13 +140,13 @@
 }
 
 /// Connections of a crowd at most, to each sender: they are this process's descriptors as well.
-const CROWD_MOST: usize = 10_000;
+const MAX_CROWD_CONNECTIONS: usize = 10_000;
 
 /// Fields that are needed, and fields that may be given beside them.
 pub(crate) type Fields = (&'static [&'static str], &'static [&'static str]);
 
 /// What is wrong with the fields that are given for something: those that mean nothing, and those that lack.
-pub(crate) fn misplaced(given: &[(&str, bool)], (needs, may): Fields, what: &str) -> Vec<String> {
+pub(crate) fn field_problems(given: &[(&str, bool)], (needs, may): Fields, what: &str) -> Vec<String> {
     let wrong = given.iter().filter_map(|(name, there)| {
         if *there && !needs.contains(name) && !may.contains(name) {
             Some(format!("'{name}' means nothing for {what}; leave it out"))
@@ -157,7 +161,7 @@
 
 /// What is known of the scenario when an event is checked.
 #[derive(Clone, Copy, Debug)]
-pub struct Known<'a> {
+pub struct Targets<'a> {
     /// Receivers' numbers.
     pub receivers: &'a [i64],
     /// Senders' names.
@@ -166,12 +170,12 @@
 
 impl RawEvent {
     /// What is wrong with it, each with the mend.
-    pub fn wrong(&self, known: Known<'_>) -> Vec<String> {
+    pub fn problems(&self, known: Targets<'_>) -> Vec<String> {
         let mut wrong = Vec::new();
         let given = [
             ("receiver", self.receiver.is_some()),
             ("endpoints", self.endpoints.is_some()),
-            ("for", self.lasting.is_some()),
+            ("for", self.duration.is_some()),
             ("factor", self.factor.is_some()),
             ("share", self.share.is_some()),
             ("by", self.by.is_some()),
@@ -181,15 +185,15 @@
             ("down", self.down.is_some()),
             ("connections", self.connections.is_some()),
         ];
-        wrong.extend(misplaced(&given, self.deed.fields(), &format!("'{}'", self.deed)));
+        wrong.extend(field_problems(&given, self.kind.fields(), &format!("'{}'", self.kind)));
         if let Some(number) = self.receiver.filter(|n| !known.receivers.contains(n)) {
             wrong.push(format!("there is no receiver {number}; name one of the [[receiver]] tables"));
         }
         if let Some(name) = self.sender.as_ref().filter(|n| !known.senders.contains(n)) {
             wrong.push(format!("there is no sender '{name}'; there are {}", known.senders.join(", ")));
         }
-        if self.connections.is_some_and(|n| !(1..=CROWD_MOST).contains(&n)) {
-            wrong.push(format!("'connections' is from 1 to {CROWD_MOST}"));
+        if self.connections.is_some_and(|n| !(1..=MAX_CROWD_CONNECTIONS).contains(&n)) {
+            wrong.push(format!("'connections' is from 1 to {MAX_CROWD_CONNECTIONS}"));
         }
         if self.endpoints == Some(0) {
             wrong.push("'endpoints' is 0; say how many, or leave it out for all".into());
@@ -210,7 +214,7 @@
     }
 
     /// Whether it is for this sender: the one that it names, or of all of them its share, spread over their order.
-    pub fn concerns(&self, sender: usize, name: &str) -> bool {
+    pub fn applies_to(&self, sender: usize, name: &str) -> bool {
         let share = self.share.unwrap_or(1.0);
         let upto = |n: usize| (n as f64 * share).floor();
         self.sender.as_ref().map_or(upto(sender + 1) > upto(sender), |named| named == name)
@@ -218,7 +222,7 @@
 
     /// How long it lasts; nothing for what is done at once.
     pub fn span(&self) -> Micros {
-        self.lasting.map_or(0, |s| s.0)
+        self.duration.map_or(0, |s| s.0)
     }
 
     /// Reads one from a line such as `slow receiver=3 for=10s factor=8`.
@@ -227,11 +231,11 @@
     /// Says what can't be read, and the mend.
     pub fn from_line(line: &str) -> Result<RawEvent, String> {
         let mut words = line.split_whitespace();
-        let deed = words
+        let kind = words
             .next()
             .ok_or("an empty line; say what is to be done, such as 'slow receiver=3 for=10s factor=8'")?;
         let mut table = toml::Table::new();
-        table.insert("do".into(), deed.into());
+        table.insert("do".into(), kind.into());
         for word in words {
             let (name, value) =
                 word.split_once('=').ok_or_else(|| format!("'{word}' is no name=value; write it so"))?;
@@ -247,36 +251,36 @@
     }
 }
 
-impl fmt::Display for Deed {
+impl fmt::Display for EventKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            Deed::Silent => "silent",
-            Deed::Hang => "hang",
-            Deed::Shut => "shut",
-            Deed::Down => "down",
-            Deed::Slow => "slow",
-            Deed::Reset => "reset",
-            Deed::Fail => "fail",
-            Deed::Late => "late",
-            Deed::Wait => "wait",
-            Deed::Cold => "cold",
-            Deed::Drain => "drain",
-            Deed::Replace => "replace",
-            Deed::Join => "join",
-            Deed::DirectoryLag => "directory-lag",
-            Deed::DirectorySilent => "directory-silent",
-            Deed::DirectorySnapshots => "directory-snapshots",
-            Deed::DirectoryDeaf => "directory-deaf",
-            Deed::DirectoryBack => "directory-back",
-            Deed::Sigterm => "sigterm",
-            Deed::Sigkill => "sigkill",
-            Deed::Sighup => "sighup",
-            Deed::Sigstop => "sigstop",
-            Deed::Upgrade => "upgrade",
-            Deed::LameDuck => "lame-duck",
-            Deed::Retune => "retune",
-            Deed::RetuneWrong => "retune-wrong",
-            Deed::Crowd => "crowd",
+            EventKind::Silent => "silent",
+            EventKind::Hang => "hang",
+            EventKind::Shut => "shut",
+            EventKind::Down => "down",
+            EventKind::Slow => "slow",
+            EventKind::Reset => "reset",
+            EventKind::Fail => "fail",
+            EventKind::Late => "late",
+            EventKind::Wait => "wait",
+            EventKind::Cold => "cold",
+            EventKind::Drain => "drain",
+            EventKind::Replace => "replace",
+            EventKind::Join => "join",
+            EventKind::DirectoryLag => "directory-lag",
+            EventKind::DirectorySilent => "directory-silent",
+            EventKind::DirectorySnapshots => "directory-snapshots",
+            EventKind::DirectoryDeaf => "directory-deaf",
+            EventKind::DirectoryBack => "directory-back",
+            EventKind::Sigterm => "sigterm",
+            EventKind::Sigkill => "sigkill",
+            EventKind::Sighup => "sighup",
+            EventKind::Sigstop => "sigstop",
+            EventKind::Upgrade => "upgrade",
+            EventKind::LameDuck => "lame-duck",
+            EventKind::Retune => "retune",
+            EventKind::RetuneWrong => "retune-wrong",
+            EventKind::Crowd => "crowd",
         };
         f.write_str(text)
     }
@@ -284,7 +288,7 @@
 
 impl fmt::Display for RawEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}", self.deed)?;
+        write!(f, "{}", self.kind)?;
         if let Some(sender) = &self.sender {
             write!(f, " {sender}")?;
         }
@@ -306,8 +310,8 @@
         if let Some(by) = self.by {
             write!(f, " by {:.1} s", by.secs())?;
         }
-        if let Some(lasting) = self.lasting.or(self.over) {
-            write!(f, " for {:.1} s", lasting.secs())?;
+        if let Some(duration) = self.duration.or(self.over) {
+            write!(f, " for {:.1} s", duration.secs())?;
         }
         Ok(())
     }
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -1,7 +1,7 @@
 //! What was seen: one record a line, as JSON, in the order in which the stand-ins saw it.
 //!
 //! The history is written before it is judged. It is streamed to disk by a thread of its own through a queue of
-//! [`QUEUE_MOST`] records, so that neither a slow disk nor a long run costs memory; a disk that can't keep up holds
+//! [`MAX_QUEUED_RECORDS`] records, so that neither a slow disk nor a long run costs memory; a disk that can't keep up holds
 //! the rig up, which then shows as lateness and makes the run void.
 
 use crate::parameters::Parameters;
@@ -16,14 +16,14 @@
 use std::time::Instant;
 
 /// Records that wait to be written: some seconds of a busy run.
-pub const QUEUE_MOST: usize = 65_536;
+pub const MAX_QUEUED_RECORDS: usize = 65_536;
 /// The history's form; a judge reads no other.
 pub const FORMAT: u32 = 1;
 
 /// An endpoint's standing in the directory, as a sender was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum EndpointStatus {
     /// Listed.
     Ready,
     /// To be sent nothing new.
@@ -35,27 +35,30 @@
 /// What a client was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Answered {
+pub enum PutOutcome {
     /// `+OK`.
-    Taken,
+    #[serde(rename = "taken")]
+    Accepted,
     /// `-BUSY`.
     Busy,
     /// Any other line.
     Failed,
     /// Nothing within the client's patience.
-    Silence,
+    #[serde(rename = "silence")]
+    TimedOut,
     /// The connection ended with no answer, on a new connection too.
     Closed,
     /// No connection came up.
     Unreachable,
     /// The client itself went away without waiting.
-    Left,
+    #[serde(rename = "left")]
+    Abandoned,
 }
 
 /// How a message ended, as the platform was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ended {
+pub enum NoticeState {
     /// The sender gave it up.
     Failed,
     /// The sender refused it after having taken it on.
@@ -65,7 +68,7 @@
 /// Who ended a connection on which a call was open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum By {
+pub enum ClosedBy {
     /// The sender.
     Sender,
     /// The receiver.
@@ -149,7 +152,8 @@
         /// The id under which it was handed in first.
         origin: String,
         /// How often it had been handed in before.
-        again: u32,
+        #[serde(rename = "again")]
+        retries: u32,
         /// Its class, by index.
         class: usize,
         /// Its tenant, by index.
@@ -163,7 +167,8 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         order: Option<String>,
         /// How long it may still be delivered.
-        left: Micros,
+        #[serde(rename = "left")]
+        time_left: Micros,
         /// When the plan had it handed in.
         due: Micros,
     },
@@ -172,7 +177,7 @@
         /// The message.
         id: String,
         /// What.
-        answered: Answered,
+        answered: PutOutcome,
         /// When it was told to come again, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         after_ms: Option<u64>,
@@ -184,21 +189,23 @@
         /// The message.
         id: String,
         /// Its end.
-        state: Ended,
+        state: NoticeState,
         /// When its client is to come again, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         after_ms: Option<u64>,
     },
     /// The directory told a sender of endpoints.
-    Told {
+    #[serde(rename = "told")]
+    Listing {
         /// Which sender, by index.
         sender: usize,
         /// The list's version.
         index: u64,
         /// It was the whole list.
-        whole: bool,
+        #[serde(rename = "whole")]
+        complete: bool,
         /// Endpoints and their standing.
-        lines: Vec<(String, Standing)>,
+        lines: Vec<(String, EndpointStatus)>,
     },
     /// A call's last byte came.
     Call {
@@ -209,9 +216,11 @@
         /// To which endpoint.
         endpoint: String,
         /// When its first byte came.
-        first: Micros,
+        #[serde(rename = "first")]
+        first_byte: Micros,
         /// It was the first on its connection.
-        fresh: bool,
+        #[serde(rename = "fresh")]
+        new_connection: bool,
         /// It was a call of several messages.
         batch: bool,
         /// Its messages.
@@ -247,11 +256,12 @@
         states: Option<Vec<String>>,
     },
     /// A call's connection ended with no answer.
-    Broke {
+    #[serde(rename = "broke")]
+    Disconnected {
         /// The call.
         call: u64,
         /// Who ended it.
-        by: By,
+        by: ClosedBy,
     },
     /// An endpoint turned a sender's connection away.
     Refused {
@@ -286,7 +296,8 @@
         endpoint: Option<String>,
     },
     /// It was pushed over and stays down.
-    Fell {
+    #[serde(rename = "fell")]
+    Overloaded {
         /// Its number.
         receiver: i64,
         /// The route, where routes are apart.
@@ -304,7 +315,8 @@
         max_us: Micros,
     },
     /// The history's last record: nothing more was owed, or its time was up.
-    Over,
+    #[serde(rename = "over")]
+    End,
 }
 
 /// A record.
@@ -340,7 +352,7 @@
     },
     /// It does not begin as one of this form does.
     #[error("{}: the first line is no 'run' record of format {FORMAT}; record the run again", path.display())]
-    Form {
+    Format {
         /// Which file.
         path: PathBuf,
     },
@@ -363,7 +375,7 @@
     }
     match records.first() {
         Some(Record { event: Event::Run { format: FORMAT, .. }, .. }) => Ok(records),
-        _ => Err(HistoryError::Form { path: path.into() }),
+        _ => Err(HistoryError::Format { path: path.into() }),
     }
 }
 
@@ -382,7 +394,7 @@
     /// The file can't be made.
     pub fn create(path: &Path) -> io::Result<Recorder> {
         let out = BufWriter::new(File::create(path)?);
-        let (queue, records) = sync_channel(QUEUE_MOST);
+        let (queue, records) = sync_channel(MAX_QUEUED_RECORDS);
         let writer =
             std::thread::Builder::new().name("history".into()).spawn(move || write(out, &records))?;
         let (queue, writer) = (RefCell::new(Some(queue)), RefCell::new(Some(writer)));
@@ -400,7 +412,7 @@
     }
 
     /// Takes down what is seen now; the time at which it was.
-    pub fn note(&self, event: Event) -> Micros {
+    pub fn record(&self, event: Event) -> Micros {
         let t = self.now();
         if let Some(queue) = &*self.queue.borrow() {
             // The writer ends early only with an error, which `close` tells.
--- a/crates/rehearsal/src/html/even.rs
+++ b/crates/rehearsal/src/html/even.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 
 /// Receivers that get a picture: those with the most calls.
-const PICTURES_MOST: usize = 8;
+const MAX_PICTURES: usize = 8;
 /// Endpoints that get a row of their own; further ones are left out.
-const ROWS_MOST: usize = 60;
+const MAX_ROWS: usize = 60;
 const ROW: u32 = 14;
 /// A column is so long.
 const COLUMN: Micros = 1_000_000;
@@ -39,7 +39,7 @@
         "<h2>Evenness</h2><p>A row for each endpoint, a column for each second. White had no call, grey a mean part of \
          that second's, darker more; red is three times the mean and more.</p>",
     );
-    for e in busiest.iter().take(PICTURES_MOST) {
+    for e in busiest.iter().take(MAX_PICTURES) {
         let Some(rows) = calls.get(&e.receiver) else { continue };
         let svg = picture(rows, table.end).map_err(|error| format!("evenness of {}: {error}", e.receiver))?;
         let figures = e.spreads.iter().filter_map(|s| {
@@ -57,8 +57,8 @@
             escape(&figures.join("; "))
         );
     }
-    if all.len() > PICTURES_MOST {
-        out += &format!("<p>{} more receivers have no picture.</p>", all.len() - PICTURES_MOST);
+    if all.len() > MAX_PICTURES {
+        out += &format!("<p>{} more receivers have no picture.</p>", all.len() - MAX_PICTURES);
     }
     Ok(out)
 }
@@ -66,7 +66,7 @@
 fn picture(rows: &BTreeMap<&str, Vec<Micros>>, end: Micros) -> Result<String, Box<dyn std::error::Error>> {
     let columns = (end / COLUMN + 1).max(1) as usize;
     let mut counts: Vec<(&str, Vec<f64>)> = Vec::new();
-    for (name, calls) in rows.iter().take(ROWS_MOST) {
+    for (name, calls) in rows.iter().take(MAX_ROWS) {
         let mut row = vec![0.0; columns];
         calls.iter().for_each(|t| row[((t / COLUMN).max(0) as usize).min(columns - 1)] += 1.0);
         counts.push((name, row));
--- a/crates/rehearsal/src/html/mod.rs
+++ b/crates/rehearsal/src/html/mod.rs
@@ -11,9 +11,9 @@
 
 const SIZE: (u32, u32) = (900, 260);
 /// Receivers that get a picture of their own: those with the most calls.
-const RECEIVERS_MOST: usize = 8;
+const MAX_LISTED_RECEIVERS: usize = 8;
 /// Marks that are named in a picture; the rest are lines only.
-const MARKS_MOST: usize = 24;
+const MAX_LABELLED_MARKS: usize = 24;
 
 pub(crate) const GREEN: RGBColor = RGBColor(46, 125, 50);
 pub(crate) const AMBER: RGBColor = RGBColor(239, 108, 0);
@@ -52,7 +52,7 @@
     add(&format!("Messages held, all senders (room for {room})"), held(table, seconds), None)?;
     let mut busiest: Vec<_> = report.receivers.iter().collect();
     busiest.sort_by_key(|r| (std::cmp::Reverse(r.calls), r.number));
-    for r in busiest.iter().take(RECEIVERS_MOST) {
+    for r in busiest.iter().take(MAX_LISTED_RECEIVERS) {
         let title =
             format!("Receiver {} ({}): calls a second against its rate of {:.1}", r.number, r.kind, r.rate);
         add(&title, calls(table, r.number, seconds), Some(r.rate))?;
@@ -71,14 +71,14 @@
             Verdict::Broken => "broken",
             Verdict::Untested => "untested",
         };
-        let offences: String = r.offences.iter().map(|o| {
+        let violations: String = r.violations.iter().map(|o| {
             let of = [o.message.as_deref(), o.endpoint.as_deref()];
             let of: Vec<&str> = of.into_iter().flatten().collect();
             format!("<li>{:.3} s {}: {}</li>", o.t as f64 / 1e6, escape(&of.join(" at ")), escape(&o.what))
         }).collect();
         let margin = r.margin.as_ref().map_or(String::new(), |m| format!("<br>{}", escape(&m.to_string())));
         format!(
-            "<tr><td>{}</td><td class=\"{class}\">{}</td><td>{} times ({}){margin}<ul>{offences}</ul></td></tr>",
+            "<tr><td>{}</td><td class=\"{class}\">{}</td><td>{} times ({}){margin}<ul>{violations}</ul></td></tr>",
             escape(&r.rule.to_string()), r.verdict, r.tested, escape(&r.test)
         )
     }).collect();
@@ -102,7 +102,7 @@
         seed = report.seed,
         length = report.seconds,
         messages = report.judgement.service.whole.messages,
-        figure = report.judgement.service.figure,
+        figure = report.judgement.service.score,
         text = escape(&report.text()),
     ))
 }
@@ -191,7 +191,7 @@
     let spans = table.messages.iter().filter_map(|m| {
         let told = m.notices.iter().map(|n| n.0).min();
         let end = told.into_iter().chain(table.delivered(m)).min().unwrap_or(table.end);
-        Some((m.taken()?, end))
+        Some((m.accepted()?, end))
     });
     vec![Line { name: "messages held".into(), colour: SLATE, values: at_once(spans, seconds) }]
 }
@@ -232,7 +232,7 @@
         for (n, (t, _)) in marks.iter().enumerate() {
             let x = *t as f64 / 1e6;
             chart.draw_series(LineSeries::new([(x, 0.0), (x, most)], RGBColor(170, 170, 170)))?;
-            if n < MARKS_MOST {
+            if n < MAX_LABELLED_MARKS {
                 let style = ("sans-serif", 11).into_font().color(&RGBColor(110, 110, 110));
                 chart.draw_series([Text::new((n + 1).to_string(), (x, most), style)])?;
             }
--- a/crates/rehearsal/src/html/returns.rs
+++ b/crates/rehearsal/src/html/returns.rs
@@ -2,15 +2,15 @@
 //! below it which sender sent what.
 
 use super::{AMBER, CRIMSON, GREEN, SLATE, escape};
-use crate::judge::{PushEnd, Return, Table, returns};
+use crate::judge::{ArrivalEnd, Return, Table, returns};
 use crate::span::Micros;
 use plotters::prelude::*;
 
 /// Pictures on a page; a run with more names the rest in its figures only.
-const PICTURES_MOST: usize = 24;
+const MAX_PICTURES: usize = 24;
 const SIZE: (u32, u32) = (900, 420);
 /// Senders that get a row of their own; the rest share the last.
-const ROWS_MOST: usize = 100;
+const MAX_ROWS: usize = 100;
 /// A picture begins so long before the return ...
 const BEFORE: Micros = 1_000_000;
 /// ... and ends so long after the receiver is warm.
@@ -27,7 +27,7 @@
          of it (dashed). Below: each call and probe by its sender; green was delivered, amber turned away, red failed. \
          Grey rows are senders that had seen nothing of the outage.</p>",
     );
-    for (n, r) in all.iter().take(PICTURES_MOST).enumerate() {
+    for (n, r) in all.iter().take(MAX_PICTURES).enumerate() {
         let name = r.route.clone().unwrap_or_else(|| r.receiver.to_string());
         let svg = picture(table, r).map_err(|e| format!("return of {name}: {e}"))?;
         let peak = r.peak().map_or(0.0, |p| p.share());
@@ -39,11 +39,11 @@
              {peak:.2}</summary>{svg}</details>",
             n + 1,
             all.len(),
-            r.knowing.len()
+            r.aware.len()
         );
     }
-    if all.len() > PICTURES_MOST {
-        out += &format!("<p>{} more returns have no picture.</p>", all.len() - PICTURES_MOST);
+    if all.len() > MAX_PICTURES {
+        out += &format!("<p>{} more returns have no picture.</p>", all.len() - MAX_PICTURES);
     }
     Ok(out)
 }
@@ -55,11 +55,11 @@
     let step = (warm / 100).max(1);
     let limit = |share: f64| -> Vec<(f64, f64)> {
         let at = |n: Micros| (n * step) as f64 / 1e6;
-        (0..=100).map(|n| (at(n), share * r.beyond(table, n * step))).collect()
+        (0..=100).map(|n| (at(n), share * r.overload_limit(table, n * step))).collect()
     };
     let most = limit(1.0).iter().map(|p| p.1).fold(1.0, f64::max);
     let most = r.loads.iter().map(|l| l.sent).fold(most, f64::max) * 1.05;
-    let rows = table.parameters.senders.len().clamp(1, ROWS_MOST);
+    let rows = table.parameters.senders.len().clamp(1, MAX_ROWS);
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -90,14 +90,14 @@
         let mut mesh = chart.configure_mesh();
         mesh.disable_y_mesh().light_line_style(RGBColor(240, 240, 240)).x_desc("s after the return");
         mesh.y_desc("sender").draw()?;
-        for sender in (0..rows).filter(|n| !r.knowing.contains(n)) {
+        for sender in (0..rows).filter(|n| !r.aware.contains(n)) {
             let row = [(from, sender as f64), (to, sender as f64 + 1.0)];
             chart.draw_series([Rectangle::new(row, RGBColor(236, 236, 236).filled())])?;
         }
-        let colour = |end: PushEnd| match end {
-            PushEnd::Delivered => GREEN,
-            PushEnd::TurnedAway => AMBER,
-            PushEnd::Failed => CRIMSON,
+        let colour = |end: ArrivalEnd| match end {
+            ArrivalEnd::Delivered => GREEN,
+            ArrivalEnd::Rejected => AMBER,
+            ArrivalEnd::Failed => CRIMSON,
         };
         let here = |c: &&crate::judge::Call| {
             c.receiver == Some(r.receiver) && r.route.as_ref().is_none_or(|route| *route == c.endpoint)
@@ -105,7 +105,7 @@
         let calls = table.calls.values().filter(here);
         let before =
             calls.filter(|c| c.t <= r.back && c.t > r.back - BEFORE).map(|c| (c.t, c.sender, CRIMSON));
-        let after = r.pushes.iter().filter(|p| p.t <= r.back + warm + AFTER);
+        let after = r.arrivals.iter().filter(|p| p.t <= r.back + warm + AFTER);
         let dots = before.chain(after.map(|p| (p.t, p.sender, colour(p.end))));
         chart.draw_series(dots.map(|(t, sender, colour)| {
             let y = sender.min(rows - 1) as f64 + 0.5;
--- a/crates/rehearsal/src/judge/cold.rs
+++ b/crates/rehearsal/src/judge/cold.rs
@@ -9,35 +9,36 @@
 use super::{Findings, Margin, Table};
 
 /// The part of the load, by senders that had seen the outage, from which on it is theirs.
-const KNOWING_SHARE: f64 = 2.0 / 3.0;
+const MIN_AWARE_SHARE: f64 = 2.0 / 3.0;
 
 pub(super) fn check(table: &Table, returns: &[Return]) -> Findings {
     let mut found = Findings::new();
-    let mut margin = Margin::most("highest share reached of the load that pushes a receiver over", "", 1.0);
-    for r in returns.iter().filter(|r| !r.knowing.is_empty()) {
+    let mut margin =
+        Margin::highest("highest share reached of the load that pushes a receiver over", "", 1.0);
+    for r in returns.iter().filter(|r| !r.aware.is_empty()) {
         found.tested += 1;
         if let Some(peak) = r.peak() {
-            margin.meet(peak.share(), peak.t);
+            margin.observe(peak.share(), peak.t);
         }
         // It lies there from the first time on; what comes after pushes nothing over.
-        let Some(load) = r.loads.iter().find(|l| l.sent > l.beyond) else { continue };
+        let Some(load) = r.loads.iter().find(|l| l.sent > l.limit) else { continue };
         let (number, window) = (r.receiver, table.parameters.rules.fall_window / 1000);
         let what = format!(
             "receiver {number} was sent a load of {:.1} within {window} ms, {} ms after its return, where {:.1} pushes it \
              over; {:.1} of it by senders that had seen it fail",
             load.sent,
             (load.t - r.back) / 1000,
-            load.beyond,
-            load.knowing
+            load.limit,
+            load.aware
         );
-        if load.knowing >= KNOWING_SHARE * load.sent {
-            let call = r.pushes[load.push].call.and_then(|n| table.calls.get(&n));
+        if load.aware >= MIN_AWARE_SHARE * load.sent {
+            let call = r.arrivals[load.push].call.and_then(|n| table.calls.get(&n));
             let message = call.and_then(|c| c.ids.first()).map(String::as_str);
-            found.offence(load.t, message, call.map(|c| c.endpoint.as_str()), what);
+            found.violation(load.t, message, call.map(|c| c.endpoint.as_str()), what);
         } else {
             found.remarks.push(format!("not counted, since too few of the senders knew: {what}"));
         }
     }
-    found.margin = margin.met();
+    found.margin = margin.observed();
     found
 }
--- a/crates/rehearsal/src/judge/even.rs
+++ b/crates/rehearsal/src/judge/even.rs
@@ -5,7 +5,7 @@
 //! section 16). It is 1 on average for independent even choices, 0 for a perfect round, and grows with herds.
 
 use super::Table;
-use crate::history::Standing;
+use crate::history::EndpointStatus;
 use crate::span::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -13,9 +13,9 @@
 /// The spans over which calls are counted.
 pub const WINDOWS: [Micros; 3] = [100_000, 1_000_000, 10_000_000];
 /// Calls an endpoint on average that a window must hold for its busiest and idlest to say anything.
-const MEAN_LEAST: f64 = 1.0;
+const MIN_MEAN_CALLS: f64 = 1.0;
 /// An endpoint queues with so many calls out at once.
-const QUEUES: usize = 2;
+const QUEUEING_CALLS: usize = 2;
 
 /// Evenness over windows of one length, each figure a mean over the windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -51,12 +51,12 @@
 /// Evenness of each receiver with two endpoints and more, in order of their numbers.
 pub(super) fn evenness(table: &Table) -> Vec<Evenness> {
     let mut listed: BTreeMap<&str, Listed> = BTreeMap::new();
-    for ((_, endpoint), tellings) in &table.told {
+    for ((_, endpoint), tellings) in &table.status_updates {
         for (t, standing) in tellings {
             let span = listed.entry(endpoint).or_insert((Micros::MAX, Micros::MAX));
             match standing {
-                Standing::Ready => span.0 = span.0.min(*t),
-                Standing::Terminating | Standing::Gone => span.1 = span.1.min(*t),
+                EndpointStatus::Ready => span.0 = span.0.min(*t),
+                EndpointStatus::Terminating | EndpointStatus::Gone => span.1 = span.1.min(*t),
             }
         }
     }
@@ -120,7 +120,7 @@
         let mean = sum / k;
         s.windows += 1;
         variance += counts.iter().map(|c| (c - mean).powi(2)).sum::<f64>() / (mean * (k - 1.0));
-        if mean >= MEAN_LEAST {
+        if mean >= MIN_MEAN_CALLS {
             told += 1;
             busiest += counts.iter().copied().fold(0.0, f64::max) / mean;
             idlest += counts.iter().copied().fold(f64::INFINITY, f64::min) / mean;
@@ -155,9 +155,9 @@
         if what == 1 {
             out[place] += 1;
             idle[place] = 0;
-            queuing += usize::from(out[place] == QUEUES);
+            queuing += usize::from(out[place] == QUEUEING_CALLS);
         } else {
-            queuing -= usize::from(out[place] == QUEUES);
+            queuing -= usize::from(out[place] == QUEUEING_CALLS);
             out[place] = out[place].saturating_sub(1);
         }
     }
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -23,18 +23,18 @@
 use std::fmt;
 
 pub use even::{Evenness, Spread, WINDOWS};
-pub use returns::{Load, Push, PushEnd, Return, returns};
+pub use returns::{Arrival, ArrivalEnd, Load, Return, returns};
 pub use service::{Penalty, Served, Service};
 pub use table::{Absence, Attempt, Call, CallEnd, Lane, Message, Outage, Table};
 
 /// What each time limit is longer by on sockets.
-pub const ALLOWANCE: Micros = 50_000;
+pub const SOCKET_ALLOWANCE_US: Micros = 50_000;
 /// Offences of a rule that are told with their evidence; the rest are counted.
-pub const OFFENCES_MOST: usize = 10;
+pub const MAX_REPORTED_VIOLATIONS: usize = 10;
 /// A rig whose plan was late by more than this at the 99th percentile measured itself and not the senders ...
-pub const LATE_P99: Micros = 50_000;
+pub const MAX_LATE_P99_US: Micros = 50_000;
 /// ... and so did one that once stood still for longer than this.
-pub const STALL_MOST: Micros = 250_000;
+pub const MAX_STALL_US: Micros = 250_000;
 
 /// The six rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
 
 /// An offence against a rule, with its evidence.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Offence {
+pub struct Violation {
     /// When.
     pub t: Micros,
     /// The message, where it is one's.
@@ -130,29 +130,30 @@
     /// When the worst was seen.
     pub t: Micros,
     /// More is worse; else less is.
-    pub upward: bool,
+    #[serde(rename = "upward")]
+    pub higher_is_worse: bool,
 }
 
 impl Margin {
     /// One whose worst is the most.
-    fn most(what: &str, unit: &str, limit: f64) -> Margin {
+    fn highest(what: &str, unit: &str, limit: f64) -> Margin {
         let (what, unit) = (what.into(), unit.into());
-        Margin { what, worst: f64::NEG_INFINITY, limit, unit, t: 0, upward: true }
+        Margin { what, worst: f64::NEG_INFINITY, limit, unit, t: 0, higher_is_worse: true }
     }
 
     /// One whose worst is the least.
-    fn least(what: &str, unit: &str, limit: f64) -> Margin {
-        Margin { worst: f64::INFINITY, upward: false, ..Margin::most(what, unit, limit) }
+    fn lowest(what: &str, unit: &str, limit: f64) -> Margin {
+        Margin { worst: f64::INFINITY, higher_is_worse: false, ..Margin::highest(what, unit, limit) }
     }
 
-    fn meet(&mut self, value: f64, t: Micros) {
-        if if self.upward { value > self.worst } else { value < self.worst } {
+    fn observe(&mut self, value: f64, t: Micros) {
+        if if self.higher_is_worse { value > self.worst } else { value < self.worst } {
             (self.worst, self.t) = (value, t);
         }
     }
 
     /// It, if anything was met.
-    fn met(self) -> Option<Margin> {
+    fn observed(self) -> Option<Margin> {
         self.worst.is_finite().then_some(self)
     }
 }
@@ -161,7 +162,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let figure = |v: f64| if self.unit.is_empty() { format!("{v:.2}") } else { format!("{v:.0}") };
         let unit = if self.unit.is_empty() { String::new() } else { format!(" {}", self.unit) };
-        let side = if self.upward { "at most" } else { "at least" };
+        let side = if self.higher_is_worse { "at most" } else { "at least" };
         let (worst, limit, at) = (figure(self.worst), figure(self.limit), self.t as f64 / 1e6);
         write!(f, "{}: {worst}{unit}, {side} {limit}{unit} (at {at:.3} s)", self.what)
     }
@@ -181,7 +182,8 @@
     /// How often it was broken.
     pub broken: usize,
     /// The first offences.
-    pub offences: Vec<Offence>,
+    #[serde(rename = "offences")]
+    pub violations: Vec<Violation>,
     /// How near it came to being broken, where something was put to the test that can be measured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub margin: Option<Margin>,
@@ -197,7 +199,7 @@
 #[derive(Debug)]
 struct Findings {
     tested: usize,
-    offences: Vec<Offence>,
+    violations: Vec<Violation>,
     margin: Option<Margin>,
     counts: BTreeMap<String, usize>,
     remarks: Vec<String>,
@@ -205,30 +207,30 @@
 
 impl Findings {
     fn new() -> Self {
-        let (offences, remarks, counts) = (Vec::new(), Vec::new(), BTreeMap::new());
-        Findings { tested: 0, offences, margin: None, counts, remarks }
+        let (violations, remarks, counts) = (Vec::new(), Vec::new(), BTreeMap::new());
+        Findings { tested: 0, violations, margin: None, counts, remarks }
     }
 
     fn count(&mut self, what: &str) {
         *self.counts.entry(what.into()).or_default() += 1;
     }
 
-    fn offence(&mut self, t: Micros, message: Option<&str>, endpoint: Option<&str>, what: String) {
+    fn violation(&mut self, t: Micros, message: Option<&str>, endpoint: Option<&str>, what: String) {
         let (message, endpoint) = (message.map(Into::into), endpoint.map(Into::into));
-        self.offences.push(Offence { t, message, endpoint, what });
+        self.violations.push(Violation { t, message, endpoint, what });
     }
 
     fn ruling(mut self, rule: Rule, test: &str) -> Ruling {
-        self.offences.sort_by(|a, b| (a.t, &a.message, &a.what).cmp(&(b.t, &b.message, &b.what)));
-        let broken = self.offences.len();
-        self.offences.truncate(OFFENCES_MOST);
+        self.violations.sort_by(|a, b| (a.t, &a.message, &a.what).cmp(&(b.t, &b.message, &b.what)));
+        let broken = self.violations.len();
+        self.violations.truncate(MAX_REPORTED_VIOLATIONS);
         let verdict = match (broken, self.tested) {
             (0, 0) => Verdict::Untested,
             (0, _) => Verdict::Kept,
             _ => Verdict::Broken,
         };
-        let Findings { tested, offences, margin, counts, remarks } = self;
-        Ruling { rule, verdict, tested, test: test.into(), broken, offences, margin, counts, remarks }
+        let Findings { tested, violations, margin, counts, remarks } = self;
+        Ruling { rule, verdict, tested, test: test.into(), broken, violations, margin, counts, remarks }
     }
 }
 
@@ -257,7 +259,7 @@
     pub rules: Vec<Ruling>,
     /// Returns from outages.
     #[serde(default)]
-    pub returns: Vec<Returned>,
+    pub returns: Vec<ReturnSummary>,
     /// How even the load of each receiver with several endpoints was.
     #[serde(default)]
     pub evenness: Vec<Evenness>,
@@ -281,7 +283,7 @@
 
 /// One return from an outage, in figures.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Returned {
+pub struct ReturnSummary {
     /// The receiver's number.
     pub receiver: i64,
     /// The route, where routes are apart.
@@ -290,9 +292,11 @@
     /// When it came back.
     pub back: Micros,
     /// Senders that had seen it fail.
-    pub knowing: usize,
+    #[serde(rename = "knowing")]
+    pub aware: usize,
     /// Calls and probes that came until it was warm.
-    pub pushes: usize,
+    #[serde(rename = "pushes")]
+    pub arrivals: usize,
     /// The highest share reached of the load that pushes it over.
     pub peak: f64,
     /// How long after the return.
@@ -303,15 +307,15 @@
     pub full: Option<Micros>,
 }
 
-impl Returned {
-    fn of(r: &Return) -> Returned {
+impl ReturnSummary {
+    fn of(r: &Return) -> ReturnSummary {
         let peak = r.peak();
-        Returned {
+        ReturnSummary {
             receiver: r.receiver,
             route: r.route.clone(),
             back: r.back,
-            knowing: r.knowing.len(),
-            pushes: r.loads.len(),
+            aware: r.aware.len(),
+            arrivals: r.loads.len(),
             peak: peak.map_or(0.0, |p| p.share()),
             peak_after: peak.map_or(0, |p| p.t - r.back),
             half: r.half,
@@ -341,13 +345,13 @@
 /// Judges a history that has been put together.
 pub fn verdict(table: &Table) -> Judgement {
     let lateness = lateness(table);
-    let void = if !table.over {
+    let void = if !table.complete {
         Some("the history has no end: the rehearsal was cut off".to_string())
-    } else if lateness.p99_us > LATE_P99 {
-        let (p99, most) = (lateness.p99_us / 1000, LATE_P99 / 1000);
+    } else if lateness.p99_us > MAX_LATE_P99_US {
+        let (p99, most) = (lateness.p99_us / 1000, MAX_LATE_P99_US / 1000);
         Some(format!("the rig ran late: p99 of the plan's lag {p99} ms, {most} ms at most; give it more CPU"))
-    } else if lateness.stall_us > STALL_MOST {
-        let (stall, most) = (lateness.stall_us / 1000, STALL_MOST / 1000);
+    } else if lateness.stall_us > MAX_STALL_US {
+        let (stall, most) = (lateness.stall_us / 1000, MAX_STALL_US / 1000);
         Some(format!("the rig stood still for {stall} ms, {most} ms at most; give it more CPU"))
     } else {
         None
@@ -363,14 +367,14 @@
         order::check(table).ruling(Rule::OrderKept, "a message behind another of its key"),
         waits::check(table).ruling(Rule::WaitsHeeded, "a wait that a sender was told"),
     ];
-    let returns = returns.iter().map(Returned::of).collect();
-    let (evenness, service) = (even::evenness(table), service::serve(table));
+    let returns = returns.iter().map(ReturnSummary::of).collect();
+    let (evenness, service) = (even::evenness(table), service::evaluate(table));
     Judgement { void, rules, returns, evenness, service, lateness }
 }
 
 fn lateness(table: &Table) -> Lateness {
     let mut late: Vec<Micros> =
-        table.messages.iter().filter(|m| m.again == 0).map(|m| (m.offered - m.due).max(0)).collect();
+        table.messages.iter().filter(|m| m.retries == 0).map(|m| (m.offered - m.due).max(0)).collect();
     late.sort_unstable();
     let at = |share: f64| late.get(((late.len() as f64 * share) as usize).min(late.len().saturating_sub(1)));
     Lateness {
--- a/crates/rehearsal/src/judge/returns.rs
+++ b/crates/rehearsal/src/judge/returns.rs
@@ -7,24 +7,24 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// What was usual before an outage is counted over this long.
-const USUAL_OVER: Micros = 5_000_000;
+const BASELINE_SPAN_US: Micros = 5_000_000;
 /// The load is back once this long shows it.
-const BACK_OVER: Micros = 1_000_000;
+const RECOVERY_WINDOW_US: Micros = 1_000_000;
 
 /// How a call or a probe that reached a returning receiver ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PushEnd {
+pub enum ArrivalEnd {
     /// All or some of it was delivered.
     Delivered,
     /// It was turned away.
-    TurnedAway,
+    Rejected,
     /// It failed, or has no known end.
     Failed,
 }
 
 /// A call or a probe that reached a returning receiver; those that it turned away push too.
 #[derive(Clone, Copy, Debug)]
-pub struct Push {
+pub struct Arrival {
     /// When.
     pub t: Micros,
     /// From which sender, by index.
@@ -34,7 +34,7 @@
     /// The call's number; nothing for a probe.
     pub call: Option<u64>,
     /// How it ended.
-    pub end: PushEnd,
+    pub end: ArrivalEnd,
 }
 
 /// The load within one fall window, and what would have pushed the receiver over.
@@ -45,17 +45,17 @@
     /// What came within it.
     pub sent: f64,
     /// What pushes it over at that moment.
-    pub beyond: f64,
+    pub limit: f64,
     /// The part of it that came from senders that had seen the outage.
-    pub knowing: f64,
-    /// The place in [`Return::pushes`] of the last that came.
+    pub aware: f64,
+    /// The place in [`Return::arrivals`] of the last that came.
     pub push: usize,
 }
 
 impl Load {
     /// What came, as a share of what pushes the receiver over.
     pub fn share(&self) -> f64 {
-        self.sent / self.beyond
+        self.sent / self.limit
     }
 }
 
@@ -75,9 +75,9 @@
     /// Until when it is judged: it is warm, or goes out again.
     pub until: Micros,
     /// Senders that had seen a call or probe fail, or be refused, during the outage.
-    pub knowing: BTreeSet<usize>,
+    pub aware: BTreeSet<usize>,
     /// What came, in order of time.
-    pub pushes: Vec<Push>,
+    pub arrivals: Vec<Arrival>,
     /// The load after each of them.
     pub loads: Vec<Load>,
     /// From the return until as much was delivered within a second as half of the usual.
@@ -93,9 +93,9 @@
     }
 
     /// What pushes the receiver over so long after its return.
-    pub fn beyond(&self, table: &Table, since: Micros) -> f64 {
+    pub fn overload_limit(&self, table: &Table, since: Micros) -> f64 {
         let capacity = table.receiver(self.receiver).map_or(0.0, |r| r.capacity_after(since));
-        table.parameters.rules.fall_beyond(capacity * self.part)
+        table.parameters.rules.overload_limit(capacity * self.part)
     }
 }
 
@@ -120,8 +120,8 @@
                 out: *out,
                 back,
                 until: next.min(back + receiver.warm_up),
-                knowing: knowing(table, &calls, &here, *out, back),
-                pushes: pushes(table, &calls, &here, back, next),
+                aware: aware(table, &calls, &here, *out, back),
+                arrivals: arrivals(table, &calls, &here, back, next),
                 loads: Vec::new(),
                 half: None,
                 full: None,
@@ -134,44 +134,44 @@
     all
 }
 
-fn pushes(
+fn arrivals(
     table: &Table,
     calls: &[(u64, &Call)],
     here: &impl Fn(&str) -> bool,
     back: Micros,
     next: Micros,
-) -> Vec<Push> {
+) -> Vec<Arrival> {
     let of_call = |(number, c): &(u64, &Call)| {
-        let fates: Vec<Attempt> = (0..c.ids.len()).map(|place| c.attempt(place).1).collect();
-        let end = if fates.contains(&Attempt::Delivered) {
-            PushEnd::Delivered
-        } else if fates.contains(&Attempt::MayHaveRun) {
-            PushEnd::Failed
+        let outcomes: Vec<Attempt> = (0..c.ids.len()).map(|place| c.attempt(place).1).collect();
+        let end = if outcomes.contains(&Attempt::Delivered) {
+            ArrivalEnd::Delivered
+        } else if outcomes.contains(&Attempt::MayHaveRun) {
+            ArrivalEnd::Failed
         } else {
-            PushEnd::TurnedAway
+            ArrivalEnd::Rejected
         };
         let weight = table.parameters.rules.weight(c.ids.len());
-        Push { t: c.t, sender: c.sender, weight, call: Some(*number), end }
+        Arrival { t: c.t, sender: c.sender, weight, call: Some(*number), end }
     };
     let probes = table.probes.iter().filter(|(_, endpoint, ..)| here(endpoint));
-    let of_probe = |(t, _, sender, status): &(Micros, String, usize, u16)| Push {
+    let of_probe = |(t, _, sender, status): &(Micros, String, usize, u16)| Arrival {
         t: *t,
         sender: *sender,
         weight: 1.0,
         call: None,
-        end: if *status == 200 { PushEnd::Delivered } else { PushEnd::TurnedAway },
+        end: if *status == 200 { ArrivalEnd::Delivered } else { ArrivalEnd::Rejected },
     };
     let all = calls.iter().map(of_call).chain(probes.map(of_probe));
-    let mut pushes: Vec<Push> = all.filter(|p| p.t > back && p.t < next).collect();
-    pushes.sort_by_key(|p| p.t);
-    pushes
+    let mut arrivals: Vec<Arrival> = all.filter(|p| p.t > back && p.t < next).collect();
+    arrivals.sort_by_key(|p| p.t);
+    arrivals
 }
 
 fn loads(table: &Table, receiver: &Receiver, r: &Return) -> Vec<Load> {
     let window = table.parameters.rules.fall_window;
-    let mut within: VecDeque<&Push> = VecDeque::new();
+    let mut within: VecDeque<&Arrival> = VecDeque::new();
     let mut loads = Vec::new();
-    for (place, push) in r.pushes.iter().enumerate() {
+    for (place, push) in r.arrivals.iter().enumerate() {
         let t = push.t;
         if t > r.back + receiver.warm_up {
             break;
@@ -181,15 +181,15 @@
             within.pop_front();
         }
         let sent: f64 = within.iter().map(|p| p.weight).sum();
-        let known = within.iter().filter(|p| r.knowing.contains(&p.sender));
-        let knowing: f64 = known.map(|p| p.weight).sum();
-        loads.push(Load { t, sent, beyond: r.beyond(table, t - r.back), knowing, push: place });
+        let known = within.iter().filter(|p| r.aware.contains(&p.sender));
+        let aware: f64 = known.map(|p| p.weight).sum();
+        loads.push(Load { t, sent, limit: r.overload_limit(table, t - r.back), aware, push: place });
     }
     loads
 }
 
 /// Senders that had seen a call or probe fail, or be refused, during the outage.
-fn knowing(
+fn aware(
     table: &Table,
     calls: &[(u64, &Call)],
     here: &impl Fn(&str) -> bool,
@@ -200,14 +200,14 @@
     let mut senders = BTreeSet::new();
     for (_, call) in calls.iter().filter(|(_, c)| c.t <= back) {
         let failed = (0..call.ids.len()).any(|place| match call.attempt(place) {
-            (Some(known), fate) => within(known) && fate != Attempt::Delivered,
+            (Some(known), outcome) => within(known) && outcome != Attempt::Delivered,
             (None, _) => false,
         });
         if failed {
             senders.insert(call.sender);
         }
     }
-    let refused = table.refused.iter().filter(|(t, endpoint, _)| within(*t) && here(endpoint));
+    let refused = table.refused_connections.iter().filter(|(t, endpoint, _)| within(*t) && here(endpoint));
     senders.extend(refused.map(|(.., sender)| *sender));
     let probes = table.probes.iter().filter(|(t, endpoint, ..)| within(*t) && here(endpoint));
     senders.extend(probes.filter(|(.., status)| *status != 200).map(|(_, _, sender, _)| *sender));
@@ -224,19 +224,19 @@
     let mut delivered: Vec<Micros> = Vec::new();
     for (_, call) in calls {
         let ends = (0..call.ids.len()).map(|place| call.attempt(place));
-        delivered.extend(ends.filter(|(_, fate)| *fate == Attempt::Delivered).filter_map(|(t, _)| t));
+        delivered.extend(ends.filter(|(_, outcome)| *outcome == Attempt::Delivered).filter_map(|(t, _)| t));
     }
     delivered.sort_unstable();
     let between = |from: Micros, to: Micros| {
         delivered.partition_point(|t| *t < to) - delivered.partition_point(|t| *t < from)
     };
-    let since = out - USUAL_OVER.min(out);
-    let usual = between(since, out) as f64 * BACK_OVER as f64 / (out - since).max(1) as f64;
+    let since = out - BASELINE_SPAN_US.min(out);
+    let usual = between(since, out) as f64 * RECOVERY_WINDOW_US as f64 / (out - since).max(1) as f64;
     let when = |share: f64| {
         let need = ((usual * share).ceil() as usize).max(1);
         let after = &delivered[delivered.partition_point(|t| *t <= back)..];
         let after = after.iter().take_while(|t| **t < next);
-        let reached = after.copied().find(|t| between((t - BACK_OVER).max(back) + 1, t + 1) >= need);
+        let reached = after.copied().find(|t| between((t - RECOVERY_WINDOW_US).max(back) + 1, t + 1) >= need);
         reached.map(|t| t - back)
     };
     if usual > 0.0 { (when(0.5), when(0.9)) } else { (None, None) }
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -4,17 +4,17 @@
 //! less the penalties. A client's retries belong to its first try.
 
 use super::{Attempt, CallEnd, Table};
-use crate::history::Ended;
+use crate::history::NoticeState;
 use crate::span::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
 /// The window of which the worst counts.
-const WINDOW: Micros = 10_000_000;
+const WINDOW_US: Micros = 10_000_000;
 /// How far apart windows begin.
-const STEP: Micros = 1_000_000;
+const WINDOW_STEP_US: Micros = 1_000_000;
 /// A window in which less than this part of the usual worth was asked for says nothing.
-const WINDOW_LEAST: f64 = 0.25;
+const MIN_WINDOW_SHARE: f64 = 0.25;
 
 /// A part of the messages, and how it was served.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -56,7 +56,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// The figure: the weighted terms less the penalties.
-    pub figure: f64,
+    #[serde(rename = "figure")]
+    pub score: f64,
     /// The whole run.
     pub whole: Served,
     /// The worst 10 s, and when they began.
@@ -76,7 +77,7 @@
 }
 
 /// A message over all its hand-ins.
-struct Errand {
+struct ClientMessage {
     at: Micros,
     class: usize,
     tenant: usize,
@@ -94,32 +95,31 @@
     Failed,
 }
 
-pub(super) fn serve(table: &Table) -> Service {
-    let errands = errands(table);
-    let whole = served("whole run", errands.iter());
-    let (worst_window_from, worst_window) = worst_window(&errands, &whole);
+pub(super) fn evaluate(table: &Table) -> Service {
+    let client_messages = client_messages(table);
+    let whole = served("whole run", client_messages.iter());
+    let (worst_window_from, worst_window) = worst_window(&client_messages, &whole);
     let classes: Vec<Served> = table
         .parameters
         .classes
         .iter()
         .enumerate()
-        .map(|(n, c)| served(&c.name, errands.iter().filter(|e| e.class == n)))
+        .map(|(n, c)| served(&c.name, client_messages.iter().filter(|e| e.class == n)))
         .collect();
     let tenants: Vec<Served> = table
         .parameters
         .tenants
         .iter()
         .enumerate()
-        .map(|(n, t)| served(&t.name, errands.iter().filter(|e| e.tenant == n && e.within)))
+        .map(|(n, t)| served(&t.name, client_messages.iter().filter(|e| e.tenant == n && e.within)))
         .collect();
     let worst = |parts: &[Served]| parts.iter().map(|p| p.share).fold(1.0, f64::min);
     let (worst_class, worst_tenant) = (worst(&classes), worst(&tenants));
-    let penalties = penalties(table, &errands);
+    let penalties = penalties(table, &client_messages);
     let off: f64 = penalties.iter().map(|p| p.off).sum();
-    let figure =
-        0.45 * whole.share + 0.25 * worst_window.share + 0.2 * worst_class + 0.1 * worst_tenant - off;
+    let score = 0.45 * whole.share + 0.25 * worst_window.share + 0.2 * worst_class + 0.1 * worst_tenant - off;
     Service {
-        figure,
+        score,
         whole,
         worst_window,
         worst_window_from,
@@ -131,7 +131,7 @@
     }
 }
 
-fn served<'a>(name: &str, errands: impl Iterator<Item = &'a Errand>) -> Served {
+fn served<'a>(name: &str, client_messages: impl Iterator<Item = &'a ClientMessage>) -> Served {
     let mut s = Served {
         name: name.into(),
         messages: 0,
@@ -143,7 +143,7 @@
         worth: 0.0,
         share: 1.0,
     };
-    for e in errands {
+    for e in client_messages {
         s.messages += 1;
         s.asked += e.asked;
         s.worth += e.worth;
@@ -160,10 +160,10 @@
     s
 }
 
-fn errands(table: &Table) -> Vec<Errand> {
+fn client_messages(table: &Table) -> Vec<ClientMessage> {
     // Each tenant's share, as a second's worth of its quota that is filled evenly.
     let mut shares: HashMap<usize, (f64, Micros)> = HashMap::new();
-    let mut errands: Vec<Errand> = Vec::new();
+    let mut client_messages: Vec<ClientMessage> = Vec::new();
     let mut by_origin: BTreeMap<&str, usize> = BTreeMap::new();
     for m in &table.messages {
         let Some(class) = table.class(m) else { continue };
@@ -175,10 +175,18 @@
             shares.insert(m.tenant, (if within { left - 1.0 } else { left }, m.offered));
             let asked = class.worth * if within { 1.0 } else { table.parameters.over_share_worth };
             let (at, end, worth) = (m.offered, End::Failed, 0.0);
-            errands.push(Errand { at, class: m.class, tenant: m.tenant, within, asked, worth, end });
-            errands.len() - 1
+            client_messages.push(ClientMessage {
+                at,
+                class: m.class,
+                tenant: m.tenant,
+                within,
+                asked,
+                worth,
+                end,
+            });
+            client_messages.len() - 1
         });
-        let e = &mut errands[at];
+        let e = &mut client_messages[at];
         if matches!(e.end, End::InTime | End::Late) {
             continue;
         }
@@ -196,34 +204,35 @@
             None => e.end = End::Failed,
         }
     }
-    errands
+    client_messages
 }
 
-fn worst_window(errands: &[Errand], whole: &Served) -> (Micros, Served) {
-    let last = errands.iter().map(|e| e.at).max().unwrap_or(0);
-    let usual = whole.asked * WINDOW as f64 / (last.max(WINDOW)) as f64;
+fn worst_window(client_messages: &[ClientMessage], whole: &Served) -> (Micros, Served) {
+    let last = client_messages.iter().map(|e| e.at).max().unwrap_or(0);
+    let usual = whole.asked * WINDOW_US as f64 / (last.max(WINDOW_US)) as f64;
     let mut worst = (0, Served { name: "worst 10 s".into(), ..whole.clone() });
     let mut from = 0;
-    while from + WINDOW <= last.max(WINDOW) {
-        let part = served("worst 10 s", errands.iter().filter(|e| (from..from + WINDOW).contains(&e.at)));
-        if part.asked >= WINDOW_LEAST * usual && part.asked > 0.0 && part.share < worst.1.share {
+    while from + WINDOW_US <= last.max(WINDOW_US) {
+        let part =
+            served("worst 10 s", client_messages.iter().filter(|e| (from..from + WINDOW_US).contains(&e.at)));
+        if part.asked >= MIN_WINDOW_SHARE * usual && part.asked > 0.0 && part.share < worst.1.share {
             worst = (from, part);
         }
-        from += STEP;
+        from += WINDOW_STEP_US;
     }
     worst
 }
 
-fn penalties(table: &Table, errands: &[Errand]) -> Vec<Penalty> {
-    let messages = errands.len().max(1) as f64;
+fn penalties(table: &Table, client_messages: &[ClientMessage]) -> Vec<Penalty> {
+    let messages = client_messages.len().max(1) as f64;
     let calls = || table.calls.values();
-    let fresh = calls().filter(|c| c.fresh).count();
+    let new_connection = calls().filter(|c| c.new_connection).count();
     // Work that delivered nothing: runs beyond the one that each delivered message needed.
     let runs: usize = table.messages.iter().map(|m| m.runs.len()).sum();
-    let delivered = errands.iter().filter(|e| matches!(e.end, End::InTime | End::Late)).count();
+    let delivered = client_messages.iter().filter(|e| matches!(e.end, End::InTime | End::Late)).count();
     let late_fail = table.messages.iter().filter(|m| {
         let aim = table.class(m).map_or(0, |c| c.aim);
-        m.notices.iter().any(|(t, e)| *e == Ended::Failed && *t > m.offered + aim)
+        m.notices.iter().any(|(t, e)| *e == NoticeState::Failed && *t > m.offered + aim)
     });
     let zone = |endpoint: &str| table.endpoints.get(endpoint).map(|e| e.1.as_str());
     let crossing = calls().filter(|c| {
@@ -245,7 +254,7 @@
         Penalty { name: name.into(), count, points, off }
     };
     vec![
-        penalty("new connections", fresh as f64, 4.0),
+        penalty("new connections", new_connection as f64, 4.0),
         penalty("work wasted", runs.saturating_sub(delivered) as f64, 3.0),
         penalty("failed only after the wanted time", late_fail.count() as f64, 2.0),
         penalty("probes", table.probes.len() as f64, 1.0),
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -1,6 +1,6 @@
 //! A history, put together by message, call and sender.
 
-use crate::history::{Answered, By, Ended, Event, Record, Signal, Standing};
+use crate::history::{ClosedBy, EndpointStatus, Event, NoticeState, PutOutcome, Record, Signal};
 use crate::parameters::{Class, Effect, Parameters, Receiver};
 use crate::span::Micros;
 use embershore_protocol::call::state as batch_state;
@@ -20,7 +20,7 @@
         states: Option<Vec<String>>,
     },
     /// Its connection ended.
-    Broke(By),
+    Disconnected(ClosedBy),
 }
 
 /// A call as it was seen.
@@ -29,7 +29,7 @@
     /// When its last byte came.
     pub t: Micros,
     /// When its first came.
-    pub first: Micros,
+    pub first_byte: Micros,
     /// From which sender.
     pub sender: usize,
     /// To which endpoint.
@@ -37,7 +37,7 @@
     /// To which receiver, by number; nothing for an endpoint that is not known.
     pub receiver: Option<i64>,
     /// The first on its connection.
-    pub fresh: bool,
+    pub new_connection: bool,
     /// A call of several.
     pub batch: bool,
     /// Its messages' ids.
@@ -61,8 +61,8 @@
     /// What became of the message that stands at this place in the call, and when that was known.
     pub fn attempt(&self, place: usize) -> (Option<Micros>, Attempt) {
         let Some((t, end)) = &self.end else { return (None, Attempt::MayHaveRun) };
-        let fate = match end {
-            CallEnd::Broke(_) => Attempt::MayHaveRun,
+        let outcome = match end {
+            CallEnd::Disconnected(_) => Attempt::MayHaveRun,
             CallEnd::Answer { status: 200, states: Some(states), .. } => {
                 match batch_state(states.get(place).map(String::as_str)) {
                     (Outcome::Done, _) => Attempt::Delivered,
@@ -75,7 +75,7 @@
             CallEnd::Answer { status: 400 | 410 | 413 | 429 | 503 | 504, .. } => Attempt::NeverRan,
             CallEnd::Answer { .. } => Attempt::MayHaveRun,
         };
-        (Some(*t), fate)
+        (Some(*t), outcome)
     }
 }
 
@@ -87,7 +87,7 @@
     /// The id under which it was handed in first.
     pub origin: String,
     /// How often before.
-    pub again: u32,
+    pub retries: u32,
     /// When.
     pub offered: Micros,
     /// When the plan had it.
@@ -105,9 +105,9 @@
     /// When its time is up.
     pub deadline: Micros,
     /// What its client heard, and when.
-    pub reply: Option<(Micros, Answered)>,
+    pub reply: Option<(Micros, PutOutcome)>,
     /// What the platform heard.
-    pub notices: Vec<(Micros, Ended)>,
+    pub notices: Vec<(Micros, NoticeState)>,
     /// Its calls, in order of time: which, and its place in it.
     pub calls: Vec<(u64, usize)>,
     /// When it ran, with whether its key was remembered.
@@ -116,20 +116,24 @@
 
 impl Message {
     /// When its client heard that it is taken on.
-    pub fn taken(&self) -> Option<Micros> {
-        self.reply.filter(|(_, a)| *a == Answered::Taken).map(|(t, _)| t)
+    pub fn accepted(&self) -> Option<Micros> {
+        self.reply.filter(|(_, a)| *a == PutOutcome::Accepted).map(|(t, _)| t)
     }
 
     /// It was refused: at once, or after it had been taken on.
     pub fn refused(&self) -> bool {
-        matches!(self.reply, Some((_, Answered::Busy))) || self.notices.iter().any(|n| n.1 == Ended::Returned)
+        matches!(self.reply, Some((_, PutOutcome::Busy)))
+            || self.notices.iter().any(|n| n.1 == NoticeState::Returned)
     }
 
     /// Its client heard nothing of it, so that what becomes of it under this id counts for nothing.
-    pub fn disowned(&self) -> bool {
+    pub fn unacknowledged(&self) -> bool {
         matches!(
             self.reply,
-            None | Some((_, Answered::Silence | Answered::Closed | Answered::Unreachable | Answered::Left))
+            None | Some((
+                _,
+                PutOutcome::TimedOut | PutOutcome::Closed | PutOutcome::Unreachable | PutOutcome::Abandoned
+            ))
         )
     }
 }
@@ -140,7 +144,7 @@
 pub type Outage = (Micros, Option<Micros>);
 
 /// What a sender was told of an endpoint, and when.
-pub type Tellings = Vec<(Micros, Standing)>;
+pub type StatusUpdates = Vec<(Micros, EndpointStatus)>;
 
 /// Times at which a sender's process was not to be relied on: from a signal until it is ready again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -169,25 +173,25 @@
     /// Calls by number.
     pub calls: BTreeMap<u64, Call>,
     /// For each sender and endpoint, what it was told.
-    pub told: BTreeMap<(usize, String), Tellings>,
+    pub status_updates: BTreeMap<(usize, String), StatusUpdates>,
     /// For each sender, when it was away.
     pub absences: Vec<Vec<Absence>>,
     /// Processes that ended by themselves.
     pub crashes: Vec<(Micros, usize, String)>,
     /// Connections that were turned away: when, by which endpoint, whose.
-    pub refused: Vec<(Micros, String, usize)>,
+    pub refused_connections: Vec<(Micros, String, usize)>,
     /// Probes: when, at which endpoint, whose, and the status.
     pub probes: Vec<(Micros, String, usize, u16)>,
     /// Outages of receivers or routes: from when, and until when.
     pub outages: BTreeMap<Lane, Vec<Outage>>,
     /// Receivers that fell over.
-    pub fell: Vec<(Micros, i64)>,
+    pub overloaded: Vec<(Micros, i64)>,
     /// What happened, for the pictures.
     pub marks: Vec<(Micros, String)>,
     /// The longest that the rig stood still.
     pub stall: Micros,
     /// The history has its end.
-    pub over: bool,
+    pub complete: bool,
     /// Its last record's time.
     pub end: Micros,
 }
@@ -201,14 +205,14 @@
         Event::Ready { .. } => 3,
         Event::Down { .. } | Event::Back { .. } => 4,
         Event::Offer { .. } => 5,
-        Event::Answer { .. } | Event::Broke { .. } => 7,
+        Event::Answer { .. } | Event::Disconnected { .. } => 7,
         Event::Call { .. } | Event::Partial { .. } | Event::Refused { .. } | Event::Probe { .. } => 6,
         Event::Ran { .. } => 8,
         Event::Reply { .. } => 9,
         Event::Notice { .. } => 10,
-        Event::Told { .. } => 11,
-        Event::Fell { .. } | Event::Mark { .. } | Event::Lag { .. } => 12,
-        Event::Over => 13,
+        Event::Listing { .. } => 11,
+        Event::Overloaded { .. } | Event::Mark { .. } | Event::Lag { .. } => 12,
+        Event::End => 13,
     }
 }
 
@@ -243,27 +247,27 @@
             messages: Vec::new(),
             by_id: HashMap::new(),
             calls: BTreeMap::new(),
-            told: BTreeMap::new(),
+            status_updates: BTreeMap::new(),
             crashes: Vec::new(),
-            refused: Vec::new(),
+            refused_connections: Vec::new(),
             probes: Vec::new(),
             outages: BTreeMap::new(),
-            fell: Vec::new(),
+            overloaded: Vec::new(),
             marks: Vec::new(),
             stall: 0,
-            over: false,
+            complete: false,
             end: order.last().map_or(0, |o| o.0),
         };
-        let mut listed: Vec<BTreeMap<String, Standing>> = vec![BTreeMap::new(); table.absences.len()];
+        let mut listed: Vec<BTreeMap<String, EndpointStatus>> = vec![BTreeMap::new(); table.absences.len()];
         for (t, _, _, event) in &order {
-            table.take(*t, event, &mut listed);
+            table.apply(*t, event, &mut listed);
         }
         Some(table)
     }
 
-    fn take(&mut self, t: Micros, event: &Event, listed: &mut [BTreeMap<String, Standing>]) {
+    fn apply(&mut self, t: Micros, event: &Event, listed: &mut [BTreeMap<String, EndpointStatus>]) {
         // What is seen while the senders are ended says nothing of them.
-        if self.over {
+        if self.complete {
             return;
         }
         match event {
@@ -284,17 +288,29 @@
                 if !planned {
                     self.crashes.push((t, *sender, how.clone()));
                 }
-                self.away(t, *sender, true);
+                self.begin_absence(t, *sender, true);
                 if let Some(a) = self.absences.get_mut(*sender).and_then(|a| a.last_mut()) {
                     a.ended.get_or_insert(t);
                 }
             }
-            Event::Offer { sender, id, origin, again, class, tenant, receiver, order, left, due, .. } => {
+            Event::Offer {
+                sender,
+                id,
+                origin,
+                retries,
+                class,
+                tenant,
+                receiver,
+                order,
+                time_left,
+                due,
+                ..
+            } => {
                 self.by_id.insert(id.clone(), self.messages.len());
                 self.messages.push(Message {
                     id: id.clone(),
                     origin: origin.clone(),
-                    again: *again,
+                    retries: *retries,
                     offered: t,
                     due: *due,
                     sender: *sender,
@@ -302,7 +318,7 @@
                     tenant: *tenant,
                     receiver: *receiver,
                     order: order.clone(),
-                    deadline: t + left,
+                    deadline: t + time_left,
                     reply: None,
                     notices: Vec::new(),
                     calls: Vec::new(),
@@ -319,22 +335,22 @@
                     m.notices.push((t, *state));
                 }
             }
-            Event::Told { sender, whole, lines, .. } => {
+            Event::Listing { sender, complete, lines, .. } => {
                 let Some(known) = listed.get_mut(*sender) else { return };
-                let mut news: Vec<(String, Standing)> = Vec::new();
-                if *whole {
+                let mut changes: Vec<(String, EndpointStatus)> = Vec::new();
+                if *complete {
                     let gone = known.keys().filter(|n| !lines.iter().any(|(name, _)| name == *n));
-                    news.extend(gone.map(|n| (n.clone(), Standing::Gone)));
+                    changes.extend(gone.map(|n| (n.clone(), EndpointStatus::Gone)));
                 }
-                news.extend(lines.iter().cloned());
-                for (name, standing) in news {
+                changes.extend(lines.iter().cloned());
+                for (name, standing) in changes {
                     // What it knows already is no news: a grace runs from the first telling.
                     if known.insert(name.clone(), standing) != Some(standing) {
-                        self.told.entry((*sender, name)).or_default().push((t, standing));
+                        self.status_updates.entry((*sender, name)).or_default().push((t, standing));
                     }
                 }
             }
-            Event::Call { call, sender, endpoint, first, fresh, batch, items } => {
+            Event::Call { call, sender, endpoint, first_byte, new_connection, batch, items } => {
                 let receiver = self.endpoints.get(endpoint).map(|e| e.0);
                 for (place, item) in items.iter().enumerate() {
                     if let Some(m) = self.message_mut(&item.id) {
@@ -343,10 +359,10 @@
                 }
                 let ids = items.iter().map(|i| i.id.clone()).collect();
                 let (endpoint, sender) = (endpoint.clone(), *sender);
-                let (first, fresh, batch) = (*first, *fresh, *batch);
+                let (first_byte, new_connection, batch) = (*first_byte, *new_connection, *batch);
                 self.calls.insert(
                     *call,
-                    Call { t, first, sender, endpoint, receiver, fresh, batch, ids, end: None },
+                    Call { t, first_byte, sender, endpoint, receiver, new_connection, batch, ids, end: None },
                 );
             }
             Event::Ran { id, dropped, .. } => {
@@ -361,12 +377,14 @@
                     c.end.get_or_insert((t, end));
                 }
             }
-            Event::Broke { call, by } => {
+            Event::Disconnected { call, by } => {
                 if let Some(c) = self.calls.get_mut(call) {
-                    c.end.get_or_insert((t, CallEnd::Broke(*by)));
+                    c.end.get_or_insert((t, CallEnd::Disconnected(*by)));
                 }
             }
-            Event::Refused { sender, endpoint } => self.refused.push((t, endpoint.clone(), *sender)),
+            Event::Refused { sender, endpoint } => {
+                self.refused_connections.push((t, endpoint.clone(), *sender))
+            }
             Event::Probe { sender, endpoint, status } => {
                 self.probes.push((t, endpoint.clone(), *sender, *status));
             }
@@ -385,9 +403,9 @@
                     _ => list.push((t, Some(t))),
                 }
             }
-            Event::Fell { receiver, .. } => self.fell.push((t, *receiver)),
+            Event::Overloaded { receiver, .. } => self.overloaded.push((t, *receiver)),
             Event::Mark { text } => self.marks.push((t, text.clone())),
-            Event::Over => self.over = true,
+            Event::End => self.complete = true,
         }
     }
 
@@ -398,8 +416,8 @@
 
     fn signal(&mut self, t: Micros, sender: usize, signal: Signal) {
         match signal {
-            Signal::Term | Signal::Kill => self.away(t, sender, true),
-            Signal::Stop => self.away(t, sender, false),
+            Signal::Term | Signal::Kill => self.begin_absence(t, sender, true),
+            Signal::Stop => self.begin_absence(t, sender, false),
             // It goes on from here; nothing tells when it is ready, so the signal must do.
             Signal::Cont => {
                 if let Some(a) = self.absences.get_mut(sender).and_then(|a| a.last_mut()) {
@@ -410,7 +428,7 @@
         }
     }
 
-    fn away(&mut self, t: Micros, sender: usize, restarted: bool) {
+    fn begin_absence(&mut self, t: Micros, sender: usize, restarted: bool) {
         let Some(list) = self.absences.get_mut(sender) else { return };
         match list.last_mut() {
             Some(a) if a.ready.is_none() => a.restarted |= restarted,
@@ -454,15 +472,15 @@
     ) -> impl Iterator<Item = (&'a Call, Option<Micros>, Attempt)> + 'a {
         message.calls.iter().filter_map(|(number, place)| {
             let call = self.calls.get(number)?;
-            let (known, fate) = call.attempt(*place);
-            Some((call, known, fate))
+            let (known, outcome) = call.attempt(*place);
+            Some((call, known, outcome))
         })
     }
 
     /// When a message was delivered: the answer that says so was written, and its client has heard that it is taken.
     pub fn delivered(&self, message: &Message) -> Option<Micros> {
-        let taken = message.taken()?;
-        let done = self.attempts(message).filter(|(_, _, fate)| *fate == Attempt::Delivered);
+        let taken = message.accepted()?;
+        let done = self.attempts(message).filter(|(_, _, outcome)| *outcome == Attempt::Delivered);
         done.filter_map(|(_, known, _)| known).min().map(|t| t.max(taken))
     }
 
@@ -475,7 +493,7 @@
     /// The lane of a call: its receiver, and its endpoint where routes are apart.
     pub fn lane(&self, endpoint: &str) -> Option<Lane> {
         let number = self.endpoints.get(endpoint)?.0;
-        let apart = self.receiver(number).is_some_and(|r| r.apart);
-        Some((number, apart.then(|| endpoint.to_string())))
+        let separate_routes = self.receiver(number).is_some_and(|r| r.separate_routes);
+        Some((number, separate_routes.then(|| endpoint.to_string())))
     }
 }
--- a/crates/rehearsal/src/judge/twice.rs
+++ b/crates/rehearsal/src/judge/twice.rs
@@ -1,20 +1,20 @@
 //! Rule 2: no effect happens twice. Judged by what was sent and by what the receivers' ledger counted.
 
-use super::{ALLOWANCE, Attempt, Findings, Margin, Message, Table};
-use crate::history::{Answered, Ended};
+use super::{Attempt, Findings, Margin, Message, SOCKET_ALLOWANCE_US, Table};
+use crate::history::{NoticeState, PutOutcome};
 use crate::parameters::Effect;
 use crate::span::Micros;
 use std::collections::BTreeMap;
 
 pub(super) fn check(table: &Table) -> Findings {
     let mut found = Findings::new();
-    let mut margin = Margin::least("shortest part of a window left at a resend", "ms", 0.0);
+    let mut margin = Margin::lowest("shortest part of a window left at a resend", "ms", 0.0);
     for m in &table.messages {
         attempts(table, m, &mut found, &mut margin);
         ends(table, m, &mut found);
     }
     ledger(table, &mut found);
-    found.margin = margin.met();
+    found.margin = margin.observed();
     found
 }
 
@@ -24,16 +24,16 @@
     // The first attempt that may have run, and when it began.
     let mut may_have_run: Option<Micros> = None;
     let mut ends: Vec<Option<Micros>> = Vec::new();
-    for (n, (call, known, fate)) in table.attempts(m).enumerate() {
+    for (n, (call, known, outcome)) in table.attempts(m).enumerate() {
         let endpoint = Some(call.endpoint.as_str());
         // A sender may send as soon as it has given a call up, and the receiver may see the two in either order.
-        let out = ends.iter().any(|ended| ended.is_none_or(|t| t > call.t + ALLOWANCE));
+        let out = ends.iter().any(|ended| ended.is_none_or(|t| t > call.t + SOCKET_ALLOWANCE_US));
         if out && !table.parameters.rules.second_copies {
             let what = "it was sent while an earlier attempt was still out".to_string();
-            found.offence(call.t, Some(&m.id), endpoint, what);
+            found.violation(call.t, Some(&m.id), endpoint, what);
         }
         if let (Effect::Keyed, Some(first)) = (class.effect, may_have_run) {
-            margin.meet((first + class.window + ALLOWANCE - call.t) as f64 / 1000.0, call.t);
+            margin.observe((first + class.window + SOCKET_ALLOWANCE_US - call.t) as f64 / 1000.0, call.t);
         }
         if n > 0 {
             found.count(match (class.effect, may_have_run) {
@@ -50,25 +50,25 @@
                 let what = format!(
                     "it was sent again {ago} ms after an attempt that may have run, and is unsafe to repeat"
                 );
-                found.offence(call.t, Some(&m.id), endpoint, what);
+                found.violation(call.t, Some(&m.id), endpoint, what);
             }
-            (Effect::Keyed, Some(first)) if call.t > first + class.window + ALLOWANCE => {
+            (Effect::Keyed, Some(first)) if call.t > first + class.window + SOCKET_ALLOWANCE_US => {
                 let (ago, window) = ((call.t - first) / 1000, class.window / 1000);
                 let what = format!(
                     "it was sent again {ago} ms after an attempt that may have run; its key is remembered for {window} ms"
                 );
-                found.offence(call.t, Some(&m.id), endpoint, what);
+                found.violation(call.t, Some(&m.id), endpoint, what);
             }
             _ => {}
         }
         if n as u32 == table.parameters.rules.max_attempts {
             let what = format!("attempt {} of {} at most", n + 1, table.parameters.rules.max_attempts);
-            found.offence(call.t, Some(&m.id), endpoint, what);
+            found.violation(call.t, Some(&m.id), endpoint, what);
         }
-        if fate != Attempt::NeverRan {
+        if outcome != Attempt::NeverRan {
             may_have_run.get_or_insert(call.t);
         }
-        if fate != Attempt::Delivered && class.effect != Effect::Safe {
+        if outcome != Attempt::Delivered && class.effect != Effect::Safe {
             found.tested += 1;
         }
         ends.push(known);
@@ -80,13 +80,13 @@
     if !table.is_unsafe(m) {
         return;
     }
-    let refused = m.notices.iter().filter(|(_, e)| *e == Ended::Returned).map(|(t, _)| *t);
-    let busy = m.reply.filter(|(_, a)| *a == Answered::Busy).map(|(t, _)| t);
+    let refused = m.notices.iter().filter(|(_, e)| *e == NoticeState::Returned).map(|(t, _)| *t);
+    let busy = m.reply.filter(|(_, a)| *a == PutOutcome::Busy).map(|(t, _)| t);
     let Some(t) = refused.chain(busy).min() else { return };
-    let ran = table.attempts(m).find(|(call, _, fate)| call.t < t && *fate != Attempt::NeverRan);
+    let ran = table.attempts(m).find(|(call, _, outcome)| call.t < t && *outcome != Attempt::NeverRan);
     if let Some((call, ..)) = ran {
         let what = "it was refused, which says that trying again is safe, after an attempt that may have run";
-        found.offence(t, Some(&m.id), Some(&call.endpoint), what.into());
+        found.violation(t, Some(&m.id), Some(&call.endpoint), what.into());
     }
 }
 
@@ -95,7 +95,7 @@
     let mut effects: BTreeMap<&str, Vec<(Micros, &Message)>> = BTreeMap::new();
     for m in &table.messages {
         // A client that heard nothing hands the message in anew, and what becomes of the old id counts for nothing.
-        if m.disowned() || table.class(m).is_none_or(|c| c.effect == Effect::Safe) {
+        if m.unacknowledged() || table.class(m).is_none_or(|c| c.effect == Effect::Safe) {
             continue;
         }
         let runs = m.runs.iter().filter(|(_, dropped)| !dropped).map(|(t, _)| (*t, m));
@@ -107,6 +107,6 @@
         let first = list[0].0;
         // A key is remembered from the receiver's first run of it on, and a run within the window was dropped.
         let what = format!("it took effect {} times, {} ms apart", list.len(), (t - first) / 1000);
-        found.offence(t, Some(&m.id), None, what);
+        found.violation(t, Some(&m.id), None, what);
     }
 }
--- a/crates/rehearsal/src/judge/waits.rs
+++ b/crates/rehearsal/src/judge/waits.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Calls that come this soon after the answer crossed it.
-const CROSSING: Micros = 100_000;
+const CROSSING_GRACE_US: Micros = 100_000;
 
 pub(super) fn check(table: &Table) -> Findings {
     let mut found = Findings::new();
@@ -21,7 +21,7 @@
             waits.entry((call.sender, lane)).or_default().push((*t, t + wait));
         }
     }
-    let mut margin = Margin::least("earliest call after a wait's end", "ms", 0.0);
+    let mut margin = Margin::lowest("earliest call after a wait's end", "ms", 0.0);
     for call in table.calls.values() {
         let Some(lane) = table.lane(&call.endpoint) else { continue };
         let Some(told) = waits.get(&(call.sender, lane)) else { continue };
@@ -31,20 +31,21 @@
             let over = absences.filter(|a| a.restarted).filter_map(|a| a.ended.or(a.ready));
             over.into_iter().any(|t| t > from && t <= call.t)
         };
-        let heeded =
-            told.iter().filter(|(from, until)| call.t > from + CROSSING && !restarted(*from) && until > from);
+        let heeded = told
+            .iter()
+            .filter(|(from, until)| call.t > from + CROSSING_GRACE_US && !restarted(*from) && until > from);
         if let Some((_, until)) = heeded.max_by_key(|(_, until)| *until) {
-            margin.meet((call.t - until) as f64 / 1000.0, call.t);
+            margin.observe((call.t - until) as f64 / 1000.0, call.t);
         }
         let unheeded = told
             .iter()
-            .find(|(from, until)| call.t > from + CROSSING && call.t < *until && !restarted(*from));
+            .find(|(from, until)| call.t > from + CROSSING_GRACE_US && call.t < *until && !restarted(*from));
         if let Some((from, until)) = unheeded {
             let (after, wait) = ((call.t - from) / 1000, (until - from) / 1000);
             let what = format!("a call came {after} ms after the sender was told to wait {wait} ms");
-            found.offence(call.t, call.ids.first().map(String::as_str), Some(&call.endpoint), what);
+            found.violation(call.t, call.ids.first().map(String::as_str), Some(&call.endpoint), what);
         }
     }
-    found.margin = margin.met();
+    found.margin = margin.observed();
     found
 }
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -77,9 +77,9 @@
     let good: Vec<&Report> = all.iter().copied().filter(|r| r.judgement.void.is_none()).collect();
     let n = good.len().max(1) as f64;
     let mean = |f: &dyn Fn(&Report) -> f64| good.iter().map(|r| f(r)).sum::<f64>() / n;
-    let service: Vec<f64> = good.iter().map(|r| r.judgement.service.figure).collect();
+    let service: Vec<f64> = good.iter().map(|r| r.judgement.service.score).collect();
     let peak = |r: &Report| r.judgement.returns.iter().map(|x| x.peak).fold(0.0, f64::max);
-    let back = |of: &dyn Fn(&crate::judge::Returned) -> Option<Micros>| {
+    let back = |of: &dyn Fn(&crate::judge::ReturnSummary) -> Option<Micros>| {
         let all: Vec<Option<Micros>> = good.iter().flat_map(|r| r.judgement.returns.iter().map(of)).collect();
         let known: Option<Vec<Micros>> = all.into_iter().collect();
         let known = known.filter(|k| !k.is_empty())?;
@@ -102,7 +102,7 @@
         }
         if let Some(m) = &ruling.margin {
             let worst = margins.entry(ruling.rule.to_string()).or_insert(m.worst);
-            *worst = if m.upward { worst.max(m.worst) } else { worst.min(m.worst) };
+            *worst = if m.higher_is_worse { worst.max(m.worst) } else { worst.min(m.worst) };
         }
     }
     let longest = |r: &Report, pick: fn(&Spread) -> Option<f64>, worse: fn(f64, f64) -> f64| {
@@ -122,7 +122,7 @@
         broken,
         service: [
             service.iter().copied().fold(f64::INFINITY, f64::min),
-            mean(&|r| r.judgement.service.figure),
+            mean(&|r| r.judgement.service.score),
             service.iter().copied().fold(0.0, f64::max),
         ],
         share_of_fall: [mean(&peak), good.iter().map(|r| peak(r)).fold(0.0, f64::max)],
--- a/crates/rehearsal/src/parameters.rs
+++ b/crates/rehearsal/src/parameters.rs
@@ -55,7 +55,8 @@
     /// Its kind's name.
     pub kind: String,
     /// Its endpoints are separate routes, each with limits, waits and outages of its own.
-    pub apart: bool,
+    #[serde(rename = "apart")]
+    pub separate_routes: bool,
     /// Messages a second that it can handle when warm.
     pub capacity: f64,
     /// Calls a second that it takes from all senders together.
@@ -94,13 +95,13 @@
 impl Rules {
     /// A small receiver may be sent this much in one span whatever its capacity: below that, one call of
     /// each sender would do to push it over.
-    pub const FALL_LEAST: f64 = 6.0;
+    pub const MIN_OVERLOAD_LIMIT: f64 = 6.0;
 
     /// The load in one span of [`Rules::fall_window`] beyond which a receiver falls over that can handle `capacity`
     /// messages a second at the moment. There is a little slack for chance: one deviation of as many arrivals.
-    pub fn fall_beyond(&self, capacity: f64) -> f64 {
+    pub fn overload_limit(&self, capacity: f64) -> f64 {
         let budget = self.fall_multiple * capacity * self.fall_window as f64 / 1e6;
-        (budget + budget.sqrt()).max(Self::FALL_LEAST)
+        (budget + budget.sqrt()).max(Self::MIN_OVERLOAD_LIMIT)
     }
 
     /// What a call of so many messages adds to the load.
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -9,7 +9,7 @@
 use std::f64::consts::TAU;
 
 /// Messages of a plan at most; each takes 40 bytes until it is handed in.
-pub const MESSAGES_MOST: usize = 4_000_000;
+pub const MAX_MESSAGES: usize = 4_000_000;
 
 /// How traffic goes over its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
@@ -129,15 +129,15 @@
     /// Bytes of its body.
     pub size: u32,
     /// What is drawn for its client, from 0 to 1.
-    pub whim: f32,
+    pub client_draw: f32,
 }
 
 /// A plan that can't be made.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
     /// It is too long.
-    #[error("more than {MESSAGES_MOST} messages; lower the rates or shorten the scenario")]
-    Long,
+    #[error("more than {MAX_MESSAGES} messages; lower the rates or shorten the scenario")]
+    TooLong,
     /// A trace names what the scenario lacks.
     #[error("the trace's message at {at_ms} ms names the {what} '{name}'; add it to the scenario")]
     Unknown {
@@ -151,13 +151,13 @@
 }
 
 /// Draws an index by weights, whose sums so far these are.
-fn draw(rng: &mut ChaCha8Rng, sums: &[f64]) -> usize {
-    let total = sums.last().copied().unwrap_or(0.0);
+fn draw(rng: &mut ChaCha8Rng, cumulative: &[f64]) -> usize {
+    let total = cumulative.last().copied().unwrap_or(0.0);
     let x = rng.random::<f64>() * total;
-    sums.partition_point(|s| *s <= x).min(sums.len().saturating_sub(1))
+    cumulative.partition_point(|s| *s <= x).min(cumulative.len().saturating_sub(1))
 }
 
-fn sums(weights: impl Iterator<Item = f64>) -> Vec<f64> {
+fn cumulative(weights: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut total = 0.0;
     let add = |w: f64| {
         total += w;
@@ -189,9 +189,9 @@
     mut rng: ChaCha8Rng,
     all: &mut Vec<Planned>,
 ) -> Result<(), PlanError> {
-    let classes = sums(s.classes.iter().map(|c| c.share));
-    let tenants = sums(s.tenant_shares.iter().copied());
-    let senders = sums(s.senders.iter().map(|s| s.share));
+    let classes = cumulative(s.classes.iter().map(|c| c.share));
+    let tenants = cumulative(s.tenant_shares.iter().copied());
+    let senders = cumulative(s.senders.iter().map(|s| s.share));
     let weight = |n: usize| match traffic.zipf {
         Some(exponent) => (n as f64 + 1.0).powf(-exponent),
         None => s.receivers[n].share,
@@ -202,22 +202,22 @@
         .iter()
         .map(|c| {
             let fits = |n: usize| c.kinds.is_empty() || c.kinds.contains(&s.receivers[n].kind);
-            sums((0..s.receivers.len()).map(|n| if fits(n) { weight(n) } else { 0.0 }))
+            cumulative((0..s.receivers.len()).map(|n| if fits(n) { weight(n) } else { 0.0 }))
         })
         .collect();
     let only = traffic.receiver.and_then(|number| s.receivers.iter().position(|r| r.number == number));
     let mut make =
-        |rng: &mut ChaCha8Rng, at: Micros, receiver: Option<usize>, told: Option<(usize, usize, u32)>| {
-            let mut class = told.map(|t| t.0).or(traffic.class).unwrap_or_else(|| draw(rng, &classes));
+        |rng: &mut ChaCha8Rng, at: Micros, receiver: Option<usize>, captured: Option<(usize, usize, u32)>| {
+            let mut class = captured.map(|t| t.0).or(traffic.class).unwrap_or_else(|| draw(rng, &classes));
             let receiver = receiver.or(only).unwrap_or_else(|| draw(rng, &by_class[class]));
             // One receiver's traffic has only classes that may go there.
             let fits = |c: usize| {
                 s.classes[c].kinds.is_empty() || s.classes[c].kinds.contains(&s.receivers[receiver].kind)
             };
-            if !fits(class) && traffic.class.is_none() && told.is_none() {
+            if !fits(class) && traffic.class.is_none() && captured.is_none() {
                 class = draw(
                     rng,
-                    &sums((0..s.classes.len()).map(|c| if fits(c) { s.classes[c].share } else { 0.0 })),
+                    &cumulative((0..s.classes.len()).map(|c| if fits(c) { s.classes[c].share } else { 0.0 })),
                 );
             }
             let c = &s.classes[class];
@@ -225,14 +225,14 @@
                 at,
                 sender: draw(rng, &senders),
                 class,
-                tenant: told.map(|t| t.1).or(traffic.tenant).unwrap_or_else(|| draw(rng, &tenants)),
+                tenant: captured.map(|t| t.1).or(traffic.tenant).unwrap_or_else(|| draw(rng, &tenants)),
                 receiver,
                 order: rng.random_range(0..c.order_keys),
-                size: told.map_or_else(|| rng.random_range(c.size[0]..=c.size[1]), |t| t.2),
-                whim: rng.random(),
+                size: captured.map_or_else(|| rng.random_range(c.size[0]..=c.size[1]), |t| t.2),
+                client_draw: rng.random(),
             };
             all.push(planned);
-            if all.len() > MESSAGES_MOST { Err(PlanError::Long) } else { Ok(()) }
+            if all.len() > MAX_MESSAGES { Err(PlanError::TooLong) } else { Ok(()) }
         };
     match traffic.shape {
         Shape::Replay => {
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -10,12 +10,12 @@
 use std::path::Path;
 
 /// Latencies are told to three figures, up to a day.
-const DAY: u64 = 24 * 3600 * 1_000_000;
+const DAY_US: u64 = 24 * 3600 * 1_000_000;
 
 /// Returns that the text names; the JSON has them all.
-const RETURNS_MOST: usize = 30;
+const MAX_LISTED_RETURNS: usize = 30;
 /// Receivers that the text names; the JSON has them all.
-const RECEIVERS_MOST: usize = 20;
+const MAX_LISTED_RECEIVERS: usize = 20;
 
 /// How long something took, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
 impl Latency {
     fn of(name: &str, micros: impl Iterator<Item = Micros>) -> Latency {
         // Bounds of 1 us and a day with three figures are what such a histogram can be made with.
-        let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, DAY, 3) else {
+        let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, DAY_US, 3) else {
             return Latency::default();
         };
         for m in micros {
@@ -54,7 +54,7 @@
 
 /// What a receiver saw.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReceiverFigures {
+pub struct ReceiverStats {
     /// Its number.
     pub number: i64,
     /// Its kind.
@@ -72,9 +72,11 @@
     /// Calls with no answer, or with an error.
     pub unanswered: usize,
     /// Most calls in a second.
-    pub most: usize,
+    #[serde(rename = "most")]
+    pub max_per_second: usize,
     /// It was pushed over.
-    pub fell: bool,
+    #[serde(rename = "fell")]
+    pub overloaded: bool,
 }
 
 /// A rehearsal's report.
@@ -92,7 +94,7 @@
     /// From a message's first hand-in to its delivery, by class.
     pub latencies: Vec<Latency>,
     /// The receivers.
-    pub receivers: Vec<ReceiverFigures>,
+    pub receivers: Vec<ReceiverStats>,
     /// The evidence's folder or file.
     pub evidence: String,
 }
@@ -114,14 +116,14 @@
 /// It can't be read or judged.
 pub fn report(path: &Path) -> Result<(Report, Table), ReportError> {
     let file = if path.is_dir() { path.join("history.jsonl") } else { path.to_path_buf() };
-    of(&read(&file)?, &file.display().to_string())
+    from_records(&read(&file)?, &file.display().to_string())
 }
 
 /// Makes the report of a history.
 ///
 /// # Errors
 /// It can't be judged.
-pub fn of(records: &[Record], evidence: &str) -> Result<(Report, Table), ReportError> {
+pub fn from_records(records: &[Record], evidence: &str) -> Result<(Report, Table), ReportError> {
     let table = Table::new(records).ok_or(crate::judge::JudgeError::NoRun)?;
     let judgement = verdict(&table);
     let first = table.first_offers();
@@ -151,13 +153,13 @@
     Ok((report, table))
 }
 
-fn receivers(table: &Table) -> Vec<ReceiverFigures> {
-    let mut figures: BTreeMap<i64, ReceiverFigures> = BTreeMap::new();
+fn receivers(table: &Table) -> Vec<ReceiverStats> {
+    let mut figures: BTreeMap<i64, ReceiverStats> = BTreeMap::new();
     for r in &table.parameters.receivers {
-        let fell = table.fell.iter().any(|(_, n)| *n == r.number);
+        let overloaded = table.overloaded.iter().any(|(_, n)| *n == r.number);
         figures.insert(
             r.number,
-            ReceiverFigures {
+            ReceiverStats {
                 number: r.number,
                 kind: r.kind.clone(),
                 rate: r.rate,
@@ -166,8 +168,8 @@
                 delivered: 0,
                 refused: 0,
                 unanswered: 0,
-                most: 0,
-                fell,
+                max_per_second: 0,
+                overloaded,
             },
         );
     }
@@ -184,7 +186,7 @@
         }
         let second = seconds.entry((f.number, call.t / 1_000_000)).or_default();
         *second += 1;
-        f.most = f.most.max(*second);
+        f.max_per_second = f.max_per_second.max(*second);
     }
     figures.into_values().collect()
 }
@@ -229,7 +231,7 @@
                 r.tested,
                 r.test
             )?;
-            for o in &r.offences {
+            for o in &r.violations {
                 let message = o.message.as_ref().map_or(String::new(), |m| format!(" message {m}"));
                 let endpoint = o.endpoint.as_ref().map_or(String::new(), |e| format!(" endpoint {e}"));
                 writeln!(out, "      {:>9.3} s{message}{endpoint}: {}", o.t as f64 / 1e6, o.what)?;
@@ -251,25 +253,25 @@
                 "return", "at s", "knew", "pushes", "share of fall", "after ms", "half s", "full s"
             )?;
             let s = |t: Option<Micros>| t.map_or("never".to_string(), |t| format!("{:.2}", t as f64 / 1e6));
-            for r in j.returns.iter().take(RETURNS_MOST) {
+            for r in j.returns.iter().take(MAX_LISTED_RETURNS) {
                 let name = r.route.clone().unwrap_or_else(|| r.receiver.to_string());
                 writeln!(
                     out,
                     "  {name:<20} {:>8.3} {:>6} {:>6} {:>13.2} {:>9} {:>8} {:>8}",
                     r.back as f64 / 1e6,
-                    r.knowing,
-                    r.pushes,
+                    r.aware,
+                    r.arrivals,
                     r.peak,
                     r.peak_after / 1000,
                     s(r.half),
                     s(r.full)
                 )?;
             }
-            if j.returns.len() > RETURNS_MOST {
-                writeln!(out, "  and {} more", j.returns.len() - RETURNS_MOST)?;
+            if j.returns.len() > MAX_LISTED_RETURNS {
+                writeln!(out, "  and {} more", j.returns.len() - MAX_LISTED_RETURNS)?;
             }
         }
-        writeln!(out, "\nservice {:.4}", s.figure)?;
+        writeln!(out, "\nservice {:.4}", s.score)?;
         let from = s.worst_window_from as f64 / 1e6;
         let terms = [
             ("whole run", 0.45, s.whole.share),
@@ -314,18 +316,18 @@
             "receiver", "rate/s", "calls", "messages", "delivered", "refused", "unanswered", "most in 1s"
         )?;
         // Those with the most traffic say the most.
-        let mut busiest: Vec<&ReceiverFigures> = self.receivers.iter().collect();
+        let mut busiest: Vec<&ReceiverStats> = self.receivers.iter().collect();
         busiest.sort_by_key(|r| (std::cmp::Reverse(r.calls), r.number));
-        for r in busiest.iter().take(RECEIVERS_MOST) {
-            let name = format!("{} {}{}", r.number, r.kind, if r.fell { " (fell)" } else { "" });
+        for r in busiest.iter().take(MAX_LISTED_RECEIVERS) {
+            let name = format!("{} {}{}", r.number, r.kind, if r.overloaded { " (fell)" } else { "" });
             writeln!(
                 out,
                 "  {name:<20} {:>7.1} {:>7} {:>8} {:>9} {:>8} {:>10} {:>10}",
-                r.rate, r.calls, r.messages, r.delivered, r.refused, r.unanswered, r.most
+                r.rate, r.calls, r.messages, r.delivered, r.refused, r.unanswered, r.max_per_second
             )?;
         }
-        if busiest.len() > RECEIVERS_MOST {
-            writeln!(out, "  and {} more", busiest.len() - RECEIVERS_MOST)?;
+        if busiest.len() > MAX_LISTED_RECEIVERS {
+            writeln!(out, "  and {} more", busiest.len() - MAX_LISTED_RECEIVERS)?;
         }
         write_evenness(out, &j.evenness)?;
         let l = &j.lateness;
@@ -352,7 +354,7 @@
     }
     writeln!(out, " {:>12}", "idle, ms")?;
     let figure = |v: Option<f64>| v.map_or("-".to_string(), |v| format!("{v:.2}"));
-    for e in all.iter().take(RECEIVERS_MOST) {
+    for e in all.iter().take(MAX_LISTED_RECEIVERS) {
         write!(out, "  {:<20} {:>9}", e.receiver, e.endpoints)?;
         for s in &e.spreads {
             let variance = figure((s.windows > 0).then_some(s.variance));
@@ -360,8 +362,8 @@
         }
         writeln!(out, " {:>12.0}", e.longest_idle as f64 / 1e3)?;
     }
-    if all.len() > RECEIVERS_MOST {
-        writeln!(out, "  and {} more", all.len() - RECEIVERS_MOST)?;
+    if all.len() > MAX_LISTED_RECEIVERS {
+        writeln!(out, "  and {} more", all.len() - MAX_LISTED_RECEIVERS)?;
     }
     Ok(())
 }
@@ -383,7 +385,7 @@
     let mut row =
         |name: &str, x: f64, y: f64| writeln!(out, "{name:<40} {x:>12.4} {y:>12.4} {:>+12.4}", y - x);
     let (s, t) = (&a.judgement.service, &b.judgement.service);
-    row("service", s.figure, t.figure)?;
+    row("service", s.score, t.score)?;
     row("whole run", s.whole.share, t.whole.share)?;
     row("worst 10 s", s.worst_window.share, t.worst_window.share)?;
     row("worst class", s.worst_class, t.worst_class)?;
@@ -412,7 +414,7 @@
         if let Some(m) = x.as_ref().or(y.as_ref()) {
             let figure = |m: &Option<Margin>| m.as_ref().map_or("-".into(), |m| format!("{:.2}", m.worst));
             let unit = if m.unit.is_empty() { "share" } else { &m.unit };
-            let side = if m.upward { "at most" } else { "at least" };
+            let side = if m.higher_is_worse { "at most" } else { "at least" };
             writeln!(out, "  {}", m.what)?;
             let limit = format!("    {unit}, {side} {:.2}", m.limit);
             writeln!(out, "{limit:<40} {:>12} {:>12}", figure(&x), figure(&y))?;
--- a/crates/rehearsal/src/rig/control.rs
+++ b/crates/rehearsal/src/rig/control.rs
@@ -4,7 +4,7 @@
 //! `status`. Each is answered by one line, `ok ...` or `error ...`.
 
 use super::Rig;
-use crate::event::{Known, RawEvent};
+use crate::event::{RawEvent, Targets};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,9 +13,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Bytes of what one connection says at most: some hundred commands.
-const SAID_MOST: u64 = 64 * 1024;
+const MAX_CONNECTION_BYTES: u64 = 64 * 1024;
 /// Connections at once.
-const SPEAKERS_MOST: usize = 8;
+const MAX_CONNECTIONS: usize = 8;
 
 pub async fn listen(rig: Rc<Rig>, addr: SocketAddr) -> io::Result<()> {
     if !addr.ip().is_loopback() {
@@ -23,18 +23,18 @@
     }
     let listener = TcpListener::bind(addr).await?;
     eprintln!("control port: {}", listener.local_addr()?);
-    let places = std::sync::Arc::new(tokio::sync::Semaphore::new(SPEAKERS_MOST));
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
     tokio::task::spawn_local(async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            let Ok(place) = places.clone().try_acquire_owned() else { continue };
+            let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
             let rig = rig.clone();
             tokio::task::spawn_local(async move {
                 _ = serve(rig, stream).await;
-                drop(place);
+                drop(permit);
             });
         }
     });
@@ -43,7 +43,7 @@
 
 async fn serve(rig: Rc<Rig>, stream: TcpStream) -> io::Result<()> {
     let (reader, mut writer) = stream.into_split();
-    let mut lines = BufReader::new(reader.take(SAID_MOST)).lines();
+    let mut lines = BufReader::new(reader.take(MAX_CONNECTION_BYTES)).lines();
     while let Some(line) = lines.next_line().await? {
         let answer = match answer(&rig, line.trim()) {
             Ok(text) => format!("ok {text}\n"),
@@ -67,7 +67,7 @@
     let parameters = &rig.world.scenario.parameters;
     let receivers: Vec<i64> = parameters.receivers.iter().map(|r| r.number).collect();
     let senders: Vec<String> = parameters.senders.iter().map(|s| s.name.clone()).collect();
-    let mut wrong = event.wrong(Known { receivers: &receivers, senders: &senders });
+    let mut wrong = event.problems(Targets { receivers: &receivers, senders: &senders });
     if event.at.is_some() {
         wrong.push("'at' belongs on the timeline; by word it is now".into());
     }
@@ -75,7 +75,7 @@
         return Err(wrong.join("; "));
     }
     let text = event.to_string();
-    tokio::task::spawn_local(rig.clone().act(event));
+    tokio::task::spawn_local(rig.clone().apply(event));
     Ok(text)
 }
 
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 /// Nobody listens there, or the connection breaks.
-pub fn tell(addr: SocketAddr, line: &str) -> io::Result<String> {
+pub fn send_command(addr: SocketAddr, line: &str) -> io::Result<String> {
     use std::io::{BufRead, Write};
     let mut stream = std::net::TcpStream::connect_timeout(&addr, Duration::from_secs(5))?;
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
--- a/crates/rehearsal/src/rig/crowd.rs
+++ b/crates/rehearsal/src/rig/crowd.rs
@@ -7,31 +7,31 @@
 use tokio::task::JoinSet;
 
 /// Connections of one crowd that are open at once: descriptors of this process, beside the rehearsal's own.
-const OPEN_MOST: usize = 300;
-const HALF: &[u8] = b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000";
+const MAX_OPEN_CONNECTIONS: usize = 300;
+const PARTIAL_COMMAND: &[u8] = b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000";
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
 /// Comes bit by bit over the time, a third of each sort. A connection stays until the sender ends it or the time is over.
-pub async fn stand(addr: SocketAddr, connections: usize, lasting: Duration) {
-    let until = tokio::time::Instant::now() + lasting;
-    let gap = lasting / u32::try_from(connections).unwrap_or(u32::MAX).max(1);
+pub async fn run(addr: SocketAddr, connections: usize, duration: Duration) {
+    let until = tokio::time::Instant::now() + duration;
+    let gap = duration / u32::try_from(connections).unwrap_or(u32::MAX).max(1);
     let mut all = JoinSet::new();
     for n in 0..connections {
-        while all.len() >= OPEN_MOST {
+        while all.len() >= MAX_OPEN_CONNECTIONS {
             all.join_next().await;
         }
-        all.spawn_local(tokio::time::timeout_at(until, one(addr, n)));
+        all.spawn_local(tokio::time::timeout_at(until, connect(addr, n)));
         tokio::time::sleep(gap).await;
     }
     while all.join_next().await.is_some() {}
 }
 
-async fn one(addr: SocketAddr, n: usize) {
+async fn connect(addr: SocketAddr, n: usize) {
     // A sender that turns it away, or is away itself, is what it may meet.
     let Ok(mut stream) = TcpStream::connect(addr).await else { return };
     let written = match n % 3 {
         0 => Ok(()),
-        1 => stream.write_all(HALF).await,
+        1 => stream.write_all(PARTIAL_COMMAND).await,
         _ => stream.write_all(PING).await,
     };
     let mut answer = [0; 256];
--- a/crates/rehearsal/src/rig/directory.rs
+++ b/crates/rehearsal/src/rig/directory.rs
@@ -3,7 +3,7 @@
 
 use super::World;
 use crate::event::RawEvent;
-use crate::history::{Ended, Event, Standing};
+use crate::history::{EndpointStatus, Event, NoticeState};
 use crate::span::Micros;
 use bytes::Bytes;
 use embershore_protocol::listing::{Line, Listing};
@@ -29,9 +29,9 @@
 /// While nothing changes, a watch says so this often.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 /// Bytes of a post of notices at most.
-const REPORT_MOST: usize = 1 << 20;
+const MAX_NOTICES_BYTES: usize = 1 << 20;
 /// Changes that an agent remembers; a watch from before gets the whole list.
-const LOG_MOST: usize = 4096;
+const MAX_LOGGED_CHANGES: usize = 4096;
 
 /// A change, as far as senders differ in it only by the address.
 #[derive(Clone)]
@@ -49,15 +49,15 @@
     lines: RefCell<BTreeMap<String, Line>>,
     log: RefCell<VecDeque<(u64, Line)>>,
     /// Versions before this one can't be followed from.
-    from: Cell<u64>,
+    oldest_version: Cell<u64>,
     changed: watch::Sender<u64>,
     /// What is on its way: when it arrives, and what.
-    coming: RefCell<VecDeque<(Micros, Vec<Line>)>>,
+    in_transit: RefCell<VecDeque<(Micros, Vec<Line>)>>,
     arrival: Notify,
     lag: Cell<Micros>,
     silent: Cell<bool>,
     snapshots: Cell<bool>,
-    deaf: Cell<bool>,
+    reject_notices: Cell<bool>,
 }
 
 /// All agents.
@@ -68,12 +68,12 @@
 
 type Body = BoxBody<Bytes, Infallible>;
 
-fn whole(text: impl Into<Bytes>) -> Body {
+fn full_body(text: impl Into<Bytes>) -> Body {
     Full::new(text.into()).boxed()
 }
 
 fn status(code: u16) -> Response<Body> {
-    let mut response = Response::new(whole(""));
+    let mut response = Response::new(full_body(""));
     *response.status_mut() = hyper::StatusCode::from_u16(code).unwrap_or_default();
     response
 }
@@ -89,14 +89,14 @@
                 index: Cell::new(0),
                 lines: RefCell::default(),
                 log: RefCell::default(),
-                from: Cell::new(0),
+                oldest_version: Cell::new(0),
                 changed: watch::Sender::new(0),
-                coming: RefCell::default(),
+                in_transit: RefCell::default(),
                 arrival: Notify::new(),
                 lag: Cell::new(world.scenario.directory.lag.0),
                 silent: Cell::new(false),
                 snapshots: Cell::new(false),
-                deaf: Cell::new(false),
+                reject_notices: Cell::new(false),
             });
             tokio::task::spawn_local(agent.clone().listen(world.clone(), listener));
             tokio::task::spawn_local(agent.clone().receive(world.clone()));
@@ -123,67 +123,67 @@
                 let address = c.addrs.get(agent.sender).map(SocketAddr::to_string).unwrap_or_default();
                 Line { address, ..c.line.clone() }
             });
-            let mut coming = agent.coming.borrow_mut();
+            let mut in_transit = agent.in_transit.borrow_mut();
             // A change never overtakes the one before it.
-            let arrival = (now + agent.lag.get()).max(coming.back().map_or(0, |c| c.0));
-            coming.push_back((arrival, lines.collect()));
+            let arrival = (now + agent.lag.get()).max(in_transit.back().map_or(0, |c| c.0));
+            in_transit.push_back((arrival, lines.collect()));
             agent.arrival.notify_one();
         }
     }
 
     /// All that is on its way arrives at once: for the list at the start.
-    pub fn tell_all(&self) {
+    pub fn deliver_all(&self) {
         for agent in &self.agents {
-            for (_, lines) in agent.coming.take() {
-                agent.learn(lines);
+            for (_, lines) in agent.in_transit.take() {
+                agent.apply(lines);
             }
         }
     }
 
-    fn named(&self, event: &RawEvent) -> Vec<Rc<Agent>> {
+    fn agents_for(&self, event: &RawEvent) -> Vec<Rc<Agent>> {
         let names = &self.world.scenario.parameters.senders;
-        let fits = |a: &&Rc<Agent>| event.concerns(a.sender, &names[a.sender].name);
+        let fits = |a: &&Rc<Agent>| event.applies_to(a.sender, &names[a.sender].name);
         self.agents.iter().filter(fits).cloned().collect()
     }
 
-    pub async fn lag(&self, event: &RawEvent, lasting: Duration) {
-        let agents = self.named(event);
+    pub async fn lag(&self, event: &RawEvent, duration: Duration) {
+        let agents = self.agents_for(event);
         let by = event.by.map_or(0, |s| s.0);
         agents.iter().for_each(|a| a.lag.set(a.lag.get() + by));
-        tokio::time::sleep(lasting).await;
+        tokio::time::sleep(duration).await;
         agents.iter().for_each(|a| a.lag.set(a.lag.get() - by));
     }
 
-    pub async fn silent(&self, event: &RawEvent, lasting: Duration) {
-        let agents = self.named(event);
+    pub async fn silent(&self, event: &RawEvent, duration: Duration) {
+        let agents = self.agents_for(event);
         agents.iter().for_each(|a| a.silent.set(true));
-        tokio::time::sleep(lasting).await;
+        tokio::time::sleep(duration).await;
         for a in agents {
             a.silent.set(false);
             a.changed.send_modify(|_| {});
         }
     }
 
-    pub async fn snapshots(&self, event: &RawEvent, lasting: Duration) {
-        let agents = self.named(event);
+    pub async fn snapshots(&self, event: &RawEvent, duration: Duration) {
+        let agents = self.agents_for(event);
         agents.iter().for_each(|a| a.snapshots.set(true));
-        tokio::time::sleep(lasting).await;
+        tokio::time::sleep(duration).await;
         agents.iter().for_each(|a| a.snapshots.set(false));
     }
 
-    pub async fn deaf(&self, event: &RawEvent, lasting: Duration) {
-        let agents = self.named(event);
-        agents.iter().for_each(|a| a.deaf.set(true));
-        tokio::time::sleep(lasting).await;
-        agents.iter().for_each(|a| a.deaf.set(false));
+    pub async fn reject_notices(&self, event: &RawEvent, duration: Duration) {
+        let agents = self.agents_for(event);
+        agents.iter().for_each(|a| a.reject_notices.set(true));
+        tokio::time::sleep(duration).await;
+        agents.iter().for_each(|a| a.reject_notices.set(false));
     }
 
     /// The version goes back by half, and nothing from before can be followed.
-    pub fn back(&self, event: &RawEvent) {
-        for agent in self.named(event) {
+    pub fn roll_back(&self, event: &RawEvent) {
+        for agent in self.agents_for(event) {
             let index = (agent.index.get() / 2).max(1);
             agent.index.set(index);
-            agent.from.set(index);
+            agent.oldest_version.set(index);
             agent.log.borrow_mut().clear();
             agent.changed.send_replace(index);
         }
@@ -193,7 +193,7 @@
 #[derive(Deserialize)]
 struct Report {
     id: String,
-    state: Ended,
+    state: NoticeState,
     #[serde(default)]
     after_ms: Option<u64>,
 }
@@ -204,7 +204,7 @@
         Listing { index: self.index.get(), snapshot: true, endpoints }
     }
 
-    fn learn(&self, lines: Vec<Line>) {
+    fn apply(&self, lines: Vec<Line>) {
         let index = self.index.get() + 1;
         self.index.set(index);
         let mut log = self.log.borrow_mut();
@@ -216,9 +216,9 @@
             }
             log.push_back((index, line));
         }
-        while log.len() > LOG_MOST {
+        while log.len() > MAX_LOGGED_CHANGES {
             if let Some((index, _)) = log.pop_front() {
-                self.from.set(index);
+                self.oldest_version.set(index);
             }
         }
         drop(log);
@@ -227,15 +227,15 @@
 
     async fn receive(self: Rc<Self>, world: Rc<World>) {
         loop {
-            let next = self.coming.borrow().front().map(|c| c.0);
+            let next = self.in_transit.borrow().front().map(|c| c.0);
             let Some(at) = next else {
                 self.arrival.notified().await;
                 continue;
             };
             tokio::time::sleep_until(world.recorder.instant(at)).await;
-            let lines = self.coming.borrow_mut().pop_front();
+            let lines = self.in_transit.borrow_mut().pop_front();
             if let Some((_, lines)) = lines {
-                self.learn(lines);
+                self.apply(lines);
             }
         }
     }
@@ -273,8 +273,8 @@
         let query = request.uri().query().unwrap_or_default();
         if !query.contains("follow=1") {
             let list = self.listing();
-            self.told(&world, &list);
-            return Ok(Response::new(whole(serde_json::to_vec(&list).unwrap_or_default())));
+            self.record_listing(&world, &list);
+            return Ok(Response::new(full_body(serde_json::to_vec(&list).unwrap_or_default())));
         }
         let since = query.split('&').find_map(|p| p.strip_prefix("since=")).and_then(|s| s.parse().ok());
         let (lines, body) = Channel::new(16);
@@ -289,13 +289,13 @@
         mut out: http_body_util::channel::Sender<Bytes, Infallible>,
     ) {
         let mut changed = self.changed.subscribe();
-        let mut known = since.filter(|s| *s > 0 && *s >= self.from.get() && *s <= self.index.get());
+        let mut known = since.filter(|s| *s > 0 && *s >= self.oldest_version.get() && *s <= self.index.get());
         let mut first = true;
         loop {
             changed.borrow_and_update();
             if !self.silent.get() {
-                let news = match known {
-                    Some(known) if known >= self.from.get() && !self.snapshots.get() => {
+                let update = match known {
+                    Some(known) if known >= self.oldest_version.get() && !self.snapshots.get() => {
                         let log = self.log.borrow();
                         let endpoints: Vec<Line> =
                             log.iter().filter(|(i, _)| *i > known).map(|(_, l)| l.clone()).collect();
@@ -303,18 +303,18 @@
                     }
                     _ => self.listing(),
                 };
-                let text = if news.snapshot || !news.endpoints.is_empty() || first {
-                    self.told(&world, &news);
-                    let mut text = serde_json::to_vec(&news).unwrap_or_default();
+                let text = if update.snapshot || !update.endpoints.is_empty() || first {
+                    self.record_listing(&world, &update);
+                    let mut text = serde_json::to_vec(&update).unwrap_or_default();
                     text.push(b'\n');
                     text
                 } else {
                     b"\n".to_vec()
                 };
-                known = Some(news.index);
+                known = Some(update.index);
                 first = false;
                 if out.send_data(text.into()).await.is_err()
-                    || self.snapshots.get() && !news.endpoints.is_empty()
+                    || self.snapshots.get() && !update.endpoints.is_empty()
                 {
                     return;
                 }
@@ -326,24 +326,24 @@
         }
     }
 
-    fn told(&self, world: &World, list: &Listing) {
+    fn record_listing(&self, world: &World, list: &Listing) {
         let lines = list.endpoints.iter().map(|l| {
             let standing = match l.status.as_str() {
-                "Ready" => Standing::Ready,
-                "Gone" => Standing::Gone,
-                _ => Standing::Terminating,
+                "Ready" => EndpointStatus::Ready,
+                "Gone" => EndpointStatus::Gone,
+                _ => EndpointStatus::Terminating,
             };
             (l.name.clone(), standing)
         });
-        let (index, whole) = (list.index, list.snapshot);
-        world.note(Event::Told { sender: self.sender, index, whole, lines: lines.collect() });
+        let (index, complete) = (list.index, list.snapshot);
+        world.record(Event::Listing { sender: self.sender, index, complete, lines: lines.collect() });
     }
 
     async fn reports(&self, world: &World, request: Request<Incoming>) -> Response<Body> {
-        let Ok(body) = Limited::new(request.into_body(), REPORT_MOST).collect().await else {
+        let Ok(body) = Limited::new(request.into_body(), MAX_NOTICES_BYTES).collect().await else {
             return status(400);
         };
-        if self.deaf.get() {
+        if self.reject_notices.get() {
             return status(503);
         }
         let body = body.to_bytes();
@@ -351,14 +351,14 @@
         let reports: Result<Vec<Report>, _> = lines.map(serde_json::from_slice).collect();
         let Ok(reports) = reports else { return status(400) };
         for Report { id, state, after_ms } in reports {
-            world.note(Event::Notice { sender: self.sender, id: id.clone(), state, after_ms });
-            let Some(errand) = world.open.borrow_mut().remove(&id) else { continue };
-            if state == Ended::Failed {
+            world.record(Event::Notice { sender: self.sender, id: id.clone(), state, after_ms });
+            let Some(message) = world.open_messages.borrow_mut().remove(&id) else { continue };
+            if state == NoticeState::Failed {
                 world.count(|p| p.failed += 1);
             } else {
                 world.count(|p| p.refused += 1);
-                world.busy.set(world.busy.get() + 1);
-                _ = world.returned.send((errand, after_ms.unwrap_or(0))).await;
+                world.pending_puts.set(world.pending_puts.get() + 1);
+                _ = world.returned_messages.send((message, after_ms.unwrap_or(0))).await;
             }
         }
         status(204)
--- a/crates/rehearsal/src/rig/mod.rs
+++ b/crates/rehearsal/src/rig/mod.rs
@@ -6,11 +6,11 @@
 mod control;
 mod crowd;
 mod directory;
-mod door;
+mod management;
 mod receivers;
 mod senders;
 
-use crate::event::{Deed, RawEvent};
+use crate::event::{EventKind, RawEvent};
 use crate::history::{Event, FORMAT, Recorder};
 use crate::plan::{Planned, plan};
 use crate::scenario::Scenario;
@@ -28,16 +28,16 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-pub use control::tell;
+pub use control::send_command;
 
 /// How often the rig looks whether it stands still.
-const BEAT: Micros = 5_000;
+const LAG_CHECK_INTERVAL_US: Micros = 5_000;
 /// Refusals of messages that wait for their clients to hear of them; senders wait for room with the answer.
-const REFUSALS_MOST: usize = 1024;
+const MAX_PENDING_REFUSALS: usize = 1024;
 /// How long senders may take to be ready.
-const READY_TIME: Micros = 30_000_000;
+const READY_TIMEOUT_US: Micros = 30_000_000;
 /// After the last message's time is up, its notice may still be on its way for this long.
-const TAIL: Micros = 2_500_000;
+const NOTICE_TAIL_US: Micros = 2_500_000;
 
 /// Which senders are rehearsed.
 #[derive(Clone, Debug)]
@@ -121,16 +121,16 @@
     calls: Cell<u64>,
     progress: Cell<Progress>,
     /// Messages that were taken on and are not over, for the clients that come again after a refusal.
-    open: RefCell<HashMap<String, clients::Errand>>,
+    open_messages: RefCell<HashMap<String, clients::ClientMessage>>,
     /// Refusals of such messages, for the clients.
-    returned: tokio::sync::mpsc::Sender<(clients::Errand, u64)>,
+    returned_messages: tokio::sync::mpsc::Sender<(clients::ClientMessage, u64)>,
     /// Hand-ins under way.
-    busy: Cell<usize>,
+    pending_puts: Cell<usize>,
 }
 
 impl World {
-    fn note(&self, event: Event) -> Micros {
-        self.recorder.note(event)
+    fn record(&self, event: Event) -> Micros {
+        self.recorder.record(event)
     }
 
     fn now(&self) -> Micros {
@@ -150,7 +150,7 @@
 
     /// The message is over: it was delivered.
     fn delivered(&self, id: &str) {
-        if self.open.borrow_mut().remove(id).is_some() {
+        if self.open_messages.borrow_mut().remove(id).is_some() {
             self.count(|p| p.delivered += 1);
         }
     }
@@ -177,10 +177,10 @@
     let planned = if options.serve_only { Vec::new() } else { plan(&scenario)? };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(RigError::io("starting"))?;
-    LocalSet::new().block_on(&runtime, hold(scenario, planned, options, watch))
+    LocalSet::new().block_on(&runtime, run_rehearsal(scenario, planned, options, watch))
 }
 
-async fn hold(
+async fn run_rehearsal(
     scenario: Scenario,
     planned: Vec<Planned>,
     options: &Options,
@@ -189,35 +189,35 @@
     std::fs::create_dir_all(&options.folder).map_err(RigError::io(options.folder.display().to_string()))?;
     let path = options.folder.join("history.jsonl");
     let recorder = Recorder::create(&path).map_err(RigError::io(path.display().to_string()))?;
-    let (returned, refusals) = tokio::sync::mpsc::channel(REFUSALS_MOST);
+    let (returned_messages, returned_queue) = tokio::sync::mpsc::channel(MAX_PENDING_REFUSALS);
     let world = Rc::new(World {
         scenario,
         recorder,
         calls: Cell::new(0),
         progress: Cell::default(),
-        open: RefCell::default(),
-        returned,
-        busy: Cell::new(0),
+        open_messages: RefCell::default(),
+        returned_messages,
+        pending_puts: Cell::new(0),
     });
     let parameters = Box::new(world.scenario.parameters.clone());
-    world.note(Event::Run { format: FORMAT, parameters });
+    world.record(Event::Run { format: FORMAT, parameters });
     let directory = Directory::start(world.clone()).await.map_err(RigError::io("the directory"))?;
     let receivers = Receivers::start(world.clone(), directory.clone());
     receivers.open_all().await.map_err(RigError::io("the receivers"))?;
-    directory.tell_all();
+    directory.deliver_all();
     let senders = Senders::prepare(world.clone(), &directory, options)?;
     let rig = Rc::new(Rig { world: world.clone(), receivers, directory, senders: senders.clone() });
     if let Some(addr) = options.control {
         control::listen(rig.clone(), addr).await.map_err(RigError::io(format!("control port {addr}")))?;
     }
     senders.start_all()?;
-    senders.wait_ready(READY_TIME).await?;
+    senders.wait_ready(READY_TIMEOUT_US).await?;
 
     // Traffic and timeline count from here.
     let zero = world.now();
     world.count(|p| p.length = zero + world.scenario.parameters.length);
-    tokio::task::spawn_local(beat(world.clone()));
-    tokio::task::spawn_local(show(world.clone(), watch));
+    tokio::task::spawn_local(measure_lag(world.clone()));
+    tokio::task::spawn_local(report_progress(world.clone(), watch));
     if let Some((after, span)) = options.stall {
         tokio::task::spawn_local(async move {
             tokio::time::sleep(duration(after)).await;
@@ -226,7 +226,7 @@
     }
     tokio::task::spawn_local(timeline(rig.clone(), zero));
     let clients = Clients::new(world.clone(), senders.clone());
-    tokio::task::spawn_local(clients.clone().come_again(refusals));
+    tokio::task::spawn_local(clients.clone().retry_returned(returned_queue));
     if options.serve_only {
         tokio::select! {
             _ = tokio::time::sleep(duration(world.scenario.parameters.length)) => {}
@@ -236,7 +236,7 @@
         clients.play(planned, zero).await;
         settle(&world, zero).await;
     }
-    world.note(Event::Over);
+    world.record(Event::End);
     senders.end().await;
     world.recorder.close().map_err(RigError::io(path.display().to_string()))?;
     Ok(path)
@@ -246,9 +246,9 @@
 async fn settle(world: &World, zero: Micros) {
     let longest = world.scenario.parameters.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
     // Clients that come again do so for a while yet.
-    let latest = zero + world.scenario.parameters.length + 2 * longest + TAIL;
+    let latest = zero + world.scenario.parameters.length + 2 * longest + NOTICE_TAIL_US;
     loop {
-        let idle = world.busy.get() == 0 && world.open.borrow().is_empty();
+        let idle = world.pending_puts.get() == 0 && world.open_messages.borrow().is_empty();
         if idle || world.now() > latest {
             break;
         }
@@ -259,23 +259,23 @@
 }
 
 /// Takes down how late the rig's own timers are, once a second.
-async fn beat(world: Rc<World>) {
+async fn measure_lag(world: Rc<World>) {
     let mut next = world.now();
-    let (mut most, mut told) = (0, next);
+    let (mut max_lag, mut recorded) = (0, next);
     loop {
-        next += BEAT;
+        next += LAG_CHECK_INTERVAL_US;
         tokio::time::sleep_until(world.recorder.instant(next)).await;
         let now = world.now();
-        most = most.max(now - next);
-        next = next.max(now - BEAT);
-        if now - told >= 1_000_000 {
-            world.note(Event::Lag { max_us: most });
-            (most, told) = (0, now);
+        max_lag = max_lag.max(now - next);
+        next = next.max(now - LAG_CHECK_INTERVAL_US);
+        if now - recorded >= 1_000_000 {
+            world.record(Event::Lag { max_us: max_lag });
+            (max_lag, recorded) = (0, now);
         }
     }
 }
 
-async fn show(world: Rc<World>, mut watch: impl FnMut(Progress)) {
+async fn report_progress(world: Rc<World>, mut watch: impl FnMut(Progress)) {
     loop {
         world.count(|p| p.t = world.now());
         watch(world.progress.get());
@@ -286,42 +286,42 @@
 async fn timeline(rig: Rc<Rig>, zero: Micros) {
     for (at, event) in rig.world.scenario.events.clone() {
         tokio::time::sleep_until(rig.world.recorder.instant(zero + at)).await;
-        tokio::task::spawn_local(rig.clone().act(event));
+        tokio::task::spawn_local(rig.clone().apply(event));
     }
 }
 
 impl Rig {
     /// Does what an event says, to its end.
-    async fn act(self: Rc<Self>, event: RawEvent) {
-        self.world.note(Event::Mark { text: event.to_string() });
-        let lasting = duration(event.span());
-        match event.deed {
-            Deed::Silent
-            | Deed::Hang
-            | Deed::Shut
-            | Deed::Down
-            | Deed::Slow
-            | Deed::Reset
-            | Deed::Fail
-            | Deed::Late
-            | Deed::Wait
-            | Deed::Cold => self.receivers.inject(&event).await,
-            Deed::Drain | Deed::Replace => self.receivers.replace(&event).await,
-            Deed::Join => self.receivers.join(&event).await,
-            Deed::DirectoryLag => self.directory.lag(&event, lasting).await,
-            Deed::DirectorySilent => self.directory.silent(&event, lasting).await,
-            Deed::DirectorySnapshots => self.directory.snapshots(&event, lasting).await,
-            Deed::DirectoryDeaf => self.directory.deaf(&event, lasting).await,
-            Deed::DirectoryBack => self.directory.back(&event),
-            Deed::Sigterm
-            | Deed::Sigkill
-            | Deed::Sighup
-            | Deed::Sigstop
-            | Deed::Upgrade
-            | Deed::LameDuck
-            | Deed::Retune
-            | Deed::RetuneWrong
-            | Deed::Crowd => self.senders.signal(&event).await,
+    async fn apply(self: Rc<Self>, event: RawEvent) {
+        self.world.record(Event::Mark { text: event.to_string() });
+        let span = duration(event.span());
+        match event.kind {
+            EventKind::Silent
+            | EventKind::Hang
+            | EventKind::Shut
+            | EventKind::Down
+            | EventKind::Slow
+            | EventKind::Reset
+            | EventKind::Fail
+            | EventKind::Late
+            | EventKind::Wait
+            | EventKind::Cold => self.receivers.inject(&event).await,
+            EventKind::Drain | EventKind::Replace => self.receivers.replace(&event).await,
+            EventKind::Join => self.receivers.join(&event).await,
+            EventKind::DirectoryLag => self.directory.lag(&event, span).await,
+            EventKind::DirectorySilent => self.directory.silent(&event, span).await,
+            EventKind::DirectorySnapshots => self.directory.snapshots(&event, span).await,
+            EventKind::DirectoryDeaf => self.directory.reject_notices(&event, span).await,
+            EventKind::DirectoryBack => self.directory.roll_back(&event),
+            EventKind::Sigterm
+            | EventKind::Sigkill
+            | EventKind::Sighup
+            | EventKind::Sigstop
+            | EventKind::Upgrade
+            | EventKind::LameDuck
+            | EventKind::Retune
+            | EventKind::RetuneWrong
+            | EventKind::Crowd => self.senders.signal(&event).await,
         }
     }
 }
--- a/crates/rehearsal/src/rig/receivers/endpoint.rs
+++ b/crates/rehearsal/src/rig/receivers/endpoint.rs
@@ -4,7 +4,7 @@
 use super::request::Exchange;
 use super::tap::Tap;
 use super::{Receiver, Receivers};
-use crate::event::Deed;
+use crate::event::EventKind;
 use crate::history::Event;
 use crate::span::duration;
 use hyper::server::conn::http1;
@@ -34,8 +34,8 @@
 }
 
 impl Endpoint {
-    pub(super) fn fault(&self, deed: Deed) -> Option<Fault> {
-        self.faults.borrow().iter().rev().find(|f| f.deed == deed).copied()
+    pub(super) fn fault(&self, kind: EventKind) -> Option<Fault> {
+        self.faults.borrow().iter().rev().find(|f| f.kind == kind).copied()
     }
 
     pub(super) fn chance(&self, share: f64) -> bool {
@@ -46,10 +46,10 @@
 impl Receivers {
     /// Opens an endpoint more of a receiver.
     pub(super) async fn open(self: &Rc<Self>, receiver: &Rc<Receiver>) -> io::Result<Rc<Endpoint>> {
-        let born = receiver.born.get();
-        receiver.born.set(born + 1);
+        let opened = receiver.opened.get();
+        receiver.opened.set(opened + 1);
         let scenario = &self.world.scenario;
-        let name = format!("r{}-{born}", receiver.spec.number);
+        let name = format!("r{}-{opened}", receiver.spec.number);
         let (mut addrs, mut listeners) = (Vec::new(), Vec::new());
         for _ in 0..scenario.senders.len() {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -60,8 +60,8 @@
         // what the scenario says.
         let part = receiver.spec.capacity / receiver.spec.endpoints.max(1) as f64;
         let workers = (part * receiver.spec.latency.mean()).ceil().max(1.0) as usize;
-        let seed = scenario.parameters.seed ^ ((receiver.spec.number as u64) << 20) ^ u64::from(born);
-        let zone = (receiver.index + born as usize) % scenario.network.zones.len();
+        let seed = scenario.parameters.seed ^ ((receiver.spec.number as u64) << 20) ^ u64::from(opened);
+        let zone = (receiver.index + opened as usize) % scenario.network.zones.len();
         let endpoint = Rc::new_cyclic(|me: &std::rc::Weak<Endpoint>| {
             let listen = |(sender, listener): (usize, TcpListener)| {
                 let (receivers, receiver, endpoint) = (self.clone(), receiver.clone(), me.clone());
@@ -87,7 +87,7 @@
         receiver.endpoints.borrow_mut().push(endpoint.clone());
         let zone = scenario.network.zones[endpoint.zone].clone();
         let (endpoint_name, number) = (endpoint.name.clone(), receiver.spec.number);
-        self.world.note(Event::Endpoint { endpoint: endpoint_name, receiver: number, zone });
+        self.world.record(Event::Endpoint { endpoint: endpoint_name, receiver: number, zone });
         Ok(endpoint)
     }
 
@@ -105,25 +105,25 @@
                 continue;
             };
             _ = stream.set_nodelay(true);
-            if receiver.resets(&endpoint) {
-                self.world.note(Event::Refused { sender, endpoint: endpoint.name.clone() });
+            if receiver.resets_connections(&endpoint) {
+                self.world.record(Event::Refused { sender, endpoint: endpoint.name.clone() });
                 // With nothing to linger for, closing resets the connection.
                 _ = stream.set_zero_linger();
                 continue;
             }
             let (receivers, receiver, endpoint) = (self.clone(), receiver.clone(), endpoint.clone());
             tokio::task::spawn_local(async move {
-                let first = Rc::new(Cell::new(None));
-                let tap = Tap { stream, world: receivers.world.clone(), first: first.clone() };
-                let fresh = Rc::new(Cell::new(true));
+                let first_byte = Rc::new(Cell::new(None));
+                let tap = Tap { stream, world: receivers.world.clone(), first_byte: first_byte.clone() };
+                let new_connection = Rc::new(Cell::new(true));
                 let service = service_fn(move |request| {
                     let exchange = Exchange {
                         receivers: receivers.clone(),
                         receiver: receiver.clone(),
                         endpoint: endpoint.clone(),
                         sender,
-                        first: first.take().unwrap_or_else(|| receivers.world.now()),
-                        fresh: fresh.replace(false),
+                        first_byte: first_byte.take().unwrap_or_else(|| receivers.world.now()),
+                        new_connection: new_connection.replace(false),
                     };
                     exchange.answer(request)
                 });
--- a/crates/rehearsal/src/rig/receivers/fault.rs
+++ b/crates/rehearsal/src/rig/receivers/fault.rs
@@ -1,7 +1,7 @@
 //! What is wrong with an endpoint for a while, and what becomes of a receiver by it.
 
 use super::{Endpoint, Receiver, Receivers};
-use crate::event::{Deed, RawEvent};
+use crate::event::{EventKind, RawEvent};
 use crate::history::Event;
 use crate::span::Micros;
 use std::rc::Rc;
@@ -10,24 +10,24 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fault {
     pub(super) number: u64,
-    pub(super) deed: Deed,
+    pub(super) kind: EventKind,
     pub(super) factor: f64,
     pub(super) share: f64,
-    pub(super) by: Micros,
+    pub(super) delay: Micros,
     pub(super) until: Micros,
 }
 
 impl Fault {
     /// The whole receiver is out while it lasts, and comes back cold.
     pub(super) fn is_outage(&self) -> bool {
-        matches!(self.deed, Deed::Silent | Deed::Hang | Deed::Shut | Deed::Down)
-            || matches!(self.deed, Deed::Reset | Deed::Fail) && self.share > 0.5
+        matches!(self.kind, EventKind::Silent | EventKind::Hang | EventKind::Shut | EventKind::Down)
+            || matches!(self.kind, EventKind::Reset | EventKind::Fail) && self.share > 0.5
     }
 }
 
 impl Receivers {
     /// The endpoints that an event is for, each receiver's beside it.
-    pub(super) fn picked(&self, event: &RawEvent) -> Vec<(Rc<Receiver>, Vec<Rc<Endpoint>>)> {
+    pub(super) fn targets(&self, event: &RawEvent) -> Vec<(Rc<Receiver>, Vec<Rc<Endpoint>>)> {
         let named = self.all.iter().filter(|r| event.receiver.is_none_or(|n| n == r.spec.number));
         let of = |r: &Rc<Receiver>| {
             let endpoints = r.endpoints.borrow();
@@ -40,11 +40,11 @@
     /// Injects a fault into receivers for a while. A receiver of which every endpoint is out is in an outage, and comes
     /// back from it cold.
     pub async fn inject(&self, event: &RawEvent) {
-        let picked = self.picked(event);
+        let targets = self.targets(event);
         let now = self.world.now();
-        if event.deed == Deed::Cold {
-            for (receiver, endpoints) in &picked {
-                if receiver.apart {
+        if event.kind == EventKind::Cold {
+            for (receiver, endpoints) in &targets {
+                if receiver.separate_routes {
                     endpoints.iter().for_each(|e| self.back(receiver, Some(e.name.clone())));
                 } else {
                     self.back(receiver, None);
@@ -56,44 +56,44 @@
         self.next_fault.set(number + 1);
         let fault = Fault {
             number,
-            deed: event.deed,
+            kind: event.kind,
             factor: event.factor.unwrap_or(1.0),
             share: event.share.unwrap_or(0.0),
-            by: event.by.map_or(0, |s| s.0),
+            delay: event.by.map_or(0, |s| s.0),
             until: now + event.span(),
         };
-        for (receiver, endpoints) in &picked {
+        for (receiver, endpoints) in &targets {
             for endpoint in endpoints {
                 endpoint.faults.borrow_mut().push(fault);
-                if receiver.apart && fault.is_outage() {
+                if receiver.separate_routes && fault.is_outage() {
                     self.down(receiver, Some(endpoint.name.clone()));
                 }
             }
-            if !receiver.apart && fault.is_outage() && receiver.all_out() {
+            if !receiver.separate_routes && fault.is_outage() && receiver.all_unavailable() {
                 self.down(receiver, None);
             }
         }
         tokio::time::sleep_until(self.world.recorder.instant(fault.until)).await;
-        for (receiver, endpoints) in picked {
-            let were_out = receiver.all_out();
+        for (receiver, endpoints) in targets {
+            let were_out = receiver.all_unavailable();
             for endpoint in endpoints {
                 endpoint.faults.borrow_mut().retain(|f| f.number != number);
-                if receiver.apart && fault.is_outage() {
+                if receiver.separate_routes && fault.is_outage() {
                     self.back(&receiver, Some(endpoint.name.clone()));
                 }
             }
-            if !receiver.apart && were_out && !receiver.all_out() {
+            if !receiver.separate_routes && were_out && !receiver.all_unavailable() {
                 self.back(&receiver, None);
             }
         }
     }
 
     fn down(&self, receiver: &Receiver, endpoint: Option<String>) {
-        self.world.note(Event::Down { receiver: receiver.spec.number, endpoint });
+        self.world.record(Event::Down { receiver: receiver.spec.number, endpoint });
     }
 
     fn back(&self, receiver: &Receiver, endpoint: Option<String>) {
-        let t = self.world.note(Event::Back { receiver: receiver.spec.number, endpoint: endpoint.clone() });
+        let t = self.world.record(Event::Back { receiver: receiver.spec.number, endpoint: endpoint.clone() });
         let mut lanes = receiver.lanes.borrow_mut();
         let lane = lanes.entry(endpoint).or_default();
         lane.back = Some(t);
--- a/crates/rehearsal/src/rig/receivers/load.rs
+++ b/crates/rehearsal/src/rig/receivers/load.rs
@@ -2,7 +2,7 @@
 
 use super::fault::Fault;
 use super::{Endpoint, Receiver};
-use crate::event::Deed;
+use crate::event::EventKind;
 use crate::history::Event;
 use crate::rig::World;
 use crate::span::Micros;
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(super) struct Lane {
     pub(super) back: Option<Micros>,
-    pub(super) fell: bool,
+    pub(super) overloaded: bool,
     pub(super) load: VecDeque<(Micros, f64)>,
     /// The limit: the span's number and what was taken in it, or a bucket and when it was filled last.
     pub(super) span: (i64, f64),
@@ -21,31 +21,31 @@
 
 impl Receiver {
     pub(super) fn lane(&self, endpoint: &Endpoint) -> Option<String> {
-        self.apart.then(|| endpoint.name.clone())
+        self.separate_routes.then(|| endpoint.name.clone())
     }
 
-    pub(super) fn fell(&self, endpoint: &Endpoint) -> bool {
-        self.lanes.borrow().get(&self.lane(endpoint)).is_some_and(|l| l.fell)
+    pub(super) fn is_overloaded(&self, endpoint: &Endpoint) -> bool {
+        self.lanes.borrow().get(&self.lane(endpoint)).is_some_and(|l| l.overloaded)
     }
 
     /// It takes nothing: it is down, or was pushed over.
-    pub(super) fn resets(&self, endpoint: &Endpoint) -> bool {
-        endpoint.fault(Deed::Down).is_some() || self.fell(endpoint)
+    pub(super) fn resets_connections(&self, endpoint: &Endpoint) -> bool {
+        endpoint.fault(EventKind::Down).is_some() || self.is_overloaded(endpoint)
     }
 
     /// Every endpoint that does not drain is out.
-    pub(super) fn all_out(&self) -> bool {
+    pub(super) fn all_unavailable(&self) -> bool {
         let endpoints = self.endpoints.borrow();
         let mut up = endpoints.iter().filter(|e| !e.draining.get()).peekable();
         up.peek().is_some() && up.all(|e| e.faults.borrow().iter().any(Fault::is_outage))
     }
 
     /// Counts the load on a cold lane, and whether that pushes it over.
-    pub(super) fn arrive(&self, world: &World, endpoint: &Endpoint, t: Micros, weight: f64) {
+    pub(super) fn record_load(&self, world: &World, endpoint: &Endpoint, t: Micros, weight: f64) {
         let key = self.lane(endpoint);
         let mut lanes = self.lanes.borrow_mut();
         let lane = lanes.entry(key.clone()).or_default();
-        let Some(back) = lane.back.filter(|_| !lane.fell) else { return };
+        let Some(back) = lane.back.filter(|_| !lane.overloaded) else { return };
         let parameters = &world.scenario.parameters;
         let figures = &parameters.receivers[self.index];
         if t - back > figures.warm_up {
@@ -59,14 +59,14 @@
         }
         let sent: f64 = lane.load.iter().map(|l| l.1).sum();
         let part = if key.is_some() { 1.0 / self.endpoints.borrow().len().max(1) as f64 } else { 1.0 };
-        if sent > parameters.rules.fall_beyond(figures.capacity_after(t - back) * part) {
-            lane.fell = true;
-            world.note(Event::Fell { receiver: self.spec.number, endpoint: key });
+        if sent > parameters.rules.overload_limit(figures.capacity_after(t - back) * part) {
+            lane.overloaded = true;
+            world.record(Event::Overloaded { receiver: self.spec.number, endpoint: key });
         }
     }
 
     /// How many times slower it is for being cold.
-    pub(super) fn chill(&self, world: &World, endpoint: &Endpoint, t: Micros) -> f64 {
+    pub(super) fn cold_slowdown(&self, world: &World, endpoint: &Endpoint, t: Micros) -> f64 {
         let lanes = self.lanes.borrow();
         let Some(back) = lanes.get(&self.lane(endpoint)).and_then(|l| l.back) else { return 1.0 };
         let figures = &world.scenario.parameters.receivers[self.index];
@@ -78,7 +78,7 @@
         let Some(limit) = self.spec.limit else { return Ok(()) };
         let mut lanes = self.lanes.borrow_mut();
         let lane = lanes.entry(self.lane(endpoint)).or_default();
-        let routes = if self.apart { self.endpoints.borrow().len().max(1) as f64 } else { 1.0 };
+        let routes = if self.separate_routes { self.endpoints.borrow().len().max(1) as f64 } else { 1.0 };
         let most = limit.calls / routes;
         if let Some(window) = limit.window {
             let span = t / window.0;
--- a/crates/rehearsal/src/rig/receivers/mod.rs
+++ b/crates/rehearsal/src/rig/receivers/mod.rs
@@ -25,12 +25,12 @@
 struct Receiver {
     spec: Spec,
     index: usize,
-    apart: bool,
+    separate_routes: bool,
     endpoints: RefCell<Vec<Rc<Endpoint>>>,
     lanes: RefCell<HashMap<Option<String>, Lane>>,
     keys: RefCell<HashSet<String>>,
     key_order: RefCell<VecDeque<(Micros, String)>>,
-    born: Cell<u32>,
+    opened: Cell<u32>,
 }
 
 /// All of them.
@@ -48,12 +48,12 @@
             Rc::new(Receiver {
                 spec: spec.clone(),
                 index,
-                apart: world.scenario.parameters.receivers[index].apart,
+                separate_routes: world.scenario.parameters.receivers[index].separate_routes,
                 endpoints: RefCell::default(),
                 lanes: RefCell::default(),
                 keys: RefCell::default(),
                 key_order: RefCell::default(),
-                born: Cell::new(0),
+                opened: Cell::new(0),
             })
         };
         let all = world.scenario.receivers.iter().enumerate().map(make).collect();
--- a/crates/rehearsal/src/rig/receivers/replacement.rs
+++ b/crates/rehearsal/src/rig/receivers/replacement.rs
@@ -1,14 +1,14 @@
 //! Endpoints that go, and others that come beside them or in their place.
 
 use super::{Endpoint, Receiver, Receivers};
-use crate::event::{Deed, RawEvent};
+use crate::event::{EventKind, RawEvent};
 use crate::history::Event;
 use crate::span::{Micros, duration};
 use std::rc::Rc;
 use tokio::task::AbortHandle;
 
 /// How long an endpoint that drains stays listed, where it isn't said.
-const GONE_AFTER: Micros = 6_000_000;
+const DEFAULT_GONE_AFTER_US: Micros = 6_000_000;
 /// Waves in which endpoints are replaced.
 const WAVES: usize = 4;
 
@@ -17,7 +17,7 @@
     pub async fn replace(self: &Rc<Self>, event: &RawEvent) {
         let share = event.share.unwrap_or(1.0);
         let mut old: Vec<(Rc<Receiver>, Rc<Endpoint>)> = Vec::new();
-        for (receiver, endpoints) in self.picked(event) {
+        for (receiver, endpoints) in self.targets(event) {
             old.extend(endpoints.into_iter().map(|e| (receiver.clone(), e)));
         }
         // The same share of every receiver, as near as whole endpoints allow, spread over the list.
@@ -30,21 +30,26 @@
         for wave in chosen.chunks(size) {
             let mut changes = Vec::new();
             for (receiver, endpoint) in wave {
-                if event.deed == Deed::Replace {
+                if event.kind == EventKind::Replace {
                     match self.open(receiver).await {
                         Ok(new) => changes.push(self.line(receiver, &new, "Ready")),
-                        Err(e) => _ = self.world.note(Event::Mark { text: format!("no new endpoint: {e}") }),
+                        Err(e) => {
+                            _ = self.world.record(Event::Mark { text: format!("no new endpoint: {e}") })
+                        }
                     }
                 }
                 endpoint.draining.set(true);
                 changes.push(self.line(receiver, endpoint, "Terminating"));
             }
             self.directory.publish(&changes);
-            let (receivers, wave, after) =
-                (self.clone(), wave.to_vec(), duration(event.gone_after.map_or(GONE_AFTER, |s| s.0)));
+            let (receivers, wave, after) = (
+                self.clone(),
+                wave.to_vec(),
+                duration(event.gone_after.map_or(DEFAULT_GONE_AFTER_US, |s| s.0)),
+            );
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(after).await;
-                receivers.go(&wave);
+                receivers.remove(&wave);
             });
             tokio::time::sleep(pause).await;
         }
@@ -58,7 +63,7 @@
             for _ in 0..event.endpoints.unwrap_or(1) {
                 match self.open(receiver).await {
                     Ok(new) => changes.push(self.line(receiver, &new, "Ready")),
-                    Err(e) => _ = self.world.note(Event::Mark { text: format!("no new endpoint: {e}") }),
+                    Err(e) => _ = self.world.record(Event::Mark { text: format!("no new endpoint: {e}") }),
                 }
             }
             self.directory.publish(&changes);
@@ -66,7 +71,7 @@
     }
 
     /// Endpoints that have drained are gone: they take no connection more.
-    fn go(&self, wave: &[(Rc<Receiver>, Rc<Endpoint>)]) {
+    fn remove(&self, wave: &[(Rc<Receiver>, Rc<Endpoint>)]) {
         let mut changes = Vec::new();
         for (receiver, endpoint) in wave {
             receiver.endpoints.borrow_mut().retain(|e| !Rc::ptr_eq(e, endpoint));
--- a/crates/rehearsal/src/rig/receivers/request.rs
+++ b/crates/rehearsal/src/rig/receivers/request.rs
@@ -1,8 +1,8 @@
 //! A request on one of an endpoint's connections: it is read, carried out and answered, or fails as it is told to.
 
 use super::{Endpoint, Receiver, Receivers};
-use crate::event::Deed;
-use crate::history::{By, Event, Item};
+use crate::event::EventKind;
+use crate::history::{ClosedBy, Event, Item};
 use crate::rig::World;
 use crate::span::{Micros, duration};
 use bytes::Bytes;
@@ -17,21 +17,21 @@
 use std::rc::Rc;
 
 /// A call of several messages in Base64 is no longer than this.
-const CALL_MOST: usize = 100 * 2 * BODY_MOST;
+const MAX_CALL_BYTES: usize = 100 * 2 * BODY_MOST;
 
 /// An answer, or the sign that the connection is to be broken.
-pub(super) type Answer = Result<Response<Full<Bytes>>, Broken>;
+pub(super) type Answer = Result<Response<Full<Bytes>>, ConnectionBroken>;
 
 #[derive(Debug)]
-pub(super) struct Broken;
+pub(super) struct ConnectionBroken;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for ConnectionBroken {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("broken on purpose")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for ConnectionBroken {}
 
 /// A request on one of an endpoint's connections, and the way of its answer.
 pub(super) struct Exchange {
@@ -39,8 +39,8 @@
     pub(super) receiver: Rc<Receiver>,
     pub(super) endpoint: Rc<Endpoint>,
     pub(super) sender: usize,
-    pub(super) first: Micros,
-    pub(super) fresh: bool,
+    pub(super) first_byte: Micros,
+    pub(super) new_connection: bool,
 }
 
 /// How a call is refused before any of it is carried out.
@@ -55,13 +55,13 @@
 struct Unanswered {
     world: Rc<World>,
     call: u64,
-    by: Cell<Option<By>>,
+    by: Cell<Option<ClosedBy>>,
 }
 
 impl Drop for Unanswered {
     fn drop(&mut self) {
         if let Some(by) = self.by.get() {
-            self.world.note(Event::Broke { call: self.call, by });
+            self.world.record(Event::Disconnected { call: self.call, by });
         }
     }
 }
@@ -82,9 +82,9 @@
 impl Exchange {
     pub(super) async fn answer(self, request: Request<Incoming>) -> Answer {
         let world = self.receivers.world.clone();
-        if self.endpoint.fault(Deed::Hang).is_some() {
+        if self.endpoint.fault(EventKind::Hang).is_some() {
             // Nothing is read: the call's last byte never comes.
-            world.note(Event::Partial { sender: self.sender, endpoint: self.endpoint.name.clone() });
+            world.record(Event::Partial { sender: self.sender, endpoint: self.endpoint.name.clone() });
             return std::future::pending().await;
         }
         let path = request.uri().path().to_string();
@@ -98,9 +98,9 @@
         let header =
             |name: &str| request.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
         let (id, key) = (header("x-request-id"), header("idempotency-key"));
-        let Ok(body) = Limited::new(request.into_body(), CALL_MOST).collect().await else {
-            world.note(Event::Partial { sender: self.sender, endpoint: self.endpoint.name.clone() });
-            return Err(Broken);
+        let Ok(body) = Limited::new(request.into_body(), MAX_CALL_BYTES).collect().await else {
+            world.record(Event::Partial { sender: self.sender, endpoint: self.endpoint.name.clone() });
+            return Err(ConnectionBroken);
         };
         let items: Vec<Item> = if batch {
             let Ok(items) = read_batch(&body.to_bytes()) else { return Ok(reply(400, None, Vec::new())) };
@@ -121,20 +121,20 @@
 
     async fn probe(&self, world: &World) -> Answer {
         let (sender, endpoint) = (self.sender, self.endpoint.name.clone());
-        let fault = |deed| self.endpoint.fault(deed).is_some();
+        let fault = |kind| self.endpoint.fault(kind).is_some();
         self.travel(world).await;
-        self.receiver.arrive(world, &self.endpoint, world.now(), 1.0);
-        if fault(Deed::Silent) {
-            world.note(Event::Probe { sender, endpoint, status: 0 });
+        self.receiver.record_load(world, &self.endpoint, world.now(), 1.0);
+        if fault(EventKind::Silent) {
+            world.record(Event::Probe { sender, endpoint, status: 0 });
             return std::future::pending().await;
         }
-        if self.receiver.resets(&self.endpoint) {
-            world.note(Event::Probe { sender, endpoint, status: 0 });
-            return Err(Broken);
+        if self.receiver.resets_connections(&self.endpoint) {
+            world.record(Event::Probe { sender, endpoint, status: 0 });
+            return Err(ConnectionBroken);
         }
         self.travel(world).await;
-        let status = if fault(Deed::Shut) { 503 } else { 200 };
-        world.note(Event::Probe { sender, endpoint, status });
+        let status = if fault(EventKind::Shut) { 503 } else { 200 };
+        world.record(Event::Probe { sender, endpoint, status });
         Ok(reply(status, None, Vec::new()))
     }
 
@@ -142,13 +142,13 @@
         let endpoint = &self.endpoint;
         self.travel(world).await;
         let call = world.next_call();
-        let unanswered = Unanswered { world: world.clone(), call, by: Cell::new(Some(By::Sender)) };
-        let t = world.note(Event::Call {
+        let unanswered = Unanswered { world: world.clone(), call, by: Cell::new(Some(ClosedBy::Sender)) };
+        let t = world.record(Event::Call {
             call,
             sender: self.sender,
             endpoint: endpoint.name.clone(),
-            first: self.first,
-            fresh: self.fresh,
+            first_byte: self.first_byte,
+            new_connection: self.new_connection,
             batch,
             items: items.clone(),
         });
@@ -165,35 +165,36 @@
             }
             unanswered.by.set(None);
             let wait_ms = wait.map_or(0, wait_ms);
-            world.note(Event::Answer { call, status, wait_ms, states: states.clone() });
+            world.record(Event::Answer { call, status, wait_ms, states: states.clone() });
             Ok(reply(status, wait, body.unwrap_or_default()))
         };
         let broken = || {
-            unanswered.by.set(Some(By::Receiver));
-            Err(Broken)
+            unanswered.by.set(Some(ClosedBy::Receiver));
+            Err(ConnectionBroken)
         };
         match self.refusal(world, t, items.len(), batch) {
             Some(Refusal::Reset) => return broken(),
             Some(Refusal::Status(status, wait)) => return answer(status, wait, None).await,
             None => {}
         }
-        let fails = endpoint.fault(Deed::Fail).map_or(0.0, |f| f.share).max(self.receiver.spec.error_share);
+        let fails =
+            endpoint.fault(EventKind::Fail).map_or(0.0, |f| f.share).max(self.receiver.spec.error_share);
         let fails = endpoint.chance(fails);
         // Half of what fails has been carried out, which the sender can't tell.
         let runs = !fails || endpoint.chance(0.5);
         let fates: Vec<(String, Option<bool>)> =
-            items.iter().map(|i| (i.id.clone(), runs.then(|| self.receiver.knows(t, i)))).collect();
+            items.iter().map(|i| (i.id.clone(), runs.then(|| self.receiver.remember_key(t, i)))).collect();
         // It goes on whether or not the sender still waits: a call that is given up may run on.
         let (on, receiver, worker) = (world.clone(), self.receiver.clone(), endpoint.clone());
         let work =
             tokio::task::spawn_local(async move { carry_out(&on, &receiver, &worker, call, fates).await });
-        let silent = endpoint.fault(Deed::Silent).is_some();
+        let silent = endpoint.fault(EventKind::Silent).is_some();
         _ = work.await;
-        if silent || endpoint.fault(Deed::Silent).is_some() {
+        if silent || endpoint.fault(EventKind::Silent).is_some() {
             return std::future::pending().await;
         }
-        if endpoint.fault(Deed::Reset).is_some_and(|f| endpoint.chance(f.share))
-            || self.receiver.fell(endpoint)
+        if endpoint.fault(EventKind::Reset).is_some_and(|f| endpoint.chance(f.share))
+            || self.receiver.is_overloaded(endpoint)
         {
             return broken();
         }
@@ -209,15 +210,15 @@
         if batch && messages > world.scenario.kinds[receiver.spec.kind].batch as usize {
             return Some(Refusal::Status(413, None));
         }
-        receiver.arrive(world, endpoint, t, world.scenario.parameters.rules.weight(messages));
-        if receiver.resets(endpoint) {
+        receiver.record_load(world, endpoint, t, world.scenario.parameters.rules.weight(messages));
+        if receiver.resets_connections(endpoint) {
             return Some(Refusal::Reset);
         }
-        if let Some(fault) = endpoint.fault(Deed::Shut) {
+        if let Some(fault) = endpoint.fault(EventKind::Shut) {
             let tells = endpoint.chance(receiver.spec.tells_waits);
             return Some(Refusal::Status(503, tells.then_some(fault.until - t)));
         }
-        if let Some(fault) = endpoint.fault(Deed::Wait) {
+        if let Some(fault) = endpoint.fault(EventKind::Wait) {
             return Some(Refusal::Status(429, Some(fault.until - t)));
         }
         if let Err(room) = receiver.limit(endpoint, t) {
@@ -255,15 +256,15 @@
     let normal: f64 = endpoint.rng.borrow_mut().sample(StandardNormal);
     let latency = &receiver.spec.latency;
     let seconds = latency.median.secs() * (latency.sigma() * normal).exp();
-    let slow = endpoint.fault(Deed::Slow).map_or(1.0, |f| f.factor);
-    let chill = receiver.chill(world, endpoint, world.now());
-    let late = endpoint.fault(Deed::Late).map_or(0, |f| f.by);
+    let slow = endpoint.fault(EventKind::Slow).map_or(1.0, |f| f.factor);
+    let cold_slowdown = receiver.cold_slowdown(world, endpoint, world.now());
+    let late = endpoint.fault(EventKind::Late).map_or(0, |f| f.delay);
     let weight = world.scenario.parameters.rules.weight(items.len());
-    let took = (seconds * weight * slow * chill * 1e6) as Micros;
+    let took = (seconds * weight * slow * cold_slowdown * 1e6) as Micros;
     tokio::time::sleep(duration(took.saturating_add(late))).await;
     for (id, fate) in items {
         if let Some(dropped) = fate {
-            world.note(Event::Ran { call, id, dropped });
+            world.record(Event::Ran { call, id, dropped });
         }
     }
 }
--- a/crates/rehearsal/src/rig/receivers/tap.rs
+++ b/crates/rehearsal/src/rig/receivers/tap.rs
@@ -14,7 +14,7 @@
 pub(super) struct Tap {
     pub(super) stream: TcpStream,
     pub(super) world: Rc<World>,
-    pub(super) first: Rc<Cell<Option<Micros>>>,
+    pub(super) first_byte: Rc<Cell<Option<Micros>>>,
 }
 
 impl AsyncRead for Tap {
@@ -25,8 +25,8 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = std::task::ready!(Pin::new(&mut self.stream).poll_read(cx, buf));
-        if buf.filled().len() > before && self.first.get().is_none() {
-            self.first.set(Some(self.world.now()));
+        if buf.filled().len() > before && self.first_byte.get().is_none() {
+            self.first_byte.set(Some(self.world.now()));
         }
         Poll::Ready(read)
     }
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -2,9 +2,9 @@
 
 use super::crowd;
 use super::directory::Directory;
-use super::door;
+use super::management;
 use super::{Options, RigError, Subject, World, folder_of};
-use crate::event::{Deed, RawEvent};
+use crate::event::{EventKind, RawEvent};
 use crate::history::{Event, Signal};
 use crate::parameters::Effect;
 use crate::span::{Micros, duration};
@@ -25,15 +25,15 @@
 use tokio::sync::Notify;
 
 /// From SIGTERM to SIGKILL.
-const TERM_TIME: Duration = Duration::from_millis(3700);
+const TERM_TIMEOUT: Duration = Duration::from_millis(3700);
 /// From the process's end to its next start.
-const AWAY: Micros = 600_000;
+const DEFAULT_DOWN_US: Micros = 600_000;
 /// How long a process that replaces another has to be ready.
-const UPGRADE_TIME: Duration = Duration::from_secs(6);
+const UPGRADE_TIMEOUT: Duration = Duration::from_secs(6);
 /// From the answer to `PING` that a sender takes no clients until the front sends it none.
-const FRONT_LAG: Micros = 300_000;
+const FRONT_LAG_US: Micros = 300_000;
 /// How long senders have to end after the rehearsal.
-const END_TIME: Duration = Duration::from_millis(4500);
+const EXIT_TIMEOUT: Duration = Duration::from_millis(4500);
 
 struct Process {
     index: usize,
@@ -43,11 +43,11 @@
     /// Keeps the port for this sender over its restarts.
     _port: Option<TcpSocket>,
     /// The clients' listening socket, where the rig holds it for all of this sender's processes.
-    held: Option<std::net::TcpListener>,
+    listener: Option<std::net::TcpListener>,
     /// The operators' door of the process that was started last, and what keeps its port.
-    door: RefCell<Option<(SocketAddr, TcpSocket)>>,
+    management: RefCell<Option<(SocketAddr, TcpSocket)>>,
     /// Since when the front gives it no clients.
-    left_alone: Cell<Option<Micros>>,
+    lame_duck_since: Cell<Option<Micros>>,
     pid: Cell<Option<i32>>,
     /// Its end is the rehearsal's own doing.
     planned: Cell<bool>,
@@ -60,8 +60,8 @@
     }
 
     /// Where its door for operators is, if it has one.
-    fn door(&self) -> Option<SocketAddr> {
-        self.door.borrow().as_ref().map(|(addr, _)| *addr)
+    fn management(&self) -> Option<SocketAddr> {
+        self.management.borrow().as_ref().map(|(addr, _)| *addr)
     }
 }
 
@@ -70,7 +70,7 @@
     world: Rc<World>,
     executable: Option<PathBuf>,
     /// Each process has a door for operators.
-    doors: bool,
+    with_management: bool,
     all: Vec<Rc<Process>>,
 }
 
@@ -85,25 +85,25 @@
             Subject::Spawn(path) => Some(path.clone()),
             Subject::External(_) => None,
         };
-        let has = |deed: Deed| world.scenario.events.iter().any(|(_, e)| e.deed == deed);
-        let holds = has(Deed::Upgrade);
-        let doors = holds || has(Deed::LameDuck);
+        let has = |kind: EventKind| world.scenario.events.iter().any(|(_, e)| e.kind == kind);
+        let shares_listener = has(EventKind::Upgrade);
+        let with_management = shares_listener || has(EventKind::LameDuck);
         let mut all = Vec::new();
         for (index, sender) in world.scenario.parameters.senders.iter().enumerate() {
             let folder = folder_of(options, &sender.name);
             let io = |e| RigError::io(folder.display().to_string())(e);
             std::fs::create_dir_all(folder.join("state")).map_err(io)?;
-            let mut listener = None;
+            let mut shared_listener = None;
             let (addr, port) = match &options.subject {
-                Subject::Spawn(_) if holds => {
-                    let held = std::net::TcpListener::bind("127.0.0.1:0");
-                    let held = held.map_err(RigError::io("a port for a sender"))?;
-                    let addr = held.local_addr().map_err(RigError::io("a port for a sender"))?;
-                    listener = Some(held);
+                Subject::Spawn(_) if shares_listener => {
+                    let listener = std::net::TcpListener::bind("127.0.0.1:0");
+                    let listener = listener.map_err(RigError::io("a port for a sender"))?;
+                    let addr = listener.local_addr().map_err(RigError::io("a port for a sender"))?;
+                    shared_listener = Some(listener);
                     (addr, None)
                 }
                 Subject::Spawn(_) => {
-                    let (addr, port) = reserve().map_err(RigError::io("a port for a sender"))?;
+                    let (addr, port) = reserve_port().map_err(RigError::io("a port for a sender"))?;
                     (addr, Some(port))
                 }
                 Subject::External(addrs) => match addrs.get(index) {
@@ -115,22 +115,22 @@
             std::fs::write(folder.join("config.json"), format!("{config:#}\n")).map_err(io)?;
             let (name, pid, planned) = (sender.name.clone(), Cell::new(None), Cell::new(false));
             let ended = Notify::new();
-            let (door, left_alone) = (RefCell::default(), Cell::new(None));
+            let (management, lame_duck_since) = (RefCell::default(), Cell::new(None));
             all.push(Rc::new(Process {
                 index,
                 name,
                 addr,
                 folder,
                 _port: port,
-                held: listener,
-                door,
-                left_alone,
+                listener: shared_listener,
+                management,
+                lame_duck_since,
                 pid,
                 planned,
                 ended,
             }));
         }
-        Ok(Rc::new(Senders { world, executable, doors, all }))
+        Ok(Rc::new(Senders { world, executable, with_management, all }))
     }
 
     /// Where clients reach a sender.
@@ -139,9 +139,10 @@
     }
 
     /// The sender to which the front sends a client of this one: another while this one is emptied.
-    pub fn front(&self, sender: usize) -> usize {
+    pub fn route_client(&self, sender: usize) -> usize {
         let now = self.world.now();
-        let open = |n: &usize| self.all[*n].left_alone.get().is_none_or(|since| now < since + FRONT_LAG);
+        let open =
+            |n: &usize| self.all[*n].lame_duck_since.get().is_none_or(|since| now < since + FRONT_LAG_US);
         let mut others = (0..self.all.len()).map(|n| (sender + n) % self.all.len());
         others.find(open).unwrap_or(sender)
     }
@@ -162,13 +163,13 @@
             command.env_remove(name);
         }
         let io = RigError::io(format!("starting {}", executable.display()));
-        if self.doors {
-            let (addr, port) = reserve().map_err(RigError::io("a port for a door"))?;
+        if self.with_management {
+            let (addr, port) = reserve_port().map_err(RigError::io("a port for a door"))?;
             command.env("LB_MGMT", addr.to_string());
-            *process.door.borrow_mut() = Some((addr, port));
+            *process.management.borrow_mut() = Some((addr, port));
         }
         // A copy that outlives exec, for as long as it takes to start the process.
-        let inherited = process.held.as_ref().map(nix::unistd::dup).transpose();
+        let inherited = process.listener.as_ref().map(nix::unistd::dup).transpose();
         let inherited = inherited.map_err(|e| RigError::io("the clients' socket")(e.into()))?;
         if let Some(fd) = &inherited {
             command.env("LB_SOCKET_FD", fd.as_raw_fd().to_string());
@@ -196,9 +197,9 @@
             };
             if process.pid.get() == pid {
                 process.pid.set(None);
-                world.note(Event::Exited { sender: process.index, planned: process.planned.get(), how });
+                world.record(Event::Exited { sender: process.index, planned: process.planned.get(), how });
             } else {
-                world.note(Event::Mark {
+                world.record(Event::Mark {
                     text: format!("{}: the process that was replaced has ended", process.name),
                 });
             }
@@ -207,22 +208,22 @@
         Ok(())
     }
 
-    pub async fn wait_ready(self: &Rc<Self>, most: Micros) -> Result<(), RigError> {
+    pub async fn wait_ready(self: &Rc<Self>, timeout: Micros) -> Result<(), RigError> {
         for process in &self.all {
-            if !self.ready(process, most).await {
+            if !self.ready(process, timeout).await {
                 let (sender, log) = (process.name.clone(), process.folder.join("log"));
-                return Err(RigError::NotReady { sender, seconds: most / 1_000_000, log });
+                return Err(RigError::NotReady { sender, seconds: timeout / 1_000_000, log });
             }
         }
         Ok(())
     }
 
     /// Waits until a sender answers `PING`.
-    async fn ready(&self, process: &Process, most: Micros) -> bool {
-        let until = self.world.now() + most;
+    async fn ready(&self, process: &Process, timeout: Micros) -> bool {
+        let until = self.world.now() + timeout;
         while self.world.now() < until {
             if ping(process.addr).await.is_ok() {
-                self.world.note(Event::Ready { sender: process.index });
+                self.world.record(Event::Ready { sender: process.index });
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -232,7 +233,7 @@
 
     /// Does to a sender, or to all of them, what the event says, and starts it again where it ends by it.
     pub async fn signal(self: &Rc<Self>, event: &RawEvent) {
-        let named = self.all.iter().filter(|p| event.concerns(p.index, &p.name));
+        let named = self.all.iter().filter(|p| event.applies_to(p.index, &p.name));
         let mut tasks = tokio::task::JoinSet::new();
         for process in named {
             let (senders, process, event) = (self.clone(), process.clone(), event.clone());
@@ -244,45 +245,45 @@
     async fn signal_one(self: &Rc<Self>, process: &Rc<Process>, event: &RawEvent) {
         if self.executable.is_none() {
             let text = format!("{} is not this rehearsal's to signal", process.name);
-            self.world.note(Event::Mark { text });
+            self.world.record(Event::Mark { text });
             return;
         }
-        match event.deed {
-            Deed::Sighup => self.send(process, Signal::Hup),
-            Deed::Sigstop => {
+        match event.kind {
+            EventKind::Sighup => self.send(process, Signal::Hup),
+            EventKind::Sigstop => {
                 self.send(process, Signal::Stop);
                 tokio::time::sleep(duration(event.span())).await;
                 self.send(process, Signal::Cont);
             }
-            Deed::Upgrade => self.upgrade(process).await,
-            Deed::LameDuck => {
-                let Some(addr) = process.door() else { return };
+            EventKind::Upgrade => self.upgrade(process).await,
+            EventKind::LameDuck => {
+                let Some(addr) = process.management() else { return };
                 self.call(process, addr, "POST /_lameduck/on").await;
-                process.left_alone.set(Some(self.world.now()));
+                process.lame_duck_since.set(Some(self.world.now()));
                 tokio::time::sleep(duration(event.span())).await;
                 self.call(process, addr, "POST /_lameduck/off").await;
-                process.left_alone.set(None);
+                process.lame_duck_since.set(None);
             }
-            Deed::Retune => {
-                let Some(before) = self.configure(process, retuned) else { return };
+            EventKind::Retune => {
+                let Some(before) = self.configure(process, extra_class_and_half_attempts) else { return };
                 tokio::time::sleep(duration(event.span())).await;
                 self.write_config(process, &before);
                 self.send(process, Signal::Hup);
             }
-            Deed::RetuneWrong => {
-                let Some(before) = self.configure(process, spoilt) else { return };
+            EventKind::RetuneWrong => {
+                let Some(before) = self.configure(process, invalid_config) else { return };
                 // The next start is to find the good one.
                 tokio::time::sleep(Duration::from_millis(200)).await;
                 self.write_config(process, &before);
             }
-            Deed::Crowd => {
+            EventKind::Crowd => {
                 let connections = event.connections.unwrap_or(1);
-                crowd::stand(process.addr, connections, duration(event.span())).await;
+                crowd::run(process.addr, connections, duration(event.span())).await;
             }
-            Deed::Sigterm => {
+            EventKind::Sigterm => {
                 let ended = process.ended.notified();
                 self.send(process, Signal::Term);
-                if tokio::time::timeout(TERM_TIME, ended).await.is_err() {
+                if tokio::time::timeout(TERM_TIMEOUT, ended).await.is_err() {
                     self.kill(process).await;
                 }
                 self.start_again(process, event).await;
@@ -297,24 +298,24 @@
     /// Starts another process beside the one that runs, and ends that one once the other is ready.
     async fn upgrade(self: &Rc<Self>, process: &Rc<Process>) {
         let Some(old) = process.pid.get() else { return };
-        let begun = self.world.now();
+        let started = self.world.now();
         if let Err(e) = self.start(process) {
-            self.world.note(Event::Mark { text: e.to_string() });
+            self.world.record(Event::Mark { text: e.to_string() });
             return;
         }
-        let Some(addr) = process.door() else { return };
+        let Some(addr) = process.management() else { return };
         let ready = async {
-            while door::call(addr, "GET /_ready").await.ok() != Some(200) {
+            while management::call(addr, "GET /_ready").await.ok() != Some(200) {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let ready = tokio::time::timeout(UPGRADE_TIME, ready).await.is_ok();
-        let took = (self.world.now() - begun) / 1000;
+        let ready = tokio::time::timeout(UPGRADE_TIMEOUT, ready).await.is_ok();
+        let took = (self.world.now() - started) / 1000;
         let text = match ready {
             true => format!("{}: the process in its place was ready after {took} ms", process.name),
             false => format!("{}: the process in its place was not ready within {took} ms", process.name),
         };
-        self.world.note(Event::Mark { text });
+        self.world.record(Event::Mark { text });
         // Neither has to be there still: the old one may have left, which is as good.
         _ = unix::kill(Pid::from_raw(old), unix::Signal::SIGTERM);
         let gone = async {
@@ -322,18 +323,18 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        if tokio::time::timeout(TERM_TIME, gone).await.is_err() {
+        if tokio::time::timeout(TERM_TIMEOUT, gone).await.is_err() {
             _ = unix::kill(Pid::from_raw(old), unix::Signal::SIGKILL);
         }
     }
 
     async fn call(&self, process: &Process, addr: SocketAddr, call: &str) {
-        let text = match door::call(addr, call).await {
+        let text = match management::call(addr, call).await {
             Ok(200..300) => return,
             Ok(status) => format!("{}: {call} was answered {status}", process.name),
             Err(e) => format!("{}: {call}: {e}", process.name),
         };
-        self.world.note(Event::Mark { text });
+        self.world.record(Event::Mark { text });
     }
 
     /// Writes the sender's configuration anew, as `change` makes it, and tells the sender; what it was before.
@@ -349,7 +350,7 @@
     fn write_config(&self, process: &Process, text: &[u8]) {
         let path = process.config();
         if let Err(e) = std::fs::write(&path, text) {
-            self.world.note(Event::Mark { text: format!("{}: {e}", path.display()) });
+            self.world.record(Event::Mark { text: format!("{}: {e}", path.display()) });
         }
     }
 
@@ -357,17 +358,17 @@
         let ended = process.ended.notified();
         if process.pid.get().is_some() {
             self.send(process, Signal::Kill);
-            _ = tokio::time::timeout(END_TIME, ended).await;
+            _ = tokio::time::timeout(EXIT_TIMEOUT, ended).await;
         }
     }
 
     async fn start_again(self: &Rc<Self>, process: &Rc<Process>, event: &RawEvent) {
-        tokio::time::sleep(duration(event.down.map_or(AWAY, |s| s.0))).await;
+        tokio::time::sleep(duration(event.down.map_or(DEFAULT_DOWN_US, |s| s.0))).await;
         if let Err(e) = self.start(process) {
-            self.world.note(Event::Mark { text: e.to_string() });
+            self.world.record(Event::Mark { text: e.to_string() });
             return;
         }
-        self.ready(process, super::READY_TIME).await;
+        self.ready(process, super::READY_TIMEOUT_US).await;
     }
 
     fn send(&self, process: &Process, signal: Signal) {
@@ -382,9 +383,9 @@
         if matches!(signal, Signal::Term | Signal::Kill) {
             process.planned.set(true);
         }
-        self.world.note(Event::Signal { sender: process.index, signal });
+        self.world.record(Event::Signal { sender: process.index, signal });
         if let Err(e) = unix::kill(Pid::from_raw(pid), which) {
-            self.world.note(Event::Mark { text: format!("{}: {e}", process.name) });
+            self.world.record(Event::Mark { text: format!("{}: {e}", process.name) });
         }
     }
 
@@ -401,12 +402,12 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        _ = tokio::time::timeout(END_TIME, ended).await;
+        _ = tokio::time::timeout(EXIT_TIMEOUT, ended).await;
     }
 }
 
 /// A class more, and half the attempts.
-fn retuned(config: &mut Value) {
+fn extra_class_and_half_attempts(config: &mut Value) {
     let attempts = &mut config["settings"]["Limits"]["MaxAttempts"];
     *attempts = json!((attempts.as_i64().unwrap_or(2) / 2).max(1));
     if let Some(classes) = config["settings"]["Profiles"].as_array_mut()
@@ -418,7 +419,7 @@
 }
 
 /// Another directory and other names, and a deadline that makes no sense: with any of it nothing would go on.
-fn spoilt(config: &mut Value) {
+fn invalid_config(config: &mut Value) {
     config["discovery"] = json!("127.0.0.1:9");
     for class in config["settings"]["Profiles"].as_array_mut().into_iter().flatten() {
         class["Name"] = json!(format!("{}-x", class["Name"].as_str().unwrap_or_default()));
@@ -428,7 +429,7 @@
 
 /// A port on loopback that no one else is given. Bound but not listening, so that the sender can listen there
 /// again and again.
-fn reserve() -> std::io::Result<(SocketAddr, TcpSocket)> {
+fn reserve_port() -> std::io::Result<(SocketAddr, TcpSocket)> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
@@ -436,14 +437,14 @@
 }
 
 async fn ping(addr: SocketAddr) -> std::io::Result<()> {
-    let asked = async {
+    let exchange = async {
         let mut stream = TcpStream::connect(addr).await?;
         stream.write_all(b"*1\r\n$4\r\nPING\r\n").await?;
         let mut answer = [0; 7];
         stream.read_exact(&mut answer).await?;
         if &answer == b"+PONG\r\n" { Ok(()) } else { Err(std::io::Error::other("no PONG")) }
     };
-    tokio::time::timeout(Duration::from_secs(2), asked).await.map_err(std::io::Error::other)?
+    tokio::time::timeout(Duration::from_secs(2), exchange).await.map_err(std::io::Error::other)?
 }
 
 /// The configuration that the platform would write for this sender.
@@ -478,25 +479,25 @@
     let quota = |q: f64| if q < 1e12 { q } else { 1e12 };
     let customers = parameters.tenants.iter().map(|t| json!({"Name": t.name, "QuotaRps": quota(t.quota)}));
     let settle = parameters.classes.iter().map(|c| c.order_settle).max().unwrap_or(0);
-    let told = &scenario.settings;
+    let shared = &scenario.settings;
     json!({
         "Azs": scenario.network.zones,
-        "Balancers": scenario.settings.told_senders(parameters.senders.len()),
+        "Balancers": scenario.settings.advertised_senders(parameters.senders.len()),
         "Zone": scenario.senders[index].zone,
-        "QuantumUs": told.quantum.0,
+        "QuantumUs": shared.quantum.0,
         "Customers": customers.collect::<Vec<_>>(),
         "OverShareWorth": parameters.over_share_worth,
         "Shapes": scenario.kinds.iter().map(|k| &k.name).collect::<Vec<_>>(),
         "Weights": "nominal",
         "FamilyInfo": {
             "BatchByKind": scenario.kinds.iter().map(|k| k.batch).collect::<Vec<_>>(),
-            "KindApart": scenario.kinds.iter().map(|k| k.apart).collect::<Vec<_>>(),
+            "KindApart": scenario.kinds.iter().map(|k| k.separate_routes).collect::<Vec<_>>(),
             "Late": "line", "Workers": parameters.senders[index].slots,
         },
         "Limits": {
-            "Cancel": told.cancel, "ConnectTimeoutUs": told.connect_timeout.0, "IdleCloseUs": told.idle_close.0,
+            "Cancel": shared.cancel, "ConnectTimeoutUs": shared.connect_timeout.0, "IdleCloseUs": shared.idle_close.0,
             "MaxAttempts": parameters.rules.max_attempts, "MaxOpen": parameters.senders[index].max_open,
-            "MaxRetryAfterUs": told.max_retry_after.0, "Peers": false, "Probes": told.probes,
+            "MaxRetryAfterUs": shared.max_retry_after.0, "Peers": false, "Probes": shared.probes,
             "SecondCopies": parameters.rules.second_copies, "StreamsPerConn": 1,
         },
         "Prices": {"CrossZone": 0.01, "Handshake": 0.04},
--- a/crates/rehearsal/src/scenario/checks.rs
+++ b/crates/rehearsal/src/scenario/checks.rs
@@ -18,7 +18,7 @@
     }
 
     /// Takes it down unless all is well there.
-    pub(super) fn whether(&mut self, good: bool, span: Range<usize>, what: impl Into<String>) {
+    pub(super) fn require(&mut self, good: bool, span: Range<usize>, what: impl Into<String>) {
         if !good {
             self.at(span, what);
         }
--- a/crates/rehearsal/src/scenario/class.rs
+++ b/crates/rehearsal/src/scenario/class.rs
@@ -52,9 +52,9 @@
 /// Bytes of a body, from and to, where a class does not say.
 const SIZE: [u32; 2] = [120, 400];
 /// Things that the messages of a class are about, where it does not say.
-const ORDER_KEYS: u32 = 20;
+const DEFAULT_ORDER_KEYS: u32 = 20;
 /// How long a key of an ordered class rests after an attempt that may still run, where it does not say: 1 s.
-const ORDER_SETTLE: Micros = 1_000_000;
+const DEFAULT_ORDER_SETTLE_US: Micros = 1_000_000;
 
 /// Checks the classes.
 pub(super) fn classes(
@@ -63,12 +63,12 @@
     kinds: &[String],
 ) -> (Vec<Class>, Vec<parameters::Class>) {
     let list = raw.class.get_ref();
-    c.whether(!list.is_empty(), raw.class.span(), "there is no class; add a [[class]]");
+    c.require(!list.is_empty(), raw.class.span(), "there is no class; add a [[class]]");
     let mut seen = BTreeSet::new();
     let (mut classes, mut figures) = (Vec::new(), Vec::new());
     for class in list {
         let name = class.name.get_ref();
-        c.whether(
+        c.require(
             seen.insert(name),
             class.name.span(),
             format!("a second class '{name}'; name it otherwise"),
@@ -77,7 +77,7 @@
         figures.push(class.figures());
     }
     let any = classes.iter().any(|class| class.share > 0.0);
-    c.whether(any || list.is_empty(), raw.class.span(), "no class has a share of the traffic; give one");
+    c.require(any || list.is_empty(), raw.class.span(), "no class has a share of the traffic; give one");
     (classes, figures)
 }
 
@@ -85,28 +85,28 @@
     fn check(&self, c: &mut Checks<'_>, kinds: &[String]) -> Class {
         let (name, at) = (self.name.get_ref(), self.name.span());
         let plain = !name.is_empty() && name.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=');
-        c.whether(plain, at.clone(), "a name is plain text with no blanks, commas or equals signs");
-        c.whether(not_negative(self.share), at.clone(), "'share' is 0 or more");
-        c.whether(not_negative(self.worth), at.clone(), "'worth' is 0 or more");
-        c.whether(share(self.late_share), at.clone(), "'late_share' is from 0 to 1");
+        c.require(plain, at.clone(), "a name is plain text with no blanks, commas or equals signs");
+        c.require(not_negative(self.share), at.clone(), "'share' is 0 or more");
+        c.require(not_negative(self.worth), at.clone(), "'worth' is 0 or more");
+        c.require(share(self.late_share), at.clone(), "'late_share' is from 0 to 1");
         self.check_times(c);
         let kinds =
             self.kinds.iter().flatten().filter_map(|kind| c.index(kind, kinds.iter(), "kind")).collect();
         let size = self.checked_size(c);
         let keyed = self.order_keys.is_some() || self.order_settle.is_some();
-        c.whether(
+        c.require(
             self.ordered || !keyed,
             at,
             "'order_keys' and 'order_settle' mean something with ordered = true only",
         );
-        let order_keys = self.order_keys.unwrap_or(ORDER_KEYS).max(1);
+        let order_keys = self.order_keys.unwrap_or(DEFAULT_ORDER_KEYS).max(1);
         Class { share: self.share, order_keys, kinds, size }
     }
 
     fn check_times(&self, c: &mut Checks<'_>) {
         let (deadline, at) = (self.deadline.get_ref().0, self.deadline.span());
-        c.whether(deadline > 0, at.clone(), "'deadline' is above 0s");
-        c.whether(self.aim.0 <= deadline, at, "'deadline' is shorter than 'aim'; make it longer");
+        c.require(deadline > 0, at.clone(), "'deadline' is above 0s");
+        c.require(self.aim.0 <= deadline, at, "'deadline' is shorter than 'aim'; make it longer");
         match (&self.window, self.effect) {
             (None, Effect::Keyed) => {
                 c.at(self.name.span(), "a keyed class needs 'window', for how long its keys are remembered");
@@ -125,12 +125,12 @@
         let Some(given) = &self.size else { return SIZE };
         let size = *given.get_ref();
         let fits = size[0] <= size[1] && size[1] as usize <= BODY_MOST;
-        c.whether(fits, given.span(), "'size' is [from, to], and 65536 bytes at most");
+        c.require(fits, given.span(), "'size' is [from, to], and 65536 bytes at most");
         size
     }
 
     fn figures(&self) -> parameters::Class {
-        let order_settle = if self.ordered { ORDER_SETTLE } else { 0 };
+        let order_settle = if self.ordered { DEFAULT_ORDER_SETTLE_US } else { 0 };
         parameters::Class {
             name: self.name.get_ref().clone(),
             effect: self.effect,
--- a/crates/rehearsal/src/scenario/kind.rs
+++ b/crates/rehearsal/src/scenario/kind.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 /// Messages in a call at most, of any kind.
-const BATCH_MOST: u32 = 100;
+const MAX_BATCH: u32 = 100;
 
 /// A kind of receiver.
 #[derive(Clone, Debug, Deserialize)]
@@ -19,8 +19,8 @@
     #[serde(default = "defaults::one_message")]
     pub batch: u32,
     /// Its endpoints are separate routes.
-    #[serde(default)]
-    pub apart: bool,
+    #[serde(default, rename = "apart")]
+    pub separate_routes: bool,
 }
 
 /// Checks the kinds, and gives their names.
@@ -29,8 +29,8 @@
     let mut names = Vec::new();
     for spanned in &raw.kind {
         let Kind { name, batch, .. } = spanned.get_ref();
-        c.whether(seen.insert(name), spanned.span(), format!("a second kind '{name}'; name it otherwise"));
-        c.whether((1..=BATCH_MOST).contains(batch), spanned.span(), "'batch' is from 1 to 100");
+        c.require(seen.insert(name), spanned.span(), format!("a second kind '{name}'; name it otherwise"));
+        c.require((1..=MAX_BATCH).contains(batch), spanned.span(), "'batch' is from 1 to 100");
         names.push(name.clone());
     }
     names
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -18,12 +18,12 @@
 /// A scenario that can't be played; `name` is that of the file, or of a shipped scenario. Nothing has been started.
 pub use embershore_finding::FileError as ScenarioError;
 pub use kind::Kind;
-pub use receiver::{ENDPOINTS_MOST, Latency, Limit, Receiver};
-pub use sender::{SENDERS_MOST, Sender};
+pub use receiver::{Latency, Limit, MAX_ENDPOINTS, Receiver};
+pub use sender::{MAX_SENDERS, Sender};
 pub use settings::{Clients, Directory, Network, SenderSettings};
 pub use split::SplitError;
 
-use crate::event::{Known, RawEvent};
+use crate::event::{RawEvent, Targets};
 use crate::parameters::{self, Parameters};
 use crate::plan::Traffic;
 use crate::span::Micros;
@@ -42,11 +42,11 @@
 use traffic::traffic;
 
 /// A scenario's file is no longer than this; shipped ones have 3 KiB.
-const FILE_MOST: u64 = 4 << 20;
+const MAX_FILE_BYTES: u64 = 4 << 20;
 /// The shortest scenario: 1 s.
-const LENGTH_LEAST: Micros = 1_000_000;
+const MIN_LENGTH_US: Micros = 1_000_000;
 /// How long a call is taken to take, in seconds, where no receiver has a share of the traffic.
-const MEAN_LATENCY: f64 = 0.15;
+const DEFAULT_MEAN_LATENCY_S: f64 = 0.15;
 
 /// A scenario that has been checked.
 #[derive(Clone, Debug)]
@@ -86,7 +86,7 @@
     /// The file can't be read, or all that is wrong in it.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let io = |error| ScenarioError::Io { path: path.into(), error };
-        let text = embershore_finding::read(path, FILE_MOST, "a scenario").map_err(io)?;
+        let text = embershore_finding::read(path, MAX_FILE_BYTES, "a scenario").map_err(io)?;
         let folder = path.parent().unwrap_or(Path::new("."));
         Scenario::parse(&path.display().to_string(), &text, folder)
     }
@@ -106,10 +106,10 @@
 
 fn build(raw: Raw, c: &mut Checks<'_>, folder: &Path) -> Scenario {
     let length = raw.length.get_ref().0;
-    c.whether(length >= LENGTH_LEAST, raw.length.span(), "'length' is at least 1s");
+    c.require(length >= MIN_LENGTH_US, raw.length.span(), "'length' is at least 1s");
     let rules = rules(&raw.rules, c);
     let zones = &raw.network.value.zones;
-    c.whether(!zones.is_empty(), raw.network.span.clone(), "'zones' names at least one building");
+    c.require(!zones.is_empty(), raw.network.span.clone(), "'zones' names at least one building");
     let clients = clients(&raw.clients, c);
     let kind_names = kinds(&raw, c);
     let (classes, class_parameters) = classes(&raw, c, &kind_names);
@@ -150,7 +150,7 @@
 fn mean_latency(receivers: &[Receiver]) -> f64 {
     let shares: f64 = receivers.iter().map(|r| r.share).sum();
     let mean = receivers.iter().map(|r| r.share * r.latency.mean()).sum::<f64>();
-    if shares > 0.0 { mean / shares } else { MEAN_LATENCY }
+    if shares > 0.0 { mean / shares } else { DEFAULT_MEAN_LATENCY_S }
 }
 
 /// Checks the events, and puts them in the order of their times.
@@ -162,10 +162,10 @@
 ) -> Vec<(Micros, RawEvent)> {
     let numbers: Vec<i64> = receivers.iter().map(|r| r.number).collect();
     let names: Vec<String> = senders.iter().map(|s| s.name.clone()).collect();
-    let known = Known { receivers: &numbers, senders: &names };
+    let known = Targets { receivers: &numbers, senders: &names };
     let mut events: Vec<(Micros, RawEvent)> = Vec::new();
     for event in &raw.event {
-        let mut wrong = event.get_ref().wrong(known);
+        let mut wrong = event.get_ref().problems(known);
         match event.get_ref().at {
             None => wrong.push("an event on the timeline needs 'at'; say when, such as at = \"20s\"".into()),
             Some(at) if at.0 > raw.length.get_ref().0 => {
