--- a/crates/rehearsal/src/scenario/receiver.rs
+++ b/crates/rehearsal/src/scenario/receiver.rs
@@ -10,7 +10,7 @@
 use toml::Spanned;
 
 /// Endpoints of a scenario at most: each is a socket for each sender, under a usual limit on descriptors.
-pub const ENDPOINTS_MOST: usize = 4096;
+pub const MAX_ENDPOINTS: usize = 4096;
 
 /// How long a receiver takes for a message: a log-normal, given by two of its points.
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -119,30 +119,30 @@
     kinds: &[String],
 ) -> (Vec<Receiver>, Vec<parameters::Receiver>) {
     let list = raw.receiver.get_ref();
-    c.whether(!list.is_empty(), raw.receiver.span(), "there is no receiver; add a [[receiver]]");
+    c.require(!list.is_empty(), raw.receiver.span(), "there is no receiver; add a [[receiver]]");
     let (mut receivers, mut figures): (Vec<Receiver>, Vec<parameters::Receiver>) = (Vec::new(), Vec::new());
     let (mut seen, mut endpoints) = (BTreeSet::new(), 0);
     for r in list {
         let kind = c.index(&r.kind, kinds.iter(), "kind");
         r.check(c);
         endpoints += r.count().saturating_mul(*r.endpoints.get_ref());
-        if endpoints > ENDPOINTS_MOST {
+        if endpoints > MAX_ENDPOINTS {
             c.at(
                 r.endpoints.span(),
-                format!("{endpoints} endpoints; {ENDPOINTS_MOST} at most, so make fewer"),
+                format!("{endpoints} endpoints; {MAX_ENDPOINTS} at most, so make fewer"),
             );
             break;
         }
-        let apart = kind.is_some_and(|k| raw.kind[k].get_ref().apart);
+        let separate_routes = kind.is_some_and(|k| raw.kind[k].get_ref().separate_routes);
         for n in 0..r.count() as i64 {
             let number = r.number.get_ref().saturating_add(n);
-            c.whether(
+            c.require(
                 seen.insert(number),
                 r.number.span(),
                 format!("a second receiver {number}; number it otherwise"),
             );
             receivers.push(r.receiver(number, kind.unwrap_or(0)));
-            figures.push(r.figures(number, apart));
+            figures.push(r.figures(number, separate_routes));
         }
     }
     set_key_memory(raw, c, &mut receivers);
@@ -177,28 +177,28 @@
 
     fn check(&self, c: &mut Checks<'_>) {
         let at = self.number.span();
-        c.whether(*self.endpoints.get_ref() > 0, self.endpoints.span(), "'endpoints' is 1 or more");
-        c.whether(
+        c.require(*self.endpoints.get_ref() > 0, self.endpoints.span(), "'endpoints' is 1 or more");
+        c.require(
             positive(*self.capacity.get_ref()),
             self.capacity.span(),
             "'capacity' is above 0 messages a second",
         );
         let latency = self.latency.get_ref();
         let fits = latency.median.0 > 0 && latency.median <= latency.p99;
-        c.whether(fits, self.latency.span(), "'median' is above 0s and no longer than 'p99'");
+        c.require(fits, self.latency.span(), "'median' is above 0s and no longer than 'p99'");
         if let Some(limit) = &self.limit {
             let window = limit.get_ref().window;
             let fits = positive(limit.get_ref().calls) && window.is_none_or(|w| w.0 > 0);
-            c.whether(fits, limit.span(), "'calls' is above 0, and so is 'window' where one is given");
+            c.require(fits, limit.span(), "'calls' is above 0, and so is 'window' where one is given");
         }
         for (what, value) in [
             ("tells_waits", self.tells_waits),
             ("cold_from", self.cold_from),
             ("error_share", self.error_share),
         ] {
-            c.whether(share(value), at.clone(), format!("'{what}' is from 0 to 1"));
+            c.require(share(value), at.clone(), format!("'{what}' is from 0 to 1"));
         }
-        c.whether(self.wait[0] <= self.wait[1], at, "'wait' is [from, to]");
+        c.require(self.wait[0] <= self.wait[1], at, "'wait' is [from, to]");
     }
 
     fn receiver(&self, number: i64, kind: usize) -> Receiver {
@@ -218,12 +218,12 @@
         }
     }
 
-    fn figures(&self, number: i64, apart: bool) -> parameters::Receiver {
+    fn figures(&self, number: i64, separate_routes: bool) -> parameters::Receiver {
         let capacity = *self.capacity.get_ref();
         parameters::Receiver {
             number,
             kind: self.kind.get_ref().clone(),
-            apart,
+            separate_routes,
             capacity,
             rate: self.limit.as_ref().map_or(capacity, |l| l.get_ref().rate()),
             cold_from: self.cold_from,
--- a/crates/rehearsal/src/scenario/settings.rs
+++ b/crates/rehearsal/src/scenario/settings.rs
@@ -47,7 +47,7 @@
 
 impl SenderSettings {
     /// How many senders they are told that there are.
-    pub fn told_senders(&self, senders: usize) -> usize {
+    pub fn advertised_senders(&self, senders: usize) -> usize {
         self.senders.unwrap_or(senders)
     }
 }
@@ -107,7 +107,7 @@
 }
 
 /// Times that a refused message is handed in again, at most.
-const RETRIES_MOST: u32 = 10;
+const MAX_RETRIES: u32 = 10;
 
 /// Checks how clients behave.
 pub(super) fn clients(raw: &Section<Clients>, c: &mut Checks<'_>) -> Clients {
@@ -115,8 +115,8 @@
     for (what, value) in
         [("honour", clients.honour), ("pipeline", clients.pipeline), ("leave", clients.leave)]
     {
-        c.whether(share(value), at.clone(), format!("'{what}' is from 0 to 1"));
+        c.require(share(value), at.clone(), format!("'{what}' is from 0 to 1"));
     }
-    c.whether(clients.retries <= RETRIES_MOST, at.clone(), "'retries' is 10 at most");
+    c.require(clients.retries <= MAX_RETRIES, at.clone(), "'retries' is 10 at most");
     clients
 }
--- a/crates/rehearsal/src/scenario/split.rs
+++ b/crates/rehearsal/src/scenario/split.rs
@@ -1,6 +1,6 @@
 //! The same scenario with another number of senders.
 
-use super::{SENDERS_MOST, Scenario, Sender};
+use super::{MAX_SENDERS, Scenario, Sender};
 use crate::parameters;
 
 /// A scenario that can't be played with another number of senders.
@@ -10,7 +10,7 @@
     #[error("an event of the scenario is for sender '{0}' alone; without the name it is for all of them")]
     Named(String),
     /// The number is out of range.
-    #[error("a scenario has 1 to {SENDERS_MOST} senders")]
+    #[error("a scenario has 1 to {MAX_SENDERS} senders")]
     Number,
 }
 
@@ -21,7 +21,7 @@
     /// # Errors
     /// The number is out of range, or an event is for one sender alone.
     pub fn split(&mut self, senders: usize) -> Result<(), SplitError> {
-        if !(1..=SENDERS_MOST).contains(&senders) {
+        if !(1..=MAX_SENDERS).contains(&senders) {
             return Err(SplitError::Number);
         }
         if let Some(name) = self.events.iter().find_map(|(_, e)| e.sender.clone()) {
--- a/crates/rehearsal/src/scenario/tenant.rs
+++ b/crates/rehearsal/src/scenario/tenant.rs
@@ -21,9 +21,9 @@
     let mut seen = BTreeSet::new();
     for tenant in &raw.tenant {
         let (name, at) = (tenant.name.get_ref(), tenant.name.span());
-        c.whether(seen.insert(name), at.clone(), format!("a second tenant '{name}'; name it otherwise"));
-        c.whether(not_negative(tenant.share), at.clone(), "'share' is 0 or more");
-        c.whether(tenant.quota.is_none_or(positive), at, "'quota' is above 0; leave it out for none");
+        c.require(seen.insert(name), at.clone(), format!("a second tenant '{name}'; name it otherwise"));
+        c.require(not_negative(tenant.share), at.clone(), "'share' is 0 or more");
+        c.require(tenant.quota.is_none_or(positive), at, "'quota' is above 0; leave it out for none");
     }
     // With none named there is one, which stands for all.
     if raw.tenant.is_empty() {
--- a/crates/rehearsal/src/scenario/traffic.rs
+++ b/crates/rehearsal/src/scenario/traffic.rs
@@ -2,7 +2,7 @@
 
 use super::checks::{Checks, positive, share};
 use super::file::Raw;
-use crate::event::misplaced;
+use crate::event::field_problems;
 use crate::plan::{Shape, Traffic};
 use crate::span::{Micros, Span};
 use crate::trace;
@@ -51,7 +51,7 @@
         piece.check(c, spanned.span());
         let (from, to) = (piece.from.map_or(0, |s| s.0), piece.to.map_or(length, |s| s.0));
         let fits = from < to && to <= length;
-        c.whether(fits, spanned.span(), "'from' lies before 'to', and 'to' no later than 'length'");
+        c.require(fits, spanned.span(), "'from' lies before 'to', and 'to' no later than 'length'");
         let classes = raw.class.get_ref().iter().map(|k| k.name.get_ref());
         let class = piece.class.as_ref().and_then(|name| c.index(name, classes, "class"));
         let tenants = raw.tenant.iter().map(|k| k.name.get_ref());
@@ -88,14 +88,14 @@
             ("file", self.file.is_some()),
             ("speed", self.speed.is_some()),
         ];
-        for wrong in misplaced(&given, self.shape.get_ref().fields(), "this shape") {
+        for wrong in field_problems(&given, self.shape.get_ref().fields(), "this shape") {
             c.at(self.shape.span(), wrong);
         }
         let rates = [self.rate, self.to_rate, self.zipf, self.speed];
         let good = rates.iter().flatten().all(|x| positive(*x) || (*x == 0.0 && self.speed != Some(0.0)));
-        c.whether(good, at.clone(), "rates are 0 or more, 'speed' is above 0");
-        c.whether(self.swing.is_none_or(share), at.clone(), "'swing' is from 0 to 1");
-        c.whether(self.period.is_none_or(|p| p.0 > 0), at, "'period' is above 0s");
+        c.require(good, at.clone(), "rates are 0 or more, 'speed' is above 0");
+        c.require(self.swing.is_none_or(share), at.clone(), "'swing' is from 0 to 1");
+        c.require(self.period.is_none_or(|p| p.0 > 0), at, "'period' is above 0s");
     }
 
     fn checked_receiver(&self, c: &mut Checks<'_>, raw: &Raw) -> Option<i64> {
@@ -104,7 +104,7 @@
             let first = *r.number.get_ref();
             (first..first.saturating_add(r.count() as i64)).contains(number.get_ref())
         });
-        c.whether(
+        c.require(
             known,
             number.span(),
             format!("there is no receiver {}; add a [[receiver]]", number.get_ref()),
--- a/crates/rehearsal/src/span.rs
+++ b/crates/rehearsal/src/span.rs
@@ -8,7 +8,7 @@
 pub type Micros = i64;
 
 /// No span in a scenario is longer: a rehearsal lasts minutes, and sums of spans must not overflow.
-pub const SPAN_MOST: Micros = 24 * 3600 * 1_000_000;
+pub const MAX_SPAN_US: Micros = 24 * 3600 * 1_000_000;
 
 /// A span of time, written with its units: `400ms`, `2s`, `1m 30s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
         let wrong =
             || D::Error::invalid_value(Unexpected::Str(&text), &"a span with its unit, such as \"2s\"");
         let span = humantime::parse_duration(&text).map_err(|_| wrong())?;
-        let micros = i64::try_from(span.as_micros()).ok().filter(|m| *m <= SPAN_MOST);
+        let micros = i64::try_from(span.as_micros()).ok().filter(|m| *m <= MAX_SPAN_US);
         micros.map(Span).ok_or_else(|| D::Error::custom("a span is a day at most"))
     }
 }
--- a/crates/rehearsal/src/trace.rs
+++ b/crates/rehearsal/src/trace.rs
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 
 /// Lines of a trace at most: each takes some 80 bytes while a rehearsal runs.
-pub const LINES_MOST: usize = 2_000_000;
+pub const MAX_LINES: usize = 2_000_000;
 
 /// A message that was handed in.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -73,8 +73,8 @@
         if line.size as usize > embershore_protocol::resp::BODY_MOST {
             return Err(wrong("'size' is over 65536 bytes, which no sender takes".into()));
         }
-        if lines.len() == LINES_MOST {
-            return Err(wrong(format!("more than {LINES_MOST} lines; cut the trace into parts")));
+        if lines.len() == MAX_LINES {
+            return Err(wrong(format!("more than {MAX_LINES} lines; cut the trace into parts")));
         }
         lines.push(line);
     }
--- a/crates/rehearsal/tests/common/mod.rs
+++ b/crates/rehearsal/tests/common/mod.rs
@@ -2,7 +2,9 @@
 
 #![allow(dead_code)] // each test file uses a part
 
-use embershore_rehearsal::history::{Answered, By, Ended, Event, FORMAT, Item, Record, Signal, Standing};
+use embershore_rehearsal::history::{
+    ClosedBy, EndpointStatus, Event, FORMAT, Item, NoticeState, PutOutcome, Record, Signal,
+};
 use embershore_rehearsal::judge::{Judgement, Rule, Verdict, judge};
 use embershore_rehearsal::parameters::{Class, Effect, Parameters, Receiver, Rules, Sender, Tenant};
 
@@ -26,10 +28,10 @@
         ordered,
         order_settle: if ordered { 1_000_000 } else { 0 },
     };
-    let receiver = |number, apart| Receiver {
+    let receiver = |number, separate_routes| Receiver {
         number,
         kind: "hook".into(),
-        apart,
+        separate_routes,
         capacity: 10.0,
         rate: 10.0,
         cold_from: 0.2,
@@ -84,13 +86,13 @@
     }
 
     /// Handed in to a sender, for receiver 1, and taken on 5 ms later.
-    pub fn taken(&mut self, ms: i64, sender: usize, id: &str, class: usize) -> &mut Self {
-        self.offer(ms, sender, id, id, class, None).reply(ms + 5, id, Answered::Taken)
+    pub fn accepted(&mut self, ms: i64, sender: usize, id: &str, class: usize) -> &mut Self {
+        self.offer(ms, sender, id, id, class, None).reply(ms + 5, id, PutOutcome::Accepted)
     }
 
     /// The same in the class that keeps order.
-    pub fn taken_of(&mut self, ms: i64, id: &str, order: &str) -> &mut Self {
-        self.offer(ms, 0, id, id, ORDERED, Some(order)).reply(ms + 5, id, Answered::Taken)
+    pub fn accepted_ordered(&mut self, ms: i64, id: &str, order: &str) -> &mut Self {
+        self.offer(ms, 0, id, id, ORDERED, Some(order)).reply(ms + 5, id, PutOutcome::Accepted)
     }
 
     pub fn offer(
@@ -103,19 +105,19 @@
         order: Option<&str>,
     ) -> &mut Self {
         let (id, origin, order) = (id.into(), origin.into(), order.map(Into::into));
-        let (key, left, again) = (None, 10_000_000, u32::from(id != origin));
+        let (key, time_left, retries) = (None, 10_000_000, u32::from(id != origin));
         let (tenant, receiver, due) = (0, 1, ms * 1000);
         self.at(
             ms,
-            Event::Offer { sender, id, origin, again, class, tenant, receiver, key, order, left, due },
+            Event::Offer { sender, id, origin, retries, class, tenant, receiver, key, order, time_left, due },
         )
     }
 
-    pub fn reply(&mut self, ms: i64, id: &str, answered: Answered) -> &mut Self {
+    pub fn reply(&mut self, ms: i64, id: &str, answered: PutOutcome) -> &mut Self {
         self.at(ms, Event::Reply { id: id.into(), answered, after_ms: None })
     }
 
-    pub fn notice(&mut self, ms: i64, id: &str, state: Ended) -> &mut Self {
+    pub fn notice(&mut self, ms: i64, id: &str, state: NoticeState) -> &mut Self {
         self.at(ms, Event::Notice { sender: 0, id: id.into(), state, after_ms: None })
     }
 
@@ -123,8 +125,19 @@
     pub fn call(&mut self, ms: i64, sender: usize, endpoint: &str, ids: &[&str]) -> u64 {
         self.calls += 1;
         let items = ids.iter().map(|id| Item { id: (*id).into(), key: None }).collect();
-        let (call, endpoint, first) = (self.calls, endpoint.into(), ms * 1000);
-        self.at(ms, Event::Call { call, sender, endpoint, first, fresh: false, batch: ids.len() > 1, items });
+        let (call, endpoint, first_byte) = (self.calls, endpoint.into(), ms * 1000);
+        self.at(
+            ms,
+            Event::Call {
+                call,
+                sender,
+                endpoint,
+                first_byte,
+                new_connection: false,
+                batch: ids.len() > 1,
+                items,
+            },
+        );
         call
     }
 
@@ -136,8 +149,8 @@
         self.at(ms, Event::Answer { call, status: 429, wait_ms, states: None })
     }
 
-    pub fn broke(&mut self, ms: i64, call: u64, by: By) -> &mut Self {
-        self.at(ms, Event::Broke { call, by })
+    pub fn broke(&mut self, ms: i64, call: u64, by: ClosedBy) -> &mut Self {
+        self.at(ms, Event::Disconnected { call, by })
     }
 
     pub fn ran(&mut self, ms: i64, call: u64, id: &str) -> &mut Self {
@@ -153,14 +166,14 @@
         self.answer(ms + 100, call, status)
     }
 
-    pub fn told(&mut self, ms: i64, sender: usize, endpoint: &str, standing: Standing) -> &mut Self {
+    pub fn told(&mut self, ms: i64, sender: usize, endpoint: &str, standing: EndpointStatus) -> &mut Self {
         let lines = vec![(endpoint.into(), standing)];
-        self.at(ms, Event::Told { sender, index: 2, whole: false, lines })
+        self.at(ms, Event::Listing { sender, index: 2, complete: false, lines })
     }
 
     pub fn listed(&mut self, ms: i64, sender: usize, endpoints: &[&str]) -> &mut Self {
-        let lines = endpoints.iter().map(|e| ((*e).into(), Standing::Ready)).collect();
-        self.at(ms, Event::Told { sender, index: 1, whole: true, lines })
+        let lines = endpoints.iter().map(|e| ((*e).into(), EndpointStatus::Ready)).collect();
+        self.at(ms, Event::Listing { sender, index: 1, complete: true, lines })
     }
 
     pub fn signal(&mut self, ms: i64, sender: usize, signal: Signal) -> &mut Self {
@@ -173,7 +186,7 @@
 
     /// Ends the history.
     pub fn over(&mut self, ms: i64) -> &mut Self {
-        self.at(ms, Event::Over)
+        self.at(ms, Event::End)
     }
 
     pub fn judge(&self) -> Judgement {
@@ -185,7 +198,7 @@
         let judgement = self.judge();
         for r in &judgement.rules {
             let expected = r.rule == rule;
-            assert_eq!(r.verdict == Verdict::Broken, expected, "{}: {:?}", r.rule, r.offences);
+            assert_eq!(r.verdict == Verdict::Broken, expected, "{}: {:?}", r.rule, r.violations);
         }
     }
 
--- a/crates/rehearsal/tests/common/stub.rs
+++ b/crates/rehearsal/tests/common/stub.rs
@@ -258,9 +258,9 @@
             let went = self.call(put, &place, patience).await;
             self.heard(put.dest, &went);
             match went {
-                Went::Answered(200, _) => return (None, false),
-                Went::Answered(429 | 503, _) | Went::NoConnection => {}
-                Went::Answered(..) | Went::Broken => _ = may_have_run.get_or_insert(begun),
+                Went::PutOutcome(200, _) => return (None, false),
+                Went::PutOutcome(429 | 503, _) | Went::NoConnection => {}
+                Went::PutOutcome(..) | Went::Broken => _ = may_have_run.get_or_insert(begun),
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
@@ -307,17 +307,17 @@
         let Some(r) = receivers.get_mut(&dest) else { return };
         let now = Instant::now();
         match went {
-            Went::Answered(200, _) if r.ill => {
+            Went::PutOutcome(200, _) if r.ill => {
                 (r.ill, r.asking, r.next) = (false, false, None);
                 r.warm_until = Some(now + Duration::from_secs(6));
             }
-            Went::Answered(200 | 429 | 500, _) => r.asking = false,
+            Went::PutOutcome(200 | 429 | 500, _) => r.asking = false,
             _ => {
                 (r.ill, r.asking) = (true, false);
                 r.next = Some(now + Duration::from_millis(300));
             }
         }
-        if let Went::Answered(_, wait) = went
+        if let Went::PutOutcome(_, wait) = went
             && !wait.is_zero()
         {
             r.wait_until = Some(now + *wait);
@@ -332,7 +332,7 @@
         }
         let asked = self.ask(place.addr, "POST /v1/messages", &headers, &put.body);
         match tokio::time::timeout(patience, asked).await {
-            Ok(Ok((status, wait, _))) => Went::Answered(status, wait),
+            Ok(Ok((status, wait, _))) => Went::PutOutcome(status, wait),
             Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Went::NoConnection,
             // An endpoint that is down resets connections before anything is read.
             Ok(Err(e)) if e.kind() == io::ErrorKind::NotConnected => Went::NoConnection,
@@ -395,7 +395,7 @@
 
 /// How a call went.
 enum Went {
-    Answered(u16, Duration),
+    PutOutcome(u16, Duration),
     NoConnection,
     Broken,
 }
--- a/crates/rehearsal/tests/even.rs
+++ b/crates/rehearsal/tests/even.rs
@@ -3,19 +3,19 @@
 mod common;
 use common::*;
 use embershore_rehearsal::judge::{Evenness, Spread};
-use embershore_rehearsal::report::of;
+use embershore_rehearsal::report::from_records;
 
 /// So many calls, one each 100 ms, each to the endpoint that `to` says, answered after `takes` ms.
 fn calls(n: usize, takes: i64, to: impl Fn(usize) -> &'static str) -> Evenness {
     let mut h = History::new();
     for i in 0..n {
         let (at, id) = (i as i64 * 100, format!("m{i}"));
-        h.taken(at, 0, &id, SAFE);
+        h.accepted(at, 0, &id, SAFE);
         let call = h.call(at + 5, 0, to(i), &[&id]);
         h.answer(at + 5 + takes, call, 200);
     }
     h.over(60_000);
-    let report = of(&h.records, "by hand").unwrap().0;
+    let report = from_records(&h.records, "by hand").unwrap().0;
     assert!(report.text().contains("evenness"));
     report.judgement.evenness.iter().find(|e| e.receiver == 1).unwrap().clone()
 }
--- a/crates/rehearsal/tests/faults.rs
+++ b/crates/rehearsal/tests/faults.rs
@@ -125,7 +125,7 @@
 fn a_good_sender_keeps_all_six_and_each_is_tested() {
     let report = rehearse(Fault::None);
     for r in &report.judgement.rules {
-        assert_eq!(r.verdict, Verdict::Kept, "{}: {:?}", r.rule, r.offences);
+        assert_eq!(r.verdict, Verdict::Kept, "{}: {:?}", r.rule, r.violations);
     }
     assert_eq!(report.exit_code(), 0);
 }
--- a/crates/rehearsal/tests/judge.rs
+++ b/crates/rehearsal/tests/judge.rs
@@ -3,20 +3,23 @@
 
 mod common;
 use common::*;
-use embershore_rehearsal::history::{Answered, By, Ended, Event, Record, Signal, Standing};
+use embershore_rehearsal::history::{
+    ClosedBy, EndpointStatus, Event, NoticeState, PutOutcome, Record, Signal,
+};
 use embershore_rehearsal::judge::{Rule, Verdict, judge};
 
 // 1. No message lost: 10 s of time, 300 ms for the notice, 50 ms of allowance.
 
 #[test]
 fn a_message_that_is_never_ended_is_lost() {
-    History::new().taken(0, 0, "m1", SAFE).over(20_000).breaks(Rule::NoMessageLost);
+    History::new().accepted(0, 0, "m1", SAFE).over(20_000).breaks(Rule::NoMessageLost);
 }
 
 #[test]
 fn a_notice_at_the_limit_is_in_time_and_later_is_not() {
-    let ended =
-        |ms| History::new().taken(0, 0, "m1", SAFE).notice(ms, "m1", Ended::Failed).over(20_000).clone();
+    let ended = |ms| {
+        History::new().accepted(0, 0, "m1", SAFE).notice(ms, "m1", NoticeState::Failed).over(20_000).clone()
+    };
     ended(10_350).keeps(Rule::NoMessageLost);
     ended(10_351).breaks(Rule::NoMessageLost);
 }
@@ -24,7 +27,7 @@
 #[test]
 fn an_error_is_no_end() {
     History::new()
-        .taken(0, 0, "m1", SAFE)
+        .accepted(0, 0, "m1", SAFE)
         .sent(10, 0, "e1", "m1", 500)
         .over(20_000)
         .breaks(Rule::NoMessageLost);
@@ -35,8 +38,8 @@
     // Its time is up at 10 s, while the sender is away; it is ready at 12 s and has 1.5 s from then.
     let restarted = |ms| {
         let mut h = History::new();
-        h.taken(0, 0, "m1", SAFE).signal(9_000, 0, Signal::Kill).ready(12_000, 0);
-        h.notice(ms, "m1", Ended::Failed).over(20_000).clone()
+        h.accepted(0, 0, "m1", SAFE).signal(9_000, 0, Signal::Kill).ready(12_000, 0);
+        h.notice(ms, "m1", NoticeState::Failed).over(20_000).clone()
     };
     restarted(13_550).keeps(Rule::NoMessageLost);
     restarted(13_551).breaks(Rule::NoMessageLost);
@@ -45,8 +48,8 @@
 #[test]
 fn another_senders_restart_excuses_nothing() {
     let mut h = History::new();
-    h.taken(0, 0, "m1", SAFE).signal(9_000, 1, Signal::Kill).ready(12_000, 1);
-    h.notice(13_000, "m1", Ended::Failed).over(20_000).breaks(Rule::NoMessageLost);
+    h.accepted(0, 0, "m1", SAFE).signal(9_000, 1, Signal::Kill).ready(12_000, 1);
+    h.notice(13_000, "m1", NoticeState::Failed).over(20_000).breaks(Rule::NoMessageLost);
 }
 
 #[test]
@@ -56,8 +59,8 @@
         if signal {
             h.signal(0, 0, Signal::Term).ready(5_000, 0);
         }
-        h.taken(0, 0, "m0", SAFE).sent(10, 0, "e1", "m0", 200);
-        h.offer(100, 0, "m1", "m1", SAFE, None).reply(200, "m1", Answered::Closed).over(20_000).clone()
+        h.accepted(0, 0, "m0", SAFE).sent(10, 0, "e1", "m0", 200);
+        h.offer(100, 0, "m1", "m1", SAFE, None).reply(200, "m1", PutOutcome::Closed).over(20_000).clone()
     };
     closed(false).breaks(Rule::NoMessageLost);
     closed(true).keeps(Rule::NoMessageLost);
@@ -67,7 +70,7 @@
 fn a_sender_that_ends_by_itself_breaks_the_rule() {
     let exited = |planned| {
         let mut h = History::new();
-        h.taken(0, 0, "m0", SAFE).sent(10, 0, "e1", "m0", 200);
+        h.accepted(0, 0, "m0", SAFE).sent(10, 0, "e1", "m0", 200);
         h.at(500, Event::Exited { sender: 0, planned, how: "exit status: 1".into() }).over(20_000).clone()
     };
     exited(false).breaks(Rule::NoMessageLost);
@@ -77,7 +80,7 @@
 #[test]
 fn a_message_that_was_refused_is_not_the_senders() {
     let mut h = History::new();
-    h.offer(0, 0, "m1", "m1", SAFE, None).reply(5, "m1", Answered::Busy).over(20_000);
+    h.offer(0, 0, "m1", "m1", SAFE, None).reply(5, "m1", PutOutcome::Busy).over(20_000);
     assert_eq!(h.judge().ruling(Rule::NoMessageLost).unwrap().verdict, Verdict::Untested);
 }
 
@@ -88,17 +91,17 @@
     for (status, breaks) in [(500, true), (200, true), (502, true), (503, false), (429, false), (504, false)]
     {
         let mut h = History::new();
-        h.taken(0, 0, "m1", UNSAFE).sent(10, 0, "e1", "m1", status).sent(200, 0, "e2", "m1", 500);
-        h.notice(400, "m1", Ended::Failed).over(20_000);
+        h.accepted(0, 0, "m1", UNSAFE).sent(10, 0, "e1", "m1", status).sent(200, 0, "e2", "m1", 500);
+        h.notice(400, "m1", NoticeState::Failed).over(20_000);
         if breaks { h.breaks(Rule::NoEffectTwice) } else { h.keeps(Rule::NoEffectTwice) }
     }
 }
 
 #[test]
 fn an_unsafe_message_whose_call_broke_off_does_not_go_again() {
-    for by in [By::Sender, By::Receiver] {
+    for by in [ClosedBy::Sender, ClosedBy::Receiver] {
         let mut h = History::new();
-        h.taken(0, 0, "m1", UNSAFE);
+        h.accepted(0, 0, "m1", UNSAFE);
         let call = h.call(10, 0, "e1", &["m1"]);
         h.broke(3_000, call, by).sent(4_000, 0, "e2", "m1", 200).over(20_000).breaks(Rule::NoEffectTwice);
     }
@@ -109,8 +112,8 @@
     // 3 s from the first attempt that may have run, and 50 ms.
     let again = |ms| {
         let mut h = History::new();
-        h.taken(0, 0, "m1", KEYED).sent(10, 0, "e1", "m1", 503).sent(1_000, 0, "e1", "m1", 500);
-        h.sent(ms, 0, "e2", "m1", 500).notice(ms + 500, "m1", Ended::Failed).over(20_000).clone()
+        h.accepted(0, 0, "m1", KEYED).sent(10, 0, "e1", "m1", 503).sent(1_000, 0, "e1", "m1", 500);
+        h.sent(ms, 0, "e2", "m1", 500).notice(ms + 500, "m1", NoticeState::Failed).over(20_000).clone()
     };
     again(4_050).keeps(Rule::NoEffectTwice);
     again(4_051).breaks(Rule::NoEffectTwice);
@@ -121,9 +124,9 @@
     // The second begins while the first is open, 50 ms of allowance aside.
     let second = |ms| {
         let mut h = History::new();
-        h.taken(0, 0, "m1", SAFE);
+        h.accepted(0, 0, "m1", SAFE);
         let call = h.call(10, 0, "e1", &["m1"]);
-        h.sent(ms, 0, "e2", "m1", 200).broke(1_000, call, By::Sender).over(20_000).clone()
+        h.sent(ms, 0, "e2", "m1", 200).broke(1_000, call, ClosedBy::Sender).over(20_000).clone()
     };
     second(949).breaks(Rule::NoEffectTwice);
     second(950).keeps_or_untested();
@@ -131,11 +134,13 @@
 
 #[test]
 fn a_refusal_promises_that_nothing_ran() {
-    for (first, ended, breaks) in
-        [(500, Ended::Returned, true), (500, Ended::Failed, false), (503, Ended::Returned, false)]
-    {
+    for (first, ended, breaks) in [
+        (500, NoticeState::Returned, true),
+        (500, NoticeState::Failed, false),
+        (503, NoticeState::Returned, false),
+    ] {
         let mut h = History::new();
-        h.taken(0, 0, "m1", UNSAFE).sent(10, 0, "e1", "m1", first).notice(500, "m1", ended).over(20_000);
+        h.accepted(0, 0, "m1", UNSAFE).sent(10, 0, "e1", "m1", first).notice(500, "m1", ended).over(20_000);
         if breaks { h.breaks(Rule::NoEffectTwice) } else { h.keeps(Rule::NoEffectTwice) }
     }
 }
@@ -143,19 +148,19 @@
 #[test]
 fn what_took_effect_under_two_ids_of_one_message_counts_twice() {
     let mut h = History::new();
-    h.taken(0, 0, "m1", UNSAFE).notice(100, "m1", Ended::Failed);
+    h.accepted(0, 0, "m1", UNSAFE).notice(100, "m1", NoticeState::Failed);
     let late = h.call(10, 0, "e1", &["m1"]);
-    h.offer(1_000, 0, "m1-1", "m1", UNSAFE, None).reply(1_005, "m1-1", Answered::Taken);
+    h.offer(1_000, 0, "m1-1", "m1", UNSAFE, None).reply(1_005, "m1-1", PutOutcome::Accepted);
     h.sent(1_010, 0, "e2", "m1-1", 200);
-    h.ran(2_000, late, "m1").broke(2_100, late, By::Sender).over(20_000).breaks(Rule::NoEffectTwice);
+    h.ran(2_000, late, "m1").broke(2_100, late, ClosedBy::Sender).over(20_000).breaks(Rule::NoEffectTwice);
 }
 
 #[test]
 fn what_ran_under_an_id_of_which_the_client_heard_nothing_counts_for_nothing() {
     let mut h = History::new();
-    h.offer(0, 0, "m1", "m1", UNSAFE, None).reply(400, "m1", Answered::Silence);
+    h.offer(0, 0, "m1", "m1", UNSAFE, None).reply(400, "m1", PutOutcome::TimedOut);
     h.sent(10, 0, "e1", "m1", 200);
-    h.offer(1_000, 0, "m1-1", "m1", UNSAFE, None).reply(1_005, "m1-1", Answered::Taken);
+    h.offer(1_000, 0, "m1-1", "m1", UNSAFE, None).reply(1_005, "m1-1", PutOutcome::Accepted);
     h.sent(1_010, 0, "e2", "m1-1", 200).over(20_000);
     assert!(!h.judge().broken());
 }
@@ -164,9 +169,9 @@
 fn a_seventh_attempt_is_one_too_many() {
     let attempts = |n: i64| {
         let mut h = History::new();
-        h.taken(0, 0, "m1", KEYED);
+        h.accepted(0, 0, "m1", KEYED);
         (0..n).for_each(|i| _ = h.sent(10 + i * 200, 0, "e1", "m1", 503));
-        h.notice(3_000, "m1", Ended::Failed).over(20_000).clone()
+        h.notice(3_000, "m1", NoticeState::Failed).over(20_000).clone()
     };
     attempts(6).keeps(Rule::NoEffectTwice);
     attempts(7).breaks(Rule::NoEffectTwice);
@@ -176,7 +181,7 @@
 fn each_message_of_a_call_has_its_own_end() {
     let ends = |state: &str| {
         let mut h = History::new();
-        h.taken(0, 0, "m1", UNSAFE).taken(0, 0, "m2", UNSAFE);
+        h.accepted(0, 0, "m1", UNSAFE).accepted(0, 0, "m2", UNSAFE);
         let call = h.call(10, 0, "e1", &["m1", "m2"]);
         let states = Some(vec!["ok".to_string(), state.to_string()]);
         h.at(100, Event::Answer { call, status: 200, wait_ms: 0, states });
@@ -193,20 +198,20 @@
     let mut h = History::new();
     h.listed(0, 0, &["e1", "e2"]);
     word(&mut h);
-    h.taken(ms - 10, 0, "m1", SAFE).sent(ms, 0, "e1", "m1", 200).over(20_000);
+    h.accepted(ms - 10, 0, "m1", SAFE).sent(ms, 0, "e1", "m1", 200).over(20_000);
     h
 }
 
 #[test]
 fn a_drained_endpoint_gets_nothing_after_the_grace() {
-    let word = |h: &mut History| _ = h.told(1_000, 0, "e1", Standing::Terminating);
+    let word = |h: &mut History| _ = h.told(1_000, 0, "e1", EndpointStatus::Terminating);
     drained(word, 2_050).keeps(Rule::DrainsKept);
     drained(word, 2_051).breaks(Rule::DrainsKept);
 }
 
 #[test]
 fn an_endpoint_that_is_gone_gets_nothing() {
-    drained(|h| _ = h.told(1_000, 0, "e1", Standing::Gone), 3_000).breaks(Rule::DrainsKept);
+    drained(|h| _ = h.told(1_000, 0, "e1", EndpointStatus::Gone), 3_000).breaks(Rule::DrainsKept);
 }
 
 #[test]
@@ -217,7 +222,7 @@
 #[test]
 fn the_grace_runs_from_the_first_word_of_the_drain() {
     let words = |h: &mut History| {
-        _ = h.told(1_000, 0, "e1", Standing::Terminating).told(2_500, 0, "e1", Standing::Gone);
+        _ = h.told(1_000, 0, "e1", EndpointStatus::Terminating).told(2_500, 0, "e1", EndpointStatus::Gone);
     };
     drained(words, 3_000).breaks(Rule::DrainsKept);
 }
@@ -225,23 +230,23 @@
 #[test]
 fn an_endpoint_listed_again_may_be_used_again() {
     let words = |h: &mut History| {
-        _ = h.told(1_000, 0, "e1", Standing::Terminating).told(2_500, 0, "e1", Standing::Ready);
+        _ = h.told(1_000, 0, "e1", EndpointStatus::Terminating).told(2_500, 0, "e1", EndpointStatus::Ready);
     };
     drained(words, 3_000).keeps(Rule::DrainsKept);
 }
 
 #[test]
 fn each_sender_goes_by_what_it_was_told_itself() {
-    drained(|h| _ = h.told(1_000, 1, "e1", Standing::Terminating), 3_000).keeps(Rule::DrainsKept);
+    drained(|h| _ = h.told(1_000, 1, "e1", EndpointStatus::Terminating), 3_000).keeps(Rule::DrainsKept);
 }
 
 #[test]
 fn a_call_counts_from_its_first_byte() {
     let mut h = History::new();
-    h.told(1_000, 0, "e1", Standing::Gone).taken(1_900, 0, "m1", SAFE);
+    h.told(1_000, 0, "e1", EndpointStatus::Gone).accepted(1_900, 0, "m1", SAFE);
     let call = h.call(3_000, 0, "e1", &["m1"]);
-    if let Some(Event::Call { first, .. }) = h.records.last_mut().map(|r| &mut r.event) {
-        *first = 2_000_000;
+    if let Some(Event::Call { first_byte, .. }) = h.records.last_mut().map(|r| &mut r.event) {
+        *first_byte = 2_000_000;
     }
     h.answer(3_100, call, 200).over(20_000).keeps(Rule::DrainsKept);
 }
@@ -251,15 +256,15 @@
 
 /// An outage of receiver 1 from 1 s to 5 s, seen by these senders; then so many messages from each sender, 10 ms
 /// apart, beginning at `from`.
-fn returned(knowing: &[usize], loads: &[(usize, usize)], from: i64) -> History {
+fn returned(aware: &[usize], loads: &[(usize, usize)], from: i64) -> History {
     let mut h = History::new();
     h.at(1_000, Event::Down { receiver: 1, endpoint: None });
-    for sender in knowing {
+    for sender in aware {
         let id = format!("k{sender}");
-        h.taken(1_500, *sender, &id, SAFE).sent(2_000, *sender, "e1", &id, 503).notice(
+        h.accepted(1_500, *sender, &id, SAFE).sent(2_000, *sender, "e1", &id, 503).notice(
             3_000,
             &id,
-            Ended::Failed,
+            NoticeState::Failed,
         );
     }
     h.at(5_000, Event::Back { receiver: 1, endpoint: None });
@@ -267,7 +272,7 @@
     for (sender, count) in loads {
         for n in 0..*count {
             let id = format!("m{sender}-{n}");
-            h.taken(ms - 10, *sender, &id, SAFE).sent(ms, *sender, "e2", &id, 200);
+            h.accepted(ms - 10, *sender, &id, SAFE).sent(ms, *sender, "e2", &id, 200);
             ms += 10;
         }
     }
@@ -324,7 +329,7 @@
         for n in 0..count {
             let ids: Vec<String> = (0..5).map(|m| format!("b{n}-{m}")).collect();
             let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-            ids.iter().for_each(|id| _ = h.taken(5_190, 0, id, SAFE));
+            ids.iter().for_each(|id| _ = h.accepted(5_190, 0, id, SAFE));
             let call = h.call(5_200 + n as i64 * 10, 0, "e1", &ids);
             let states = Some(vec!["ok".to_string(); 5]);
             h.at(5_400, Event::Answer { call, status: 200, wait_ms: 0, states });
@@ -340,7 +345,7 @@
     let mut h = returned(&[0], &[], 0);
     for n in 0..20 {
         let id = format!("s{n}");
-        h.taken(5_100 + n * 260, 0, &id, SAFE).sent(5_200 + n * 260, 0, "e1", &id, 200);
+        h.accepted(5_100 + n * 260, 0, &id, SAFE).sent(5_200 + n * 260, 0, "e1", &id, 200);
     }
     h.keeps(Rule::ReturnNotPushedOver);
 }
@@ -355,7 +360,7 @@
         h.at(5_000, Event::Back { receiver: 3, endpoint: Some("f1".into()) });
         for n in 0..count {
             let id = format!("m{n}");
-            h.taken(5_100, 0, &id, SAFE).sent(5_200 + n as i64, 0, endpoint, &id, 200);
+            h.accepted(5_100, 0, &id, SAFE).sent(5_200 + n as i64, 0, endpoint, &id, 200);
         }
         h.over(30_000).clone()
     };
@@ -370,7 +375,7 @@
 fn a_message_waits_until_the_one_before_it_is_delivered() {
     let second = |ms| {
         let mut h = History::new();
-        h.taken_of(0, "m1", "k").taken_of(20, "m2", "k").sent(100, 0, "e1", "m1", 200);
+        h.accepted_ordered(0, "m1", "k").accepted_ordered(20, "m2", "k").sent(100, 0, "e1", "m1", 200);
         h.sent(ms, 0, "e1", "m2", 200).over(20_000).clone()
     };
     second(199).breaks(Rule::OrderKept);
@@ -380,14 +385,14 @@
 #[test]
 fn a_message_does_not_overtake_one_that_was_never_sent() {
     let mut h = History::new();
-    h.taken_of(0, "m1", "k").taken_of(20, "m2", "k").sent(100, 0, "e1", "m2", 200);
-    h.notice(5_000, "m1", Ended::Failed).over(20_000).breaks(Rule::OrderKept);
+    h.accepted_ordered(0, "m1", "k").accepted_ordered(20, "m2", "k").sent(100, 0, "e1", "m2", 200);
+    h.notice(5_000, "m1", NoticeState::Failed).over(20_000).breaks(Rule::OrderKept);
 }
 
 #[test]
 fn a_message_does_not_go_while_the_one_before_it_may_go_again() {
     let mut h = History::new();
-    h.taken_of(0, "m1", "k").taken_of(20, "m2", "k").sent(100, 0, "e1", "m1", 503);
+    h.accepted_ordered(0, "m1", "k").accepted_ordered(20, "m2", "k").sent(100, 0, "e1", "m1", 503);
     h.sent(300, 0, "e1", "m2", 200).sent(500, 0, "e1", "m1", 200).over(20_000).breaks(Rule::OrderKept);
 }
 
@@ -395,9 +400,9 @@
 fn a_key_rests_after_an_attempt_that_may_still_run() {
     let rested = |ms| {
         let mut h = History::new();
-        h.taken_of(0, "m1", "k").taken_of(20, "m2", "k");
+        h.accepted_ordered(0, "m1", "k").accepted_ordered(20, "m2", "k");
         let call = h.call(100, 0, "e1", &["m1"]);
-        h.broke(1_000, call, By::Sender).notice(1_010, "m1", Ended::Failed);
+        h.broke(1_000, call, ClosedBy::Sender).notice(1_010, "m1", NoticeState::Failed);
         h.sent(ms, 0, "e1", "m2", 200).over(20_000).clone()
     };
     rested(1_949).breaks(Rule::OrderKept);
@@ -407,15 +412,15 @@
 #[test]
 fn other_keys_and_messages_that_crossed_are_free() {
     let mut h = History::new();
-    h.taken_of(0, "m1", "k")
-        .taken_of(20, "m2", "other")
+    h.accepted_ordered(0, "m1", "k")
+        .accepted_ordered(20, "m2", "other")
         .sent(100, 0, "e1", "m2", 200)
         .sent(300, 0, "e1", "m1", 200);
     assert!(!h.over(20_000).judge().broken());
     // The second was handed in before the first was answered: either may have been accepted first.
     let mut h = History::new();
-    h.taken_of(0, "m1", "k")
-        .taken_of(3, "m2", "k")
+    h.accepted_ordered(0, "m1", "k")
+        .accepted_ordered(3, "m2", "k")
         .sent(100, 0, "e1", "m2", 200)
         .sent(300, 0, "e1", "m1", 200);
     assert!(!h.over(20_000).judge().broken());
@@ -425,10 +430,10 @@
 
 fn waited(ms: i64, sender: usize, endpoint: &str) -> History {
     let mut h = History::new();
-    h.taken(0, 0, "m1", SAFE);
+    h.accepted(0, 0, "m1", SAFE);
     let call = h.call(10, 0, "e1", &["m1"]);
-    h.wait(1_000, call, 500).notice(2_000, "m1", Ended::Failed);
-    h.taken(900, sender, "m2", SAFE).sent(ms, sender, endpoint, "m2", 200).over(20_000);
+    h.wait(1_000, call, 500).notice(2_000, "m1", NoticeState::Failed);
+    h.accepted(900, sender, "m2", SAFE).sent(ms, sender, endpoint, "m2", 200).over(20_000);
     h
 }
 
@@ -454,7 +459,7 @@
 #[test]
 fn a_wait_in_an_answer_that_delivers_binds_too() {
     let mut h = History::new();
-    h.taken(0, 0, "m1", SAFE).taken(0, 0, "m2", SAFE);
+    h.accepted(0, 0, "m1", SAFE).accepted(0, 0, "m2", SAFE);
     let call = h.call(10, 0, "e1", &["m1"]);
     h.at(1_000, Event::Answer { call, status: 200, wait_ms: 500, states: None });
     h.sent(1_200, 0, "e1", "m2", 200).over(20_000).breaks(Rule::WaitsHeeded);
@@ -477,9 +482,9 @@
 fn routes_apart_have_waits_of_their_own() {
     for (endpoint, breaks) in [("f1", true), ("f2", false)] {
         let mut h = History::new();
-        h.taken(0, 0, "m1", SAFE).taken(0, 0, "m2", SAFE);
+        h.accepted(0, 0, "m1", SAFE).accepted(0, 0, "m2", SAFE);
         let call = h.call(10, 0, "f1", &["m1"]);
-        h.wait(1_000, call, 500).notice(2_000, "m1", Ended::Failed);
+        h.wait(1_000, call, 500).notice(2_000, "m1", NoticeState::Failed);
         h.sent(1_200, 0, endpoint, "m2", 200).over(20_000);
         if breaks { h.breaks(Rule::WaitsHeeded) } else { h.keeps(Rule::WaitsHeeded) }
     }
@@ -489,7 +494,7 @@
 
 #[test]
 fn a_history_with_no_end_proves_nothing() {
-    let h = History::new().taken(0, 0, "m1", SAFE).sent(10, 0, "e1", "m1", 200).clone();
+    let h = History::new().accepted(0, 0, "m1", SAFE).sent(10, 0, "e1", "m1", 200).clone();
     assert!(h.judge().void.is_some());
     assert!(h.clone().over(100).judge().void.is_none());
     assert!(judge(&h.records[1..]).is_err());
@@ -499,7 +504,7 @@
 fn a_rig_that_was_late_or_stood_still_says_void() {
     let late = |ms: i64| {
         let mut h = History::new();
-        h.taken(ms, 0, "m1", SAFE).sent(ms + 10, 0, "e1", "m1", 200);
+        h.accepted(ms, 0, "m1", SAFE).sent(ms + 10, 0, "e1", "m1", 200);
         for r in &mut h.records {
             if let Event::Offer { due, .. } = &mut r.event {
                 *due = 0;
@@ -516,10 +521,10 @@
 fn service_is_the_weighted_worth_less_the_penalties() {
     // Of four messages of one class one is in time, one half-way late, one refused, one failed.
     let mut h = History::new();
-    h.taken(0, 0, "m1", SAFE).sent(10, 0, "e1", "m1", 200);
-    h.taken(0, 0, "m2", SAFE).sent(6_150, 0, "e1", "m2", 200);
-    h.offer(0, 0, "m3", "m3", SAFE, None).reply(5, "m3", Answered::Busy);
-    h.taken(0, 0, "m4", SAFE).notice(1_000, "m4", Ended::Failed).over(20_000);
+    h.accepted(0, 0, "m1", SAFE).sent(10, 0, "e1", "m1", 200);
+    h.accepted(0, 0, "m2", SAFE).sent(6_150, 0, "e1", "m2", 200);
+    h.offer(0, 0, "m3", "m3", SAFE, None).reply(5, "m3", PutOutcome::Busy);
+    h.accepted(0, 0, "m4", SAFE).notice(1_000, "m4", NoticeState::Failed).over(20_000);
     let s = h.judge().service;
     // Half-way between 2.5 s and 10 s, with half left at the end: three quarters.
     assert!((s.whole.worth - 1.75).abs() < 1e-9, "{s:?}");
@@ -527,14 +532,14 @@
     assert_eq!((s.whole.in_time, s.whole.late, s.whole.refused, s.whole.failed), (1, 1, 1, 1));
     assert!((s.worst_class - 0.4375).abs() < 1e-9 && (s.worst_tenant - 0.4375).abs() < 1e-9);
     let off: f64 = s.penalties.iter().map(|p| p.off).sum();
-    assert!((s.figure - (0.4375 - off)).abs() < 1e-9);
+    assert!((s.score - (0.4375 - off)).abs() < 1e-9);
 }
 
 #[test]
 fn a_clients_retries_belong_to_its_first_try() {
     let mut h = History::new();
-    h.offer(0, 0, "m1", "m1", SAFE, None).reply(5, "m1", Answered::Busy);
-    h.offer(3_000, 0, "m1-1", "m1", SAFE, None).reply(3_005, "m1-1", Answered::Taken);
+    h.offer(0, 0, "m1", "m1", SAFE, None).reply(5, "m1", PutOutcome::Busy);
+    h.offer(3_000, 0, "m1-1", "m1", SAFE, None).reply(3_005, "m1-1", PutOutcome::Accepted);
     h.sent(3_010, 0, "e1", "m1-1", 200).over(20_000);
     let s = h.judge().service;
     assert_eq!((s.whole.messages, s.whole.late), (1, 1));
@@ -547,7 +552,7 @@
         parameters.tenants[0].quota = 2.0;
     }
     for n in 0..4 {
-        h.taken(n, 0, &format!("m{n}"), SAFE).sent(n + 10, 0, "e1", &format!("m{n}"), 200);
+        h.accepted(n, 0, &format!("m{n}"), SAFE).sent(n + 10, 0, "e1", &format!("m{n}"), 200);
     }
     let s = h.over(20_000).judge().service;
     assert!((s.whole.asked - 2.1).abs() < 1e-9, "{s:?}");
@@ -581,17 +586,25 @@
 #[test]
 fn the_margin_of_a_message_is_the_time_left_at_its_end() {
     // Its time is up at 10 s, and 350 ms later the limit of its notice.
-    let h = History::new().taken(0, 0, "m1", SAFE).notice(10_100, "m1", Ended::Failed).over(20_000).clone();
+    let h = History::new()
+        .accepted(0, 0, "m1", SAFE)
+        .notice(10_100, "m1", NoticeState::Failed)
+        .over(20_000)
+        .clone();
     assert_eq!(margin(&h, Rule::NoMessageLost), Some((250.0, 0.0)));
-    let h = History::new().taken(0, 0, "m1", SAFE).notice(10_400, "m1", Ended::Failed).over(20_000).clone();
+    let h = History::new()
+        .accepted(0, 0, "m1", SAFE)
+        .notice(10_400, "m1", NoticeState::Failed)
+        .over(20_000)
+        .clone();
     assert_eq!(margin(&h, Rule::NoMessageLost), Some((-50.0, 0.0)));
 }
 
 #[test]
 fn resends_are_counted_by_kind_with_what_is_left_of_the_window() {
     let mut h = History::new();
-    h.taken(0, 0, "k1", KEYED).sent(10, 0, "e1", "k1", 500).sent(1_010, 0, "e1", "k1", 200);
-    h.taken(0, 0, "p1", UNSAFE).sent(10, 0, "e1", "p1", 503).sent(500, 0, "e1", "p1", 200).over(20_000);
+    h.accepted(0, 0, "k1", KEYED).sent(10, 0, "e1", "k1", 500).sent(1_010, 0, "e1", "k1", 200);
+    h.accepted(0, 0, "p1", UNSAFE).sent(10, 0, "e1", "p1", 503).sent(500, 0, "e1", "p1", 200).over(20_000);
     assert_eq!(margin(&h, Rule::NoEffectTwice), Some((2_050.0, 0.0)));
     let judgement = h.judge();
     let counts = &judgement.ruling(Rule::NoEffectTwice).unwrap().counts;
@@ -606,8 +619,8 @@
 #[test]
 fn the_margin_of_a_drain_is_the_latest_call_after_the_word() {
     let mut h = History::new();
-    h.listed(0, 0, &["e1", "e2"]).told(1_000, 0, "e1", Standing::Terminating);
-    h.taken(0, 0, "m1", SAFE).taken(0, 0, "m2", SAFE);
+    h.listed(0, 0, &["e1", "e2"]).told(1_000, 0, "e1", EndpointStatus::Terminating);
+    h.accepted(0, 0, "m1", SAFE).accepted(0, 0, "m2", SAFE);
     h.sent(1_300, 0, "e1", "m1", 200).sent(1_900, 0, "e2", "m2", 200).over(20_000);
     assert_eq!(margin(&h, Rule::DrainsKept), Some((300.0, 1_050.0)));
 }
@@ -620,7 +633,7 @@
     let (share, _) = margin(&returned(&[0], &[(0, 14)], 5_200), Rule::ReturnNotPushedOver).unwrap();
     assert!((1.1..1.3).contains(&share), "{share}");
     let returns = returned(&[0], &[(0, 11)], 5_200).judge().returns;
-    assert_eq!((returns.len(), returns[0].receiver, returns[0].knowing, returns[0].pushes), (1, 1, 1, 11));
+    assert_eq!((returns.len(), returns[0].receiver, returns[0].aware, returns[0].arrivals), (1, 1, 1, 11));
     // Nobody saw it: nothing was put to the test.
     assert_eq!(margin(&returned(&[], &[(0, 11)], 5_200), Rule::ReturnNotPushedOver), None);
 }
@@ -631,7 +644,7 @@
     let mut h = History::new();
     let send = |h: &mut History, ms: i64, n: usize| {
         let id = format!("m{n}");
-        h.taken(ms - 10, 0, &id, SAFE).sent(ms, 0, "e1", &id, 200);
+        h.accepted(ms - 10, 0, &id, SAFE).sent(ms, 0, "e1", &id, 200);
     };
     (0..50).for_each(|n| send(&mut h, 100 + 100 * n, n as usize));
     h.at(5_200, Event::Down { receiver: 1, endpoint: None })
@@ -648,12 +661,12 @@
 #[test]
 fn the_margin_of_a_wait_is_the_earliest_call_after_it() {
     let mut h = History::new();
-    h.taken(0, 0, "m1", SAFE).taken(0, 0, "m2", SAFE);
+    h.accepted(0, 0, "m1", SAFE).accepted(0, 0, "m2", SAFE);
     let call = h.call(100, 0, "e1", &["m1"]);
     h.wait(200, call, 1_000).sent(1_350, 0, "e2", "m2", 200).over(20_000);
     assert_eq!(margin(&h, Rule::WaitsHeeded), Some((150.0, 0.0)));
     let call = h.call(1_500, 0, "e1", &["m1"]);
-    h.records.retain(|r| !matches!(r.event, Event::Over));
+    h.records.retain(|r| !matches!(r.event, Event::End));
     h.wait(1_600, call, 1_000).sent(2_200, 0, "e1", "m1", 200).over(20_000);
     assert_eq!(margin(&h, Rule::WaitsHeeded), Some((-400.0, 0.0)));
 }
@@ -661,7 +674,7 @@
 #[test]
 fn the_margin_of_an_order_is_the_time_between_two_of_a_key() {
     let mut h = History::new();
-    h.taken_of(0, "m1", "a").taken_of(20, "m2", "a");
+    h.accepted_ordered(0, "m1", "a").accepted_ordered(20, "m2", "a");
     h.sent(100, 0, "e1", "m1", 200).sent(260, 0, "e1", "m2", 200).over(20_000);
     assert_eq!(margin(&h, Rule::OrderKept), Some((60.0, 0.0)));
 }
@@ -671,11 +684,11 @@
     // The new process sends before it is seen to be ready; the old one must heed the wait until it has ended.
     let restarted = |sent: i64| {
         let mut h = History::new();
-        h.taken(0, 0, "m1", SAFE).taken(0, 0, "m2", SAFE);
+        h.accepted(0, 0, "m1", SAFE).accepted(0, 0, "m2", SAFE);
         let call = h.call(100, 0, "e1", &["m1"]);
         h.wait(200, call, 5_000).signal(1_000, 0, Signal::Term);
         h.at(2_000, Event::Exited { sender: 0, planned: true, how: "signal".into() }).ready(3_000, 0);
-        h.sent(sent, 0, "e1", "m2", 200).notice(4_000, "m1", Ended::Failed).over(20_000).clone()
+        h.sent(sent, 0, "e1", "m2", 200).notice(4_000, "m1", NoticeState::Failed).over(20_000).clone()
     };
     restarted(1_900).breaks(Rule::WaitsHeeded);
     restarted(2_100).keeps(Rule::WaitsHeeded);
--- a/crates/rehearsal/tests/matrix.rs
+++ b/crates/rehearsal/tests/matrix.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
-use embershore_rehearsal::history::{Ended, Event};
+use embershore_rehearsal::history::{Event, NoticeState};
 use embershore_rehearsal::matrix::{Cell, page, rows, text};
-use embershore_rehearsal::report::{Report, of};
+use embershore_rehearsal::report::{Report, from_records};
 use std::collections::BTreeMap;
 
 /// A run that delivered so many of ten messages, and refused the rest.
@@ -12,15 +12,15 @@
     let mut h = History::new();
     for n in 0..10 {
         let id = format!("m{n}");
-        h.taken(n * 10, 0, &id, SAFE);
+        h.accepted(n * 10, 0, &id, SAFE);
         if (n as usize) < delivered {
             h.sent(n * 10 + 20, 0, "e1", &id, 200);
         } else {
-            h.notice(5_000, &id, Ended::Returned);
+            h.notice(5_000, &id, NoticeState::Returned);
         }
     }
     h.at(6_000, Event::Lag { max_us: lag_ms * 1000 }).over(20_000);
-    of(&h.records, "by hand").unwrap().0
+    from_records(&h.records, "by hand").unwrap().0
 }
 
 fn cell(senders: usize, seed: u64) -> Cell {
--- a/crates/rehearsal/tests/properties.rs
+++ b/crates/rehearsal/tests/properties.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use embershore_rehearsal::history::{Answered, By, Ended, Event, Record, Standing};
+use embershore_rehearsal::history::{ClosedBy, EndpointStatus, Event, NoticeState, PutOutcome, Record};
 use embershore_rehearsal::judge::judge;
 use embershore_rehearsal::parameters::Receiver;
 use proptest::prelude::*;
@@ -12,10 +12,10 @@
 enum Step {
     Taken(usize, usize),
     Sent(usize, &'static str, u16),
-    Broken(usize, &'static str, By),
+    Broken(usize, &'static str, ClosedBy),
     Waited(usize, &'static str, u32),
     Noticed(bool),
-    Told(usize, &'static str, Standing),
+    Told(usize, &'static str, EndpointStatus),
     Outage,
 }
 
@@ -25,8 +25,9 @@
 
 fn step() -> impl Strategy<Value = (i64, Step)> {
     let status = prop::sample::select(vec![200u16, 500, 503, 429]);
-    let standing = prop::sample::select(vec![Standing::Ready, Standing::Terminating, Standing::Gone]);
-    let by = prop::sample::select(vec![By::Sender, By::Receiver]);
+    let standing =
+        prop::sample::select(vec![EndpointStatus::Ready, EndpointStatus::Terminating, EndpointStatus::Gone]);
+    let by = prop::sample::select(vec![ClosedBy::Sender, ClosedBy::Receiver]);
     let step = prop_oneof![
         4 => (0..2usize, 0..4usize).prop_map(|(s, c)| Step::Taken(s, c)),
         4 => (0..2usize, endpoint(), status).prop_map(|(s, e, code)| Step::Sent(s, e, code)),
@@ -49,7 +50,7 @@
         match step {
             Step::Taken(sender, class) => {
                 let id = format!("m{n}");
-                h.offer(ms, *sender, &id, &id, *class, Some("k")).reply(ms, &id, Answered::Taken);
+                h.offer(ms, *sender, &id, &id, *class, Some("k")).reply(ms, &id, PutOutcome::Accepted);
                 last = Some((id, *class));
             }
             Step::Sent(sender, endpoint, status) => {
@@ -65,7 +66,7 @@
                 h.wait(ms, call, *wait);
             }
             Step::Noticed(failed) => {
-                _ = h.notice(ms, &id, if *failed { Ended::Failed } else { Ended::Returned });
+                _ = h.notice(ms, &id, if *failed { NoticeState::Failed } else { NoticeState::Returned });
             }
             Step::Told(sender, endpoint, standing) => _ = h.told(ms, *sender, endpoint, *standing),
             Step::Outage => {
@@ -105,18 +106,18 @@
         let h = history(&steps);
         let mut other = h.clone();
         if let Event::Run { parameters, .. } = &mut other.records[0].event {
-            let (kind, apart) = ("hook".to_string(), number % 2 == 0);
+            let (kind, separate_routes) = ("hook".to_string(), number % 2 == 0);
             let (rate, cold_from, warm_up) = (capacity, 0.2, 5_000_000);
-            parameters.receivers.insert(0, Receiver { number, kind, apart, capacity, rate, cold_from, warm_up });
+            parameters.receivers.insert(0, Receiver { number, kind, separate_routes, capacity, rate, cold_from, warm_up });
         }
         other.at(0, Event::Endpoint { endpoint: "x1".into(), receiver: number, zone: "b".into() });
         other.at(20, Event::Down { receiver: number, endpoint: None });
         other.at(900, Event::Back { receiver: number, endpoint: None });
-        let lines = vec![("x1".to_string(), Standing::Terminating)];
-        other.at(30, Event::Told { sender: 0, index: 9, whole: false, lines });
+        let lines = vec![("x1".to_string(), EndpointStatus::Terminating)];
+        other.at(30, Event::Listing { sender: 0, index: 9, complete: false, lines });
         let (before, after) = (judge(&h.records).unwrap(), judge(&other.records).unwrap());
         for (a, b) in before.rules.iter().zip(&after.rules) {
-            prop_assert_eq!((a.rule, a.broken, &a.offences), (b.rule, b.broken, &b.offences));
+            prop_assert_eq!((a.rule, a.broken, &a.violations), (b.rule, b.broken, &b.violations));
         }
         prop_assert_eq!(before.service, after.service);
     }
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenarios: what is refused and where, what the plan is a function of, and that what ships can be played.
 
-use embershore_rehearsal::event::{Known, RawEvent};
+use embershore_rehearsal::event::{RawEvent, Targets};
 use embershore_rehearsal::plan::{Planned, plan};
 use embershore_rehearsal::scenario::{Scenario, ScenarioError};
 use embershore_rehearsal::shipped;
@@ -201,12 +201,12 @@
     assert_eq!((event.receiver, event.factor, event.span()), (Some(3), Some(8.0), 10_000_000));
     assert_eq!(RawEvent::from_line("sigkill sender=\"0\"").unwrap().sender.as_deref(), Some("0"));
     let half = RawEvent::from_line("sigkill share=0.5").unwrap();
-    let ended: Vec<usize> = (0..6).filter(|n| half.concerns(*n, &format!("n{n}"))).collect();
+    let ended: Vec<usize> = (0..6).filter(|n| half.applies_to(*n, &format!("n{n}"))).collect();
     assert_eq!(ended, [1, 3, 5]);
-    let known = Known { receivers: &[3], senders: &["n1".into()] };
-    let both = RawEvent::from_line("sigkill share=0.5 sender=n1").unwrap().wrong(known);
+    let known = Targets { receivers: &[3], senders: &["n1".into()] };
+    let both = RawEvent::from_line("sigkill share=0.5 sender=n1").unwrap().problems(known);
     assert!(both.iter().any(|w| w.contains("a part of all senders")), "{both:?}");
-    let join = RawEvent::from_line("join receiver=3").unwrap().wrong(known);
+    let join = RawEvent::from_line("join receiver=3").unwrap().problems(known);
     assert!(join.iter().any(|w| w.contains("'join' needs 'endpoints'")), "{join:?}");
     for (line, mend) in
         [("", "empty line"), ("dance", "dance"), ("slow receiver", "name=value"), ("slow size=3", "size")]
--- a/crates/sender/src/matrix.rs
+++ b/crates/sender/src/matrix.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use embershore_rehearsal::matrix::{Cell, page, rows, text};
 use embershore_rehearsal::report::Report;
-use embershore_rehearsal::scenario::SENDERS_MOST;
+use embershore_rehearsal::scenario::MAX_SENDERS;
 use std::collections::{BTreeMap, VecDeque};
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -64,8 +64,8 @@
 /// # Errors
 /// A scenario or a folder is wrong, or a run could not be played.
 pub fn main(matrix: &Matrix) -> Result<u8, Box<dyn Error>> {
-    if let Some(wrong) = matrix.senders.iter().find(|n| !(1..=SENDERS_MOST).contains(*n)) {
-        return Err(format!("--senders {wrong}: a scenario has 1 to {SENDERS_MOST} senders").into());
+    if let Some(wrong) = matrix.senders.iter().find(|n| !(1..=MAX_SENDERS).contains(*n)) {
+        return Err(format!("--senders {wrong}: a scenario has 1 to {MAX_SENDERS} senders").into());
     }
     let mut cells: Vec<(Cell, String)> = Vec::new();
     for name in &matrix.scenarios {
@@ -157,7 +157,7 @@
                 _ => {
                     q.done += 1;
                     let word = if report.judgement.broken() { ", a rule BROKEN" } else { "" };
-                    let figure = report.judgement.service.figure;
+                    let figure = report.judgement.service.score;
                     eprintln!("{:>4} of {all}  {}: service {figure:.3}{word}", q.done, cell.folder());
                     q.runs.insert(cell, report);
                 }
--- a/crates/sender/src/rehearse.rs
+++ b/crates/sender/src/rehearse.rs
@@ -176,7 +176,7 @@
         Some(What::Matrix(what)) => matrix::main(&what),
         Some(What::Tell { address, words }) => tell(address, &words.join(" ")),
         Some(What::Capture { listen, to, out, seconds }) => {
-            let tap = Tap { listen, to, lasting: seconds.map(Duration::from_secs) };
+            let tap = Tap { listen, to, duration: seconds.map(Duration::from_secs) };
             capture(&tap, &out, |at| eprintln!("listening on {at}, in front of {to}"))
                 .map(|n| {
                     eprintln!("{n} messages in {}", out.display());
@@ -350,7 +350,7 @@
 }
 
 fn tell(address: SocketAddr, line: &str) -> Result<u8, Box<dyn Error>> {
-    let answer = rig::tell(address, line)
+    let answer = rig::send_command(address, line)
         .map_err(|e| format!("{address}: {e}; is a rehearsal running with --control?"))?;
     match answer.strip_prefix("ok ") {
         Some(text) => {
--- a/crates/sender/tests/common/placement/clients.rs
+++ b/crates/sender/tests/common/placement/clients.rs
@@ -5,7 +5,7 @@
 use super::directory::Returned;
 use super::fleet::Fleet;
 use super::ledger::Ledger;
-use embershore_rehearsal::history::{Answered, Event};
+use embershore_rehearsal::history::{Event, PutOutcome};
 use embershore_rehearsal::parameters::Effect;
 use embershore_rehearsal::span::Micros;
 use std::cell::{Cell, RefCell};
@@ -42,21 +42,21 @@
 /// What a client read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Heard {
-    answered: Answered,
+    answered: PutOutcome,
     after_ms: Option<u64>,
 }
 
 impl Heard {
-    fn only(answered: Answered) -> Self {
+    fn only(answered: PutOutcome) -> Self {
         Heard { answered, after_ms: None }
     }
 
     fn of(line: &str) -> Self {
         match line.trim_end() {
-            "+OK" => Heard::only(Answered::Taken),
+            "+OK" => Heard::only(PutOutcome::Accepted),
             line => match line.strip_prefix("-BUSY") {
-                Some(rest) => Heard { answered: Answered::Busy, after_ms: rest.trim().parse().ok() },
-                None => Heard::only(Answered::Failed),
+                Some(rest) => Heard { answered: PutOutcome::Busy, after_ms: rest.trim().parse().ok() },
+                None => Heard::only(PutOutcome::Failed),
             },
         }
     }
@@ -203,17 +203,17 @@
         let Heard { answered, after_ms } = self.ask(entry, &request).await;
         self.ledger.note(Event::Reply { id: id.clone(), answered, after_ms });
         match answered {
-            Answered::Taken => {
+            PutOutcome::Accepted => {
                 self.taken.borrow_mut().insert(id, message);
                 self.busy.set(self.busy.get() - 1);
             }
-            Answered::Failed | Answered::Left => self.busy.set(self.busy.get() - 1),
+            PutOutcome::Failed | PutOutcome::Abandoned => self.busy.set(self.busy.get() - 1),
             _ => Box::pin(self.come_again(message, after_ms)).await,
         }
     }
 
     /// Hands one message in at a member's forward address, as another member would; its answer.
-    pub async fn forward(&self, class: usize, destination: i64, member: usize) -> Answered {
+    pub async fn forward(&self, class: usize, destination: i64, member: usize) -> PutOutcome {
         let message = self.new_message(class, destination, member);
         let id = message.origin.clone();
         let request = self.offer(&message, &id, member);
@@ -222,7 +222,8 @@
             self.exchange(connection, &request).await
         };
         let heard = tokio::time::timeout(PATIENCE, asked).await.ok().flatten();
-        let Heard { answered, after_ms } = heard.map_or(Heard::only(Answered::Silence), |(heard, _)| heard);
+        let Heard { answered, after_ms } =
+            heard.map_or(Heard::only(PutOutcome::TimedOut), |(heard, _)| heard);
         self.ledger.note(Event::Reply { id, answered, after_ms });
         answered
     }
@@ -241,13 +242,13 @@
             sender,
             id: id.into(),
             origin: message.origin.clone(),
-            again: message.times,
+            retries: message.times,
             class: message.class,
             tenant: 0,
             receiver: message.destination,
             key,
             order: message.order_key.clone(),
-            left: left * 1000,
+            time_left: left * 1000,
             due: self.ledger.now(),
         });
         let order_key = message.order_key.as_deref().unwrap_or("0000000000000000");
@@ -265,7 +266,7 @@
     async fn ask(&self, entry: usize, request: &[u8]) -> Heard {
         let until = tokio::time::Instant::now() + PATIENCE;
         let asked = tokio::time::timeout_at(until, self.ask_patiently(entry, request)).await;
-        asked.unwrap_or(Heard::only(Answered::Silence))
+        asked.unwrap_or(Heard::only(PutOutcome::TimedOut))
     }
 
     async fn ask_patiently(&self, entry: usize, request: &[u8]) -> Heard {
@@ -278,10 +279,10 @@
         }
         // Closed between requests: the client sends it once more on a new connection.
         let Ok(connection) = open(self.fleet.addr(entry)).await else {
-            return Heard::only(Answered::Unreachable);
+            return Heard::only(PutOutcome::Unreachable);
         };
         let Some((heard, connection)) = self.exchange(connection, request).await else {
-            return Heard::only(Answered::Closed);
+            return Heard::only(PutOutcome::Closed);
         };
         self.idle.borrow_mut()[entry].push(connection);
         heard
--- a/crates/sender/tests/common/placement/deployment.rs
+++ b/crates/sender/tests/common/placement/deployment.rs
@@ -96,7 +96,7 @@
         let receiver = |number| Receiver {
             number,
             kind: "one".into(),
-            apart: false,
+            separate_routes: false,
             capacity: 1_000.0,
             rate: 1_000.0,
             cold_from: 0.5,
--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -4,7 +4,7 @@
 use super::http::{self, Body};
 use super::ledger::Ledger;
 use bytes::Bytes;
-use embershore_rehearsal::history::{Ended, Event, Standing};
+use embershore_rehearsal::history::{EndpointStatus, Event, NoticeState};
 use http_body_util::{BodyExt, channel::Channel};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
@@ -32,7 +32,7 @@
 struct Entry {
     destination: i64,
     generation: usize,
-    standing: Standing,
+    standing: EndpointStatus,
     index: u64,
 }
 
@@ -57,7 +57,7 @@
 #[derive(Deserialize)]
 struct Notice {
     id: String,
-    state: Ended,
+    state: NoticeState,
     after_ms: Option<u64>,
 }
 
@@ -70,8 +70,12 @@
     /// A directory that lists one endpoint for each destination, and where clients hear of returned messages. The
     /// queue is bounded by what the clients hand in.
     pub fn new(ledger: Rc<Ledger>, destinations: i64) -> (Rc<Self>, mpsc::UnboundedReceiver<Returned>) {
-        let entry =
-            |destination| Entry { destination, generation: 0, standing: Standing::Ready, index: FIRST_INDEX };
+        let entry = |destination| Entry {
+            destination,
+            generation: 0,
+            standing: EndpointStatus::Ready,
+            index: FIRST_INDEX,
+        };
         let entries: Vec<Entry> = (1..=destinations).map(entry).collect();
         for e in &entries {
             let endpoint = endpoint_name(e.destination, e.generation);
@@ -93,10 +97,10 @@
         let index = self.index.borrow().to_owned() + 1;
         let mut entries = self.entries.borrow_mut();
         let old = entries.iter_mut().find(|e| e.destination == destination).unwrap();
-        (old.standing, old.index) = (Standing::Terminating, index);
+        (old.standing, old.index) = (EndpointStatus::Terminating, index);
         let generation = old.generation + 1;
         assert!(generation < GENERATIONS, "an endpoint is replaced once");
-        entries.push(Entry { destination, generation, standing: Standing::Ready, index });
+        entries.push(Entry { destination, generation, standing: EndpointStatus::Ready, index });
         drop(entries);
         let endpoint = endpoint_name(destination, generation);
         self.ledger.note(Event::Endpoint { endpoint, receiver: destination, zone: "a".into() });
@@ -153,7 +157,7 @@
         let (entries, index) = (self.entries.borrow(), *self.index.borrow());
         let news: Vec<&Entry> = entries.iter().filter(|e| since.is_none_or(|s| e.index > s)).collect();
         let lines = news.iter().map(|e| (endpoint_name(e.destination, e.generation), e.standing)).collect();
-        self.ledger.note(Event::Told { sender, index, whole: since.is_none(), lines });
+        self.ledger.note(Event::Listing { sender, index, complete: since.is_none(), lines });
         let line = |e: &&Entry| {
             let addr = addresses[e.generation];
             let name = endpoint_name(e.destination, e.generation);
@@ -170,7 +174,7 @@
         let Ok(notices) = notices else { return http::empty(400) };
         for Notice { id, state, after_ms } in notices {
             self.ledger.note(Event::Notice { sender, id: id.clone(), state, after_ms });
-            if state == Ended::Returned {
+            if state == NoticeState::Returned {
                 _ = self.returned.send(Returned { id, after_ms });
             }
         }
@@ -178,10 +182,10 @@
     }
 }
 
-fn status(standing: Standing) -> &'static str {
+fn status(standing: EndpointStatus) -> &'static str {
     match standing {
-        Standing::Ready => "Ready",
-        Standing::Terminating => "Terminating",
-        Standing::Gone => "Gone",
+        EndpointStatus::Ready => "Ready",
+        EndpointStatus::Terminating => "Terminating",
+        EndpointStatus::Gone => "Gone",
     }
 }
--- a/crates/sender/tests/common/placement/receivers.rs
+++ b/crates/sender/tests/common/placement/receivers.rs
@@ -5,7 +5,7 @@
 use super::directory::{Addresses, GENERATIONS, endpoint_name};
 use super::http::{self, Body};
 use super::ledger::Ledger;
-use embershore_rehearsal::history::{By, Event, Item};
+use embershore_rehearsal::history::{ClosedBy, Event, Item};
 use embershore_rehearsal::span::Micros;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
@@ -61,7 +61,7 @@
 impl Drop for OpenCall<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.ledger.note(Event::Broke { call: self.call, by: By::Sender });
+            self.ledger.note(Event::Disconnected { call: self.call, by: ClosedBy::Sender });
         }
     }
 }
@@ -110,8 +110,16 @@
         let call = self.ledger.next_call();
         let endpoint = endpoint_name(destination, generation);
         let items = vec![Item { id: id.clone(), key: key.clone() }];
-        let (fresh, batch) = (false, false);
-        self.ledger.note(Event::Call { call, sender, endpoint, first, fresh, batch, items });
+        let (new_connection, batch) = (false, false);
+        self.ledger.note(Event::Call {
+            call,
+            sender,
+            endpoint,
+            first_byte: first,
+            new_connection,
+            batch,
+            items,
+        });
         let mut open = OpenCall { ledger: &self.ledger, call, answered: false };
         let conduct = self.conduct.borrow().get(&destination).copied().unwrap_or_default();
         match conduct {
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -7,7 +7,7 @@
 
 use super::deployment::Deployment;
 use super::ledger::Ledger;
-use embershore_rehearsal::history::{Answered, Event, FORMAT, Record};
+use embershore_rehearsal::history::{Event, FORMAT, PutOutcome, Record};
 use embershore_rehearsal::judge::{Attempt, Judgement, Message, Rule, Ruling, Table, Verdict, verdict};
 use embershore_rehearsal::parameters::Effect;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -36,7 +36,7 @@
         let parameters = Box::new(deployment.parameters(scenario));
         let mut records = vec![Record { t: 0, event: Event::Run { format: FORMAT, parameters } }];
         records.extend(ledger.records());
-        records.push(Record { t: ledger.now(), event: Event::Over });
+        records.push(Record { t: ledger.now(), event: Event::End });
         let fleet_order = fleet_order(&records);
         attribute_to_owners(&mut records);
         let table = Table::new(&records).unwrap();
@@ -88,7 +88,7 @@
 
     /// Messages that were promised, and neither delivered nor ended by a notice.
     pub fn unended(&self) -> Vec<String> {
-        let owed = self.table.messages.iter().filter(|m| m.taken().is_some());
+        let owed = self.table.messages.iter().filter(|m| m.accepted().is_some());
         let open = owed.filter(|m| m.notices.is_empty() && self.table.delivered(m).is_none());
         open.map(|m| m.id.clone()).collect()
     }
@@ -97,7 +97,8 @@
     /// client had no answer counts too where the message was never promised under another id.
     pub fn double_effects(&self) -> Vec<String> {
         let mut effects: BTreeMap<&str, usize> = BTreeMap::new();
-        for message in self.table.messages.iter().filter(|m| self.effect(m) != Effect::Safe && !m.disowned())
+        for message in
+            self.table.messages.iter().filter(|m| self.effect(m) != Effect::Safe && !m.unacknowledged())
         {
             let runs = message.runs.iter().filter(|(_, dropped)| !dropped).count();
             *effects.entry(&message.origin).or_default() += runs;
@@ -127,9 +128,9 @@
         let mut answers = Answers::default();
         for message in &self.table.messages {
             match message.reply.map(|(_, answered)| answered) {
-                Some(Answered::Taken) => answers.taken += 1,
-                Some(Answered::Busy) => answers.busy += 1,
-                Some(Answered::Failed) => answers.failed += 1,
+                Some(PutOutcome::Accepted) => answers.taken += 1,
+                Some(PutOutcome::Busy) => answers.busy += 1,
+                Some(PutOutcome::Failed) => answers.failed += 1,
                 _ => answers.none += 1,
             }
         }
@@ -177,7 +178,7 @@
             Event::Call { call, items, .. } => _ = calls.insert(*call, &items[0].id),
             Event::Answer { call, status: 200, .. } => _ = ended.insert(calls[call]),
             Event::Notice { id, .. } => _ = ended.insert(id),
-            Event::Reply { id, answered: Answered::Taken, .. } => _ = open.insert(id.clone()),
+            Event::Reply { id, answered: PutOutcome::Accepted, .. } => _ = open.insert(id.clone()),
             _ => {}
         }
     }
@@ -216,7 +217,7 @@
                 items.iter().for_each(|item| _ = owners.entry(item.id.clone()).or_insert(*sender));
             }
             Event::Notice { sender, id, .. } => _ = owners.entry(id.clone()).or_insert(*sender),
-            Event::Reply { id, answered: Answered::Taken, .. } => _ = taken.insert(id.clone()),
+            Event::Reply { id, answered: PutOutcome::Accepted, .. } => _ = taken.insert(id.clone()),
             _ => {}
         }
     }
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -44,7 +44,7 @@
     let void = report.judgement.void.as_deref().filter(|why| !why.contains("ran late") || !late);
     assert_eq!(void, None);
     for r in &report.judgement.rules {
-        assert_ne!(r.verdict, Verdict::Broken, "{}: {:?}", r.rule, r.offences);
+        assert_ne!(r.verdict, Verdict::Broken, "{}: {:?}", r.rule, r.violations);
     }
     (report, table)
 }
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -5,7 +5,7 @@
 #[path = "common/placement/mod.rs"]
 mod placement;
 
-use embershore_rehearsal::history::{Answered, Event, Record};
+use embershore_rehearsal::history::{Event, PutOutcome, Record};
 use embershore_rehearsal::judge::Rule;
 use embershore_rehearsal::span::Micros;
 use placement::clients::Load;
@@ -135,7 +135,7 @@
             let answer = stage.clients.forward(PAY, destination, member).await;
             let after: usize = (0..12).map(|index| stage.fleet.relay(index).passed()).sum();
             assert_eq!(after - before, 1, "only this request passed");
-            let expected = if owned_by.contains(&member) { Answered::Taken } else { Answered::Busy };
+            let expected = if owned_by.contains(&member) { PutOutcome::Accepted } else { PutOutcome::Busy };
             assert_eq!(answer, expected, "{destination} at {member}, owned by {owned_by:?}");
         }
         stage.clients.settle().await;
@@ -361,9 +361,9 @@
             let answered = message.reply.unwrap().1;
             if class == SYNC {
                 // It goes to the next owner too, and is refused once none is left.
-                assert_eq!(answered, Answered::Busy, "{id}");
+                assert_eq!(answered, PutOutcome::Busy, "{id}");
             } else {
-                assert_eq!(answered, Answered::Failed, "{id}");
+                assert_eq!(answered, PutOutcome::Failed, "{id}");
                 assert!(callers.len() <= 1, "{id} of {class}: {callers:?}");
             }
         }
@@ -414,9 +414,14 @@
         let offers = findings.table.messages.iter().filter(|m| m.offered > expired && m.offered < again_at);
         let during: Vec<_> = offers.filter(|m| m.reply.is_some_and(|(t, _)| t < again_at)).collect();
         let answered = |what| during.iter().filter(|m| m.reply.unwrap().1 == what).count();
-        assert_eq!(answered(Answered::Taken), 0, "no one has a lease");
-        assert!(answered(Answered::Busy) > 50, "{} of {} refused", answered(Answered::Busy), during.len());
-        let after = findings.table.messages.iter().filter(|m| m.offered > again_at && m.taken().is_some());
+        assert_eq!(answered(PutOutcome::Accepted), 0, "no one has a lease");
+        assert!(
+            answered(PutOutcome::Busy) > 50,
+            "{} of {} refused",
+            answered(PutOutcome::Busy),
+            during.len()
+        );
+        let after = findings.table.messages.iter().filter(|m| m.offered > again_at && m.accepted().is_some());
         assert!(after.count() > 50, "they serve again once control is heard");
     });
 }
--- a/crates/sender/tests/placement_standins.rs
+++ b/crates/sender/tests/placement_standins.rs
@@ -7,7 +7,7 @@
 
 use common::LIMIT;
 use embershore_placement::{Changes, MemberList};
-use embershore_rehearsal::history::{Answered, By, Ended, Event, Item, Signal};
+use embershore_rehearsal::history::{ClosedBy, Event, Item, NoticeState, PutOutcome, Signal};
 use embershore_rehearsal::judge::{Rule, Verdict};
 use placement::clients::Load;
 use placement::control::Control;
@@ -155,18 +155,18 @@
 }
 
 /// Takes down that a message is handed in and answered.
-fn hand_in(ledger: &Ledger, id: &str, class: usize, answered: Answered) {
+fn hand_in(ledger: &Ledger, id: &str, class: usize, answered: PutOutcome) {
     ledger.note(Event::Offer {
         sender: 0,
         id: id.into(),
         origin: id.into(),
-        again: 0,
+        retries: 0,
         class,
         tenant: 0,
         receiver: 1,
         key: None,
         order: (class == FLOW).then(|| "one key".into()),
-        left: 1_000_000,
+        time_left: 1_000_000,
         due: ledger.now(),
     });
     ledger.note(Event::Reply { id: id.into(), answered, after_ms: None });
@@ -175,8 +175,16 @@
 /// Takes down that a sender delivers a message.
 fn deliver(ledger: &Ledger, id: &str, sender: usize) {
     let (call, items) = (ledger.next_call(), vec![Item { id: id.into(), key: None }]);
-    let (first, fresh, batch) = (ledger.now(), false, false);
-    ledger.note(Event::Call { call, sender, endpoint: "d1-0".into(), first, fresh, batch, items });
+    let (first_byte, new_connection, batch) = (ledger.now(), false, false);
+    ledger.note(Event::Call {
+        call,
+        sender,
+        endpoint: "d1-0".into(),
+        first_byte,
+        new_connection,
+        batch,
+        items,
+    });
     ledger.note(Event::Ran { call, id: id.into(), dropped: false });
     ledger.note(Event::Answer { call, status: 200, wait_ms: 0, states: None });
 }
@@ -189,26 +197,34 @@
 fn the_verdict_finds_second_owners_double_effects_and_what_has_no_end() {
     let ledger = Ledger::new();
     ledger.note(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
-    hand_in(&ledger, "kept", PAY, Answered::Taken);
+    hand_in(&ledger, "kept", PAY, PutOutcome::Accepted);
     deliver(&ledger, "kept", 3);
-    hand_in(&ledger, "ended", PAY, Answered::Taken);
-    ledger.note(Event::Notice { sender: 2, id: "ended".into(), state: Ended::Failed, after_ms: None });
-    hand_in(&ledger, "refused", PAY, Answered::Busy);
+    hand_in(&ledger, "ended", PAY, PutOutcome::Accepted);
+    ledger.note(Event::Notice { sender: 2, id: "ended".into(), state: NoticeState::Failed, after_ms: None });
+    hand_in(&ledger, "refused", PAY, PutOutcome::Busy);
     let good = judged(&ledger);
     good.assert_kept(&[Rule::NoMessageLost]);
     assert_eq!((good.origins(), good.delivered(), good.forwarded(&ledger)), (3, 1, 1));
     assert_eq!(good.answers().busy, 1);
 
-    hand_in(&ledger, "safe", SYNC, Answered::Taken);
+    hand_in(&ledger, "safe", SYNC, PutOutcome::Accepted);
     (4..6).for_each(|sender| deliver(&ledger, "safe", sender));
-    hand_in(&ledger, "twice", PUSH, Answered::Failed);
+    hand_in(&ledger, "twice", PUSH, PutOutcome::Failed);
     (1..3).for_each(|sender| deliver(&ledger, "twice", sender));
-    hand_in(&ledger, "open", PAY, Answered::Taken);
+    hand_in(&ledger, "open", PAY, PutOutcome::Accepted);
     let call = ledger.next_call();
     let items = vec![Item { id: "open".into(), key: None }];
     let (endpoint, first) = ("d1-0".into(), ledger.now());
-    ledger.note(Event::Call { call, sender: 5, endpoint, first, fresh: false, batch: false, items });
-    ledger.note(Event::Broke { call, by: By::Sender });
+    ledger.note(Event::Call {
+        call,
+        sender: 5,
+        endpoint,
+        first_byte: first,
+        new_connection: false,
+        batch: false,
+        items,
+    });
+    ledger.note(Event::Disconnected { call, by: ClosedBy::Sender });
     let bad = judged(&ledger);
     assert_eq!(bad.second_owners(), ["twice"]);
     assert_eq!(bad.double_effects(), ["twice"]);
@@ -221,14 +237,14 @@
 fn the_kits_judge_holds_the_owner_to_what_it_took_on_and_not_the_entry() {
     let ledger = Ledger::new();
     ledger.note(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
-    hand_in(&ledger, "a", PAY, Answered::Taken);
+    hand_in(&ledger, "a", PAY, PutOutcome::Accepted);
     // The entry dies; its owner has still to see the message to its end.
     ledger.note(Event::Signal { sender: 0, signal: Signal::Kill });
     deliver(&ledger, "a", 7);
     let message = judged(&ledger).table.message("a").unwrap().clone();
     assert_eq!(message.sender, 7);
     // One that was not promised stays with the sender at which it was handed in.
-    hand_in(&ledger, "b", PAY, Answered::Silence);
+    hand_in(&ledger, "b", PAY, PutOutcome::TimedOut);
     deliver(&ledger, "b", 7);
     assert_eq!(judged(&ledger).table.message("b").unwrap().sender, 0);
 }
@@ -238,7 +254,7 @@
     let ledger = Ledger::new();
     ledger.note(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
     let hand_in_of_key = |id: &str| {
-        hand_in(&ledger, id, FLOW, Answered::Taken);
+        hand_in(&ledger, id, FLOW, PutOutcome::Accepted);
         // The judge goes by times, and two records may have the same.
         std::thread::sleep(Duration::from_millis(1));
     };
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -1,7 +1,7 @@
 //! The rehearsal kit around real daemons: the hard cases, the command line, control and capture.
 
 use embershore_rehearsal::capture::{Tap, capture};
-use embershore_rehearsal::history::{Ended, Event, Standing};
+use embershore_rehearsal::history::{EndpointStatus, Event, NoticeState};
 use embershore_rehearsal::judge::{Absence, Attempt, Message, Rule, Table, Verdict};
 use embershore_rehearsal::report::{Report, report};
 use embershore_rehearsal::rig::{self, Options, Subject};
@@ -88,10 +88,10 @@
     assert_eq!(report.judgement.void, None);
     for r in &report.judgement.rules {
         // What was seen of the first message that it was broken with.
-        let first = r.offences.iter().find_map(|o| table.message(o.message.as_ref()?));
+        let first = r.violations.iter().find_map(|o| table.message(o.message.as_ref()?));
         let same = first.map(|f| table.messages.iter().filter(|m| m.origin == f.origin).collect::<Vec<_>>());
         let calls = same.iter().flatten().flat_map(|m| table.attempts(m)).collect::<Vec<_>>();
-        assert_ne!(r.verdict, Verdict::Broken, "{}: {:?}\n{same:#?}\n{calls:#?}", r.rule, r.offences);
+        assert_ne!(r.verdict, Verdict::Broken, "{}: {:?}\n{same:#?}\n{calls:#?}", r.rule, r.violations);
     }
     (report, table)
 }
@@ -109,7 +109,7 @@
     // 7 of 12 endpoints, at two senders.
     assert_eq!(tested(&report, Rule::DrainsKept), 14);
     // They were told as late as was meant, and used until then.
-    let first = table.told.values().flatten().filter(|(_, s)| *s != Standing::Ready);
+    let first = table.status_updates.values().flatten().filter(|(_, s)| *s != EndpointStatus::Ready);
     assert!(first.map(|(t, _)| *t).min().unwrap() > 7_000_000);
     assert!(report.judgement.service.whole.share > 0.95, "{}", report.text());
 }
@@ -134,7 +134,7 @@
         let may = table.attempts(m).filter(|(.., fate)| *fate != Attempt::NeverRan).count();
         assert_eq!(may, 1, "{}", m.id);
         assert_eq!(m.notices.len(), 1, "{}", m.id);
-        assert_eq!(m.notices[0].1, Ended::Failed, "{}", m.id);
+        assert_eq!(m.notices[0].1, NoticeState::Failed, "{}", m.id);
     }
 }
 
@@ -147,7 +147,7 @@
     let (report, _) = rehearse(scenario("14s", 100, events));
     assert_eq!(tested(&report, Rule::ReturnNotPushedOver), 3);
     assert!(tested(&report, Rule::WaitsHeeded) > 0);
-    assert!(report.receivers.iter().all(|r| !r.fell), "{}", report.text());
+    assert!(report.receivers.iter().all(|r| !r.overloaded), "{}", report.text());
 }
 
 /// A sender is killed while it holds messages that were never sent, whose calls are written in part, whole and
@@ -175,7 +175,7 @@
     let held = |sender: usize, at: i64| -> Vec<&Message> {
         let open =
             |m: &&Message| table.delivered(m).is_none_or(|t| t > at) && m.notices.iter().all(|n| n.0 > at);
-        let taken = |m: &&Message| m.sender == sender && m.taken().is_some_and(|t| t < at);
+        let taken = |m: &&Message| m.sender == sender && m.accepted().is_some_and(|t| t < at);
         table.messages.iter().filter(|m| taken(m) && open(m)).collect()
     };
     // At some kill there was a message that had not been sent, and at some one whose call was out.
@@ -321,7 +321,7 @@
     });
     let (path, (say, hear)) = (folder.path().join("t.jsonl"), std::sync::mpsc::channel());
     let (out, listen) = (path.clone(), "127.0.0.1:0".parse().unwrap());
-    let tap = Tap { listen, to, lasting: Some(std::time::Duration::from_millis(1500)) };
+    let tap = Tap { listen, to, duration: Some(std::time::Duration::from_millis(1500)) };
     let tapped = std::thread::spawn(move || capture(&tap, &out, |at| say.send(at).unwrap()).unwrap());
     let mut client = TcpStream::connect(hear.recv().unwrap()).unwrap();
     let put = "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$2\r\na1\r\n$33\r\nc=sync,t=acme,d=8000,dest=7,q=123\r\n$5\r\nhello\r\n";
--- a/crates/sender/tests/return_restart.rs
+++ b/crates/sender/tests/return_restart.rs
@@ -23,7 +23,7 @@
     let (report, _) = report(&rig::run(scenario, &options, |_| {}).unwrap()).unwrap();
     assert_eq!(report.judgement.void, None, "void is no pass");
     for ruling in &report.judgement.rules {
-        assert_ne!(ruling.verdict, Verdict::Broken, "{}: {:?}", ruling.rule, ruling.offences);
+        assert_ne!(ruling.verdict, Verdict::Broken, "{}: {:?}", ruling.rule, ruling.violations);
     }
     let returns = report.judgement.ruling(Rule::ReturnNotPushedOver).unwrap().tested;
     assert_eq!(returns, 2, "{}", report.text());
