--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -3,7 +3,7 @@
 use crate::history::{ClosedBy, EndpointStatus, Event, NoticeState, PutOutcome, Record, Signal};
 use crate::parameters::{Class, Effect, Parameters, Receiver};
 use crate::span::Micros;
-use embershore_protocol::call::state as batch_state;
+use embershore_protocol::call::outcome_of_state;
 use heronroute::Outcome;
 use std::collections::{BTreeMap, HashMap};
 
@@ -64,7 +64,7 @@
         let outcome = match end {
             CallEnd::Disconnected(_) => Attempt::MayHaveRun,
             CallEnd::Answer { status: 200, states: Some(states), .. } => {
-                match batch_state(states.get(index).map(String::as_str)) {
+                match outcome_of_state(states.get(index).map(String::as_str)) {
                     (Outcome::Done, _) => Attempt::Delivered,
                     (Outcome::Busy | Outcome::Skipped, _) => Attempt::NeverRan,
                     _ => Attempt::MayHaveRun,
