--- a/crates/rehearsal/benches/load.rs
+++ b/crates/rehearsal/benches/load.rs
@@ -1,6 +1,7 @@
-//! How much load the rig can hold: a stub sender that delivers everything at once, receivers that take no time.
+//! Measures the load that the rig can sustain, with a stub sender that delivers at once and receivers without latency.
 //!
-//! Steps up until the plan's lag is over 5 ms at the 99th percentile. Bounded in rate and time; loopback only.
+//! Increases the rate until the plan's lag exceeds 5 ms at the 99th percentile. Bounded in rate and time; uses
+//! loopback only.
 //! `cargo bench -p embershore-rehearsal --bench load`
 
 #[path = "../tests/common/stub.rs"]
@@ -12,11 +13,11 @@
 use std::path::Path;
 use stub::Fault;
 
-/// Seconds of each step.
+/// Length of each step in seconds.
 const SECONDS: u32 = 4;
 const RATES: [u32; 5] = [500, 2000, 4000, 8000, 12_000];
-/// The lag up to which a rate counts as held, in microseconds.
-const HELD: i64 = 5_000;
+/// Maximum lag at which a rate counts as sustained, in microseconds.
+const MAX_LAG_US: i64 = 5_000;
 
 fn memory_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
@@ -38,7 +39,7 @@
     Scenario::parse("load", &text, Path::new(".")).unwrap()
 }
 
-/// One step in this process; whether the rate was held.
+/// Runs one step in this process; returns whether the rate was sustained.
 fn step(fault: Fault, endpoints: usize, rate: u32) -> bool {
     let folder = tempfile::tempdir().unwrap();
     let addr = stub::start(fault, folder.path().join("n0/config.json"));
@@ -55,7 +56,7 @@
         l.p99_us as f64 / 1e3,
         l.stall_us as f64 / 1e3
     );
-    l.p99_us <= HELD
+    l.p99_us <= MAX_LAG_US
 }
 
 fn main() {
@@ -73,7 +74,7 @@
         "{:>9} {:>9} {:>9} {:>10} {:>10} {:>10} {:>10}",
         "endpoints", "rate/s", "delivered", "lag p50 ms", "lag p99 ms", "stall ms", "memory MB"
     );
-    // Memory stands in the process only if each step has one.
+    // Each step runs in a process of its own, so that the memory measured is that of the step.
     for (fault, what) in [("0", "takes on, sends nothing"), ("1", "delivers all")] {
         println!("stub sender: {what}");
         for endpoints in ["200", "2000"] {
--- a/crates/rehearsal/src/capture.rs
+++ b/crates/rehearsal/src/capture.rs
@@ -1,7 +1,7 @@
-//! A tap in front of a sender that writes down what it is handed in, as a trace to replay.
+//! A proxy in front of a sender that writes a trace of the puts that pass through it, for a replay.
 //!
-//! The tap passes every byte on unchanged, both ways. Of each message it keeps class, tenant, receiver and size; of
-//! what it can't read it keeps nothing and passes it on all the same.
+//! It forwards every byte unchanged in both directions. Of each message it records class, tenant, receiver and size. A
+//! connection whose bytes it cannot parse is still forwarded, but no longer recorded.
 
 use crate::trace::{Line, MAX_LINES};
 use bytes::BytesMut;
@@ -16,19 +16,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that pass at once.
+/// Maximum number of open connections; further ones are closed.
 const MAX_CONNECTIONS: usize = 1024;
-/// What is read at a time.
+/// Size of the buffer for reads from a client.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Where a tap stands.
+/// Addresses of a capturing proxy.
 #[derive(Clone, Debug)]
 pub struct Tap {
-    /// Where clients connect to it.
+    /// Address on which clients connect to it.
     pub listen: SocketAddr,
-    /// The sender behind it.
+    /// Address of the sender that it forwards to.
     pub to: SocketAddr,
-    /// For how long it stands; until Ctrl-C if nothing is said.
+    /// How long it captures; until Ctrl-C if `None`.
     pub duration: Option<Duration>,
 }
 
@@ -53,10 +53,11 @@
     }
 }
 
-/// Stands as a tap, and writes the trace to `path`; how many messages it has seen. `ready` hears where it listens.
+/// Runs the proxy and writes the trace to `path`; returns the number of recorded messages. `ready` is called with the
+/// address on which it listens.
 ///
 /// # Errors
-/// The address can't be listened on, or the trace not be written.
+/// Fails if it cannot listen on the address or cannot write the trace.
 pub fn capture(tap: &Tap, path: &Path, ready: impl FnOnce(SocketAddr)) -> io::Result<usize> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -64,7 +65,7 @@
         ready(listener.local_addr()?);
         let (out, start) = (RefCell::new(BufWriter::new(File::create(path)?)), Instant::now());
         let trace = Rc::new(Trace { start, out, lines: Cell::new(0), failed: RefCell::default() });
-        let until = async {
+        let time_up = async {
             match tap.duration {
                 Some(duration) => tokio::time::sleep(duration).await,
                 None => std::future::pending().await,
@@ -72,7 +73,7 @@
         };
         tokio::select! {
             () = accept_connections(listener, tap.to, trace.clone()) => {}
-            () = until => {}
+            () = time_up => {}
             _ = tokio::signal::ctrl_c() => {}
         }
         if let Some(e) = trace.failed.take() {
@@ -110,7 +111,7 @@
     let (mut from_sender, mut to_sender) = sender.into_split();
     let up = async {
         let mut buffer = vec![0; READ_BUFFER_BYTES];
-        // What has come and is no whole command yet; nothing once something came that is no command.
+        // Bytes of an incomplete command; `None` once the bytes were not a valid command.
         let mut pending = Some(BytesMut::new());
         loop {
             let n = from_client.read(&mut buffer).await?;
@@ -133,7 +134,7 @@
     tokio::try_join!(up, down).map(|_| ())
 }
 
-/// Takes whole commands off what has come; false once something is no command.
+/// Removes complete commands from the buffer and records their messages; returns false if the bytes are no command.
 fn scan(buf: &mut BytesMut, trace: &Trace) -> bool {
     loop {
         match decode_command(buf) {
--- a/crates/rehearsal/src/event.rs
+++ b/crates/rehearsal/src/event.rs
@@ -1,72 +1,72 @@
-//! What can be done to the stand-ins and the senders while a rehearsal runs: on the timeline of a scenario, or
-//! by word over the control port.
+//! Events of a rehearsal: faults of the stand-ins and actions on the senders, from the timeline of a scenario or over
+//! the control port.
 
 use crate::span::{Micros, Span};
 use serde::Deserialize;
 use std::fmt;
 
-/// What to do, as it is written.
+/// Kind of an event, as the scenario names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
-    /// Receivers take calls, carry them out and answer none.
+    /// Receivers read and run calls and answer none.
     Silent,
-    /// Receivers read nothing: calls never begin.
+    /// Receivers read nothing, so that no call arrives.
     Hang,
-    /// Receivers turn every call away and tell how long they stay shut.
+    /// Receivers answer every call with 503, some with the time until the end of the event as wait.
     Shut,
     /// Receivers reset every connection.
     Down,
-    /// Receivers take so many times longer.
+    /// Receivers take `factor` times longer.
     Slow,
-    /// Receivers break a share of the connections after having carried the call out.
+    /// Receivers reset the connection of a share of the calls after having run them.
     Reset,
-    /// Receivers answer a share of the calls with an error, half of them carried out.
+    /// Receivers answer a share of the calls with an error; half of these calls run.
     Fail,
-    /// Receivers carry each call out so much later, whether or not the sender still waits.
+    /// Receivers run each call later, whether or not the sender still waits.
     Late,
-    /// Receivers turn calls away and tell senders to wait.
+    /// Receivers reject calls with 429 and the time until the end of the event as wait.
     Wait,
     /// Receivers become cold, as after an outage that no sender saw.
     Cold,
-    /// Endpoints drain and go.
+    /// Endpoints drain and are removed.
     Drain,
-    /// Endpoints drain and go, and new ones come in their place, in waves.
+    /// Endpoints drain and are removed, and new ones replace them, in waves.
     Replace,
-    /// New endpoints come beside the old ones.
+    /// New endpoints are added.
     Join,
-    /// The directory tells its changes so much later.
+    /// The directory publishes its changes later.
     DirectoryLag,
-    /// The directory says nothing.
+    /// The directory sends nothing.
     DirectorySilent,
-    /// The directory tells whole lists only, and ends the watch after each.
+    /// The directory sends complete lists only, and ends the watch after each.
     DirectorySnapshots,
-    /// The directory takes no notices: it answers them with an error.
+    /// The directory rejects notices with an error.
     DirectoryDeaf,
-    /// The directory's version goes back, as after a restore.
+    /// The directory's version decreases, as after a restore from a backup.
     DirectoryBack,
-    /// A sender is told to end, killed 3.7 s later, and started again.
+    /// A sender gets SIGTERM, SIGKILL 3.7 s later if it still runs, and is started again.
     Sigterm,
-    /// A sender is killed and started again.
+    /// A sender gets SIGKILL and is started again.
     Sigkill,
-    /// A sender is told to read its configuration again.
+    /// A sender gets SIGHUP and reads its configuration again.
     Sighup,
-    /// A sender stands still for a while.
+    /// A sender is stopped with SIGSTOP, and continued after a while.
     Sigstop,
-    /// A sender's process is replaced by another that is started beside it.
+    /// A sender's process is replaced by a new one that starts while the old one still runs.
     Upgrade,
-    /// A sender is told to empty itself, and takes clients again after a while.
+    /// A sender is put into lame duck mode, and out of it after a while.
     LameDuck,
-    /// A sender's configuration gains a class and halves the attempts, and is put back after a while.
+    /// A sender's configuration gains a class and halves the attempts, and is restored after a while.
     Retune,
-    /// A sender's configuration is replaced by one with a flaw, of which nothing may hold.
+    /// A sender's configuration is replaced by an invalid one, which it must reject as a whole.
     RetuneWrong,
-    /// So many connections that say nothing, half a command, or ask once and stay.
+    /// Many client connections that send nothing, half a command, or one PING, and stay open.
     Crowd,
 }
 
 impl EventKind {
-    /// The fields that it needs, and those that it may have beside them.
+    /// Returns the fields that the kind requires, and those that it also allows.
     fn fields(self) -> Fields {
         match self {
             EventKind::Silent | EventKind::Hang | EventKind::Shut | EventKind::Down => {
@@ -94,84 +94,84 @@
     }
 }
 
-/// An event as it is written, in a scenario or over the control port.
+/// An event as it is written in a scenario or sent over the control port.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawEvent {
-    /// When, on the timeline; over the control port it is now.
+    /// Time on the timeline; absent over the control port, where the event happens at once.
     #[serde(default)]
     pub at: Option<Span>,
-    /// What.
+    /// Kind of the event.
     #[serde(rename = "do")]
     pub kind: EventKind,
-    /// To which receiver, by number; to all where none is named.
+    /// Number of the receiver; all receivers if absent.
     #[serde(default)]
     pub receiver: Option<i64>,
-    /// To how many of its endpoints; to all where it isn't said.
+    /// How many of its endpoints are affected; all if absent.
     #[serde(default)]
     pub endpoints: Option<usize>,
-    /// For how long.
+    /// How long it lasts.
     #[serde(default, rename = "for")]
     pub duration: Option<Span>,
-    /// How many times slower.
+    /// Factor by which receivers become slower.
     #[serde(default)]
     pub factor: Option<f64>,
-    /// Which share, from 0 to 1.
+    /// Share of the calls, endpoints or senders that are affected, from 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
-    /// How much later.
+    /// Added delay.
     #[serde(default)]
     pub by: Option<Span>,
-    /// In which time.
+    /// Time over which the waves of a replacement are spread.
     #[serde(default)]
     pub over: Option<Span>,
-    /// How long a draining endpoint stays listed before it is gone.
+    /// How long a draining endpoint stays listed before it is removed.
     #[serde(default)]
     pub gone_after: Option<Span>,
-    /// To which sender, by name; to all where the deed allows it and none is named.
+    /// Name of the sender; all senders if absent.
     #[serde(default)]
     pub sender: Option<String>,
-    /// How long a sender stays away.
+    /// How long a sender stays down before it is started again.
     #[serde(default)]
     pub down: Option<Span>,
-    /// How many connections.
+    /// Number of connections to each sender.
     #[serde(default)]
     pub connections: Option<usize>,
 }
 
-/// Connections of a crowd at most, to each sender: they are this process's descriptors as well.
+/// Maximum number of crowd connections to each sender: they use descriptors of this process too.
 const MAX_CROWD_CONNECTIONS: usize = 10_000;
 
-/// Fields that are needed, and fields that may be given beside them.
+/// Fields that are required, and fields that are also allowed.
 pub(crate) type Fields = (&'static [&'static str], &'static [&'static str]);
 
-/// What is wrong with the fields that are given for something: those that mean nothing, and those that lack.
-pub(crate) fn field_problems(given: &[(&str, bool)], (needs, may): Fields, what: &str) -> Vec<String> {
-    let wrong = given.iter().filter_map(|(name, there)| {
-        if *there && !needs.contains(name) && !may.contains(name) {
-            Some(format!("'{name}' means nothing for {what}; leave it out"))
-        } else if !there && needs.contains(name) {
-            Some(format!("{what} needs '{name}'; say it"))
+/// Returns a message for each given field that is not allowed, and for each required field that is missing.
+pub(crate) fn field_problems(given: &[(&str, bool)], (required, allowed): Fields, what: &str) -> Vec<String> {
+    let problems = given.iter().filter_map(|(name, is_given)| {
+        if *is_given && !required.contains(name) && !allowed.contains(name) {
+            Some(format!("'{name}' has no meaning for {what}; remove it"))
+        } else if !is_given && required.contains(name) {
+            Some(format!("{what} needs '{name}'; add it"))
         } else {
             None
         }
     });
-    wrong.collect()
+    problems.collect()
 }
 
-/// What is known of the scenario when an event is checked.
+/// Names in the scenario that an event may refer to.
 #[derive(Clone, Copy, Debug)]
 pub struct Targets<'a> {
-    /// Receivers' numbers.
+    /// Numbers of the receivers.
     pub receivers: &'a [i64],
-    /// Senders' names.
+    /// Names of the senders.
     pub senders: &'a [String],
 }
 
 impl RawEvent {
-    /// What is wrong with it, each with the mend.
-    pub fn problems(&self, known: Targets<'_>) -> Vec<String> {
-        let mut wrong = Vec::new();
+    /// Returns all problems of the event, each with how to correct it.
+    pub fn problems(&self, targets: Targets<'_>) -> Vec<String> {
+        let mut problems = Vec::new();
         let given = [
             ("receiver", self.receiver.is_some()),
             ("endpoints", self.endpoints.is_some()),
@@ -185,61 +185,62 @@
             ("down", self.down.is_some()),
             ("connections", self.connections.is_some()),
         ];
-        wrong.extend(field_problems(&given, self.kind.fields(), &format!("'{}'", self.kind)));
-        if let Some(number) = self.receiver.filter(|n| !known.receivers.contains(n)) {
-            wrong.push(format!("there is no receiver {number}; name one of the [[receiver]] tables"));
+        problems.extend(field_problems(&given, self.kind.fields(), &format!("'{}'", self.kind)));
+        if let Some(number) = self.receiver.filter(|n| !targets.receivers.contains(n)) {
+            problems.push(format!("there is no receiver {number}; use the number of a [[receiver]]"));
         }
-        if let Some(name) = self.sender.as_ref().filter(|n| !known.senders.contains(n)) {
-            wrong.push(format!("there is no sender '{name}'; there are {}", known.senders.join(", ")));
+        if let Some(name) = self.sender.as_ref().filter(|n| !targets.senders.contains(n)) {
+            problems
+                .push(format!("there is no sender '{name}'; known senders: {}", targets.senders.join(", ")));
         }
         if self.connections.is_some_and(|n| !(1..=MAX_CROWD_CONNECTIONS).contains(&n)) {
-            wrong.push(format!("'connections' is from 1 to {MAX_CROWD_CONNECTIONS}"));
+            problems.push(format!("'connections' must be from 1 to {MAX_CROWD_CONNECTIONS}"));
         }
         if self.endpoints == Some(0) {
-            wrong.push("'endpoints' is 0; say how many, or leave it out for all".into());
+            problems.push("'endpoints' is 0; set it to 1 or more, or remove it for all".into());
         }
         if self.endpoints.is_some() && self.receiver.is_none() {
-            wrong.push("'endpoints' counts those of one receiver; say 'receiver' too".into());
+            problems.push("'endpoints' applies to one receiver; add 'receiver'".into());
         }
         if self.sender.is_some() && self.share.is_some() {
-            wrong.push("'share' is a part of all senders; say it or 'sender'".into());
+            problems.push("'share' selects a part of all senders; give either 'share' or 'sender'".into());
         }
         if self.share.is_some_and(|s| !(s > 0.0 && s <= 1.0)) {
-            wrong.push("'share' is above 0 and at most 1".into());
+            problems.push("'share' must be above 0 and at most 1".into());
         }
         if self.factor.is_some_and(|f| !(f.is_finite() && f >= 1.0)) {
-            wrong.push("'factor' is 1 or more".into());
+            problems.push("'factor' must be 1 or more".into());
         }
-        wrong
+        problems
     }
 
-    /// Whether it is for this sender: the one that it names, or of all of them its share, spread over their order.
+    /// Returns whether the event applies to a sender: the one it names, or its share of all, spread over their order.
     pub fn applies_to(&self, sender: usize, name: &str) -> bool {
         let share = self.share.unwrap_or(1.0);
         let upto = |n: usize| (n as f64 * share).floor();
         self.sender.as_ref().map_or(upto(sender + 1) > upto(sender), |named| named == name)
     }
 
-    /// How long it lasts; nothing for what is done at once.
+    /// Returns how long the event lasts; 0 for one without a duration.
     pub fn span(&self) -> Micros {
         self.duration.map_or(0, |s| s.0)
     }
 
-    /// Reads one from a line such as `slow receiver=3 for=10s factor=8`.
+    /// Parses an event from a line such as `slow receiver=3 for=10s factor=8`.
     ///
     /// # Errors
-    /// Says what can't be read, and the mend.
+    /// Describes what cannot be parsed, and how to correct it.
     pub fn from_line(line: &str) -> Result<RawEvent, String> {
         let mut words = line.split_whitespace();
         let kind = words
             .next()
-            .ok_or("an empty line; say what is to be done, such as 'slow receiver=3 for=10s factor=8'")?;
+            .ok_or("the line is empty; write an event such as 'slow receiver=3 for=10s factor=8'")?;
         let mut table = toml::Table::new();
         table.insert("do".into(), kind.into());
         for word in words {
             let (name, value) =
-                word.split_once('=').ok_or_else(|| format!("'{word}' is no name=value; write it so"))?;
-            // A number stands as one, all else as text: names of senders may look like numbers only in quotes.
+                word.split_once('=').ok_or_else(|| format!("'{word}' is not of the form name=value"))?;
+            // Numbers are passed as numbers, everything else as text; quotes keep a number-like sender name as text.
             let value = match (value.parse::<i64>(), value.parse::<f64>()) {
                 (Ok(n), _) => n.into(),
                 (_, Ok(n)) => n.into(),
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -1,8 +1,10 @@
-//! What was seen: one record a line, as JSON, in the order in which the stand-ins saw it.
+//! The history of a run: one JSON record per line, in the order in which the stand-ins recorded the events.
 //!
-//! The history is written before it is judged. It is streamed to disk by a thread of its own through a queue of
-//! [`MAX_QUEUED_RECORDS`] records, so that neither a slow disk nor a long run costs memory; a disk that can't keep up holds
-//! the rig up, which then shows as lateness and makes the run void.
+//! The history is written before it is judged. A thread of its own streams it to disk from a queue of at most
+//! [`MAX_QUEUED_RECORDS`] records, so that neither a slow disk nor a long run costs memory. A disk that can't keep up
+//! blocks the rig, which shows as lateness and makes the run void.
+//!
+//! Tags, fields and values are a stored format: a renamed member keeps its old name by an attribute.
 
 use crate::parameters::Parameters;
 use crate::span::Micros;
@@ -15,57 +17,57 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-/// Records that wait to be written: some seconds of a busy run.
+/// Capacity of the queue of records to write: some seconds of a busy run.
 pub const MAX_QUEUED_RECORDS: usize = 65_536;
-/// The history's form; a judge reads no other.
+/// Version of the history's format; only this version is read.
 pub const FORMAT: u32 = 1;
 
-/// An endpoint's standing in the directory, as a sender was told.
+/// Status of an endpoint as the directory reported it to a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointStatus {
-    /// Listed.
+    /// Listed as ready.
     Ready,
-    /// To be sent nothing new.
+    /// Draining: no new calls may be sent to it.
     Terminating,
-    /// Gone.
+    /// No longer listed.
     Gone,
 }
 
-/// What a client was answered.
+/// Result of a put for the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PutOutcome {
-    /// `+OK`.
+    /// The sender replied `+OK`.
     #[serde(rename = "taken")]
     Accepted,
-    /// `-BUSY`.
+    /// The sender replied `-BUSY`.
     Busy,
-    /// Any other line.
+    /// The sender replied with any other line.
     Failed,
-    /// Nothing within the client's patience.
+    /// No reply came within the client's patience.
     #[serde(rename = "silence")]
     TimedOut,
-    /// The connection ended with no answer, on a new connection too.
+    /// The connection ended without a reply, also on a second, new connection.
     Closed,
-    /// No connection came up.
+    /// No connection could be opened.
     Unreachable,
-    /// The client itself went away without waiting.
+    /// The client closed the connection without waiting for the reply.
     #[serde(rename = "left")]
     Abandoned,
 }
 
-/// How a message ended, as the platform was told.
+/// State of a message's end in a notice to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NoticeState {
-    /// The sender gave it up.
+    /// The sender gave the message up.
     Failed,
-    /// The sender refused it after having taken it on.
+    /// The sender refused the message after having accepted it.
     Returned,
 }
 
-/// Who ended a connection on which a call was open.
+/// Which side closed a connection while a call was open on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClosedBy {
@@ -75,11 +77,11 @@
     Receiver,
 }
 
-/// What was done to a sender's process.
+/// A signal sent to a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Signal {
-    /// SIGTERM, with SIGKILL to follow.
+    /// SIGTERM, followed by SIGKILL if the process does not end in time.
     Term,
     /// SIGKILL.
     Kill,
@@ -91,269 +93,273 @@
     Cont,
 }
 
-/// One message of a call.
+/// One message of a call, as the receiver saw it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item {
-    /// Its id.
+    /// The message's id.
     pub id: String,
-    /// Its idempotency key.
+    /// Its idempotency key, if it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
 }
 
-/// What was seen.
+/// An event of the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ev", rename_all = "kebab-case")]
 pub enum Event {
-    /// The history's first record.
+    /// First record of the history: the parameters of the run.
     Run {
-        /// [`FORMAT`].
+        /// Format version, [`FORMAT`].
         format: u32,
-        /// What the verdict depends on.
+        /// Everything of the scenario that the verdict depends on.
         #[serde(rename = "facts")]
         parameters: Box<Parameters>,
     },
-    /// An endpoint exists from now on.
+    /// An endpoint was opened.
     Endpoint {
-        /// Its name.
+        /// Name of the endpoint.
         endpoint: String,
-        /// Its receiver's number.
+        /// Number of its receiver.
         receiver: i64,
-        /// Its building.
+        /// Its zone.
         zone: String,
     },
     /// A sender answered `PING`.
     Ready {
-        /// Its index.
+        /// Index of the sender.
         sender: usize,
     },
     /// A sender was sent a signal.
     Signal {
-        /// Its index.
+        /// Index of the sender.
         sender: usize,
-        /// Which.
+        /// The signal.
         signal: Signal,
     },
     /// A sender's process ended.
     Exited {
-        /// Its index.
+        /// Index of the sender.
         sender: usize,
-        /// A signal of the rehearsal's had ended it.
+        /// Whether a signal of the rehearsal ended it.
         planned: bool,
-        /// How, in words.
+        /// Exit status, in words.
         how: String,
     },
-    /// A client handed a message in.
+    /// A client put a message.
     Offer {
-        /// To which sender, by index.
+        /// Index of the sender.
         sender: usize,
-        /// The message's id, new each time.
+        /// Id of the message, another one for each put.
         id: String,
-        /// The id under which it was handed in first.
+        /// Id under which it was put first.
         origin: String,
-        /// How often it had been handed in before.
+        /// How often it had been put before.
         #[serde(rename = "again")]
         retries: u32,
-        /// Its class, by index.
+        /// Index of the class.
         class: usize,
-        /// Its tenant, by index.
+        /// Index of the tenant.
         tenant: usize,
-        /// Its receiver's number.
+        /// Number of the receiver.
         receiver: i64,
-        /// Its idempotency key.
+        /// Its idempotency key, if it has one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         key: Option<String>,
-        /// What it is about, in a class that keeps order.
+        /// Its order key, in an ordered class.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         order: Option<String>,
-        /// How long it may still be delivered.
+        /// Time left until its deadline.
         #[serde(rename = "left")]
         time_left: Micros,
-        /// When the plan had it handed in.
+        /// When the plan had it put first.
         due: Micros,
     },
-    /// What a client heard of it.
+    /// A client's put ended.
     Reply {
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// What.
+        /// Result of the put.
         answered: PutOutcome,
-        /// When it was told to come again, in milliseconds.
+        /// The retry-after of the reply, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         after_ms: Option<u64>,
     },
-    /// The platform was told a message's end.
+    /// The platform received the notice of a message's end.
     Notice {
-        /// By which sender, by index.
+        /// Index of the sender.
         sender: usize,
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// Its end.
+        /// State of its end.
         state: NoticeState,
-        /// When its client is to come again, in milliseconds.
+        /// The retry-after for its client, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         after_ms: Option<u64>,
     },
-    /// The directory told a sender of endpoints.
+    /// The directory sent a sender endpoints and their status.
     #[serde(rename = "told")]
     Listing {
-        /// Which sender, by index.
+        /// Index of the sender.
         sender: usize,
-        /// The list's version.
+        /// Version of the list.
         index: u64,
-        /// It was the whole list.
+        /// Whether it was the complete list and not a change.
         #[serde(rename = "whole")]
         complete: bool,
-        /// Endpoints and their standing.
-        lines: Vec<(String, EndpointStatus)>,
+        /// Endpoints by name, with their status.
+        #[serde(rename = "lines")]
+        endpoints: Vec<(String, EndpointStatus)>,
     },
-    /// A call's last byte came.
+    /// The last byte of a call arrived at a receiver.
     Call {
-        /// Its number.
+        /// Number of the call.
         call: u64,
-        /// From which sender, by index.
+        /// Index of the sender.
         sender: usize,
-        /// To which endpoint.
+        /// Name of the endpoint.
         endpoint: String,
-        /// When its first byte came.
+        /// When its first byte arrived.
         #[serde(rename = "first")]
         first_byte: Micros,
-        /// It was the first on its connection.
+        /// Whether it was the first call on its connection.
         #[serde(rename = "fresh")]
         new_connection: bool,
-        /// It was a call of several messages.
+        /// Whether it was a batch call.
         batch: bool,
         /// Its messages.
         items: Vec<Item>,
     },
-    /// A connection broke before a call's last byte had come.
+    /// A call started to arrive whose last byte never did.
     Partial {
-        /// From which sender, by index.
+        /// Index of the sender.
         sender: usize,
-        /// At which endpoint.
+        /// Name of the endpoint.
         endpoint: String,
     },
-    /// A message was handled by a receiver.
+    /// A receiver ran a message.
     Ran {
-        /// The call that carried it.
+        /// Number of the call that carried it.
         call: u64,
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// Its key was remembered, so that it took no effect.
+        /// Whether it took no effect since the receiver remembered its key.
         dropped: bool,
     },
-    /// A call was answered.
+    /// A receiver answered a call.
     Answer {
-        /// The call.
+        /// Number of the call.
         call: u64,
         /// The HTTP status.
         status: u16,
-        /// The wait that it told, in milliseconds; 0 if none.
+        /// The wait that the answer advertised, in milliseconds; 0 if none.
         #[serde(default)]
         wait_ms: u32,
-        /// In a call of several: each message's state, in the order of its items.
+        /// State of each message in the order of the items, in a batch call.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         states: Option<Vec<String>>,
     },
-    /// A call's connection ended with no answer.
+    /// A call's connection ended without an answer.
     #[serde(rename = "broke")]
     Disconnected {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// Who ended it.
+        /// Which side ended it.
         by: ClosedBy,
     },
-    /// An endpoint turned a sender's connection away.
+    /// An endpoint refused a sender's connection.
     Refused {
-        /// Which sender, by index.
+        /// Index of the sender.
         sender: usize,
-        /// Which endpoint.
+        /// Name of the endpoint.
         endpoint: String,
     },
     /// A sender probed an endpoint.
     Probe {
-        /// Which sender, by index.
+        /// Index of the sender.
         sender: usize,
-        /// Which endpoint.
+        /// Name of the endpoint.
         endpoint: String,
-        /// What it was answered; 0 if nothing.
+        /// HTTP status of the answer; 0 if there was none.
         status: u16,
     },
-    /// A receiver, or a route of one whose routes are apart, went into an outage.
+    /// An outage of a receiver, or of one of its separate routes, began.
     Down {
-        /// Its number.
+        /// Number of the receiver.
         receiver: i64,
-        /// The route, where routes are apart.
+        /// The route, where routes are separate.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         endpoint: Option<String>,
     },
-    /// It came back, cold.
+    /// A receiver or route came back from an outage, cold.
     Back {
-        /// Its number.
+        /// Number of the receiver.
         receiver: i64,
-        /// The route, where routes are apart.
+        /// The route, where routes are separate.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         endpoint: Option<String>,
     },
-    /// It was pushed over and stays down.
+    /// A cold receiver or route was overloaded and stays down.
     #[serde(rename = "fell")]
     Overloaded {
-        /// Its number.
+        /// Number of the receiver.
         receiver: i64,
-        /// The route, where routes are apart.
+        /// The route, where routes are separate.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         endpoint: Option<String>,
     },
-    /// Something of the timeline, for the pictures.
+    /// An event of the timeline, for the charts.
     Mark {
-        /// In words.
+        /// The event, in words.
         text: String,
     },
-    /// How late the rig itself ran since the last such record.
+    /// Lateness of the rig's own timers since the last record of this kind.
     Lag {
-        /// The longest that a timer of its own was late.
+        /// Longest delay of such a timer.
         max_us: Micros,
     },
-    /// The history's last record: nothing more was owed, or its time was up.
+    /// Last record of the history: all messages had ended, or their time was up.
     #[serde(rename = "over")]
     End,
 }
 
-/// A record.
+/// An event with the time at which it was recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When it was seen.
+    /// When the event was recorded.
     pub t: Micros,
-    /// What was seen.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// A history that can't be read.
+/// A history that cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
-    /// The file can't be read.
-    #[error("{}: {error}", path.display())]
+    /// The file cannot be read.
+    #[error("cannot read history {}: {error}", path.display())]
     Io {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// A line is no record.
-    #[error("{}: line {line}: {error}; a history is written by 'rehearse run' and not by hand", path.display())]
+    /// A line is not a valid record.
+    #[error(
+        "{}: line {line} is not a valid record: {error}; use the file that 'rehearse run' wrote, unchanged",
+        path.display()
+    )]
     Line {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line's number, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// What is wrong.
+        /// The cause.
         error: serde_json::Error,
     },
-    /// It does not begin as one of this form does.
-    #[error("{}: the first line is no 'run' record of format {FORMAT}; record the run again", path.display())]
+    /// The first line is not a `run` record of the supported format.
+    #[error("{}: the first line is not a 'run' record of format {FORMAT}; record the run again", path.display())]
     Format {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
     },
 }
@@ -361,7 +367,7 @@
 /// Reads a history from a file.
 ///
 /// # Errors
-/// Names the file, and the line that can't be read.
+/// Fails if the file cannot be read or a line is not a valid record; the error names the file and the line.
 pub fn read(path: &Path) -> Result<Vec<Record>, HistoryError> {
     let io = |error| HistoryError::Io { path: path.into(), error };
     let mut records = Vec::new();
@@ -379,7 +385,7 @@
     }
 }
 
-/// Takes records down, each with its time.
+/// Writes records with their times to the history's file.
 #[derive(Debug)]
 pub struct Recorder {
     start: Instant,
@@ -388,10 +394,10 @@
 }
 
 impl Recorder {
-    /// Begins a history in a new file.
+    /// Starts a history in a new file.
     ///
     /// # Errors
-    /// The file can't be made.
+    /// Fails if the file or the writer's thread cannot be created.
     pub fn create(path: &Path) -> io::Result<Recorder> {
         let out = BufWriter::new(File::create(path)?);
         let (queue, records) = sync_channel(MAX_QUEUED_RECORDS);
@@ -401,42 +407,42 @@
         Ok(Recorder { start: Instant::now(), queue, writer })
     }
 
-    /// Microseconds since the run began.
+    /// Returns the microseconds since the run began.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// When a time of the run is.
+    /// Converts a time of the run to an instant of the runtime's clock.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         (self.start + crate::span::duration(at)).into()
     }
 
-    /// Takes down what is seen now; the time at which it was.
+    /// Records an event that happens now; returns its time.
     pub fn record(&self, event: Event) -> Micros {
         let t = self.now();
         if let Some(queue) = &*self.queue.borrow() {
-            // The writer ends early only with an error, which `close` tells.
+            // The writer ends early only with an error, which `close` returns.
             _ = queue.send(Record { t, event });
         }
         t
     }
 
-    /// Ends the history and waits until it is written.
+    /// Ends the history and waits until it is written to the file.
     ///
     /// # Errors
-    /// It could not be written whole.
+    /// Fails if not all records could be written.
     pub fn close(&self) -> io::Result<()> {
         self.queue.take();
         match self.writer.take().map(JoinHandle::join) {
             Some(Ok(result)) => result,
-            Some(Err(_)) => Err(io::Error::other("the history's writer broke off")),
+            Some(Err(_)) => Err(io::Error::other("the thread that writes the history panicked")),
             None => Ok(()),
         }
     }
 }
 
 impl Drop for Recorder {
-    /// What was seen before a rehearsal broke off is evidence too.
+    /// Writes what is queued, so that an aborted rehearsal still leaves its evidence.
     fn drop(&mut self) {
         _ = self.close();
     }
--- a/crates/rehearsal/src/html/even.rs
+++ b/crates/rehearsal/src/html/even.rs
@@ -1,5 +1,5 @@
-//! A picture of how even each receiver's load was: a row for each endpoint, a column for each second, and how far its
-//! calls lay from the mean of that second's.
+//! A heat map of each receiver's load: a row for each endpoint, a column for each second, shaded by its calls over the
+//! mean of that second.
 
 use super::escape;
 use crate::judge::{Evenness, Table};
@@ -7,17 +7,18 @@
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 
-/// Receivers that get a picture: those with the most calls.
+/// Receivers with a heat map: those with the most calls.
 const MAX_PICTURES: usize = 8;
-/// Endpoints that get a row of their own; further ones are left out.
+/// Endpoints with a row; further ones are left out.
 const MAX_ROWS: usize = 60;
-const ROW: u32 = 14;
-/// A column is so long.
-const COLUMN: Micros = 1_000_000;
-/// So many times the mean has the darkest colour.
-const DARKEST: f64 = 3.0;
+/// Height of a row in pixels.
+const ROW_HEIGHT: u32 = 14;
+/// Time that a column covers.
+const COLUMN_US: Micros = 1_000_000;
+/// Calls over the mean from which on a cell has the strongest colour.
+const DARKEST_TIMES_MEAN: f64 = 3.0;
 
-/// The section of the page; nothing where no receiver has several endpoints.
+/// Returns the section of the page; empty if no receiver has several endpoints.
 pub(super) fn section(table: &Table, all: &[Evenness]) -> Result<String, String> {
     if all.is_empty() {
         return Ok(String::new());
@@ -32,8 +33,8 @@
     }
     let mut busiest: Vec<&Evenness> = all.iter().collect();
     busiest.sort_by_key(|e| {
-        let many: usize = calls.get(&e.receiver).map_or(0, |c| c.values().map(Vec::len).sum());
-        (std::cmp::Reverse(many), e.receiver)
+        let total_calls: usize = calls.get(&e.receiver).map_or(0, |c| c.values().map(Vec::len).sum());
+        (std::cmp::Reverse(total_calls), e.receiver)
     });
     let mut out = String::from(
         "<h2>Evenness</h2><p>A row for each endpoint, a column for each second. White had no call, grey a mean part of \
@@ -41,7 +42,8 @@
     );
     for e in busiest.iter().take(MAX_PICTURES) {
         let Some(rows) = calls.get(&e.receiver) else { continue };
-        let svg = picture(rows, table.end).map_err(|error| format!("evenness of {}: {error}", e.receiver))?;
+        let svg =
+            draw_heat_map(rows, table.end).map_err(|error| format!("evenness of {}: {error}", e.receiver))?;
         let figures = e.spreads.iter().filter_map(|s| {
             let (busiest, idlest) = (s.busiest?, s.idlest?);
             let window = s.window as f64 / 1e6;
@@ -63,15 +65,18 @@
     Ok(out)
 }
 
-fn picture(rows: &BTreeMap<&str, Vec<Micros>>, end: Micros) -> Result<String, Box<dyn std::error::Error>> {
-    let columns = (end / COLUMN + 1).max(1) as usize;
+fn draw_heat_map(
+    rows: &BTreeMap<&str, Vec<Micros>>,
+    end: Micros,
+) -> Result<String, Box<dyn std::error::Error>> {
+    let columns = (end / COLUMN_US + 1).max(1) as usize;
     let mut counts: Vec<(&str, Vec<f64>)> = Vec::new();
     for (name, calls) in rows.iter().take(MAX_ROWS) {
         let mut row = vec![0.0; columns];
-        calls.iter().for_each(|t| row[((t / COLUMN).max(0) as usize).min(columns - 1)] += 1.0);
+        calls.iter().for_each(|t| row[((t / COLUMN_US).max(0) as usize).min(columns - 1)] += 1.0);
         counts.push((name, row));
     }
-    let height = 34 + ROW * counts.len() as u32;
+    let height = 34 + ROW_HEIGHT * counts.len() as u32;
     let names: Vec<String> = counts.iter().map(|(name, _)| (*name).to_string()).collect();
     let mut svg = String::new();
     {
@@ -87,12 +92,12 @@
         mesh.disable_mesh().x_desc("s").y_labels(names.len()).y_label_formatter(&label).draw()?;
         for column in 0..columns {
             let sum: f64 = counts.iter().map(|(_, row)| row[column]).sum();
-            let there = counts.iter().filter(|(_, row)| row.iter().any(|c| *c > 0.0)).count().max(1);
-            let mean = (sum / there as f64).max(f64::MIN_POSITIVE);
+            let active = counts.iter().filter(|(_, row)| row.iter().any(|c| *c > 0.0)).count().max(1);
+            let mean = (sum / active as f64).max(f64::MIN_POSITIVE);
             let cells = counts.iter().enumerate().filter(|(_, (_, row))| row[column] > 0.0);
             chart.draw_series(cells.map(|(n, (_, row))| {
-                let place = [(column as f64, n as f64), (column as f64 + 1.0, n as f64 + 0.9)];
-                Rectangle::new(place, shade(row[column] / mean).filled())
+                let cell = [(column as f64, n as f64), (column as f64 + 1.0, n as f64 + 0.9)];
+                Rectangle::new(cell, shade(row[column] / mean).filled())
             }))?;
         }
         area.present()?;
@@ -100,11 +105,11 @@
     Ok(svg)
 }
 
-/// From light grey over slate at twice the mean to red.
+/// Returns a cell's colour: light grey to dark, and red from [`DARKEST_TIMES_MEAN`] on.
 fn shade(times: f64) -> RGBColor {
-    if times >= DARKEST {
+    if times >= DARKEST_TIMES_MEAN {
         return super::CRIMSON;
     }
-    let level = (235.0 - 180.0 * times / DARKEST).clamp(0.0, 255.0) as u8;
+    let level = (235.0 - 180.0 * times / DARKEST_TIMES_MEAN).clamp(0.0, 255.0) as u8;
     RGBColor(level, level, level.saturating_add(12))
 }
--- a/crates/rehearsal/src/html/mod.rs
+++ b/crates/rehearsal/src/html/mod.rs
@@ -1,4 +1,4 @@
-//! The report as one HTML page that needs nothing beside it: the text's figures, and pictures as SVG.
+//! The report as a self-contained HTML page: the text report, with charts as SVG.
 
 mod even;
 mod returns;
@@ -9,10 +9,11 @@
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 
+/// Size of a chart in pixels.
 const SIZE: (u32, u32) = (900, 260);
-/// Receivers that get a picture of their own: those with the most calls.
+/// Receivers with a chart of their own: those with the most calls.
 const MAX_LISTED_RECEIVERS: usize = 8;
-/// Marks that are named in a picture; the rest are lines only.
+/// Marks that are labelled in a chart; further ones are lines only.
 const MAX_LABELLED_MARKS: usize = 24;
 
 pub(crate) const GREEN: RGBColor = RGBColor(46, 125, 50);
@@ -20,24 +21,24 @@
 pub(crate) const CRIMSON: RGBColor = RGBColor(183, 28, 28);
 pub(crate) const SLATE: RGBColor = RGBColor(55, 71, 79);
 
-/// A line of a picture: its name, its colour, and a value for each second.
+/// A line of a chart: its name, its colour, and a value for each second.
 struct Line {
     name: String,
     colour: RGBColor,
     values: Vec<f64>,
 }
 
-/// The page.
+/// Returns the page.
 ///
 /// # Errors
-/// A picture can't be drawn; says which and why.
+/// Fails if a chart cannot be drawn; names the chart and the cause.
 pub fn page(report: &Report, table: &Table) -> Result<String, String> {
     let seconds = (table.end / 1_000_000 + 1) as usize;
-    let mut pictures = String::new();
+    let mut charts = String::new();
     let mut add = |title: &str, lines: Vec<Line>, limit: Option<f64>| -> Result<(), String> {
-        let svg = picture(&lines, limit, seconds, &table.marks).map_err(|e| format!("{title}: {e}"))?;
+        let svg = draw_chart(&lines, limit, seconds, &table.marks).map_err(|e| format!("{title}: {e}"))?;
         let legend = legend(lines.iter().map(|l| (l.name.as_str(), l.colour)));
-        pictures += &format!("<h3>{}</h3><p class=\"legend\">{legend}</p>{svg}", escape(title));
+        charts += &format!("<h3>{}</h3><p class=\"legend\">{legend}</p>{svg}", escape(title));
         Ok(())
     };
     add("Messages a second, by when they were handed in first", offered(table, seconds), None)?;
@@ -49,7 +50,7 @@
         Some(f64::from(slots)),
     )?;
     let room: u32 = table.parameters.senders.iter().map(|s| s.max_open).sum();
-    add(&format!("Messages held, all senders (room for {room})"), held(table, seconds), None)?;
+    add(&format!("Messages held, all senders (room for {room})"), open_messages(table, seconds), None)?;
     let mut busiest: Vec<_> = report.receivers.iter().collect();
     busiest.sort_by_key(|r| (std::cmp::Reverse(r.calls), r.number));
     for r in busiest.iter().take(MAX_LISTED_RECEIVERS) {
@@ -96,7 +97,7 @@
          .legend{{margin:0}}h3{{margin:1.4em 0 .2em}}svg{{max-width:100%;height:auto}}</style></head><body>\
          <h1>Rehearsal of {name}</h1><p>Seed {seed}, {length:.1} s, {messages} messages. \
          Service <b>{figure:.4}</b>.</p>{void}<h2>The six rules</h2><table>{rules}</table>\
-         {returns}{even}<h2>Pictures</h2><p>Grey lines are events of the timeline, numbered as below.</p>{pictures}\
+         {returns}{even}<h2>Pictures</h2><p>Grey lines are events of the timeline, numbered as below.</p>{charts}\
          <h2>Timeline</h2><table>{marks}</table><h2>All figures</h2><pre>{text}</pre></body></html>\n",
         name = escape(&report.scenario),
         seed = report.seed,
@@ -111,7 +112,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// What each colour of a picture stands for.
+/// Returns a legend of the names in their lines' colours.
 pub(crate) fn legend<'a>(lines: impl Iterator<Item = (&'a str, RGBColor)>) -> String {
     let entry = |(name, RGBColor(r, g, b))| {
         format!("<span style=\"color:rgb({r},{g},{b})\">&#9632; {}</span> ", escape(name))
@@ -164,14 +165,14 @@
     table.parameters.classes.iter().enumerate().map(class).collect()
 }
 
-/// The most that were open in each second, of spans from and to.
+/// Returns the maximum number of spans that were open in each second.
 fn at_once(spans: impl Iterator<Item = (Micros, Micros)>, seconds: usize) -> Vec<f64> {
     let mut steps: Vec<(Micros, i64)> = spans.flat_map(|(a, b)| [(a, 1), (b, -1)]).collect();
     steps.sort_unstable();
     let (mut values, mut open, mut at) = (vec![0.0; seconds], 0, 0);
     for (t, step) in steps {
         let now = second(t).min(seconds - 1);
-        // What was open goes on through the seconds in which nothing changed.
+        // The number stays through the seconds in which nothing changes.
         while at < now {
             at += 1;
             values[at] = open as f64;
@@ -187,10 +188,10 @@
     vec![Line { name: "calls out".into(), colour: SLATE, values: at_once(spans, seconds) }]
 }
 
-fn held(table: &Table, seconds: usize) -> Vec<Line> {
+fn open_messages(table: &Table, seconds: usize) -> Vec<Line> {
     let spans = table.messages.iter().filter_map(|m| {
-        let told = m.notices.iter().map(|n| n.0).min();
-        let end = told.into_iter().chain(table.delivered(m)).min().unwrap_or(table.end);
+        let notified = m.notices.iter().map(|n| n.0).min();
+        let end = notified.into_iter().chain(table.delivered(m)).min().unwrap_or(table.end);
         Some((m.accepted()?, end))
     });
     vec![Line { name: "messages held".into(), colour: SLATE, values: at_once(spans, seconds) }]
@@ -212,13 +213,13 @@
     lines
 }
 
-fn picture(
+fn draw_chart(
     lines: &[Line],
     limit: Option<f64>,
     seconds: usize,
     marks: &[(Micros, String)],
 ) -> Result<String, Box<dyn std::error::Error>> {
-    let most = lines.iter().flat_map(|l| &l.values).copied().chain(limit).fold(1.0, f64::max) * 1.08;
+    let max = lines.iter().flat_map(|l| &l.values).copied().chain(limit).fold(1.0, f64::max) * 1.08;
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -227,14 +228,14 @@
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(52)
-            .build_cartesian_2d(0.0..seconds as f64, 0.0..most)?;
+            .build_cartesian_2d(0.0..seconds as f64, 0.0..max)?;
         chart.configure_mesh().light_line_style(RGBColor(240, 240, 240)).x_desc("s").draw()?;
         for (n, (t, _)) in marks.iter().enumerate() {
             let x = *t as f64 / 1e6;
-            chart.draw_series(LineSeries::new([(x, 0.0), (x, most)], RGBColor(170, 170, 170)))?;
+            chart.draw_series(LineSeries::new([(x, 0.0), (x, max)], RGBColor(170, 170, 170)))?;
             if n < MAX_LABELLED_MARKS {
                 let style = ("sans-serif", 11).into_font().color(&RGBColor(110, 110, 110));
-                chart.draw_series([Text::new((n + 1).to_string(), (x, most), style)])?;
+                chart.draw_series([Text::new((n + 1).to_string(), (x, max), style)])?;
             }
         }
         if let Some(limit) = limit {
--- a/crates/rehearsal/src/html/returns.rs
+++ b/crates/rehearsal/src/html/returns.rs
@@ -1,22 +1,23 @@
-//! A picture of each return: what all senders sent a receiver that was back and cold, against what it could take, and
-//! below it which sender sent what.
+//! A chart of each return: the load of all senders on a returning receiver against its overload limit, and below it
+//! the calls of each sender.
 
 use super::{AMBER, CRIMSON, GREEN, SLATE, escape};
 use crate::judge::{ArrivalEnd, Return, Table, returns};
 use crate::span::Micros;
 use plotters::prelude::*;
 
-/// Pictures on a page; a run with more names the rest in its figures only.
+/// Charts on a page; further returns are in the tables only.
 const MAX_PICTURES: usize = 24;
+/// Size of a chart in pixels.
 const SIZE: (u32, u32) = (900, 420);
-/// Senders that get a row of their own; the rest share the last.
+/// Senders with a row of their own; the rest share the last.
 const MAX_ROWS: usize = 100;
-/// A picture begins so long before the return ...
-const BEFORE: Micros = 1_000_000;
-/// ... and ends so long after the receiver is warm.
-const AFTER: Micros = 500_000;
+/// Time before the return at which a chart starts.
+const LEAD_US: Micros = 1_000_000;
+/// Time after the receiver is warm at which a chart ends.
+const TRAIL_US: Micros = 500_000;
 
-/// The section of the page; nothing where nothing returned.
+/// Returns the section of the page; empty if nothing returned.
 pub(super) fn section(table: &Table) -> Result<String, String> {
     let all = returns(table);
     if all.is_empty() {
@@ -29,9 +30,9 @@
     );
     for (n, r) in all.iter().take(MAX_PICTURES).enumerate() {
         let name = r.route.clone().unwrap_or_else(|| r.receiver.to_string());
-        let svg = picture(table, r).map_err(|e| format!("return of {name}: {e}"))?;
+        let svg = draw_chart(table, r).map_err(|e| format!("return of {name}: {e}"))?;
         let peak = r.peak().map_or(0.0, |p| p.share());
-        // The pages after the first are folded up: a run may have many.
+        // Only the first chart is unfolded: a run may have many.
         let open = if n == 0 { " open" } else { "" };
         let (name, at) = (escape(&name), r.back as f64 / 1e6);
         out += &format!(
@@ -48,17 +49,17 @@
     Ok(out)
 }
 
-fn picture(table: &Table, r: &Return) -> Result<String, Box<dyn std::error::Error>> {
+fn draw_chart(table: &Table, r: &Return) -> Result<String, Box<dyn std::error::Error>> {
     let warm = table.receiver(r.receiver).map_or(0, |x| x.warm_up);
-    let (from, to) = (-(BEFORE as f64) / 1e6, (warm + AFTER) as f64 / 1e6);
+    let (from, to) = (-(LEAD_US as f64) / 1e6, (warm + TRAIL_US) as f64 / 1e6);
     let s = |t: Micros| (t - r.back) as f64 / 1e6;
     let step = (warm / 100).max(1);
     let limit = |share: f64| -> Vec<(f64, f64)> {
         let at = |n: Micros| (n * step) as f64 / 1e6;
         (0..=100).map(|n| (at(n), share * r.overload_limit(table, n * step))).collect()
     };
-    let most = limit(1.0).iter().map(|p| p.1).fold(1.0, f64::max);
-    let most = r.loads.iter().map(|l| l.sent).fold(most, f64::max) * 1.05;
+    let max = limit(1.0).iter().map(|p| p.1).fold(1.0, f64::max);
+    let max = r.loads.iter().map(|l| l.sent).fold(max, f64::max) * 1.05;
     let rows = table.parameters.senders.len().clamp(1, MAX_ROWS);
     let mut svg = String::new();
     {
@@ -69,13 +70,13 @@
             .margin(6)
             .x_label_area_size(20)
             .y_label_area_size(52)
-            .build_cartesian_2d(from..to, 0.0..most)?;
+            .build_cartesian_2d(from..to, 0.0..max)?;
         chart.configure_mesh().light_line_style(RGBColor(240, 240, 240)).y_desc("load").draw()?;
         chart.draw_series(LineSeries::new(limit(1.0), CRIMSON.stroke_width(2)))?;
         for dash in limit(0.85).chunks(4).filter_map(|c| c.get(..2)) {
             chart.draw_series(LineSeries::new(dash.iter().copied(), CRIMSON))?;
         }
-        // The load stands between calls until the oldest leaves the window; steps are near enough to read it by.
+        // The load is drawn as steps at arrivals only: that it also falls when one leaves the window is left out.
         let mut line: Vec<(f64, f64)> = Vec::new();
         for l in &r.loads {
             line.extend(line.last().map(|(_, y)| (s(l.t), *y)));
@@ -104,10 +105,10 @@
         };
         let calls = table.calls.values().filter(here);
         let before =
-            calls.filter(|c| c.t <= r.back && c.t > r.back - BEFORE).map(|c| (c.t, c.sender, CRIMSON));
-        let after = r.arrivals.iter().filter(|p| p.t <= r.back + warm + AFTER);
-        let dots = before.chain(after.map(|p| (p.t, p.sender, colour(p.end))));
-        chart.draw_series(dots.map(|(t, sender, colour)| {
+            calls.filter(|c| c.t <= r.back && c.t > r.back - LEAD_US).map(|c| (c.t, c.sender, CRIMSON));
+        let after = r.arrivals.iter().filter(|p| p.t <= r.back + warm + TRAIL_US);
+        let points = before.chain(after.map(|p| (p.t, p.sender, colour(p.end))));
+        chart.draw_series(points.map(|(t, sender, colour)| {
             let y = sender.min(rows - 1) as f64 + 0.5;
             Circle::new((s(t), y), 2, colour.filled())
         }))?;
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -126,7 +126,7 @@
             || self.notices.iter().any(|n| n.1 == NoticeState::Returned)
     }
 
-    /// Returns whether its client got no usable reply. The client then puts it again under another id, and the outcome
+    /// Returns whether its client got no reply. The client then puts it again under another id, and the outcome
     /// under this one does not count.
     pub fn unacknowledged(&self) -> bool {
         matches!(
@@ -336,14 +336,14 @@
                     m.notices.push((t, *state));
                 }
             }
-            Event::Listing { sender, complete, lines, .. } => {
+            Event::Listing { sender, complete, endpoints, .. } => {
                 let Some(known) = listed.get_mut(*sender) else { return };
                 let mut changes: Vec<(String, EndpointStatus)> = Vec::new();
                 if *complete {
-                    let gone = known.keys().filter(|n| !lines.iter().any(|(name, _)| name == *n));
+                    let gone = known.keys().filter(|n| !endpoints.iter().any(|(name, _)| name == *n));
                     changes.extend(gone.map(|n| (n.clone(), EndpointStatus::Gone)));
                 }
-                changes.extend(lines.iter().cloned());
+                changes.extend(endpoints.iter().cloned());
                 for (name, standing) in changes {
                     // A repeated status is no change: a grace runs from the first notification.
                     if known.insert(name.clone(), standing) != Some(standing) {
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,14 +1,12 @@
 //! # embershore-rehearsal
 //!
-//! Rehearses an evening without any partner's part in it. [`scenario`] reads the file in which an operator
-//! describes the evening, [`plan`] makes the traffic of it, [`rig`] starts stand-in receivers, a directory and
-//! clients on loopback around real senders and takes down all that they see as a [`history`], and [`judge`], which
-//! knows nothing of the sender, says of that history which of the six rules were kept and what service came of it.
-//! [`report`] and [`html`] put that into words and pictures.
+//! Rehearses a scenario with stand-ins for all outside parties. [`scenario`] reads the file in which an operator
+//! describes it, [`plan`] derives its traffic, [`rig`] starts stand-in receivers, a directory and clients on loopback
+//! around real senders and records all that they see as a [`history`], and [`judge`], which knows nothing of the
+//! sender's internals, derives from that history which of the six rules were kept and how good the service was.
+//! [`report`] and [`html`] present that as text and charts.
 //!
-//! Scenario, plan, history and judge do no I/O beside reading and writing their files.
-
-#![warn(missing_docs)]
+//! Scenario, plan, history and judge do no I/O beyond reading and writing their files.
 #![forbid(unsafe_code)]
 
 pub mod capture;
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -1,5 +1,5 @@
-//! Many runs side by side: scenarios by number of senders by seed, as a table and as a page with pictures. It makes
-//! figures of reports and does no I/O.
+//! Aggregates the reports of many runs by scenario and number of senders, as a table and as a page with charts. It does
+//! no I/O.
 
 use crate::html::{AMBER, CRIMSON, GREEN, SLATE, escape, legend};
 use crate::judge::{Rule, Spread, Verdict};
@@ -10,61 +10,61 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Which run.
+/// Identifies a run of a matrix.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cell {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
     /// Number of senders.
     pub senders: usize,
-    /// The seed.
+    /// Seed.
     pub seed: u64,
 }
 
 impl Cell {
-    /// The name of the folder that its evidence lies in.
+    /// Returns the name of the folder for its evidence.
     pub fn folder(&self) -> String {
         format!("{}-n{}-s{}", self.scenario, self.senders, self.seed)
     }
 }
 
-/// What came of all runs of a scenario with one number of senders.
+/// Aggregate of all runs of a scenario with the same number of senders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
     /// Number of senders.
     pub senders: usize,
-    /// Runs that count.
+    /// Number of runs that are not void.
     pub runs: usize,
-    /// Runs on which the rig itself was late.
+    /// Number of void runs, on which the rig itself was late.
     pub void: usize,
-    /// Rules that were broken, with how many runs broke each.
+    /// Broken rules, with the number of runs that broke each.
     pub broken: BTreeMap<String, usize>,
-    /// The service: least, mean and most.
+    /// Service score: minimum, mean and maximum.
     pub service: [f64; 3],
-    /// The highest share reached of what pushes a returning receiver over: mean and most.
+    /// Highest load on a returning receiver as a share of its overload limit: mean and maximum over the runs.
     pub share_of_fall: [f64; 2],
-    /// The mean time from a return to half of the usual load, and to nine tenths, in seconds; nothing if never.
+    /// Mean time in seconds from a return to half of the usual load, and to nine tenths; `None` if one never reached it.
     pub back: [Option<f64>; 2],
     /// Shares of messages that were late, refused in the end, and failed.
     pub late_refused_failed: [f64; 3],
-    /// New connections for each message.
+    /// New connections per message.
     pub connections: f64,
-    /// Refused calls for each message.
+    /// Refused calls per message.
     pub refused_calls: f64,
-    /// Over 10 s, the mean over runs of the worst receiver: its busiest endpoint over the mean, its idlest, and the
-    /// variance over a random choice's; nothing where no receiver has several endpoints and calls enough to say.
+    /// Mean over the runs of the worst receiver's evenness in windows of 10 s: busiest endpoint over the mean, idlest
+    /// over the mean, and variance over that of random choices; `None` if no receiver has enough endpoints and calls.
     #[serde(default)]
     pub uneven: [Option<f64>; 3],
-    /// Half and nine in ten of the delivered messages took no longer, in ms: the mean over runs.
+    /// Median and 90th percentile of the latency in ms: means over the runs.
     #[serde(default)]
     pub latency_ms: [f64; 2],
-    /// For each rule with a margin that was met, the worst, in its own unit.
+    /// For each rule with an observed margin, its worst value, in its own unit.
     pub margins: BTreeMap<String, f64>,
 }
 
-/// Makes the table of all runs, in order of scenario and senders.
+/// Aggregates all runs to rows, in order of scenario and number of senders.
 pub fn rows(runs: &BTreeMap<Cell, Report>) -> Vec<Row> {
     let mut groups: BTreeMap<(&str, usize), Vec<&Report>> = BTreeMap::new();
     for (cell, report) in runs {
@@ -74,13 +74,14 @@
 }
 
 fn row(scenario: &str, senders: usize, all: &[&Report]) -> Row {
-    let good: Vec<&Report> = all.iter().copied().filter(|r| r.judgement.void.is_none()).collect();
-    let n = good.len().max(1) as f64;
-    let mean = |f: &dyn Fn(&Report) -> f64| good.iter().map(|r| f(r)).sum::<f64>() / n;
-    let service: Vec<f64> = good.iter().map(|r| r.judgement.service.score).collect();
+    let valid: Vec<&Report> = all.iter().copied().filter(|r| r.judgement.void.is_none()).collect();
+    let n = valid.len().max(1) as f64;
+    let mean = |f: &dyn Fn(&Report) -> f64| valid.iter().map(|r| f(r)).sum::<f64>() / n;
+    let service: Vec<f64> = valid.iter().map(|r| r.judgement.service.score).collect();
     let peak = |r: &Report| r.judgement.returns.iter().map(|x| x.peak).fold(0.0, f64::max);
     let back = |of: &dyn Fn(&crate::judge::ReturnSummary) -> Option<Micros>| {
-        let all: Vec<Option<Micros>> = good.iter().flat_map(|r| r.judgement.returns.iter().map(of)).collect();
+        let all: Vec<Option<Micros>> =
+            valid.iter().flat_map(|r| r.judgement.returns.iter().map(of)).collect();
         let known: Option<Vec<Micros>> = all.into_iter().collect();
         let known = known.filter(|k| !k.is_empty())?;
         Some(known.iter().sum::<Micros>() as f64 / 1e6 / known.len() as f64)
@@ -96,7 +97,7 @@
         })
     };
     let (mut broken, mut margins) = (BTreeMap::new(), BTreeMap::new());
-    for ruling in good.iter().flat_map(|r| &r.judgement.rules) {
+    for ruling in valid.iter().flat_map(|r| &r.judgement.rules) {
         if ruling.verdict == Verdict::Broken {
             *broken.entry(ruling.rule.to_string()).or_insert(0) += 1;
         }
@@ -110,22 +111,22 @@
         spreads.filter(|s| s.busiest.is_some()).filter_map(pick).reduce(worse)
     };
     let uneven = |pick: fn(&Spread) -> Option<f64>, worse: fn(f64, f64) -> f64| {
-        let all: Vec<f64> = good.iter().filter_map(|r| longest(r, pick, worse)).collect();
+        let all: Vec<f64> = valid.iter().filter_map(|r| longest(r, pick, worse)).collect();
         (!all.is_empty()).then(|| all.iter().sum::<f64>() / all.len() as f64)
     };
     let whole = |r: &Report| r.latencies.last().cloned().unwrap_or_default();
     Row {
         scenario: scenario.into(),
         senders,
-        runs: good.len(),
-        void: all.len() - good.len(),
+        runs: valid.len(),
+        void: all.len() - valid.len(),
         broken,
         service: [
             service.iter().copied().fold(f64::INFINITY, f64::min),
             mean(&|r| r.judgement.service.score),
             service.iter().copied().fold(0.0, f64::max),
         ],
-        share_of_fall: [mean(&peak), good.iter().map(|r| peak(r)).fold(0.0, f64::max)],
+        share_of_fall: [mean(&peak), valid.iter().map(|r| peak(r)).fold(0.0, f64::max)],
         back: [back(&|r| r.half), back(&|r| r.full)],
         late_refused_failed: [share(&|w| w.late), share(&|w| w.refused), share(&|w| w.failed)],
         connections: penalty("new connections"),
@@ -140,10 +141,10 @@
     }
 }
 
-/// The table as text.
+/// Returns the table as text.
 pub fn text(rows: &[Row]) -> String {
     let mut out = String::new();
-    // Writing to a string can't fail.
+    // Writing to a string cannot fail.
     _ = write_text(&mut out, rows);
     out
 }
@@ -194,15 +195,15 @@
     Ok(())
 }
 
-/// A value of each row, for a picture.
-type Figure = fn(&Row) -> f64;
+/// Selects the value of a row that a chart shows.
+type RowValue = fn(&Row) -> f64;
 
-/// The table and its pictures as one page.
+/// Returns the table and its charts as one HTML page.
 ///
 /// # Errors
-/// A picture can't be drawn; says which and why.
+/// Fails if a chart cannot be drawn; names the chart and the cause.
 pub fn page(rows: &[Row]) -> Result<String, String> {
-    let figures: [(&str, Figure); 7] = [
+    let titles_and_values: [(&str, RowValue); 7] = [
         ("Service", |r| r.service[1]),
         ("Highest share reached of what pushes a returning receiver over", |r| r.share_of_fall[1]),
         ("Refused in the end, share of messages", |r| r.late_refused_failed[1]),
@@ -214,10 +215,10 @@
     let mut names: Vec<&str> = rows.iter().map(|r| r.scenario.as_str()).collect();
     names.dedup();
     let legend = legend(names.iter().enumerate().map(|(n, name)| (*name, colour(n))));
-    let mut pictures = String::new();
-    for (title, figure) in figures {
-        let svg = picture(rows, &names, figure).map_err(|e| format!("{title}: {e}"))?;
-        pictures += &format!("<h3>{title}</h3><p class=\"legend\">{legend}</p>{svg}");
+    let mut charts = String::new();
+    for (title, value) in titles_and_values {
+        let svg = draw_chart(rows, &names, value).map_err(|e| format!("{title}: {e}"))?;
+        charts += &format!("<h3>{title}</h3><p class=\"legend\">{legend}</p>{svg}");
     }
     let margins: String = rows
         .iter()
@@ -239,7 +240,7 @@
          table{{border-collapse:collapse}}td,th{{border:1px solid #ccc;padding:3px 8px;text-align:right}}\
          pre{{background:#f6f6f6;padding:1em;overflow-x:auto;font-size:12px}}.legend{{margin:0}}\
          svg{{max-width:100%;height:auto}}</style></head><body><h1>Rehearsals by number of senders</h1>\
-         <p>The same load, and the same slots in all, split among more senders.</p><pre>{}</pre>{pictures}\
+         <p>The same load, and the same slots in all, split among more senders.</p><pre>{}</pre>{charts}\
          <h2>Worst margins</h2><p>Shares of the fall for rule 4, milliseconds else.</p>\
          <table><tr><th>scenario</th><th>senders</th>{heads}</tr>{margins}</table></body></html>\n",
         escape(&text(rows))
@@ -260,11 +261,11 @@
     MORE[n % MORE.len()]
 }
 
-fn picture(rows: &[Row], names: &[&str], figure: Figure) -> Result<String, Box<dyn std::error::Error>> {
+fn draw_chart(rows: &[Row], names: &[&str], value: RowValue) -> Result<String, Box<dyn std::error::Error>> {
     let mut counts: Vec<usize> = rows.iter().map(|r| r.senders).collect();
     counts.sort_unstable();
     counts.dedup();
-    let most = rows.iter().map(figure).filter(|v| v.is_finite()).fold(0.05, f64::max) * 1.08;
+    let most = rows.iter().map(value).filter(|v| v.is_finite()).fold(0.05, f64::max) * 1.08;
     let place = |senders: usize| counts.iter().position(|c| *c == senders).unwrap_or(0) as f64;
     let mut svg = String::new();
     {
@@ -285,7 +286,7 @@
         mesh.x_label_formatter(&label).x_desc("senders").draw()?;
         for (n, name) in names.iter().enumerate() {
             let of = rows.iter().filter(|r| r.scenario == *name && r.runs > 0);
-            let points: Vec<(f64, f64)> = of.map(|r| (place(r.senders), figure(r))).collect();
+            let points: Vec<(f64, f64)> = of.map(|r| (place(r.senders), value(r))).collect();
             chart.draw_series(LineSeries::new(points.iter().copied(), colour(n).stroke_width(2)))?;
             chart.draw_series(points.iter().map(|p| Circle::new(*p, 3, colour(n).filled())))?;
         }
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -1,4 +1,5 @@
-//! What is handed in and when: a function of the scenario and its seed, made before anything starts.
+//! The plan: which messages clients put and when. It depends only on the scenario and its seed, and is made before
+//! anything starts.
 
 use crate::scenario::Scenario;
 use crate::span::Micros;
@@ -8,29 +9,29 @@
 use serde::Deserialize;
 use std::f64::consts::TAU;
 
-/// Messages of a plan at most; each takes 40 bytes until it is handed in.
+/// Maximum number of messages of a plan; each takes 40 bytes until it is put.
 pub const MAX_MESSAGES: usize = 4_000_000;
 
-/// How traffic goes over its time.
+/// Course of the traffic's rate over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// At one rate.
+    /// A constant rate.
     Steady,
-    /// From one rate evenly to another.
+    /// A linear change from one rate to another.
     Ramp,
-    /// Up and down around a rate.
+    /// A sine wave around a rate.
     Wave,
-    /// From a rate up to another in the first third, held there for the second, and down again.
+    /// A rise from one rate to another in the first third, constant in the second, and back in the last.
     Rush,
-    /// So many messages for one receiver at once, every so often.
+    /// A burst of messages for one receiver at regular intervals.
     Clumps,
-    /// As it was captured.
+    /// A replay of captured traffic.
     Replay,
 }
 
 impl Shape {
-    /// The fields that it needs, and those that it may have beside them.
+    /// Returns the fields that the shape requires, and those that it also allows.
     pub fn fields(self) -> (&'static [&'static str], &'static [&'static str]) {
         match self {
             Shape::Steady => (&["rate"], &["zipf"]),
@@ -45,38 +46,38 @@
 /// One piece of a scenario's traffic.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// How it goes over its time.
+    /// Course of the rate.
     pub shape: Shape,
-    /// From when.
+    /// When it starts.
     pub from: Micros,
-    /// Until when.
+    /// When it ends.
     pub to: Micros,
-    /// Messages a second.
+    /// Messages per second.
     pub rate: f64,
-    /// The other rate of a ramp or rush.
+    /// Second rate of a ramp or rush.
     pub to_rate: f64,
-    /// A wave's length, or the time between clumps.
+    /// Period of a wave, or time between clumps.
     pub period: Micros,
-    /// How far a wave goes up and down, as a share of its rate.
+    /// Amplitude of a wave, as a share of its rate.
     pub swing: f64,
-    /// Messages of a clump.
+    /// Number of messages of a clump.
     pub clump: u32,
-    /// The receivers' shares go by this exponent of their rank and not by what each says.
+    /// Zipf exponent: receivers are drawn by their rank with it, and not by their shares.
     pub zipf: Option<f64>,
-    /// Of this class only, by index.
+    /// Index of the only class, if it is limited to one.
     pub class: Option<usize>,
-    /// Of this tenant only, by index.
+    /// Index of the only tenant, if it is limited to one.
     pub tenant: Option<usize>,
-    /// For this receiver only, by number.
+    /// Number of the only receiver, if it is limited to one.
     pub receiver: Option<i64>,
-    /// What was captured.
+    /// Captured messages to replay.
     pub trace: Vec<trace::Line>,
-    /// How many times faster it is replayed.
+    /// Speed of the replay, as a multiple of the captured speed.
     pub speed: f64,
 }
 
 impl Traffic {
-    /// Messages a second at a time of the run.
+    /// Returns the rate in messages per second at a time of the run.
     fn rate_at(&self, t: Micros) -> f64 {
         let part = (t - self.from) as f64 / (self.to - self.from).max(1) as f64;
         let between = |x: f64| self.rate + (self.to_rate - self.rate) * x.clamp(0.0, 1.0);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Messages a second over the whole run.
+    /// Returns the mean rate in messages per second over the whole run.
     pub fn mean_rate(&self, length: Micros) -> f64 {
         const STEPS: i64 = 100;
         let whole = length.max(1) as f64;
@@ -111,46 +112,48 @@
     }
 }
 
-/// A message that is to be handed in.
+/// A planned message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Planned {
-    /// When.
+    /// When it is put.
     pub at: Micros,
-    /// To which sender, by index.
+    /// Index of the sender.
     pub sender: usize,
-    /// Its class, by index.
+    /// Index of the class.
     pub class: usize,
-    /// Its tenant, by index.
+    /// Index of the tenant.
     pub tenant: usize,
-    /// Its receiver, by index.
+    /// Index of the receiver.
     pub receiver: usize,
-    /// What it is about, in a class that keeps order.
+    /// Number of its order key; used in ordered classes only.
     pub order: u32,
-    /// Bytes of its body.
+    /// Size of its body in bytes.
     pub size: u32,
-    /// What is drawn for its client, from 0 to 1.
+    /// Random number from 0 to 1 that decides its client's behaviour.
     pub client_draw: f32,
 }
 
-/// A plan that can't be made.
+/// A plan that cannot be made.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// It is too long.
-    #[error("more than {MAX_MESSAGES} messages; lower the rates or shorten the scenario")]
+    /// The plan has too many messages.
+    #[error("the plan has more than {MAX_MESSAGES} messages; lower the rates or shorten the scenario")]
     TooLong,
-    /// A trace names what the scenario lacks.
-    #[error("the trace's message at {at_ms} ms names the {what} '{name}'; add it to the scenario")]
+    /// A trace names a class, tenant or receiver that the scenario does not have.
+    #[error(
+        "the trace's message at {at_ms} ms names the {what} '{name}', which the scenario lacks; add it there"
+    )]
     Unknown {
-        /// When.
+        /// The message's time in the trace.
         at_ms: u64,
-        /// A class, tenant or receiver.
+        /// `class`, `tenant` or `receiver`.
         what: &'static str,
-        /// Which.
+        /// The unknown name or number.
         name: String,
     },
 }
 
-/// Draws an index by weights, whose sums so far these are.
+/// Draws an index at random, weighted by the differences between the cumulative weights.
 fn draw(rng: &mut ChaCha8Rng, cumulative: &[f64]) -> usize {
     let total = cumulative.last().copied().unwrap_or(0.0);
     let x = rng.random::<f64>() * total;
@@ -166,14 +169,14 @@
     weights.map(add).collect()
 }
 
-/// Makes the plan, by time.
+/// Makes the plan, sorted by time.
 ///
 /// # Errors
-/// It is too long, or a trace does not fit the scenario.
+/// Fails if the plan has too many messages, or a trace names what the scenario lacks.
 pub fn plan(scenario: &Scenario) -> Result<Vec<Planned>, PlanError> {
     let mut all = Vec::new();
     for (n, traffic) in scenario.traffic.iter().enumerate() {
-        // Each piece draws for itself: another beside it changes nothing.
+        // Each piece of traffic has a generator of its own, so that adding one does not change the others.
         let rng = ChaCha8Rng::seed_from_u64(
             scenario.parameters.seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         );
@@ -196,7 +199,7 @@
         Some(exponent) => (n as f64 + 1.0).powf(-exponent),
         None => s.receivers[n].share,
     };
-    // For each class, the receivers that its messages may go to.
+    // For each class, the cumulative weights of the receivers that get it.
     let by_class: Vec<Vec<f64>> = s
         .classes
         .iter()
@@ -210,7 +213,7 @@
         |rng: &mut ChaCha8Rng, at: Micros, receiver: Option<usize>, captured: Option<(usize, usize, u32)>| {
             let mut class = captured.map(|t| t.0).or(traffic.class).unwrap_or_else(|| draw(rng, &classes));
             let receiver = receiver.or(only).unwrap_or_else(|| draw(rng, &by_class[class]));
-            // One receiver's traffic has only classes that may go there.
+            // If the receiver does not get the class that was drawn, draws again among those that it gets.
             let fits = |c: usize| {
                 s.classes[c].kinds.is_empty() || s.classes[c].kinds.contains(&s.receivers[receiver].kind)
             };
@@ -264,18 +267,18 @@
             }
         }
         _ => {
-            // A Poisson process, thinned from its highest rate.
-            let most = traffic.rate.max(traffic.to_rate) * (1.0 + traffic.swing);
+            // A Poisson process at the highest rate, thinned to the rate at each time.
+            let max_rate = traffic.rate.max(traffic.to_rate) * (1.0 + traffic.swing);
             let mut t = traffic.from as f64;
-            if most <= 0.0 {
+            if max_rate <= 0.0 {
                 return Ok(());
             }
             loop {
-                t += -(1.0 - rng.random::<f64>()).ln() / most * 1e6;
+                t += -(1.0 - rng.random::<f64>()).ln() / max_rate * 1e6;
                 if t >= traffic.to as f64 {
                     break;
                 }
-                if rng.random::<f64>() * most < traffic.rate_at(t as Micros) {
+                if rng.random::<f64>() * max_rate < traffic.rate_at(t as Micros) {
                     make(&mut rng, t as Micros, None, None)?;
                 }
             }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a rehearsal: what the judge says, with figures by class, receiver and sender, as text and as JSON.
+//! The report of a rehearsal: the judge's result with values by class and receiver, as text and as JSON.
 
 use crate::history::{Record, read};
 use crate::judge::{Attempt, CallEnd, Evenness, Judgement, Margin, Rule, Table, Verdict, WINDOWS, verdict};
@@ -9,34 +9,34 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Latencies are told to three figures, up to a day.
+/// Upper bound of recorded latencies, one day in microseconds; they are kept to three significant digits.
 const DAY_US: u64 = 24 * 3600 * 1_000_000;
 
-/// Returns that the text names; the JSON has them all.
+/// Returns that the text lists; the JSON has all.
 const MAX_LISTED_RETURNS: usize = 30;
-/// Receivers that the text names; the JSON has them all.
+/// Receivers that the text lists; the JSON has all.
 const MAX_LISTED_RECEIVERS: usize = 20;
 
-/// How long something took, in milliseconds.
+/// Distribution of a latency, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
-    /// Of whom.
+    /// Name of the class, or `all`.
     pub name: String,
-    /// How many.
+    /// Number of values.
     pub count: u64,
-    /// Half took no longer.
+    /// Median.
     pub p50_ms: f64,
-    /// Nine in ten.
+    /// 90th percentile.
     pub p90_ms: f64,
-    /// Ninety-nine in a hundred.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
 impl Latency {
     fn of(name: &str, micros: impl Iterator<Item = Micros>) -> Latency {
-        // Bounds of 1 us and a day with three figures are what such a histogram can be made with.
+        // Never fails: bounds of 1 us and a day with three digits are valid.
         let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, DAY_US, 3) else {
             return Latency::default();
         };
@@ -52,29 +52,29 @@
     }
 }
 
-/// What a receiver saw.
+/// Counts of one receiver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReceiverStats {
-    /// Its number.
+    /// Number of the receiver.
     pub number: i64,
-    /// Its kind.
+    /// Name of its kind.
     pub kind: String,
-    /// Calls a second that it takes.
+    /// Calls per second that it accepts.
     pub rate: f64,
-    /// Calls that came.
+    /// Calls that arrived.
     pub calls: usize,
-    /// Messages in them.
+    /// Messages in these calls.
     pub messages: usize,
     /// Messages delivered.
     pub delivered: usize,
-    /// Calls that it turned away.
+    /// Calls that it rejected with 429 or 503.
     pub refused: usize,
-    /// Calls with no answer, or with an error.
+    /// Calls without an answer, or with another error.
     pub unanswered: usize,
-    /// Most calls in a second.
+    /// Maximum number of calls in a second.
     #[serde(rename = "most")]
     pub max_per_second: usize,
-    /// It was pushed over.
+    /// Whether it was overloaded.
     #[serde(rename = "fell")]
     pub overloaded: bool,
 }
@@ -82,47 +82,47 @@
 /// A rehearsal's report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// How long the history is, in seconds.
+    /// Length of the history in seconds.
     pub seconds: f64,
-    /// What the judge says.
+    /// The judge's result.
     #[serde(flatten)]
     pub judgement: Judgement,
-    /// From a message's first hand-in to its delivery, by class.
+    /// Latencies from a message's first put to its delivery, by class.
     pub latencies: Vec<Latency>,
-    /// The receivers.
+    /// Counts by receiver.
     pub receivers: Vec<ReceiverStats>,
-    /// The evidence's folder or file.
+    /// Path of the evidence.
     pub evidence: String,
 }
 
-/// A report that can't be made.
+/// A report that cannot be made.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// The history can't be read.
+    /// The history cannot be read.
     #[error("{0}")]
     History(#[from] crate::history::HistoryError),
-    /// It can't be judged.
+    /// The history cannot be judged.
     #[error("{0}")]
     Judge(#[from] crate::judge::JudgeError),
 }
 
-/// Reads a history, judges it, and makes the report. `path` is the history or the folder that it lies in.
+/// Reads a history, judges it, and makes the report. `path` is the history, or the folder that contains it.
 ///
 /// # Errors
-/// It can't be read or judged.
+/// Fails if the history cannot be read or judged.
 pub fn report(path: &Path) -> Result<(Report, Table), ReportError> {
     let file = if path.is_dir() { path.join("history.jsonl") } else { path.to_path_buf() };
     from_records(&read(&file)?, &file.display().to_string())
 }
 
-/// Makes the report of a history.
+/// Makes the report of a history. `evidence` is its path.
 ///
 /// # Errors
-/// It can't be judged.
+/// Fails if the history cannot be judged.
 pub fn from_records(records: &[Record], evidence: &str) -> Result<(Report, Table), ReportError> {
     let table = Table::new(records).ok_or(crate::judge::JudgeError::NoRun)?;
     let judgement = verdict(&table);
@@ -192,7 +192,7 @@
 }
 
 impl Report {
-    /// What a shell is told: 0 all rules kept, 1 a rule was broken, 3 the run is void.
+    /// Returns the process's exit code: 0 if all rules were kept, 1 if a rule was broken, 3 if the run is void.
     pub fn exit_code(&self) -> u8 {
         match (&self.judgement.void, self.judgement.broken()) {
             (Some(_), _) => 3,
@@ -201,10 +201,10 @@
         }
     }
 
-    /// The report as text.
+    /// Returns the report as text.
     pub fn text(&self) -> String {
         let mut out = String::new();
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         _ = self.write(&mut out);
         out
     }
@@ -315,7 +315,7 @@
             "\n  {:<20} {:>7} {:>7} {:>8} {:>9} {:>8} {:>10} {:>10}",
             "receiver", "rate/s", "calls", "messages", "delivered", "refused", "unanswered", "most in 1s"
         )?;
-        // Those with the most traffic say the most.
+        // Receivers with the most calls come first.
         let mut busiest: Vec<&ReceiverStats> = self.receivers.iter().collect();
         busiest.sort_by_key(|r| (std::cmp::Reverse(r.calls), r.number));
         for r in busiest.iter().take(MAX_LISTED_RECEIVERS) {
@@ -343,7 +343,8 @@
     }
 }
 
-/// Evenness by receiver: for each window, busiest and idlest over the mean, and variance over a random choice's.
+/// Writes the evenness of each receiver: for each window the busiest and idlest endpoint over the mean, and the
+/// variance over that of random choices.
 fn write_evenness(out: &mut String, all: &[Evenness]) -> std::fmt::Result {
     if all.is_empty() {
         return Ok(());
@@ -353,12 +354,12 @@
         write!(out, " {:>20}", format!("busy idle var, {:.1}s", window as f64 / 1e6))?;
     }
     writeln!(out, " {:>12}", "idle, ms")?;
-    let figure = |v: Option<f64>| v.map_or("-".to_string(), |v| format!("{v:.2}"));
+    let number = |v: Option<f64>| v.map_or("-".to_string(), |v| format!("{v:.2}"));
     for e in all.iter().take(MAX_LISTED_RECEIVERS) {
         write!(out, "  {:<20} {:>9}", e.receiver, e.endpoints)?;
         for s in &e.spreads {
-            let variance = figure((s.windows > 0).then_some(s.variance));
-            write!(out, " {:>20}", format!("{} {} {variance}", figure(s.busiest), figure(s.idlest)))?;
+            let variance = number((s.windows > 0).then_some(s.variance));
+            write!(out, " {:>20}", format!("{} {} {variance}", number(s.busiest), number(s.idlest)))?;
         }
         writeln!(out, " {:>12.0}", e.longest_idle as f64 / 1e3)?;
     }
@@ -368,7 +369,7 @@
     Ok(())
 }
 
-/// How two reports differ, in words.
+/// Compares two reports and returns the differences as text.
 pub fn compare(a: &Report, b: &Report) -> String {
     let mut out = String::new();
     _ = write_comparison(&mut out, a, b);
@@ -403,21 +404,21 @@
     for rule in Rule::ALL {
         let verdict = |r: &Report| r.judgement.ruling(rule).map(|r| (r.verdict, r.broken));
         let (x, y) = (verdict(a), verdict(b));
-        let word = |v: Option<(Verdict, usize)>| match v {
+        let verdict_text = |v: Option<(Verdict, usize)>| match v {
             Some((verdict @ Verdict::Broken, n)) => format!("{verdict} {n}"),
             Some((verdict, _)) => verdict.to_string(),
             None => Verdict::Untested.to_string(),
         };
-        writeln!(out, "{:<40} {:>12} {:>12}", rule.to_string(), word(x), word(y))?;
+        writeln!(out, "{:<40} {:>12} {:>12}", rule.to_string(), verdict_text(x), verdict_text(y))?;
         let margin = |r: &Report| r.judgement.ruling(rule).and_then(|r| r.margin.clone());
         let (x, y) = (margin(a), margin(b));
         if let Some(m) = x.as_ref().or(y.as_ref()) {
-            let figure = |m: &Option<Margin>| m.as_ref().map_or("-".into(), |m| format!("{:.2}", m.worst));
+            let number = |m: &Option<Margin>| m.as_ref().map_or("-".into(), |m| format!("{:.2}", m.worst));
             let unit = if m.unit.is_empty() { "share" } else { &m.unit };
             let side = if m.higher_is_worse { "at most" } else { "at least" };
             writeln!(out, "  {}", m.what)?;
             let limit = format!("    {unit}, {side} {:.2}", m.limit);
-            writeln!(out, "{limit:<40} {:>12} {:>12}", figure(&x), figure(&y))?;
+            writeln!(out, "{limit:<40} {:>12} {:>12}", number(&x), number(&y))?;
         }
     }
     Ok(())
--- a/crates/rehearsal/src/rig/clients.rs
+++ b/crates/rehearsal/src/rig/clients.rs
@@ -1,5 +1,5 @@
-//! The clients: they hand messages in when the plan says, however late earlier answers are, and come again after
-//! refusals as the scenario has it.
+//! The clients: they put messages at the planned times, regardless of late replies, and retry after refusals as the
+//! scenario says.
 
 use super::World;
 use super::senders::Senders;
@@ -18,14 +18,14 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
-/// Requests that wait to be written on a connection.
+/// Maximum number of requests that wait to be written, or to be answered, on a connection.
 const MAX_QUEUED_REQUESTS: usize = 64;
-/// Connections that clients keep to a sender at most; beyond that a client waits for a free one.
+/// Maximum number of client connections to a sender; beyond that a client waits for a free one.
 const MAX_CONNECTIONS_PER_SENDER: usize = 200;
-/// Answers of a sender are lines no longer than this.
+/// Maximum length of a sender's reply line.
 const MAX_LINE_BYTES: usize = 4096;
 
-/// A message over all its hand-ins.
+/// A client's message over all its puts.
 #[derive(Clone, Debug)]
 pub struct ClientMessage {
     planned: Planned,
@@ -36,18 +36,18 @@
     deadline: Micros,
 }
 
-/// What a sender's line says.
+/// A sender's reply to a put.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct SenderReply {
+struct PutReply {
     answered: PutOutcome,
     after_ms: Option<u64>,
 }
 
-impl SenderReply {
-    fn of(line: &[u8]) -> SenderReply {
+impl PutReply {
+    fn parse(line: &[u8]) -> PutReply {
         let text = String::from_utf8_lossy(line);
         let text = text.trim_end();
-        let reply = |answered, after_ms| SenderReply { answered, after_ms };
+        let reply = |answered, after_ms| PutReply { answered, after_ms };
         match text.strip_prefix("-BUSY") {
             _ if text.starts_with('+') => reply(PutOutcome::Accepted, None),
             Some(rest) => reply(PutOutcome::Busy, rest.trim().parse().ok()),
@@ -56,10 +56,10 @@
     }
 }
 
-/// How a request on a connection went.
+/// Outcome of a request on a connection.
 enum RequestOutcome {
-    Replied(SenderReply),
-    /// The connection ended; nothing had come on it since the request was written.
+    Replied(PutReply),
+    /// The connection ended before the reply.
     Closed,
 }
 
@@ -67,7 +67,7 @@
     requests: mpsc::Sender<(Bytes, oneshot::Sender<RequestOutcome>)>,
     open: Cell<usize>,
     used: Cell<bool>,
-    dead: Rc<Cell<bool>>,
+    closed: Rc<Cell<bool>>,
 }
 
 /// The clients of all senders.
@@ -96,7 +96,7 @@
         Rc::new(Clients { world, senders, connections, bodies })
     }
 
-    /// Hands the plan's messages in, each at its time. A late answer delays none.
+    /// Puts the planned messages at their times. A late reply delays no other message.
     pub async fn play(self: &Rc<Self>, plan: Vec<Planned>, zero: Micros) {
         for (number, planned) in plan.into_iter().enumerate() {
             let due = zero + planned.at;
@@ -113,7 +113,7 @@
         tokio::time::sleep_until(self.world.recorder.instant(end)).await;
     }
 
-    /// Clients whose message was refused after it had been taken on come again too.
+    /// Retries messages that were refused after their acceptance.
     pub async fn retry_returned(self: Rc<Self>, mut refusals: mpsc::Receiver<(ClientMessage, u64)>) {
         while let Some((message, after_ms)) = refusals.recv().await {
             let clients = self.clone();
@@ -126,9 +126,9 @@
 
     fn wait(&self, message: &ClientMessage, advertised_ms: Option<u64>) -> Micros {
         let behaviour = &self.world.scenario.clients;
-        // Drawn with the plan: the same client heeds waits whenever the scenario is played.
-        let heeds = f64::from(message.planned.client_draw) < behaviour.honour;
-        match advertised_ms.and_then(|ms| i64::try_from(ms).ok()).filter(|_| heeds) {
+        // The plan's random number decides, so that the same client observes waits whenever the scenario is played.
+        let observes_waits = f64::from(message.planned.client_draw) < behaviour.honour;
+        match advertised_ms.and_then(|ms| i64::try_from(ms).ok()).filter(|_| observes_waits) {
             Some(ms) => ms.saturating_mul(1000).min(crate::span::MAX_SPAN_US),
             None => behaviour.wait.0.saturating_mul(1 << message.refusals.min(6)),
         }
@@ -147,7 +147,7 @@
         self.put(message).await;
     }
 
-    /// Hands a message in once, and again after a wait where it was refused or not heard.
+    /// Puts a message once, and again after a wait if it was refused or not answered.
     async fn put(self: Rc<Self>, message: ClientMessage) {
         let id = if message.retries == 0 {
             message.origin.clone()
@@ -193,10 +193,10 @@
         self.world.count(|p| p.offered += u64::from(message.retries == 0));
         self.world.open_messages.borrow_mut().insert(id.clone(), message.clone());
         let reply = self.send(planned, request).await;
-        let SenderReply { answered, after_ms } = reply;
+        let PutReply { answered, after_ms } = reply;
         self.world.record(Event::Reply { id: id.clone(), answered, after_ms });
         if answered == PutOutcome::Accepted {
-            // Now it is the sender's; a refusal later comes as a notice.
+            // The sender is now responsible for the message; a later refusal comes as a notice.
             self.world.pending_puts.set(self.world.pending_puts.get() - 1);
             return;
         }
@@ -216,17 +216,17 @@
         Box::pin(self.retry_after(message, wait)).await;
     }
 
-    /// Writes a request on a connection of its sender's and waits as long as a client does.
-    async fn send(&self, planned: Planned, request: Bytes) -> SenderReply {
+    /// Sends a request to its sender and waits for the reply as long as a client does.
+    async fn send(&self, planned: Planned, request: Bytes) -> PutReply {
         let behaviour = &self.world.scenario.clients;
         let patience = duration(behaviour.patience.0);
-        // One draw serves both: pipelining from one end, going away from the other.
-        let client_draw = f64::from(planned.client_draw);
-        let pipelined = client_draw < behaviour.pipeline;
-        if client_draw > 1.0 - behaviour.leave {
+        // One random number decides both: low values pipeline, high values disconnect.
+        let draw = f64::from(planned.client_draw);
+        let pipelined = draw < behaviour.pipeline;
+        if draw > 1.0 - behaviour.leave {
             return self.leave(planned.sender, &request).await;
         }
-        let reply = |answered| SenderReply { answered, after_ms: None };
+        let reply = |answered| PutReply { answered, after_ms: None };
         let until = tokio::time::Instant::now() + patience;
         for retry in [false, true] {
             let connection =
@@ -236,22 +236,22 @@
                     Ok(Err(_)) => return reply(PutOutcome::Unreachable),
                     Err(_) => return reply(PutOutcome::Unreachable),
                 };
-            let (answer, outcome) = oneshot::channel();
+            let (reply_to, outcome) = oneshot::channel();
             let used = connection.used.replace(true);
             connection.open.set(connection.open.get() + 1);
             let exchange = async {
-                connection.requests.send((request.clone(), answer)).await.ok()?;
+                connection.requests.send((request.clone(), reply_to)).await.ok()?;
                 outcome.await.ok()
             };
             let outcome = tokio::time::timeout_at(until, exchange).await;
             connection.open.set(connection.open.get() - 1);
             match outcome {
                 Ok(Some(RequestOutcome::Replied(h))) => return h,
-                // The sender closed it between requests: the client sends it once more on a new one.
+                // The sender closed the connection between requests: the client sends once more on a new one.
                 Ok(Some(RequestOutcome::Closed) | None) if used && !retry => {}
                 Ok(Some(RequestOutcome::Closed) | None) => return reply(PutOutcome::Closed),
                 Err(_) => {
-                    connection.dead.set(true);
+                    connection.closed.set(true);
                     return reply(PutOutcome::TimedOut);
                 }
             }
@@ -259,8 +259,8 @@
         reply(PutOutcome::Closed)
     }
 
-    /// A client that writes its request and goes.
-    async fn leave(&self, sender: usize, request: &[u8]) -> SenderReply {
+    /// Sends a request and disconnects without waiting for the reply.
+    async fn leave(&self, sender: usize, request: &[u8]) -> PutReply {
         let written = async {
             let mut stream = TcpStream::connect(self.senders.addr(sender)).await?;
             stream.write_all(request).await
@@ -269,23 +269,29 @@
             Ok(()) => PutOutcome::Abandoned,
             Err(_) => PutOutcome::Unreachable,
         };
-        SenderReply { answered, after_ms: None }
+        PutReply { answered, after_ms: None }
     }
 
-    async fn connection(&self, sender: usize, pipelined: bool, fresh: bool) -> io::Result<Rc<Connection>> {
+    async fn connection(
+        &self,
+        sender: usize,
+        pipelined: bool,
+        force_new: bool,
+    ) -> io::Result<Rc<Connection>> {
         loop {
             {
                 let mut all = self.connections[sender].borrow_mut();
-                all.retain(|c| !c.dead.get());
-                let fits = |c: &&Rc<Connection>| if pipelined { c.open.get() > 0 } else { c.open.get() == 0 };
-                if !fresh && let Some(found) = all.iter().rev().find(fits) {
-                    return Ok(found.clone());
+                all.retain(|c| !c.closed.get());
+                let is_suitable =
+                    |c: &&Rc<Connection>| if pipelined { c.open.get() > 0 } else { c.open.get() == 0 };
+                if !force_new && let Some(suitable) = all.iter().rev().find(is_suitable) {
+                    return Ok(suitable.clone());
                 }
-                if !fresh
+                if !force_new
                     && pipelined
-                    && let Some(any) = all.last()
+                    && let Some(last) = all.last()
                 {
-                    return Ok(any.clone());
+                    return Ok(last.clone());
                 }
                 if all.len() < MAX_CONNECTIONS_PER_SENDER {
                     break;
@@ -295,10 +301,10 @@
         }
         let stream = open(self.senders.addr(sender)).await?;
         let (requests, queue) = mpsc::channel(MAX_QUEUED_REQUESTS);
-        let dead = Rc::new(Cell::new(false));
-        tokio::task::spawn_local(serve(stream, queue, dead.clone()));
+        let closed = Rc::new(Cell::new(false));
+        tokio::task::spawn_local(serve(stream, queue, closed.clone()));
         let (open, used) = (Cell::new(0), Cell::new(false));
-        let connection = Rc::new(Connection { requests, open, used, dead });
+        let connection = Rc::new(Connection { requests, open, used, closed });
         self.connections[sender].borrow_mut().push(connection.clone());
         Ok(connection)
     }
@@ -310,18 +316,18 @@
     Ok(stream)
 }
 
-/// Writes requests in turn and hands each its answer.
+/// Writes requests in turn and passes each its reply.
 async fn serve(
     stream: TcpStream,
     mut queue: mpsc::Receiver<(Bytes, oneshot::Sender<RequestOutcome>)>,
-    dead: Rc<Cell<bool>>,
+    closed: Rc<Cell<bool>>,
 ) {
     let (mut reader, mut writer) = stream.into_split();
-    let mut waiting: VecDeque<oneshot::Sender<RequestOutcome>> = VecDeque::new();
+    let mut unanswered: VecDeque<oneshot::Sender<RequestOutcome>> = VecDeque::new();
     let mut buf = BytesMut::with_capacity(256);
     loop {
-        // A client that has lost its patience ends the connection.
-        if dead.get() {
+        // A client whose patience ended has marked the connection as closed.
+        if closed.get() {
             break;
         }
         tokio::select! {
@@ -332,23 +338,23 @@
                 }
                 while let Some(end) = buf.iter().position(|b| *b == b'\n') {
                     let line = buf.split_to(end + 1);
-                    if let Some(answer) = waiting.pop_front() {
-                        _ = answer.send(RequestOutcome::Replied(SenderReply::of(&line)));
+                    if let Some(reply_to) = unanswered.pop_front() {
+                        _ = reply_to.send(RequestOutcome::Replied(PutReply::parse(&line)));
                     }
                 }
             }
-            request = queue.recv(), if waiting.len() < MAX_QUEUED_REQUESTS => {
-                let Some((request, answer)) = request else { break };
-                waiting.push_back(answer);
+            request = queue.recv(), if unanswered.len() < MAX_QUEUED_REQUESTS => {
+                let Some((request, reply_to)) = request else { break };
+                unanswered.push_back(reply_to);
                 if writer.write_all(&request).await.is_err() {
                     break;
                 }
             }
-            () = tokio::time::sleep(Duration::from_millis(50)), if !waiting.is_empty() => {}
+            () = tokio::time::sleep(Duration::from_millis(50)), if !unanswered.is_empty() => {}
         }
     }
-    dead.set(true);
-    for answer in waiting {
-        _ = answer.send(RequestOutcome::Closed);
+    closed.set(true);
+    for reply_to in unanswered {
+        _ = reply_to.send(RequestOutcome::Closed);
     }
 }
--- a/crates/rehearsal/src/rig/control.rs
+++ b/crates/rehearsal/src/rig/control.rs
@@ -1,7 +1,7 @@
-//! The control port: what is to be done while a rehearsal runs, by word.
+//! The control port: applies events while a rehearsal runs.
 //!
-//! Lines over TCP on loopback: an event as `what name=value ...`, such as `slow receiver=3 for=10s factor=8`, or
-//! `status`. Each is answered by one line, `ok ...` or `error ...`.
+//! Requests are lines over TCP on loopback: an event as `kind name=value ...`, such as `slow receiver=3 for=10s
+//! factor=8`, or `status`. Each is answered by one line, `ok ...` or `error ...`.
 
 use super::Rig;
 use crate::event::{RawEvent, Targets};
@@ -12,14 +12,16 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes of what one connection says at most: some hundred commands.
+/// Maximum number of bytes read from a connection: some hundred commands.
 const MAX_CONNECTION_BYTES: u64 = 64 * 1024;
-/// Connections at once.
+/// Maximum number of open connections; further ones are closed.
 const MAX_CONNECTIONS: usize = 8;
 
 pub async fn listen(rig: Rc<Rig>, addr: SocketAddr) -> io::Result<()> {
     if !addr.ip().is_loopback() {
-        return Err(io::Error::other("it is for loopback only: anyone who reaches it may stop a sender"));
+        return Err(io::Error::other(
+            "the address must be on loopback, since anyone who reaches the port can stop a sender",
+        ));
     }
     let listener = TcpListener::bind(addr).await?;
     eprintln!("control port: {}", listener.local_addr()?);
@@ -67,22 +69,24 @@
     let parameters = &rig.world.scenario.parameters;
     let receivers: Vec<i64> = parameters.receivers.iter().map(|r| r.number).collect();
     let senders: Vec<String> = parameters.senders.iter().map(|s| s.name.clone()).collect();
-    let mut wrong = event.problems(Targets { receivers: &receivers, senders: &senders });
+    let mut problems = event.problems(Targets { receivers: &receivers, senders: &senders });
     if event.at.is_some() {
-        wrong.push("'at' belongs on the timeline; by word it is now".into());
+        problems.push(
+            "'at' is valid on the timeline only; an event from the control port happens at once".into(),
+        );
     }
-    if !wrong.is_empty() {
-        return Err(wrong.join("; "));
+    if !problems.is_empty() {
+        return Err(problems.join("; "));
     }
     let text = event.to_string();
     tokio::task::spawn_local(rig.clone().apply(event));
     Ok(text)
 }
 
-/// Says a line to a rehearsal that runs; its answer.
+/// Sends a line to the control port of a running rehearsal and returns the answer.
 ///
 /// # Errors
-/// Nobody listens there, or the connection breaks.
+/// Fails if nothing listens there, or the connection breaks.
 pub fn send_command(addr: SocketAddr, line: &str) -> io::Result<String> {
     use std::io::{BufRead, Write};
     let mut stream = std::net::TcpStream::connect_timeout(&addr, Duration::from_secs(5))?;
--- a/crates/rehearsal/src/rig/crowd.rs
+++ b/crates/rehearsal/src/rig/crowd.rs
@@ -1,4 +1,4 @@
-//! A crowd at a sender's address for clients: connections that say nothing, half a command, or ask once and stay.
+//! Many client connections to a sender that send nothing, half a command, or one PING, and stay open.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,12 +6,13 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// Connections of one crowd that are open at once: descriptors of this process, beside the rehearsal's own.
+/// Maximum number of open connections of one crowd: they use descriptors of this process besides the rehearsal's own.
 const MAX_OPEN_CONNECTIONS: usize = 300;
 const PARTIAL_COMMAND: &[u8] = b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000";
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
-/// Comes bit by bit over the time, a third of each sort. A connection stays until the sender ends it or the time is over.
+/// Opens the connections spread over the duration, a third of each sort. Each stays open until the sender closes it or
+/// the duration is over.
 pub async fn run(addr: SocketAddr, connections: usize, duration: Duration) {
     let until = tokio::time::Instant::now() + duration;
     let gap = duration / u32::try_from(connections).unwrap_or(u32::MAX).max(1);
@@ -27,7 +28,7 @@
 }
 
 async fn connect(addr: SocketAddr, n: usize) {
-    // A sender that turns it away, or is away itself, is what it may meet.
+    // A sender may reject the connection or be down; both are valid outcomes.
     let Ok(mut stream) = TcpStream::connect(addr).await else { return };
     let written = match n % 3 {
         0 => Ok(()),
--- a/crates/rehearsal/src/rig/directory.rs
+++ b/crates/rehearsal/src/rig/directory.rs
@@ -1,5 +1,5 @@
-//! The stand-in directory: for each sender an agent, which knows of changes once they have reached it, and takes
-//! the notices of messages' ends.
+//! The stand-in directory: an agent for each sender, which learns of changes after a lag, and takes the notices of
+//! messages' ends.
 
 use super::World;
 use crate::event::RawEvent;
@@ -26,32 +26,32 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
 
-/// While nothing changes, a watch says so this often.
+/// Interval of empty lines on a watch while nothing changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Bytes of a post of notices at most.
+/// Maximum size of a post of notices.
 const MAX_NOTICES_BYTES: usize = 1 << 20;
-/// Changes that an agent remembers; a watch from before gets the whole list.
+/// Changes that an agent remembers; a watch from an older version gets the complete list.
 const MAX_LOGGED_CHANGES: usize = 4096;
 
-/// A change, as far as senders differ in it only by the address.
+/// A change of an endpoint. Senders differ only in the address at which they reach it.
 #[derive(Clone)]
 pub struct Change {
-    /// The endpoint's line, with no address.
-    pub line: ListedEndpoint,
-    /// Where each sender reaches it.
-    pub addrs: Vec<SocketAddr>,
+    /// The endpoint as listed, without an address.
+    pub endpoint: ListedEndpoint,
+    /// Address for each sender, by index.
+    pub addresses: Vec<SocketAddr>,
 }
 
 struct Agent {
     sender: usize,
     addr: SocketAddr,
     index: Cell<u64>,
-    lines: RefCell<BTreeMap<String, ListedEndpoint>>,
+    endpoints: RefCell<BTreeMap<String, ListedEndpoint>>,
     log: RefCell<VecDeque<(u64, ListedEndpoint)>>,
-    /// Versions before this one can't be followed from.
+    /// Oldest version from which changes can still be followed.
     oldest_version: Cell<u64>,
     changed: watch::Sender<u64>,
-    /// What is on its way: when it arrives, and what.
+    /// Changes that have not arrived yet, with their times of arrival.
     in_transit: RefCell<VecDeque<(Micros, Vec<ListedEndpoint>)>>,
     arrival: Notify,
     lag: Cell<Micros>,
@@ -60,7 +60,7 @@
     reject_notices: Cell<bool>,
 }
 
-/// All agents.
+/// The agents of all senders.
 pub struct Directory {
     world: Rc<World>,
     agents: Vec<Rc<Agent>>,
@@ -87,7 +87,7 @@
                 sender,
                 addr: listener.local_addr()?,
                 index: Cell::new(0),
-                lines: RefCell::default(),
+                endpoints: RefCell::default(),
                 log: RefCell::default(),
                 oldest_version: Cell::new(0),
                 changed: watch::Sender::new(0),
@@ -99,43 +99,43 @@
                 reject_notices: Cell::new(false),
             });
             tokio::task::spawn_local(agent.clone().listen(world.clone(), listener));
-            tokio::task::spawn_local(agent.clone().receive(world.clone()));
+            tokio::task::spawn_local(agent.clone().deliver_changes(world.clone()));
             agents.push(agent);
         }
         Ok(Rc::new(Directory { world, agents }))
     }
 
-    /// Where a sender's agent listens.
+    /// Returns the address on which a sender's agent listens.
     pub fn addr(&self, sender: usize) -> SocketAddr {
         self.agents[sender].addr
     }
 
-    /// The list as a sender's agent has it now.
+    /// Returns the list as a sender's agent has it now.
     pub fn listing(&self, sender: usize) -> Listing {
         self.agents[sender].listing()
     }
 
-    /// Sends a change on its way to all agents.
+    /// Publishes changes to all agents, each after its lag.
     pub fn publish(&self, changes: &[Change]) {
         let now = self.world.now();
         for agent in &self.agents {
-            let lines = changes.iter().map(|c| {
-                let address = c.addrs.get(agent.sender).map(SocketAddr::to_string).unwrap_or_default();
-                ListedEndpoint { address, ..c.line.clone() }
+            let endpoints = changes.iter().map(|c| {
+                let address = c.addresses.get(agent.sender).map(SocketAddr::to_string).unwrap_or_default();
+                ListedEndpoint { address, ..c.endpoint.clone() }
             });
             let mut in_transit = agent.in_transit.borrow_mut();
             // A change never overtakes the one before it.
             let arrival = (now + agent.lag.get()).max(in_transit.back().map_or(0, |c| c.0));
-            in_transit.push_back((arrival, lines.collect()));
+            in_transit.push_back((arrival, endpoints.collect()));
             agent.arrival.notify_one();
         }
     }
 
-    /// All that is on its way arrives at once: for the list at the start.
+    /// Delivers all changes that are under way at once; used for the list at the start.
     pub fn deliver_all(&self) {
         for agent in &self.agents {
-            for (_, lines) in agent.in_transit.take() {
-                agent.apply(lines);
+            for (_, endpoints) in agent.in_transit.take() {
+                agent.apply(endpoints);
             }
         }
     }
@@ -178,7 +178,7 @@
         agents.iter().for_each(|a| a.reject_notices.set(false));
     }
 
-    /// The version goes back by half, and nothing from before can be followed.
+    /// Halves the version, and makes older versions impossible to follow.
     pub fn roll_back(&self, event: &RawEvent) {
         for agent in self.agents_for(event) {
             let index = (agent.index.get() / 2).max(1);
@@ -191,7 +191,7 @@
 }
 
 #[derive(Deserialize)]
-struct Report {
+struct Notice {
     id: String,
     state: NoticeState,
     #[serde(default)]
@@ -200,21 +200,21 @@
 
 impl Agent {
     fn listing(&self) -> Listing {
-        let endpoints = self.lines.borrow().values().cloned().collect();
+        let endpoints = self.endpoints.borrow().values().cloned().collect();
         Listing { index: self.index.get(), snapshot: true, endpoints }
     }
 
-    fn apply(&self, lines: Vec<ListedEndpoint>) {
+    fn apply(&self, endpoints: Vec<ListedEndpoint>) {
         let index = self.index.get() + 1;
         self.index.set(index);
         let mut log = self.log.borrow_mut();
-        for line in lines {
-            if line.status == "Gone" {
-                self.lines.borrow_mut().remove(&line.name);
+        for endpoint in endpoints {
+            if endpoint.status == "Gone" {
+                self.endpoints.borrow_mut().remove(&endpoint.name);
             } else {
-                self.lines.borrow_mut().insert(line.name.clone(), line.clone());
+                self.endpoints.borrow_mut().insert(endpoint.name.clone(), endpoint.clone());
             }
-            log.push_back((index, line));
+            log.push_back((index, endpoint));
         }
         while log.len() > MAX_LOGGED_CHANGES {
             if let Some((index, _)) = log.pop_front() {
@@ -225,7 +225,7 @@
         self.changed.send_replace(index);
     }
 
-    async fn receive(self: Rc<Self>, world: Rc<World>) {
+    async fn deliver_changes(self: Rc<Self>, world: Rc<World>) {
         loop {
             let next = self.in_transit.borrow().front().map(|c| c.0);
             let Some(at) = next else {
@@ -233,9 +233,9 @@
                 continue;
             };
             tokio::time::sleep_until(world.recorder.instant(at)).await;
-            let lines = self.in_transit.borrow_mut().pop_front();
-            if let Some((_, lines)) = lines {
-                self.apply(lines);
+            let endpoints = self.in_transit.borrow_mut().pop_front();
+            if let Some((_, endpoints)) = endpoints {
+                self.apply(endpoints);
             }
         }
     }
@@ -250,7 +250,7 @@
             let (agent, world) = (self.clone(), world.clone());
             let service = service_fn(move |request| agent.clone().answer(world.clone(), request));
             tokio::task::spawn_local(async move {
-                // A sender that is killed breaks its connections off; that is no fault here.
+                // A killed sender breaks its connections off, which is no error here.
                 _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
@@ -262,7 +262,7 @@
         request: Request<Incoming>,
     ) -> Result<Response<Body>, Infallible> {
         if request.method() == Method::POST && request.uri().path() == "/reports" {
-            return Ok(self.reports(&world, request).await);
+            return Ok(self.receive_notices(&world, request).await);
         }
         if request.method() != Method::GET || request.uri().path() != "/v1/servers" {
             return Ok(status(404));
@@ -277,8 +277,8 @@
             return Ok(Response::new(full_body(serde_json::to_vec(&list).unwrap_or_default())));
         }
         let since = query.split('&').find_map(|p| p.strip_prefix("since=")).and_then(|s| s.parse().ok());
-        let (lines, body) = Channel::new(16);
-        tokio::task::spawn_local(self.follow(world, since, lines));
+        let (sender, body) = Channel::new(16);
+        tokio::task::spawn_local(self.follow(world, since, sender));
         Ok(Response::new(body.boxed()))
     }
 
@@ -289,21 +289,24 @@
         mut out: http_body_util::channel::Sender<Bytes, Infallible>,
     ) {
         let mut changed = self.changed.subscribe();
-        let mut known = since.filter(|s| *s > 0 && *s >= self.oldest_version.get() && *s <= self.index.get());
-        let mut first = true;
+        let mut sent_version =
+            since.filter(|s| *s > 0 && *s >= self.oldest_version.get() && *s <= self.index.get());
+        let mut is_first = true;
         loop {
             changed.borrow_and_update();
             if !self.silent.get() {
-                let update = match known {
-                    Some(known) if known >= self.oldest_version.get() && !self.snapshots.get() => {
+                let update = match sent_version {
+                    Some(sent_version)
+                        if sent_version >= self.oldest_version.get() && !self.snapshots.get() =>
+                    {
                         let log = self.log.borrow();
                         let endpoints: Vec<ListedEndpoint> =
-                            log.iter().filter(|(i, _)| *i > known).map(|(_, l)| l.clone()).collect();
+                            log.iter().filter(|(i, _)| *i > sent_version).map(|(_, l)| l.clone()).collect();
                         Listing { index: self.index.get(), snapshot: false, endpoints }
                     }
                     _ => self.listing(),
                 };
-                let text = if update.snapshot || !update.endpoints.is_empty() || first {
+                let text = if update.snapshot || !update.endpoints.is_empty() || is_first {
                     self.record_listing(&world, &update);
                     let mut text = serde_json::to_vec(&update).unwrap_or_default();
                     text.push(b'\n');
@@ -311,8 +314,8 @@
                 } else {
                     b"\n".to_vec()
                 };
-                known = Some(update.index);
-                first = false;
+                sent_version = Some(update.index);
+                is_first = false;
                 if out.send_data(text.into()).await.is_err()
                     || self.snapshots.get() && !update.endpoints.is_empty()
                 {
@@ -327,19 +330,19 @@
     }
 
     fn record_listing(&self, world: &World, list: &Listing) {
-        let lines = list.endpoints.iter().map(|l| {
-            let standing = match l.status.as_str() {
+        let endpoints = list.endpoints.iter().map(|l| {
+            let status = match l.status.as_str() {
                 "Ready" => EndpointStatus::Ready,
                 "Gone" => EndpointStatus::Gone,
                 _ => EndpointStatus::Terminating,
             };
-            (l.name.clone(), standing)
+            (l.name.clone(), status)
         });
         let (index, complete) = (list.index, list.snapshot);
-        world.record(Event::Listing { sender: self.sender, index, complete, lines: lines.collect() });
+        world.record(Event::Listing { sender: self.sender, index, complete, endpoints: endpoints.collect() });
     }
 
-    async fn reports(&self, world: &World, request: Request<Incoming>) -> Response<Body> {
+    async fn receive_notices(&self, world: &World, request: Request<Incoming>) -> Response<Body> {
         let Ok(body) = Limited::new(request.into_body(), MAX_NOTICES_BYTES).collect().await else {
             return status(400);
         };
@@ -348,9 +351,9 @@
         }
         let body = body.to_bytes();
         let lines = body.split(|b| *b == b'\n').filter(|l| !l.iter().all(u8::is_ascii_whitespace));
-        let reports: Result<Vec<Report>, _> = lines.map(serde_json::from_slice).collect();
-        let Ok(reports) = reports else { return status(400) };
-        for Report { id, state, after_ms } in reports {
+        let notices: Result<Vec<Notice>, _> = lines.map(serde_json::from_slice).collect();
+        let Ok(notices) = notices else { return status(400) };
+        for Notice { id, state, after_ms } in notices {
             world.record(Event::Notice { sender: self.sender, id: id.clone(), state, after_ms });
             let Some(message) = world.open_messages.borrow_mut().remove(&id) else { continue };
             if state == NoticeState::Failed {
--- a/crates/rehearsal/src/rig/management.rs
+++ b/crates/rehearsal/src/rig/management.rs
@@ -1,4 +1,4 @@
-//! Calls at a sender's door for operators.
+//! Calls to a sender's management interface.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,12 +6,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Each answer is due within this.
+/// Time-out for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Answers are shorter; what is beyond is not read.
+/// Maximum number of bytes read of an answer, which is shorter.
 const MAX_ANSWER_BYTES: u64 = 64 * 1024;
 
-/// Makes a call, such as `GET /_ready`, and tells the answer's status.
+/// Makes a call, such as `GET /_ready`, and returns the status of the answer.
 pub async fn call(management: SocketAddr, call: &str) -> io::Result<u16> {
     let exchange = async {
         let mut stream = TcpStream::connect(management).await?;
@@ -19,7 +19,7 @@
         let mut answer = String::new();
         stream.take(MAX_ANSWER_BYTES).read_to_string(&mut answer).await?;
         let status = answer.split(' ').nth(1).and_then(|s| s.parse().ok());
-        status.ok_or_else(|| io::Error::other("no status in the answer"))
+        status.ok_or_else(|| io::Error::other("the answer has no HTTP status"))
     };
     tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.map_err(io::Error::other)?
 }
--- a/crates/rehearsal/src/rig/mod.rs
+++ b/crates/rehearsal/src/rig/mod.rs
@@ -1,6 +1,6 @@
 //! The rig: stand-in receivers, directory and clients on loopback around real senders, on one thread.
 //!
-//! Everything here only acts and takes down what it sees; nothing is judged.
+//! The rig only acts and records what it sees; it judges nothing.
 
 mod clients;
 mod control;
@@ -30,62 +30,63 @@
 
 pub use control::send_command;
 
-/// How often the rig looks whether it stands still.
+/// Period of the timer that measures how late the rig itself is.
 const LAG_CHECK_INTERVAL_US: Micros = 5_000;
-/// Refusals of messages that wait for their clients to hear of them; senders wait for room with the answer.
+/// Capacity of the queue of refused messages for their clients; when it is full, senders wait for the answer to their
+/// notices.
 const MAX_PENDING_REFUSALS: usize = 1024;
-/// How long senders may take to be ready.
+/// Time-out for senders to become ready.
 const READY_TIMEOUT_US: Micros = 30_000_000;
-/// After the last message's time is up, its notice may still be on its way for this long.
+/// Time after the last deadline within which a notice may still arrive.
 const NOTICE_TAIL_US: Micros = 2_500_000;
 
-/// Which senders are rehearsed.
+/// The senders that are rehearsed.
 #[derive(Clone, Debug)]
 pub enum Subject {
-    /// Processes of this executable, which the rig starts, and starts again.
+    /// Processes of this executable, which the rig starts and restarts.
     Spawn(PathBuf),
-    /// Senders that someone else starts: where each listens, in the scenario's order. The rig writes their
-    /// configurations and can send them no signal.
+    /// Senders that are started elsewhere: their addresses for clients, in the scenario's order. The rig writes their
+    /// configurations and cannot send them no signal.
     External(Vec<SocketAddr>),
 }
 
-/// What a rehearsal needs beside its scenario.
+/// Options of a rehearsal besides its scenario.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Which senders.
+    /// The senders that are rehearsed.
     pub subject: Subject,
-    /// The folder for the history, the senders' configurations, states and logs.
+    /// Folder for the history and the senders' configurations, states and logs.
     pub folder: PathBuf,
-    /// Where to listen for what is to be done while it runs; nowhere if not given.
+    /// Address of the control port; none if absent.
     pub control: Option<SocketAddr>,
-    /// Hands nothing in: clients come from elsewhere, or not at all.
+    /// Puts no messages: clients are elsewhere, or there are none.
     pub serve_only: bool,
-    /// For tests of the rig's own honesty: stand still for so long, so long after the start.
+    /// For tests of the void verdict: blocks the rig's thread, given as the time after the start and the duration.
     pub stall: Option<(Micros, Micros)>,
 }
 
-/// A rehearsal that could not be held.
+/// A rehearsal that could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum RigError {
-    /// The plan can't be made.
+    /// The plan cannot be made.
     #[error("{0}")]
     Plan(#[from] crate::plan::PlanError),
-    /// Something of the machine's.
+    /// An operation of the system failed.
     #[error("{what}: {error}")]
     Io {
-        /// What was tried.
+        /// The operation, or the path or address concerned.
         what: String,
-        /// Why it failed.
+        /// The cause.
         error: io::Error,
     },
-    /// A sender did not come up.
-    #[error("sender {sender} was not ready within {seconds} s; its log is {}", log.display())]
+    /// A sender did not become ready in time.
+    #[error("sender {sender} did not answer PING within {seconds} s; see its log {}", log.display())]
     NotReady {
-        /// Which.
+        /// Name of the sender.
         sender: String,
-        /// How long was waited.
+        /// The time-out in seconds.
         seconds: i64,
-        /// Its log.
+        /// Path of its log.
         log: PathBuf,
     },
 }
@@ -97,34 +98,34 @@
     }
 }
 
-/// How far a rehearsal is, for whoever watches it.
+/// Progress of a rehearsal, for a display.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
-    /// Time of the run.
+    /// Time since the run began.
     pub t: Micros,
-    /// Until when traffic is planned.
+    /// Time at which the planned traffic ends.
     pub length: Micros,
-    /// Messages handed in so far.
+    /// Messages put so far, retries not counted.
     pub offered: u64,
-    /// Delivered so far.
+    /// Messages delivered so far.
     pub delivered: u64,
-    /// Refused so far, hand-ins counted singly.
+    /// Refusals so far, each retry counted.
     pub refused: u64,
-    /// Given up so far.
+    /// Messages given up so far.
     pub failed: u64,
 }
 
-/// What all parts of the rig share.
+/// State that all parts of the rig share.
 struct World {
     scenario: Scenario,
     recorder: Recorder,
     calls: Cell<u64>,
     progress: Cell<Progress>,
-    /// Messages that were taken on and are not over, for the clients that come again after a refusal.
+    /// Messages that were put and have not ended, by id, so that their clients can retry after a refusal.
     open_messages: RefCell<HashMap<String, clients::ClientMessage>>,
-    /// Refusals of such messages, for the clients.
+    /// Queue of messages refused after their acceptance, each with the retry-after in milliseconds (0 if none).
     returned_messages: tokio::sync::mpsc::Sender<(clients::ClientMessage, u64)>,
-    /// Hand-ins under way.
+    /// Number of clients' messages whose put is in progress or will be retried.
     pending_puts: Cell<usize>,
 }
 
@@ -148,7 +149,7 @@
         self.calls.get()
     }
 
-    /// The message is over: it was delivered.
+    /// Counts the message as delivered, once.
     fn delivered(&self, id: &str) {
         if self.open_messages.borrow_mut().remove(id).is_some() {
             self.count(|p| p.delivered += 1);
@@ -156,7 +157,7 @@
     }
 }
 
-/// The parts of the rig, for what is done to them.
+/// The parts of the rig on which events act.
 struct Rig {
     world: Rc<World>,
     receivers: Rc<Receivers>,
@@ -164,11 +165,11 @@
     senders: Rc<Senders>,
 }
 
-/// Holds a rehearsal and takes it down at `history.jsonl` in the options' folder; where that is. `watch` hears now
-/// and then how far it is.
+/// Runs a rehearsal and records its history as `history.jsonl` in the options' folder; returns the history's path.
+/// `watch` is called with the progress a few times per second.
 ///
 /// # Errors
-/// What could not be started; nothing is judged then.
+/// Fails if something could not be started, or the history not be written; there is nothing to judge then.
 pub fn run(
     scenario: Scenario,
     options: &Options,
@@ -176,7 +177,7 @@
 ) -> Result<PathBuf, RigError> {
     let planned = if options.serve_only { Vec::new() } else { plan(&scenario)? };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(RigError::io("starting"))?;
+    let runtime = runtime.map_err(RigError::io("starting the asynchronous runtime"))?;
     LocalSet::new().block_on(&runtime, run_rehearsal(scenario, planned, options, watch))
 }
 
@@ -201,9 +202,9 @@
     });
     let parameters = Box::new(world.scenario.parameters.clone());
     world.record(Event::Run { format: FORMAT, parameters });
-    let directory = Directory::start(world.clone()).await.map_err(RigError::io("the directory"))?;
+    let directory = Directory::start(world.clone()).await.map_err(RigError::io("starting the directory"))?;
     let receivers = Receivers::start(world.clone(), directory.clone());
-    receivers.open_all().await.map_err(RigError::io("the receivers"))?;
+    receivers.open_all().await.map_err(RigError::io("starting the receivers"))?;
     directory.deliver_all();
     let senders = Senders::prepare(world.clone(), &directory, options)?;
     let rig = Rc::new(Rig { world: world.clone(), receivers, directory, senders: senders.clone() });
@@ -213,7 +214,7 @@
     senders.start_all()?;
     senders.wait_ready(READY_TIMEOUT_US).await?;
 
-    // Traffic and timeline count from here.
+    // Times of the traffic and the timeline are relative to this moment.
     let zero = world.now();
     world.count(|p| p.length = zero + world.scenario.parameters.length);
     tokio::task::spawn_local(measure_lag(world.clone()));
@@ -242,10 +243,10 @@
     Ok(path)
 }
 
-/// Waits until nothing is owed any more, or all that may be has run out of time.
+/// Waits until all messages have ended, or the last possible notice is overdue.
 async fn settle(world: &World, zero: Micros) {
     let longest = world.scenario.parameters.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-    // Clients that come again do so for a while yet.
+    // Clients may still retry during the longest deadline.
     let latest = zero + world.scenario.parameters.length + 2 * longest + NOTICE_TAIL_US;
     loop {
         let idle = world.pending_puts.get() == 0 && world.open_messages.borrow().is_empty();
@@ -254,11 +255,11 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // What a sender still does with messages that are over shows in a while.
+    // Records what senders still do with messages that have ended.
     tokio::time::sleep(Duration::from_millis(500)).await;
 }
 
-/// Takes down how late the rig's own timers are, once a second.
+/// Records once a second how late the rig's own timers are.
 async fn measure_lag(world: Rc<World>) {
     let mut next = world.now();
     let (mut max_lag, mut recorded) = (0, next);
@@ -291,7 +292,7 @@
 }
 
 impl Rig {
-    /// Does what an event says, to its end.
+    /// Applies an event until it is over.
     async fn apply(self: Rc<Self>, event: RawEvent) {
         self.world.record(Event::Mark { text: event.to_string() });
         let span = duration(event.span());
@@ -326,7 +327,7 @@
     }
 }
 
-/// Where a sender's files lie.
-fn folder_of(options: &Options, name: &str) -> PathBuf {
+/// Returns the folder for a sender's files.
+fn sender_folder(options: &Options, name: &str) -> PathBuf {
     Path::new(&options.folder).join(name)
 }
--- a/crates/rehearsal/src/rig/receivers/endpoint.rs
+++ b/crates/rehearsal/src/rig/receivers/endpoint.rs
@@ -1,4 +1,5 @@
-//! An endpoint: it listens for each sender on an address of its own, so that every connection says whose it is.
+//! An endpoint of a stand-in receiver. It listens on a separate address for each sender, so that every connection
+//! identifies its sender.
 
 use super::fault::Fault;
 use super::request::Exchange;
@@ -24,7 +25,7 @@
 pub(super) struct Endpoint {
     pub(super) name: String,
     pub(super) zone: usize,
-    pub(super) addrs: Vec<SocketAddr>,
+    pub(super) addresses: Vec<SocketAddr>,
     pub(super) listening: Vec<AbortHandle>,
     pub(super) faults: RefCell<Vec<Fault>>,
     pub(super) workers: Semaphore,
@@ -44,24 +45,24 @@
 }
 
 impl Receivers {
-    /// Opens an endpoint more of a receiver.
+    /// Opens another endpoint of a receiver.
     pub(super) async fn open(self: &Rc<Self>, receiver: &Rc<Receiver>) -> io::Result<Rc<Endpoint>> {
-        let opened = receiver.opened.get();
-        receiver.opened.set(opened + 1);
+        let number = receiver.opened_endpoints.get();
+        receiver.opened_endpoints.set(number + 1);
         let scenario = &self.world.scenario;
-        let name = format!("r{}-{opened}", receiver.spec.number);
-        let (mut addrs, mut listeners) = (Vec::new(), Vec::new());
+        let name = format!("r{}-{number}", receiver.spec.number);
+        let (mut addresses, mut listeners) = (Vec::new(), Vec::new());
         for _ in 0..scenario.senders.len() {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
-            addrs.push(listener.local_addr()?);
+            addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
-        // Enough to carry its part of the capacity with the mean latency, so that the receiver as a whole takes
-        // what the scenario says.
+        // Enough workers for the endpoint's part of the capacity at the mean latency, so that the receiver as a whole
+        // handles the scenario's capacity.
         let part = receiver.spec.capacity / receiver.spec.endpoints.max(1) as f64;
         let workers = (part * receiver.spec.latency.mean()).ceil().max(1.0) as usize;
-        let seed = scenario.parameters.seed ^ ((receiver.spec.number as u64) << 20) ^ u64::from(opened);
-        let zone = (receiver.index + opened as usize) % scenario.network.zones.len();
+        let seed = scenario.parameters.seed ^ ((receiver.spec.number as u64) << 20) ^ u64::from(number);
+        let zone = (receiver.index + number as usize) % scenario.network.zones.len();
         let endpoint = Rc::new_cyclic(|me: &std::rc::Weak<Endpoint>| {
             let listen = |(sender, listener): (usize, TcpListener)| {
                 let (receivers, receiver, endpoint) = (self.clone(), receiver.clone(), me.clone());
@@ -75,7 +76,7 @@
             Endpoint {
                 name,
                 zone,
-                addrs,
+                addresses,
                 listening: listeners.into_iter().enumerate().map(listen).collect(),
                 faults: RefCell::default(),
                 workers: Semaphore::new(workers),
@@ -86,8 +87,8 @@
         });
         receiver.endpoints.borrow_mut().push(endpoint.clone());
         let zone = scenario.network.zones[endpoint.zone].clone();
-        let (endpoint_name, number) = (endpoint.name.clone(), receiver.spec.number);
-        self.world.record(Event::Endpoint { endpoint: endpoint_name, receiver: number, zone });
+        let (endpoint_name, receiver_number) = (endpoint.name.clone(), receiver.spec.number);
+        self.world.record(Event::Endpoint { endpoint: endpoint_name, receiver: receiver_number, zone });
         Ok(endpoint)
     }
 
@@ -107,7 +108,7 @@
             _ = stream.set_nodelay(true);
             if receiver.resets_connections(&endpoint) {
                 self.world.record(Event::Refused { sender, endpoint: endpoint.name.clone() });
-                // With nothing to linger for, closing resets the connection.
+                // With a linger time of zero, closing resets the connection.
                 _ = stream.set_zero_linger();
                 continue;
             }
@@ -129,7 +130,7 @@
                 });
                 let mut server = http1::Builder::new();
                 server.timer(TokioTimer::new()).header_read_timeout(idle_close);
-                // Senders break connections off to give a call up.
+                // A sender that gives a call up breaks the connection, which is no error here.
                 _ = server.serve_connection(TokioIo::new(tap), service).await;
             });
         }
--- a/crates/rehearsal/src/rig/receivers/fault.rs
+++ b/crates/rehearsal/src/rig/receivers/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with an endpoint for a while, and what becomes of a receiver by it.
+//! Faults of endpoints, and the outages of receivers that they cause.
 
 use super::{Endpoint, Receiver, Receivers};
 use crate::event::{EventKind, RawEvent};
@@ -6,7 +6,7 @@
 use crate::span::Micros;
 use std::rc::Rc;
 
-/// Something wrong with an endpoint, and how badly.
+/// A temporary fault of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fault {
     pub(super) number: u64,
@@ -18,7 +18,7 @@
 }
 
 impl Fault {
-    /// The whole receiver is out while it lasts, and comes back cold.
+    /// Returns whether an endpoint with this fault is in an outage, after which it is cold.
     pub(super) fn is_outage(&self) -> bool {
         matches!(self.kind, EventKind::Silent | EventKind::Hang | EventKind::Shut | EventKind::Down)
             || matches!(self.kind, EventKind::Reset | EventKind::Fail) && self.share > 0.5
@@ -26,19 +26,19 @@
 }
 
 impl Receivers {
-    /// The endpoints that an event is for, each receiver's beside it.
+    /// Returns the receivers that an event selects, each with its selected endpoints.
     pub(super) fn targets(&self, event: &RawEvent) -> Vec<(Rc<Receiver>, Vec<Rc<Endpoint>>)> {
         let named = self.all.iter().filter(|r| event.receiver.is_none_or(|n| n == r.spec.number));
-        let of = |r: &Rc<Receiver>| {
+        let selected = |r: &Rc<Receiver>| {
             let endpoints = r.endpoints.borrow();
             let up = endpoints.iter().filter(|e| !e.draining.get()).cloned();
             up.take(event.endpoints.unwrap_or(usize::MAX)).collect()
         };
-        named.map(|r| (r.clone(), of(r))).collect()
+        named.map(|r| (r.clone(), selected(r))).collect()
     }
 
-    /// Injects a fault into receivers for a while. A receiver of which every endpoint is out is in an outage, and comes
-    /// back from it cold.
+    /// Applies a fault to receivers for the event's duration. A receiver with all endpoints out is in an outage,
+    /// and comes back from it cold.
     pub async fn inject(&self, event: &RawEvent) {
         let targets = self.targets(event);
         let now = self.world.now();
@@ -96,7 +96,7 @@
         let t = self.world.record(Event::Back { receiver: receiver.spec.number, endpoint: endpoint.clone() });
         let mut lanes = receiver.lanes.borrow_mut();
         let lane = lanes.entry(endpoint).or_default();
-        lane.back = Some(t);
+        lane.cold_since = Some(t);
         lane.load.clear();
     }
 }
--- a/crates/rehearsal/src/rig/receivers/keys.rs
+++ b/crates/rehearsal/src/rig/receivers/keys.rs
@@ -1,17 +1,17 @@
-//! The idempotency keys that a receiver remembers.
+//! Idempotency keys that a receiver remembers.
 
 use super::Receiver;
 use crate::history::Item;
 use crate::judge::SOCKET_ALLOWANCE_US;
 use crate::span::Micros;
 
-/// Keys that a receiver remembers; the oldest give way. A receiver that forgets one sooner than it says would make
-/// the sender's resends wrong, so this is far above what any plan sends in a window.
+/// Maximum number of remembered keys; the oldest are forgotten first. It is far above what a plan sends in a window: a
+/// receiver that forgot a key too early would make correct resends take effect twice.
 const MAX_REMEMBERED_KEYS: usize = 1_000_000;
 
 impl Receiver {
-    /// Whether a message's key is remembered, so that it is to take no effect; if not, it is from now on. Asked when
-    /// the call comes, as the window counts: what waits in a queue is known already.
+    /// Returns whether a message's key is remembered, so that the message takes no effect; remembers it if not. Called
+    /// when the call arrives, since the window counts from then, and messages in the queue count as known.
     pub(super) fn remember_key(&self, t: Micros, item: &Item) -> bool {
         let Some(key) = item.key.as_ref().filter(|_| self.spec.key_memory > 0) else { return false };
         let mut keys = self.keys.borrow_mut();
--- a/crates/rehearsal/src/rig/receivers/load.rs
+++ b/crates/rehearsal/src/rig/receivers/load.rs
@@ -1,4 +1,4 @@
-//! What a receiver is sent and what it takes: its limit, and how it falls over while it is cold.
+//! A receiver's load: its limit on calls, and its overload while it is cold.
 
 use super::fault::Fault;
 use super::{Endpoint, Receiver};
@@ -8,14 +8,18 @@
 use crate::span::Micros;
 use std::collections::VecDeque;
 
-/// What a lane (a receiver, or a route of it) was sent lately, and since when it is cold.
+/// Recent load of a lane, and its state after an outage.
 #[derive(Default)]
 pub(super) struct Lane {
-    pub(super) back: Option<Micros>,
+    /// When it came back from an outage; `None` once it is warm.
+    pub(super) cold_since: Option<Micros>,
+    /// Whether it was overloaded; it then stays down.
     pub(super) overloaded: bool,
+    /// Load of the calls and probes within the last fall window.
     pub(super) load: VecDeque<(Micros, f64)>,
-    /// The limit: the span's number and what was taken in it, or a bucket and when it was filled last.
-    pub(super) span: (i64, f64),
+    /// State of a limit per window: the window's number, and the calls accepted in it.
+    pub(super) window: (i64, f64),
+    /// State of a limit per second: the tokens of the bucket, and when it was filled last.
     pub(super) bucket: (f64, Micros),
 }
 
@@ -28,28 +32,28 @@
         self.lanes.borrow().get(&self.lane(endpoint)).is_some_and(|l| l.overloaded)
     }
 
-    /// It takes nothing: it is down, or was pushed over.
+    /// Returns whether the endpoint resets its connections, since it is down or was overloaded.
     pub(super) fn resets_connections(&self, endpoint: &Endpoint) -> bool {
         endpoint.fault(EventKind::Down).is_some() || self.is_overloaded(endpoint)
     }
 
-    /// Every endpoint that does not drain is out.
+    /// Returns whether every endpoint that does not drain is in an outage.
     pub(super) fn all_unavailable(&self) -> bool {
         let endpoints = self.endpoints.borrow();
         let mut up = endpoints.iter().filter(|e| !e.draining.get()).peekable();
         up.peek().is_some() && up.all(|e| e.faults.borrow().iter().any(Fault::is_outage))
     }
 
-    /// Counts the load on a cold lane, and whether that pushes it over.
+    /// Adds load to a cold lane and records an overload if it exceeds the limit.
     pub(super) fn record_load(&self, world: &World, endpoint: &Endpoint, t: Micros, weight: f64) {
         let key = self.lane(endpoint);
         let mut lanes = self.lanes.borrow_mut();
         let lane = lanes.entry(key.clone()).or_default();
-        let Some(back) = lane.back.filter(|_| !lane.overloaded) else { return };
+        let Some(back) = lane.cold_since.filter(|_| !lane.overloaded) else { return };
         let parameters = &world.scenario.parameters;
         let figures = &parameters.receivers[self.index];
         if t - back > figures.warm_up {
-            lane.back = None;
+            lane.cold_since = None;
             lane.load.clear();
             return;
         }
@@ -65,37 +69,37 @@
         }
     }
 
-    /// How many times slower it is for being cold.
+    /// Returns the factor by which a cold lane is slower.
     pub(super) fn cold_slowdown(&self, world: &World, endpoint: &Endpoint, t: Micros) -> f64 {
         let lanes = self.lanes.borrow();
-        let Some(back) = lanes.get(&self.lane(endpoint)).and_then(|l| l.back) else { return 1.0 };
+        let Some(back) = lanes.get(&self.lane(endpoint)).and_then(|l| l.cold_since) else { return 1.0 };
         let figures = &world.scenario.parameters.receivers[self.index];
         figures.capacity / figures.capacity_after(t - back).max(figures.capacity / 1000.0)
     }
 
-    /// Whether the limit has room for one call more, and else how long until it has.
-    pub(super) fn limit(&self, endpoint: &Endpoint, t: Micros) -> Result<(), Micros> {
+    /// Accepts a call if the limit has room for it; otherwise returns the time until it has.
+    pub(super) fn check_limit(&self, endpoint: &Endpoint, t: Micros) -> Result<(), Micros> {
         let Some(limit) = self.spec.limit else { return Ok(()) };
         let mut lanes = self.lanes.borrow_mut();
         let lane = lanes.entry(self.lane(endpoint)).or_default();
         let routes = if self.separate_routes { self.endpoints.borrow().len().max(1) as f64 } else { 1.0 };
-        let most = limit.calls / routes;
+        let max_calls = limit.calls / routes;
         if let Some(window) = limit.window {
-            let span = t / window.0;
-            if lane.span.0 != span {
-                lane.span = (span, 0.0);
+            let number = t / window.0;
+            if lane.window.0 != number {
+                lane.window = (number, 0.0);
             }
-            if lane.span.1 + 1.0 > most.max(1.0) {
-                return Err((span + 1) * window.0 - t);
+            if lane.window.1 + 1.0 > max_calls.max(1.0) {
+                return Err((number + 1) * window.0 - t);
             }
-            lane.span.1 += 1.0;
+            lane.window.1 += 1.0;
             return Ok(());
         }
-        // A second's worth may be saved up. Refused calls take their part, but never more than a second's.
+        // The bucket holds one second's calls. Refused calls use tokens too, down to a deficit of one second's calls.
         let (left, since) = lane.bucket;
-        let fresh = if since == 0 { most } else { left + most * (t - since) as f64 / 1e6 };
-        let left = fresh.min(most.max(1.0)) - 1.0;
-        lane.bucket = (left.max(-most), t);
-        if left < 0.0 { Err((-left / most * 1e6) as Micros) } else { Ok(()) }
+        let refilled = if since == 0 { max_calls } else { left + max_calls * (t - since) as f64 / 1e6 };
+        let tokens = refilled.min(max_calls.max(1.0)) - 1.0;
+        lane.bucket = (tokens.max(-max_calls), t);
+        if tokens < 0.0 { Err((-tokens / max_calls * 1e6) as Micros) } else { Ok(()) }
     }
 }
--- a/crates/rehearsal/src/rig/receivers/mod.rs
+++ b/crates/rehearsal/src/rig/receivers/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in receivers: endpoints on loopback that take calls, carry them out in their time, and fail as they are
-//! told to. For each sender an endpoint listens on an address of its own, so that every connection says whose it is.
+//! Stand-in receivers: endpoints on loopback that run and answer calls in simulated time, and fail as events demand.
+//! Each endpoint listens on a separate address for each sender, so that every connection identifies its sender.
 
 mod endpoint;
 mod fault;
@@ -30,15 +30,15 @@
     lanes: RefCell<HashMap<Option<String>, Lane>>,
     keys: RefCell<HashSet<String>>,
     key_order: RefCell<VecDeque<(Micros, String)>>,
-    opened: Cell<u32>,
+    opened_endpoints: Cell<u32>,
 }
 
-/// All of them.
+/// All stand-in receivers.
 pub struct Receivers {
     world: Rc<World>,
     directory: Rc<Directory>,
     all: Vec<Rc<Receiver>>,
-    /// The number of the next fault.
+    /// Number of the next fault.
     next_fault: Cell<u64>,
 }
 
@@ -53,29 +53,30 @@
                 lanes: RefCell::default(),
                 keys: RefCell::default(),
                 key_order: RefCell::default(),
-                opened: Cell::new(0),
+                opened_endpoints: Cell::new(0),
             })
         };
         let all = world.scenario.receivers.iter().enumerate().map(make).collect();
         Rc::new(Receivers { world, directory, all, next_fault: Cell::new(0) })
     }
 
-    /// Opens all endpoints and has the directory list them.
+    /// Opens all endpoints and publishes them in the directory.
     pub async fn open_all(self: &Rc<Self>) -> io::Result<()> {
         for receiver in &self.all {
             let mut changes = Vec::new();
             for _ in 0..receiver.spec.endpoints {
                 let endpoint = self.open(receiver).await?;
-                changes.push(self.line(receiver, &endpoint, "Ready"));
+                changes.push(self.change(receiver, &endpoint, "Ready"));
             }
             self.directory.publish(&changes);
         }
         Ok(())
     }
 
-    fn line(&self, receiver: &Receiver, endpoint: &Endpoint, status: &str) -> Change {
+    /// Returns the endpoint's entry in the directory with this status.
+    fn change(&self, receiver: &Receiver, endpoint: &Endpoint, status: &str) -> Change {
         let scenario = &self.world.scenario;
-        let line = ListedEndpoint {
+        let listed = ListedEndpoint {
             name: endpoint.name.clone(),
             address: String::new(),
             zone: scenario.network.zones[endpoint.zone].clone(),
@@ -84,6 +85,6 @@
             status: status.into(),
             weight: Some(scenario.parameters.receivers[receiver.index].rate),
         };
-        Change { line, addrs: endpoint.addrs.clone() }
+        Change { endpoint: listed, addresses: endpoint.addresses.clone() }
     }
 }
--- a/crates/rehearsal/src/rig/receivers/replacement.rs
+++ b/crates/rehearsal/src/rig/receivers/replacement.rs
@@ -1,4 +1,4 @@
-//! Endpoints that go, and others that come beside them or in their place.
+//! Endpoints that drain and are removed, and new ones that are added or replace them.
 
 use super::{Endpoint, Receiver, Receivers};
 use crate::event::{EventKind, RawEvent};
@@ -7,23 +7,24 @@
 use std::rc::Rc;
 use tokio::task::AbortHandle;
 
-/// How long an endpoint that drains stays listed, where it isn't said.
+/// Default time for which a draining endpoint stays listed.
 const DEFAULT_GONE_AFTER_US: Micros = 6_000_000;
-/// Waves in which endpoints are replaced.
+/// Number of waves in which endpoints are replaced.
 const WAVES: usize = 4;
 
 impl Receivers {
-    /// Drains endpoints, which are gone a while later, and opens new ones in their place if the event says so.
+    /// Drains endpoints, removes them after a while, and opens new ones in their place if the event says so.
     pub async fn replace(self: &Rc<Self>, event: &RawEvent) {
         let share = event.share.unwrap_or(1.0);
         let mut old: Vec<(Rc<Receiver>, Rc<Endpoint>)> = Vec::new();
         for (receiver, endpoints) in self.targets(event) {
             old.extend(endpoints.into_iter().map(|e| (receiver.clone(), e)));
         }
-        // The same share of every receiver, as near as whole endpoints allow, spread over the list.
-        let many = (old.len() as f64 * share).round() as usize;
-        let step = old.len() as f64 / many.max(1) as f64;
-        let chosen: Vec<_> = (0..many).filter_map(|n| old.get((n as f64 * step) as usize).cloned()).collect();
+        // The same share of every receiver's endpoints, as closely as whole numbers allow, spread over the list.
+        let count = (old.len() as f64 * share).round() as usize;
+        let step = old.len() as f64 / count.max(1) as f64;
+        let chosen: Vec<_> =
+            (0..count).filter_map(|n| old.get((n as f64 * step) as usize).cloned()).collect();
         let waves = if event.over.is_some() { WAVES } else { 1 };
         let pause = duration(event.over.map_or(0, |s| s.0) / waves as i64);
         let size = chosen.len().div_ceil(waves).max(1);
@@ -32,14 +33,14 @@
             for (receiver, endpoint) in wave {
                 if event.kind == EventKind::Replace {
                     match self.open(receiver).await {
-                        Ok(new) => changes.push(self.line(receiver, &new, "Ready")),
+                        Ok(new) => changes.push(self.change(receiver, &new, "Ready")),
                         Err(e) => {
                             _ = self.world.record(Event::Mark { text: format!("no new endpoint: {e}") })
                         }
                     }
                 }
                 endpoint.draining.set(true);
-                changes.push(self.line(receiver, endpoint, "Terminating"));
+                changes.push(self.change(receiver, endpoint, "Terminating"));
             }
             self.directory.publish(&changes);
             let (receivers, wave, after) = (
@@ -55,14 +56,14 @@
         }
     }
 
-    /// Opens so many endpoints more, and lists them all at once.
+    /// Opens more endpoints and publishes all of them at once.
     pub async fn join(self: &Rc<Self>, event: &RawEvent) {
         let named = self.all.iter().filter(|r| event.receiver == Some(r.spec.number));
         for receiver in named {
             let mut changes = Vec::new();
             for _ in 0..event.endpoints.unwrap_or(1) {
                 match self.open(receiver).await {
-                    Ok(new) => changes.push(self.line(receiver, &new, "Ready")),
+                    Ok(new) => changes.push(self.change(receiver, &new, "Ready")),
                     Err(e) => _ = self.world.record(Event::Mark { text: format!("no new endpoint: {e}") }),
                 }
             }
@@ -70,13 +71,13 @@
         }
     }
 
-    /// Endpoints that have drained are gone: they take no connection more.
+    /// Removes drained endpoints: they accept no more connections and are unlisted.
     fn remove(&self, wave: &[(Rc<Receiver>, Rc<Endpoint>)]) {
         let mut changes = Vec::new();
         for (receiver, endpoint) in wave {
             receiver.endpoints.borrow_mut().retain(|e| !Rc::ptr_eq(e, endpoint));
             endpoint.listening.iter().for_each(AbortHandle::abort);
-            changes.push(self.line(receiver, endpoint, "Gone"));
+            changes.push(self.change(receiver, endpoint, "Gone"));
         }
         self.directory.publish(&changes);
     }
--- a/crates/rehearsal/src/rig/receivers/request.rs
+++ b/crates/rehearsal/src/rig/receivers/request.rs
@@ -1,4 +1,4 @@
-//! A request on one of an endpoint's connections: it is read, carried out and answered, or fails as it is told to.
+//! A request to an endpoint: reads, runs and answers it, or fails it as the current faults demand.
 
 use super::{Endpoint, Receiver, Receivers};
 use crate::event::EventKind;
@@ -16,10 +16,10 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A call of several messages in Base64 is no longer than this.
+/// Maximum size of a batch call with Base64 bodies.
 const MAX_CALL_BYTES: usize = 100 * 2 * MAX_BODY_BYTES;
 
-/// An answer, or the sign that the connection is to be broken.
+/// An answer, or the error that makes the server break the connection.
 pub(super) type Answer = Result<Response<Full<Bytes>>, ConnectionBroken>;
 
 #[derive(Debug)]
@@ -27,13 +27,13 @@
 
 impl std::fmt::Display for ConnectionBroken {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("broken on purpose")
+        f.write_str("connection broken on purpose")
     }
 }
 
 impl std::error::Error for ConnectionBroken {}
 
-/// A request on one of an endpoint's connections, and the way of its answer.
+/// A request on a connection of an endpoint, with what is needed to answer it.
 pub(super) struct Exchange {
     pub(super) receivers: Rc<Receivers>,
     pub(super) receiver: Rc<Receiver>,
@@ -43,15 +43,15 @@
     pub(super) new_connection: bool,
 }
 
-/// How a call is refused before any of it is carried out.
+/// How a call is refused before any of its messages runs.
 enum Refusal {
-    /// Its connection is reset.
+    /// The connection is reset.
     Reset,
-    /// It is answered with this status, and with this wait if one is told.
+    /// The answer has this status and, if present, advertises this wait.
     Status(u16, Option<Micros>),
 }
 
-/// Takes down that a call's connection ended, unless it was answered first.
+/// Records on drop that a call's connection ended without an answer, unless it was answered.
 struct Unanswered {
     world: Rc<World>,
     call: u64,
@@ -74,7 +74,7 @@
     response.body(Full::new(body.into())).unwrap_or_default()
 }
 
-/// A wait in whole milliseconds, no shorter than it is.
+/// Returns a wait in milliseconds, rounded up.
 fn wait_ms(wait: Micros) -> u32 {
     u32::try_from((wait + 999) / 1000).unwrap_or(u32::MAX)
 }
@@ -83,7 +83,7 @@
     pub(super) async fn answer(self, request: Request<Incoming>) -> Answer {
         let world = self.receivers.world.clone();
         if self.endpoint.fault(EventKind::Hang).is_some() {
-            // Nothing is read: the call's last byte never comes.
+            // Nothing is read, so that the call's last byte never arrives.
             world.record(Event::Partial { sender: self.sender, endpoint: self.endpoint.name.clone() });
             return std::future::pending().await;
         }
@@ -112,7 +112,7 @@
         self.call(&world, items, batch).await
     }
 
-    /// One way through the network.
+    /// Waits for the network's one-way delay.
     async fn travel(&self, world: &World) {
         let network = &world.scenario.network;
         let same = world.scenario.senders[self.sender].zone == self.endpoint.zone;
@@ -180,14 +180,15 @@
         let fails =
             endpoint.fault(EventKind::Fail).map_or(0.0, |f| f.share).max(self.receiver.spec.error_share);
         let fails = endpoint.chance(fails);
-        // Half of what fails has been carried out, which the sender can't tell.
+        // Half of the failing calls run, which the sender can't tell.
         let runs = !fails || endpoint.chance(0.5);
-        let fates: Vec<(String, Option<bool>)> =
+        let runs_by_id: Vec<(String, Option<bool>)> =
             items.iter().map(|i| (i.id.clone(), runs.then(|| self.receiver.remember_key(t, i)))).collect();
-        // It goes on whether or not the sender still waits: a call that is given up may run on.
-        let (on, receiver, worker) = (world.clone(), self.receiver.clone(), endpoint.clone());
-        let work =
-            tokio::task::spawn_local(async move { carry_out(&on, &receiver, &worker, call, fates).await });
+        // A task of its own, since a call that the sender gives up may run on.
+        let (world_of_task, receiver, worker) = (world.clone(), self.receiver.clone(), endpoint.clone());
+        let work = tokio::task::spawn_local(async move {
+            run_call(&world_of_task, &receiver, &worker, call, runs_by_id).await
+        });
         let silent = endpoint.fault(EventKind::Silent).is_some();
         _ = work.await;
         if silent || endpoint.fault(EventKind::Silent).is_some() {
@@ -204,7 +205,7 @@
         answer(200, None, batch.then(|| vec!["ok".to_string(); items.len()])).await
     }
 
-    /// Why a call of so many messages is not taken on, if it is not.
+    /// Returns how a call with this many messages is refused, if it is.
     fn refusal(&self, world: &World, t: Micros, messages: usize, batch: bool) -> Option<Refusal> {
         let (endpoint, receiver) = (&self.endpoint, &self.receiver);
         if batch && messages > world.scenario.kinds[receiver.spec.kind].batch as usize {
@@ -221,27 +222,31 @@
         if let Some(fault) = endpoint.fault(EventKind::Wait) {
             return Some(Refusal::Status(429, Some(fault.until - t)));
         }
-        if let Err(room) = receiver.limit(endpoint, t) {
-            return Some(self.over_limit(room));
+        if let Err(wait_for_room) = receiver.check_limit(endpoint, t) {
+            return Some(self.over_limit(wait_for_room));
         }
         let room = receiver.spec.queue + endpoint.workers.available_permits();
         (endpoint.waiting.get() + messages > room).then_some(Refusal::Status(503, None))
     }
 
-    /// The refusal of a call for which the limit has no room until so much later.
-    fn over_limit(&self, room: Micros) -> Refusal {
+    /// Returns the refusal of a call that exceeds the limit, which has room again after `wait_for_room`.
+    fn over_limit(&self, wait_for_room: Micros) -> Refusal {
         let spec = &self.receiver.spec;
         let tells = self.endpoint.chance(spec.tells_waits);
-        let some = self.endpoint.rng.borrow_mut().random_range(spec.wait[0].0..=spec.wait[1].0);
-        // To the end of the span, or for about as long as a plain rate needs.
-        let wait = if spec.limit.is_some_and(|l| l.window.is_some()) { room } else { some.max(room) };
+        let random_wait = self.endpoint.rng.borrow_mut().random_range(spec.wait[0].0..=spec.wait[1].0);
+        // With windows, the wait is the rest of the window; with a rate, at least the time until there is room.
+        let wait = if spec.limit.is_some_and(|l| l.window.is_some()) {
+            wait_for_room
+        } else {
+            random_wait.max(wait_for_room)
+        };
         if tells { Refusal::Status(429, Some(wait)) } else { Refusal::Status(503, None) }
     }
 }
 
-/// Takes a worker and its time for a call. Each message comes with whether its key was known; with nothing if it is
-/// not to run.
-async fn carry_out(
+/// Runs a call: waits for a worker and for the simulated time. Each message comes with whether its key was known, or
+/// `None` if it is not to run.
+async fn run_call(
     world: &World,
     receiver: &Receiver,
     endpoint: &Endpoint,
@@ -251,7 +256,7 @@
     endpoint.waiting.set(endpoint.waiting.get() + 1);
     let worker = endpoint.workers.acquire().await;
     endpoint.waiting.set(endpoint.waiting.get() - 1);
-    // The pool of workers is never closed.
+    // The semaphore of workers is never closed.
     let Ok(_worker) = worker else { return };
     let normal: f64 = endpoint.rng.borrow_mut().sample(StandardNormal);
     let latency = &receiver.spec.latency;
--- a/crates/rehearsal/src/rig/receivers/tap.rs
+++ b/crates/rehearsal/src/rig/receivers/tap.rs
@@ -1,4 +1,4 @@
-//! A connection that tells when the first byte of a request came.
+//! A connection that records when the first byte of a request arrived.
 
 use crate::rig::World;
 use crate::span::Micros;
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection that tells when the first byte of a request came.
+/// Wraps a connection and records when the first byte of a request arrived.
 pub(super) struct Tap {
     pub(super) stream: TcpStream,
     pub(super) world: Rc<World>,
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -3,7 +3,7 @@
 use super::crowd;
 use super::directory::Directory;
 use super::management;
-use super::{Options, RigError, Subject, World, folder_of};
+use super::{Options, RigError, Subject, World, sender_folder};
 use crate::event::{EventKind, RawEvent};
 use crate::history::{Event, Signal};
 use crate::parameters::Effect;
@@ -24,15 +24,15 @@
 use tokio::process::Command;
 use tokio::sync::Notify;
 
-/// From SIGTERM to SIGKILL.
+/// Time from SIGTERM to SIGKILL.
 const TERM_TIMEOUT: Duration = Duration::from_millis(3700);
-/// From the process's end to its next start.
+/// Default time from the end of a process to its next start.
 const DEFAULT_DOWN_US: Micros = 600_000;
-/// How long a process that replaces another has to be ready.
+/// Time-out for a replacing process to become ready.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(6);
-/// From the answer to `PING` that a sender takes no clients until the front sends it none.
+/// Time from a sender's entry into lame duck mode until the front end routes clients elsewhere.
 const FRONT_LAG_US: Micros = 300_000;
-/// How long senders have to end after the rehearsal.
+/// Time for processes to end after SIGKILL.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(4500);
 
 struct Process {
@@ -40,16 +40,16 @@
     name: String,
     addr: SocketAddr,
     folder: PathBuf,
-    /// Keeps the port for this sender over its restarts.
+    /// Bound but not listening: reserves the sender's port over its restarts.
     _port: Option<TcpSocket>,
-    /// The clients' listening socket, where the rig holds it for all of this sender's processes.
+    /// Listening socket for clients, if the rig owns it for all processes of this sender.
     listener: Option<std::net::TcpListener>,
-    /// The operators' door of the process that was started last, and what keeps its port.
+    /// Management address of the process that was started last, and the socket that reserves its port.
     management: RefCell<Option<(SocketAddr, TcpSocket)>>,
-    /// Since when the front gives it no clients.
+    /// Since when the sender is in lame duck mode.
     lame_duck_since: Cell<Option<Micros>>,
     pid: Cell<Option<i32>>,
-    /// Its end is the rehearsal's own doing.
+    /// Whether the rehearsal itself ends the process.
     planned: Cell<bool>,
     ended: Notify,
 }
@@ -59,23 +59,23 @@
         self.folder.join("config.json")
     }
 
-    /// Where its door for operators is, if it has one.
+    /// Returns the address of its management interface, if it has one.
     fn management(&self) -> Option<SocketAddr> {
         self.management.borrow().as_ref().map(|(addr, _)| *addr)
     }
 }
 
-/// All of them.
+/// The processes of all senders.
 pub struct Senders {
     world: Rc<World>,
     executable: Option<PathBuf>,
-    /// Each process has a door for operators.
+    /// Whether processes have a management interface.
     with_management: bool,
     all: Vec<Rc<Process>>,
 }
 
 impl Senders {
-    /// Gives each a folder, a port and a configuration. Starts nothing.
+    /// Creates a folder, a port and a configuration for each sender. Starts nothing.
     pub fn prepare(
         world: Rc<World>,
         directory: &Directory,
@@ -90,25 +90,31 @@
         let with_management = shares_listener || has(EventKind::LameDuck);
         let mut all = Vec::new();
         for (index, sender) in world.scenario.parameters.senders.iter().enumerate() {
-            let folder = folder_of(options, &sender.name);
+            let folder = sender_folder(options, &sender.name);
             let io = |e| RigError::io(folder.display().to_string())(e);
             std::fs::create_dir_all(folder.join("state")).map_err(io)?;
             let mut shared_listener = None;
             let (addr, port) = match &options.subject {
                 Subject::Spawn(_) if shares_listener => {
                     let listener = std::net::TcpListener::bind("127.0.0.1:0");
-                    let listener = listener.map_err(RigError::io("a port for a sender"))?;
-                    let addr = listener.local_addr().map_err(RigError::io("a port for a sender"))?;
+                    let listener = listener.map_err(RigError::io("reserving a port for a sender"))?;
+                    let addr =
+                        listener.local_addr().map_err(RigError::io("reserving a port for a sender"))?;
                     shared_listener = Some(listener);
                     (addr, None)
                 }
                 Subject::Spawn(_) => {
-                    let (addr, port) = reserve_port().map_err(RigError::io("a port for a sender"))?;
+                    let (addr, port) =
+                        reserve_port().map_err(RigError::io("reserving a port for a sender"))?;
                     (addr, Some(port))
                 }
                 Subject::External(addrs) => match addrs.get(index) {
                     Some(addr) => (*addr, None),
-                    None => return Err(io(std::io::Error::other("no address was given for this sender"))),
+                    None => {
+                        return Err(io(std::io::Error::other(
+                            "no --sender address was given for this sender",
+                        )));
+                    }
                 },
             };
             let config = config(&world, directory, index, addr);
@@ -133,18 +139,18 @@
         Ok(Rc::new(Senders { world, executable, with_management, all }))
     }
 
-    /// Where clients reach a sender.
+    /// Returns the address of a sender for clients.
     pub fn addr(&self, sender: usize) -> SocketAddr {
         self.all[sender].addr
     }
 
-    /// The sender to which the front sends a client of this one: another while this one is emptied.
+    /// Returns the sender to which the front end routes a client of this one: another during its lame duck mode.
     pub fn route_client(&self, sender: usize) -> usize {
         let now = self.world.now();
-        let open =
+        let is_open =
             |n: &usize| self.all[*n].lame_duck_since.get().is_none_or(|since| now < since + FRONT_LAG_US);
         let mut others = (0..self.all.len()).map(|n| (sender + n) % self.all.len());
-        others.find(open).unwrap_or(sender)
+        others.find(is_open).unwrap_or(sender)
     }
 
     pub fn start_all(self: &Rc<Self>) -> Result<(), RigError> {
@@ -157,20 +163,22 @@
         let log = File::options().create(true).append(true).open(&path);
         let log = log.map_err(RigError::io(path.display().to_string()))?;
         let mut command = Command::new(executable);
-        // As the platform starts it: no arguments, and nothing of this process's own settings.
+        // As the platform starts it: no arguments, and none of this process's own settings.
         let mine = |name: &str| name.starts_with("LB_");
         for (name, _) in std::env::vars().filter(|(n, _)| mine(n)) {
             command.env_remove(name);
         }
         let io = RigError::io(format!("starting {}", executable.display()));
         if self.with_management {
-            let (addr, port) = reserve_port().map_err(RigError::io("a port for a door"))?;
+            let (addr, port) =
+                reserve_port().map_err(RigError::io("reserving a port for the management interface"))?;
             command.env("LB_MGMT", addr.to_string());
             *process.management.borrow_mut() = Some((addr, port));
         }
-        // A copy that outlives exec, for as long as it takes to start the process.
+        // A copy of the socket that survives exec; dropped here once the process is started.
         let inherited = process.listener.as_ref().map(nix::unistd::dup).transpose();
-        let inherited = inherited.map_err(|e| RigError::io("the clients' socket")(e.into()))?;
+        let inherited =
+            inherited.map_err(|e| RigError::io("duplicating the clients' listening socket")(e.into()))?;
         if let Some(fd) = &inherited {
             command.env("LB_SOCKET_FD", fd.as_raw_fd().to_string());
         }
@@ -218,7 +226,7 @@
         Ok(())
     }
 
-    /// Waits until a sender answers `PING`.
+    /// Waits until a sender answers `PING`; returns false after the time-out.
     async fn ready(&self, process: &Process, timeout: Micros) -> bool {
         let until = self.world.now() + timeout;
         while self.world.now() < until {
@@ -231,7 +239,7 @@
         false
     }
 
-    /// Does to a sender, or to all of them, what the event says, and starts it again where it ends by it.
+    /// Applies an event to the senders that it selects, and starts again those that end by it.
     pub async fn signal(self: &Rc<Self>, event: &RawEvent) {
         let named = self.all.iter().filter(|p| event.applies_to(p.index, &p.name));
         let mut tasks = tokio::task::JoinSet::new();
@@ -272,7 +280,7 @@
             }
             EventKind::RetuneWrong => {
                 let Some(before) = self.configure(process, invalid_config) else { return };
-                // The next start is to find the good one.
+                // Restored soon, so that the next start finds the valid configuration.
                 tokio::time::sleep(Duration::from_millis(200)).await;
                 self.write_config(process, &before);
             }
@@ -295,7 +303,7 @@
         }
     }
 
-    /// Starts another process beside the one that runs, and ends that one once the other is ready.
+    /// Starts a second process while the first one runs, and ends the first once the second is ready.
     async fn upgrade(self: &Rc<Self>, process: &Rc<Process>) {
         let Some(old) = process.pid.get() else { return };
         let started = self.world.now();
@@ -316,7 +324,7 @@
             false => format!("{}: the process in its place was not ready within {took} ms", process.name),
         };
         self.world.record(Event::Mark { text });
-        // Neither has to be there still: the old one may have left, which is as good.
+        // The old process may have ended by itself already; errors of both signals are ignored.
         _ = unix::kill(Pid::from_raw(old), unix::Signal::SIGTERM);
         let gone = async {
             while unix::kill(Pid::from_raw(old), None).is_ok() {
@@ -337,7 +345,7 @@
         self.world.record(Event::Mark { text });
     }
 
-    /// Writes the sender's configuration anew, as `change` makes it, and tells the sender; what it was before.
+    /// Rewrites the sender's configuration by `change` and sends SIGHUP; returns the previous text.
     fn configure(&self, process: &Process, change: impl FnOnce(&mut Value)) -> Option<Vec<u8>> {
         let before = std::fs::read(process.config()).ok()?;
         let mut config = serde_json::from_slice(&before).ok()?;
@@ -389,7 +397,7 @@
         }
     }
 
-    /// Ends all of them. The history is over by then.
+    /// Kills all processes. Called after the end of the history.
     pub async fn end(&self) {
         for process in &self.all {
             process.planned.set(true);
@@ -406,7 +414,7 @@
     }
 }
 
-/// A class more, and half the attempts.
+/// Adds a class and halves the maximum number of attempts.
 fn extra_class_and_half_attempts(config: &mut Value) {
     let attempts = &mut config["settings"]["Limits"]["MaxAttempts"];
     *attempts = json!((attempts.as_i64().unwrap_or(2) / 2).max(1));
@@ -418,7 +426,8 @@
     }
 }
 
-/// Another directory and other names, and a deadline that makes no sense: with any of it nothing would go on.
+/// Makes the configuration invalid by a negative deadline, together with another directory and other class names: a
+/// sender that applied any of it could not go on.
 fn invalid_config(config: &mut Value) {
     config["discovery"] = json!("127.0.0.1:9");
     for class in config["settings"]["Profiles"].as_array_mut().into_iter().flatten() {
@@ -427,8 +436,8 @@
     }
 }
 
-/// A port on loopback that no one else is given. Bound but not listening, so that the sender can listen there
-/// again and again.
+/// Reserves a port on loopback. The socket is bound but does not listen, so that the sender can listen there again and
+/// again.
 fn reserve_port() -> std::io::Result<(SocketAddr, TcpSocket)> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -447,7 +456,7 @@
     tokio::time::timeout(Duration::from_secs(2), exchange).await.map_err(std::io::Error::other)?
 }
 
-/// The configuration that the platform would write for this sender.
+/// Returns the configuration that the platform would write for this sender.
 fn config(world: &World, directory: &Directory, index: usize, addr: SocketAddr) -> Value {
     let scenario = &world.scenario;
     let sender = &scenario.senders[index];
--- a/crates/rehearsal/src/scenario/class.rs
+++ b/crates/rehearsal/src/scenario/class.rs
@@ -1,4 +1,4 @@
-//! The `[[class]]` tables: what kinds of messages there are.
+//! The `[[class]]` tables: the classes of messages.
 
 use super::checks::{Checks, not_negative, share};
 use super::defaults;
@@ -36,34 +36,34 @@
     pub(super) size: Option<Spanned<[u32; 2]>>,
 }
 
-/// A class of messages, as clients hand them in.
+/// A class of messages, as clients put them.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its share of the traffic.
+    /// Share of the traffic.
     pub share: f64,
-    /// How many things its messages are about, in a class that keeps order.
+    /// Number of order keys, in an ordered class.
     pub order_keys: u32,
-    /// The kinds of receiver that get it, by index; all where it is empty.
+    /// Indices of the kinds of receiver that get it; all kinds if empty.
     pub kinds: Vec<usize>,
-    /// Bytes of a body, from and to.
+    /// Range of the body's size in bytes.
     pub size: [u32; 2],
 }
 
-/// Bytes of a body, from and to, where a class does not say.
+/// Default range of the body's size in bytes.
 const SIZE: [u32; 2] = [120, 400];
-/// Things that the messages of a class are about, where it does not say.
+/// Default number of order keys.
 const DEFAULT_ORDER_KEYS: u32 = 20;
-/// How long a key of an ordered class rests after an attempt that may still run, where it does not say: 1 s.
+/// Default time for which a key of an ordered class rests after an attempt that may still be running: 1 s.
 const DEFAULT_ORDER_SETTLE_US: Micros = 1_000_000;
 
-/// Checks the classes.
+/// Checks the classes; returns what clients and judge need of each.
 pub(super) fn classes(
     raw: &Raw,
     c: &mut Checks<'_>,
     kinds: &[String],
 ) -> (Vec<Class>, Vec<parameters::Class>) {
     let list = raw.class.get_ref();
-    c.require(!list.is_empty(), raw.class.span(), "there is no class; add a [[class]]");
+    c.require(!list.is_empty(), raw.class.span(), "the scenario has no class; add a [[class]]");
     let mut seen = BTreeSet::new();
     let (mut classes, mut figures) = (Vec::new(), Vec::new());
     for class in list {
@@ -71,13 +71,17 @@
         c.require(
             seen.insert(name),
             class.name.span(),
-            format!("a second class '{name}'; name it otherwise"),
+            format!("duplicate class '{name}'; choose another name"),
         );
         classes.push(class.check(c, kinds));
         figures.push(class.figures());
     }
     let any = classes.iter().any(|class| class.share > 0.0);
-    c.require(any || list.is_empty(), raw.class.span(), "no class has a share of the traffic; give one");
+    c.require(
+        any || list.is_empty(),
+        raw.class.span(),
+        "no class has a share of the traffic; set 'share' above 0 for at least one",
+    );
     (classes, figures)
 }
 
@@ -85,36 +89,39 @@
     fn check(&self, c: &mut Checks<'_>, kinds: &[String]) -> Class {
         let (name, at) = (self.name.get_ref(), self.name.span());
         let plain = !name.is_empty() && name.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=');
-        c.require(plain, at.clone(), "a name is plain text with no blanks, commas or equals signs");
-        c.require(not_negative(self.share), at.clone(), "'share' is 0 or more");
-        c.require(not_negative(self.worth), at.clone(), "'worth' is 0 or more");
-        c.require(share(self.late_share), at.clone(), "'late_share' is from 0 to 1");
+        c.require(
+            plain,
+            at.clone(),
+            "a class name must be printable ASCII without blanks, commas and equals signs",
+        );
+        c.require(not_negative(self.share), at.clone(), "'share' must be 0 or more");
+        c.require(not_negative(self.worth), at.clone(), "'worth' must be 0 or more");
+        c.require(share(self.late_share), at.clone(), "'late_share' must be from 0 to 1");
         self.check_times(c);
         let kinds =
             self.kinds.iter().flatten().filter_map(|kind| c.index(kind, kinds.iter(), "kind")).collect();
         let size = self.checked_size(c);
         let keyed = self.order_keys.is_some() || self.order_settle.is_some();
-        c.require(
-            self.ordered || !keyed,
-            at,
-            "'order_keys' and 'order_settle' mean something with ordered = true only",
-        );
+        c.require(self.ordered || !keyed, at, "'order_keys' and 'order_settle' require ordered = true");
         let order_keys = self.order_keys.unwrap_or(DEFAULT_ORDER_KEYS).max(1);
         Class { share: self.share, order_keys, kinds, size }
     }
 
     fn check_times(&self, c: &mut Checks<'_>) {
         let (deadline, at) = (self.deadline.get_ref().0, self.deadline.span());
-        c.require(deadline > 0, at.clone(), "'deadline' is above 0s");
-        c.require(self.aim.0 <= deadline, at, "'deadline' is shorter than 'aim'; make it longer");
+        c.require(deadline > 0, at.clone(), "'deadline' must be above 0s");
+        c.require(self.aim.0 <= deadline, at, "'deadline' is shorter than 'aim'; increase it");
         match (&self.window, self.effect) {
             (None, Effect::Keyed) => {
-                c.at(self.name.span(), "a keyed class needs 'window', for how long its keys are remembered");
+                c.at(
+                    self.name.span(),
+                    "a keyed class needs 'window', the time for which its keys are remembered",
+                );
             }
             (Some(window), Effect::Safe | Effect::Unsafe) => {
                 c.at(
                     window.span(),
-                    "'window' means something in a keyed class only; leave it out, or say effect = \"keyed\"",
+                    "'window' is valid in a keyed class only; remove it, or set effect = \"keyed\"",
                 );
             }
             _ => {}
@@ -125,7 +132,7 @@
         let Some(given) = &self.size else { return SIZE };
         let size = *given.get_ref();
         let fits = size[0] <= size[1] && size[1] as usize <= MAX_BODY_BYTES;
-        c.require(fits, given.span(), "'size' is [from, to], and 65536 bytes at most");
+        c.require(fits, given.span(), "'size' must be [from, to] with from <= to <= 65536 bytes");
         size
     }
 
--- a/crates/rehearsal/src/scenario/defaults.rs
+++ b/crates/rehearsal/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! What holds where a scenario leaves a field out.
+//! Defaults of scenario fields.
 
 use crate::span::Span;
 
--- a/crates/rehearsal/src/scenario/file.rs
+++ b/crates/rehearsal/src/scenario/file.rs
@@ -1,4 +1,4 @@
-//! The whole file as it is written, before anything of it has been checked.
+//! The file as it is written, before it is checked.
 
 use super::class::RawClass;
 use super::kind::Kind;
@@ -14,7 +14,7 @@
 use std::ops::Range;
 use toml::Spanned;
 
-/// A table that may be left out, and where it stands.
+/// An optional table with its position in the file.
 #[derive(Deserialize)]
 #[serde(from = "Spanned<T>", bound = "T: Deserialize<'de>")]
 pub(super) struct Section<T> {
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! A scenario: the file in which an operator describes an evening. It is read and checked whole before anything
-//! starts, and every finding names line, column and the mend.
+//! A scenario: the file in which an operator describes a rehearsal. It is read and checked completely before anything
+//! starts; every finding has line and column and says how to correct it.
 
 mod checks;
 mod class;
@@ -15,7 +15,7 @@
 mod traffic;
 
 pub use class::Class;
-/// A scenario that can't be played; `name` is that of the file, or of a shipped scenario. Nothing has been started.
+/// A scenario that cannot be played. `name` is that of the file, or of a shipped scenario. Nothing has been started.
 pub use embershore_finding::FileError as ScenarioError;
 pub use kind::Kind;
 pub use receiver::{Latency, Limit, MAX_ENDPOINTS, Receiver};
@@ -41,27 +41,27 @@
 use toml::Spanned;
 use traffic::traffic;
 
-/// A scenario's file is no longer than this; shipped ones have 3 KiB.
+/// Maximum size of a scenario file; the shipped ones have about 3 KiB.
 const MAX_FILE_BYTES: u64 = 4 << 20;
-/// The shortest scenario: 1 s.
+/// Minimum length of a scenario: 1 s.
 const MIN_LENGTH_US: Micros = 1_000_000;
-/// How long a call is taken to take, in seconds, where no receiver has a share of the traffic.
+/// Assumed mean latency of a call, in seconds, if no receiver has a share of the traffic.
 const DEFAULT_MEAN_LATENCY_S: f64 = 0.15;
 
-/// A scenario that has been checked.
+/// A scenario that has passed all checks.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// What it is about, in a line.
+    /// One-line description.
     pub about: String,
-    /// What a verdict depends on.
+    /// The parameters that a verdict depends on.
     pub parameters: Parameters,
-    /// The buildings.
+    /// Zones and the delays between them.
     pub network: Network,
-    /// What senders are told.
+    /// Settings of all senders.
     pub settings: SenderSettings,
-    /// The directory.
+    /// Behaviour of the directory.
     pub directory: Directory,
-    /// How clients behave.
+    /// Behaviour of the clients.
     pub clients: Clients,
     /// Classes, in the order of `parameters`.
     pub classes: Vec<Class>,
@@ -73,17 +73,17 @@
     pub receivers: Vec<Receiver>,
     /// Senders, in the order of `parameters`.
     pub senders: Vec<Sender>,
-    /// What is handed in.
+    /// Pieces of the traffic.
     pub traffic: Vec<Traffic>,
-    /// What happens, by time.
+    /// Events of the timeline, by time.
     pub events: Vec<(Micros, RawEvent)>,
 }
 
 impl Scenario {
-    /// Reads a scenario from a file; traces that it names are looked for beside it.
+    /// Reads a scenario from a file. Paths of traces are relative to its folder.
     ///
     /// # Errors
-    /// The file can't be read, or all that is wrong in it.
+    /// Fails if the file cannot be read, or with all findings in it.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let io = |error| ScenarioError::Io { path: path.into(), error };
         let text = embershore_finding::read(path, MAX_FILE_BYTES, "a scenario").map_err(io)?;
@@ -91,10 +91,10 @@
         Scenario::parse(&path.display().to_string(), &text, folder)
     }
 
-    /// Reads a scenario from its text. `name` is for messages.
+    /// Parses a scenario. `name` is used in messages, and `folder` is where traces are looked up.
     ///
     /// # Errors
-    /// All that is wrong in it.
+    /// Fails with all findings in the text.
     pub fn parse(name: &str, text: &str, folder: &Path) -> Result<Scenario, ScenarioError> {
         let wrong = |findings| ScenarioError::Invalid { name: name.into(), findings };
         let raw: Raw = toml::from_str(text).map_err(|e| wrong(vec![Finding::from_toml_error(text, &e)]))?;
@@ -106,10 +106,10 @@
 
 fn build(raw: Raw, c: &mut Checks<'_>, folder: &Path) -> Scenario {
     let length = raw.length.get_ref().0;
-    c.require(length >= MIN_LENGTH_US, raw.length.span(), "'length' is at least 1s");
+    c.require(length >= MIN_LENGTH_US, raw.length.span(), "'length' must be at least 1s");
     let rules = rules(&raw.rules, c);
     let zones = &raw.network.value.zones;
-    c.require(!zones.is_empty(), raw.network.span.clone(), "'zones' names at least one building");
+    c.require(!zones.is_empty(), raw.network.span.clone(), "'zones' must name at least one zone");
     let clients = clients(&raw.clients, c);
     let kind_names = kinds(&raw, c);
     let (classes, class_parameters) = classes(&raw, c, &kind_names);
@@ -146,14 +146,14 @@
     }
 }
 
-/// How long a call takes on average, in seconds, each receiver with its share of the traffic.
+/// Returns the mean latency of a call in seconds, weighted by the receivers' shares of the traffic.
 fn mean_latency(receivers: &[Receiver]) -> f64 {
     let shares: f64 = receivers.iter().map(|r| r.share).sum();
     let mean = receivers.iter().map(|r| r.share * r.latency.mean()).sum::<f64>();
     if shares > 0.0 { mean / shares } else { DEFAULT_MEAN_LATENCY_S }
 }
 
-/// Checks the events, and puts them in the order of their times.
+/// Checks the events and sorts them by time.
 fn events(
     raw: &Raw,
     c: &mut Checks<'_>,
@@ -162,18 +162,20 @@
 ) -> Vec<(Micros, RawEvent)> {
     let numbers: Vec<i64> = receivers.iter().map(|r| r.number).collect();
     let names: Vec<String> = senders.iter().map(|s| s.name.clone()).collect();
-    let known = Targets { receivers: &numbers, senders: &names };
+    let targets = Targets { receivers: &numbers, senders: &names };
     let mut events: Vec<(Micros, RawEvent)> = Vec::new();
     for event in &raw.event {
-        let mut wrong = event.get_ref().problems(known);
+        let mut problems = event.get_ref().problems(targets);
         match event.get_ref().at {
-            None => wrong.push("an event on the timeline needs 'at'; say when, such as at = \"20s\"".into()),
+            None => problems.push("an event on the timeline needs 'at'; add it, such as at = \"20s\"".into()),
             Some(at) if at.0 > raw.length.get_ref().0 => {
-                wrong.push("'at' lies after the end; move it, or make 'length' longer".into());
+                problems.push(
+                    "'at' is after the end of the scenario; move the event, or increase 'length'".into(),
+                );
             }
             Some(at) => events.push((at.0, event.get_ref().clone())),
         }
-        wrong.into_iter().for_each(|w| c.at(event.span(), w));
+        problems.into_iter().for_each(|p| c.at(event.span(), p));
     }
     events.sort_by_key(|(at, _)| *at);
     events
