--- a/crates/rehearsal/src/scenario/receiver.rs
+++ b/crates/rehearsal/src/scenario/receiver.rs
@@ -9,45 +9,45 @@
 use std::collections::BTreeSet;
 use toml::Spanned;
 
-/// Endpoints of a scenario at most: each is a socket for each sender, under a usual limit on descriptors.
+/// Maximum number of endpoints of a scenario: each is a socket per sender, within a usual limit on descriptors.
 pub const MAX_ENDPOINTS: usize = 4096;
 
-/// How long a receiver takes for a message: a log-normal, given by two of its points.
+/// Distribution of a receiver's time per message: a log-normal, given by two of its percentiles.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Latency {
-    /// Half take less.
+    /// Median.
     pub median: Span,
-    /// One in a hundred takes more.
+    /// 99th percentile.
     pub p99: Span,
 }
 
 impl Latency {
-    /// The normal's standard deviation, in logarithms.
+    /// Returns the standard deviation of the underlying normal distribution.
     pub fn sigma(&self) -> f64 {
-        // The normal's 99th percentile lies 2.326 deviations above its mean.
+        // The 99th percentile of a normal distribution is 2.326 standard deviations above its mean.
         ((self.p99.0.max(1) as f64) / (self.median.0.max(1) as f64)).ln().max(0.0) / 2.326
     }
 
-    /// The mean, in seconds.
+    /// Returns the mean in seconds.
     pub fn mean(&self) -> f64 {
         self.median.secs() * (self.sigma().powi(2) / 2.0).exp()
     }
 }
 
-/// What a receiver takes from all senders together.
+/// Limit on the calls that a receiver accepts from all senders together.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Calls ...
+    /// Number of calls per window, or per second without one.
     pub calls: f64,
-    /// ... in each span of this length; with none, a plain rate a second of which refused calls take their part too.
+    /// Length of the fixed windows; without one it is a rate per second, which refused calls use up too.
     #[serde(default)]
     pub window: Option<Span>,
 }
 
 impl Limit {
-    /// Calls a second.
+    /// Returns the limit in calls per second.
     pub fn rate(&self) -> f64 {
         self.calls / self.window.map_or(1.0, Span::secs)
     }
@@ -86,40 +86,40 @@
 /// A stand-in receiver.
 #[derive(Clone, Debug)]
 pub struct Receiver {
-    /// Its number.
+    /// Number of the receiver.
     pub number: i64,
-    /// Its kind, by index.
+    /// Index of its kind.
     pub kind: usize,
-    /// How many endpoints it has at first.
+    /// Number of endpoints at the start.
     pub endpoints: usize,
-    /// Its share of the traffic.
+    /// Share of the traffic.
     pub share: f64,
-    /// What it takes from all senders together.
+    /// Limit on the calls from all senders together.
     pub limit: Option<Limit>,
-    /// Messages a second that it can handle when warm.
+    /// Messages per second that it can handle when warm.
     pub capacity: f64,
-    /// How long it takes.
+    /// Time per message.
     pub latency: Latency,
-    /// Share of its refusals that tell how long to wait.
+    /// Share of its refusals that advertise a wait.
     pub tells_waits: f64,
-    /// How long, from and to, where it isn't the end of a span.
+    /// Range of the advertised waits, where it is not the rest of a limit's window.
     pub wait: [Span; 2],
-    /// Messages that wait at an endpoint at most.
+    /// Maximum number of messages that queue at an endpoint.
     pub queue: usize,
-    /// How long it remembers keys; 0 for not at all.
+    /// How long it remembers keys; 0 if not at all.
     pub key_memory: Micros,
     /// Share of the calls that it answers with an error.
     pub error_share: f64,
 }
 
-/// Checks the receivers.
+/// Checks the receivers; returns what the rig and the judge need of each.
 pub(super) fn receivers(
     raw: &Raw,
     c: &mut Checks<'_>,
     kinds: &[String],
 ) -> (Vec<Receiver>, Vec<parameters::Receiver>) {
     let list = raw.receiver.get_ref();
-    c.require(!list.is_empty(), raw.receiver.span(), "there is no receiver; add a [[receiver]]");
+    c.require(!list.is_empty(), raw.receiver.span(), "the scenario has no receiver; add a [[receiver]]");
     let (mut receivers, mut figures): (Vec<Receiver>, Vec<parameters::Receiver>) = (Vec::new(), Vec::new());
     let (mut seen, mut endpoints) = (BTreeSet::new(), 0);
     for r in list {
@@ -127,10 +127,7 @@
         r.check(c);
         endpoints += r.count().saturating_mul(*r.endpoints.get_ref());
         if endpoints > MAX_ENDPOINTS {
-            c.at(
-                r.endpoints.span(),
-                format!("{endpoints} endpoints; {MAX_ENDPOINTS} at most, so make fewer"),
-            );
+            c.at(r.endpoints.span(), format!("{endpoints} endpoints in all; use {MAX_ENDPOINTS} at most"));
             break;
         }
         let separate_routes = kind.is_some_and(|k| raw.kind[k].get_ref().separate_routes);
@@ -139,7 +136,7 @@
             c.require(
                 seen.insert(number),
                 r.number.span(),
-                format!("a second receiver {number}; number it otherwise"),
+                format!("duplicate receiver number {number}; choose another"),
             );
             receivers.push(r.receiver(number, kind.unwrap_or(0)));
             figures.push(r.figures(number, separate_routes));
@@ -149,7 +146,8 @@
     (receivers, figures)
 }
 
-/// Keys of a class are remembered by all its receivers at least for its window, or the keyed class lies.
+/// Sets how long receivers remember keys: at least for the longest window of the keyed classes, or their repeats would
+/// take effect.
 fn set_key_memory(raw: &Raw, c: &mut Checks<'_>, receivers: &mut [Receiver]) {
     let keyed = raw.class.get_ref().iter().filter(|k| k.effect == Effect::Keyed);
     let windows = keyed.filter_map(|k| k.window.as_ref()).map(|w| w.get_ref().0);
@@ -161,7 +159,7 @@
             Some(memory) if memory.0 < window => {
                 c.at(
                     given.number.span(),
-                    "'key_memory' is shorter than a keyed class's 'window'; make it as long",
+                    "'key_memory' is shorter than the 'window' of a keyed class; increase it",
                 );
             }
             Some(_) => {}
@@ -170,35 +168,35 @@
 }
 
 impl RawReceiver {
-    /// How many alike there are, numbered on from its number.
+    /// Returns the number of identical receivers that the table stands for, numbered from its number.
     pub(super) fn count(&self) -> usize {
         self.count.as_ref().map_or(1, |n| *n.get_ref())
     }
 
     fn check(&self, c: &mut Checks<'_>) {
         let at = self.number.span();
-        c.require(*self.endpoints.get_ref() > 0, self.endpoints.span(), "'endpoints' is 1 or more");
+        c.require(*self.endpoints.get_ref() > 0, self.endpoints.span(), "'endpoints' must be 1 or more");
         c.require(
             positive(*self.capacity.get_ref()),
             self.capacity.span(),
-            "'capacity' is above 0 messages a second",
+            "'capacity' must be above 0 messages per second",
         );
         let latency = self.latency.get_ref();
         let fits = latency.median.0 > 0 && latency.median <= latency.p99;
-        c.require(fits, self.latency.span(), "'median' is above 0s and no longer than 'p99'");
+        c.require(fits, self.latency.span(), "'median' must be above 0s and no longer than 'p99'");
         if let Some(limit) = &self.limit {
             let window = limit.get_ref().window;
             let fits = positive(limit.get_ref().calls) && window.is_none_or(|w| w.0 > 0);
-            c.require(fits, limit.span(), "'calls' is above 0, and so is 'window' where one is given");
+            c.require(fits, limit.span(), "'calls' must be above 0, and 'window', if given, too");
         }
         for (what, value) in [
             ("tells_waits", self.tells_waits),
             ("cold_from", self.cold_from),
             ("error_share", self.error_share),
         ] {
-            c.require(share(value), at.clone(), format!("'{what}' is from 0 to 1"));
+            c.require(share(value), at.clone(), format!("'{what}' must be from 0 to 1"));
         }
-        c.require(self.wait[0] <= self.wait[1], at, "'wait' is [from, to]");
+        c.require(self.wait[0] <= self.wait[1], at, "'wait' must be [from, to] with from <= to");
     }
 
     fn receiver(&self, number: i64, kind: usize) -> Receiver {
--- a/crates/rehearsal/src/scenario/rules.rs
+++ b/crates/rehearsal/src/scenario/rules.rs
@@ -1,4 +1,4 @@
-//! The `[rules]` table: figures of the six rules.
+//! The `[rules]` table: limits of the six rules.
 
 use super::checks::{Checks, positive, share};
 use super::file::Section;
@@ -31,13 +31,13 @@
     }
 }
 
-/// Checks the figures of the rules.
+/// Checks the limits of the rules.
 pub(super) fn rules(raw: &Section<RawRules>, c: &mut Checks<'_>) -> parameters::Rules {
     let (r, at) = (&raw.value, &raw.span);
-    c.require(positive(r.fall_multiple), at.clone(), "'fall_multiple' is above 0");
-    c.require(r.fall_window.0 > 0, at.clone(), "'fall_window' is above 0s");
-    c.require(share(r.batch_weight), at.clone(), "'batch_weight' is from 0 to 1");
-    c.require(r.max_attempts > 0, at.clone(), "'max_attempts' is 1 or more");
+    c.require(positive(r.fall_multiple), at.clone(), "'fall_multiple' must be above 0");
+    c.require(r.fall_window.0 > 0, at.clone(), "'fall_window' must be above 0s");
+    c.require(share(r.batch_weight), at.clone(), "'batch_weight' must be from 0 to 1");
+    c.require(r.max_attempts > 0, at.clone(), "'max_attempts' must be 1 or more");
     parameters::Rules {
         drain_grace: r.drain_grace.0,
         fall_multiple: r.fall_multiple,
--- a/crates/rehearsal/src/scenario/settings.rs
+++ b/crates/rehearsal/src/scenario/settings.rs
@@ -5,15 +5,15 @@
 use crate::span::Span;
 use serde::Deserialize;
 
-/// The buildings and what lies between them.
+/// Zones and the network delays between them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// The buildings' names.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// One way within a building.
+    /// One-way delay within a zone.
     pub same: Span,
-    /// One way between two.
+    /// One-way delay between zones.
     pub cross: Span,
 }
 
@@ -23,30 +23,30 @@
     }
 }
 
-/// What all senders are told beside what the other tables say.
+/// Settings of all senders, besides those of the other tables.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SenderSettings {
-    /// Least time between two rounds of the decision module.
+    /// Minimum time between two rounds of the decision module.
     pub quantum: Span,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Endpoints may be probed.
+    /// Whether endpoints may be probed.
     pub probes: bool,
-    /// The longest retry-after that a client heeds.
+    /// Longest retry-after that clients observe.
     pub max_retry_after: Span,
-    /// Endpoints close idle connections after this.
+    /// Time after which endpoints close idle connections.
     pub idle_close: Span,
-    /// How long a connection may take to come up.
+    /// Time-out for opening a connection.
     pub connect_timeout: Span,
-    /// Worth of a message beyond its tenant's quota, as a share.
+    /// Share of its worth that a message beyond its tenant's quota has.
     pub over_share_worth: f64,
-    /// How many senders they are told that there are; as many as there are if not given.
+    /// Number of senders that the configurations state; the actual number if absent.
     pub senders: Option<usize>,
 }
 
 impl SenderSettings {
-    /// How many senders they are told that there are.
+    /// Returns the number of senders that the configurations state.
     pub fn advertised_senders(&self, senders: usize) -> usize {
         self.senders.unwrap_or(senders)
     }
@@ -67,11 +67,11 @@
     }
 }
 
-/// The directory.
+/// Behaviour of the directory.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Directory {
-    /// How long after a change the senders are told of it.
+    /// Time from a change until the senders are notified of it.
     pub lag: Span,
 }
 
@@ -81,21 +81,21 @@
     }
 }
 
-/// How clients behave.
+/// Behaviour of the clients.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// How often a refused message is handed in again at most.
+    /// Maximum number of times that a refused message is put again.
     pub retries: u32,
-    /// After which wait, where none is told or it isn't heeded; it doubles each time.
+    /// Wait before a retry if none is advertised or it is ignored; it doubles each time.
     pub wait: Span,
-    /// Share of the clients that heed the wait which a refusal tells.
+    /// Share of the clients that observe an advertised wait.
     pub honour: f64,
-    /// Share of the messages that are written behind another on its connection, before that one is answered.
+    /// Share of the messages that are pipelined: sent before the earlier put on the connection is answered.
     pub pipeline: f64,
-    /// Share of the messages whose client goes away without waiting for the answer.
+    /// Share of the messages whose client disconnects without waiting for the reply.
     pub leave: f64,
-    /// How long a client waits for the answer.
+    /// How long a client waits for the reply.
     pub patience: Span,
 }
 
@@ -106,17 +106,17 @@
     }
 }
 
-/// Times that a refused message is handed in again, at most.
+/// Maximum of `retries`.
 const MAX_RETRIES: u32 = 10;
 
-/// Checks how clients behave.
+/// Checks the behaviour of the clients.
 pub(super) fn clients(raw: &Section<Clients>, c: &mut Checks<'_>) -> Clients {
     let (clients, at) = (raw.value, &raw.span);
     for (what, value) in
         [("honour", clients.honour), ("pipeline", clients.pipeline), ("leave", clients.leave)]
     {
-        c.require(share(value), at.clone(), format!("'{what}' is from 0 to 1"));
+        c.require(share(value), at.clone(), format!("'{what}' must be from 0 to 1"));
     }
-    c.require(clients.retries <= MAX_RETRIES, at.clone(), "'retries' is 10 at most");
+    c.require(clients.retries <= MAX_RETRIES, at.clone(), "'retries' must be 10 at most");
     clients
 }
--- a/crates/rehearsal/src/scenario/split.rs
+++ b/crates/rehearsal/src/scenario/split.rs
@@ -1,25 +1,25 @@
-//! The same scenario with another number of senders.
+//! Changes the number of senders of a scenario.
 
 use super::{MAX_SENDERS, Scenario, Sender};
 use crate::parameters;
 
-/// A scenario that can't be played with another number of senders.
+/// A scenario that cannot be played with another number of senders.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SplitError {
-    /// An event is for one of its senders.
-    #[error("an event of the scenario is for sender '{0}' alone; without the name it is for all of them")]
+    /// An event names one of the senders.
+    #[error("an event of the scenario is for sender '{0}' only; remove its 'sender' to have it for all")]
     Named(String),
-    /// The number is out of range.
-    #[error("a scenario has 1 to {MAX_SENDERS} senders")]
+    /// The number of senders is out of range.
+    #[error("a scenario must have 1 to {MAX_SENDERS} senders")]
     Number,
 }
 
 impl Scenario {
-    /// Plays the same with another number of senders, all alike: the same load, and the same slots, room and limits
-    /// in all.
+    /// Replaces the senders by this many identical ones. The load stays, and so do the totals of slots and open
+    /// messages; each sender keeps the memory, descriptor and disk limits of the scenario's first.
     ///
     /// # Errors
-    /// The number is out of range, or an event is for one sender alone.
+    /// Fails if the number is out of range, or an event is for one sender only.
     pub fn split(&mut self, senders: usize) -> Result<(), SplitError> {
         if !(1..=MAX_SENDERS).contains(&senders) {
             return Err(SplitError::Number);
@@ -30,7 +30,7 @@
         let slots: u32 = self.parameters.senders.iter().map(|s| s.slots).sum();
         let room: u32 = self.parameters.senders.iter().map(|s| s.max_open).sum();
         let like = self.senders[0].clone();
-        let part = |all: u32, least: u32| ((f64::from(all) / senders as f64).round() as u32).max(least);
+        let part = |all: u32, min: u32| ((f64::from(all) / senders as f64).round() as u32).max(min);
         let zones = &self.network.zones;
         let zone = |n: usize| n % zones.len().max(1);
         self.parameters.senders = (0..senders)
--- a/crates/rehearsal/src/scenario/tenant.rs
+++ b/crates/rehearsal/src/scenario/tenant.rs
@@ -1,4 +1,4 @@
-//! The `[[tenant]]` tables: whose messages there are.
+//! The `[[tenant]]` tables: the tenants and their shares of the traffic.
 
 use super::checks::{Checks, not_negative, positive};
 use super::file::Raw;
@@ -16,16 +16,16 @@
     pub(super) quota: Option<f64>,
 }
 
-/// Checks the tenants, and gives the share of the traffic that each has.
+/// Checks the tenants; returns their shares of the traffic, and what the judge needs of each.
 pub(super) fn tenants(raw: &Raw, c: &mut Checks<'_>) -> (Vec<f64>, Vec<parameters::Tenant>) {
     let mut seen = BTreeSet::new();
     for tenant in &raw.tenant {
         let (name, at) = (tenant.name.get_ref(), tenant.name.span());
-        c.require(seen.insert(name), at.clone(), format!("a second tenant '{name}'; name it otherwise"));
-        c.require(not_negative(tenant.share), at.clone(), "'share' is 0 or more");
-        c.require(tenant.quota.is_none_or(positive), at, "'quota' is above 0; leave it out for none");
+        c.require(seen.insert(name), at.clone(), format!("duplicate tenant '{name}'; choose another name"));
+        c.require(not_negative(tenant.share), at.clone(), "'share' must be 0 or more");
+        c.require(tenant.quota.is_none_or(positive), at, "'quota' must be above 0; remove it for none");
     }
-    // With none named there is one, which stands for all.
+    // Without a [[tenant]] table there is one tenant with all traffic.
     if raw.tenant.is_empty() {
         return (vec![1.0], vec![parameters::Tenant { name: "all".into(), quota: f64::MAX }]);
     }
--- a/crates/rehearsal/src/scenario/traffic.rs
+++ b/crates/rehearsal/src/scenario/traffic.rs
@@ -1,4 +1,4 @@
-//! The `[[traffic]]` tables: what clients hand in.
+//! The `[[traffic]]` tables: the messages that clients put.
 
 use super::checks::{Checks, positive, share};
 use super::file::Raw;
@@ -43,7 +43,7 @@
     pub(super) speed: Option<f64>,
 }
 
-/// Checks the pieces of traffic; traces that they name are looked for in `folder`.
+/// Checks the pieces of traffic and reads their traces; paths of traces are relative to `folder`.
 pub(super) fn traffic(raw: &Raw, c: &mut Checks<'_>, length: Micros, folder: &Path) -> Vec<Traffic> {
     let mut all = Vec::new();
     for spanned in &raw.traffic {
@@ -51,7 +51,7 @@
         piece.check(c, spanned.span());
         let (from, to) = (piece.from.map_or(0, |s| s.0), piece.to.map_or(length, |s| s.0));
         let fits = from < to && to <= length;
-        c.require(fits, spanned.span(), "'from' lies before 'to', and 'to' no later than 'length'");
+        c.require(fits, spanned.span(), "'from' must be before 'to', and 'to' no later than 'length'");
         let classes = raw.class.get_ref().iter().map(|k| k.name.get_ref());
         let class = piece.class.as_ref().and_then(|name| c.index(name, classes, "class"));
         let tenants = raw.tenant.iter().map(|k| k.name.get_ref());
@@ -88,14 +88,14 @@
             ("file", self.file.is_some()),
             ("speed", self.speed.is_some()),
         ];
-        for wrong in field_problems(&given, self.shape.get_ref().fields(), "this shape") {
-            c.at(self.shape.span(), wrong);
+        for problem in field_problems(&given, self.shape.get_ref().fields(), "this shape") {
+            c.at(self.shape.span(), problem);
         }
         let rates = [self.rate, self.to_rate, self.zipf, self.speed];
-        let good = rates.iter().flatten().all(|x| positive(*x) || (*x == 0.0 && self.speed != Some(0.0)));
-        c.require(good, at.clone(), "rates are 0 or more, 'speed' is above 0");
-        c.require(self.swing.is_none_or(share), at.clone(), "'swing' is from 0 to 1");
-        c.require(self.period.is_none_or(|p| p.0 > 0), at, "'period' is above 0s");
+        let valid = rates.iter().flatten().all(|x| positive(*x) || (*x == 0.0 && self.speed != Some(0.0)));
+        c.require(valid, at.clone(), "rates and 'zipf' must be 0 or more, 'speed' above 0");
+        c.require(self.swing.is_none_or(share), at.clone(), "'swing' must be from 0 to 1");
+        c.require(self.period.is_none_or(|p| p.0 > 0), at, "'period' must be above 0s");
     }
 
     fn checked_receiver(&self, c: &mut Checks<'_>, raw: &Raw) -> Option<i64> {
@@ -107,7 +107,7 @@
         c.require(
             known,
             number.span(),
-            format!("there is no receiver {}; add a [[receiver]]", number.get_ref()),
+            format!("there is no receiver {}; correct the number or add a [[receiver]]", number.get_ref()),
         );
         Some(*number.get_ref())
     }
--- a/crates/rehearsal/src/shipped.rs
+++ b/crates/rehearsal/src/shipped.rs
@@ -1,11 +1,11 @@
-//! The scenarios that ship with the kit, under `rehearsals/` in the sources.
+//! The scenarios that ship with the kit, from `rehearsals/` in the source tree.
 
 /// A shipped scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Shipped {
-    /// Its name.
+    /// Name of the scenario.
     pub name: &'static str,
-    /// Its text.
+    /// Text of its TOML file.
     pub text: &'static str,
 }
 
@@ -15,7 +15,7 @@
     };
 }
 
-/// All of them. The first is played where none is named.
+/// All shipped scenarios. The first is the default of `rehearse`.
 pub const ALL: &[Shipped] = shipped![
     "evening-rush",
     "calm",
@@ -39,7 +39,7 @@
     "fleet-troubles",
 ];
 
-/// The one with this name.
+/// Returns the shipped scenario with this name.
 pub fn find(name: &str) -> Option<&'static Shipped> {
     ALL.iter().find(|s| s.name == name)
 }
--- a/crates/rehearsal/src/trace.rs
+++ b/crates/rehearsal/src/trace.rs
@@ -1,62 +1,62 @@
-//! Captured traffic: JSON lines, one message each, by time.
+//! Captured traffic: JSON lines, one message per line, by time.
 //!
 //! ```json
 //! {"at_ms":0,"class":"status-sync","tenant":"askwell","receiver":3,"size":212}
 //! ```
 //!
-//! `at_ms` counts from the capture's beginning. Nothing of a message's body is kept, and no id or key.
+//! `at_ms` counts from the start of the capture. Bodies, ids and keys are not captured.
 
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-/// Lines of a trace at most: each takes some 80 bytes while a rehearsal runs.
+/// Maximum number of lines of a trace: each takes about 80 bytes of memory during a rehearsal.
 pub const MAX_LINES: usize = 2_000_000;
 
-/// A message that was handed in.
+/// One captured message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
-    /// When, in milliseconds since the capture began.
+    /// When it was put, in milliseconds since the start of the capture.
     pub at_ms: u64,
-    /// Its class's name.
+    /// Name of its class.
     pub class: String,
-    /// Its tenant's name.
+    /// Name of its tenant.
     pub tenant: String,
-    /// Its receiver's number.
+    /// Number of its receiver.
     pub receiver: i64,
-    /// Bytes of its body.
+    /// Size of its body in bytes.
     pub size: u32,
 }
 
-/// A trace that can't be read.
+/// A trace that cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
-    /// The file can't be read.
-    #[error("{}: {error}", path.display())]
+    /// The file cannot be read.
+    #[error("cannot read trace {}: {error}", path.display())]
     Io {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// A line is wrong.
+    /// A line is invalid.
     #[error("{}: line {line}: {why}", path.display())]
     Line {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line's number, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// What is wrong, and the mend.
+        /// What is wrong and how to correct it.
         why: String,
     },
 }
 
-/// Reads a trace.
+/// Reads a trace from a file.
 ///
 /// # Errors
-/// Names the file, and the line that is wrong.
+/// Fails if the file cannot be read or a line is invalid; the error names the file and the line.
 pub fn read(path: &Path) -> Result<Vec<Line>, TraceError> {
     let io = |error| TraceError::Io { path: path.into(), error };
     let mut lines: Vec<Line> = Vec::new();
@@ -68,13 +68,13 @@
         }
         let line: Line = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
         if lines.last().is_some_and(|before| before.at_ms > line.at_ms) {
-            return Err(wrong("'at_ms' is before the line above; sort the lines by it".into()));
+            return Err(wrong("'at_ms' is less than on the line before; sort the lines by 'at_ms'".into()));
         }
         if line.size as usize > embershore_protocol::resp::MAX_BODY_BYTES {
-            return Err(wrong("'size' is over 65536 bytes, which no sender takes".into()));
+            return Err(wrong("'size' is over 65536 bytes, the maximum that a sender accepts".into()));
         }
         if lines.len() == MAX_LINES {
-            return Err(wrong(format!("more than {MAX_LINES} lines; cut the trace into parts")));
+            return Err(wrong(format!("more than {MAX_LINES} lines; split the trace")));
         }
         lines.push(line);
     }
--- a/crates/rehearsal/tests/common/mod.rs
+++ b/crates/rehearsal/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Histories written by hand.
+//! A builder of hand-written histories.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -13,9 +13,9 @@
 pub const UNSAFE: usize = 2;
 pub const ORDERED: usize = 3;
 
-/// Two senders; classes `push` (keyed for 3 s), `sync` (safe), `pay` (unsafe) and `log` (safe, in order, settling for
-/// 1 s), each with 10 s; receivers 1 and 2 for 10 messages a second with endpoints `e1`, `e2` and `e3`, and receiver
-/// 3, whose routes `f1` and `f2` are apart.
+/// Returns parameters with two senders; classes `push` (keyed for 3 s), `sync` (safe), `pay` (unsafe) and `log` (safe,
+/// ordered, settling for 1 s), each with a deadline of 10 s; receivers 1 and 2 for 10 messages per second with
+/// endpoints `e1`, `e2` and `e3`, and receiver 3 with the separate routes `f1` and `f2`.
 pub fn parameters() -> Parameters {
     let class = |name: &str, effect, window, ordered| Class {
         name: name.into(),
@@ -63,7 +63,7 @@
     }
 }
 
-/// A history; times are milliseconds.
+/// A history under construction; times are in milliseconds.
 #[derive(Clone)]
 pub struct History {
     pub records: Vec<Record>,
@@ -85,12 +85,12 @@
         self
     }
 
-    /// Handed in to a sender, for receiver 1, and taken on 5 ms later.
+    /// A message for receiver 1 is put to a sender and accepted 5 ms later.
     pub fn accepted(&mut self, ms: i64, sender: usize, id: &str, class: usize) -> &mut Self {
         self.offer(ms, sender, id, id, class, None).reply(ms + 5, id, PutOutcome::Accepted)
     }
 
-    /// The same in the class that keeps order.
+    /// The same with an order key, in the ordered class.
     pub fn accepted_ordered(&mut self, ms: i64, id: &str, order: &str) -> &mut Self {
         self.offer(ms, 0, id, id, ORDERED, Some(order)).reply(ms + 5, id, PutOutcome::Accepted)
     }
@@ -121,7 +121,7 @@
         self.at(ms, Event::Notice { sender: 0, id: id.into(), state, after_ms: None })
     }
 
-    /// A call that stays open; its number.
+    /// A call that stays open; returns its number.
     pub fn call(&mut self, ms: i64, sender: usize, endpoint: &str, ids: &[&str]) -> u64 {
         self.calls += 1;
         let items = ids.iter().map(|id| Item { id: (*id).into(), key: None }).collect();
@@ -157,7 +157,7 @@
         self.at(ms, Event::Ran { call, id: id.into(), dropped: false })
     }
 
-    /// A call that is answered 100 ms later.
+    /// A call that is answered after 100 ms.
     pub fn sent(&mut self, ms: i64, sender: usize, endpoint: &str, id: &str, status: u16) -> &mut Self {
         let call = self.call(ms, sender, endpoint, &[id]);
         if status == 200 {
@@ -166,14 +166,14 @@
         self.answer(ms + 100, call, status)
     }
 
-    pub fn told(&mut self, ms: i64, sender: usize, endpoint: &str, standing: EndpointStatus) -> &mut Self {
-        let lines = vec![(endpoint.into(), standing)];
-        self.at(ms, Event::Listing { sender, index: 2, complete: false, lines })
+    pub fn notified(&mut self, ms: i64, sender: usize, endpoint: &str, status: EndpointStatus) -> &mut Self {
+        let lines = vec![(endpoint.into(), status)];
+        self.at(ms, Event::Listing { sender, index: 2, complete: false, endpoints: lines })
     }
 
     pub fn listed(&mut self, ms: i64, sender: usize, endpoints: &[&str]) -> &mut Self {
         let lines = endpoints.iter().map(|e| ((*e).into(), EndpointStatus::Ready)).collect();
-        self.at(ms, Event::Listing { sender, index: 1, complete: true, lines })
+        self.at(ms, Event::Listing { sender, index: 1, complete: true, endpoints: lines })
     }
 
     pub fn signal(&mut self, ms: i64, sender: usize, signal: Signal) -> &mut Self {
@@ -184,7 +184,7 @@
         self.at(ms, Event::Ready { sender })
     }
 
-    /// Ends the history.
+    /// Adds the last record.
     pub fn over(&mut self, ms: i64) -> &mut Self {
         self.at(ms, Event::End)
     }
@@ -193,7 +193,7 @@
         judge(&self.records).unwrap()
     }
 
-    /// The rule is broken, and no other is.
+    /// Asserts that this rule is broken and no other.
     pub fn breaks(&self, rule: Rule) {
         let judgement = self.judge();
         for r in &judgement.rules {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// The rule was put to the test, and no rule is broken.
+    /// Asserts that this rule was tested and no rule is broken.
     pub fn keeps(&self, rule: Rule) {
         let judgement = self.judge();
         assert!(!judgement.broken(), "{:?}", judgement.rules);
--- a/crates/rehearsal/tests/common/stub.rs
+++ b/crates/rehearsal/tests/common/stub.rs
@@ -1,5 +1,5 @@
-//! A small sender, good but for one fault. It shows that the judge catches each fault by its rule and by no other,
-//! and it is what the load is measured against.
+//! A minimal sender that is correct except for one selected fault. The tests use it to show that the judge attributes
+//! each fault to its rule only, and the benchmark to measure the rig.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -18,55 +18,56 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Mutex;
 
-/// What it does wrong.
+/// The fault of a stub sender.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
-    /// Every tenth message that it took on is forgotten, unless others wait behind it.
+    /// Forgets every tenth accepted message, unless it is in an ordered class.
     Forgets,
-    /// What it could not deliver it tells a second too late.
+    /// Sends the notices of undelivered messages one second too late.
     TellsLate,
-    /// It ends clients' connections with no answer to some messages, however often they come.
+    /// Closes the connection without a reply on some messages, however often they are put.
     HangsUp,
-    /// It sends unsafe messages again whatever became of them.
+    /// Repeats unsafe messages regardless of the outcome.
     Repeats,
-    /// It sends every tenth message to two endpoints at once.
+    /// Sends every tenth message to two endpoints at once.
     Copies,
-    /// It says of unsafe messages that may have run that they may be handed in again.
+    /// Returns unsafe messages that may have run as safe to retry.
     Refuses,
-    /// It goes on by the list it was given first.
+    /// Keeps using the first list of endpoints.
     IgnoresDrains,
-    /// It loads a receiver that came back with all that it holds.
+    /// Sends a returning receiver everything that it holds at once.
     Stampedes,
-    /// It sends messages of one key as they come.
+    /// Sends messages of one key without waiting for each other.
     Overtakes,
-    /// It sends on in spite of waits.
+    /// Ignores advertised waits.
     IgnoresWaits,
-    /// It takes everything on and sends nothing: for measuring the load.
+    /// Accepts everything and sends nothing, to measure the rig.
     Null,
 }
 
-/// Calls are waited for this long.
-const PATIENCE: Duration = Duration::from_millis(1500);
-/// A message is given up so long before its time is up.
-const MARGIN: Duration = Duration::from_millis(250);
-/// Between calls to a receiver that came back lately.
-const PACE: Duration = Duration::from_millis(500);
+/// Time-out of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time before its deadline at which a message is given up.
+const GIVE_UP_LEAD: Duration = Duration::from_millis(250);
+/// Interval of calls to a receiver that came back recently.
+const PACE_INTERVAL: Duration = Duration::from_millis(500);
 
-struct Place {
+/// An endpoint.
+struct Endpoint {
     addr: SocketAddr,
 }
 
-/// What it knows of a receiver.
+/// The stub's state of a receiver.
 #[derive(Default)]
 struct Receiver {
-    places: Vec<Rc<Place>>,
+    endpoints: Vec<Rc<Endpoint>>,
     turn: usize,
     wait_until: Option<Instant>,
-    /// It failed; one call at a time asks whether it is back.
-    ill: bool,
-    asking: bool,
-    /// It is loaded bit by bit until then.
+    /// Whether it failed; then one trial call at a time checks whether it is back.
+    failing: bool,
+    on_trial: bool,
+    /// End of the time in which calls to it are paced.
     warm_until: Option<Instant>,
     next: Option<Instant>,
 }
@@ -77,14 +78,14 @@
     classes: HashMap<String, (String, bool, Duration)>,
     receivers: RefCell<BTreeMap<i64, Receiver>>,
     keys: RefCell<HashMap<String, Rc<Mutex<Option<Instant>>>>>,
-    kept: RefCell<HashMap<SocketAddr, Vec<BufReader<TcpStream>>>>,
+    idle_connections: RefCell<HashMap<SocketAddr, Vec<BufReader<TcpStream>>>>,
     taken: Cell<u64>,
     settle: Duration,
     frozen: Cell<bool>,
 }
 
-/// Starts one in a thread of its own, which ends with the process; where it listens. Its configuration is read from
-/// this file as soon as the rig has written it.
+/// Starts a stub in a thread of its own, which ends with the process, and returns its address. The stub reads its
+/// configuration from this file as soon as the rig has written it.
 pub fn start(fault: Fault, config: PathBuf) -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
@@ -108,8 +109,8 @@
     let micros = |v: &Value| Duration::from_micros(v.as_u64().unwrap());
     let classes = settings["Profiles"].as_array().unwrap().iter().map(|p| {
         let effect = p["Effect"].as_str().unwrap().to_string();
-        let figures = (effect, p["SerialByKey"].as_bool().unwrap(), micros(&p["WindowUs"]));
-        (p["Name"].as_str().unwrap().to_string(), figures)
+        let values = (effect, p["SerialByKey"].as_bool().unwrap(), micros(&p["WindowUs"]));
+        (p["Name"].as_str().unwrap().to_string(), values)
     });
     let stub = Rc::new(Stub {
         fault,
@@ -117,12 +118,12 @@
         classes: classes.collect(),
         receivers: RefCell::default(),
         keys: RefCell::default(),
-        kept: RefCell::default(),
+        idle_connections: RefCell::default(),
         taken: Cell::new(0),
         settle: micros(&settings["Rules"]["OrderSettleUs"]),
         frozen: Cell::new(false),
     });
-    stub.learn(&serde_json::from_value(config["known"].clone()).unwrap());
+    stub.apply(&serde_json::from_value(config["known"].clone()).unwrap());
     stub.frozen.set(fault == Fault::IgnoresDrains);
     tokio::task::spawn_local(stub.clone().follow());
     let listener = TcpListener::from_std(listener).unwrap();
@@ -134,25 +135,25 @@
 }
 
 impl Stub {
-    fn learn(&self, list: &Listing) {
+    fn apply(&self, list: &Listing) {
         if self.frozen.get() {
             return;
         }
         let mut receivers = self.receivers.borrow_mut();
-        receivers.values_mut().for_each(|r| r.places.clear());
+        receivers.values_mut().for_each(|r| r.endpoints.clear());
         for line in list.endpoints.iter().filter(|l| l.status == "Ready") {
-            let place = Place { addr: line.address.parse().unwrap() };
-            receivers.entry(line.group).or_default().places.push(Rc::new(place));
+            let endpoint = Endpoint { addr: line.address.parse().unwrap() };
+            receivers.entry(line.group).or_default().endpoints.push(Rc::new(endpoint));
         }
     }
 
-    /// Asks for the whole list again and again.
+    /// Polls the complete list again and again.
     async fn follow(self: Rc<Self>) {
         loop {
-            if let Ok((200, _, body)) = self.ask(self.discovery, "GET /v1/servers", &[], b"").await
+            if let Ok((200, _, body)) = self.request(self.discovery, "GET /v1/servers", &[], b"").await
                 && let Ok(list) = serde_json::from_slice(&body)
             {
-                self.learn(&list);
+                self.apply(&list);
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -169,7 +170,7 @@
                 let Ok(put) = decode_put(&args) else { return };
                 self.taken.set(self.taken.get() + 1);
                 let number = self.taken.get();
-                // The client comes once more on a new connection, under the same id.
+                // The client puts the message once more on a new connection, under the same id.
                 if self.fault == Fault::HangsUp && put.request_id.ends_with("07") {
                     return;
                 }
@@ -188,9 +189,9 @@
     }
 
     async fn deliver(self: Rc<Self>, put: Put, number: u64) {
-        let until = Instant::now() + Duration::from_micros(put.time_left as u64) - MARGIN;
+        let until = Instant::now() + Duration::from_micros(put.time_left as u64) - GIVE_UP_LEAD;
         let ordered = self.classes[&put.class].1 && self.fault != Fault::Overtakes;
-        // The lock is fair: messages of a key go in the order in which they came.
+        // The lock is fair: messages of a key are sent in the order of their arrival.
         let key = ordered.then(|| {
             let name = format!("{}/{}", put.class, put.order_key);
             self.keys.borrow_mut().entry(name).or_default().clone()
@@ -206,7 +207,7 @@
         if let Some(turn) = turn.as_deref_mut().filter(|_| unknown) {
             *turn = Some(Instant::now() + self.settle);
         }
-        // A message of an ordered key is over only once the platform knows.
+        // A message of an ordered key has ended only once the platform has its notice.
         if let Some(state) = end {
             self.notice(&put.request_id, state, until).await;
         }
@@ -214,16 +215,19 @@
 
     async fn notice(&self, id: &str, state: &str, until: Instant) {
         if self.fault == Fault::TellsLate {
-            tokio::time::sleep_until((until + MARGIN + Duration::from_secs(1)).into()).await;
+            tokio::time::sleep_until((until + GIVE_UP_LEAD + Duration::from_secs(1)).into()).await;
         }
         let line = format!("{}\n", json!({"id": id, "state": state}));
-        while !matches!(self.ask(self.discovery, "POST /reports", &[], line.as_bytes()).await, Ok((204, ..)))
-        {
+        while !matches!(
+            self.request(self.discovery, "POST /reports", &[], line.as_bytes()).await,
+            Ok((204, ..))
+        ) {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Tries until it is delivered or given up: the notice that is owed, and whether an attempt may still run.
+    /// Repeats attempts until the message is delivered or given up; returns the state of the notice, if one is due, and
+    /// whether an attempt may still be running.
     async fn attempts(
         self: &Rc<Self>,
         put: &Put,
@@ -241,121 +245,121 @@
                 (Some(_), "single_shot") if self.fault != Fault::Repeats => break,
                 _ => {}
             }
-            // A place is waited for no longer than a repeat may still go out.
+            // An endpoint is awaited only as long as a repeat is still allowed.
             let last = match may_have_run.filter(|_| effect == "guarded") {
-                Some(first) => until.min(first + *window - PATIENCE),
+                Some(first) => until.min(first + *window - CALL_TIMEOUT),
                 None => until,
             };
-            let Some(place) = self.place(put.dest, last).await else { break };
-            let begun = Instant::now();
+            let Some(endpoint) = self.endpoint(put.dest, last).await else { break };
+            let started = Instant::now();
             if self.fault == Fault::Copies && number.is_multiple_of(10) {
-                let (stub, put, place) = (self.clone(), put.clone(), place.clone());
+                let (stub, put, endpoint) = (self.clone(), put.clone(), endpoint.clone());
                 tokio::task::spawn_local(async move {
-                    _ = stub.call(&put, &place, PATIENCE).await;
+                    _ = stub.call(&put, &endpoint, CALL_TIMEOUT).await;
                 });
             }
-            let patience = PATIENCE.min(until.saturating_duration_since(begun));
-            let went = self.call(put, &place, patience).await;
-            self.heard(put.dest, &went);
-            match went {
-                Went::PutOutcome(200, _) => return (None, false),
-                Went::PutOutcome(429 | 503, _) | Went::NoConnection => {}
-                Went::PutOutcome(..) | Went::Broken => _ = may_have_run.get_or_insert(begun),
+            let patience = CALL_TIMEOUT.min(until.saturating_duration_since(started));
+            let outcome = self.call(put, &endpoint, patience).await;
+            self.record_outcome(put.dest, &outcome);
+            match outcome {
+                CallOutcome::Answered(200, _) => return (None, false),
+                CallOutcome::Answered(429 | 503, _) | CallOutcome::NoConnection => {}
+                CallOutcome::Answered(..) | CallOutcome::Broken => _ = may_have_run.get_or_insert(started),
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         (refused(may_have_run.is_some()), may_have_run.is_some())
     }
 
-    /// An endpoint to call now; nothing once the time is up.
-    async fn place(&self, dest: i64, until: Instant) -> Option<Rc<Place>> {
+    /// Waits for an endpoint that may be called now; `None` once the time is up.
+    async fn endpoint(&self, dest: i64, until: Instant) -> Option<Rc<Endpoint>> {
         while Instant::now() < until {
-            if let Some(place) = self.free(dest) {
-                return Some(place);
+            if let Some(endpoint) = self.next_endpoint(dest) {
+                return Some(endpoint);
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         None
     }
 
-    fn free(&self, dest: i64) -> Option<Rc<Place>> {
+    fn next_endpoint(&self, dest: i64) -> Option<Rc<Endpoint>> {
         let mut receivers = self.receivers.borrow_mut();
         let r = receivers.get_mut(&dest)?;
         let now = Instant::now();
         if r.wait_until.is_some_and(|t| now < t) && self.fault != Fault::IgnoresWaits {
             return None;
         }
-        if r.ill {
-            // One asks, the others wait.
-            if r.asking || r.next.is_some_and(|t| now < t) {
+        if r.failing {
+            // One trial call at a time; other messages wait.
+            if r.on_trial || r.next.is_some_and(|t| now < t) {
                 return None;
             }
-            r.asking = true;
+            r.on_trial = true;
         } else if r.warm_until.is_some_and(|t| now < t) && self.fault != Fault::Stampedes {
             if r.next.is_some_and(|t| now < t) {
                 return None;
             }
-            r.next = Some(now + PACE);
+            r.next = Some(now + PACE_INTERVAL);
         }
         r.turn += 1;
-        let n = r.places.len();
-        (n > 0).then(|| r.places[r.turn % n].clone())
+        let n = r.endpoints.len();
+        (n > 0).then(|| r.endpoints[r.turn % n].clone())
     }
 
-    fn heard(&self, dest: i64, went: &Went) {
+    fn record_outcome(&self, dest: i64, outcome: &CallOutcome) {
         let mut receivers = self.receivers.borrow_mut();
         let Some(r) = receivers.get_mut(&dest) else { return };
         let now = Instant::now();
-        match went {
-            Went::PutOutcome(200, _) if r.ill => {
-                (r.ill, r.asking, r.next) = (false, false, None);
+        match outcome {
+            CallOutcome::Answered(200, _) if r.failing => {
+                (r.failing, r.on_trial, r.next) = (false, false, None);
                 r.warm_until = Some(now + Duration::from_secs(6));
             }
-            Went::PutOutcome(200 | 429 | 500, _) => r.asking = false,
+            CallOutcome::Answered(200 | 429 | 500, _) => r.on_trial = false,
             _ => {
-                (r.ill, r.asking) = (true, false);
+                (r.failing, r.on_trial) = (true, false);
                 r.next = Some(now + Duration::from_millis(300));
             }
         }
-        if let Went::PutOutcome(_, wait) = went
+        if let CallOutcome::Answered(_, wait) = outcome
             && !wait.is_zero()
         {
             r.wait_until = Some(now + *wait);
         }
     }
 
-    async fn call(&self, put: &Put, place: &Place, patience: Duration) -> Went {
+    async fn call(&self, put: &Put, endpoint: &Endpoint, patience: Duration) -> CallOutcome {
         let mut headers = vec![("x-request-id", put.request_id.clone())];
         headers.push(("x-timeout", format!("{}m", patience.as_millis().max(1))));
         if let Some(key) = &put.idempotency_key {
             headers.push(("idempotency-key", key.clone()));
         }
-        let asked = self.ask(place.addr, "POST /v1/messages", &headers, &put.body);
-        match tokio::time::timeout(patience, asked).await {
-            Ok(Ok((status, wait, _))) => Went::PutOutcome(status, wait),
-            Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Went::NoConnection,
-            // An endpoint that is down resets connections before anything is read.
-            Ok(Err(e)) if e.kind() == io::ErrorKind::NotConnected => Went::NoConnection,
-            Ok(Err(_)) | Err(_) => Went::Broken,
+        let exchange = self.request(endpoint.addr, "POST /v1/messages", &headers, &put.body);
+        match tokio::time::timeout(patience, exchange).await {
+            Ok(Ok((status, wait, _))) => CallOutcome::Answered(status, wait),
+            Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => CallOutcome::NoConnection,
+            // An endpoint that is down resets connections before it reads anything.
+            Ok(Err(e)) if e.kind() == io::ErrorKind::NotConnected => CallOutcome::NoConnection,
+            Ok(Err(_)) | Err(_) => CallOutcome::Broken,
         }
     }
 
-    /// One exchange: status, wait and body.
-    async fn ask(
+    /// Makes one HTTP request; returns status, advertised wait and body.
+    async fn request(
         &self,
         addr: SocketAddr,
         line: &str,
         headers: &[(&str, String)],
         body: &[u8],
     ) -> io::Result<(u16, Duration, Bytes)> {
-        let kept = self.kept.borrow_mut().get_mut(&addr).and_then(Vec::pop);
-        let mut stream = match kept {
+        let idle = self.idle_connections.borrow_mut().get_mut(&addr).and_then(Vec::pop);
+        let mut stream = match idle {
             Some(s) => s,
             None => {
                 let stream = TcpStream::connect(addr).await?;
                 stream.set_nodelay(true)?;
                 let mut stream = BufReader::new(stream);
-                // One that is reset at once was never written to.
+                // A connection that is reset at once has not carried the request.
                 let ended = tokio::time::timeout(Duration::from_millis(3), stream.fill_buf()).await;
                 if ended.is_ok() {
                     return Err(io::ErrorKind::NotConnected.into());
@@ -388,14 +392,14 @@
         }
         let mut body = vec![0; length];
         stream.read_exact(&mut body).await?;
-        self.kept.borrow_mut().entry(addr).or_default().push(stream);
+        self.idle_connections.borrow_mut().entry(addr).or_default().push(stream);
         Ok((status, wait, body.into()))
     }
 }
 
-/// How a call went.
-enum Went {
-    PutOutcome(u16, Duration),
+/// Outcome of a call.
+enum CallOutcome {
+    Answered(u16, Duration),
     NoConnection,
     Broken,
 }
--- a/crates/rehearsal/tests/even.rs
+++ b/crates/rehearsal/tests/even.rs
@@ -1,11 +1,11 @@
-//! Evenness over a receiver's endpoints, from histories written by hand.
+//! Tests of the evenness over a receiver's endpoints, with hand-written histories.
 
 mod common;
 use common::*;
 use embershore_rehearsal::judge::{Evenness, Spread};
 use embershore_rehearsal::report::from_records;
 
-/// So many calls, one each 100 ms, each to the endpoint that `to` says, answered after `takes` ms.
+/// Returns the evenness of `n` calls, one every 100 ms, each to the endpoint `to(i)`, answered after `takes` ms.
 fn calls(n: usize, takes: i64, to: impl Fn(usize) -> &'static str) -> Evenness {
     let mut h = History::new();
     for i in 0..n {
@@ -25,18 +25,18 @@
 }
 
 #[test]
-fn a_perfect_round_is_below_chance_and_a_herd_far_above() {
+fn round_robin_is_below_chance_and_all_calls_to_one_far_above() {
     let round = ten_seconds(&calls(202, 20, |i| if i % 2 == 0 { "e1" } else { "e2" }));
     assert_eq!((round.windows, round.busiest, round.idlest, round.variance), (2, Some(1.0), Some(1.0), 0.0));
-    let herd = ten_seconds(&calls(202, 20, |_| "e1"));
-    assert_eq!((herd.busiest, herd.idlest, herd.variance), (Some(2.0), Some(0.0), 100.0));
-    // Three in four to one of two: a quarter of the herd's.
-    let leaning = ten_seconds(&calls(202, 20, |i| if i % 4 == 3 { "e2" } else { "e1" }));
-    assert_eq!((leaning.busiest, leaning.idlest, leaning.variance), (Some(1.5), Some(0.5), 25.0));
+    let all_to_one = ten_seconds(&calls(202, 20, |_| "e1"));
+    assert_eq!((all_to_one.busiest, all_to_one.idlest, all_to_one.variance), (Some(2.0), Some(0.0), 100.0));
+    // Three of four calls to one of two endpoints: a quarter of the variance of all calls to one.
+    let uneven = ten_seconds(&calls(202, 20, |i| if i % 4 == 3 { "e2" } else { "e1" }));
+    assert_eq!((uneven.busiest, uneven.idlest, uneven.variance), (Some(1.5), Some(0.5), 25.0));
 }
 
 #[test]
-fn windows_with_too_few_calls_say_nothing_of_busiest_and_idlest() {
+fn windows_with_too_few_calls_have_no_busiest_and_idlest() {
     let e = calls(202, 20, |i| if i % 2 == 0 { "e1" } else { "e2" });
     let short = e.spreads[0];
     assert!(short.windows > 100 && short.busiest.is_none() && short.idlest.is_none(), "{short:?}");
@@ -44,9 +44,9 @@
 
 #[test]
 fn an_endpoint_is_idle_only_while_another_queues() {
-    // One call out at a time queues nowhere; each lasting 250 ms, two or three are out at e1
+    // With one call in flight at a time no endpoint queues; calls of 250 ms put two or three in flight at e1.
     assert_eq!(calls(100, 50, |_| "e1").longest_idle, 0);
-    // The last call comes after the last message was handed in, and no longer counts.
+    // The last call starts after the last message was put, and does not count.
     assert_eq!(calls(100, 250, |_| "e1").longest_idle, 9_850_000);
     let now_and_then = calls(100, 250, |i| if i % 20 == 19 { "e2" } else { "e1" });
     assert!((1_500_000..2_000_000).contains(&now_and_then.longest_idle), "{now_and_then:?}");
--- a/crates/rehearsal/tests/faults.rs
+++ b/crates/rehearsal/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Senders with one fault each, on sockets, through the whole rig: each is caught by its rule and by no other.
+//! Faulty stub senders through the whole rig, on sockets: the rule that forbids a fault is broken, and no other.
 
 #[path = "common/stub.rs"]
 mod stub;
@@ -10,7 +10,7 @@
 use std::path::Path;
 use stub::Fault;
 
-/// An evening of seven seconds that puts all six rules to the test.
+/// A scenario of seven seconds that tests all six rules.
 const EVENING: &str = r#"
 name = "all six"
 length = "7s"
@@ -112,7 +112,7 @@
     report
 }
 
-/// The rule, and no other, is broken by a sender with this fault.
+/// Asserts that a sender with this fault breaks this rule and no other.
 fn caught(fault: Fault, rule: Rule) {
     let report = rehearse(fault);
     for r in &report.judgement.rules {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_good_sender_keeps_all_six_and_each_is_tested() {
+fn a_correct_sender_keeps_all_six_rules_and_tests_each() {
     let report = rehearse(Fault::None);
     for r in &report.judgement.rules {
         assert_eq!(r.verdict, Verdict::Kept, "{}: {:?}", r.rule, r.violations);
@@ -131,57 +131,57 @@
 }
 
 #[test]
-fn one_that_forgets_is_caught() {
+fn a_sender_that_forgets_messages_is_caught() {
     caught(Fault::Forgets, Rule::NoMessageLost);
 }
 
 #[test]
-fn one_that_tells_late_is_caught() {
+fn a_sender_with_late_notices_is_caught() {
     caught(Fault::TellsLate, Rule::NoMessageLost);
 }
 
 #[test]
-fn one_that_hangs_up_is_caught() {
+fn a_sender_that_closes_connections_without_a_reply_is_caught() {
     caught(Fault::HangsUp, Rule::NoMessageLost);
 }
 
 #[test]
-fn one_that_repeats_what_is_unsafe_is_caught() {
+fn a_sender_that_repeats_unsafe_messages_is_caught() {
     caught(Fault::Repeats, Rule::NoEffectTwice);
 }
 
 #[test]
-fn one_that_sends_copies_is_caught() {
+fn a_sender_that_sends_copies_is_caught() {
     caught(Fault::Copies, Rule::NoEffectTwice);
 }
 
 #[test]
-fn one_that_refuses_what_may_have_run_is_caught() {
+fn a_sender_that_refuses_messages_that_may_have_run_is_caught() {
     caught(Fault::Refuses, Rule::NoEffectTwice);
 }
 
 #[test]
-fn one_that_ignores_drains_is_caught() {
+fn a_sender_that_ignores_drains_is_caught() {
     caught(Fault::IgnoresDrains, Rule::DrainsKept);
 }
 
 #[test]
-fn one_that_stampedes_is_caught() {
+fn a_sender_that_overloads_a_returning_receiver_is_caught() {
     caught(Fault::Stampedes, Rule::ReturnNotPushedOver);
 }
 
 #[test]
-fn one_that_overtakes_is_caught() {
+fn a_sender_that_breaks_the_order_is_caught() {
     caught(Fault::Overtakes, Rule::OrderKept);
 }
 
 #[test]
-fn one_that_ignores_waits_is_caught() {
+fn a_sender_that_ignores_waits_is_caught() {
     caught(Fault::IgnoresWaits, Rule::WaitsHeeded);
 }
 
 #[test]
-fn a_rig_that_stood_still_says_void_and_gives_no_verdict() {
+fn a_stalled_rig_makes_the_run_void() {
     let folder = tempfile::tempdir().unwrap();
     let scenario = Scenario::parse("all six", EVENING, Path::new(".")).unwrap();
     let addr = stub::start(Fault::None, folder.path().join("n0/config.json"));
--- a/crates/rehearsal/tests/judge.rs
+++ b/crates/rehearsal/tests/judge.rs
@@ -1,5 +1,5 @@
-//! The judge, by histories written by hand: for each rule some that break it, each in another way and one at the very
-//! limit, and some just inside it.
+//! Tests of the judge with hand-written histories: for each rule several that break it, each in another way and one
+//! just past the limit, and some just within it.
 
 mod common;
 use common::*;
@@ -8,7 +8,7 @@
 };
 use embershore_rehearsal::judge::{Rule, Verdict, judge};
 
-// 1. No message lost: 10 s of time, 300 ms for the notice, 50 ms of allowance.
+// 1. No message lost: a deadline of 10 s, 300 ms for the notice, and 50 ms of allowance.
 
 #[test]
 fn a_message_that_is_never_ended_is_lost() {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_notice_at_the_limit_is_in_time_and_later_is_not() {
+fn a_notice_at_the_limit_is_in_time_and_a_later_one_is_not() {
     let ended = |ms| {
         History::new().accepted(0, 0, "m1", SAFE).notice(ms, "m1", NoticeState::Failed).over(20_000).clone()
     };
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_error_is_no_end() {
+fn an_error_answer_does_not_end_a_message() {
     History::new()
         .accepted(0, 0, "m1", SAFE)
         .sent(10, 0, "e1", "m1", 500)
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn an_answer_that_comes_after_a_restarts_grace_is_late() {
-    // Its time is up at 10 s, while the sender is away; it is ready at 12 s and has 1.5 s from then.
+fn a_notice_after_the_grace_of_a_restart_is_late() {
+    // The deadline of 10 s passes while the sender is away; it is ready at 12 s and then has 1.5 s.
     let restarted = |ms| {
         let mut h = History::new();
         h.accepted(0, 0, "m1", SAFE).signal(9_000, 0, Signal::Kill).ready(12_000, 0);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn another_senders_restart_excuses_nothing() {
+fn a_restart_of_another_sender_does_not_extend_the_limit() {
     let mut h = History::new();
     h.accepted(0, 0, "m1", SAFE).signal(9_000, 1, Signal::Kill).ready(12_000, 1);
     h.notice(13_000, "m1", NoticeState::Failed).over(20_000).breaks(Rule::NoMessageLost);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_message_that_was_refused_is_not_the_senders() {
+fn a_refused_message_is_not_tested() {
     let mut h = History::new();
     h.offer(0, 0, "m1", "m1", SAFE, None).reply(5, "m1", PutOutcome::Busy).over(20_000);
     assert_eq!(h.judge().ruling(Rule::NoMessageLost).unwrap().verdict, Verdict::Untested);
@@ -87,7 +87,7 @@
 // 2. No effect twice.
 
 #[test]
-fn an_unsafe_message_goes_again_only_if_it_never_ran() {
+fn an_unsafe_message_is_sent_again_only_if_it_never_ran() {
     for (status, breaks) in [(500, true), (200, true), (502, true), (503, false), (429, false), (504, false)]
     {
         let mut h = History::new();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_unsafe_message_whose_call_broke_off_does_not_go_again() {
+fn an_unsafe_message_whose_call_broke_off_is_not_sent_again() {
     for by in [ClosedBy::Sender, ClosedBy::Receiver] {
         let mut h = History::new();
         h.accepted(0, 0, "m1", UNSAFE);
@@ -108,8 +108,8 @@
 }
 
 #[test]
-fn a_keyed_message_goes_again_within_its_window_only() {
-    // 3 s from the first attempt that may have run, and 50 ms.
+fn a_keyed_message_is_sent_again_within_its_window_only() {
+    // The window of 3 s runs from the first attempt that may have run, plus 50 ms of allowance.
     let again = |ms| {
         let mut h = History::new();
         h.accepted(0, 0, "m1", KEYED).sent(10, 0, "e1", "m1", 503).sent(1_000, 0, "e1", "m1", 500);
@@ -120,8 +120,8 @@
 }
 
 #[test]
-fn two_attempts_are_never_out_at_once() {
-    // The second begins while the first is open, 50 ms of allowance aside.
+fn two_attempts_are_never_in_flight_at_once() {
+    // The second attempt begins while the first is in flight, by more than the allowance of 50 ms.
     let second = |ms| {
         let mut h = History::new();
         h.accepted(0, 0, "m1", SAFE);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn what_took_effect_under_two_ids_of_one_message_counts_twice() {
+fn effects_under_two_ids_of_one_message_count_twice() {
     let mut h = History::new();
     h.accepted(0, 0, "m1", UNSAFE).notice(100, "m1", NoticeState::Failed);
     let late = h.call(10, 0, "e1", &["m1"]);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn what_ran_under_an_id_of_which_the_client_heard_nothing_counts_for_nothing() {
+fn a_run_under_an_id_without_a_reply_does_not_count() {
     let mut h = History::new();
     h.offer(0, 0, "m1", "m1", UNSAFE, None).reply(400, "m1", PutOutcome::TimedOut);
     h.sent(10, 0, "e1", "m1", 200);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn each_message_of_a_call_has_its_own_end() {
+fn each_message_of_a_batch_call_has_its_own_outcome() {
     let ends = |state: &str| {
         let mut h = History::new();
         h.accepted(0, 0, "m1", UNSAFE).accepted(0, 0, "m2", UNSAFE);
@@ -192,58 +192,68 @@
     ends("what?").breaks(Rule::NoEffectTwice);
 }
 
-// 3. Drains kept: 1 s of grace and 50 ms.
+// 3. Drains kept: 1 s of grace and 50 ms of allowance.
 
-fn drained(word: impl Fn(&mut History), ms: i64) -> History {
+fn drained(notify: impl Fn(&mut History), ms: i64) -> History {
     let mut h = History::new();
     h.listed(0, 0, &["e1", "e2"]);
-    word(&mut h);
+    notify(&mut h);
     h.accepted(ms - 10, 0, "m1", SAFE).sent(ms, 0, "e1", "m1", 200).over(20_000);
     h
 }
 
 #[test]
-fn a_drained_endpoint_gets_nothing_after_the_grace() {
-    let word = |h: &mut History| _ = h.told(1_000, 0, "e1", EndpointStatus::Terminating);
-    drained(word, 2_050).keeps(Rule::DrainsKept);
-    drained(word, 2_051).breaks(Rule::DrainsKept);
+fn a_draining_endpoint_gets_no_call_after_the_grace() {
+    let notify = |h: &mut History| _ = h.notified(1_000, 0, "e1", EndpointStatus::Terminating);
+    drained(notify, 2_050).keeps(Rule::DrainsKept);
+    drained(notify, 2_051).breaks(Rule::DrainsKept);
 }
 
 #[test]
-fn an_endpoint_that_is_gone_gets_nothing() {
-    drained(|h| _ = h.told(1_000, 0, "e1", EndpointStatus::Gone), 3_000).breaks(Rule::DrainsKept);
+fn a_removed_endpoint_gets_no_call() {
+    drained(|h| _ = h.notified(1_000, 0, "e1", EndpointStatus::Gone), 3_000).breaks(Rule::DrainsKept);
 }
 
 #[test]
-fn an_endpoint_that_a_whole_list_lacks_is_gone() {
+fn an_endpoint_missing_from_a_complete_list_is_removed() {
     drained(|h| _ = h.listed(1_000, 0, &["e2"]), 3_000).breaks(Rule::DrainsKept);
 }
 
 #[test]
-fn the_grace_runs_from_the_first_word_of_the_drain() {
-    let words = |h: &mut History| {
-        _ = h.told(1_000, 0, "e1", EndpointStatus::Terminating).told(2_500, 0, "e1", EndpointStatus::Gone);
+fn the_grace_runs_from_the_first_notification_of_the_drain() {
+    let notify = |h: &mut History| {
+        _ = h.notified(1_000, 0, "e1", EndpointStatus::Terminating).notified(
+            2_500,
+            0,
+            "e1",
+            EndpointStatus::Gone,
+        );
     };
-    drained(words, 3_000).breaks(Rule::DrainsKept);
+    drained(notify, 3_000).breaks(Rule::DrainsKept);
 }
 
 #[test]
 fn an_endpoint_listed_again_may_be_used_again() {
-    let words = |h: &mut History| {
-        _ = h.told(1_000, 0, "e1", EndpointStatus::Terminating).told(2_500, 0, "e1", EndpointStatus::Ready);
+    let notify = |h: &mut History| {
+        _ = h.notified(1_000, 0, "e1", EndpointStatus::Terminating).notified(
+            2_500,
+            0,
+            "e1",
+            EndpointStatus::Ready,
+        );
     };
-    drained(words, 3_000).keeps(Rule::DrainsKept);
+    drained(notify, 3_000).keeps(Rule::DrainsKept);
 }
 
 #[test]
-fn each_sender_goes_by_what_it_was_told_itself() {
-    drained(|h| _ = h.told(1_000, 1, "e1", EndpointStatus::Terminating), 3_000).keeps(Rule::DrainsKept);
+fn each_sender_is_judged_by_its_own_notifications() {
+    drained(|h| _ = h.notified(1_000, 1, "e1", EndpointStatus::Terminating), 3_000).keeps(Rule::DrainsKept);
 }
 
 #[test]
 fn a_call_counts_from_its_first_byte() {
     let mut h = History::new();
-    h.told(1_000, 0, "e1", EndpointStatus::Gone).accepted(1_900, 0, "m1", SAFE);
+    h.notified(1_000, 0, "e1", EndpointStatus::Gone).accepted(1_900, 0, "m1", SAFE);
     let call = h.call(3_000, 0, "e1", &["m1"]);
     if let Some(Event::Call { first_byte, .. }) = h.records.last_mut().map(|r| &mut r.event) {
         *first_byte = 2_000_000;
@@ -251,11 +261,11 @@
     h.answer(3_100, call, 200).over(20_000).keeps(Rule::DrainsKept);
 }
 
-// 4. A returning receiver: capacity 10 a second, back with a fifth of it, warm after 10 s; it falls over beyond twice
-// what it can do in 2 s, one deviation of chance, and 6 at the least.
+// 4. A returning receiver: it handles 10 messages per second, a fifth of them when it returns, and all after 10 s. The
+// overload limit is twice its capacity over 2 s plus one standard deviation, and at least 6.
 
-/// An outage of receiver 1 from 1 s to 5 s, seen by these senders; then so many messages from each sender, 10 ms
-/// apart, beginning at `from`.
+/// A history with an outage of receiver 1 from 1 s to 5 s, seen by the senders `aware`; then `loads` gives the number
+/// of messages of each sender, 10 ms apart from `from` on.
 fn returned(aware: &[usize], loads: &[(usize, usize)], from: i64) -> History {
     let mut h = History::new();
     h.at(1_000, Event::Down { receiver: 1, endpoint: None });
@@ -281,28 +291,28 @@
 }
 
 #[test]
-fn a_cold_receiver_is_pushed_over_by_one_message_more_than_it_bears() {
-    // At 5.31 s it can do 2.25 a second, twice that for 2 s is 8.99, and 3.00 for chance.
+fn one_message_over_the_limit_overloads_a_cold_receiver() {
+    // At 5.31 s its capacity is 2.25 per second: twice that over 2 s is 8.99, and 3.00 more for chance.
     returned(&[0], &[(0, 11)], 5_200).keeps(Rule::ReturnNotPushedOver);
     returned(&[0], &[(0, 12)], 5_200).breaks(Rule::ReturnNotPushedOver);
 }
 
 #[test]
-fn a_warmer_one_bears_more() {
-    // At 10.3 s it can do 6.2 a second: 24.9 in 2 s, and 5 for chance.
+fn a_warmer_receiver_has_a_higher_limit() {
+    // At 10.3 s its capacity is 6.2 per second: 24.9 over 2 s, and 5 more for chance.
     returned(&[0], &[(0, 29)], 10_000).keeps(Rule::ReturnNotPushedOver);
     returned(&[0], &[(0, 30)], 10_000).breaks(Rule::ReturnNotPushedOver);
 }
 
 #[test]
-fn it_is_broken_if_two_thirds_of_the_load_came_from_those_who_knew() {
-    // The twelfth message crosses: eight by the one that knew are two thirds, seven are not.
+fn the_rule_is_broken_if_two_thirds_of_the_load_came_from_aware_senders() {
+    // The twelfth message exceeds the limit: eight from the aware sender are two thirds, seven are not.
     returned(&[0], &[(0, 8), (1, 4)], 5_200).breaks(Rule::ReturnNotPushedOver);
     returned(&[0], &[(0, 7), (1, 5)], 5_200).keeps(Rule::ReturnNotPushedOver);
 }
 
 #[test]
-fn a_refused_connection_or_a_failed_probe_is_knowledge_too() {
+fn a_refused_connection_or_failed_probe_makes_a_sender_aware() {
     let seen = |event: Event| {
         let mut h = returned(&[], &[(0, 12)], 5_200);
         let before = h.records.len();
@@ -312,7 +322,7 @@
     };
     seen(Event::Refused { sender: 0, endpoint: "e1".into() }).breaks(Rule::ReturnNotPushedOver);
     seen(Event::Probe { sender: 0, endpoint: "e1".into(), status: 503 }).breaks(Rule::ReturnNotPushedOver);
-    // A probe that went well tells of no outage, and one elsewhere of none here.
+    // Neither a successful probe nor a refusal by another receiver shows the outage.
     for event in [
         Event::Probe { sender: 0, endpoint: "e1".into(), status: 200 },
         Event::Refused { sender: 0, endpoint: "e3".into() },
@@ -323,7 +333,7 @@
 
 #[test]
 fn further_messages_of_a_call_weigh_a_quarter() {
-    // Calls of five weigh 2: five of them are less than the 11.8 that it bears at 5.25 s, six are more.
+    // Calls of five messages weigh 2: five calls stay below the limit of 11.8 at 5.25 s, six exceed it.
     let batches = |count: usize| {
         let mut h = returned(&[0], &[], 0);
         for n in 0..count {
@@ -341,7 +351,7 @@
 }
 
 #[test]
-fn what_is_sent_slowly_pushes_nothing_over() {
+fn messages_sent_slowly_overload_nothing() {
     let mut h = returned(&[0], &[], 0);
     for n in 0..20 {
         let id = format!("s{n}");
@@ -351,8 +361,8 @@
 }
 
 #[test]
-fn of_routes_apart_each_has_its_own_return() {
-    // Half the receiver's capacity each: 1.08 a second at 5.2 s, 4.3 in 2 s, and 2.1 for chance.
+fn separate_routes_have_returns_of_their_own() {
+    // Each route has half the capacity: 1.08 per second at 5.2 s, 4.3 over 2 s, and 2.1 more for chance.
     let routed = |count: usize, endpoint: &str| {
         let mut h = History::new();
         h.at(1_000, Event::Down { receiver: 3, endpoint: Some("f1".into()) });
@@ -369,7 +379,7 @@
     routed(7, "f2").keeps(Rule::ReturnNotPushedOver);
 }
 
-// 5. Order kept: a key rests 1 s after an attempt that may still run.
+// 5. Order kept: a key rests 1 s after an attempt that may still be running.
 
 #[test]
 fn a_message_waits_until_the_one_before_it_is_delivered() {
@@ -390,7 +400,7 @@
 }
 
 #[test]
-fn a_message_does_not_go_while_the_one_before_it_may_go_again() {
+fn a_message_is_not_sent_while_the_one_before_it_may_be_sent_again() {
     let mut h = History::new();
     h.accepted_ordered(0, "m1", "k").accepted_ordered(20, "m2", "k").sent(100, 0, "e1", "m1", 503);
     h.sent(300, 0, "e1", "m2", 200).sent(500, 0, "e1", "m1", 200).over(20_000).breaks(Rule::OrderKept);
@@ -410,14 +420,14 @@
 }
 
 #[test]
-fn other_keys_and_messages_that_crossed_are_free() {
+fn other_keys_and_messages_that_crossed_are_not_ordered() {
     let mut h = History::new();
     h.accepted_ordered(0, "m1", "k")
         .accepted_ordered(20, "m2", "other")
         .sent(100, 0, "e1", "m2", 200)
         .sent(300, 0, "e1", "m1", 200);
     assert!(!h.over(20_000).judge().broken());
-    // The second was handed in before the first was answered: either may have been accepted first.
+    // The second was put before the first was answered: either may have been accepted first.
     let mut h = History::new();
     h.accepted_ordered(0, "m1", "k")
         .accepted_ordered(3, "m2", "k")
@@ -426,7 +436,7 @@
     assert!(!h.over(20_000).judge().broken());
 }
 
-// 6. Waits heeded: what comes within 100 ms crossed the answer.
+// 6. Waits heeded: a call within 100 ms after the answer may have crossed it.
 
 fn waited(ms: i64, sender: usize, endpoint: &str) -> History {
     let mut h = History::new();
@@ -438,7 +448,7 @@
 }
 
 #[test]
-fn nothing_is_sent_from_the_crossing_on_until_the_waits_end() {
+fn nothing_is_sent_until_the_wait_ends_except_calls_that_crossed() {
     waited(1_100, 0, "e1").keeps(Rule::WaitsHeeded);
     waited(1_101, 0, "e1").breaks(Rule::WaitsHeeded);
     waited(1_499, 0, "e1").breaks(Rule::WaitsHeeded);
@@ -446,18 +456,18 @@
 }
 
 #[test]
-fn a_wait_binds_for_all_endpoints_of_the_receiver_and_no_other() {
+fn a_wait_applies_to_all_endpoints_of_the_receiver_and_no_other() {
     waited(1_200, 0, "e2").breaks(Rule::WaitsHeeded);
     waited(1_200, 0, "e3").keeps(Rule::WaitsHeeded);
 }
 
 #[test]
-fn a_wait_binds_the_sender_that_was_told() {
+fn a_wait_applies_to_the_sender_that_received_it() {
     waited(1_200, 1, "e1").keeps(Rule::WaitsHeeded);
 }
 
 #[test]
-fn a_wait_in_an_answer_that_delivers_binds_too() {
+fn a_wait_in_an_answer_that_delivers_applies_too() {
     let mut h = History::new();
     h.accepted(0, 0, "m1", SAFE).accepted(0, 0, "m2", SAFE);
     let call = h.call(10, 0, "e1", &["m1"]);
@@ -466,7 +476,7 @@
 }
 
 #[test]
-fn a_restart_ends_a_wait_and_standing_still_does_not() {
+fn a_restart_ends_a_wait_and_a_stop_does_not() {
     for (signal, until, breaks) in [(Signal::Kill, None, false), (Signal::Stop, Some(Signal::Cont), true)] {
         let mut h = waited(1_400, 0, "e1");
         h.signal(1_050, 0, signal);
@@ -479,7 +489,7 @@
 }
 
 #[test]
-fn routes_apart_have_waits_of_their_own() {
+fn separate_routes_have_waits_of_their_own() {
     for (endpoint, breaks) in [("f1", true), ("f2", false)] {
         let mut h = History::new();
         h.accepted(0, 0, "m1", SAFE).accepted(0, 0, "m2", SAFE);
@@ -490,10 +500,10 @@
     }
 }
 
-// Void, service, and what a verdict must not hang on.
+// Void runs and the service score.
 
 #[test]
-fn a_history_with_no_end_proves_nothing() {
+fn a_history_without_an_end_is_void() {
     let h = History::new().accepted(0, 0, "m1", SAFE).sent(10, 0, "e1", "m1", 200).clone();
     assert!(h.judge().void.is_some());
     assert!(h.clone().over(100).judge().void.is_none());
@@ -501,7 +511,7 @@
 }
 
 #[test]
-fn a_rig_that_was_late_or_stood_still_says_void() {
+fn a_run_whose_rig_was_late_or_stalled_is_void() {
     let late = |ms: i64| {
         let mut h = History::new();
         h.accepted(ms, 0, "m1", SAFE).sent(ms + 10, 0, "e1", "m1", 200);
@@ -519,14 +529,14 @@
 
 #[test]
 fn service_is_the_weighted_worth_less_the_penalties() {
-    // Of four messages of one class one is in time, one half-way late, one refused, one failed.
+    // Of four messages of one class one is in time, one half-way late, one refused and one failed.
     let mut h = History::new();
     h.accepted(0, 0, "m1", SAFE).sent(10, 0, "e1", "m1", 200);
     h.accepted(0, 0, "m2", SAFE).sent(6_150, 0, "e1", "m2", 200);
     h.offer(0, 0, "m3", "m3", SAFE, None).reply(5, "m3", PutOutcome::Busy);
     h.accepted(0, 0, "m4", SAFE).notice(1_000, "m4", NoticeState::Failed).over(20_000);
     let s = h.judge().service;
-    // Half-way between 2.5 s and 10 s, with half left at the end: three quarters.
+    // Half-way between 2.5 s and 10 s, with half the worth left at the end: three quarters.
     assert!((s.whole.worth - 1.75).abs() < 1e-9, "{s:?}");
     assert!((s.whole.share - 0.4375).abs() < 1e-9);
     assert_eq!((s.whole.in_time, s.whole.late, s.whole.refused, s.whole.failed), (1, 1, 1, 1));
@@ -536,7 +546,7 @@
 }
 
 #[test]
-fn a_clients_retries_belong_to_its_first_try() {
+fn retries_count_with_the_first_put() {
     let mut h = History::new();
     h.offer(0, 0, "m1", "m1", SAFE, None).reply(5, "m1", PutOutcome::Busy);
     h.offer(3_000, 0, "m1-1", "m1", SAFE, None).reply(3_005, "m1-1", PutOutcome::Accepted);
@@ -546,7 +556,7 @@
 }
 
 #[test]
-fn traffic_beyond_a_share_is_worth_little() {
+fn messages_beyond_the_quota_are_worth_little() {
     let mut h = History::new();
     if let Event::Run { parameters, .. } = &mut h.records[0].event {
         parameters.tenants[0].quota = 2.0;
@@ -560,7 +570,7 @@
 }
 
 #[test]
-fn records_may_be_read_back_as_written() {
+fn records_are_read_back_as_written() {
     let h = returned(&[0], &[(0, 9)], 5_200);
     for record in &h.records {
         let text = serde_json::to_string(record).unwrap();
@@ -569,14 +579,14 @@
 }
 
 impl History {
-    /// No rule is broken; the rule at hand had nothing that counts as a test.
+    /// Asserts that no rule is broken; this rule may be untested.
     fn keeps_or_untested(&self) {
         let judgement = self.judge();
         assert!(!judgement.broken(), "{:?}", judgement.rules);
     }
 }
 
-// How near a run came to each limit.
+// Margins: how close a run came to each limit.
 
 fn margin(h: &History, rule: Rule) -> Option<(f64, f64)> {
     let judgement = h.judge();
@@ -585,7 +595,7 @@
 
 #[test]
 fn the_margin_of_a_message_is_the_time_left_at_its_end() {
-    // Its time is up at 10 s, and 350 ms later the limit of its notice.
+    // The deadline is at 10 s, and the limit of the notice 350 ms later.
     let h = History::new()
         .accepted(0, 0, "m1", SAFE)
         .notice(10_100, "m1", NoticeState::Failed)
@@ -617,30 +627,30 @@
 }
 
 #[test]
-fn the_margin_of_a_drain_is_the_latest_call_after_the_word() {
+fn the_margin_of_a_drain_is_the_latest_call_after_the_notification() {
     let mut h = History::new();
-    h.listed(0, 0, &["e1", "e2"]).told(1_000, 0, "e1", EndpointStatus::Terminating);
+    h.listed(0, 0, &["e1", "e2"]).notified(1_000, 0, "e1", EndpointStatus::Terminating);
     h.accepted(0, 0, "m1", SAFE).accepted(0, 0, "m2", SAFE);
     h.sent(1_300, 0, "e1", "m1", 200).sent(1_900, 0, "e2", "m2", 200).over(20_000);
     assert_eq!(margin(&h, Rule::DrainsKept), Some((300.0, 1_050.0)));
 }
 
 #[test]
-fn the_margin_of_a_return_is_the_highest_share_of_the_fall() {
-    // Eleven messages where 11.99 push it over.
+fn the_margin_of_a_return_is_the_highest_share_of_the_overload_limit() {
+    // Eleven messages against an overload limit of 11.99.
     let (share, limit) = margin(&returned(&[0], &[(0, 11)], 5_200), Rule::ReturnNotPushedOver).unwrap();
     assert!((0.9..1.0).contains(&share) && limit == 1.0, "{share}");
     let (share, _) = margin(&returned(&[0], &[(0, 14)], 5_200), Rule::ReturnNotPushedOver).unwrap();
     assert!((1.1..1.3).contains(&share), "{share}");
     let returns = returned(&[0], &[(0, 11)], 5_200).judge().returns;
     assert_eq!((returns.len(), returns[0].receiver, returns[0].aware, returns[0].arrivals), (1, 1, 1, 11));
-    // Nobody saw it: nothing was put to the test.
+    // No sender saw the outage, so the rule is not tested.
     assert_eq!(margin(&returned(&[], &[(0, 11)], 5_200), Rule::ReturnNotPushedOver), None);
 }
 
 #[test]
-fn a_return_is_over_when_the_usual_load_is_back() {
-    // Ten a second before the outage, then one each 200 ms, and each 100 ms from the third second on.
+fn recovery_ends_when_the_usual_load_is_back() {
+    // Ten messages per second before the outage, then one every 200 ms, and one every 100 ms from the third second on.
     let mut h = History::new();
     let send = |h: &mut History, ms: i64, n: usize| {
         let id = format!("m{n}");
@@ -653,7 +663,7 @@
     (0..20).for_each(|n| send(&mut h, 10_100 + 100 * n, 200 + n as usize));
     h.over(20_000);
     let returned = h.judge().returns[0].clone();
-    // The fifth is answered a second after the return; nine within a second come once the dense ones do.
+    // The fifth is answered one second after the return; nine within a second come with the faster messages.
     assert_eq!(returned.half, Some(1_000_000));
     assert!((2_700_000..3_100_000).contains(&returned.full.unwrap()), "{:?}", returned.full);
 }
@@ -672,7 +682,7 @@
 }
 
 #[test]
-fn the_margin_of_an_order_is_the_time_between_two_of_a_key() {
+fn the_margin_of_an_order_is_the_time_between_two_messages_of_a_key() {
     let mut h = History::new();
     h.accepted_ordered(0, "m1", "a").accepted_ordered(20, "m2", "a");
     h.sent(100, 0, "e1", "m1", 200).sent(260, 0, "e1", "m2", 200).over(20_000);
@@ -680,8 +690,8 @@
 }
 
 #[test]
-fn a_wait_ends_with_the_process_that_was_told_it() {
-    // The new process sends before it is seen to be ready; the old one must heed the wait until it has ended.
+fn a_wait_ends_with_the_process_that_received_it() {
+    // The new process may send before it is seen to be ready; the old one must observe the wait until it has ended.
     let restarted = |sent: i64| {
         let mut h = History::new();
         h.accepted(0, 0, "m1", SAFE).accepted(0, 0, "m2", SAFE);
--- a/crates/rehearsal/tests/matrix.rs
+++ b/crates/rehearsal/tests/matrix.rs
@@ -1,4 +1,4 @@
-//! The table of many runs.
+//! Tests of the table that aggregates many runs.
 
 mod common;
 use common::*;
@@ -7,7 +7,7 @@
 use embershore_rehearsal::report::{Report, from_records};
 use std::collections::BTreeMap;
 
-/// A run that delivered so many of ten messages, and refused the rest.
+/// Returns the report of a run that delivered this many of ten messages and refused the others.
 fn run(delivered: usize, lag_ms: i64) -> Report {
     let mut h = History::new();
     for n in 0..10 {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn runs_of_one_number_of_senders_are_one_row_and_void_ones_do_not_count() {
+fn runs_with_the_same_number_of_senders_are_one_row_without_void_ones() {
     let runs: BTreeMap<Cell, Report> = [
         (cell(12, 1), run(10, 0)),
         (cell(3, 1), run(10, 0)),
--- a/crates/rehearsal/tests/properties.rs
+++ b/crates/rehearsal/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What a verdict must not hang on, over many histories.
+//! Property tests: what a verdict must not depend on.
 
 mod common;
 use common::*;
@@ -7,15 +7,15 @@
 use embershore_rehearsal::parameters::Receiver;
 use proptest::prelude::*;
 
-/// One thing that happens to a message, so many milliseconds after the one before.
+/// One event of a message, this many milliseconds after the one before.
 #[derive(Clone, Debug)]
 enum Step {
-    Taken(usize, usize),
+    Accepted(usize, usize),
     Sent(usize, &'static str, u16),
-    Broken(usize, &'static str, ClosedBy),
+    Disconnected(usize, &'static str, ClosedBy),
     Waited(usize, &'static str, u32),
     Noticed(bool),
-    Told(usize, &'static str, EndpointStatus),
+    Notified(usize, &'static str, EndpointStatus),
     Outage,
 }
 
@@ -25,19 +25,19 @@
 
 fn step() -> impl Strategy<Value = (i64, Step)> {
     let status = prop::sample::select(vec![200u16, 500, 503, 429]);
-    let standing =
+    let listed =
         prop::sample::select(vec![EndpointStatus::Ready, EndpointStatus::Terminating, EndpointStatus::Gone]);
     let by = prop::sample::select(vec![ClosedBy::Sender, ClosedBy::Receiver]);
     let step = prop_oneof![
-        4 => (0..2usize, 0..4usize).prop_map(|(s, c)| Step::Taken(s, c)),
+        4 => (0..2usize, 0..4usize).prop_map(|(s, c)| Step::Accepted(s, c)),
         4 => (0..2usize, endpoint(), status).prop_map(|(s, e, code)| Step::Sent(s, e, code)),
-        1 => (0..2usize, endpoint(), by).prop_map(|(s, e, by)| Step::Broken(s, e, by)),
+        1 => (0..2usize, endpoint(), by).prop_map(|(s, e, by)| Step::Disconnected(s, e, by)),
         1 => (0..2usize, endpoint(), 100..2000u32).prop_map(|(s, e, w)| Step::Waited(s, e, w)),
         1 => any::<bool>().prop_map(Step::Noticed),
-        1 => (0..2usize, endpoint(), standing).prop_map(|(s, e, st)| Step::Told(s, e, st)),
+        1 => (0..2usize, endpoint(), listed).prop_map(|(s, e, st)| Step::Notified(s, e, st)),
         1 => Just(Step::Outage),
     ];
-    // Many steps of one instant, so that their order matters if anything's does.
+    // Many steps have the same time, to show whether their order matters.
     (prop::sample::select(vec![0i64, 0, 0, 1, 50, 400]), step)
 }
 
@@ -48,7 +48,7 @@
         ms += pause;
         let id = last.as_ref().map_or("none", |(id, _)| id).to_string();
         match step {
-            Step::Taken(sender, class) => {
+            Step::Accepted(sender, class) => {
                 let id = format!("m{n}");
                 h.offer(ms, *sender, &id, &id, *class, Some("k")).reply(ms, &id, PutOutcome::Accepted);
                 last = Some((id, *class));
@@ -57,7 +57,7 @@
                 let call = h.call(ms, *sender, endpoint, &[&id]);
                 h.ran(ms, call, &id).answer(ms, call, *status);
             }
-            Step::Broken(sender, endpoint, by) => {
+            Step::Disconnected(sender, endpoint, by) => {
                 let call = h.call(ms, *sender, endpoint, &[&id]);
                 h.broke(ms + 20, call, *by);
             }
@@ -68,7 +68,7 @@
             Step::Noticed(failed) => {
                 _ = h.notice(ms, &id, if *failed { NoticeState::Failed } else { NoticeState::Returned });
             }
-            Step::Told(sender, endpoint, standing) => _ = h.told(ms, *sender, endpoint, *standing),
+            Step::Notified(sender, endpoint, status) => _ = h.notified(ms, *sender, endpoint, *status),
             Step::Outage => {
                 h.at(ms, Event::Down { receiver: 1, endpoint: None });
                 h.at(ms + 30, Event::Back { receiver: 1, endpoint: None });
@@ -83,7 +83,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_order_of_lines_of_one_instant_changes_no_verdict(
+    fn the_order_of_records_of_one_instant_changes_no_verdict(
         steps in prop::collection::vec(step(), 1..40),
         seed in any::<u64>(),
     ) {
@@ -91,14 +91,14 @@
         let mut shuffled: Vec<(u64, Record)> = h.records.iter().enumerate().map(|(n, r)| {
             ((n as u64 + 1).wrapping_mul(seed | 1).rotate_left(23), r.clone())
         }).collect();
-        // Only within equal times; the writer's order between times stands.
+        // Shuffles records of equal time only; the order between times stays.
         shuffled.sort_by_key(|(key, r)| (r.t, *key));
         let shuffled: Vec<Record> = shuffled.into_iter().map(|(_, r)| r).collect();
         prop_assert_eq!(judge(&h.records), judge(&shuffled));
     }
 
     #[test]
-    fn a_receiver_that_has_no_part_in_it_changes_no_verdict(
+    fn an_uninvolved_receiver_changes_no_verdict(
         steps in prop::collection::vec(step(), 1..40),
         number in 100..200i64,
         capacity in 0.1..100.0f64,
@@ -114,7 +114,7 @@
         other.at(20, Event::Down { receiver: number, endpoint: None });
         other.at(900, Event::Back { receiver: number, endpoint: None });
         let lines = vec![("x1".to_string(), EndpointStatus::Terminating)];
-        other.at(30, Event::Listing { sender: 0, index: 9, complete: false, lines });
+        other.at(30, Event::Listing { sender: 0, index: 9, complete: false, endpoints: lines });
         let (before, after) = (judge(&h.records).unwrap(), judge(&other.records).unwrap());
         for (a, b) in before.rules.iter().zip(&after.rules) {
             prop_assert_eq!((a.rule, a.broken, &a.violations), (b.rule, b.broken, &b.violations));
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -1,4 +1,5 @@
-//! Scenarios: what is refused and where, what the plan is a function of, and that what ships can be played.
+//! Scenarios: findings in invalid files and their positions, plans as a function of file and seed, and the shipped
+//! scenarios.
 
 use embershore_rehearsal::event::{RawEvent, Targets};
 use embershore_rehearsal::plan::{Planned, plan};
@@ -38,72 +39,87 @@
     Scenario::parse("good.toml", text, Path::new("."))
 }
 
-/// The scenario with one line changed is refused there, and the message names the mend.
-fn refused(line: &str, changed: &str, place: (usize, usize), mend: &str) {
+/// Checks that the scenario with one line changed is rejected at this position, with a message that has this text.
+fn rejected(line: &str, changed: &str, place: (usize, usize), correction: &str) {
     assert!(GOOD.contains(line), "{line}");
     let error = parse(&GOOD.replacen(line, changed, 1)).unwrap_err();
     let ScenarioError::Invalid { findings, .. } = &error else { panic!("{error}") };
-    let found = findings.iter().find(|f| f.message.contains(mend));
-    let found = found.unwrap_or_else(|| panic!("{mend}: {error}"));
+    let found = findings.iter().find(|f| f.message.contains(correction));
+    let found = found.unwrap_or_else(|| panic!("{correction}: {error}"));
     assert_eq!((found.line, found.column), place, "{error}");
     assert!(error.to_string().contains(&format!("good.toml:{}:{}: ", place.0, place.1)));
 }
 
 #[test]
-fn the_good_one_is_good() {
+fn the_valid_scenario_is_accepted() {
     let scenario = parse(GOOD).unwrap();
     assert_eq!(scenario.receivers.len(), 1);
     assert!(!plan(&scenario).unwrap().is_empty());
 }
 
 #[test]
-fn what_is_wrong_is_refused_with_its_place_and_the_mend() {
-    refused("rate = 20", "rte = 20", (26, 1), "unknown field `rte`");
-    refused("length = \"10s\"", "length = \"ten\"", (2, 10), "a span with its unit");
-    refused("length = \"10s\"", "length = \"10s\"\ncolour = 1", (3, 1), "unknown field `colour`");
-    refused("effect = \"safe\"", "effect = \"sometimes\"", (7, 10), "unknown variant `sometimes`");
-    refused("effect = \"safe\"", "effect = \"keyed\"", (5, 8), "needs 'window'");
-    refused("aim = \"1s\"", "aim = \"9s\"", (9, 12), "shorter than 'aim'");
-    refused("kind = \"hook\"", "kind = \"book\"", (16, 8), "add a [[kind]]");
-    refused("endpoints = 2", "endpoints = 0", (17, 13), "1 or more");
-    refused("endpoints = 2", "endpoints = 5000", (17, 13), "4096 at most");
-    refused("capacity = 20", "capacity = -1", (18, 12), "above 0 messages a second");
-    refused("median = \"20ms\"", "median = \"80ms\"", (19, 11), "no longer than 'p99'");
-    refused("name = \"n0\"", "name = \"n 0\"", (22, 8), "letters, digits and hyphens");
-    refused("name = \"n0\"", "name = \"n0\"\nzone = \"c\"", (23, 8), "there are a, b");
-    refused("shape = \"steady\"", "shape = \"wave\"", (25, 9), "needs 'swing'");
-    refused("rate = 20", "rate = 20\nto_rate = 30", (25, 9), "means nothing for this shape");
-    refused("length = \"10s\"", "length = \"10s\"\n[clients]\nhonour = 2", (3, 1), "'honour' is from 0 to 1");
-    refused("length = \"10s\"", "length = \"10s\"\n[rules]\nmax_attempts = 0", (3, 1), "1 or more");
-    refused("rate = 20", "rate = 20\nto = \"11s\"", (24, 1), "no later than 'length'");
-    refused("rate = 20", "rate = 20\nclass = \"pay\"", (27, 9), "add a [[class]]");
+fn errors_are_rejected_with_position_and_correction() {
+    rejected("rate = 20", "rte = 20", (26, 1), "unknown field `rte`");
+    rejected("length = \"10s\"", "length = \"ten\"", (2, 10), "a span with its unit");
+    rejected("length = \"10s\"", "length = \"10s\"\ncolour = 1", (3, 1), "unknown field `colour`");
+    rejected("effect = \"safe\"", "effect = \"sometimes\"", (7, 10), "unknown variant `sometimes`");
+    rejected("effect = \"safe\"", "effect = \"keyed\"", (5, 8), "needs 'window'");
+    rejected("aim = \"1s\"", "aim = \"9s\"", (9, 12), "shorter than 'aim'");
+    rejected("kind = \"hook\"", "kind = \"book\"", (16, 8), "add a [[kind]]");
+    rejected("endpoints = 2", "endpoints = 0", (17, 13), "1 or more");
+    rejected("endpoints = 2", "endpoints = 5000", (17, 13), "4096 at most");
+    rejected("capacity = 20", "capacity = -1", (18, 12), "above 0 messages per second");
+    rejected("median = \"20ms\"", "median = \"80ms\"", (19, 11), "no longer than 'p99'");
+    rejected("name = \"n0\"", "name = \"n 0\"", (22, 8), "letters, digits and hyphens");
+    rejected("name = \"n0\"", "name = \"n0\"\nzone = \"c\"", (23, 8), "known zones: a, b");
+    rejected("shape = \"steady\"", "shape = \"wave\"", (25, 9), "needs 'swing'");
+    rejected("rate = 20", "rate = 20\nto_rate = 30", (25, 9), "has no meaning for this shape");
+    rejected(
+        "length = \"10s\"",
+        "length = \"10s\"\n[clients]\nhonour = 2",
+        (3, 1),
+        "'honour' must be from 0 to 1",
+    );
+    rejected("length = \"10s\"", "length = \"10s\"\n[rules]\nmax_attempts = 0", (3, 1), "1 or more");
+    rejected("rate = 20", "rate = 20\nto = \"11s\"", (24, 1), "no later than 'length'");
+    rejected("rate = 20", "rate = 20\nclass = \"pay\"", (27, 9), "add a [[class]]");
 }
 
 #[test]
-fn a_wrong_event_is_refused_where_it_stands() {
+fn an_invalid_event_is_rejected_with_its_position() {
     let event = |text: &str| format!("rate = 20\n\n[[event]]\n{text}");
-    refused("rate = 20", &event("do = \"silent\"\nfor = \"1s\""), (28, 1), "needs 'at'");
-    refused("rate = 20", &event("at = \"11s\"\ndo = \"silent\"\nfor = \"1s\""), (28, 1), "after the end");
-    refused("rate = 20", &event("at = \"1s\"\ndo = \"silent\""), (28, 1), "needs 'for'");
-    refused("rate = 20", &event("at = \"1s\"\ndo = \"dance\""), (30, 6), "unknown variant `dance`");
-    refused(
+    rejected("rate = 20", &event("do = \"silent\"\nfor = \"1s\""), (28, 1), "needs 'at'");
+    rejected("rate = 20", &event("at = \"11s\"\ndo = \"silent\"\nfor = \"1s\""), (28, 1), "after the end");
+    rejected("rate = 20", &event("at = \"1s\"\ndo = \"silent\""), (28, 1), "needs 'for'");
+    rejected("rate = 20", &event("at = \"1s\"\ndo = \"dance\""), (30, 6), "unknown variant `dance`");
+    rejected(
         "rate = 20",
         &event("at = \"1s\"\ndo = \"shut\"\nfor = \"1s\"\nreceiver = 4"),
         (28, 1),
         "no receiver 4",
     );
-    refused("rate = 20", &event("at = \"1s\"\ndo = \"sigkill\"\nsender = \"n9\""), (28, 1), "no sender 'n9'");
-    refused(
+    rejected(
+        "rate = 20",
+        &event("at = \"1s\"\ndo = \"sigkill\"\nsender = \"n9\""),
+        (28, 1),
+        "no sender 'n9'",
+    );
+    rejected(
         "rate = 20",
         &event("at = \"1s\"\ndo = \"sighup\"\nsender = \"n0\"\nshare = 1"),
         (28, 1),
-        "leave it out",
+        "remove it",
+    );
+    rejected(
+        "rate = 20",
+        &event("at = \"1s\"\ndo = \"fail\"\nfor = \"1s\"\nshare = 2"),
+        (28, 1),
+        "at most 1",
     );
-    refused("rate = 20", &event("at = \"1s\"\ndo = \"fail\"\nfor = \"1s\"\nshare = 2"), (28, 1), "at most 1");
 }
 
 #[test]
-fn all_findings_are_told_at_once() {
+fn all_findings_are_reported_at_once() {
     let text = GOOD.replace("endpoints = 2", "endpoints = 0").replace("capacity = 20", "capacity = 0");
     let ScenarioError::Invalid { findings, .. } = parse(&text).unwrap_err() else { panic!() };
     assert_eq!(findings.len(), 2, "{findings:?}");
@@ -111,27 +127,27 @@
 
 #[test]
 fn a_plan_is_a_function_of_file_and_seed() {
-    let of = |text: &str, seed: u64| {
+    let plan_with = |text: &str, seed: u64| {
         let mut scenario = parse(text).unwrap();
         scenario.parameters.seed = seed;
         plan(&scenario).unwrap()
     };
-    assert_eq!(of(GOOD, 1), of(GOOD, 1));
-    assert_ne!(of(GOOD, 1), of(GOOD, 2));
-    // Another piece beside it leaves the first as it was.
+    assert_eq!(plan_with(GOOD, 1), plan_with(GOOD, 1));
+    assert_ne!(plan_with(GOOD, 1), plan_with(GOOD, 2));
+    // Another piece of traffic does not change the first.
     let two = format!("{GOOD}\n[[traffic]]\nshape = \"clumps\"\nclump = 3\nperiod = \"4s\"\n");
-    let (alone, both) = (of(GOOD, 1), of(&two, 1));
+    let (alone, both) = (plan_with(GOOD, 1), plan_with(&two, 1));
     assert_eq!(both.len(), alone.len() + 9);
     assert!(alone.iter().all(|p| both.contains(p)));
 }
 
-/// Messages between two times.
+/// Returns the number of messages planned between two times in seconds.
 fn count(plan: &[Planned], from: f64, to: f64) -> usize {
     plan.iter().filter(|p| p.at as f64 >= from * 1e6 && (p.at as f64) < to * 1e6).count()
 }
 
 #[test]
-fn shapes_go_as_they_say() {
+fn traffic_follows_its_shape() {
     let shaped = |traffic: &str| {
         plan(&parse(&GOOD.replace("shape = \"steady\"\nrate = 20", traffic)).unwrap()).unwrap()
     };
@@ -157,12 +173,18 @@
     let text =
         GOOD.replace("number = 3", "number = 3\ncount = 10").replace("rate = 20", "rate = 500\nzipf = 1.2");
     let plan = plan(&parse(&text).unwrap()).unwrap();
-    let of = |n: usize| plan.iter().filter(|p| p.receiver == n).count();
-    assert!(of(0) > 3 * of(3) && of(3) > of(9), "{} {} {}", of(0), of(3), of(9));
+    let plan_with = |n: usize| plan.iter().filter(|p| p.receiver == n).count();
+    assert!(
+        plan_with(0) > 3 * plan_with(3) && plan_with(3) > plan_with(9),
+        "{} {} {}",
+        plan_with(0),
+        plan_with(3),
+        plan_with(9)
+    );
 }
 
 #[test]
-fn a_trace_is_replayed_as_it_was_and_refused_where_it_is_wrong() {
+fn a_trace_is_replayed_as_captured_and_rejected_where_it_is_invalid() {
     let folder = tempfile::tempdir().unwrap();
     let text =
         GOOD.replace("shape = \"steady\"\nrate = 20", "shape = \"replay\"\nfile = \"t.jsonl\"\nspeed = 2");
@@ -183,20 +205,20 @@
 }
 
 #[test]
-fn what_ships_can_be_played() {
+fn shipped_scenarios_can_be_played() {
     assert!(shipped::ALL.len() >= 8);
     for s in shipped::ALL {
         let scenario = Scenario::parse(s.name, s.text, Path::new(".")).unwrap_or_else(|e| panic!("{e}"));
         assert_eq!(scenario.parameters.scenario, s.name);
         assert!(!scenario.about.is_empty() && plan(&scenario).unwrap().len() > 100);
     }
-    // All of the folder ships.
+    // Every file of the folder is shipped.
     let files = std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../../rehearsals")).unwrap();
     assert_eq!(files.count(), shipped::ALL.len());
 }
 
 #[test]
-fn events_can_be_said_in_a_line() {
+fn events_are_parsed_from_a_line() {
     let event = RawEvent::from_line("slow receiver=3 for=10s factor=8").unwrap();
     assert_eq!((event.receiver, event.factor, event.span()), (Some(3), Some(8.0), 10_000_000));
     assert_eq!(RawEvent::from_line("sigkill sender=\"0\"").unwrap().sender.as_deref(), Some("0"));
@@ -208,29 +230,29 @@
     assert!(both.iter().any(|w| w.contains("a part of all senders")), "{both:?}");
     let join = RawEvent::from_line("join receiver=3").unwrap().problems(known);
     assert!(join.iter().any(|w| w.contains("'join' needs 'endpoints'")), "{join:?}");
-    for (line, mend) in
-        [("", "empty line"), ("dance", "dance"), ("slow receiver", "name=value"), ("slow size=3", "size")]
+    for (line, correction) in
+        [("", "line is empty"), ("dance", "dance"), ("slow receiver", "name=value"), ("slow size=3", "size")]
     {
         let error = RawEvent::from_line(line).unwrap_err();
-        assert!(error.contains(mend), "{line}: {error}");
+        assert!(error.contains(correction), "{line}: {error}");
     }
 }
 
 #[test]
-fn senders_alike_are_numbered_and_stand_in_all_buildings() {
+fn identical_senders_are_numbered_and_spread_over_all_zones() {
     let scenario = parse(&GOOD.replace("name = \"n0\"", "name = \"n\"\ncount = 3\nslots = 10")).unwrap();
     let senders = &scenario.parameters.senders;
     let names: Vec<(&str, &str)> = senders.iter().map(|s| (s.name.as_str(), s.zone.as_str())).collect();
     assert_eq!(names, [("n0", "a"), ("n1", "b"), ("n2", "a")]);
     assert!(scenario.senders.iter().all(|s| (s.share - 1.0 / 3.0).abs() < 1e-9));
-    refused("name = \"n0\"", "name = \"n\"\ncount = 321", (21, 1), "1 to 320 senders");
-    refused("name = \"n0\"", "name = \"n\"\ncount = 0", (22, 8), "'count' is 1 or more");
+    rejected("name = \"n0\"", "name = \"n\"\ncount = 321", (21, 1), "1 to 320 senders");
+    rejected("name = \"n0\"", "name = \"n\"\ncount = 0", (22, 8), "'count' must be 1 or more");
     let twice = "name = \"n\"\ncount = 2\n\n[[sender]]\nname = \"n1\"";
-    refused("name = \"n0\"", twice, (26, 8), "a second sender 'n1'");
+    rejected("name = \"n0\"", twice, (26, 8), "duplicate sender 'n1'");
 }
 
 #[test]
-fn split_among_others_the_load_and_the_slots_in_all_stay() {
+fn another_number_of_senders_keeps_the_load_and_the_total_slots() {
     let text = GOOD.replace("name = \"n0\"", "name = \"n\"\ncount = 4\nslots = 30\nmax_open = 120");
     let mut scenario = parse(&text).unwrap();
     scenario.split(12).unwrap();
@@ -240,8 +262,11 @@
     assert_eq!(planned.len(), plan(&parse(&text).unwrap()).unwrap().len());
     assert!((0..12).all(|n| planned.iter().any(|m| m.sender == n)), "each has its part");
     assert!(scenario.split(0).is_err() && scenario.split(321).is_err());
-    let kill = "\n[[event]]\nat = \"1s\"\ndo = \"sigkill\"\n";
-    assert!(parse(&format!("{text}{kill}")).unwrap().split(3).is_ok(), "it is for all of them");
-    let error = parse(&format!("{text}{kill}sender = \"n1\"\n")).unwrap().split(3).unwrap_err();
+    let kill_event = "\n[[event]]\nat = \"1s\"\ndo = \"sigkill\"\n";
+    assert!(
+        parse(&format!("{text}{kill_event}")).unwrap().split(3).is_ok(),
+        "an event without a sender is for all"
+    );
+    let error = parse(&format!("{text}{kill_event}sender = \"n1\"\n")).unwrap().split(3).unwrap_err();
     assert!(error.to_string().contains("'n1'"), "{error}");
 }
--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -157,7 +157,7 @@
         let (entries, index) = (self.entries.borrow(), *self.index.borrow());
         let news: Vec<&Entry> = entries.iter().filter(|e| since.is_none_or(|s| e.index > s)).collect();
         let lines = news.iter().map(|e| (endpoint_name(e.destination, e.generation), e.standing)).collect();
-        self.ledger.note(Event::Listing { sender, index, complete: since.is_none(), lines });
+        self.ledger.note(Event::Listing { sender, index, complete: since.is_none(), endpoints: lines });
         let line = |e: &&Entry| {
             let addr = addresses[e.generation];
             let name = endpoint_name(e.destination, e.generation);
