--- a/crates/rehearsal/src/capture.rs
+++ b/crates/rehearsal/src/capture.rs
@@ -36,19 +36,19 @@
     start: Instant,
     out: RefCell<BufWriter<File>>,
     lines: Cell<usize>,
-    failed: RefCell<Option<io::Error>>,
+    error: RefCell<Option<io::Error>>,
 }
 
 impl Trace {
     fn write(&self, line: &Line) {
-        if self.lines.get() >= MAX_LINES || self.failed.borrow().is_some() {
+        if self.lines.get() >= MAX_LINES || self.error.borrow().is_some() {
             return;
         }
         let mut out = self.out.borrow_mut();
         let written = serde_json::to_writer(&mut *out, line).map_err(io::Error::from);
         match written.and_then(|()| out.write_all(b"\n")) {
             Ok(()) => self.lines.set(self.lines.get() + 1),
-            Err(e) => _ = self.failed.replace(Some(e)),
+            Err(e) => _ = self.error.replace(Some(e)),
         }
     }
 }
@@ -64,7 +64,7 @@
         let listener = TcpListener::bind(tap.listen).await?;
         ready(listener.local_addr()?);
         let (out, start) = (RefCell::new(BufWriter::new(File::create(path)?)), Instant::now());
-        let trace = Rc::new(Trace { start, out, lines: Cell::new(0), failed: RefCell::default() });
+        let trace = Rc::new(Trace { start, out, lines: Cell::new(0), error: RefCell::default() });
         let time_up = async {
             match tap.duration {
                 Some(duration) => tokio::time::sleep(duration).await,
@@ -76,7 +76,7 @@
             () = time_up => {}
             _ = tokio::signal::ctrl_c() => {}
         }
-        if let Some(e) = trace.failed.take() {
+        if let Some(e) = trace.error.take() {
             return Err(e);
         }
         trace.out.borrow_mut().flush()?;
@@ -109,7 +109,7 @@
     sender.set_nodelay(true)?;
     let (mut from_client, mut to_client) = client.into_split();
     let (mut from_sender, mut to_sender) = sender.into_split();
-    let up = async {
+    let upstream = async {
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         // Bytes of an incomplete command; `None` once the bytes were not a valid command.
         let mut pending = Some(BytesMut::new());
@@ -127,11 +127,11 @@
             to_sender.write_all(&buffer[..n]).await?;
         }
     };
-    let down = async {
+    let downstream = async {
         tokio::io::copy(&mut from_sender, &mut to_client).await?;
         to_client.shutdown().await
     };
-    tokio::try_join!(up, down).map(|_| ())
+    tokio::try_join!(upstream, downstream).map(|_| ())
 }
 
 /// Removes complete commands from the buffer and records their messages; returns false if the bytes are no command.
--- a/crates/rehearsal/src/html/returns.rs
+++ b/crates/rehearsal/src/html/returns.rs
@@ -34,7 +34,7 @@
         let peak = r.peak().map_or(0.0, |p| p.share());
         // Only the first chart is unfolded: a run may have many.
         let open = if n == 0 { " open" } else { "" };
-        let (name, at) = (escape(&name), r.back as f64 / 1e6);
+        let (name, at) = (escape(&name), r.back_at as f64 / 1e6);
         out += &format!(
             "<details{open}><summary>Return {} of {}: receiver {name} at {at:.2} s, {} senders knew, share of fall \
              {peak:.2}</summary>{svg}</details>",
@@ -52,7 +52,7 @@
 fn draw_chart(table: &Table, r: &Return) -> Result<String, Box<dyn std::error::Error>> {
     let warm = table.receiver(r.receiver).map_or(0, |x| x.warm_up);
     let (from, to) = (-(LEAD_US as f64) / 1e6, (warm + TRAIL_US) as f64 / 1e6);
-    let s = |t: Micros| (t - r.back) as f64 / 1e6;
+    let s = |t: Micros| (t - r.back_at) as f64 / 1e6;
     let step = (warm / 100).max(1);
     let limit = |share: f64| -> Vec<(f64, f64)> {
         let at = |n: Micros| (n * step) as f64 / 1e6;
@@ -76,7 +76,8 @@
         for dash in limit(0.85).chunks(4).filter_map(|c| c.get(..2)) {
             chart.draw_series(LineSeries::new(dash.iter().copied(), CRIMSON))?;
         }
-        // The load is drawn as steps at arrivals only: that it also falls when one leaves the window is left out.
+        // The load is drawn as steps at the arrivals only, which is exact enough: in between it falls as older arrivals
+        // leave the window.
         let mut line: Vec<(f64, f64)> = Vec::new();
         for l in &r.loads {
             line.extend(line.last().map(|(_, y)| (s(l.t), *y)));
@@ -105,8 +106,8 @@
         };
         let calls = table.calls.values().filter(here);
         let before =
-            calls.filter(|c| c.t <= r.back && c.t > r.back - LEAD_US).map(|c| (c.t, c.sender, CRIMSON));
-        let after = r.arrivals.iter().filter(|p| p.t <= r.back + warm + TRAIL_US);
+            calls.filter(|c| c.t <= r.back_at && c.t > r.back_at - LEAD_US).map(|c| (c.t, c.sender, CRIMSON));
+        let after = r.arrivals.iter().filter(|p| p.t <= r.back_at + warm + TRAIL_US);
         let points = before.chain(after.map(|p| (p.t, p.sender, colour(p.end))));
         chart.draw_series(points.map(|(t, sender, colour)| {
             let y = sender.min(rows - 1) as f64 + 0.5;
--- a/crates/rehearsal/src/judge/cold.rs
+++ b/crates/rehearsal/src/judge/cold.rs
@@ -27,7 +27,7 @@
             "receiver {number} was sent a load of {:.1} within {window} ms, {} ms after its return, where {:.1} pushes it \
              over; {:.1} of it by senders that had seen it fail",
             load.sent,
-            (load.t - r.back) / 1000,
+            (load.t - r.back_at) / 1000,
             load.limit,
             load.aware
         );
--- a/crates/rehearsal/src/judge/even.rs
+++ b/crates/rehearsal/src/judge/even.rs
@@ -72,14 +72,14 @@
     let mut all = Vec::new();
     for (receiver, mut endpoints) in by_receiver.into_iter().filter(|(_, e)| e.len() > 1) {
         endpoints.sort();
-        let place: BTreeMap<&str, usize> = endpoints.iter().enumerate().map(|(n, e)| (e.0, n)).collect();
+        let index: BTreeMap<&str, usize> = endpoints.iter().enumerate().map(|(n, e)| (e.0, n)).collect();
         let mut calls: Vec<(Micros, Micros, usize)> = table
             .calls
             .values()
             .filter_map(|c| {
-                let place = *place.get(c.endpoint.as_str())?;
+                let index = *index.get(c.endpoint.as_str())?;
                 let end = c.end.as_ref().map_or(table.end, |(t, _)| *t);
-                (first..=last).contains(&c.t).then_some((c.t, end, place))
+                (first..=last).contains(&c.t).then_some((c.t, end, index))
             })
             .collect();
         calls.sort_unstable();
@@ -107,12 +107,13 @@
     while at + window <= last {
         let until = at + window;
         let mut counts = vec![0usize; listed.len()];
-        while let Some((t, _, place)) = calls.get(from).filter(|c| c.0 < until) {
-            counts[*place] += usize::from(*t >= at);
+        while let Some((t, _, index)) = calls.get(from).filter(|c| c.0 < until) {
+            counts[*index] += usize::from(*t >= at);
             from += 1;
         }
-        let there = |n: &usize| listed[*n].0 <= at && listed[*n].1 >= until;
-        let counts: Vec<f64> = (0..listed.len()).filter(there).map(|n| counts[n] as f64).collect();
+        let listed_throughout = |n: &usize| listed[*n].0 <= at && listed[*n].1 >= until;
+        let counts: Vec<f64> =
+            (0..listed.len()).filter(listed_throughout).map(|n| counts[n] as f64).collect();
         at = until;
         let (k, sum) = (counts.len() as f64, counts.iter().sum::<f64>());
         if counts.len() < 2 || sum < 1.0 {
@@ -138,13 +139,13 @@
 /// call in which another queues is added up.
 fn longest_idle(calls: &[(Micros, Micros, usize)], endpoints: usize) -> Micros {
     // At one instant ends come before starts: a call that has ended no longer queues.
-    let ends = calls.iter().map(|(_, end, place)| (*end, 0, *place));
-    let starts = calls.iter().map(|(t, _, place)| (*t, 1, *place));
+    let ends = calls.iter().map(|(_, end, index)| (*end, 0, *index));
+    let starts = calls.iter().map(|(t, _, index)| (*t, 1, *index));
     let mut events: Vec<(Micros, u8, usize)> = ends.chain(starts).collect();
     events.sort_unstable();
     let (mut in_flight, mut idle) = (vec![0usize; endpoints], vec![0; endpoints]);
     let (mut queuing, mut longest, mut before) = (0usize, 0, 0);
-    for (t, what, place) in events {
+    for (t, what, index) in events {
         if queuing > 0 {
             for n in 0..endpoints {
                 if in_flight[n] == 0 {
@@ -155,12 +156,12 @@
         }
         before = t;
         if what == 1 {
-            in_flight[place] += 1;
-            idle[place] = 0;
-            queuing += usize::from(in_flight[place] == QUEUEING_CALLS);
+            in_flight[index] += 1;
+            idle[index] = 0;
+            queuing += usize::from(in_flight[index] == QUEUEING_CALLS);
         } else {
-            queuing -= usize::from(in_flight[place] == QUEUEING_CALLS);
-            in_flight[place] = in_flight[place].saturating_sub(1);
+            queuing -= usize::from(in_flight[index] == QUEUEING_CALLS);
+            in_flight[index] = in_flight[index].saturating_sub(1);
         }
     }
     longest
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -303,9 +303,11 @@
     /// Time from the return to that peak.
     pub peak_after: Micros,
     /// Time from the return until one second's deliveries reached half of the usual.
-    pub half: Option<Micros>,
+    #[serde(rename = "half")]
+    pub half_load_after: Option<Micros>,
     /// Time from the return until one second's deliveries reached nine tenths of the usual.
-    pub full: Option<Micros>,
+    #[serde(rename = "full")]
+    pub full_load_after: Option<Micros>,
 }
 
 impl ReturnSummary {
@@ -314,13 +316,13 @@
         ReturnSummary {
             receiver: r.receiver,
             route: r.route.clone(),
-            back: r.back,
+            back: r.back_at,
             aware: r.aware.len(),
             arrivals: r.loads.len(),
             peak: peak.map_or(0.0, |p| p.share()),
-            peak_after: peak.map_or(0, |p| p.t - r.back),
-            half: r.half,
-            full: r.full,
+            peak_after: peak.map_or(0, |p| p.t - r.back_at),
+            half_load_after: r.half_load_after,
+            full_load_after: r.full_load_after,
         }
     }
 }
--- a/crates/rehearsal/src/judge/returns.rs
+++ b/crates/rehearsal/src/judge/returns.rs
@@ -69,9 +69,9 @@
     /// Share of the receiver's capacity that is concerned: 1, or one route's share.
     pub part: f64,
     /// When the outage began.
-    pub out: Micros,
+    pub down_at: Micros,
     /// When the outage ended.
-    pub back: Micros,
+    pub back_at: Micros,
     /// End of the time that is judged: the receiver is warm, or its next outage begins.
     pub until: Micros,
     /// Indices of the senders that saw a call or probe fail, or a connection refused, during the outage.
@@ -81,9 +81,9 @@
     /// The load at each arrival, until the receiver is warm.
     pub loads: Vec<Load>,
     /// Time from the return until one second's deliveries reached half of the usual.
-    pub half: Option<Micros>,
+    pub half_load_after: Option<Micros>,
     /// Time from the return until one second's deliveries reached nine tenths of the usual.
-    pub full: Option<Micros>,
+    pub full_load_after: Option<Micros>,
 }
 
 impl Return {
@@ -105,29 +105,29 @@
     for ((number, route), outages) in &table.outages {
         let Some(receiver) = table.receiver(*number) else { continue };
         let lane = (*number, route.clone());
-        let here = |endpoint: &str| table.lane(endpoint).is_some_and(|l| l == lane);
+        let in_lane = |endpoint: &str| table.lane(endpoint).is_some_and(|l| l == lane);
         let routes = table.endpoints.values().filter(|e| e.0 == *number).count().max(1);
         let part = if route.is_some() { 1.0 / routes as f64 } else { 1.0 };
         let calls: Vec<(u64, &Call)> =
-            table.calls.iter().filter(|(_, c)| here(&c.endpoint)).map(|(n, c)| (*n, c)).collect();
-        for (n, (out, until)) in outages.iter().enumerate() {
-            let Some(back) = *until else { continue };
-            let next = outages.get(n + 1).map_or(Micros::MAX, |(t, _)| *t);
+            table.calls.iter().filter(|(_, c)| in_lane(&c.endpoint)).map(|(n, c)| (*n, c)).collect();
+        for (n, (down_at, until)) in outages.iter().enumerate() {
+            let Some(back_at) = *until else { continue };
+            let next_down_at = outages.get(n + 1).map_or(Micros::MAX, |(t, _)| *t);
             let mut r = Return {
                 receiver: *number,
                 route: route.clone(),
                 part,
-                out: *out,
-                back,
-                until: next.min(back + receiver.warm_up),
-                aware: aware(table, &calls, &here, *out, back),
-                arrivals: arrivals(table, &calls, &here, back, next),
+                down_at: *down_at,
+                back_at,
+                until: next_down_at.min(back_at + receiver.warm_up),
+                aware: aware(table, &calls, &in_lane, *down_at, back_at),
+                arrivals: arrivals(table, &calls, &in_lane, back_at, next_down_at),
                 loads: Vec::new(),
-                half: None,
-                full: None,
+                half_load_after: None,
+                full_load_after: None,
             };
             r.loads = loads(table, receiver, &r);
-            (r.half, r.full) = recovery_times(&calls, *out, back, next);
+            (r.half_load_after, r.full_load_after) = recovery_times(&calls, *down_at, back_at, next_down_at);
             all.push(r);
         }
     }
@@ -137,9 +137,9 @@
 fn arrivals(
     table: &Table,
     calls: &[(u64, &Call)],
-    here: &impl Fn(&str) -> bool,
-    back: Micros,
-    next: Micros,
+    in_lane: &impl Fn(&str) -> bool,
+    back_at: Micros,
+    next_down_at: Micros,
 ) -> Vec<Arrival> {
     let of_call = |(number, c): &(u64, &Call)| {
         let outcomes: Vec<Attempt> = (0..c.ids.len()).map(|place| c.attempt(place).1).collect();
@@ -153,7 +153,7 @@
         let weight = table.parameters.rules.weight(c.ids.len());
         Arrival { t: c.t, sender: c.sender, weight, call: Some(*number), end }
     };
-    let probes = table.probes.iter().filter(|(_, endpoint, ..)| here(endpoint));
+    let probes = table.probes.iter().filter(|(_, endpoint, ..)| in_lane(endpoint));
     let of_probe = |(t, _, sender, status): &(Micros, String, usize, u16)| Arrival {
         t: *t,
         sender: *sender,
@@ -162,7 +162,7 @@
         end: if *status == 200 { ArrivalEnd::Delivered } else { ArrivalEnd::Rejected },
     };
     let all = calls.iter().map(of_call).chain(probes.map(of_probe));
-    let mut arrivals: Vec<Arrival> = all.filter(|p| p.t > back && p.t < next).collect();
+    let mut arrivals: Vec<Arrival> = all.filter(|p| p.t > back_at && p.t < next_down_at).collect();
     arrivals.sort_by_key(|p| p.t);
     arrivals
 }
@@ -173,7 +173,7 @@
     let mut loads = Vec::new();
     for (place, push) in r.arrivals.iter().enumerate() {
         let t = push.t;
-        if t > r.back + receiver.warm_up {
+        if t > r.back_at + receiver.warm_up {
             break;
         }
         within.push_back(push);
@@ -183,7 +183,7 @@
         let sent: f64 = within.iter().map(|p| p.weight).sum();
         let known_at = within.iter().filter(|p| r.aware.contains(&p.sender));
         let aware: f64 = known_at.map(|p| p.weight).sum();
-        loads.push(Load { t, sent, limit: r.overload_limit(table, t - r.back), aware, arrival: place });
+        loads.push(Load { t, sent, limit: r.overload_limit(table, t - r.back_at), aware, arrival: place });
     }
     loads
 }
@@ -192,13 +192,13 @@
 fn aware(
     table: &Table,
     calls: &[(u64, &Call)],
-    here: &impl Fn(&str) -> bool,
-    out: Micros,
-    back: Micros,
+    in_lane: &impl Fn(&str) -> bool,
+    down_at: Micros,
+    back_at: Micros,
 ) -> BTreeSet<usize> {
-    let within = |t: Micros| t >= out && t <= back;
+    let within = |t: Micros| t >= down_at && t <= back_at;
     let mut senders = BTreeSet::new();
-    for (_, call) in calls.iter().filter(|(_, c)| c.t <= back) {
+    for (_, call) in calls.iter().filter(|(_, c)| c.t <= back_at) {
         let failed = (0..call.ids.len()).any(|place| match call.attempt(place) {
             (Some(known_at), outcome) => within(known_at) && outcome != Attempt::Delivered,
             (None, _) => false,
@@ -207,9 +207,9 @@
             senders.insert(call.sender);
         }
     }
-    let refused = table.refused_connections.iter().filter(|(t, endpoint, _)| within(*t) && here(endpoint));
+    let refused = table.refused_connections.iter().filter(|(t, endpoint, _)| within(*t) && in_lane(endpoint));
     senders.extend(refused.map(|(.., sender)| *sender));
-    let probes = table.probes.iter().filter(|(t, endpoint, ..)| within(*t) && here(endpoint));
+    let probes = table.probes.iter().filter(|(t, endpoint, ..)| within(*t) && in_lane(endpoint));
     senders.extend(probes.filter(|(.., status)| *status != 200).map(|(_, _, sender, _)| *sender));
     senders
 }
@@ -217,9 +217,9 @@
 /// Returns the times from the return until one second's deliveries reached half of the usual, and nine tenths.
 fn recovery_times(
     calls: &[(u64, &Call)],
-    out: Micros,
-    back: Micros,
-    next: Micros,
+    down_at: Micros,
+    back_at: Micros,
+    next_down_at: Micros,
 ) -> (Option<Micros>, Option<Micros>) {
     let mut delivered: Vec<Micros> = Vec::new();
     for (_, call) in calls {
@@ -230,14 +230,15 @@
     let between = |from: Micros, to: Micros| {
         delivered.partition_point(|t| *t < to) - delivered.partition_point(|t| *t < from)
     };
-    let since = out - BASELINE_SPAN_US.min(out);
-    let usual = between(since, out) as f64 * RECOVERY_WINDOW_US as f64 / (out - since).max(1) as f64;
+    let since = down_at - BASELINE_SPAN_US.min(down_at);
+    let usual = between(since, down_at) as f64 * RECOVERY_WINDOW_US as f64 / (down_at - since).max(1) as f64;
     let when = |share: f64| {
         let need = ((usual * share).ceil() as usize).max(1);
-        let after = &delivered[delivered.partition_point(|t| *t <= back)..];
-        let after = after.iter().take_while(|t| **t < next);
-        let reached = after.copied().find(|t| between((t - RECOVERY_WINDOW_US).max(back) + 1, t + 1) >= need);
-        reached.map(|t| t - back)
+        let after = &delivered[delivered.partition_point(|t| *t <= back_at)..];
+        let after = after.iter().take_while(|t| **t < next_down_at);
+        let reached =
+            after.copied().find(|t| between((t - RECOVERY_WINDOW_US).max(back_at) + 1, t + 1) >= need);
+        reached.map(|t| t - back_at)
     };
     if usual > 0.0 { (when(0.5), when(0.9)) } else { (None, None) }
 }
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -126,8 +126,8 @@
             || self.notices.iter().any(|n| n.1 == NoticeState::Returned)
     }
 
-    /// Returns whether its client got no reply. The client then puts it again under another id, and the outcome
-    /// under this one does not count.
+    /// Returns whether its client got no reply. The outcome under this id then does not count, since the client may
+    /// put the message again under another id.
     pub fn unacknowledged(&self) -> bool {
         matches!(
             self.reply,
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -114,7 +114,7 @@
         let all: Vec<f64> = valid.iter().filter_map(|r| longest(r, pick, worse)).collect();
         (!all.is_empty()).then(|| all.iter().sum::<f64>() / all.len() as f64)
     };
-    let whole = |r: &Report| r.latencies.last().cloned().unwrap_or_default();
+    let overall_latency = |r: &Report| r.latencies.last().cloned().unwrap_or_default();
     Row {
         scenario: scenario.into(),
         senders,
@@ -127,7 +127,7 @@
             service.iter().copied().fold(0.0, f64::max),
         ],
         share_of_fall: [mean(&peak), valid.iter().map(|r| peak(r)).fold(0.0, f64::max)],
-        back: [back(&|r| r.half), back(&|r| r.full)],
+        back: [back(&|r| r.half_load_after), back(&|r| r.full_load_after)],
         late_refused_failed: [share(&|w| w.late), share(&|w| w.refused), share(&|w| w.failed)],
         connections: penalty("new connections"),
         refused_calls: penalty("refused calls"),
@@ -136,7 +136,7 @@
             uneven(|s| s.idlest, f64::min),
             uneven(|s| Some(s.variance), f64::max),
         ],
-        latency_ms: [mean(&|r| whole(r).p50_ms), mean(&|r| whole(r).p90_ms)],
+        latency_ms: [mean(&|r| overall_latency(r).p50_ms), mean(&|r| overall_latency(r).p90_ms)],
         margins,
     }
 }
@@ -171,10 +171,10 @@
     )?;
     let seconds = |t: Option<f64>| t.map_or("-".into(), |t| format!("{t:.2}"));
     for r in rows {
-        let [least, mean, most] = r.service;
+        let [min, mean, max] = r.service;
         let [late, refused, failed] = r.late_refused_failed;
         let broken: Vec<String> = r.broken.iter().map(|(rule, n)| format!("{rule} ({n})")).collect();
-        let spread = if r.runs == 0 { "-".into() } else { format!("{least:.3} to {most:.3}") };
+        let spread = if r.runs == 0 { "-".into() } else { format!("{min:.3} to {max:.3}") };
         writeln!(
             out,
             "{:<20} {:>7} {:>5} {:>5} {mean:>7.3} {spread:>15} {:>13} {:>7} {:>7} {late:>6.3} {refused:>7.3} {failed:>6.3} \
@@ -265,7 +265,7 @@
     let mut counts: Vec<usize> = rows.iter().map(|r| r.senders).collect();
     counts.sort_unstable();
     counts.dedup();
-    let most = rows.iter().map(value).filter(|v| v.is_finite()).fold(0.05, f64::max) * 1.08;
+    let max = rows.iter().map(value).filter(|v| v.is_finite()).fold(0.05, f64::max) * 1.08;
     let place = |senders: usize| counts.iter().position(|c| *c == senders).unwrap_or(0) as f64;
     let mut svg = String::new();
     {
@@ -275,7 +275,7 @@
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(52)
-            .build_cartesian_2d(-0.3..counts.len() as f64 - 0.7, 0.0..most)?;
+            .build_cartesian_2d(-0.3..counts.len() as f64 - 0.7, 0.0..max)?;
         let label = |x: &f64| {
             let at = x.round();
             let named = (x - at).abs() < 0.01 && at >= 0.0;
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -208,11 +208,12 @@
             cumulative((0..s.receivers.len()).map(|n| if fits(n) { weight(n) } else { 0.0 }))
         })
         .collect();
-    let only = traffic.receiver.and_then(|number| s.receivers.iter().position(|r| r.number == number));
-    let mut make =
+    let only_receiver =
+        traffic.receiver.and_then(|number| s.receivers.iter().position(|r| r.number == number));
+    let mut add_message =
         |rng: &mut ChaCha8Rng, at: Micros, receiver: Option<usize>, captured: Option<(usize, usize, u32)>| {
             let mut class = captured.map(|t| t.0).or(traffic.class).unwrap_or_else(|| draw(rng, &classes));
-            let receiver = receiver.or(only).unwrap_or_else(|| draw(rng, &by_class[class]));
+            let receiver = receiver.or(only_receiver).unwrap_or_else(|| draw(rng, &by_class[class]));
             // If the receiver does not get the class that was drawn, draws again among those that it gets.
             let fits = |c: usize| {
                 s.classes[c].kinds.is_empty() || s.classes[c].kinds.contains(&s.receivers[receiver].kind)
@@ -252,16 +253,16 @@
                 let class = class.ok_or_else(|| unknown("class", &line.class))?;
                 let tenant = tenant.ok_or_else(|| unknown("tenant", &line.tenant))?;
                 let receiver = receiver.ok_or_else(|| unknown("receiver", &line.receiver.to_string()))?;
-                make(&mut rng, at, Some(receiver), Some((class, tenant, line.size)))?;
+                add_message(&mut rng, at, Some(receiver), Some((class, tenant, line.size)))?;
             }
         }
         Shape::Clumps => {
             let mut at = traffic.from;
             while at < traffic.to {
                 let class = draw(&mut rng, &classes);
-                let receiver = only.unwrap_or_else(|| draw(&mut rng, &by_class[class]));
+                let receiver = only_receiver.unwrap_or_else(|| draw(&mut rng, &by_class[class]));
                 for _ in 0..traffic.clump {
-                    make(&mut rng, at, Some(receiver), None)?;
+                    add_message(&mut rng, at, Some(receiver), None)?;
                 }
                 at += traffic.period;
             }
@@ -279,7 +280,7 @@
                     break;
                 }
                 if rng.random::<f64>() * max_rate < traffic.rate_at(t as Micros) {
-                    make(&mut rng, t as Micros, None, None)?;
+                    add_message(&mut rng, t as Micros, None, None)?;
                 }
             }
         }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -263,8 +263,8 @@
                     r.arrivals,
                     r.peak,
                     r.peak_after / 1000,
-                    s(r.half),
-                    s(r.full)
+                    s(r.half_load_after),
+                    s(r.full_load_after)
                 )?;
             }
             if j.returns.len() > MAX_LISTED_RETURNS {
--- a/crates/rehearsal/src/rig/clients.rs
+++ b/crates/rehearsal/src/rig/clients.rs
@@ -97,9 +97,9 @@
     }
 
     /// Puts the planned messages at their times. A late reply delays no other message.
-    pub async fn play(self: &Rc<Self>, plan: Vec<Planned>, zero: Micros) {
+    pub async fn play(self: &Rc<Self>, plan: Vec<Planned>, traffic_start: Micros) {
         for (number, planned) in plan.into_iter().enumerate() {
-            let due = zero + planned.at;
+            let due = traffic_start + planned.at;
             if due > self.world.now() {
                 tokio::time::sleep_until(self.world.recorder.instant(due)).await;
             }
@@ -109,7 +109,7 @@
             let message = ClientMessage { planned, due, origin, retries: 0, refusals: 0, deadline };
             tokio::task::spawn_local(self.clone().put(message));
         }
-        let end = zero + self.world.scenario.parameters.length;
+        let end = traffic_start + self.world.scenario.parameters.length;
         tokio::time::sleep_until(self.world.recorder.instant(end)).await;
     }
 
@@ -118,13 +118,13 @@
         while let Some((message, after_ms)) = refusals.recv().await {
             let clients = self.clone();
             tokio::task::spawn_local(async move {
-                let wait = clients.wait(&message, Some(after_ms).filter(|ms| *ms > 0));
+                let wait = clients.retry_wait(&message, Some(after_ms).filter(|ms| *ms > 0));
                 clients.clone().retry_after(message, wait).await;
             });
         }
     }
 
-    fn wait(&self, message: &ClientMessage, advertised_ms: Option<u64>) -> Micros {
+    fn retry_wait(&self, message: &ClientMessage, advertised_ms: Option<u64>) -> Micros {
         let behaviour = &self.world.scenario.clients;
         // The plan's random number decides, so that the same client observes waits whenever the scenario is played.
         let observes_waits = f64::from(message.planned.client_draw) < behaviour.honour;
@@ -204,9 +204,11 @@
         let wait = match answered {
             PutOutcome::Busy => {
                 self.world.count(|p| p.refused += 1);
-                self.wait(&message, after_ms)
+                self.retry_wait(&message, after_ms)
+            }
+            PutOutcome::TimedOut | PutOutcome::Closed | PutOutcome::Unreachable => {
+                self.retry_wait(&message, None)
             }
-            PutOutcome::TimedOut | PutOutcome::Closed | PutOutcome::Unreachable => self.wait(&message, None),
             _ => {
                 self.world.count(|p| p.failed += u64::from(answered == PutOutcome::Failed));
                 self.world.pending_puts.set(self.world.pending_puts.get() - 1);
@@ -224,7 +226,7 @@
         let draw = f64::from(planned.client_draw);
         let pipelined = draw < behaviour.pipeline;
         if draw > 1.0 - behaviour.leave {
-            return self.leave(planned.sender, &request).await;
+            return self.put_and_disconnect(planned.sender, &request).await;
         }
         let reply = |answered| PutReply { answered, after_ms: None };
         let until = tokio::time::Instant::now() + patience;
@@ -246,7 +248,7 @@
             let outcome = tokio::time::timeout_at(until, exchange).await;
             connection.open.set(connection.open.get() - 1);
             match outcome {
-                Ok(Some(RequestOutcome::Replied(h))) => return h,
+                Ok(Some(RequestOutcome::Replied(reply))) => return reply,
                 // The sender closed the connection between requests: the client sends once more on a new one.
                 Ok(Some(RequestOutcome::Closed) | None) if used && !retry => {}
                 Ok(Some(RequestOutcome::Closed) | None) => return reply(PutOutcome::Closed),
@@ -260,7 +262,7 @@
     }
 
     /// Sends a request and disconnects without waiting for the reply.
-    async fn leave(&self, sender: usize, request: &[u8]) -> PutReply {
+    async fn put_and_disconnect(&self, sender: usize, request: &[u8]) -> PutReply {
         let written = async {
             let mut stream = TcpStream::connect(self.senders.addr(sender)).await?;
             stream.write_all(request).await
--- a/crates/rehearsal/src/rig/mod.rs
+++ b/crates/rehearsal/src/rig/mod.rs
@@ -46,7 +46,7 @@
     /// Processes of this executable, which the rig starts and restarts.
     Spawn(PathBuf),
     /// Senders that are started elsewhere: their addresses for clients, in the scenario's order. The rig writes their
-    /// configurations and cannot send them no signal.
+    /// configurations but cannot send them signals.
     External(Vec<SocketAddr>),
 }
 
@@ -215,8 +215,8 @@
     senders.wait_ready(READY_TIMEOUT_US).await?;
 
     // Times of the traffic and the timeline are relative to this moment.
-    let zero = world.now();
-    world.count(|p| p.length = zero + world.scenario.parameters.length);
+    let traffic_start = world.now();
+    world.count(|p| p.length = traffic_start + world.scenario.parameters.length);
     tokio::task::spawn_local(measure_lag(world.clone()));
     tokio::task::spawn_local(report_progress(world.clone(), watch));
     if let Some((after, span)) = options.stall {
@@ -225,7 +225,7 @@
             std::thread::sleep(duration(span));
         });
     }
-    tokio::task::spawn_local(timeline(rig.clone(), zero));
+    tokio::task::spawn_local(timeline(rig.clone(), traffic_start));
     let clients = Clients::new(world.clone(), senders.clone());
     tokio::task::spawn_local(clients.clone().retry_returned(returned_queue));
     if options.serve_only {
@@ -234,8 +234,8 @@
             _ = tokio::signal::ctrl_c() => {}
         }
     } else {
-        clients.play(planned, zero).await;
-        settle(&world, zero).await;
+        clients.play(planned, traffic_start).await;
+        settle(&world, traffic_start).await;
     }
     world.record(Event::End);
     senders.end().await;
@@ -244,10 +244,10 @@
 }
 
 /// Waits until all messages have ended, or the last possible notice is overdue.
-async fn settle(world: &World, zero: Micros) {
+async fn settle(world: &World, traffic_start: Micros) {
     let longest = world.scenario.parameters.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
     // Clients may still retry during the longest deadline.
-    let latest = zero + world.scenario.parameters.length + 2 * longest + NOTICE_TAIL_US;
+    let latest = traffic_start + world.scenario.parameters.length + 2 * longest + NOTICE_TAIL_US;
     loop {
         let idle = world.pending_puts.get() == 0 && world.open_messages.borrow().is_empty();
         if idle || world.now() > latest {
@@ -284,9 +284,9 @@
     }
 }
 
-async fn timeline(rig: Rc<Rig>, zero: Micros) {
+async fn timeline(rig: Rc<Rig>, traffic_start: Micros) {
     for (at, event) in rig.world.scenario.events.clone() {
-        tokio::time::sleep_until(rig.world.recorder.instant(zero + at)).await;
+        tokio::time::sleep_until(rig.world.recorder.instant(traffic_start + at)).await;
         tokio::task::spawn_local(rig.clone().apply(event));
     }
 }
--- a/crates/rehearsal/src/rig/receivers/load.rs
+++ b/crates/rehearsal/src/rig/receivers/load.rs
@@ -17,7 +17,7 @@
     pub(super) overloaded: bool,
     /// Load of the calls and probes within the last fall window.
     pub(super) load: VecDeque<(Micros, f64)>,
-    /// State of a limit per window: the window's number, and the calls accepted in it.
+    /// State of a limit per window: the number of the current window, and the calls accepted in it.
     pub(super) window: (i64, f64),
     /// State of a limit per second: the tokens of the bucket, and when it was filled last.
     pub(super) bucket: (f64, Micros),
--- a/crates/rehearsal/src/rig/receivers/request.rs
+++ b/crates/rehearsal/src/rig/receivers/request.rs
@@ -267,8 +267,8 @@
     let weight = world.scenario.parameters.rules.weight(items.len());
     let took = (seconds * weight * slow * cold_slowdown * 1e6) as Micros;
     tokio::time::sleep(duration(took.saturating_add(late))).await;
-    for (id, fate) in items {
-        if let Some(dropped) = fate {
+    for (id, repeat) in items {
+        if let Some(dropped) = repeat {
             world.record(Event::Ran { call, id, dropped });
         }
     }
--- a/crates/rehearsal/tests/judge.rs
+++ b/crates/rehearsal/tests/judge.rs
@@ -664,8 +664,12 @@
     h.over(20_000);
     let returned = h.judge().returns[0].clone();
     // The fifth is answered one second after the return; nine within a second come with the faster messages.
-    assert_eq!(returned.half, Some(1_000_000));
-    assert!((2_700_000..3_100_000).contains(&returned.full.unwrap()), "{:?}", returned.full);
+    assert_eq!(returned.half_load_after, Some(1_000_000));
+    assert!(
+        (2_700_000..3_100_000).contains(&returned.full_load_after.unwrap()),
+        "{:?}",
+        returned.full_load_after
+    );
 }
 
 #[test]
