--- a/src/batching.rs
+++ b/src/batching.rs
@@ -1,57 +1,66 @@
-//! How long messages wait for a batch to fill, in a call that several may share. It does no I/O, and it knows one lane
-//! at a time.
+//! Decides how long messages wait for others to share a call. It does no I/O and sees one lane at a time.
 //!
-//! With many senders, of whom none sees much, such calls go with one message each, and all of them together with more
-//! calls than a limit takes, most of all one that is cut without word. What a sender learns by refusals comes too late
-//! then; what it waits for on a calm day is lost. So the wait hangs on signs of scarcity (`docs/design/even.md`).
+//! When each of many senders has little traffic, such calls carry one message each, and together they exceed
+//! the receiver's limit, above all one that is cut without notice. A sender that learns of it from refusals
+//! learns too late; a sender that always waits loses time in normal operation. So calls are spaced only when
+//! there are signs that the limit is short (`docs/design/even.md`).
 
-/// Calls are spaced to this share of an equal part of the limit: it fills them and keeps the fleet clear even of half
-/// the limit.
-const LINGER: f64 = 0.45;
-/// Own traffic as a share of an equal part of the limit below which nothing is spaced: all alike, that is a fleet
-/// which a limit cut by almost half still takes, and a sender with less than others adds too little.
-const CALM: f64 = 0.6;
-/// Own traffic as a share of an equal part of the limit at which the spacing is as wide as after a refusal.
-const FULL: f64 = 0.9;
-/// No spacing is wider than this multiple of the shortest aim; a message waits for half of it on average.
-const WIDEST: f64 = 2.0;
-/// The same with no sign of scarcity but that this sender's part is above the least.
-const WIDEST_CALM: f64 = 0.7;
+/// Calls are spaced to this share of an equal share of the limit. That fills them, and keeps the fleet within
+/// even half the limit.
+const SPACING_SHARE: f64 = 0.45;
+/// Below this ratio of own traffic to an equal share of the limit no calls are spaced. If all senders are
+/// alike, even a limit cut by almost half takes such a fleet's calls; a sender with less traffic than others
+/// adds too little.
+const NO_SPACING_RATIO: f64 = 0.6;
+/// Ratio of own traffic to an equal share of the limit at which the spacing is as wide as after a refusal.
+const FULL_SPACING_RATIO: f64 = 0.9;
+/// Maximum spacing after a refusal, as a multiple of the shortest aim; a message waits half of it on average.
+const MAX_SPACING_AIMS: f64 = 2.0;
+/// Maximum spacing at the smallest ratio that spaces calls, without a refusal.
+const MAX_SPACING_AIMS_CALM: f64 = 0.7;
 /// Share of a call that a sender with much traffic fills.
-const FILL: f64 = 0.7;
+const FILL_SHARE: f64 = 0.7;
 
-/// Calls a second that carry so many messages a second where each is filled as far as one fills it.
-pub(crate) fn filled_calls(own: f64, batch: f64) -> f64 {
-    own / (batch * FILL)
+/// Returns the calls a second that carry `messages_per_s` when each call is filled as far as usual.
+pub(crate) fn filled_calls(messages_per_s: f64, max_batch: f64) -> f64 {
+    messages_per_s / (max_batch * FILL_SHARE)
 }
 
-/// What a sender sees of a lane whose calls several messages may share.
+/// A sender's view of the demand on a lane whose calls carry several messages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LaneDemand {
-    /// An equal part of the limit, in calls a second.
-    pub(crate) equal: f64,
-    /// The sender's own messages a second at the moment, and what they are at least in the longer run.
-    pub(crate) own: f64,
-    pub(crate) share: f64,
-    /// Messages that a call takes.
-    pub(crate) batch: f64,
-    /// The shortest aim of all classes, in microseconds.
-    pub(crate) aim: f64,
-    /// It was refused lately.
-    pub(crate) refused: bool,
+    /// Equal share of the limit, in calls a second.
+    pub(crate) equal_share: f64,
+    /// The sender's current messages a second.
+    pub(crate) own_rate: f64,
+    /// Lower bound of the sender's messages a second over a longer time.
+    pub(crate) long_term_rate: f64,
+    /// Messages that one call takes.
+    pub(crate) max_batch: f64,
+    /// The shortest aim of all classes.
+    pub(crate) shortest_aim_us: f64,
+    /// A call was refused recently.
+    pub(crate) recently_refused: bool,
 }
 
 impl LaneDemand {
-    /// Calls a second to which the lane is spaced; nothing where there is no sign that they could be too many.
+    /// Returns the calls a second to which the lane is spaced; `None` without signs that calls could be too
+    /// many.
     pub(crate) fn spacing(&self) -> Option<f64> {
-        let part = self.share / self.equal;
-        if !self.refused && part <= CALM {
+        let ratio = self.long_term_rate / self.equal_share;
+        if !self.recently_refused && ratio <= NO_SPACING_RATIO {
             return None;
         }
-        let scarce = ((part - CALM) / (FULL - CALM)).clamp(0.0, 1.0);
-        let scarce = if self.refused { 1.0 } else { scarce };
-        let widest = (WIDEST_CALM + (WIDEST - WIDEST_CALM) * scarce) * self.aim / 1e6;
-        Some((self.equal * LINGER).max(filled_calls(self.own, self.batch)).max(1.0 / widest))
+        let scarcity = ((ratio - NO_SPACING_RATIO) / (FULL_SPACING_RATIO - NO_SPACING_RATIO)).clamp(0.0, 1.0);
+        let scarcity = if self.recently_refused { 1.0 } else { scarcity };
+        let max_spacing_s = (MAX_SPACING_AIMS_CALM + (MAX_SPACING_AIMS - MAX_SPACING_AIMS_CALM) * scarcity)
+            * self.shortest_aim_us
+            / 1e6;
+        Some(
+            (self.equal_share * SPACING_SHARE)
+                .max(filled_calls(self.own_rate, self.max_batch))
+                .max(1.0 / max_spacing_s),
+        )
     }
 }
 
@@ -59,27 +68,40 @@
 mod tests {
     use super::*;
 
-    const QUIET: LaneDemand =
-        LaneDemand { equal: 1.0, own: 0.4, share: 0.4, batch: 10.0, aim: 2e6, refused: false };
+    const LOW_DEMAND: LaneDemand = LaneDemand {
+        equal_share: 1.0,
+        own_rate: 0.4,
+        long_term_rate: 0.4,
+        max_batch: 10.0,
+        shortest_aim_us: 2e6,
+        recently_refused: false,
+    };
 
     #[test]
-    fn nothing_waits_below_the_limit_and_all_do_after_a_refusal() {
-        assert_eq!(QUIET.spacing(), None);
-        assert_eq!(LaneDemand { refused: true, ..QUIET }.spacing(), Some(0.45));
-        // With little of a limit the wait is bounded by twice the shortest aim.
-        assert_eq!(LaneDemand { refused: true, equal: 0.1, ..QUIET }.spacing(), Some(0.25));
+    fn calls_are_not_spaced_below_the_limit_and_are_after_a_refusal() {
+        assert_eq!(LOW_DEMAND.spacing(), None);
+        assert_eq!(LaneDemand { recently_refused: true, ..LOW_DEMAND }.spacing(), Some(0.45));
+        // With a small share of a limit the spacing is bounded by twice the shortest aim.
+        assert_eq!(
+            LaneDemand { recently_refused: true, equal_share: 0.1, ..LOW_DEMAND }.spacing(),
+            Some(0.25)
+        );
     }
 
     #[test]
-    fn the_nearer_the_limit_the_longer_the_wait() {
-        let at = |share| LaneDemand { equal: 0.2, own: 0.2, share: share * 0.2, ..QUIET }.spacing().unwrap();
+    fn the_closer_to_the_limit_the_wider_the_spacing() {
+        let at = |ratio| {
+            LaneDemand { equal_share: 0.2, own_rate: 0.2, long_term_rate: ratio * 0.2, ..LOW_DEMAND }
+                .spacing()
+                .unwrap()
+        };
         assert!((at(0.61) - 1.0 / 1.4).abs() < 0.05 && at(0.8) < at(0.7) && (at(0.9) - 0.25).abs() < 1e-9);
         assert_eq!(at(3.0), at(0.9));
     }
 
     #[test]
-    fn much_traffic_fills_calls() {
-        let busy = LaneDemand { own: 30.0, share: 30.0, ..QUIET };
+    fn with_much_traffic_the_spacing_is_that_of_filled_calls() {
+        let busy = LaneDemand { own_rate: 30.0, long_term_rate: 30.0, ..LOW_DEMAND };
         assert!((busy.spacing().unwrap() - 30.0 / 7.0).abs() < 1e-9);
     }
 }
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,36 +1,37 @@
-//! What a dispatcher hands to the one that goes on in its place, in another process: what it has learnt, and the
-//! calls that are out. Nothing is decided here; the decisions that go by it are in `src/logic.rs`.
+//! The state that a dispatcher hands over to one in another process: what it has measured, and its calls in
+//! flight. The decisions that use it are in `src/logic.rs`.
 
 use crate::interface::*;
 use crate::logic::Dispatcher;
 use crate::state::*;
 
-/// What a dispatcher knows of destinations and endpoints: their rates, latencies, budgets and pools, waits, outages
-/// and how far a return has come. Endpoints bear the numbers of the sender that learnt it until
-/// [`DispatcherState::renumber`] gives them others.
+/// What a dispatcher knows of destinations and endpoints: rates, latencies, budgets, pools, waits, outages
+/// and warm-ups. Endpoints have the numbers of the sender that exported the state until
+/// [`DispatcherState::renumber`].
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct DispatcherState {
+    /// For each destination: its arrival rate and its traffic over a longer time.
     dests: Vec<(DestId, Rate, Rate)>,
     lanes: Vec<(LaneKey, Lane)>,
     endpoints: Vec<(EndpointId, Endpoint)>,
-    /// Until when each key rests.
+    /// For each order key: until when it must settle.
     keys: Vec<(String, Micros)>,
 }
 
-/// A call that is out.
+/// A call in flight, as handed over.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct InFlightCall {
     call: Call,
-    /// The messages in it, and for each the attempt that this call is to it.
-    messages: Vec<(MsgId, u32, Adopted)>,
+    /// The messages in it, each with the number of the attempt that this call is.
+    messages: Vec<(MsgId, u32, CallMessage)>,
 }
 
-/// What must be known of a message that is over and has a call out.
+/// What the next dispatcher must know of a message in a call if the message itself has ended already.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-struct Adopted {
+struct CallMessage {
     class: usize,
     dest: DestId,
     deadline: Micros,
@@ -38,121 +39,129 @@
 }
 
 impl DispatcherState {
-    /// The endpoints of which it tells.
+    /// Returns the numbers of the endpoints in this state.
     pub fn endpoints(&self) -> impl Iterator<Item = EndpointId> {
         self.endpoints.iter().map(|(id, _)| *id)
     }
 
-    /// Gives endpoints the numbers by which the next dispatcher's sender calls them; what has none is left out.
+    /// Gives endpoints the numbers of the next dispatcher's sender; drops endpoints that have none.
     pub fn renumber(&mut self, number: impl Fn(EndpointId) -> Option<EndpointId>) {
-        let lane = |key: LaneKey| match key {
+        let lane_key = |key: LaneKey| match key {
             LaneKey::Route(id) => number(id).map(LaneKey::Route),
             key => Some(key),
         };
         let lanes = std::mem::take(&mut self.lanes).into_iter();
-        self.lanes = lanes.filter_map(|(key, l)| Some((lane(key)?, l))).collect();
+        self.lanes = lanes.filter_map(|(key, lane)| Some((lane_key(key)?, lane))).collect();
         let endpoints = std::mem::take(&mut self.endpoints).into_iter();
-        let renumbered =
-            endpoints.filter_map(|(id, e)| Some((number(id)?, Endpoint { lane: lane(e.lane)?, ..e })));
+        let renumbered = endpoints.filter_map(|(id, endpoint)| {
+            Some((number(id)?, Endpoint { lane: lane_key(endpoint.lane)?, ..endpoint }))
+        });
         self.endpoints = renumbered.collect();
     }
 }
 
 impl InFlightCall {
-    /// The messages in it, and for each the attempt that this call is to it.
+    /// Returns the messages in the call, each with the number of the attempt that this call is.
     pub fn messages(&self) -> impl Iterator<Item = (MsgId, u32)> {
         self.messages.iter().map(|(id, attempt, _)| (*id, *attempt))
     }
 
-    /// Where it went.
+    /// Returns the endpoint that was called.
     pub fn endpoint(&self) -> EndpointId {
         self.call.endpoint
     }
 
-    /// Gives its endpoint another number.
+    /// Gives the endpoint another number.
     pub fn renumber(&mut self, number: EndpointId) {
         self.call.endpoint = number;
     }
 }
 
 impl Dispatcher {
-    /// What the next dispatcher is to know, by [`Event::StateInherited`] and [`Event::CallsInherited`].
+    /// Returns what the next dispatcher needs, for [`Event::StateInherited`] and [`Event::CallsInherited`].
     pub fn handover_state(&self) -> (DispatcherState, Vec<InFlightCall>) {
-        let learnt = DispatcherState {
-            dests: self.dests.iter().map(|(id, d)| (*id, d.rate, d.share)).collect(),
-            lanes: self.lanes.iter().map(|(key, l)| (*key, l.clone())).collect(),
-            endpoints: self.endpoints.iter().map(|(id, e)| (*id, e.clone())).collect(),
-            keys: self.keys.iter().map(|(name, k)| (name.clone(), k.rest_until)).collect(),
+        let state = DispatcherState {
+            dests: self.destinations.iter().map(|(id, d)| (*id, d.arrival_rate, d.traffic)).collect(),
+            lanes: self.lanes.iter().map(|(key, lane)| (*key, lane.clone())).collect(),
+            endpoints: self.endpoints.iter().map(|(id, endpoint)| (*id, endpoint.clone())).collect(),
+            keys: self.order_keys.iter().map(|(name, key)| (name.clone(), key.settle_until)).collect(),
         };
-        let out = self.calls.iter().map(|(number, call)| {
-            let of = |(id, msg): (&MsgId, &Msg)| {
-                let a = msg.out.iter().find(|a| a.call == *number)?;
-                let Msg { class, dest, deadline, .. } = *msg;
-                Some((*id, a.no, Adopted { class, dest, deadline, sent: a.sent }))
+        let calls = self.calls.iter().map(|(number, call)| {
+            let in_call = |(id, message): (&MsgId, &Message)| {
+                let attempt = message.in_flight.iter().find(|a| a.call == *number)?;
+                let Message { class, dest, deadline, .. } = *message;
+                Some((*id, attempt.number, CallMessage { class, dest, deadline, sent: attempt.sent }))
             };
-            InFlightCall { call: call.clone(), messages: self.msgs.iter().filter_map(of).collect() }
+            InFlightCall { call: call.clone(), messages: self.messages.iter().filter_map(in_call).collect() }
         });
-        (learnt, out.collect())
+        (state, calls.collect())
     }
 
-    /// Takes over what was learnt, for what the list names. What is out comes later, by [`Dispatcher::adopt`].
-    pub(crate) fn learn(&mut self, learnt: &DispatcherState) {
-        for (id, rate, share) in &learnt.dests {
-            if let Some(d) = self.dests.get_mut(id) {
-                (d.rate, d.share) = (*rate, *share);
+    /// Takes over the state of another dispatcher for what the list names. Its calls in flight follow with
+    /// [`Dispatcher::inherit_calls`].
+    pub(crate) fn inherit_state(&mut self, state: &DispatcherState) {
+        for (id, arrival_rate, traffic) in &state.dests {
+            if let Some(destination) = self.destinations.get_mut(id) {
+                (destination.arrival_rate, destination.traffic) = (*arrival_rate, *traffic);
             }
         }
-        for (key, was) in &learnt.lanes {
-            if let Some(l) = self.lanes.get_mut(key) {
-                let (dest, limit) = (l.dest, l.limit.or(was.limit));
-                *l = Lane { dest, limit, out: 0, ..was.clone() };
+        for (key, inherited) in &state.lanes {
+            if let Some(lane) = self.lanes.get_mut(key) {
+                let (dest, limit) = (lane.dest, lane.limit.or(inherited.limit));
+                *lane = Lane { dest, limit, in_flight: 0, ..inherited.clone() };
             }
         }
-        for (id, was) in &learnt.endpoints {
-            if let Some(e) = self.endpoints.get_mut(id) {
-                let Endpoint { lane, dest, kind, zone, listed, .. } = *e;
-                *e = Endpoint { lane, dest, kind, zone, listed, out: 0, conns: 0, ..was.clone() };
-                // Whether its trial is out is told by the call itself.
-                e.trouble.iter_mut().for_each(|t| (t.trial, t.probing) = (None, false));
-            } else if was.out > 0 {
-                let e = Endpoint { listed: false, out: 0, conns: 0, ..was.clone() };
-                self.dests.entry(e.dest).or_default().endpoints.insert(*id);
-                self.lanes.entry(e.lane).or_insert_with(|| Lane { dest: e.dest, ..Lane::default() });
-                self.endpoints.insert(*id, e);
+        for (id, inherited) in &state.endpoints {
+            if let Some(endpoint) = self.endpoints.get_mut(id) {
+                let Endpoint { lane, dest, kind, zone, listed, .. } = *endpoint;
+                let inherited = inherited.clone();
+                *endpoint =
+                    Endpoint { lane, dest, kind, zone, listed, in_flight: 0, connections: 0, ..inherited };
+                // The call itself shows whether a trial is in flight.
+                endpoint.unhealthy.iter_mut().for_each(|u| (u.trial_sent, u.probing) = (None, false));
+            } else if inherited.in_flight > 0 {
+                let endpoint = Endpoint { listed: false, in_flight: 0, connections: 0, ..inherited.clone() };
+                self.destinations.entry(endpoint.dest).or_default().endpoints.insert(*id);
+                let new_lane = || Lane { dest: endpoint.dest, ..Lane::default() };
+                self.lanes.entry(endpoint.lane).or_insert_with(new_lane);
+                self.endpoints.insert(*id, endpoint);
             }
         }
-        for (name, rest_until) in &learnt.keys {
-            self.keys.entry(name.clone()).or_default().rest_until = *rest_until;
+        for (name, settle_until) in &state.keys {
+            self.order_keys.entry(name.clone()).or_default().settle_until = *settle_until;
         }
-        self.ready.extend(self.dests.keys());
+        self.ready.extend(self.destinations.keys());
     }
 
-    /// Counts calls that another process has out: their slots, permits and trials, and the messages that wait for
-    /// their ends. Messages that are still owed an end have been restored before.
-    pub(crate) fn adopt(&mut self, calls: &[InFlightCall]) {
+    /// Counts another process's calls in flight: their slots, permits and trials, and the messages that wait
+    /// for their outcomes. Messages that still need a final answer have been restored before.
+    pub(crate) fn inherit_calls(&mut self, calls: &[InFlightCall]) {
         for InFlightCall { call, messages } in calls {
-            let Some(e) = self.endpoints.get_mut(&call.endpoint).filter(|_| !messages.is_empty()) else {
-                continue;
-            };
-            let Some(lane) = self.lanes.get_mut(&e.lane) else { continue };
-            self.seq += 1;
-            (e.out, lane.out, self.used) = (e.out + 1, lane.out + 1, self.used + 1);
-            e.conns = e.conns.max(e.out.div_ceil(self.set.streams_per_conn.max(1)));
-            if let Some(t) = e.trouble.as_mut().filter(|_| call.trial) {
-                t.trial = Some(call.sent);
+            let endpoint = self.endpoints.get_mut(&call.endpoint).filter(|_| !messages.is_empty());
+            let Some(endpoint) = endpoint else { continue };
+            let Some(lane) = self.lanes.get_mut(&endpoint.lane) else { continue };
+            self.sequence += 1;
+            endpoint.in_flight += 1;
+            lane.in_flight += 1;
+            self.slots_used += 1;
+            let needed_connections = endpoint.in_flight.div_ceil(self.settings.streams_per_conn.max(1));
+            endpoint.connections = endpoint.connections.max(needed_connections);
+            if let Some(unhealthy) = endpoint.unhealthy.as_mut().filter(|_| call.is_trial) {
+                unhealthy.trial_sent = Some(call.sent);
             }
-            let (number, left) = (self.seq, messages.len() as u32);
-            self.calls.insert(number, Call { left, ..call.clone() });
-            self.agenda.insert((call.sent + lane.latency.silence() as Micros + 1, Due::Call(number)));
-            for (id, attempt, was) in messages {
-                let msg = self.msgs.entry(*id).or_insert_with(|| {
-                    let Adopted { class, dest, deadline, .. } = *was;
-                    Msg { class, dest, deadline, closed: true, ..Msg::default() }
+            let (number, open_attempts) = (self.sequence, messages.len() as u32);
+            self.calls.insert(number, Call { open_attempts, ..call.clone() });
+            let stalls_at = call.sent + lane.latency.stall_threshold_us() as Micros + 1;
+            self.schedule.insert((stalls_at, Check::Call(number)));
+            for (id, attempt, inherited) in messages {
+                let message = self.messages.entry(*id).or_insert_with(|| {
+                    let CallMessage { class, dest, deadline, .. } = *inherited;
+                    Message { class, dest, deadline, closed: true, ..Message::default() }
                 });
-                msg.attempts = msg.attempts.max(attempt + 1);
-                msg.out.push(Attempt { no: *attempt, call: number, sent: was.sent });
-                if let Some(d) = self.dests.get_mut(&msg.dest) {
-                    d.hold.remove(&(msg.seq, *id));
+                message.attempts = message.attempts.max(attempt + 1);
+                message.in_flight.push(Attempt { number: *attempt, call: number, sent: inherited.sent });
+                if let Some(destination) = self.destinations.get_mut(&message.dest) {
+                    destination.pending.remove(&(message.sequence, *id));
                 }
             }
         }
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,31 +1,30 @@
-//! What a sender keeps of its dispatcher over a restart, to be given back by [`Event::EndpointHealthRestored`] and
-//! [`Event::ReceiverHealthRestored`]. Nothing is decided here; the decisions that go by it are in `src/logic.rs`.
+//! The health that a sender persists over a restart and returns with [`Event::EndpointHealthRestored`] and
+//! [`Event::ReceiverHealthRestored`]. The decisions that use it are in `src/logic.rs`.
 
 use crate::interface::*;
-use crate::logic::{ALERT, Dispatcher};
+use crate::logic::{Dispatcher, REFUSAL_MEMORY_US};
 use crate::state::{Lane, LaneKey};
 
-/// Waits are kept rounded up to this, so that a receiver that refuses many calls does not have each of them written.
-const WAIT_STEP: Micros = 100_000;
+/// Waits are rounded up to a multiple of this, so that a receiver that refuses many calls causes few writes.
+const WAIT_STEP_US: Micros = 100_000;
 
 impl Dispatcher {
-    /// What is to be kept of endpoints that have failed, or come back, for [`Event::EndpointHealthRestored`].
+    /// Returns the endpoints whose health is to be persisted: those that are failing, unhealthy or warming
+    /// up.
     pub fn endpoint_health(&self) -> impl Iterator<Item = (EndpointId, EndpointHealth)> {
-        self.endpoints.iter().filter_map(|(id, e)| {
-            let lane = self.lanes.get(&e.lane).and_then(|l| l.back.as_ref());
-            let warm_since = e.warm.iter().chain(lane).map(|w| w.since).max();
-            let health = EndpointHealth {
-                failing_since: e.first_bad,
-                unhealthy: e.trouble.is_some(),
-                warming_since: warm_since,
-            };
-            (health.failing_since.is_some() || health.unhealthy || warm_since.is_some())
-                .then_some((*id, health))
+        self.endpoints.iter().filter_map(|(id, endpoint)| {
+            let lane_warm_up = self.lanes.get(&endpoint.lane).and_then(|l| l.warm_up.as_ref());
+            let warming_since = endpoint.warm_up.iter().chain(lane_warm_up).map(|w| w.since).max();
+            let (failing_since, unhealthy) = (endpoint.failing_since, endpoint.unhealthy.is_some());
+            let health = EndpointHealth { failing_since, unhealthy, warming_since };
+            let must_persist = failing_since.is_some() || unhealthy || warming_since.is_some();
+            must_persist.then_some((*id, health))
         })
     }
 
-    /// What is to be kept of receivers that have failed, refused calls or come back, for
-    /// [`Event::ReceiverHealthRestored`]: the destination, the endpoint where it is a route of its own, and what is known.
+    /// Returns the receivers whose health is to be persisted: those that are failing, have refused calls,
+    /// asked for a wait or are warming up. Each comes as its destination, the endpoint if it is a separate
+    /// route, and its health.
     pub fn receiver_health(&self) -> impl Iterator<Item = (DestId, Option<EndpointId>, ReceiverHealth)> {
         self.lanes.iter().filter_map(|(key, lane)| {
             let health = self.lane_health(lane);
@@ -36,37 +35,41 @@
             if health == ReceiverHealth::default() {
                 return None;
             }
-            let share = self.dests.get(&lane.dest).map(|d| round_down((d.share.get(self.now) * 1e3) as u32));
-            Some((lane.dest, route, ReceiverHealth { traffic_milli_per_s: share, ..health }))
+            let destination = self.destinations.get(&lane.dest);
+            let traffic_milli_per_s =
+                destination.map(|d| round_down((d.traffic.per_second(self.now) * 1e3) as u32));
+            Some((lane.dest, route, ReceiverHealth { traffic_milli_per_s, ..health }))
         })
     }
 
-    /// The lanes of a destination, or the one that this endpoint is.
+    /// Returns the lanes of a destination, or only that of a route.
     pub(crate) fn lanes_of(&self, dest: DestId, route: Option<EndpointId>) -> Vec<LaneKey> {
-        let named = |key: &LaneKey| route.is_none_or(|id| *key == LaneKey::Route(id));
-        let lanes = self.lanes.iter().filter(|(key, lane)| lane.dest == dest && named(key));
+        let matches = |key: &LaneKey| route.is_none_or(|id| *key == LaneKey::Route(id));
+        let lanes = self.lanes.iter().filter(|(key, lane)| lane.dest == dest && matches(key));
         lanes.map(|(key, _)| *key).collect()
     }
 
     fn lane_health(&self, lane: &Lane) -> ReceiverHealth {
-        let refused = lane.cut > 0 && self.now - lane.cut < ALERT && lane.budget.is_finite();
-        let wait = Some(lane.wait_until).filter(|until| *until > self.now);
+        let recently_refused = lane.budget_cut_at > 0
+            && self.now - lane.budget_cut_at < REFUSAL_MEMORY_US
+            && lane.budget.is_finite();
+        let wait_until = Some(lane.wait_until).filter(|until| *until > self.now);
         ReceiverHealth {
-            failing_since: lane.bad,
+            failing_since: lane.failing_since,
             down: lane.down,
-            warming_since: lane.back.as_ref().map(|w| w.since),
-            wait_until: wait.map(round_up),
-            budget_milli_per_s: refused.then(|| round_down((lane.budget * 1e3) as u32)),
+            warming_since: lane.warm_up.as_ref().map(|w| w.since),
+            wait_until: wait_until.map(round_up),
+            budget_milli_per_s: recently_refused.then(|| round_down((lane.budget * 1e3) as u32)),
             traffic_milli_per_s: None,
         }
     }
 }
 
 fn round_up(time: Micros) -> Micros {
-    (time + WAIT_STEP - 1) / WAIT_STEP * WAIT_STEP
+    (time + WAIT_STEP_US - 1) / WAIT_STEP_US * WAIT_STEP_US
 }
 
-/// The number by its two highest bits: what grows and shrinks little by little is kept seldom.
+/// Keeps only the two highest bits of a number, so that a slowly changing value is seldom written.
 fn round_down(number: u32) -> u32 {
     match number.checked_ilog2() {
         Some(highest) if highest > 0 => number & (3 << (highest - 1)),
@@ -79,8 +82,8 @@
     use super::*;
 
     #[test]
-    fn numbers_are_kept_by_their_two_highest_bits() {
-        let kept = [0, 1, 2, 3, 4, 5, 6, 7, 100, 1_023, u32::MAX].map(round_down);
-        assert_eq!(kept, [0, 1, 2, 3, 4, 4, 6, 6, 96, 768, 3 << 30]);
+    fn numbers_are_rounded_down_to_their_two_highest_bits() {
+        let rounded = [0, 1, 2, 3, 4, 5, 6, 7, 100, 1_023, u32::MAX].map(round_down);
+        assert_eq!(rounded, [0, 1, 2, 3, 4, 4, 6, 6, 96, 768, 3 << 30]);
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -244,7 +244,7 @@
 
 impl Settings {
     /// Messages that a call of a kind takes; one where the kind is not known.
-    pub(crate) fn batch(&self, kind: usize) -> u32 {
+    pub(crate) fn max_batch(&self, kind: usize) -> u32 {
         self.kinds.get(kind).map_or(1, |k| k.max_batch.max(1))
     }
 
@@ -359,8 +359,8 @@
     Cancelled,
     /// Never sent: no slot was free, the message was over, or its attempts were used up.
     Skipped,
-    /// No connection came up, so that no byte was written: no endpoint knows of it, and it does not count as an attempt.
-    /// Only real senders are told so.
+    /// No connection came up, so that no byte was written: no endpoint knows of it, and it does not count as
+    /// an attempt. Only real senders are told so.
     Unreached,
 }
 
@@ -403,8 +403,8 @@
     pub warming_since: Option<Micros>,
 }
 
-/// What a dispatcher remembers of a receiver as a whole, a destination or a route of it where routes are apart, for a
-/// sender that keeps it over a restart.
+/// What a dispatcher remembers of a receiver as a whole, a destination or a route of it where routes are
+/// apart, for a sender that keeps it over a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceiverHealth {
     /// Since when it has answered nothing well, if its last answers were bad.
@@ -486,7 +486,8 @@
         /// As [`Dispatcher::health`](crate::Dispatcher::health) told it.
         health: EndpointHealth,
     },
-    /// What an earlier run of this sender knew of a receiver as a whole, after all that it knew of its endpoints.
+    /// What an earlier run of this sender knew of a receiver as a whole, after all that it knew of its
+    /// endpoints.
     ReceiverHealthRestored {
         /// The destination.
         dest: DestId,
@@ -497,8 +498,8 @@
     },
     /// What another process's dispatcher knew that this one goes on for, once its endpoints have been listed.
     StateInherited(Box<DispatcherState>),
-    /// The calls which that process still has out, once its messages have been restored. Their outcomes come like any
-    /// other's.
+    /// The calls which that process still has out, once its messages have been restored. Their outcomes come
+    /// like any other's.
     CallsInherited(Vec<InFlightCall>),
     /// The sender ends at this time: nothing is to begin that would not end before.
     Stopping {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,8 +5,8 @@
 //! feeds it [`Event`]s with a clock and carries out the [`Action`]s it answers with.
 //!
 //! The mechanism is the bulkhead: every destination owns a bounded pool of permits sized from its own
-//! traffic, so that one slow destination cannot take all slots. `README.md` ("Decisions") tells what was kept of the
-//! source, what was added, and when each addition acts.
+//! traffic, so that one slow destination cannot take all slots. `README.md` ("Decisions") tells what was kept
+//! of the source, what was added, and when each addition acts.
 //!
 //! ```
 //! use heronroute::{Action, ClassSettings, Dispatcher, DestId, Effect, EndpointEntry, EndpointId, Event};
@@ -17,16 +17,12 @@
 //! settings.kinds.push(KindSettings { max_batch: 1, separate_routes: false });
 //! let mut dispatcher = Dispatcher::new(0, 42, settings)?;
 //!
-//! let endpoint = EndpointEntry {
-//!     endpoint: EndpointId(1), dest: DestId(7), status: Status::Up, kind: 0, zone: 0, weight: None,
-//! };
-//! let message = Event::Message {
-//!     id: MsgId(1), class: 0, tenant: 0, key: None, dest: DestId(7), time_left: 5_000_000, resubmitted: false,
-//! };
-//! let mut actions = Vec::new();
+//! let endpoint = EndpointEntry {     endpoint: EndpointId(1), dest: DestId(7), status: Status::Up, kind: 0,
+//! zone: 0, weight: None, }; let message = Event::Message {     id: MsgId(1), class: 0, tenant: 0, key: None,
+//! dest: DestId(7), time_left: 5_000_000, resubmitted: false, }; let mut actions = Vec::new();
 //! dispatcher.round(0, &[Event::Listing { complete: true, entries: vec![endpoint] }, message], &mut actions);
-//! let sent = actions.iter().any(|a| matches!(a, Action::Send { id: MsgId(1), endpoint: EndpointId(1), .. }));
-//! assert!(sent);
+//! let sent = actions.iter().any(|a| matches!(a, Action::Send { id: MsgId(1), endpoint: EndpointId(1), ..
+//! })); assert!(sent);
 //!
 //! // Later, the sender reports how the call ended; a delivered message needs no further answer.
 //! actions.clear();
@@ -60,7 +56,7 @@
     /// How many destinations, lanes, endpoints, messages, calls and keys are remembered, for those who watch
     /// a sender's memory.
     pub fn tracked_items(&self) -> usize {
-        let fleet = self.dests.len() + self.lanes.len() + self.endpoints.len();
-        fleet + self.msgs.len() + self.calls.len() + self.keys.len()
+        let fleet = self.destinations.len() + self.lanes.len() + self.endpoints.len();
+        fleet + self.messages.len() + self.calls.len() + self.order_keys.len()
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,123 +1,190 @@
-//! All decisions of heronroute; `src/interface.rs` has what goes in and out, `src/state.rs` plain data.
+//! The decisions of heronroute. `src/interface.rs` defines the inputs and outputs, `src/state.rs` the data.
 //!
-//! The ordinary path is a bulkhead: each destination owns a pool of permits sized rate x p99 x safety, a call
-//! holds one until its outcome, and messages wait in the hold, oldest first. Around it stand a call budget,
-//! each endpoint's health with single trials, and a paced return. A *lane* has one limit and one pool: it is
-//! a destination, or one route of it where routes are apart.
+//! The core is a bulkhead: each destination owns a pool of permits sized as rate x p99 x safety factor. A
+//! call holds one permit until its outcome; messages wait in the destination's queue, oldest first. Added to
+//! this are a call budget, the health of each endpoint with single trials, and a paced return after an
+//! outage. A *lane* has one rate limit and one pool: it is a destination, or one route of it where routes are
+//! separate.
 
 use crate::batching::{LaneDemand, filled_calls};
 use crate::interface::*;
-use crate::measure::Tables;
+use crate::measure::ConnectionTables;
 use crate::random::Random;
-use crate::rotation::Turn;
+use crate::rotation::RotationPlace;
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const SAFETY: f64 = 1.5; // safety factor of the sizing rule, as in the source
-const START_SHARE: f64 = 0.1; // share of the slots for a new pool: enough to learn from, too few to do harm
-const SHARE_CAP: f64 = 0.2; // a sized pool's share at most, the design's fifth; more is only borrowed
-const DEST_CAP: f64 = 0.5; // a destination's share at most, sick or borrowing: it may fall silent any moment
-const ALL_SICK_CAP: f64 = 0.6; // all sick destinations' share, so that frozen pools cannot fill the slots
-const BORROW_RESERVE: f64 = 0.15; // slots kept free of borrowers, as a share
-const RECLAIM_RESERVE: f64 = 0.2; // with fewer free slots than this share, silent calls are given up ...
-const RECLAIM_AFTER: f64 = 3.0; // ... once they have been out for this multiple of what counts as silence,
-const RECLAIM_REPEATABLE: f64 = 2.0; // or for this one where all their messages may go again
-const SIZED_FROM: f64 = 8.0; // answers by which a pool's size is known
-const RATE_MEMORY: f64 = 8e6; // of arrival rates: long against clumps, short against a day's swing
-const SHARE_MEMORY: f64 = 6e7; // of a sender's part of the traffic: long against gaps between messages
-const SILENCE: f64 = 1.5; // silence beyond this multiple of p99 is a symptom
-const SILENCE_LEAST: f64 = 4e5; // silence shorter than this is never a symptom
-const FAIL_GAIN: f64 = 0.3; // weight of an outcome in the share of failures; two in a row cross one half
-const FAIL_LIMIT: f64 = 0.5; // share of failures at which an endpoint is in trouble
-/// The same where it answers, with an error, as it may answer part of the calls well: with few senders. Many
-/// would all still be sending at half pace when it comes back.
-const ERROR_LIMIT: f64 = 0.7;
-const BURN_LIMIT: f64 = 0.2; // share of calls that failed and may have run at which unsafe messages wait,
-const BURN_MEMORY: f64 = 8e6; // faded over this span where no call tells more
-const TRIAL_FIRST: Micros = 200_000; // first time between trials, and the most to which it grows by itself
-const TRIAL_MOST: Micros = 1_000_000;
-/// Cost of a trial that is due, as a multiple: it goes first, or an endpoint that is well again would stay
-/// idle for as long as the others can take every call. One that may harm is left until they can't.
-const TRIAL_COST: f64 = 0.5;
-const SHUT_WAIT: Micros = 2_000_000; // a wait longer than this, which no limit's span tells, is a shut one's
-const TRIAL_SHARE: f64 = 1.0; // all senders' trials together, in multiples of what a cold destination takes
-/// An equal part of what a destination states counts up to this multiple of a sender's own traffic and this
-/// share of itself: neither a wrong number of senders nor a limit above what it can do adds up to much more.
-const TRUST: f64 = 1.25;
-const QUIET: f64 = 0.1;
-const FEW: f64 = 2.0; // so few senders' trials do no harm by their number
-const LIMIT_LEAST: f64 = 3.0; // calls a second that any destination takes, where no limit is told
-const COLD_AFTER: Micros = 1_500_000; // trouble this long may have been an outage: the return is paced
-const RAMP_SAFETY: f64 = 0.75; // share of the allowed load that this sender uses on a cold destination
-const BATCH_WEIGHT: f64 = 0.25; // weight of a batch's further messages on a cold destination, in calls
-const TIMEOUT: f64 = 4.0; // repeatable messages are waited for this multiple of p99, and at least
-const TIMEOUT_LEAST: f64 = 1.2e6;
-const END_LEAD: Micros = 2; // a message ends these quanta before its time: rounds are one apart
-const TOLD_WITHIN: Micros = 150_000; // an end is told within this, with a first notice that is lost
-const WINDOW_PART: f64 = 0.45; // an attempt ends after this part of a keyed window, so that a resend fits in
-/// Budget after a refusal as a share of what was accepted; its growth a second and the least of it, as
-/// shares of this sender's own demand, so that senders with more traffic get more.
-const BUDGET_CUT: f64 = 0.75;
-const BUDGET_GROWTH: f64 = 0.2;
-const BUDGET_LEAST: f64 = 0.4;
-const FAIR_LEAST: f64 = 1.0; // with a known limit the least stays within this multiple of an equal part ...
-const FAIR_GROWTH: f64 = 0.5; // ... and growth goes by this multiple, so that many budgets leave it room,
-const DONE_GROWTH: f64 = 0.07; // and by this share for each call accepted
-const QUEUE_SLACK: f64 = 1.5; // with no limit known the cut starts from this multiple of what was accepted
-const LIMIT_PART: f64 = 0.95; // share of a known limit that is used at most
-const ROUGH: f64 = 1.5; // a rough weight may be too low by this factor: refusals teach the rest
-const UNPACED: f64 = 1e6; // calls a second that stand for no budget at all
-const BURST: f64 = 0.4; // saved-up calls, in seconds of budget
-const REFUSED_PAUSE: Micros = 250_000; // pause after a refusal that told no wait
-const SCARCE: Micros = 20_000_000; // after a refused connection none is kept idle at that kind for so long
-const IDLE_PART: f64 = 0.3; // a connection in use for this part of the time is kept all the same ...
-const TABLE_LEAST: f64 = 6.0; // ... and all are where so few senders could each keep one
-const CROWD: f64 = 1.5; // load on endpoints of one zone, over that on all, for which messages stay in it
-const BEGUN: Micros = 2_000_000; // a destination known for less has no newcomers among its endpoints
-const KEPT: f64 = 2.0; // calls within the time that connections are kept that are worth a further one
-pub(crate) const ALERT: Micros = 20_000_000; // a refusal is a sign that a limit is short for so long
-const YIELD: f64 = 1.5e6; // once messages are late, rank goes by the worth lost within this wait ...
-const WORTH_NOW: f64 = 0.4; // ... plus this share of the worth at hand, lost for good if the backlog stays
-const ROOM: f64 = 0.06; // part of `max_open` kept free, so that nothing is turned away unseen
-const RESIZE: Micros = 500_000; // pools are resized this often
+/// Factor by which a pool exceeds rate x p99.
+const POOL_SAFETY_FACTOR: f64 = 1.5;
+/// Share of the slots for a new pool: enough to measure with, too few to do harm.
+const INITIAL_POOL_SHARE: f64 = 0.1;
+/// Maximum share of the slots for a sized pool; beyond it a destination can only borrow.
+const MAX_POOL_SHARE: f64 = 0.2;
+/// Maximum share of the slots for one destination, healthy or not: it may stall at any moment.
+const MAX_DESTINATION_SHARE: f64 = 0.5;
+/// Maximum share of the slots for all doubtful endpoints together, so that stalled pools cannot fill the
+/// slots.
+const MAX_DOUBTFUL_SHARE: f64 = 0.6;
+/// Share of the slots that borrowers leave free.
+const BORROW_RESERVE_SHARE: f64 = 0.15;
+/// With fewer free slots than this share, stalled calls are cancelled ...
+const RECLAIM_RESERVE_SHARE: f64 = 0.2;
+/// ... once they have been in flight for this multiple of the stall threshold,
+const RECLAIM_AFTER_STALLS: f64 = 3.0;
+/// or for this one if all their messages may be sent again.
+const RECLAIM_REPEATABLE_AFTER_STALLS: f64 = 2.0;
+/// Answers after which a pool's size is known.
+const MIN_SIZING_SAMPLES: f64 = 8.0;
+/// Memory of arrival rates: long against bursts, short against the swing of a day.
+const ARRIVAL_MEMORY_US: f64 = 8e6;
+/// Memory of a sender's part of the traffic: long against the gaps between messages.
+const TRAFFIC_MEMORY_US: f64 = 6e7;
+/// A call has stalled when it is unanswered for this multiple of p99, and for at least `MIN_STALL_US`.
+const STALL_P99_FACTOR: f64 = 1.5;
+const MIN_STALL_US: f64 = 4e5;
+/// Weight of one outcome in the share of failures; two failures in a row cross one half.
+const FAILURE_GAIN: f64 = 0.3;
+/// Share of failures above which an endpoint is unhealthy.
+const MAX_FAILURE_SHARE: f64 = 0.5;
+/// The same, with few senders, for an endpoint that answers with errors: it may answer part of the calls
+/// well. Many senders would all still send at half pace when it returns.
+const MAX_ERROR_SHARE: f64 = 0.7;
+/// Share of calls that failed and may have run, above which unsafe messages keep off an endpoint.
+const MAX_AMBIGUOUS_SHARE: f64 = 0.2;
+/// Time constant of that share's decay while no call updates it.
+const AMBIGUOUS_MEMORY_US: f64 = 8e6;
+/// First time between trials, and the maximum to which the backoff doubles it.
+const FIRST_TRIAL_BACKOFF_US: Micros = 200_000;
+const MAX_TRIAL_BACKOFF_US: Micros = 1_000_000;
+/// Cost factor of a due trial that can do no harm. It goes first: otherwise a recovered endpoint would stay
+/// idle for as long as the others can take every call.
+const TRIAL_COST_FACTOR: f64 = 0.5;
+/// Cost factor of a trial that may do harm: it waits until the other endpoints are busy.
+const HARMFUL_TRIAL_COST_FACTOR: f64 = 10.0;
+/// A wait beyond this exceeds the span of any limit: the receiver is shut down.
+const SHUTDOWN_WAIT_US: Micros = 2_000_000;
+/// Trials of all senders together, as a multiple of the load that a cold destination takes.
+const TRIAL_LOAD_FACTOR: f64 = 1.0;
+/// An equal share of an advertised limit counts up to this multiple of a sender's own traffic plus
+/// `EQUAL_SHARE_BASE` of itself. So neither a wrong number of senders nor a limit beyond what the destination
+/// can take adds up to much more.
+const OWN_TRAFFIC_FACTOR: f64 = 1.25;
+const EQUAL_SHARE_BASE: f64 = 0.1;
+/// So few senders' trials do no harm by their number.
+const FEW_SENDERS: f64 = 2.0;
+/// Limit that is assumed of a destination that advertises none, in calls a second.
+const DEFAULT_LIMIT_PER_S: f64 = 3.0;
+/// Failures that last this long may have been an outage, so the return is paced.
+const OUTAGE_AFTER_US: Micros = 1_500_000;
+/// Share of the allowed load that a sender uses on a cold destination.
+const WARM_UP_SAFETY: f64 = 0.75;
+/// Weight, in calls, of each further message of a batch on a cold destination.
+const WARM_UP_BATCH_WEIGHT: f64 = 0.25;
+/// A repeatable message times out after this multiple of p99, and after `MIN_TIMEOUT_US` at the earliest.
+const TIMEOUT_P99_FACTOR: f64 = 4.0;
+const MIN_TIMEOUT_US: f64 = 1.2e6;
+/// A message's final answer is due this many quanta before its deadline: rounds are one quantum apart.
+const FINAL_ANSWER_LEAD_QUANTA: Micros = 2;
+/// Time within which the platform has received a message's end, even if the first notice is lost.
+const NOTICE_DELIVERY_US: Micros = 150_000;
+/// An attempt ends within this share of a keyed window, so that a resend fits into the window.
+const WINDOW_ATTEMPT_SHARE: f64 = 0.45;
+/// Factor by which a refusal cuts the budget from the accepted rate.
+const BUDGET_CUT_FACTOR: f64 = 0.75;
+/// Budget growth a second and minimum budget, as shares of this sender's own demand, so that senders with
+/// more traffic get more.
+const BUDGET_GROWTH_SHARE: f64 = 0.2;
+const MIN_BUDGET_SHARE: f64 = 0.4;
+/// With a known limit, the minimum budget stays within this multiple of an equal share of the limit ...
+const MIN_BUDGET_EQUAL_SHARES: f64 = 1.0;
+/// ... and growth goes by at most this multiple of it, so that many senders' budgets leave room in the limit.
+const BUDGET_GROWTH_EQUAL_SHARES: f64 = 0.5;
+/// Budget growth for each accepted call, as a share of the budget.
+const BUDGET_GROWTH_PER_ACCEPTED: f64 = 0.07;
+/// Without a known limit, a cut starts from this multiple of the accepted rate.
+const UNKNOWN_LIMIT_FACTOR: f64 = 1.5;
+/// Maximum share of a known limit that is used.
+const MAX_LIMIT_SHARE: f64 = 0.95;
+/// An approximate weight may be too low by this factor; refusals correct one that is too high.
+const APPROXIMATE_WEIGHT_FACTOR: f64 = 1.5;
+/// Calls a second that stand for an unlimited pace.
+const UNLIMITED_PER_S: f64 = 1e6;
+/// Maximum of saved-up calls, in seconds of budget.
+const BURST_S: f64 = 0.4;
+/// Pause after a refusal that asked for no wait.
+const REFUSAL_PAUSE_US: Micros = 250_000;
+/// For so long after a refused connection no connection to that kind is kept idle.
+const CONNECTIONS_SCARCE_US: Micros = 20_000_000;
+/// A connection that is busy for this share of the time is kept nevertheless ...
+const MIN_KEPT_UTILIZATION: f64 = 0.3;
+/// ... and every connection is kept with so few senders that each could keep one.
+const MIN_TABLE_CONNECTIONS: f64 = 6.0;
+/// Messages stay in their zone until the load on the zone's endpoints is this multiple of the load on all.
+const MAX_ZONE_LOAD_FACTOR: f64 = 1.5;
+/// Endpoints that join a destination known for less than this count as part of its first list.
+const FIRST_LIST_SETTLES_US: Micros = 2_000_000;
+/// Factors from prices in the settings to surcharges on the cost of a call.
+const CROSS_ZONE_PRICE_FACTOR: f64 = 30.0;
+const HANDSHAKE_PRICE_FACTOR: f64 = 10.0;
+const ZONE_FEE_FACTOR: f64 = 100.0;
+/// Surcharge on the cost of a call to an endpoint that is new in the rotation.
+const NEW_ENDPOINT_SURCHARGE: f64 = 1.0;
+/// Calls within the idle time of connections that justify a further connection.
+const MIN_CALLS_PER_CONNECTION: f64 = 2.0;
+/// For so long a refusal is a sign that a limit is short.
+pub(crate) const REFUSAL_MEMORY_US: Micros = 20_000_000;
+/// Once messages are late, rank goes by the worth that is lost within this wait ...
+const LATE_HORIZON_US: f64 = 1.5e6;
+/// ... plus this share of the present worth, which is lost for good if the backlog stays.
+const PRESENT_WORTH_SHARE: f64 = 0.4;
+/// Share of `max_open` that is kept free, so that nothing is rejected unseen.
+const FREE_ROOM_SHARE: f64 = 0.06;
+/// Pools are resized this often.
+const RESIZE_INTERVAL_US: Micros = 500_000;
 
 impl Latency {
-    pub(crate) fn silence(&self) -> f64 {
-        (SILENCE * self.p99()).max(2.0 * self.recent).max(SILENCE_LEAST)
+    /// Returns after how many microseconds without an answer a call has stalled.
+    pub(crate) fn stall_threshold_us(&self) -> f64 {
+        (STALL_P99_FACTOR * self.p99_us()).max(2.0 * self.recent_us).max(MIN_STALL_US)
     }
 }
 
-/// Decides for one sender. Feed it rounds of events; it answers with actions.
+/// Decides for one sender: takes rounds of events and answers with actions.
 #[derive(Default)]
 pub struct Dispatcher {
     pub(crate) now: Micros,
     random: Random,
-    /// From 0 to 1, by its own seed: how readily this sender leaves its zone.
-    homely: f64,
-    pub(crate) set: Settings,
-    pub(crate) seq: u64,
+    /// Drawn once, from 0 to 1. The sender prefers its own zone while this is below the zone's part of a
+    /// destination's endpoints, so that only some senders leave a zone that has few.
+    zone_draw: f64,
+    pub(crate) settings: Settings,
+    /// The last number given to a message or a call.
+    pub(crate) sequence: u64,
     pub(crate) lanes: BTreeMap<LaneKey, Lane>,
-    pub(crate) dests: BTreeMap<DestId, Dest>,
+    pub(crate) destinations: BTreeMap<DestId, Destination>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
-    pub(crate) msgs: BTreeMap<MsgId, Msg>,
+    pub(crate) messages: BTreeMap<MsgId, Message>,
     pub(crate) calls: BTreeMap<u64, Call>,
-    pub(crate) keys: BTreeMap<String, Key>,
-    /// What falls due when: a round looks at this and at `ready`, never at all that exists.
-    pub(crate) agenda: BTreeSet<(Micros, Due)>,
-    /// Destinations with a hold for which something has changed, or that wait for a slot.
+    pub(crate) order_keys: BTreeMap<String, OrderKey>,
+    /// Pending checks by time. A round looks only at this and at `ready`, never at everything that exists.
+    pub(crate) schedule: BTreeSet<(Micros, Check)>,
+    /// Destinations with pending messages for which something has changed, or which wait for a slot.
     pub(crate) ready: BTreeSet<DestId>,
-    plain: ClassSettings,
-    /// When each kind last refused a connection, by lane; endpoints whose calls ended in this round.
-    scarce: BTreeMap<(usize, LaneKey), Micros>,
-    tables: BTreeMap<usize, Tables>,
-    /// It goes on for a process that ran: what that one held is no restart's find.
-    succeeds: bool,
-    idle: BTreeSet<EndpointId>,
-    open: usize,
-    pub(crate) used: u32,
-    sweep_at: Micros,
-    wake: Micros,
-    /// When this sender ends, once it has been told to.
+    /// Stands in for a class that no longer exists.
+    default_class: ClassSettings,
+    /// When endpoints of a kind last refused a connection, by kind and lane.
+    connections_refused: BTreeMap<(usize, LaneKey), Micros>,
+    /// By kind.
+    connection_tables: BTreeMap<usize, ConnectionTables>,
+    /// It replaces a running process, so restored messages do not come from a restart.
+    replaces_process: bool,
+    /// Endpoints whose calls ended in this round: their idle connections may be closed.
+    maybe_idle: BTreeSet<EndpointId>,
+    open_messages: usize,
+    pub(crate) slots_used: u32,
+    next_eviction: Micros,
+    timer_at: Micros,
+    /// When this sender ends, once that is decided.
     stop_at: Option<Micros>,
 }
 
@@ -125,288 +192,331 @@
     /// Starts a dispatcher.
     ///
     /// # Errors
-    /// When the settings hold a figure with which it cannot work.
+    /// Returns an error if the settings hold a value with which it cannot work.
     pub fn new(now: Micros, seed: u64, settings: Settings) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let (random, wake) = (Random::new(seed), Micros::MIN);
-        let mut d = Dispatcher { now, random, wake, set: settings, ..Dispatcher::default() };
-        d.homely = d.random.chance();
-        Ok(d)
+        let (random, timer_at) = (Random::new(seed), Micros::MIN);
+        let mut dispatcher = Dispatcher { now, random, timer_at, settings, ..Dispatcher::default() };
+        dispatcher.zone_draw = dispatcher.random.next_unit();
+        Ok(dispatcher)
     }
 
-    /// Takes all that happened by `now`, then decides.
+    /// Applies all that happened by `now`, then decides.
     pub fn round(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         self.now = now.max(self.now);
         for event in events {
-            self.absorb(event, out);
+            self.apply_event(event, out);
         }
-        self.sweep();
-        self.fall_due(out);
-        self.reclaim(out);
+        self.evict_stale();
+        self.run_due_checks(out);
+        self.reclaim_slot(out);
         self.dispatch(out);
-        self.let_go(out);
-        self.make_room(out);
+        self.close_idle_connections(out);
+        self.shed_excess(out);
         self.set_timer(out);
     }
 
-    fn absorb(&mut self, event: &Event, out: &mut Vec<Action>) {
+    fn apply_event(&mut self, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::Listing { complete: whole, entries } => self.members(*whole, entries),
-            Event::Message { id, class, key, dest, time_left, resubmitted: again, .. } => {
-                let msg = Msg { class: *class, key: key.clone(), dest: *dest, ..Msg::default() };
-                self.admit(*id, msg, *time_left, !again);
+            Event::Listing { complete, entries } => self.apply_listing(*complete, entries),
+            Event::Message { id, class, key, dest, time_left, resubmitted, .. } => {
+                let message = Message { class: *class, key: key.clone(), dest: *dest, ..Message::default() };
+                self.admit(*id, message, *time_left, !resubmitted);
             }
             Event::MessageRestored { id, class, key, dest, time_left, attempts, unreached, may_have_run } => {
                 let (class, key, dest, attempts) = (*class, key.clone(), *dest, *attempts);
-                let may_run = may_have_run.map(|(at, sent)| (sent, at));
-                let owed = may_run.is_none() && !self.succeeds;
+                let may_have_run = may_have_run.map(|(endpoint, sent)| (sent, endpoint));
+                let restored_untried = may_have_run.is_none() && !self.replaces_process;
                 let unreached = *unreached;
-                let msg = Msg { class, key, dest, attempts, unreached, may_run, owed, ..Msg::default() };
-                self.restore(*id, msg, *time_left, out);
+                let message = Message { class, key, dest, attempts, unreached, ..Message::default() };
+                let message = Message { may_have_run, restored_untried, ..message };
+                self.restore(*id, message, *time_left, out);
             }
-            Event::StateInherited(learnt) => {
-                self.succeeds = true;
-                self.learn(learnt);
+            Event::StateInherited(state) => {
+                self.replaces_process = true;
+                self.inherit_state(state);
+            }
+            Event::CallsInherited(calls) => self.inherit_calls(calls),
+            Event::ClassesChanged(classes) => self.settings.classes = classes.clone(),
+            Event::EndpointHealthRestored { endpoint, health } => {
+                self.restore_endpoint_health(*endpoint, *health);
             }
-            Event::CallsInherited(calls) => self.adopt(calls),
-            Event::ClassesChanged(classes) => self.set.classes = classes.clone(),
-            Event::EndpointHealthRestored { endpoint, health } => self.recall(*endpoint, *health),
             Event::ReceiverHealthRestored { dest, route, health } => {
-                self.lanes_of(*dest, *route).into_iter().for_each(|key| self.recall_receiver(key, *health));
+                let lanes = self.lanes_of(*dest, *route).into_iter();
+                lanes.for_each(|key| self.restore_receiver_health(key, *health));
             }
             Event::Stopping { at } => self.stop_at = Some(*at),
-            Event::Outcome { id, attempt, outcome, closes_message: last, elapsed, wait, report, .. } => {
+            Event::Outcome { id, attempt, outcome, closes_message, elapsed, wait, report, .. } => {
                 let wait = (*wait).clamp(0, MAX_SPAN);
-                let answer = Answer { outcome: *outcome, took: *elapsed, wait, report: *report };
-                self.outcome(*id, *attempt, *last, answer, out);
+                let result = AttemptResult { outcome: *outcome, elapsed: *elapsed, wait, report: *report };
+                self.end_attempt(*id, *attempt, *closes_message, result, out);
             }
             Event::MessageAbandoned { id } => self.close(*id),
             Event::Probed { endpoint, outcome, report } => {
                 let (now, gap) = (self.now, self.trial_gap(*endpoint));
-                self.read(*endpoint, *report);
-                let Some(e) = self.endpoints.get_mut(endpoint) else { return };
-                self.ready.insert(e.dest);
-                let Some(t) = &mut e.trouble else { return };
-                t.probing = false;
+                self.apply_report(*endpoint, *report);
+                let Some(endpoint) = self.endpoints.get_mut(endpoint) else { return };
+                self.ready.insert(endpoint.dest);
+                let Some(unhealthy) = &mut endpoint.unhealthy else { return };
+                unhealthy.probing = false;
                 if *outcome == Outcome::Done {
-                    (t.probed, t.next) = (true, now);
+                    (unhealthy.probed, unhealthy.next_trial) = (true, now);
                 } else {
-                    t.again(now, gap);
+                    unhealthy.back_off(now, gap);
                 }
             }
             _ => {}
         }
     }
 
-    fn admit(&mut self, id: MsgId, mut msg: Msg, time_left: Micros, demand: bool) {
-        if self.msgs.contains_key(&id) {
+    /// Accepts a message. `is_demand` is false for one that is known to have been counted before.
+    fn admit(&mut self, id: MsgId, mut message: Message, time_left: Micros, is_demand: bool) {
+        if self.messages.contains_key(&id) {
             return;
         }
-        self.seq += 1;
-        let (seq, now, dest) = (self.seq, self.now, msg.dest);
-        (msg.seq, msg.deadline) = (seq, now + time_left.clamp(0, MAX_SPAN));
-        let ordered = self.set.classes.get(msg.class).is_some_and(|c| c.ordered);
-        msg.key = msg.key.filter(|_| ordered);
-        if let Some(k) = &msg.key {
-            self.keys.entry(k.clone()).or_default().queue.insert((seq, id));
-        }
-        let d = self.dest(dest);
-        // Clients that come again are no new demand: they must not widen the pool.
-        if demand {
-            d.rate.add(now);
-            d.share.add(now);
-        }
-        d.hold.insert((seq, id));
+        self.sequence += 1;
+        let (sequence, now, dest) = (self.sequence, self.now, message.dest);
+        (message.sequence, message.deadline) = (sequence, now + time_left.clamp(0, MAX_SPAN));
+        let ordered = self.settings.classes.get(message.class).is_some_and(|c| c.ordered);
+        message.key = message.key.filter(|_| ordered);
+        if let Some(key) = &message.key {
+            self.order_keys.entry(key.clone()).or_default().queue.insert((sequence, id));
+        }
+        let destination = self.destination_entry(dest);
+        // Resubmitted messages are no new demand: they must not enlarge the pool.
+        if is_demand {
+            destination.arrival_rate.record(now);
+            destination.traffic.record(now);
+        }
+        destination.pending.insert((sequence, id));
         self.ready.insert(dest);
-        self.agenda.insert((self.due(&msg), Due::Msg(id)));
-        self.open += 1;
-        self.msgs.insert(id, msg);
+        self.schedule.insert((self.final_answer_due(&message), Check::Message(id)));
+        self.open_messages += 1;
+        self.messages.insert(id, message);
     }
 
-    /// Guards against a second effect after a restart: an attempt with no known outcome may have run, so an
-    /// unsafe message fails here and a keyed one keeps the window of its first send.
-    fn restore(&mut self, id: MsgId, msg: Msg, time_left: Micros, out: &mut Vec<Action>) {
-        // One is demand too: without any, one refusal would leave its destination with no budget. All of
-        // them in one instant would be taken for a hundred times the traffic, and for as large a part.
-        let first = self.dests.get(&msg.dest).is_none_or(|d| d.rate.value == 0.0);
-        self.admit(id, msg, time_left, first);
-        let Some(msg) = self.msgs.get(&id) else { return };
-        let guarded = self.set.classes.get(msg.class).filter(|c| c.effect == Effect::Keyed);
-        if let (Some(c), Some((sent, _))) = (guarded, msg.may_run) {
-            self.agenda.insert((sent + c.window, Due::Msg(id)));
-        }
-        let rests = msg.key.as_ref().filter(|_| msg.may_run.is_some());
-        if let Some(key) = rests.and_then(|k| self.keys.get_mut(k)) {
-            key.rest_until = self.now + self.set.order_settle;
+    /// Accepts a message from before a restart. Guards against a second effect: an attempt with no known
+    /// outcome may have run, so an unsafe message fails here, and a keyed one keeps the window of its first
+    /// send.
+    fn restore(&mut self, id: MsgId, message: Message, time_left: Micros, out: &mut Vec<Action>) {
+        // The first restored message counts as demand: without any, one refusal would leave its destination
+        // without a budget. All of them at one instant would look like a hundred times the traffic, and would
+        // claim as large a part of the limit.
+        let is_first = self.destinations.get(&message.dest).is_none_or(|d| d.arrival_rate.value == 0.0);
+        self.admit(id, message, time_left, is_first);
+        let Some(message) = self.messages.get(&id) else { return };
+        let keyed = self.settings.classes.get(message.class).filter(|c| c.effect == Effect::Keyed);
+        if let (Some(class), Some((sent, _))) = (keyed, message.may_have_run) {
+            self.schedule.insert((sent + class.window, Check::Message(id)));
+        }
+        let may_still_run = message.key.as_ref().filter(|_| message.may_have_run.is_some());
+        if let Some(key) = may_still_run.and_then(|k| self.order_keys.get_mut(k)) {
+            key.settle_until = self.now + self.settings.order_settle;
         }
         if !self.may_retry(id) {
             self.finish(id, out);
         }
     }
 
-    /// Guards against pushing over what was failing before a restart: its return is paced all the same.
-    fn recall(&mut self, id: EndpointId, health: EndpointHealth) {
+    /// Restores an endpoint's health from before a restart. Guards against overloading an endpoint that was
+    /// failing then: its return is paced all the same.
+    fn restore_endpoint_health(&mut self, id: EndpointId, health: EndpointHealth) {
         let (now, gap) = (self.now, self.trial_gap(id));
-        let Some(e) = self.endpoints.get_mut(&id) else { return };
-        e.first_bad = health.failing_since.map(|t| t.min(now));
-        e.trouble = health.unhealthy.then(|| Trouble::new(now, false, gap));
-        e.warm = health.warming_since.map(|since| Warm::new(since.min(now), now));
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        endpoint.failing_since = health.failing_since.map(|t| t.min(now));
+        endpoint.unhealthy = health.unhealthy.then(|| Unhealthy::new(now, false, gap));
+        endpoint.warm_up = health.warming_since.map(|since| WarmUp::new(since.min(now), now));
     }
 
-    /// Guards against a herd of restarted senders: what each knew of a receiver as a whole holds on. Found
-    /// where senders that had been refused, or had seen one endpoint of two fail, sent all that they held.
-    fn recall_receiver(&mut self, key: LaneKey, health: ReceiverHealth) {
-        let (now, tokens) = (self.now, self.random.chance());
-        let Some(l) = self.lanes.get_mut(&key) else { return };
-        if let (Some(share), Some(d)) = (health.traffic_milli_per_s, self.dests.get_mut(&l.dest)) {
-            d.share = Rate::known(now, SHARE_MEMORY, f64::from(share) / 1e3);
-        }
-        l.wait_until = l.wait_until.max(health.wait_until.unwrap_or(0));
-        l.bad = health.failing_since.map(|t| t.min(now));
-        l.back = health.warming_since.map(|since| Warm { tokens, ..Warm::new(since.min(now), now) });
+    /// Restores a lane's health from before a restart. Guards against many restarted senders at once: without
+    /// it, senders that had been refused, or had seen one endpoint of two fail, sent all their pending
+    /// messages.
+    fn restore_receiver_health(&mut self, key: LaneKey, health: ReceiverHealth) {
+        let (now, tokens) = (self.now, self.random.next_unit());
+        let Some(lane) = self.lanes.get_mut(&key) else { return };
+        if let (Some(traffic), Some(destination)) =
+            (health.traffic_milli_per_s, self.destinations.get_mut(&lane.dest))
+        {
+            destination.traffic = Rate::with_history(now, TRAFFIC_MEMORY_US, f64::from(traffic) / 1e3);
+        }
+        lane.wait_until = lane.wait_until.max(health.wait_until.unwrap_or(0));
+        lane.failing_since = health.failing_since.map(|t| t.min(now));
+        lane.warm_up =
+            health.warming_since.map(|since| WarmUp { tokens, ..WarmUp::new(since.min(now), now) });
         if let Some(budget) = health.budget_milli_per_s {
-            // All restarted senders would save up their first call for the same moment.
-            (l.budget, l.tokens, l.cut) = (f64::from(budget) / 1e3, tokens, now);
+            // With no tokens, all restarted senders would have saved up their first call at the same moment.
+            (lane.budget, lane.tokens, lane.budget_cut_at) = (f64::from(budget) / 1e3, tokens, now);
         }
-        let bad = l.bad;
+        let failing_since = lane.failing_since;
         let listed: Vec<_> = self.endpoints.iter().filter(|(_, e)| e.lane == key && e.listed).collect();
-        let all_bad = || listed.iter().all(|(_, e)| e.first_bad.is_some());
-        let out = health.down || bad.is_some_and(|t| now - t >= COLD_AFTER || all_bad());
-        if let Some(id) = listed.first().map(|(id, _)| **id).filter(|_| out) {
-            self.suspect(id, false);
-            self.spread(id);
+        let all_failing = || listed.iter().all(|(_, e)| e.failing_since.is_some());
+        let down = health.down || failing_since.is_some_and(|t| now - t >= OUTAGE_AFTER_US || all_failing());
+        if let Some(id) = listed.first().map(|(id, _)| **id).filter(|_| down) {
+            self.infer_unhealthy(id, false);
+            self.mark_lane_down(id);
         }
     }
 
-    fn dest(&mut self, id: DestId) -> &mut Dest {
+    fn destination_entry(&mut self, id: DestId) -> &mut Destination {
         let now = self.now;
-        let (rate, share) = (Rate::new(now, RATE_MEMORY), Rate::new(now, SHARE_MEMORY));
-        self.dests.entry(id).or_insert_with(|| Dest { rate, share, ..Dest::default() })
+        let (arrival_rate, traffic) = (Rate::new(now, ARRIVAL_MEMORY_US), Rate::new(now, TRAFFIC_MEMORY_US));
+        self.destinations.entry(id).or_insert_with(|| Destination {
+            arrival_rate,
+            traffic,
+            ..Destination::default()
+        })
     }
 
-    fn members(&mut self, whole: bool, entries: &[EndpointEntry]) {
-        if whole {
+    fn apply_listing(&mut self, complete: bool, entries: &[EndpointEntry]) {
+        if complete {
             self.endpoints.values_mut().for_each(|e| e.listed = false);
-            self.ready.extend(self.dests.keys());
+            self.ready.extend(self.destinations.keys());
         }
-        // Right after a start the list may only be later than the one that this sender was given.
-        let known =
-            self.dests.iter().filter(|(_, d)| !d.endpoints.is_empty() && self.now - d.rate.born > BEGUN);
+        // Right after a start a list may just be a later version of the first one.
+        let known = self.destinations.iter().filter(|(_, d)| {
+            !d.endpoints.is_empty() && self.now - d.arrival_rate.created_at > FIRST_LIST_SETTLES_US
+        });
         let known: BTreeSet<DestId> = known.map(|(id, _)| *id).collect();
         for entry in entries {
-            let apart = self.set.kinds.get(entry.kind).is_some_and(|k| k.separate_routes);
-            let lane = if apart { LaneKey::Route(entry.endpoint) } else { LaneKey::Whole(entry.dest) };
+            let separate = self.settings.kinds.get(entry.kind).is_some_and(|k| k.separate_routes);
+            let key =
+                if separate { LaneKey::Route(entry.endpoint) } else { LaneKey::Destination(entry.dest) };
             let now = self.now;
             let listed = entry.status == Status::Up;
-            let permits = ((self.set.slots as f64 * START_SHARE) as u32).max(1);
+            let permits = ((self.settings.slots as f64 * INITIAL_POOL_SHARE) as u32).max(1);
             if !listed && !self.endpoints.contains_key(&entry.endpoint) {
                 continue;
             }
-            self.dest(entry.dest).endpoints.insert(entry.endpoint);
+            self.destination_entry(entry.dest).endpoints.insert(entry.endpoint);
             self.ready.insert(entry.dest);
-            let slack = if self.set.weights == WeightMeaning::Approximate { ROUGH } else { 1.0 };
-            let weight = entry.weight.filter(|w| w.is_finite() && *w > 0.0).map(|w| w * slack);
-            let limit = weight.filter(|_| self.set.weights != WeightMeaning::Ignored);
+            let factor = if self.settings.weights == WeightMeaning::Approximate {
+                APPROXIMATE_WEIGHT_FACTOR
+            } else {
+                1.0
+            };
+            let weight = entry.weight.filter(|w| w.is_finite() && *w > 0.0).map(|w| w * factor);
+            let limit = weight.filter(|_| self.settings.weights != WeightMeaning::Ignored);
             let dest = entry.dest;
-            let accepted = Rate::new(now, RATE_MEMORY);
-            let fresh = || Lane { permits, tokens: UNPACED, accepted, ..Lane::unhindered(dest, now) };
-            let l = self.lanes.entry(lane).or_insert_with(fresh);
-            l.limit = limit.or(l.limit);
+            let accepted_rate = Rate::new(now, ARRIVAL_MEMORY_US);
+            let new_lane =
+                || Lane { permits, tokens: UNLIMITED_PER_S, accepted_rate, ..Lane::unrestricted(dest, now) };
+            let lane = self.lanes.entry(key).or_insert_with(new_lane);
+            lane.limit = limit.or(lane.limit);
             let (kind, zone) = (entry.kind, entry.zone);
-            let new = !self.endpoints.contains_key(&entry.endpoint);
-            let turn = if new { self.first_turn(dest, known.contains(&dest)) } else { Turn::default() };
-            let fresh = || Endpoint { lane, dest, kind, zone, last_ok: now, turn, ..Endpoint::default() };
-            let e = self.endpoints.entry(entry.endpoint).or_insert_with(fresh);
-            e.listed = listed;
-            // A lane that is out is not tried anew by all senders whenever the list names an endpoint of it.
-            if listed && self.lanes.get(&lane).is_some_and(|l| l.down) {
-                self.suspect(entry.endpoint, false);
+            let is_new = !self.endpoints.contains_key(&entry.endpoint);
+            let rotation = if is_new {
+                self.initial_rotation(dest, known.contains(&dest))
+            } else {
+                RotationPlace::default()
+            };
+            let new_endpoint = || Endpoint {
+                lane: key,
+                dest,
+                kind,
+                zone,
+                last_success: now,
+                rotation,
+                ..Endpoint::default()
+            };
+            let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(new_endpoint);
+            endpoint.listed = listed;
+            // Otherwise all senders would try a lane that is down whenever the list names an endpoint of it.
+            if listed && self.lanes.get(&key).is_some_and(|l| l.down) {
+                self.infer_unhealthy(entry.endpoint, false);
             }
         }
     }
 
-    /// Where an endpoint comes into the rotation, by this sender's own seed.
-    fn first_turn(&mut self, dest: DestId, known: bool) -> Turn {
-        let (now, place, wait) = (self.now, self.random.chance(), self.random.chance());
+    /// Returns where a new endpoint joins the rotation, by this sender's own random numbers.
+    fn initial_rotation(&mut self, dest: DestId, known: bool) -> RotationPlace {
+        let (now, place, delay) = (self.now, self.random.next_unit(), self.random.next_unit());
         if !known {
-            return Turn::first(now, place);
+            return RotationPlace::in_first_list(now, place);
         }
-        let mine = self.dests.get(&dest).into_iter().flat_map(|d| &d.endpoints);
-        let others = mine.filter_map(|id| self.endpoints.get(id).map(|e| e.turn.last())).collect();
-        Turn::beside(now, others, (place, wait), self.set.warm_up)
+        let mine = self.destinations.get(&dest).into_iter().flat_map(|d| &d.endpoints);
+        let others = mine.filter_map(|id| self.endpoints.get(id).map(|e| e.rotation.last_turn())).collect();
+        RotationPlace::among(now, others, (place, delay), self.settings.warm_up)
     }
 
-    /// An endpoint shares its lane's outage: it is asked by a trial at a time of its own, after any wait.
-    fn suspect(&mut self, id: EndpointId, harmless: bool) {
+    /// Marks an endpoint unhealthy because its lane is down. It gets a trial at a random time of its own,
+    /// after any wait.
+    fn infer_unhealthy(&mut self, id: EndpointId, nothing_ran: bool) {
         let (now, gap) = (self.now, self.trial_gap(id));
         let wait_until = self.lane_of(id).map_or(now, |l| l.wait_until);
-        let Some(e) = self.endpoints.get_mut(&id) else { return };
-        e.first_bad = e.first_bad.or(Some(now));
-        let fresh = || Trouble { hearsay: true, ..Trouble::new(now, harmless, gap) };
-        e.trouble.get_or_insert_with(fresh).after(wait_until, gap);
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        endpoint.failing_since = endpoint.failing_since.or(Some(now));
+        let inferred = || Unhealthy { inferred: true, ..Unhealthy::new(now, nothing_ran, gap) };
+        endpoint.unhealthy.get_or_insert_with(inferred).delay_past(wait_until, gap);
     }
 
-    /// Guards against a herd at a return: the other endpoints of a lane that is out look well for as long as
-    /// none of them has been tried, and all senders would come back to them at once.
-    fn spread(&mut self, id: EndpointId) {
-        let Some(e) = self.endpoints.get(&id) else { return };
-        let (key, harmless) = (e.lane, e.trouble.as_ref().is_some_and(|t| t.harmless));
+    /// Marks the lane of a failing endpoint as down. Guards against many senders at once at a return: the
+    /// lane's other endpoints look healthy until one of them is tried, and all senders would return to them.
+    fn mark_lane_down(&mut self, id: EndpointId) {
+        let Some(endpoint) = self.endpoints.get(&id) else { return };
+        let nothing_ran = endpoint.unhealthy.as_ref().is_some_and(|u| u.nothing_ran);
+        let key = endpoint.lane;
         let Some(lane) = self.lanes.get_mut(&key) else { return };
-        let begins = !std::mem::replace(&mut lane.down, true);
-        lane.bad = lane.bad.or(Some(self.now));
-        // What refused connections was down, not full.
-        self.scarce.retain(|(_, lane), _| *lane != key);
-        let Some(d) = self.dests.get(&e.dest) else { return };
-        for other in d.endpoints.clone() {
+        let was_up = !std::mem::replace(&mut lane.down, true);
+        lane.failing_since = lane.failing_since.or(Some(self.now));
+        // It refused connections because it was down, not because its connection table was full.
+        self.connections_refused.retain(|(_, lane), _| *lane != key);
+        let Some(destination) = self.destinations.get(&endpoint.dest) else { return };
+        for other in destination.endpoints.clone() {
             if self.endpoints.get(&other).is_some_and(|e| e.lane == key && e.listed) {
-                self.suspect(other, harmless);
+                self.infer_unhealthy(other, nothing_ran);
                 let (now, gap) = (self.now, self.trial_gap(other));
-                let trouble = self.endpoints.get_mut(&other).and_then(|e| e.trouble.as_mut());
-                // One that was silent is asked again soon, which all senders together must not do.
-                if let Some(t) = trouble.filter(|t| begins && t.next <= now + TRIAL_FIRST) {
-                    t.next = now + gap as Micros;
+                let unhealthy = self.endpoints.get_mut(&other).and_then(|e| e.unhealthy.as_mut());
+                // A stalled endpoint's next trial is soon, which is too much from all senders together.
+                if let Some(unhealthy) =
+                    unhealthy.filter(|u| was_up && u.next_trial <= now + FIRST_TRIAL_BACKOFF_US)
+                {
+                    unhealthy.next_trial = now + gap as Micros;
                 }
             }
         }
     }
 
-    /// A lane that was out has come back: those of its endpoints that were only suspected are free with it,
-    /// and all of them together are loaded bit by bit.
-    fn returned(&mut self, key: LaneKey) {
+    /// Starts the warm-up of a lane that was down: its endpoints whose state was only inferred become
+    /// healthy, and all of them together are loaded gradually.
+    fn start_lane_warm_up(&mut self, key: LaneKey) {
         let now = self.now;
         let Some(lane) = self.lanes.get_mut(&key) else { return };
-        lane.back = Some(Warm::new(now, now));
-        self.scarce.retain(|(_, lane), _| *lane != key);
-        for id in self.dests.get(&lane.dest).map(|d| d.endpoints.clone()).unwrap_or_default() {
-            let Some(e) = self.endpoints.get_mut(&id).filter(|e| e.lane == key) else { continue };
-            if e.trouble.as_ref().is_some_and(|t| t.hearsay && t.trial.is_none()) {
-                (e.trouble, e.first_bad) = (None, None);
+        lane.warm_up = Some(WarmUp::new(now, now));
+        self.connections_refused.retain(|(_, lane), _| *lane != key);
+        let members = self.destinations.get(&lane.dest).map(|d| d.endpoints.clone()).unwrap_or_default();
+        for id in members {
+            let Some(endpoint) = self.endpoints.get_mut(&id).filter(|e| e.lane == key) else { continue };
+            if endpoint.unhealthy.as_ref().is_some_and(|u| u.inferred && u.trial_sent.is_none()) {
+                (endpoint.unhealthy, endpoint.failing_since) = (None, None);
             }
         }
     }
 
-    /// Frees what is no longer named, so that a sender can run for months. What is gone is remembered for a
-    /// warm-up: named again, its wait and its health still hold.
-    fn sweep(&mut self) {
-        let (now, keep) = (self.now, self.set.warm_up.max(RESIZE));
-        if now < self.sweep_at {
+    /// Frees what is no longer listed, so that a sender can run for months. Its state is kept for a warm-up:
+    /// if it is listed again, its wait and its health still hold.
+    fn evict_stale(&mut self) {
+        let (now, retention) = (self.now, self.settings.warm_up.max(RESIZE_INTERVAL_US));
+        if now < self.next_eviction {
             return;
         }
-        self.sweep_at = now + keep;
+        self.next_eviction = now + retention;
         let lanes = &self.lanes;
-        let waits = |e: &Endpoint| lanes.get(&e.lane).is_some_and(|l| l.wait_until > now);
-        self.endpoints.retain(|_, e| e.listed || e.out > 0 || now - e.used <= keep || waits(e));
-        self.dests.values_mut().for_each(|d| d.endpoints.retain(|id| self.endpoints.contains_key(id)));
-        self.dests.retain(|_, d| !d.endpoints.is_empty() || !d.hold.is_empty() || now - d.rate.at <= keep);
+        let must_wait = |e: &Endpoint| lanes.get(&e.lane).is_some_and(|l| l.wait_until > now);
+        self.endpoints
+            .retain(|_, e| e.listed || e.in_flight > 0 || now - e.last_used <= retention || must_wait(e));
+        self.destinations.values_mut().for_each(|d| d.endpoints.retain(|id| self.endpoints.contains_key(id)));
+        self.destinations.retain(|_, d| {
+            !d.endpoints.is_empty() || !d.pending.is_empty() || now - d.arrival_rate.updated_at <= retention
+        });
         self.lanes.retain(|key, lane| match key {
             LaneKey::Route(id) => self.endpoints.contains_key(id),
-            _ => self.dests.contains_key(&lane.dest),
+            _ => self.destinations.contains_key(&lane.dest),
         });
-        self.keys.retain(|_, k| !k.queue.is_empty() || k.rest_until > now);
-        self.scarce.retain(|_, t| now - *t <= SCARCE);
+        self.order_keys.retain(|_, k| !k.queue.is_empty() || k.settle_until > now);
+        self.connections_refused.retain(|_, t| now - *t <= CONNECTIONS_SCARCE_US);
     }
 
-    fn read(&mut self, endpoint: EndpointId, report: Option<LoadReport>) {
+    fn apply_report(&mut self, endpoint: EndpointId, report: Option<LoadReport>) {
         let limit = report.and_then(|r| r.limit).filter(|l| l.is_finite() && *l > 0.0);
         if let Some(lane) = self.lane_of(endpoint) {
             lane.limit = limit.or(lane.limit);
@@ -417,840 +527,1013 @@
         self.endpoints.get(&endpoint).and_then(|e| self.lanes.get_mut(&e.lane))
     }
 
-    fn outcome(&mut self, id: MsgId, attempt: u32, last: bool, answer: Answer, out: &mut Vec<Action>) {
-        let Answer { outcome, wait, .. } = answer;
+    /// Ends one attempt: updates the message, its call, and with a call's first outcome the endpoint's
+    /// health.
+    fn end_attempt(
+        &mut self,
+        id: MsgId,
+        number: u32,
+        closes_message: bool,
+        result: AttemptResult,
+        out: &mut Vec<Action>,
+    ) {
+        let AttemptResult { outcome, wait, .. } = result;
         let now = self.now;
-        let Some(msg) = self.msgs.get_mut(&id) else { return };
-        let Some(at) = msg.out.iter().position(|a| a.no == attempt) else { return };
-        let a = msg.out.remove(at);
-        let Some(call) = self.calls.get_mut(&a.call) else { return };
-        let (endpoint, trial, first, rested) = (call.endpoint, call.trial, !call.judged, call.rested);
-        (call.judged, call.left) = (true, call.left.saturating_sub(1));
-        let over = call.left == 0;
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        let Some(index) = message.in_flight.iter().position(|a| a.number == number) else { return };
+        let attempt = message.in_flight.remove(index);
+        let Some(call) = self.calls.get_mut(&attempt.call) else { return };
+        let (endpoint_id, is_trial) = (call.endpoint, call.is_trial);
+        let (is_first_outcome, connection_idle) = (!call.health_updated, call.connection_idle);
+        (call.health_updated, call.open_attempts) = (true, call.open_attempts.saturating_sub(1));
+        let call_ended = call.open_attempts == 0;
         if !outcome.never_ran() && outcome != Outcome::Done {
-            let sent = msg.may_run.map_or(a.sent, |m| m.0.min(a.sent));
-            msg.may_run = Some((sent, msg.may_run.map_or(endpoint, |m| m.1)));
-            if let Some(c) = self.set.classes.get(msg.class).filter(|c| c.effect == Effect::Keyed) {
-                self.agenda.insert((sent + c.window, Due::Msg(id)));
+            let sent = message.may_have_run.map_or(attempt.sent, |m| m.0.min(attempt.sent));
+            message.may_have_run = Some((sent, message.may_have_run.map_or(endpoint_id, |m| m.1)));
+            if let Some(class) =
+                self.settings.classes.get(message.class).filter(|c| c.effect == Effect::Keyed)
+            {
+                self.schedule.insert((sent + class.window, Check::Message(id)));
             }
-            let key = msg.key.as_ref().filter(|_| outcome != Outcome::Error);
-            if let Some(key) = key.and_then(|k| self.keys.get_mut(k)) {
-                key.rest_until = now + self.set.order_settle;
+            let key = message.key.as_ref().filter(|_| outcome != Outcome::Error);
+            if let Some(key) = key.and_then(|k| self.order_keys.get_mut(k)) {
+                key.settle_until = now + self.settings.order_settle;
             }
         }
-        msg.unreached += u32::from(outcome == Outcome::Unreached);
-        msg.owed &= outcome.never_sent();
-        msg.avoid = Some(endpoint);
-        let closed = last || outcome == Outcome::Done || msg.closed;
-        if let Some(e) = self.endpoints.get_mut(&endpoint).filter(|_| over) {
-            (e.out, e.used) = (e.out - 1, now);
-            self.lanes.entry(e.lane).and_modify(|l| l.out -= 1);
-            self.calls.remove(&a.call);
-            self.used -= 1;
-        }
-        // Each outcome of a batch may tell a wait of its own: all of them bind, not only the first.
+        message.unreached += u32::from(outcome == Outcome::Unreached);
+        message.restored_untried &= outcome.never_sent();
+        message.avoid = Some(endpoint_id);
+        let closed = closes_message || outcome == Outcome::Done || message.closed;
+        if let Some(endpoint) = self.endpoints.get_mut(&endpoint_id).filter(|_| call_ended) {
+            (endpoint.in_flight, endpoint.last_used) = (endpoint.in_flight - 1, now);
+            self.lanes.entry(endpoint.lane).and_modify(|l| l.in_flight -= 1);
+            self.calls.remove(&attempt.call);
+            self.slots_used -= 1;
+        }
+        // Each outcome of a batch may ask for a wait of its own: all of them bind, not only the first.
         if wait > 0
-            && let Some(l) = self.lane_of(endpoint)
+            && let Some(lane) = self.lane_of(endpoint_id)
         {
-            l.wait_until = l.wait_until.max(now + wait);
+            lane.wait_until = lane.wait_until.max(now + wait);
         }
-        if first {
-            self.read(endpoint, answer.report);
-            self.judge(endpoint, answer, a.sent, trial, rested);
+        if is_first_outcome {
+            self.apply_report(endpoint_id, result.report);
+            self.update_health(endpoint_id, result, attempt.sent, is_trial, connection_idle);
         }
-        if let Some(e) = self.endpoints.get(&endpoint) {
-            self.ready.insert(e.dest);
+        if let Some(endpoint) = self.endpoints.get(&endpoint_id) {
+            self.ready.insert(endpoint.dest);
         }
         if closed {
             self.close(id);
         } else if self.may_retry(id) {
-            let (seq, dest) = (self.msgs[&id].seq, self.msgs[&id].dest);
-            self.dest(dest).hold.insert((seq, id));
-        } else if self.msgs[&id].out.is_empty() {
+            let (sequence, dest) = (self.messages[&id].sequence, self.messages[&id].dest);
+            self.destination_entry(dest).pending.insert((sequence, id));
+        } else if self.messages[&id].in_flight.is_empty() {
             self.finish(id, out);
         }
     }
 
-    /// What one call's end says of its endpoint and lane.
-    fn judge(&mut self, id: EndpointId, answer: Answer, sent: Micros, trial: bool, rested: Micros) {
-        let Answer { outcome, took, wait, .. } = answer;
+    /// Updates the health of an endpoint and its lane with the end of one call.
+    fn update_health(
+        &mut self,
+        id: EndpointId,
+        result: AttemptResult,
+        sent: Micros,
+        is_trial: bool,
+        connection_idle: Micros,
+    ) {
+        let AttemptResult { outcome, elapsed, wait, .. } = result;
         let now = self.now;
-        if rested > 0 && matches!(outcome, Outcome::Reset | Outcome::TimedOut) && self.reaped(id) {
+        let broke = matches!(outcome, Outcome::Reset | Outcome::TimedOut);
+        if connection_idle > 0 && broke && self.blame_idle_connection(id) {
             return;
         }
-        let (gap, few) = (self.trial_gap(id), self.few());
-        self.idle.insert(id);
+        let (gap, few_senders) = (self.trial_gap(id), self.few_senders());
+        self.maybe_idle.insert(id);
         self.refresh(self.endpoints.get(&id).map_or_else(DestId::default, |e| e.dest));
-        let Some(e) = self.endpoints.get_mut(&id) else { return };
-        let Some(lane) = self.lanes.get_mut(&e.lane) else { return };
-        let slow = outcome.is_unconnected() && took >= SILENCE_LEAST as Micros;
-        // A spoilt answer is no sign either way: it comes from the healthy too.
-        let burnt = match outcome {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        let Some(lane) = self.lanes.get_mut(&endpoint.lane) else { return };
+        let connect_timed_out = outcome.is_unconnected() && elapsed >= MIN_STALL_US as Micros;
+        // A malformed answer changes nothing here: healthy endpoints send some too.
+        let ambiguous = match outcome {
             Outcome::Done => Some(0.0),
             Outcome::Error | Outcome::TimedOut | Outcome::Reset => Some(1.0),
             _ => None,
         };
-        if let Some(one) = burnt {
-            let share = e.burnt_share(now);
-            (e.burnt, e.burnt_at) = (share + FAIL_GAIN * (one - share), now);
+        if let Some(ambiguous) = ambiguous {
+            let share = endpoint.ambiguous_share(now);
+            endpoint.ambiguous_share = share + FAILURE_GAIN * (ambiguous - share);
+            endpoint.ambiguous_share_at = now;
         }
+        let new_connection = connection_idle == 0;
         let refused = outcome == Outcome::Busy && wait == 0;
-        let tables = self.tables.entry(e.kind).or_default();
-        if (refused || outcome == Outcome::Done) && e.trouble.is_none() && !trial {
-            tables.learn(rested == 0, refused);
+        let tables = self.connection_tables.entry(endpoint.kind).or_default();
+        if (refused || outcome == Outcome::Done) && endpoint.unhealthy.is_none() && !is_trial {
+            tables.record(new_connection, refused);
         }
-        if refused && rested == 0 {
-            // Where the table is full the refused connection goes with its answer.
-            e.conns = e.out;
+        if refused && new_connection {
+            // An endpoint with a full table closes the refused connection after its answer.
+            endpoint.connections = endpoint.in_flight;
         }
-        let crowded = outcome.is_unconnected() && !slow || refused && rested == 0 && tables.full();
-        if crowded && !lane.down {
-            self.scarce.insert((e.kind, e.lane), now);
+        let connection_refused =
+            outcome.is_unconnected() && !connect_timed_out || refused && new_connection && tables.are_full();
+        if connection_refused && !lane.down {
+            self.connections_refused.insert((endpoint.kind, endpoint.lane), now);
         }
         match outcome {
-            // A spoilt answer comes from the healthy too: it proves the endpoint alive and the call taken.
+            // A malformed answer proves that the endpoint is alive and took the call.
             Outcome::Done | Outcome::MalformedAnswer => {
                 if outcome == Outcome::Done {
-                    if lane.latency.n > 0.0 {
-                        e.turn.learn(now, took as f64 / lane.latency.mean());
+                    if lane.latency.samples > 0.0 {
+                        endpoint.rotation.record_latency(now, elapsed as f64 / lane.latency.mean_us());
                     }
-                    lane.latency.learn(took);
+                    lane.latency.record(elapsed);
                 }
-                lane.accepted.add(now);
-                lane.budget *= 1.0 + DONE_GROWTH;
-                // What was sent before it all went out proves nothing of it.
-                let told = |f: &Micros| sent >= *f || (!lane.down && now - f < COLD_AFTER);
-                let first = e.first_bad.filter(told);
-                // Seen failing by few calls, an outage may be as old as the last success.
-                let quiet =
-                    now - lane.last_ok >= if lane.back.is_some() { COLD_AFTER / 3 } else { COLD_AFTER };
-                let ended = lane.bad.filter(told).is_some();
-                let (key, was_out) = (e.lane, ended && quiet && (lane.down || trial));
-                if ended || lane.bad.is_none() {
-                    (lane.bad, lane.down, lane.last_ok) = (None, false, now);
+                lane.accepted_rate.record(now);
+                lane.budget *= 1.0 + BUDGET_GROWTH_PER_ACCEPTED;
+                // An answer to a call that was sent before an outage does not end the outage.
+                let ends_failures =
+                    |since: &Micros| sent >= *since || (!lane.down && now - since < OUTAGE_AFTER_US);
+                let ended_endpoint_failures = endpoint.failing_since.filter(ends_failures).is_some();
+                // With few calls, an outage may have begun as early as right after the last success.
+                let min_outage = if lane.warm_up.is_some() { OUTAGE_AFTER_US / 3 } else { OUTAGE_AFTER_US };
+                let was_long = now - lane.last_success >= min_outage;
+                let ended_lane_failures = lane.failing_since.filter(ends_failures).is_some();
+                let was_down = ended_lane_failures && was_long && (lane.down || is_trial);
+                let key = endpoint.lane;
+                if ended_lane_failures || lane.failing_since.is_none() {
+                    (lane.failing_since, lane.down, lane.last_success) = (None, false, now);
                 }
-                e.last_ok = now;
-                e.fails *= 1.0 - FAIL_GAIN;
-                e.trouble.iter_mut().filter(|_| trial).for_each(|t| (t.trial, t.next) = (None, now));
-                if e.fails < FAIL_LIMIT && (trial || first.is_some()) {
-                    if e.first_bad.is_some_and(|f| now - f >= COLD_AFTER) {
-                        e.warm = Some(Warm::new(now, now));
+                endpoint.last_success = now;
+                endpoint.failure_share *= 1.0 - FAILURE_GAIN;
+                if let Some(unhealthy) = endpoint.unhealthy.as_mut().filter(|_| is_trial) {
+                    (unhealthy.trial_sent, unhealthy.next_trial) = (None, now);
+                }
+                let recovered = endpoint.failure_share < MAX_FAILURE_SHARE;
+                if recovered && (is_trial || ended_endpoint_failures) {
+                    if endpoint.failing_since.is_some_and(|since| now - since >= OUTAGE_AFTER_US) {
+                        endpoint.warm_up = Some(WarmUp::new(now, now));
                     }
-                    (e.trouble, e.first_bad) = (None, None);
+                    (endpoint.unhealthy, endpoint.failing_since) = (None, None);
                 }
-                if was_out {
-                    self.returned(key);
+                if was_down {
+                    self.start_lane_warm_up(key);
                 }
                 return;
             }
             Outcome::Skipped | Outcome::Cancelled => {
-                return e.trouble.iter_mut().filter(|_| trial).for_each(|t| t.trial = None);
+                return endpoint.unhealthy.iter_mut().filter(|_| is_trial).for_each(|u| u.trial_sent = None);
             }
             Outcome::Busy => {
-                lane.wait_until = lane.wait_until.max(now + if wait == 0 { REFUSED_PAUSE } else { 0 });
-                if now - lane.cut > REFUSED_PAUSE {
-                    lane.cut = now;
-                    // Without a limit it was a full queue, which drains by itself: a gentler cut will do.
-                    let slack = if lane.limit.is_some() { 1.0 } else { QUEUE_SLACK };
-                    let top = lane.limit.unwrap_or(f64::INFINITY);
-                    let own = self.dests.get(&lane.dest).map_or(0.0, |d| d.share.get(now));
-                    let fair = top / self.set.senders as f64 * FAIR_LEAST;
-                    // Filled calls are the fewest that carry this sender's traffic, whatever its part.
-                    let batch = self.set.batch(e.kind) as f64;
-                    let filled = if batch > 1.0 { filled_calls(own, batch) } else { 0.0 };
-                    let least = (own * BUDGET_LEAST).min(fair).max(filled).max(0.01);
-                    let from = lane.budget.min(top).min((lane.accepted.get(now) * slack).max(least));
-                    lane.budget = (from * BUDGET_CUT).max(least);
+                let pause = if wait == 0 { REFUSAL_PAUSE_US } else { 0 };
+                lane.wait_until = lane.wait_until.max(now + pause);
+                if now - lane.budget_cut_at > REFUSAL_PAUSE_US {
+                    lane.budget_cut_at = now;
+                    // Without a limit the cause was a full queue, which drains by itself: a smaller cut
+                    // suffices.
+                    let factor = if lane.limit.is_some() { 1.0 } else { UNKNOWN_LIMIT_FACTOR };
+                    let limit = lane.limit.unwrap_or(f64::INFINITY);
+                    let own = self.destinations.get(&lane.dest).map_or(0.0, |d| d.traffic.per_second(now));
+                    let max_min = limit / self.settings.senders as f64 * MIN_BUDGET_EQUAL_SHARES;
+                    // Filled calls are the fewest that carry this sender's traffic, whatever its equal share
+                    // is.
+                    let max_batch = self.settings.max_batch(endpoint.kind) as f64;
+                    let filled = if max_batch > 1.0 { filled_calls(own, max_batch) } else { 0.0 };
+                    let min_budget = (own * MIN_BUDGET_SHARE).min(max_min).max(filled).max(0.01);
+                    let accepted = lane.accepted_rate.per_second(now);
+                    let from = lane.budget.min(limit).min((accepted * factor).max(min_budget));
+                    lane.budget = (from * BUDGET_CUT_FACTOR).max(min_budget);
                     lane.tokens = lane.tokens.min(0.0);
                 }
             }
-            // A full table of connections is no outage: it answered while the call was out. Idle ones go.
-            _ if outcome.is_unconnected() && e.last_ok > sent => return e.crowded = Some(now),
+            // A call succeeded after this one was sent: the connection table is full, which is no outage. The
+            // endpoint's idle connections are closed.
+            _ if outcome.is_unconnected() && endpoint.last_success > sent => {
+                return endpoint.connection_refused_at = Some(now);
+            }
             _ => {}
         }
-        // A connection that timed out, not one refused at once, is silence: it counts for two.
-        e.fails += FAIL_GAIN * if slow { 2.0 } else { 1.0 } * (1.0 - e.fails);
-        // A single refusal may be the limit's: no ramp. With a long wait it is shut: all who were told
-        // the same end would come at once, so each adds a gap of its own.
-        let shut = wait > SHUT_WAIT;
-        let answered = if outcome == Outcome::Error { few * (ERROR_LIMIT - FAIL_LIMIT) } else { 0.0 };
-        let limit = FAIL_LIMIT + answered;
-        e.first_bad = e.first_bad.or((outcome != Outcome::Busy || shut || e.fails > limit).then_some(now));
-        if e.first_bad.is_some() {
-            lane.bad = lane.bad.or(Some(now));
-        }
-        let long = lane.bad.is_some_and(|f| now - f >= COLD_AFTER && now - lane.last_ok >= COLD_AFTER);
-        if let Some(t) = &mut e.trouble {
-            t.harmless &= outcome.never_ran();
-            t.hearsay = false;
-            if trial {
-                t.again(now, gap);
+        // A connection that timed out, unlike one refused at once, is a stall and counts for two failures.
+        let weight = if connect_timed_out { 2.0 } else { 1.0 };
+        endpoint.failure_share += FAILURE_GAIN * weight * (1.0 - endpoint.failure_share);
+        // A single refusal may come from a rate limit and needs no warm-up. A long wait means that the
+        // receiver is shut down: all senders that were given the same end would return at once, so each adds
+        // a gap.
+        let is_shut_down = wait > SHUTDOWN_WAIT_US;
+        let error_allowance =
+            if outcome == Outcome::Error { few_senders * (MAX_ERROR_SHARE - MAX_FAILURE_SHARE) } else { 0.0 };
+        let max_failure_share = MAX_FAILURE_SHARE + error_allowance;
+        let is_failing =
+            outcome != Outcome::Busy || is_shut_down || endpoint.failure_share > max_failure_share;
+        endpoint.failing_since = endpoint.failing_since.or(is_failing.then_some(now));
+        if endpoint.failing_since.is_some() {
+            lane.failing_since = lane.failing_since.or(Some(now));
+        }
+        let is_outage = lane.failing_since.is_some_and(|since| {
+            now - since >= OUTAGE_AFTER_US && now - lane.last_success >= OUTAGE_AFTER_US
+        });
+        if let Some(unhealthy) = &mut endpoint.unhealthy {
+            unhealthy.nothing_ran &= outcome.never_ran();
+            unhealthy.inferred = false;
+            if is_trial {
+                unhealthy.back_off(now, gap);
             }
-        } else if shut || e.fails > limit {
-            e.trouble = Some(Trouble::new(now, outcome.never_ran(), gap));
+        } else if is_shut_down || endpoint.failure_share > max_failure_share {
+            endpoint.unhealthy = Some(Unhealthy::new(now, outcome.never_ran(), gap));
         }
         if wait > 0 {
-            e.trouble.iter_mut().for_each(|t| t.after(now + wait, gap));
+            endpoint.unhealthy.iter_mut().for_each(|u| u.delay_past(now + wait, gap));
         }
-        if shut || long || (lane.down && wait > 0) {
-            self.spread(id);
+        if is_shut_down || is_outage || (lane.down && wait > 0) {
+            self.mark_lane_down(id);
         }
     }
 
-    /// Guards against idle connections that were dropped unseen: where a call on one that had rested fails by
-    /// silence or reset, that speaks of the connection, unless another failed since. For a while none is kept
-    /// idle at that kind; the next call, on a fresh one, tells. Hides one call of an outage.
-    fn reaped(&mut self, id: EndpointId) -> bool {
-        let Some(e) = self.endpoints.get_mut(&id).filter(|e| e.fails < FAIL_GAIN) else { return false };
-        e.fails += FAIL_GAIN;
-        self.scarce.insert((e.kind, e.lane), self.now);
-        (e.conns, e.crowded) = (0, Some(self.now));
-        self.ready.insert(e.dest);
-        self.idle.insert(id);
+    /// Attributes a failed call to its idle connection, and returns whether it does. Guards against idle
+    /// connections that were dropped without notice: a stall or reset on one says nothing of the endpoint,
+    /// unless another call has failed recently. For a while no connection to that kind is kept idle, and the
+    /// next call, on a new connection, shows the endpoint's state. The price is that one failed call of an
+    /// outage does not count.
+    fn blame_idle_connection(&mut self, id: EndpointId) -> bool {
+        let Some(endpoint) = self.endpoints.get_mut(&id).filter(|e| e.failure_share < FAILURE_GAIN) else {
+            return false;
+        };
+        endpoint.failure_share += FAILURE_GAIN;
+        self.connections_refused.insert((endpoint.kind, endpoint.lane), self.now);
+        (endpoint.connections, endpoint.connection_refused_at) = (0, Some(self.now));
+        self.ready.insert(endpoint.dest);
+        self.maybe_idle.insert(id);
         true
     }
 
-    /// Guards against many senders' trials adding up: they come at random times, by this sender's part of the
-    /// traffic, so that all together stay near what a cold destination takes. Slow to see a return.
+    /// Returns a random time until an endpoint's next trial, in microseconds. Guards against many senders'
+    /// trials adding up: the mean follows this sender's part of the traffic, so that all senders together
+    /// stay near what a cold destination takes. The price is that a return is seen late.
     fn trial_gap(&mut self, id: EndpointId) -> f64 {
-        let chance = self.random.chance();
-        // Few senders' trials are held by the time between them: there a quiet one asks as often as the rest.
-        let few = self.few();
-        let part = |e: &Endpoint| self.part(e).max(self.equal(e) * few) / self.ways(e);
-        let own = self.endpoints.get(&id).map_or(0.0, part);
-        2.0 * chance * 1e6 / (TRIAL_SHARE * self.set.cold_from * self.set.fall_multiple * own).max(1e-3)
+        let chance = self.random.next_unit();
+        // With few senders the backoff limits trials, and one with little traffic tries as often as the
+        // others.
+        let few_senders = self.few_senders();
+        let trial_share =
+            |e: &Endpoint| self.own_share(e).max(self.equal_share(e) * few_senders) / self.lane_endpoints(e);
+        let share = self.endpoints.get(&id).map_or(0.0, trial_share);
+        let (cold_from, fall_multiple) = (self.settings.cold_from, self.settings.fall_multiple);
+        2.0 * chance * 1e6 / (TRIAL_LOAD_FACTOR * cold_from * fall_multiple * share).max(1e-3)
     }
 
-    /// From 1, with two senders at most, down to nothing with many: how little their number weighs.
-    fn few(&self) -> f64 {
-        (FEW / self.set.senders as f64).powi(2).min(1.0)
+    /// Returns 1 with two senders at most, and less the more senders there are, down to nearly 0.
+    fn few_senders(&self) -> f64 {
+        (FEW_SENDERS / self.settings.senders as f64).powi(2).min(1.0)
     }
 
-    /// What this sender may count as its part of what an endpoint's lane takes, in calls a second.
-    fn part(&self, e: &Endpoint) -> f64 {
-        let (own, ways) =
-            self.dests.get(&e.dest).map_or((0.0, 1), |d| (d.share.get(self.now), d.endpoints.len()));
-        let own = if matches!(e.lane, LaneKey::Route(_)) { own / ways.max(1) as f64 } else { own };
-        let equal = self.equal(e);
-        // With no traffic seen yet, as right after a start, there is nothing else to go by.
-        if own == 0.0 { equal } else { own.max(equal.min(own * TRUST + equal * QUIET)) }
+    /// Returns what this sender may count as its part of the limit of an endpoint's lane, in calls a second.
+    fn own_share(&self, endpoint: &Endpoint) -> f64 {
+        let (traffic, endpoints) = self
+            .destinations
+            .get(&endpoint.dest)
+            .map_or((0.0, 1), |d| (d.traffic.per_second(self.now), d.endpoints.len()));
+        let is_route = matches!(endpoint.lane, LaneKey::Route(_));
+        let own = if is_route { traffic / endpoints.max(1) as f64 } else { traffic };
+        let equal = self.equal_share(endpoint);
+        // Right after a start no traffic has been seen; the equal share is all there is to go by.
+        if own == 0.0 {
+            equal
+        } else {
+            own.max(equal.min(own * OWN_TRAFFIC_FACTOR + equal * EQUAL_SHARE_BASE))
+        }
     }
 
-    /// An equal part of what an endpoint's lane is said to take.
-    fn equal(&self, e: &Endpoint) -> f64 {
-        let limit = self.lanes.get(&e.lane).and_then(|l| l.limit).unwrap_or(LIMIT_LEAST);
-        limit / self.set.senders as f64
+    /// Returns an equal share of the limit of an endpoint's lane, in calls a second.
+    fn equal_share(&self, endpoint: &Endpoint) -> f64 {
+        let limit = self.lanes.get(&endpoint.lane).and_then(|l| l.limit).unwrap_or(DEFAULT_LIMIT_PER_S);
+        limit / self.settings.senders as f64
     }
 
-    /// Endpoints that share an endpoint's lane, itself included.
-    fn ways(&self, e: &Endpoint) -> f64 {
-        match e.lane {
+    /// Returns the number of endpoints in an endpoint's lane, itself included.
+    fn lane_endpoints(&self, endpoint: &Endpoint) -> f64 {
+        match endpoint.lane {
             LaneKey::Route(_) => 1.0,
-            _ => self.dests.get(&e.dest).map_or(1.0, |d| d.endpoints.len().max(1) as f64),
+            _ => self.destinations.get(&endpoint.dest).map_or(1.0, |d| d.endpoints.len().max(1) as f64),
         }
     }
 
-    /// The message is over for its client. Attempts still out are remembered until they end.
+    /// Closes a message: its client needs no further answer. It is remembered until its attempts have ended.
     fn close(&mut self, id: MsgId) {
-        let Some(msg) = self.msgs.get_mut(&id) else { return };
-        if !msg.closed {
-            self.open -= 1;
-            self.agenda.remove(&(msg.deadline - END_LEAD * self.set.quantum, Due::Msg(id)));
-        }
-        msg.closed = true;
-        let entry = (msg.seq, id);
-        if let Some(d) = self.dests.get_mut(&msg.dest) {
-            d.hold.remove(&entry);
-        }
-        if msg.out.is_empty() {
-            let key = msg.key.take();
-            if let Some((k, key)) = key.and_then(|k| self.keys.get_mut(&k).map(|key| (k, key))) {
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        if !message.closed {
+            self.open_messages -= 1;
+            let due = message.deadline - FINAL_ANSWER_LEAD_QUANTA * self.settings.quantum;
+            self.schedule.remove(&(due, Check::Message(id)));
+        }
+        message.closed = true;
+        let entry = (message.sequence, id);
+        if let Some(destination) = self.destinations.get_mut(&message.dest) {
+            destination.pending.remove(&entry);
+        }
+        if message.in_flight.is_empty() {
+            let name = message.key.take();
+            if let Some((name, key)) =
+                name.and_then(|name| self.order_keys.get_mut(&name).map(|key| (name, key)))
+            {
                 key.queue.remove(&entry);
-                if key.queue.is_empty() && key.rest_until <= self.now {
-                    self.keys.remove(&k);
+                if key.queue.is_empty() && key.settle_until <= self.now {
+                    self.order_keys.remove(&name);
                 }
-                self.ready.insert(msg.dest);
+                self.ready.insert(message.dest);
             }
-            self.msgs.remove(&id);
+            self.messages.remove(&id);
         }
     }
 
-    fn class(&self, msg: &Msg) -> &ClassSettings {
-        self.set.classes.get(msg.class).unwrap_or(&self.plain)
+    fn class_of(&self, message: &Message) -> &ClassSettings {
+        self.settings.classes.get(message.class).unwrap_or(&self.default_class)
+    }
+
+    fn max_attempts(&self, message: &Message) -> u32 {
+        self.class_of(message).max_attempts.unwrap_or(self.settings.max_attempts)
     }
 
-    /// Whether a further attempt is allowed at all, now.
+    /// Returns whether a further attempt is allowed now.
     fn may_retry(&self, id: MsgId) -> bool {
-        let Some(msg) = self.msgs.get(&id) else { return false };
-        if msg.closed || msg.tried() >= self.class(msg).max_attempts.unwrap_or(self.set.max_attempts) {
+        let Some(message) = self.messages.get(&id) else { return false };
+        if message.closed || message.counted_attempts() >= self.max_attempts(message) {
             return false;
         }
-        let class = self.class(msg);
-        match (class.effect, msg.may_run) {
+        let class = self.class_of(message);
+        match (class.effect, message.may_have_run) {
             (Effect::Safe, _) | (_, None) => true,
-            (Effect::Keyed, Some((first, _))) => self.now < first + class.window,
+            (Effect::Keyed, Some((first_sent, _))) => self.now < first_sent + class.window,
             (Effect::Unsafe, Some(_)) => false,
         }
     }
 
-    /// Whether a further attempt would be allowed if the next one comes to nothing known.
-    fn repeatable(&self, msg: &Msg) -> bool {
-        let (class, first) = (self.class(msg), msg.may_run.map_or(self.now, |m| m.0));
-        let again = match class.effect {
+    /// Returns whether a further attempt would be allowed if the next one had an unknown outcome.
+    fn is_repeatable(&self, message: &Message) -> bool {
+        let class = self.class_of(message);
+        let first_sent = message.may_have_run.map_or(self.now, |m| m.0);
+        let effect_allows = match class.effect {
             Effect::Safe => true,
-            Effect::Keyed => self.now < first + (class.window as f64 * WINDOW_PART) as Micros,
+            Effect::Keyed => self.now < first_sent + (class.window as f64 * WINDOW_ATTEMPT_SHARE) as Micros,
             Effect::Unsafe => false,
         };
-        again && msg.tried() + 1 < class.max_attempts.unwrap_or(self.set.max_attempts)
+        effect_allows && message.counted_attempts() + 1 < self.max_attempts(message)
     }
 
-    /// Whether a client may be told that handing it in again does no harm. What comes of it is a new
-    /// message, of which no sender knows that its key is in use: of the time for which the destination
-    /// remembers it, enough must be left. Found where a refusal late in the window took effect twice.
-    fn may_refuse(&self, msg: &Msg) -> bool {
-        let class = self.class(msg);
-        let first = msg.may_run.map(|m| m.0).into_iter().chain(msg.out.iter().map(|a| a.sent)).min();
-        match (class.effect, first) {
+    /// Returns whether the client may be told that resubmitting the message does no harm. A resubmission is a
+    /// new message, and no sender knows that its key is in use; so enough must be left of the time for which
+    /// the destination remembers the key. Without this, a refusal late in the window led to a second effect.
+    fn may_refuse(&self, message: &Message) -> bool {
+        let class = self.class_of(message);
+        let in_flight = message.in_flight.iter().map(|a| a.sent);
+        let first_sent = message.may_have_run.map(|m| m.0).into_iter().chain(in_flight).min();
+        match (class.effect, first_sent) {
             (Effect::Safe, _) | (_, None) => true,
-            (Effect::Keyed, Some(first)) => {
-                let left = (class.window as f64 * WINDOW_PART) as Micros;
-                class.dedup_scope == DedupScope::All && self.now < first + left
+            (Effect::Keyed, Some(first_sent)) => {
+                let refusable_for = (class.window as f64 * WINDOW_ATTEMPT_SHARE) as Micros;
+                class.dedup_scope == DedupScope::All && self.now < first_sent + refusable_for
             }
             (Effect::Unsafe, Some(_)) => false,
         }
     }
 
+    /// Gives a message its final answer.
     fn finish(&mut self, id: MsgId, out: &mut Vec<Action>) {
-        let Some(msg) = self.msgs.get(&id) else { return };
-        out.push(if self.may_refuse(msg) {
-            Action::Refuse { id, retry_after: self.set.max_retry_after / 2 }
+        let Some(message) = self.messages.get(&id) else { return };
+        out.push(if self.may_refuse(message) {
+            Action::Refuse { id, retry_after: self.settings.max_retry_after / 2 }
         } else {
             Action::Fail { id }
         });
-        // Found where the next of its key reached an endpoint before the word of this end was out.
-        if let Some(key) = msg.key.as_ref().and_then(|k| self.keys.get_mut(k)) {
-            key.rest_until = key.rest_until.max(self.now + TOLD_WITHIN);
+        // Otherwise the key's next message could reach an endpoint before the platform knows of this end.
+        if let Some(key) = message.key.as_ref().and_then(|k| self.order_keys.get_mut(k)) {
+            key.settle_until = key.settle_until.max(self.now + NOTICE_DELIVERY_US);
         }
         self.close(id);
     }
 
-    fn fall_due(&mut self, out: &mut Vec<Action>) {
-        while let Some((_, due)) = self.agenda.first().copied().filter(|(at, _)| *at <= self.now) {
-            self.agenda.pop_first();
-            match due {
-                Due::Msg(id) => self.expire(id, out),
-                Due::Call(id) => self.listen(id),
-                Due::Dest(id) => _ = self.ready.insert(id),
+    fn run_due_checks(&mut self, out: &mut Vec<Action>) {
+        while let Some((_, check)) = self.schedule.first().copied().filter(|(at, _)| *at <= self.now) {
+            self.schedule.pop_first();
+            match check {
+                Check::Message(id) => self.finish_if_due(id, out),
+                Check::Call(number) => self.check_stall(number),
+                Check::Destination(id) => _ = self.ready.insert(id),
             }
         }
     }
 
-    /// When a message's final answer is due: with rounds a quantum apart, before its time in any case. What
-    /// is answered after it may count for nothing.
-    fn due(&self, msg: &Msg) -> Micros {
-        msg.deadline - END_LEAD * self.set.quantum
+    /// Returns when a message's final answer is due: before its deadline in any case, although rounds are a
+    /// quantum apart. An answer after the deadline may count for nothing.
+    fn final_answer_due(&self, message: &Message) -> Micros {
+        message.deadline - FINAL_ANSWER_LEAD_QUANTA * self.settings.quantum
     }
 
-    /// The final answer is due: time is up, or nothing more may be tried.
-    fn expire(&mut self, id: MsgId, out: &mut Vec<Action>) {
-        let Some(msg) = self.msgs.get(&id).filter(|m| !m.closed) else { return };
-        if self.now >= self.due(msg) || (msg.out.is_empty() && !self.may_retry(id)) {
+    /// Finishes a message if its final answer is due, or if no attempt is in flight and no further one is
+    /// allowed.
+    fn finish_if_due(&mut self, id: MsgId, out: &mut Vec<Action>) {
+        let Some(message) = self.messages.get(&id).filter(|m| !m.closed) else { return };
+        let is_due = self.now >= self.final_answer_due(message);
+        if is_due || (message.in_flight.is_empty() && !self.may_retry(id)) {
             self.finish(id, out);
         }
     }
 
-    /// Silence past p99 is a symptom; so is a trial that stays unanswered.
-    fn listen(&mut self, id: u64) {
+    /// Checks whether a call has stalled, which is a sign of ill health, as is a trial without an answer.
+    fn check_stall(&mut self, number: u64) {
         let now = self.now;
-        let Some(&Call { endpoint, sent, rested, .. }) = self.calls.get(&id) else { return };
-        let gap = self.trial_gap(endpoint);
-        let silence = self.lane_of(endpoint).map_or(SILENCE_LEAST, |l| l.latency.silence());
-        let Some(e) = self.endpoints.get(&endpoint) else { return };
-        let (patience, longest) = (silence as Micros + 1, (silence * RECLAIM_AFTER) as Micros + 1);
-        let next = if now - sent < patience { patience } else { longest };
-        if now - sent < longest {
-            self.agenda.insert((sent + next, Due::Call(id)));
-        }
-        if now - sent < patience || e.last_ok > sent {
+        let Some(&Call { endpoint: id, sent, connection_idle, .. }) = self.calls.get(&number) else {
+            return;
+        };
+        let gap = self.trial_gap(id);
+        let threshold_us = self.lane_of(id).map_or(MIN_STALL_US, |l| l.latency.stall_threshold_us());
+        let Some(endpoint) = self.endpoints.get(&id) else { return };
+        let stalls_after = threshold_us as Micros + 1;
+        let reclaimable_after = (threshold_us * RECLAIM_AFTER_STALLS) as Micros + 1;
+        let next = if now - sent < stalls_after { stalls_after } else { reclaimable_after };
+        if now - sent < reclaimable_after {
+            self.schedule.insert((sent + next, Check::Call(number)));
+        }
+        if now - sent < stalls_after || endpoint.last_success > sent {
             return;
         }
-        self.ready.insert(e.dest);
-        if rested > 0 && self.reaped(endpoint) {
+        self.ready.insert(endpoint.dest);
+        if connection_idle > 0 && self.blame_idle_connection(id) {
             return;
         }
-        let Some(e) = self.endpoints.get_mut(&endpoint) else { return };
-        e.first_bad = e.first_bad.or(Some(now));
-        match &mut e.trouble {
-            None => e.trouble = Some(Trouble::new(now, false, 0.0)),
-            Some(t) if t.trial.is_some_and(|s| s == sent) => {
-                (t.harmless, t.hearsay) = (false, false);
-                t.again(now, gap);
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        endpoint.failing_since = endpoint.failing_since.or(Some(now));
+        match &mut endpoint.unhealthy {
+            None => endpoint.unhealthy = Some(Unhealthy::new(now, false, 0.0)),
+            Some(unhealthy) if unhealthy.trial_sent.is_some_and(|trial_sent| trial_sent == sent) => {
+                (unhealthy.nothing_ran, unhealthy.inferred) = (false, false);
+                unhealthy.back_off(now, gap);
             }
             _ => {}
         }
-        let Some(lane) = self.lanes.get_mut(&e.lane) else { return };
-        let bad = *lane.bad.get_or_insert(now);
-        if now - bad >= COLD_AFTER && now - lane.last_ok >= COLD_AFTER {
-            self.spread(endpoint);
+        let Some(lane) = self.lanes.get_mut(&endpoint.lane) else { return };
+        let failing_since = *lane.failing_since.get_or_insert(now);
+        if now - failing_since >= OUTAGE_AFTER_US && now - lane.last_success >= OUTAGE_AFTER_US {
+            self.mark_lane_down(id);
         }
     }
 
-    /// Brings a destination's budgets, pools and ramps up to the present.
+    /// Brings the budgets, pools and warm-ups of a destination's lanes and endpoints up to date.
     fn refresh(&mut self, dest: DestId) {
         let now = self.now;
-        let Some(d) = self.dests.get(&dest) else { return };
-        let own = d.rate.get(now);
-        let sick = d.endpoints.iter().filter_map(|id| self.endpoints.get(id)).filter(|e| e.listed);
-        let ill: BTreeSet<LaneKey> = sick.filter(|e| e.trouble.is_some()).map(|e| e.lane).collect();
-        let (from, warm_up, few) = (self.set.cold_from, self.set.warm_up, self.few());
-        let senders = self.set.senders as f64;
-        let shortest = self.set.classes.iter().map(|c| c.aim).min().unwrap_or(self.plain.aim).max(1);
-        let share = d.share.sure(now);
-        for id in &d.endpoints {
-            let (usual, ways) = self.endpoints.get(id).map_or((0.0, 1.0), |e| (self.part(e), self.ways(e)));
-            let Some(e) = self.endpoints.get_mut(id) else { continue };
-            let Some(lane) = self.lanes.get_mut(&e.lane) else { continue };
-            let ill = ill.contains(&e.lane);
-            let cap = lane.limit.map_or(f64::INFINITY, |l| l * LIMIT_PART);
-            let dt = (now - lane.filled) as f64 / 1e6;
+        let Some(destination) = self.destinations.get(&dest) else { return };
+        let own_rate = destination.arrival_rate.per_second(now);
+        let listed =
+            destination.endpoints.iter().filter_map(|id| self.endpoints.get(id)).filter(|e| e.listed);
+        let unhealthy_lanes: BTreeSet<LaneKey> =
+            listed.filter(|e| e.unhealthy.is_some()).map(|e| e.lane).collect();
+        let (cold_from, warm_up, few_senders) =
+            (self.settings.cold_from, self.settings.warm_up, self.few_senders());
+        let senders = self.settings.senders as f64;
+        let aims = self.settings.classes.iter().map(|c| c.aim);
+        let shortest_aim = aims.min().unwrap_or(self.default_class.aim).max(1);
+        let long_term_rate = destination.traffic.lower_bound(now);
+        for id in &destination.endpoints {
+            let (own_share, lane_endpoints) =
+                self.endpoints.get(id).map_or((0.0, 1.0), |e| (self.own_share(e), self.lane_endpoints(e)));
+            let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
+            let Some(lane) = self.lanes.get_mut(&endpoint.lane) else { continue };
+            let is_unhealthy = unhealthy_lanes.contains(&endpoint.lane);
+            let max_pace = lane.limit.map_or(f64::INFINITY, |l| l * MAX_LIMIT_SHARE);
+            let elapsed_s = (now - lane.refilled_at) as f64 / 1e6;
             if lane.budget.is_finite() {
-                let fair = lane.limit.map_or(own.max(0.2), |l| own.min(l / senders * FAIR_GROWTH));
-                lane.budget = (lane.budget + BUDGET_GROWTH * fair * dt).min(cap.max(0.5));
+                let growth_base = lane
+                    .limit
+                    .map_or(own_rate.max(0.2), |l| own_rate.min(l / senders * BUDGET_GROWTH_EQUAL_SHARES));
+                lane.budget =
+                    (lane.budget + BUDGET_GROWTH_SHARE * growth_base * elapsed_s).min(max_pace.max(0.5));
             }
-            let batch = self.set.batch(e.kind) as f64;
-            let refused = lane.cut > 0 && now - lane.cut < ALERT;
-            let demand = lane.limit.filter(|_| batch > 1.0).map(|l| {
-                let equal = l / senders;
-                (l * few, LaneDemand { equal, own, share, batch, aim: shortest as f64, refused })
+            let max_batch = self.settings.max_batch(endpoint.kind) as f64;
+            let recently_refused = lane.budget_cut_at > 0 && now - lane.budget_cut_at < REFUSAL_MEMORY_US;
+            let demand = lane.limit.filter(|_| max_batch > 1.0).map(|limit| {
+                let equal_share = limit / senders;
+                let shortest_aim_us = shortest_aim as f64;
+                let demand = LaneDemand {
+                    equal_share,
+                    own_rate,
+                    long_term_rate,
+                    max_batch,
+                    shortest_aim_us,
+                    recently_refused,
+                };
+                // With few senders, calls need hardly any spacing.
+                (limit * few_senders, demand)
             });
-            let spaced = demand.and_then(|(free, demand)| Some(demand.spacing()? + free));
-            lane.pace = lane.budget.min(cap).min(spaced.unwrap_or(UNPACED)).min(UNPACED);
-            lane.tokens = (lane.tokens + lane.pace * dt).min((lane.pace * BURST).max(1.0));
-            lane.filled = now;
-            // A pool that has been sized in health is kept while an endpoint is ill. One that never was, as
-            // after a restart that recalls the illness, would stay at its start for as long.
-            let known = lane.latency.n >= SIZED_FROM;
-            if now - lane.resized >= RESIZE && !lane.latency.slow() && (!ill || (known && !lane.sized)) {
-                lane.sized = known;
-                lane.resized = now;
-                let top = ((self.set.slots as f64 * SHARE_CAP).ceil() as u32).max(1);
-                let sized = (own * lane.latency.p99() / 1e6 * SAFETY).ceil() as u32;
-                lane.permits = sized.clamp(1, top);
+            let spaced = demand.and_then(|(unspaced, demand)| Some(demand.spacing()? + unspaced));
+            lane.pace = lane.budget.min(max_pace).min(spaced.unwrap_or(UNLIMITED_PER_S)).min(UNLIMITED_PER_S);
+            lane.tokens = (lane.tokens + lane.pace * elapsed_s).min((lane.pace * BURST_S).max(1.0));
+            lane.refilled_at = now;
+            // A pool that was sized in good health keeps its size while an endpoint is unhealthy. One that
+            // never was sized, as after a restart that restores bad health, would keep its initial size for
+            // as long.
+            let can_size = lane.latency.samples >= MIN_SIZING_SAMPLES;
+            let is_due = now - lane.resized_at >= RESIZE_INTERVAL_US;
+            if is_due && !lane.latency.is_slow() && (!is_unhealthy || (can_size && !lane.is_sized)) {
+                lane.is_sized = can_size;
+                lane.resized_at = now;
+                let max_permits = ((self.settings.slots as f64 * MAX_POOL_SHARE).ceil() as u32).max(1);
+                let needed = (own_rate * lane.latency.p99_us() / 1e6 * POOL_SAFETY_FACTOR).ceil() as u32;
+                lane.permits = needed.clamp(1, max_permits);
             }
-            for (warm, part) in [(&mut lane.back, usual), (&mut e.warm, usual / ways)] {
-                let Some(w) = warm.as_mut().filter(|w| now - w.since < warm_up) else {
-                    *warm = None;
+            let warm_ups =
+                [(&mut lane.warm_up, own_share), (&mut endpoint.warm_up, own_share / lane_endpoints)];
+            for (state, share) in warm_ups {
+                let Some(state) = state.as_mut().filter(|w| now - w.since < warm_up) else {
+                    *state = None;
                     continue;
                 };
-                let share = from + (1.0 - from) * (now - w.since) as f64 / warm_up.max(1) as f64;
-                w.pace = RAMP_SAFETY * self.set.fall_multiple * share * part;
-                let filled = w.tokens + w.pace * (now - w.filled) as f64 / 1e6;
-                (w.tokens, w.filled) = (filled.min(1.0_f64.max(w.pace * 0.25)), now);
+                let capacity =
+                    cold_from + (1.0 - cold_from) * (now - state.since) as f64 / warm_up.max(1) as f64;
+                state.pace = WARM_UP_SAFETY * self.settings.fall_multiple * capacity * share;
+                let tokens = state.tokens + state.pace * (now - state.refilled_at) as f64 / 1e6;
+                state.tokens = tokens.min(1.0_f64.max(state.pace * 0.25));
+                state.refilled_at = now;
             }
         }
     }
 
-    /// Guards against silent calls filling the slots (a hung destination's unsafe calls hold theirs until the
-    /// deadline): short of slots, with others waiting, the call that has been silent longest for its lane is
-    /// given up, sooner where that loses no message. Where only the destination's own pool keeps messages
-    /// waiting, only a call that others have overtaken: its endpoint answers, its connection is what is dead.
-    /// Covers any cause of silence; harms an unsafe message whose answer was merely late.
-    fn reclaim(&mut self, out: &mut Vec<Action>) {
-        let reserve = (self.set.slots as f64 * RECLAIM_RESERVE).ceil() as u32;
-        let held = |d: &DestId| self.dests.get(d).is_some_and(|d| !d.hold.is_empty());
-        let short = self.set.slots.saturating_sub(self.used) < reserve && self.ready.iter().any(held);
-        let pinched = self.dests.iter().filter(|(_, d)| !d.hold.is_empty() && self.pinched(d));
-        let pinched: BTreeSet<DestId> = pinched.map(|(id, _)| *id).collect();
-        if !self.set.cancel || (!short && pinched.is_empty()) {
+    /// Cancels a stalled call to free its slot. Guards against stalled calls filling the slots: unsafe calls
+    /// to a hung destination would keep theirs until the deadline. While slots are short and messages wait,
+    /// it cancels the call that has stalled longest relative to its lane, sooner if all its messages may be
+    /// sent again. If only a destination's own pool keeps messages waiting, it cancels only a call that later
+    /// calls have overtaken: the endpoint answers, so the connection is dead. It works for any cause of a
+    /// stall, and it fails an unsafe message whose answer was merely late.
+    fn reclaim_slot(&mut self, out: &mut Vec<Action>) {
+        let reserve = (self.settings.slots as f64 * RECLAIM_RESERVE_SHARE).ceil() as u32;
+        let has_pending = |d: &DestId| self.destinations.get(d).is_some_and(|d| !d.pending.is_empty());
+        let slots_short = self.settings.slots.saturating_sub(self.slots_used) < reserve
+            && self.ready.iter().any(has_pending);
+        let blocked = self
+            .destinations
+            .iter()
+            .filter(|(_, d)| !d.pending.is_empty() && self.is_blocked_by_own_calls(d));
+        let blocked: BTreeSet<DestId> = blocked.map(|(id, _)| *id).collect();
+        if !self.settings.cancel || (!slots_short && blocked.is_empty()) {
             return;
         }
-        // Silence as a multiple of what is waited for.
-        let over = |c: &Call| {
-            let e = self.endpoints.get(&c.endpoint)?;
-            let silence = self.lanes.get(&e.lane)?.latency.silence();
-            let overtaken = pinched.contains(&e.dest) && (e.last_ok - c.sent) as f64 > silence;
-            let patience = if c.repeatable { RECLAIM_REPEATABLE } else { RECLAIM_AFTER };
-            (short || overtaken).then_some((self.now - c.sent) as f64 / (silence * patience))
+        // How long a call has stalled, as a multiple of the time after which it may be cancelled.
+        let stall_ratio = |call: &Call| {
+            let endpoint = self.endpoints.get(&call.endpoint)?;
+            let threshold_us = self.lanes.get(&endpoint.lane)?.latency.stall_threshold_us();
+            let overtaken =
+                blocked.contains(&endpoint.dest) && (endpoint.last_success - call.sent) as f64 > threshold_us;
+            let stalls = if call.repeatable { RECLAIM_REPEATABLE_AFTER_STALLS } else { RECLAIM_AFTER_STALLS };
+            (slots_short || overtaken).then_some((self.now - call.sent) as f64 / (threshold_us * stalls))
         };
-        let silent = self.calls.iter().filter(|(_, c)| !c.cancelled);
-        let silent = silent.filter_map(|(id, c)| over(c).map(|share| (share, *id)));
-        let worst = silent.filter(|s| s.0 > 1.0).max_by(|a, b| a.0.total_cmp(&b.0));
+        let calls = self.calls.iter().filter(|(_, c)| !c.cancelled);
+        let ratios = calls.filter_map(|(number, c)| stall_ratio(c).map(|ratio| (ratio, *number)));
+        let worst = ratios.filter(|r| r.0 > 1.0).max_by(|a, b| a.0.total_cmp(&b.0));
         let Some((_, call)) = worst else { return };
         self.calls.entry(call).and_modify(|c| c.cancelled = true);
-        for (id, msg) in &self.msgs {
-            let attempts = msg.out.iter().filter(|a| a.call == call);
-            out.extend(attempts.map(|a| Action::Cancel { id: *id, attempt: a.no }));
+        for (id, message) in &self.messages {
+            let attempts = message.in_flight.iter().filter(|a| a.call == call);
+            out.extend(attempts.map(|a| Action::Cancel { id: *id, attempt: a.number }));
         }
     }
 
-    fn share_of_slots(&self, share: f64) -> u32 {
-        ((self.set.slots as f64 * share) as u32).max(1)
+    /// Returns the slots in a share of all, at least one.
+    fn slots_in(&self, share: f64) -> u32 {
+        ((self.settings.slots as f64 * share) as u32).max(1)
     }
 
-    /// Whether a destination has all the calls out that it may have, wherever they are.
-    fn full(&self, d: &Dest) -> bool {
-        d.endpoints.iter().filter_map(|id| self.endpoints.get(id)).map(|e| e.out).sum::<u32>()
-            >= self.share_of_slots(DEST_CAP)
+    /// Returns whether a destination has as many calls in flight as one destination may have.
+    fn is_at_maximum(&self, destination: &Destination) -> bool {
+        let endpoints = destination.endpoints.iter().filter_map(|id| self.endpoints.get(id));
+        endpoints.map(|e| e.in_flight).sum::<u32>() >= self.slots_in(MAX_DESTINATION_SHARE)
     }
 
-    /// Whether a destination may have more calls out than its permits.
-    fn borrows(&self, d: &Dest) -> bool {
-        let free = self.set.slots.saturating_sub(self.used);
-        let mut mine = d.endpoints.iter().filter_map(|id| self.endpoints.get(id)).filter(|e| e.listed);
-        free > (self.set.slots as f64 * BORROW_RESERVE).ceil() as u32 && !mine.any(|e| self.doubtful(e))
+    /// Returns whether a destination may have more calls in flight than its permits.
+    fn may_borrow(&self, destination: &Destination) -> bool {
+        let free = self.settings.slots.saturating_sub(self.slots_used);
+        let endpoints = destination.endpoints.iter().filter_map(|id| self.endpoints.get(id));
+        let mut listed = endpoints.filter(|e| e.listed);
+        free > (self.settings.slots as f64 * BORROW_RESERVE_SHARE).ceil() as u32
+            && !listed.any(|e| self.is_doubtful(e))
     }
 
-    /// Whether a destination's calls that are out keep others from going.
-    fn pinched(&self, d: &Dest) -> bool {
-        let mut lanes = d.endpoints.iter().filter_map(|id| self.lanes.get(&self.endpoints.get(id)?.lane));
-        self.full(d) || (lanes.any(|l| l.out >= l.permits) && !self.borrows(d))
+    /// Returns whether a destination's calls in flight keep it from sending more.
+    fn is_blocked_by_own_calls(&self, destination: &Destination) -> bool {
+        let mut lanes =
+            destination.endpoints.iter().filter_map(|id| self.lanes.get(&self.endpoints.get(id)?.lane));
+        self.is_at_maximum(destination)
+            || (lanes.any(|l| l.in_flight >= l.permits) && !self.may_borrow(destination))
     }
 
-    /// Endpoints in trouble are asked by a probe first, where that is allowed.
-    fn probe(&mut self, dest: DestId, out: &mut Vec<Action>) {
-        let Some(d) = self.dests.get(&dest).filter(|_| self.set.probes) else { return };
-        // While a lane answers nothing well, one call or probe at a time asks it: each is load to it.
-        let bad = |key: &LaneKey| self.lanes.get(key).is_some_and(|l| l.bad.is_some());
-        let mine = d.endpoints.iter().filter_map(|id| self.endpoints.get(id)).filter(|e| e.listed);
-        let asked = mine.filter(|e| e.trouble.as_ref().is_none_or(|t| t.probing || t.trial.is_some()));
-        let mut asked: BTreeSet<LaneKey> = asked.map(|e| e.lane).filter(bad).collect();
-        for id in &d.endpoints {
-            let Some(e) = self.endpoints.get_mut(id).filter(|e| e.listed) else { continue };
-            let waits = self.lanes.get(&e.lane).is_none_or(|l| self.now < l.wait_until);
-            let waits = waits || asked.contains(&e.lane);
-            let Some(t) = e.trouble.as_mut().filter(|_| !waits) else { continue };
-            if !t.harmless && !t.probed && !t.probing && t.trial.is_none() && self.now >= t.next {
-                t.probing = true;
-                asked.extend(Some(e.lane).filter(bad));
+    /// Probes unhealthy endpoints that are due a trial, if probes are allowed and a trial could harm a
+    /// message.
+    fn send_probes(&mut self, dest: DestId, out: &mut Vec<Action>) {
+        let Some(destination) = self.destinations.get(&dest).filter(|_| self.settings.probes) else {
+            return;
+        };
+        // A failing lane gets one call or probe at a time: each is load on it.
+        let is_failing = |key: &LaneKey| self.lanes.get(key).is_some_and(|l| l.failing_since.is_some());
+        let endpoints = destination.endpoints.iter().filter_map(|id| self.endpoints.get(id));
+        let in_use = endpoints
+            .filter(|e| e.listed)
+            .filter(|e| e.unhealthy.as_ref().is_none_or(|u| u.probing || u.trial_sent.is_some()));
+        let mut occupied: BTreeSet<LaneKey> = in_use.map(|e| e.lane).filter(is_failing).collect();
+        for id in &destination.endpoints {
+            let Some(endpoint) = self.endpoints.get_mut(id).filter(|e| e.listed) else { continue };
+            let must_wait = self.lanes.get(&endpoint.lane).is_none_or(|l| self.now < l.wait_until);
+            let must_wait = must_wait || occupied.contains(&endpoint.lane);
+            let Some(unhealthy) = endpoint.unhealthy.as_mut().filter(|_| !must_wait) else { continue };
+            let is_idle = !unhealthy.probing && unhealthy.trial_sent.is_none();
+            let needs_probe = !unhealthy.nothing_ran && !unhealthy.probed;
+            if needs_probe && is_idle && self.now >= unhealthy.next_trial {
+                unhealthy.probing = true;
+                occupied.extend(Some(endpoint.lane).filter(is_failing));
                 out.push(Action::Probe { endpoint: *id });
             }
         }
     }
 
-    /// What could take a call now, whether a repeatable one only, its cost, and how long it has waited for
-    /// its turn; and when to look again.
-    fn usable(&self, dest: DestId) -> (Vec<(EndpointId, bool, f64, f64)>, Look) {
+    /// Returns the endpoints of a destination that can take a call now, the cheapest first, and when to check
+    /// again.
+    fn candidates(&self, dest: DestId) -> (Vec<Candidate>, Recheck) {
         let now = self.now;
-        let (mut list, mut look) = (Vec::new(), Look { at: Micros::MAX, slot: false });
-        let Some(d) = self.dests.get(&dest) else { return (list, look) };
-        let mine = || d.endpoints.iter().filter_map(|id| self.endpoints.get(id).map(|e| (id, e)));
-        let listed: Vec<_> = mine().filter(|(_, e)| e.listed).collect();
-        let doubtful = listed.iter().any(|(_, e)| self.doubtful(e));
-        let sick = doubtful && self.sick_out() >= self.share_of_slots(ALL_SICK_CAP);
-        let (full, borrow) = (self.full(d), self.borrows(d));
-        let open = |e: &Endpoint| {
-            now - e.used < self.set.idle_close && e.out < e.conns.saturating_mul(self.set.streams_per_conn)
+        let mut candidates = Vec::new();
+        let mut recheck = Recheck { at: Micros::MAX, on_free_slot: false };
+        let Some(destination) = self.destinations.get(&dest) else { return (candidates, recheck) };
+        let endpoints =
+            || destination.endpoints.iter().filter_map(|id| self.endpoints.get(id).map(|e| (id, e)));
+        let listed: Vec<_> = endpoints().filter(|(_, e)| e.listed).collect();
+        let doubtful = listed.iter().any(|(_, e)| self.is_doubtful(e));
+        let too_many_doubtful = doubtful && self.doubtful_calls() >= self.slots_in(MAX_DOUBTFUL_SHARE);
+        let at_maximum = self.is_at_maximum(destination);
+        let may_borrow = self.may_borrow(destination);
+        let has_free_connection = |e: &Endpoint| {
+            now - e.last_used < self.settings.idle_close
+                && e.in_flight < e.connections.saturating_mul(self.settings.streams_per_conn)
         };
-        // What this sender's own traffic keeps in use costs a handshake once, and not for each call.
-        let kept = d.share.get(now) * self.set.idle_close as f64 / 1e6;
+        // A connection that this sender's own traffic keeps in use costs one handshake, not one for each
+        // call.
+        let calls_per_idle_time = destination.traffic.per_second(now) * self.settings.idle_close as f64 / 1e6;
         let zones: BTreeSet<usize> = listed.iter().map(|(_, e)| e.zone).collect();
-        let home = listed.iter().filter(|(_, e)| e.zone == self.set.zone).count() as f64;
-        // Of a zone with few endpoints of this destination, some senders go to all zones.
-        let part = home * zones.len() as f64 * CROWD / listed.len().max(1) as f64;
-        let apart = |e: &Endpoint| e.zone != self.set.zone && self.homely < part;
-        let spread = kept >= KEPT * (1 + mine().filter(|(_, e)| open(e)).count()) as f64;
-        look.slot = sick;
-        for (id, e) in listed {
-            let Some(lane) = self.lanes.get(&e.lane) else { continue };
-            // A call that outlives the sender may have run for nothing: it is left to the next start.
-            if self.stop_at.is_some_and(|at| now + lane.latency.p99() as Micros > at) {
+        let in_own_zone = listed.iter().filter(|(_, e)| e.zone == self.settings.zone).count() as f64;
+        // If this zone has few of the destination's endpoints, some of its senders use all zones.
+        let stay_chance =
+            in_own_zone * zones.len() as f64 * MAX_ZONE_LOAD_FACTOR / listed.len().max(1) as f64;
+        let avoids_zone = |e: &Endpoint| e.zone != self.settings.zone && self.zone_draw < stay_chance;
+        let free_connections = endpoints().filter(|(_, e)| has_free_connection(e)).count();
+        let may_add_connection =
+            calls_per_idle_time >= MIN_CALLS_PER_CONNECTION * (1 + free_connections) as f64;
+        recheck.on_free_slot = too_many_doubtful;
+        for (id, endpoint) in listed {
+            let Some(lane) = self.lanes.get(&endpoint.lane) else { continue };
+            // A call that outlasts this process may have run to no avail: the next start sends the message.
+            if self.stop_at.is_some_and(|at| now + lane.latency.p99_us() as Micros > at) {
                 continue;
             }
-            let mut from = lane.wait_until;
-            let warm = lane.back.iter().chain(e.warm.iter().filter(|_| lane.back.is_none()));
-            for (tokens, pace) in warm.map(|w| (w.tokens, w.pace)).chain([(lane.tokens, lane.pace)]) {
+            let mut available_at = lane.wait_until;
+            let endpoint_warm_up = endpoint.warm_up.iter().filter(|_| lane.warm_up.is_none());
+            let warm_ups = lane.warm_up.iter().chain(endpoint_warm_up).map(|w| (w.tokens, w.pace));
+            for (tokens, pace) in warm_ups.chain([(lane.tokens, lane.pace)]) {
                 if tokens < 1.0 {
-                    from = from.max(now + ((1.0 - tokens) / pace.max(1e-3) * 1e6) as Micros + 1);
+                    let refill_us = (1.0 - tokens) / pace.max(1e-3) * 1e6;
+                    available_at = available_at.max(now + refill_us as Micros + 1);
                 }
             }
-            let careful = e.trouble.as_ref().is_some_and(|t| !t.harmless && !t.probed);
-            from = from.max(e.trouble.as_ref().map_or(0, |t| t.next));
-            if e.trouble.as_ref().is_some_and(|t| t.trial.is_some() || t.probing) {
+            let unhealthy = endpoint.unhealthy.as_ref();
+            let trial_may_harm = unhealthy.is_some_and(|u| !u.nothing_ran && !u.probed);
+            available_at = available_at.max(unhealthy.map_or(0, |u| u.next_trial));
+            if unhealthy.is_some_and(|u| u.trial_sent.is_some() || u.probing) {
                 continue;
-            } else if from > now {
-                look.at = look.at.min(from);
+            } else if available_at > now {
+                recheck.at = recheck.at.min(available_at);
                 continue;
             }
-            let tight = lane.out >= lane.permits && !borrow;
-            look.slot |= tight;
-            if full || sick || tight || (careful && self.set.probes) {
+            let lacks_permit = lane.in_flight >= lane.permits && !may_borrow;
+            recheck.on_free_slot |= lacks_permit;
+            let needs_probe = trial_may_harm && self.settings.probes;
+            if at_maximum || too_many_doubtful || lacks_permit || needs_probe {
                 continue;
             }
-            let more = |on: bool, price: f64| if on { 1.0 + price } else { 1.0 };
-            let fee = self.set.zone_fees.get(e.zone).copied().unwrap_or(0.0);
-            let trial = match (&e.trouble, careful) {
+            let surcharge = |applies: bool, price: f64| if applies { 1.0 + price } else { 1.0 };
+            let zone_fee = self.settings.zone_fees.get(endpoint.zone).copied().unwrap_or(0.0);
+            let trial_factor = match (unhealthy, trial_may_harm) {
                 (None, _) => 1.0,
-                (_, true) => 10.0,
-                _ => TRIAL_COST,
+                (_, true) => HARMFUL_TRIAL_COST_FACTOR,
+                _ => TRIAL_COST_FACTOR,
             };
-            let cost = lane.latency.mean()
-                * (1.0 + e.out as f64)
-                * more(apart(e), 30.0 * self.set.cross_zone_price)
-                * more(!spread && !open(e) && !e.turn.is_due(now), 10.0 * self.set.handshake_price)
-                * more(matches!(e.lane, LaneKey::Route(_)), 100.0 * fee)
-                * trial
-                * more(e.turn.is_new(now), 1.0);
-            let turn = e.turn.waited(now);
-            let burns = e.burns_until();
-            if burns > now {
-                look.at = look.at.min(burns);
+            let needs_handshake = !may_add_connection
+                && !has_free_connection(endpoint)
+                && !endpoint.rotation.wants_connection(now);
+            let cost = lane.latency.mean_us()
+                * (1.0 + endpoint.in_flight as f64)
+                * surcharge(avoids_zone(endpoint), CROSS_ZONE_PRICE_FACTOR * self.settings.cross_zone_price)
+                * surcharge(needs_handshake, HANDSHAKE_PRICE_FACTOR * self.settings.handshake_price)
+                * surcharge(matches!(endpoint.lane, LaneKey::Route(_)), ZONE_FEE_FACTOR * zone_fee)
+                * trial_factor
+                * surcharge(endpoint.rotation.is_new(now), NEW_ENDPOINT_SURCHARGE);
+            let turn_wait = endpoint.rotation.weighted_wait(now);
+            let no_unsafe_until = endpoint.no_unsafe_until();
+            if no_unsafe_until > now {
+                recheck.at = recheck.at.min(no_unsafe_until);
             }
-            list.push((*id, careful || burns > now, cost, turn));
+            let excludes_unsafe = trial_may_harm || no_unsafe_until > now;
+            candidates.push(Candidate { endpoint: *id, excludes_unsafe, cost, turn_wait });
         }
-        // Among those that cost the same it is the turn of the one that has waited longest for it.
-        list.sort_by(|a, b| a.2.total_cmp(&b.2).then(b.3.total_cmp(&a.3)));
-        (list, look)
+        // Of equal cost, the endpoint that has waited longest for its turn comes first.
+        candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(b.turn_wait.total_cmp(&a.turn_wait)));
+        (candidates, recheck)
     }
 
-    fn doubtful(&self, e: &Endpoint) -> bool {
-        e.trouble.is_some() || self.lanes.get(&e.lane).is_some_and(|l| l.latency.slow())
+    /// Returns whether an endpoint is unhealthy or its lane is slow.
+    fn is_doubtful(&self, endpoint: &Endpoint) -> bool {
+        endpoint.unhealthy.is_some() || self.lanes.get(&endpoint.lane).is_some_and(|l| l.latency.is_slow())
     }
 
-    fn sick_out(&self) -> u32 {
-        let sick = |c: &&Call| self.endpoints.get(&c.endpoint).is_some_and(|e| self.doubtful(e));
-        self.calls.values().filter(sick).count() as u32
+    fn doubtful_calls(&self) -> u32 {
+        let is_doubtful = |c: &&Call| self.endpoints.get(&c.endpoint).is_some_and(|e| self.is_doubtful(e));
+        self.calls.values().filter(is_doubtful).count() as u32
     }
 
-    /// Whether this message may go to this endpoint now.
-    fn fits(&self, id: MsgId, endpoint: EndpointId, careful: bool) -> bool {
-        let msg = &self.msgs[&id];
-        let class = self.class(msg);
-        if !self.may_retry(id) || (careful && class.effect == Effect::Unsafe) {
+    /// Returns whether a message may be sent to an endpoint now.
+    fn may_send(&self, id: MsgId, endpoint: EndpointId, excludes_unsafe: bool) -> bool {
+        let message = &self.messages[&id];
+        let class = self.class_of(message);
+        if !self.may_retry(id) || (excludes_unsafe && class.effect == Effect::Unsafe) {
             return false;
         }
-        if let Some(key) = msg.key.as_ref().and_then(|k| self.keys.get(k))
-            && (key.queue.first() != Some(&(msg.seq, id)) || (msg.attempts == 0 && self.now < key.rest_until))
+        if let Some(key) = message.key.as_ref().and_then(|k| self.order_keys.get(k))
+            && (key.queue.first() != Some(&(message.sequence, id))
+                || (message.attempts == 0 && self.now < key.settle_until))
         {
             return false;
         }
-        match (class.effect, class.dedup_scope, msg.may_run) {
-            (Effect::Keyed, DedupScope::Endpoint, Some((_, at))) => at == endpoint,
-            (Effect::Keyed, DedupScope::Zone, Some((_, at))) => {
+        match (class.effect, class.dedup_scope, message.may_have_run) {
+            (Effect::Keyed, DedupScope::Endpoint, Some((_, first))) => first == endpoint,
+            (Effect::Keyed, DedupScope::Zone, Some((_, first))) => {
                 let zone = |e: EndpointId| self.endpoints.get(&e).map(|e| e.zone);
-                zone(at).is_some() && zone(at) == zone(endpoint)
+                zone(first).is_some() && zone(first) == zone(endpoint)
             }
             _ => true,
         }
     }
 
-    /// The worth that a message would earn if delivered `ahead` from now.
-    fn worth(&self, msg: &Msg, ahead: f64) -> f64 {
-        let c = self.class(msg);
-        let (aim, deadline) = (c.aim.max(1) as f64, c.deadline.max(1) as f64);
-        let age = deadline - (msg.deadline - self.now) as f64 + ahead;
-        let share = match self.set.late_decay {
+    /// Returns the worth that a message would earn if delivered `delay_us` from now.
+    fn worth_after(&self, message: &Message, delay_us: f64) -> f64 {
+        let class = self.class_of(message);
+        let (aim, deadline) = (class.aim.max(1) as f64, class.deadline.max(1) as f64);
+        let age = deadline - (message.deadline - self.now) as f64 + delay_us;
+        let share = match self.settings.late_decay {
             _ if age <= aim => 1.0,
             _ if age >= deadline => 0.0,
-            LateDecay::Linear => 1.0 - (1.0 - c.late_share) * (age - aim) / (deadline - aim).max(1.0),
-            LateDecay::Halving => 0.5_f64.powf((age - aim) / aim).max(c.late_share),
+            LateDecay::Linear => 1.0 - (1.0 - class.late_share) * (age - aim) / (deadline - aim).max(1.0),
+            LateDecay::Halving => 0.5_f64.powf((age - aim) / aim).max(class.late_share),
         };
-        c.worth * share
+        class.worth * share
     }
 
-    /// What this destination would send next; with nothing to send it is laid aside until that can change.
-    fn candidate(&mut self, dest: DestId) -> Option<Choice> {
+    /// Returns what a destination would send next. If there is nothing, it is not looked at again until that
+    /// can have changed.
+    fn choose(&mut self, dest: DestId) -> Option<Choice> {
         self.refresh(dest);
-        let (list, mut look) = self.usable(dest);
-        let hold = self.dests.get(&dest).map(|d| &d.hold)?;
-        // Oldest first until one is late; then those that lose most by waiting, oldest first among equals.
+        let (candidates, mut recheck) = self.candidates(dest);
+        let pending = self.destinations.get(&dest).map(|d| &d.pending)?;
+        // Oldest first until a message is late; then those that lose most by waiting, oldest first among
+        // equals.
         let mut order: Vec<(f64, MsgId)> = Vec::new();
-        if !list.is_empty() {
-            order.extend(hold.iter().map(|(_, id)| (0.0, *id)));
-            let owed = |id: &MsgId| self.msgs[id].owed;
-            let late = |id: &MsgId| self.worth(&self.msgs[id], 0.0) < self.class(&self.msgs[id]).worth;
-            if order.iter().any(|(_, id)| late(id)) {
+        if !candidates.is_empty() {
+            order.extend(pending.iter().map(|(_, id)| (0.0, *id)));
+            let is_late = |id: &MsgId| {
+                self.worth_after(&self.messages[id], 0.0) < self.class_of(&self.messages[id]).worth
+            };
+            if order.iter().any(|(_, id)| is_late(id)) {
                 for (rank, id) in &mut order {
-                    let now = self.worth(&self.msgs[id], 0.0);
-                    *rank = self.worth(&self.msgs[id], YIELD) - (1.0 + WORTH_NOW) * now;
+                    let present = self.worth_after(&self.messages[id], 0.0);
+                    *rank = self.worth_after(&self.messages[id], LATE_HORIZON_US)
+                        - (1.0 + PRESENT_WORTH_SHARE) * present;
                 }
                 order.sort_by(|a, b| a.0.total_cmp(&b.0));
             }
-            // What an earlier run never tried goes before all else, the shortest time left first.
-            order.sort_by_key(|(_, id)| if owed(id) { self.msgs[id].deadline } else { Micros::MAX });
+            // Messages restored untried after a restart come before all others, by deadline.
+            let untried_deadline = |id: &MsgId| {
+                let message = &self.messages[id];
+                if message.restored_untried { message.deadline } else { Micros::MAX }
+            };
+            order.sort_by_key(|(_, id)| untried_deadline(id));
         }
         for (_, id) in &order {
-            let msg = &self.msgs[id];
-            let ok = || list.iter().filter(|(e, careful, ..)| self.fits(*id, *e, *careful));
-            if let Some((e, careful, ..)) = ok().find(|(e, ..)| msg.avoid != Some(*e)).or(ok().next()) {
-                let mean = self.lanes[&self.endpoints[e].lane].latency.mean();
-                let rank = if msg.owed { f64::MAX } else { self.worth(msg, mean) / mean };
-                return Some(Choice { rank, id: *id, endpoint: *e, careful: *careful });
+            let message = &self.messages[id];
+            let suitable = || candidates.iter().filter(|c| self.may_send(*id, c.endpoint, c.excludes_unsafe));
+            let other = suitable().find(|c| message.avoid != Some(c.endpoint));
+            if let Some(candidate) = other.or(suitable().next()) {
+                let endpoint = candidate.endpoint;
+                let mean_us = self.lanes[&self.endpoints[&endpoint].lane].latency.mean_us();
+                let rank = if message.restored_untried {
+                    f64::MAX
+                } else {
+                    self.worth_after(message, mean_us) / mean_us
+                };
+                let excludes_unsafe = candidate.excludes_unsafe;
+                return Some(Choice { rank, id: *id, endpoint, excludes_unsafe });
             }
-            let rest = msg.key.as_ref().and_then(|k| self.keys.get(k)).map_or(0, |k| k.rest_until);
-            if rest > self.now {
-                look.at = look.at.min(rest);
+            let key = message.key.as_ref().and_then(|k| self.order_keys.get(k));
+            let settle_until = key.map_or(0, |k| k.settle_until);
+            if settle_until > self.now {
+                recheck.at = recheck.at.min(settle_until);
             }
         }
-        if !look.slot {
+        if !recheck.on_free_slot {
             self.ready.remove(&dest);
         }
-        let (d, now) = (self.dests.get_mut(&dest)?, self.now);
-        if look.at < Micros::MAX && !d.hold.is_empty() && (d.look <= now || look.at < d.look) {
-            self.agenda.remove(&(d.look, Due::Dest(dest)));
-            d.look = look.at;
-            self.agenda.insert((look.at, Due::Dest(dest)));
+        let (destination, now) = (self.destinations.get_mut(&dest)?, self.now);
+        let is_sooner = destination.next_check <= now || recheck.at < destination.next_check;
+        if recheck.at < Micros::MAX && !destination.pending.is_empty() && is_sooner {
+            self.schedule.remove(&(destination.next_check, Check::Destination(dest)));
+            destination.next_check = recheck.at;
+            self.schedule.insert((recheck.at, Check::Destination(dest)));
         }
         None
     }
 
+    /// Sends messages, the highest rank first, while slots are free.
     fn dispatch(&mut self, out: &mut Vec<Action>) {
         let mut choices: BTreeMap<DestId, Choice> = BTreeMap::new();
         for dest in self.ready.clone() {
-            if self.dests.get(&dest).is_none_or(|d| d.hold.is_empty()) {
+            if self.destinations.get(&dest).is_none_or(|d| d.pending.is_empty()) {
                 self.ready.remove(&dest);
                 continue;
             }
-            self.probe(dest, out);
-            if let Some(c) = self.candidate(dest) {
-                choices.insert(dest, c);
+            self.send_probes(dest, out);
+            if let Some(choice) = self.choose(dest) {
+                choices.insert(dest, choice);
             }
         }
-        while self.used < self.set.slots {
+        while self.slots_used < self.settings.slots {
             let best = choices.iter().rev().max_by(|a, b| a.1.rank.total_cmp(&b.1.rank));
             let Some((dest, choice)) = best.map(|(d, c)| (*d, *c)) else { break };
-            // Sends only narrow what others may do, so only the best needs a second look.
-            let still = self.candidate(dest);
-            if still == Some(choice) {
+            // A send only narrows what other destinations may do, so only the best choice is checked again.
+            let current = self.choose(dest);
+            if current == Some(choice) {
                 self.send(choice, out);
             }
-            match if still == Some(choice) { self.candidate(dest) } else { still } {
-                Some(c) => choices.insert(dest, c),
+            match if current == Some(choice) { self.choose(dest) } else { current } {
+                Some(next) => choices.insert(dest, next),
                 None => choices.remove(&dest),
             };
         }
     }
 
-    /// Guards against idle connections keeping others out where an endpoint takes few: once a kind refused
-    /// one at once, none is kept idle for a while. Costs a handshake a call. What was down all together is
-    /// no sign.
-    fn let_go(&mut self, out: &mut Vec<Action>) {
-        for id in std::mem::take(&mut self.idle) {
-            let Some(e) = self.endpoints.get_mut(&id) else { continue };
-            let (Some(d), Some(l)) = (self.dests.get(&e.dest), self.lanes.get(&e.lane)) else { continue };
-            let busy = d.share.get(self.now) * l.latency.mean() / 1e6 / d.endpoints.len() as f64;
-            let rare = e.out == 0 && busy < IDLE_PART * (1.0 - TABLE_LEAST / self.set.senders as f64);
-            let mut scarce = self.scarce.iter().filter(|((kind, _), _)| *kind == e.kind);
-            let scarce = rare && scarce.any(|(_, t)| self.now - t <= SCARCE);
-            if e.crowded == Some(self.now) || scarce {
-                e.conns = e.out;
+    /// Closes idle connections where they are scarce. Guards against idle connections keeping other senders
+    /// out of an endpoint that takes few: after a kind has refused one at once, none to it is kept idle for a
+    /// while. That costs a handshake for each call. Refusals while a whole lane was down are not counted.
+    fn close_idle_connections(&mut self, out: &mut Vec<Action>) {
+        for id in std::mem::take(&mut self.maybe_idle) {
+            let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
+            let Some(destination) = self.destinations.get(&endpoint.dest) else { continue };
+            let Some(lane) = self.lanes.get(&endpoint.lane) else { continue };
+            let calls_per_s = destination.traffic.per_second(self.now);
+            let utilization = calls_per_s * lane.latency.mean_us() / 1e6 / destination.endpoints.len() as f64;
+            let senders = self.settings.senders as f64;
+            let min_utilization = MIN_KEPT_UTILIZATION * (1.0 - MIN_TABLE_CONNECTIONS / senders);
+            let rarely_used = endpoint.in_flight == 0 && utilization < min_utilization;
+            let kind = endpoint.kind;
+            let mut refused = self.connections_refused.iter().filter(|((k, _), _)| *k == kind);
+            let scarce = rarely_used && refused.any(|(_, t)| self.now - t <= CONNECTIONS_SCARCE_US);
+            if endpoint.connection_refused_at == Some(self.now) || scarce {
+                endpoint.connections = endpoint.in_flight;
                 out.push(Action::CloseIdle { endpoint: id });
             }
         }
     }
 
-    /// One call: this message, and where the kind batches, others of the hold that may share its fate. Past
-    /// an answer's ordinary time it lasts no longer than any of them: an answer that comes after one is over
-    /// may speak for none, and does not where that one stands first. So the first has the most time left.
+    /// Sends one call with this message and, where the kind batches, with other pending messages that may
+    /// share it. Beyond the usual timeout a call lasts no longer than the least time left of its messages: an
+    /// answer after one has ended may hold for none of them, and holds for none if that one comes first. So
+    /// the message with the most time left comes first.
     fn send(&mut self, choice: Choice, out: &mut Vec<Action>) {
-        let (now, Choice { id, endpoint, careful, .. }) = (self.now, choice);
-        let e = &self.endpoints[&endpoint];
-        let (dest, kind, trial) = (e.dest, e.kind, e.trouble.is_some());
-        let most = if trial { 1 } else { self.set.batch(kind) as usize };
-        let others = self.dests[&dest].hold.iter().map(|(_, other)| *other);
-        let others = others.filter(|other| *other != id && self.fits(*other, endpoint, careful));
-        let Some(lane) = self.lanes.get(&e.lane) else { return };
-        let patience = (TIMEOUT * lane.latency.p99()).max(TIMEOUT_LEAST) as Micros;
-        let left = |id: &MsgId| self.msgs[id].deadline - now;
-        let mut batch: Vec<MsgId> = [id].into_iter().chain(others).take(most).collect();
-        batch.sort_by_key(|id| std::cmp::Reverse(left(id)));
-        let longest = batch.last().map_or(0, left).max(patience);
-        let repeatable = batch.iter().all(|id| self.repeatable(&self.msgs[id]));
-        self.seq += 1;
-        let (call, left) = (self.seq, batch.len() as u32);
-        self.used += 1;
-        let Some(e) = self.endpoints.get_mut(&endpoint) else { return };
-        let Some(lane) = self.lanes.get_mut(&e.lane) else { return };
-        if now - e.used >= self.set.idle_close && e.out == 0 {
-            e.conns = 0;
-        }
-        let rested = if !trial && e.out < e.conns { now - e.used } else { 0 };
-        let fresh = Call { endpoint, sent: now, left, trial, rested, repeatable, ..Call::default() };
-        self.calls.insert(call, fresh);
-        e.out += 1;
-        e.used = now;
-        e.turn.take(now);
-        e.conns = e.conns.max(e.out.div_ceil(self.set.streams_per_conn.max(1)));
-        if let Some(t) = &mut e.trouble {
-            t.trial = Some(now);
-        }
-        for w in e.warm.iter_mut().chain(&mut lane.back) {
-            w.tokens -= 1.0 + BATCH_WEIGHT * (batch.len() - 1) as f64;
-        }
-        lane.out += 1;
+        let (now, Choice { id, endpoint: endpoint_id, excludes_unsafe, .. }) = (self.now, choice);
+        let endpoint = &self.endpoints[&endpoint_id];
+        let (dest, kind, is_trial) = (endpoint.dest, endpoint.kind, endpoint.unhealthy.is_some());
+        let max_batch = if is_trial { 1 } else { self.settings.max_batch(kind) as usize };
+        let others = self.destinations[&dest].pending.iter().map(|(_, other)| *other);
+        let others =
+            others.filter(|other| *other != id && self.may_send(*other, endpoint_id, excludes_unsafe));
+        let Some(lane) = self.lanes.get(&endpoint.lane) else { return };
+        let usual_timeout = (TIMEOUT_P99_FACTOR * lane.latency.p99_us()).max(MIN_TIMEOUT_US) as Micros;
+        let time_left = |id: &MsgId| self.messages[id].deadline - now;
+        let mut batch: Vec<MsgId> = [id].into_iter().chain(others).take(max_batch).collect();
+        batch.sort_by_key(|id| std::cmp::Reverse(time_left(id)));
+        let longest_timeout = batch.last().map_or(0, time_left).max(usual_timeout);
+        let repeatable = batch.iter().all(|id| self.is_repeatable(&self.messages[id]));
+        self.sequence += 1;
+        let (call_number, open_attempts) = (self.sequence, batch.len() as u32);
+        self.slots_used += 1;
+        let Some(endpoint) = self.endpoints.get_mut(&endpoint_id) else { return };
+        let Some(lane) = self.lanes.get_mut(&endpoint.lane) else { return };
+        if now - endpoint.last_used >= self.settings.idle_close && endpoint.in_flight == 0 {
+            endpoint.connections = 0;
+        }
+        let reuses_connection = !is_trial && endpoint.in_flight < endpoint.connections;
+        let connection_idle = if reuses_connection { now - endpoint.last_used } else { 0 };
+        let call = Call {
+            endpoint: endpoint_id,
+            sent: now,
+            open_attempts,
+            is_trial,
+            connection_idle,
+            repeatable,
+            ..Call::default()
+        };
+        self.calls.insert(call_number, call);
+        endpoint.in_flight += 1;
+        endpoint.last_used = now;
+        endpoint.rotation.take_turn(now);
+        let needed_connections = endpoint.in_flight.div_ceil(self.settings.streams_per_conn.max(1));
+        endpoint.connections = endpoint.connections.max(needed_connections);
+        if let Some(unhealthy) = &mut endpoint.unhealthy {
+            unhealthy.trial_sent = Some(now);
+        }
+        for warm_up in endpoint.warm_up.iter_mut().chain(&mut lane.warm_up) {
+            warm_up.tokens -= 1.0 + WARM_UP_BATCH_WEIGHT * (batch.len() - 1) as f64;
+        }
+        lane.in_flight += 1;
         lane.tokens -= 1.0;
-        self.agenda.insert((now + lane.latency.silence() as Micros + 1, Due::Call(call)));
+        let stalls_at = now + lane.latency.stall_threshold_us() as Micros + 1;
+        self.schedule.insert((stalls_at, Check::Call(call_number)));
         for id in batch {
-            let Some(msg) = self.msgs.get_mut(&id) else { continue };
-            let class = self.set.classes.get(msg.class).cloned().unwrap_or_default();
+            let Some(message) = self.messages.get_mut(&id) else { continue };
+            let class = self.settings.classes.get(message.class).cloned().unwrap_or_default();
             let timeout = match class.effect {
-                Effect::Safe => patience,
-                Effect::Keyed => patience.min((class.window as f64 * WINDOW_PART) as Micros),
-                Effect::Unsafe => longest,
+                Effect::Safe => usual_timeout,
+                Effect::Keyed => usual_timeout.min((class.window as f64 * WINDOW_ATTEMPT_SHARE) as Micros),
+                Effect::Unsafe => longest_timeout,
             };
-            let timeout = timeout.min(longest).clamp(1, (msg.deadline - now).max(1));
-            msg.out.push(Attempt { no: msg.attempts, call, sent: now });
-            msg.attempts += 1;
-            if let Some(d) = self.dests.get_mut(&dest) {
-                d.hold.remove(&(msg.seq, id));
+            let timeout = timeout.min(longest_timeout).clamp(1, (message.deadline - now).max(1));
+            message.in_flight.push(Attempt { number: message.attempts, call: call_number, sent: now });
+            message.attempts += 1;
+            if let Some(destination) = self.destinations.get_mut(&dest) {
+                destination.pending.remove(&(message.sequence, id));
             }
-            out.push(Action::Send { call, id, endpoint, timeout });
+            out.push(Action::Send { call: call_number, id, endpoint: endpoint_id, timeout });
         }
     }
 
-    /// Short of room, what earns least is shed first.
-    fn make_room(&mut self, out: &mut Vec<Action>) {
-        let room = ((self.set.max_open as f64 * ROOM).ceil() as usize).max(1);
-        let most = (self.set.max_open as usize).saturating_sub(room).max(1);
-        if self.open <= most {
+    /// Sheds pending messages when too many are open, those of the least worth first.
+    fn shed_excess(&mut self, out: &mut Vec<Action>) {
+        let room = ((self.settings.max_open as f64 * FREE_ROOM_SHARE).ceil() as usize).max(1);
+        let max_open = (self.settings.max_open as usize).saturating_sub(room).max(1);
+        if self.open_messages <= max_open {
             return;
         }
-        let held = self.dests.values().flat_map(|d| &d.hold).map(|(_, id)| (*id, &self.msgs[id]));
-        let held = held.filter(|(_, msg)| self.may_refuse(msg) && !msg.owed);
-        let mut held: Vec<(f64, MsgId)> = held.map(|(id, msg)| (self.worth(msg, 0.0), id)).collect();
-        held.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
-        for (_, id) in held.into_iter().take(self.open - most) {
+        let pending = self.destinations.values().flat_map(|d| &d.pending);
+        let pending = pending.map(|(_, id)| (*id, &self.messages[id]));
+        let sheddable = pending.filter(|(_, message)| self.may_refuse(message) && !message.restored_untried);
+        let mut sheddable: Vec<(f64, MsgId)> =
+            sheddable.map(|(id, message)| (self.worth_after(message, 0.0), id)).collect();
+        sheddable.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
+        for (_, id) in sheddable.into_iter().take(self.open_messages - max_open) {
             self.finish(id, out);
         }
     }
 
     fn set_timer(&mut self, out: &mut Vec<Action>) {
-        let Some(at) = self.agenda.first().map(|(at, _)| (*at).max(self.now + 1)) else { return };
-        if self.wake <= self.now || at < self.wake {
-            self.wake = at;
+        let Some(at) = self.schedule.first().map(|(at, _)| (*at).max(self.now + 1)) else { return };
+        if self.timer_at <= self.now || at < self.timer_at {
+            self.timer_at = at;
             out.push(Action::Timer { at, token: 0 });
         }
     }
 }
 
 impl Endpoint {
-    /// Share of its calls that failed and may have run, as of now.
-    fn burnt_share(&self, now: Micros) -> f64 {
-        self.burnt * (-((now - self.burnt_at) as f64) / BURN_MEMORY).exp()
+    /// Returns the share of its calls that failed and may have run, as of now.
+    fn ambiguous_share(&self, now: Micros) -> f64 {
+        self.ambiguous_share * (-((now - self.ambiguous_share_at) as f64) / AMBIGUOUS_MEMORY_US).exp()
     }
-    /// Guards against burning unsafe messages one by one: an endpoint that fails part of its calls answers
-    /// the rest, and looks well after each success. Repeatable messages find out, unsafe ones wait a while.
-    fn burns_until(&self) -> Micros {
-        let fades = (self.burnt / BURN_LIMIT).max(1.0).ln() * BURN_MEMORY;
-        if fades > 0.0 { self.burnt_at + fades as Micros + 1 } else { Micros::MIN }
+    /// Returns until when unsafe messages keep off. Guards against losing unsafe messages one by one: an
+    /// endpoint that fails part of its calls answers the others, and looks healthy after each success.
+    /// Repeatable messages test it in the meantime.
+    fn no_unsafe_until(&self) -> Micros {
+        let decay_us = (self.ambiguous_share / MAX_AMBIGUOUS_SHARE).max(1.0).ln() * AMBIGUOUS_MEMORY_US;
+        if decay_us > 0.0 { self.ambiguous_share_at + decay_us as Micros + 1 } else { Micros::MIN }
     }
 }
 
-impl Trouble {
-    fn new(now: Micros, harmless: bool, gap: f64) -> Self {
-        let mut t = Trouble { backoff: TRIAL_FIRST / 2, harmless, ..Trouble::default() };
-        t.again(now, gap);
-        t
+impl Unhealthy {
+    fn new(now: Micros, nothing_ran: bool, gap: f64) -> Self {
+        let mut unhealthy =
+            Unhealthy { backoff: FIRST_TRIAL_BACKOFF_US / 2, nothing_ran, ..Unhealthy::default() };
+        unhealthy.back_off(now, gap);
+        unhealthy
     }
-    /// A trial or probe came to nothing: the next one waits longer.
-    fn again(&mut self, now: Micros, gap: f64) {
-        (self.trial, self.probed) = (None, false);
-        self.backoff = (self.backoff * 2).min(TRIAL_MOST);
-        self.next = now + self.backoff.max(gap as Micros);
+    /// Ends a trial or probe without success and doubles the time until the next one.
+    fn back_off(&mut self, now: Micros, gap: f64) {
+        (self.trial_sent, self.probed) = (None, false);
+        self.backoff = (self.backoff * 2).min(MAX_TRIAL_BACKOFF_US);
+        self.next_trial = now + self.backoff.max(gap as Micros);
     }
-    /// All who were told the same end of a wait would come at once: each adds a gap of its own.
-    fn after(&mut self, wait_until: Micros, gap: f64) {
-        if self.next < wait_until {
-            self.next = wait_until + gap as Micros;
+    /// Delays the next trial past the end of a wait. Each sender adds a random gap of its own: otherwise all
+    /// senders that were given the same end would return at once.
+    fn delay_past(&mut self, wait_until: Micros, gap: f64) {
+        if self.next_trial < wait_until {
+            self.next_trial = wait_until + gap as Micros;
         }
     }
 }
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -1,105 +1,134 @@
-//! What is measured: rates, latencies, and what refusals say of connection tables. Data with no say in a decision;
-//! those that go by it are in `src/logic.rs`.
+//! Measurements: rates, latencies, and whether refusals point to a full connection table. The decisions that
+//! use them are in `src/logic.rs`.
 
 use crate::interface::Micros;
 use crate::state::{Latency, Rate};
 
-const SURE_AFTER: f64 = 8e6; // less than this seen of a rate counts as if it were as much
-const SURE: f64 = 1.0; // deviations by which chance may have raised a rate
-const LATENCY_GAIN: f64 = 0.04; // weight of a new latency sample once there are many
-const P99_UNKNOWN: f64 = 2e6; // assumed p99 before the first sample
-/// Calls after which a share of refusals is mostly of what came since.
-const TABLE_MEMORY: f64 = 16.0;
-/// Calls on new connections that must have been seen: a few refusals say little.
-const TABLE_SEEN: f64 = 6.0;
-/// Before any kept connection has been used, this share of its calls is taken to be refused.
-const TABLE_PRIOR: f64 = 0.2;
-/// Share of the calls by new connections that are refused where tables are full, and how many times that of kept
-/// ones it is: a limit refuses both alike, a full table only new ones.
-const TABLE_SHARE: f64 = 0.6;
-const TABLE_RATIO: f64 = 3.0;
+/// A rate observed for less time than this is scaled down, as if the rest of the span had been empty.
+const FULL_CONFIDENCE_AFTER_US: f64 = 8e6;
+/// Standard deviations subtracted from a rate for its lower bound.
+const LOWER_BOUND_DEVIATIONS: f64 = 1.0;
+/// Weight of a new latency sample once there are many.
+const LATENCY_GAIN: f64 = 0.04;
+/// Assumed p99 before the first sample.
+const DEFAULT_P99_US: f64 = 2e6;
+/// Time constant, in calls, of the decay of refusal counts.
+const TABLE_MEMORY_CALLS: f64 = 16.0;
+/// Minimum decayed count of calls on new connections: a few refusals are no evidence.
+const MIN_TABLE_CALLS: f64 = 6.0;
+/// Assumed share of refused calls on reused connections before any such call has been seen.
+const REUSED_REFUSAL_PRIOR: f64 = 0.2;
+/// With a full table, at least this share of the calls on new connections is refused, and at least
+/// `MIN_REFUSAL_RATIO` times the share on reused ones: a rate limit refuses both alike, a full table only new
+/// ones.
+const MIN_REFUSED_SHARE: f64 = 0.6;
+const MIN_REFUSAL_RATIO: f64 = 3.0;
 
 impl Rate {
-    pub(crate) fn new(now: Micros, memory: f64) -> Self {
-        Rate { born: now, at: now, value: 0.0, memory }
+    pub(crate) fn new(now: Micros, memory_us: f64) -> Self {
+        Rate { created_at: now, updated_at: now, value: 0.0, memory_us }
     }
-    /// As if so many a second had been seen for the span of its memory.
-    pub(crate) fn known(now: Micros, memory: f64, rate: f64) -> Self {
-        Rate { born: now - memory as Micros, at: now, value: rate * (1.0 - (-1.0_f64).exp()), memory }
+    /// Returns a rate as if `per_second` had been observed for the span of its memory.
+    pub(crate) fn with_history(now: Micros, memory_us: f64, per_second: f64) -> Self {
+        Rate {
+            created_at: now - memory_us as Micros,
+            updated_at: now,
+            value: per_second * (1.0 - (-1.0_f64).exp()),
+            memory_us,
+        }
     }
-    pub(crate) fn add(&mut self, now: Micros) {
-        self.value = self.value * (-((now - self.at) as f64) / self.memory).exp() + 1e6 / self.memory;
-        self.at = now;
+    /// Records one event.
+    pub(crate) fn record(&mut self, now: Micros) {
+        self.value =
+            self.value * (-((now - self.updated_at) as f64) / self.memory_us).exp() + 1e6 / self.memory_us;
+        self.updated_at = now;
     }
-    pub(crate) fn get(&self, now: Micros) -> f64 {
-        let age = (now - self.born).max(1_000_000) as f64;
-        self.value * (-((now - self.at) as f64) / self.memory).exp() / (1.0 - (-age / self.memory).exp())
+    /// Returns the events a second, corrected for a history shorter than the memory.
+    pub(crate) fn per_second(&self, now: Micros) -> f64 {
+        let age = (now - self.created_at).max(1_000_000) as f64;
+        self.value * (-((now - self.updated_at) as f64) / self.memory_us).exp()
+            / (1.0 - (-age / self.memory_us).exp())
     }
-    /// What it most likely is at least: few events say little.
-    pub(crate) fn sure(&self, now: Micros) -> f64 {
-        let rate = self.get(now) * ((now - self.born) as f64 / SURE_AFTER).min(1.0);
-        rate - SURE * (rate * 1e6 / self.memory).sqrt()
+    /// Returns a rate that the true one most likely exceeds; it is low while few events have been seen.
+    pub(crate) fn lower_bound(&self, now: Micros) -> f64 {
+        let rate =
+            self.per_second(now) * ((now - self.created_at) as f64 / FULL_CONFIDENCE_AFTER_US).min(1.0);
+        rate - LOWER_BOUND_DEVIATIONS * (rate * 1e6 / self.memory_us).sqrt()
     }
 }
 
 impl Latency {
-    pub(crate) fn learn(&mut self, elapsed: Micros) {
-        let x = elapsed.max(1_000) as f64;
-        self.recent = if self.n == 0.0 { x } else { self.recent + 0.3 * (x - self.recent) };
-        // A slow spell widens the picture only little by little: the sized latency is that of health.
-        let l = if self.n < 8.0 { x.ln() } else { x.ln().min(self.p99().ln() + 0.7) };
-        let gain = (1.0 / (self.n + 1.0)).max(LATENCY_GAIN);
-        let d = l - self.mu;
-        self.mu += gain * d;
-        self.var = (1.0 - gain) * (self.var + gain * d * d);
-        self.n += 1.0;
+    /// Records the latency of one answered call.
+    pub(crate) fn record(&mut self, elapsed: Micros) {
+        let sample_us = elapsed.max(1_000) as f64;
+        self.recent_us =
+            if self.samples == 0.0 { sample_us } else { self.recent_us + 0.3 * (sample_us - self.recent_us) };
+        // Samples far above the p99 are capped, so that a slow spell widens the distribution only gradually:
+        // pools are sized for healthy latency.
+        let log_sample =
+            if self.samples < 8.0 { sample_us.ln() } else { sample_us.ln().min(self.p99_us().ln() + 0.7) };
+        let gain = (1.0 / (self.samples + 1.0)).max(LATENCY_GAIN);
+        let deviation = log_sample - self.log_mean;
+        self.log_mean += gain * deviation;
+        self.log_variance = (1.0 - gain) * (self.log_variance + gain * deviation * deviation);
+        self.samples += 1.0;
     }
-    pub(crate) fn p99(&self) -> f64 {
-        let learnt = (self.mu + 2.33 * self.var.sqrt()).exp() * (1.0 + 3.0 / (self.n + 1.0));
-        if self.n == 0.0 { P99_UNKNOWN } else { learnt }
+    /// Returns the estimated p99, with a margin that shrinks as samples accumulate.
+    pub(crate) fn p99_us(&self) -> f64 {
+        let estimate =
+            (self.log_mean + 2.33 * self.log_variance.sqrt()).exp() * (1.0 + 3.0 / (self.samples + 1.0));
+        if self.samples == 0.0 { DEFAULT_P99_US } else { estimate }
     }
-    pub(crate) fn mean(&self) -> f64 {
-        if self.n == 0.0 { P99_UNKNOWN / 4.0 } else { (self.mu + self.var / 2.0).exp() }
+    pub(crate) fn mean_us(&self) -> f64 {
+        if self.samples == 0.0 {
+            DEFAULT_P99_US / 4.0
+        } else {
+            (self.log_mean + self.log_variance / 2.0).exp()
+        }
     }
-    pub(crate) fn slow(&self) -> bool {
-        self.n > 0.0 && self.recent > self.p99()
+    /// Returns whether the latest answers took longer than the p99.
+    pub(crate) fn is_slow(&self) -> bool {
+        self.samples > 0.0 && self.recent_us > self.p99_us()
     }
 }
 
-/// Calls of one sort, and how many of them were refused, fading.
+/// Decaying counts of calls and of how many of them were refused.
 #[derive(Clone, Copy, Debug, Default)]
 struct Refusals {
-    all: f64,
+    calls: f64,
     refused: f64,
 }
 
 impl Refusals {
-    fn learn(&mut self, refused: bool) {
-        let kept = 1.0 - 1.0 / TABLE_MEMORY;
-        self.all = self.all * kept + 1.0;
-        self.refused = self.refused * kept + f64::from(u8::from(refused));
+    fn record(&mut self, refused: bool) {
+        let decay = 1.0 - 1.0 / TABLE_MEMORY_CALLS;
+        self.calls = self.calls * decay + 1.0;
+        self.refused = self.refused * decay + f64::from(u8::from(refused));
     }
 }
 
-/// Whether an endpoint kind's connection tables are full, as far as refusals tell: by new connections, by kept ones.
+/// Estimates from refusals whether the connection tables of an endpoint kind are full. Calls on new and on
+/// reused connections are counted separately.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Tables {
+pub(crate) struct ConnectionTables {
     new: Refusals,
-    kept: Refusals,
+    reused: Refusals,
 }
 
-impl Tables {
-    /// A call was answered, on a new connection or a kept one.
-    pub(crate) fn learn(&mut self, new: bool, refused: bool) {
-        if new { &mut self.new } else { &mut self.kept }.learn(refused);
+impl ConnectionTables {
+    /// Records an answered call on a new or a reused connection.
+    pub(crate) fn record(&mut self, new: bool, refused: bool) {
+        if new { &mut self.new } else { &mut self.reused }.record(refused);
     }
 
-    /// New connections are refused, and kept ones serve.
-    pub(crate) fn full(&self) -> bool {
-        let Tables { new, kept } = self;
-        let refused = new.refused / new.all.max(1.0);
-        let kept = (kept.refused + TABLE_PRIOR) / (kept.all + 1.0);
-        new.all >= TABLE_SEEN && refused >= TABLE_SHARE && refused >= TABLE_RATIO * kept
+    /// Returns whether calls on new connections are refused while reused connections still work.
+    pub(crate) fn are_full(&self) -> bool {
+        let ConnectionTables { new, reused } = self;
+        let refused = new.refused / new.calls.max(1.0);
+        let refused_reused = (reused.refused + REUSED_REFUSAL_PRIOR) / (reused.calls + 1.0);
+        new.calls >= MIN_TABLE_CALLS
+            && refused >= MIN_REFUSED_SHARE
+            && refused >= MIN_REFUSAL_RATIO * refused_reused
     }
 }
 
@@ -109,42 +138,49 @@
 
     #[test]
     fn a_limit_that_refuses_all_alike_is_no_full_table() {
-        for refused_kept in [0, 1, 3, 4] {
-            let mut t = Tables::default();
+        for refused_reused in [0, 1, 3, 4] {
+            let mut tables = ConnectionTables::default();
             for i in 0..40 {
-                t.learn(true, i % 4 != 0);
-                t.learn(false, i % 8 < refused_kept);
+                tables.record(true, i % 4 != 0);
+                tables.record(false, i % 8 < refused_reused);
             }
-            assert_eq!(t.full(), refused_kept <= 1, "{refused_kept} of eight kept ones refused");
+            assert_eq!(
+                tables.are_full(),
+                refused_reused <= 1,
+                "{refused_reused} of 8 calls on reused connections refused"
+            );
         }
     }
 
     #[test]
-    fn few_calls_say_nothing_and_what_changes_is_learnt() {
-        let mut t = Tables::default();
-        (0..6).for_each(|_| t.learn(true, true));
-        assert!(!t.full());
-        (0..4).for_each(|_| t.learn(true, true));
-        assert!(t.full());
-        (0..2).for_each(|_| t.learn(false, true));
-        assert!(!t.full(), "kept ones are refused as well");
-        (0..16).for_each(|_| t.learn(false, false));
-        assert!(t.full());
-        (0..16).for_each(|_| t.learn(true, false));
-        assert!(!t.full());
+    fn few_calls_are_no_evidence_and_later_calls_outweigh_earlier_ones() {
+        let mut tables = ConnectionTables::default();
+        (0..6).for_each(|_| tables.record(true, true));
+        assert!(!tables.are_full());
+        (0..4).for_each(|_| tables.record(true, true));
+        assert!(tables.are_full());
+        (0..2).for_each(|_| tables.record(false, true));
+        assert!(!tables.are_full(), "calls on reused connections are refused as well");
+        (0..16).for_each(|_| tables.record(false, false));
+        assert!(tables.are_full());
+        (0..16).for_each(|_| tables.record(true, false));
+        assert!(!tables.are_full());
     }
 
     #[test]
-    fn a_rate_fades_and_a_p99_lies_above_the_mean() {
+    fn a_rate_decays_and_a_p99_lies_above_the_mean() {
         let mut rate = Rate::new(0, 8e6);
-        (1..=80).for_each(|i| rate.add(i * 100_000));
-        assert!((9.0..11.0).contains(&rate.get(8_000_000)) && rate.sure(8_000_000) < rate.get(8_000_000));
-        assert!(rate.get(24_000_000) < 2.0);
+        (1..=80).for_each(|i| rate.record(i * 100_000));
+        assert!(
+            (9.0..11.0).contains(&rate.per_second(8_000_000))
+                && rate.lower_bound(8_000_000) < rate.per_second(8_000_000)
+        );
+        assert!(rate.per_second(24_000_000) < 2.0);
         let mut latency = Latency::default();
-        assert!(!latency.slow());
-        (0..50).for_each(|i| latency.learn(90_000 + 1_000 * (i % 20)));
-        assert!(latency.p99() > latency.mean() && (90_000.0..120_000.0).contains(&latency.mean()));
-        (0..3).for_each(|_| latency.learn(900_000));
-        assert!(latency.slow());
+        assert!(!latency.is_slow());
+        (0..50).for_each(|i| latency.record(90_000 + 1_000 * (i % 20)));
+        assert!(latency.p99_us() > latency.mean_us() && (90_000.0..120_000.0).contains(&latency.mean_us()));
+        (0..3).for_each(|_| latency.record(900_000));
+        assert!(latency.is_slow());
     }
 }
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,20 +1,21 @@
-//! Random numbers that follow from a seed. They serve to spread senders apart, not to keep secrets.
+//! A seeded random number generator. It spreads the senders' decisions; it is not for secrets.
 
-/// A generator (xorshift64).
+/// An xorshift64 generator.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Random(u64);
 
 impl Random {
-    /// Neighbouring seeds give unlike numbers from the first on (the finalizer of SplitMix64).
+    /// Returns a generator whose first numbers differ even between neighbouring seeds: the seed goes through
+    /// the finalizer of SplitMix64.
     pub(crate) fn new(seed: u64) -> Self {
         let mixed = (seed ^ (seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        // The generator stays at 0 for ever.
+        // A state of 0 would stay 0 for ever.
         Random((mixed ^ (mixed >> 31)) | 1)
     }
 
-    /// The next number, from 0 to 1.
-    pub(crate) fn chance(&mut self) -> f64 {
+    /// Returns the next number, from 0 (included) to 1 (excluded).
+    pub(crate) fn next_unit(&mut self) -> f64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
@@ -27,12 +28,12 @@
     use super::*;
 
     #[test]
-    fn numbers_of_neighbouring_seeds_lie_apart_and_evenly() {
-        let first: Vec<f64> = (0..1_000).map(|seed| Random::new(seed).chance()).collect();
+    fn first_numbers_of_neighbouring_seeds_are_spread_evenly() {
+        let first: Vec<f64> = (0..1_000).map(|seed| Random::new(seed).next_unit()).collect();
         assert!(first.iter().all(|x| (0.0..1.0).contains(x)));
         let mean = first.iter().sum::<f64>() / 1_000.0;
         let step = first.windows(2).map(|pair| (pair[0] - pair[1]).abs()).sum::<f64>() / 999.0;
-        // Of numbers without order the mean is a half and the mean step a third.
+        // Independent uniform numbers have a mean of 1/2 and a mean step of 1/3.
         assert!((0.45..0.55).contains(&mean) && (0.28..0.38).contains(&step), "{mean} {step}");
     }
 }
