--- a/src/rotation.rs
+++ b/src/rotation.rs
@@ -1,94 +1,115 @@
-//! The rotation over endpoints that cost a sender the same: which of them is next. It does no I/O, and it knows one endpoint at a time.
+//! The rotation over endpoints that cost a sender the same: decides which one is next. It does no I/O and
+//! sees one endpoint at a time.
 //!
-//! Each sender goes round its endpoints and begins at a place of its own, so that many senders add up to an even load
-//! though none sees much of it (`docs/design/even.md`). What is known of an endpoint's pace fades to "not known".
+//! Each sender rotates over its endpoints and starts at a random place, so that the load of many senders adds
+//! up evenly although each sees little of it (`docs/design/even.md`). What is known of an endpoint's speed
+//! decays.
 
 use crate::interface::Micros;
 
-/// Endpoints of a first list come into the rotation within this span before.
-const FIRST_LIST_SPAN: f64 = 1e7;
-/// Memory of how much slower than its lane an endpoint answers.
-const LAG_MEMORY: f64 = 3e7;
-/// How much slower, in logarithms, is no sign: single answers differ by as much.
-const LAG_SLACK: f64 = 0.4;
+/// Endpoints of a first list get a random last turn within this span before now.
+const FIRST_LIST_SPAN_US: f64 = 1e7;
+/// Time constant of the decay of an endpoint's measured slowness.
+const SLOWNESS_MEMORY_US: f64 = 3e7;
+/// Slowness up to this logarithm is ignored: single answers differ by as much.
+const SLOWNESS_TOLERANCE: f64 = 0.4;
 
-/// An endpoint's place in the rotation: when it was used last, and how fast it answers.
+/// An endpoint's place in the rotation: its last turn and how slowly it answers.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub(crate) struct Turn {
-    /// When it last had its turn; at first a random time before.
-    last: Micros,
-    /// Listed beside others, it takes its turns in full from then on.
+pub(crate) struct RotationPlace {
+    /// When it last had its turn; initially a random time.
+    last_turn: Micros,
+    /// Until this time an endpoint that joined others is new and has no full share of turns.
     new_until: Micros,
-    /// Then a first connection to it is worth its price.
-    eager: bool,
-    /// How much slower than its lane it answered, in logarithms: the sum and its weight, both fading, as of when.
-    lag: f64,
-    weight: f64,
-    at: Micros,
+    /// A first connection to it is worth its price once it is no longer new.
+    wants_connection: bool,
+    /// Decaying sum of the logarithms of how many times slower than its lane it answered, as of
+    /// `slowness_at`.
+    log_slowness_sum: f64,
+    /// Decaying number of the answers in that sum.
+    answers: f64,
+    slowness_at: Micros,
 }
 
-impl Turn {
-    /// One of a first list comes in anywhere, so that senders that all get the same list do not all begin with the same
-    /// line of it. `place` is from 0 to 1, by the sender's own seed.
-    pub(crate) fn first(now: Micros, place: f64) -> Turn {
-        Turn { last: now - (place * FIRST_LIST_SPAN) as Micros, new_until: Micros::MIN, ..Turn::default() }
+impl RotationPlace {
+    /// Places an endpoint of a first list at random, so that senders that receive the same list do not all
+    /// begin with the same endpoint. `place` is a random number from 0 to 1.
+    pub(crate) fn in_first_list(now: Micros, place: f64) -> RotationPlace {
+        RotationPlace {
+            last_turn: now - (place * FIRST_LIST_SPAN_US) as Micros,
+            new_until: Micros::MIN,
+            ..RotationPlace::default()
+        }
     }
 
-    /// One that is listed beside others, which had their turns at those times. It looks idle to all senders in the same
-    /// moment: each puts it anywhere between the others and begins with it at a random time within a warm-up, and some
-    /// of them go there though their kept connections lead elsewhere. The two chances are from 0 to 1.
-    pub(crate) fn beside(now: Micros, mut others: Vec<Micros>, chances: (f64, f64), warm_up: Micros) -> Turn {
-        let (place, wait) = chances;
+    /// Places an endpoint that joins others, given the times of their last turns. It looks idle to all
+    /// senders at the same moment; so each sender places it at random between the others and begins to use it
+    /// at a random time within a warm-up, and some senders open a connection to it although they have
+    /// connections to others. `chances` are two random numbers from 0 to 1.
+    pub(crate) fn among(
+        now: Micros,
+        mut others: Vec<Micros>,
+        chances: (f64, f64),
+        warm_up: Micros,
+    ) -> RotationPlace {
+        let (place, delay) = chances;
         others.sort_unstable();
         let at = place * (others.len() + 1) as f64;
-        // The others have their turns meanwhile: its place goes with them, or it would get all that it missed at once.
-        let wait = (wait * warm_up as f64) as Micros;
-        let last = others.get(at as usize).map_or(now, |turn| turn - 1) + wait;
-        Turn { last, eager: at < 1.0, new_until: now + wait, ..Turn::default() }
+        // The others have turns during the delay. The new endpoint's last turn moves with it; otherwise it
+        // would get all turns that it missed at once.
+        let delay = (delay * warm_up as f64) as Micros;
+        let last_turn = others.get(at as usize).map_or(now, |turn| turn - 1) + delay;
+        RotationPlace {
+            last_turn,
+            wants_connection: at < 1.0,
+            new_until: now + delay,
+            ..RotationPlace::default()
+        }
     }
 
-    /// When it last had its turn.
-    pub(crate) fn last(&self) -> Micros {
-        self.last
+    /// Returns when it last had its turn.
+    pub(crate) fn last_turn(&self) -> Micros {
+        self.last_turn
     }
 
-    /// Whether it is still to be used only where the others are busy.
+    /// Returns whether it is still new, and used only while the others are busy.
     pub(crate) fn is_new(&self, now: Micros) -> bool {
         now < self.new_until
     }
 
-    /// Whether it is new, its time has come, and a first connection to it is worth its price.
-    pub(crate) fn is_due(&self, now: Micros) -> bool {
-        self.eager && !self.is_new(now)
+    /// Returns whether a first connection to it is worth its price now.
+    pub(crate) fn wants_connection(&self, now: Micros) -> bool {
+        self.wants_connection && !self.is_new(now)
     }
 
-    /// It has its turn.
-    pub(crate) fn take(&mut self, now: Micros) {
-        (self.last, self.eager) = (now, false);
+    /// Records that it has its turn.
+    pub(crate) fn take_turn(&mut self, now: Micros) {
+        (self.last_turn, self.wants_connection) = (now, false);
     }
 
-    /// A call took so many times as long as its lane's mean.
-    pub(crate) fn learn(&mut self, now: Micros, times: f64) {
-        let kept = self.kept(now);
-        self.lag = self.lag * kept + times.max(1e-3).ln();
-        (self.weight, self.at) = (self.weight * kept + 1.0, now);
+    /// Records an answer that took `ratio` times the mean of its lane.
+    pub(crate) fn record_latency(&mut self, now: Micros, ratio: f64) {
+        let decay = self.decay(now);
+        self.log_slowness_sum = self.log_slowness_sum * decay + ratio.max(1e-3).ln();
+        (self.answers, self.slowness_at) = (self.answers * decay + 1.0, now);
     }
 
-    /// For how long it has waited for its turn. One that answers slowly has fewer of them, never none.
-    pub(crate) fn waited(&self, now: Micros) -> f64 {
-        (now - self.last) as f64 / self.slowness(now).powi(3)
+    /// Returns how long it has waited for its turn, weighted: a slow endpoint has fewer turns, but always
+    /// some.
+    pub(crate) fn weighted_wait(&self, now: Micros) -> f64 {
+        (now - self.last_turn) as f64 / self.slowness(now).powi(3)
     }
 
-    fn kept(&self, now: Micros) -> f64 {
-        (-((now - self.at) as f64) / LAG_MEMORY).exp()
+    fn decay(&self, now: Micros) -> f64 {
+        (-((now - self.slowness_at) as f64) / SLOWNESS_MEMORY_US).exp()
     }
 
-    /// How many times slower than its lane it is taken to be: little is made of few answers, and of old ones nothing.
-    /// What is faster counts as even, so that none draws all.
+    /// Returns how many times slower than its lane it is assumed to be. Few answers count for little and old
+    /// ones for nothing. A faster endpoint counts as average, so that none attracts all calls.
     fn slowness(&self, now: Micros) -> f64 {
-        let kept = self.kept(now);
-        (self.lag * kept / (self.weight * kept + 1.0) - LAG_SLACK).max(0.0).exp()
+        let decay = self.decay(now);
+        (self.log_slowness_sum * decay / (self.answers * decay + 1.0) - SLOWNESS_TOLERANCE).max(0.0).exp()
     }
 }
 
@@ -99,39 +120,48 @@
     const S: Micros = 1_000_000;
 
     #[test]
-    fn slow_ones_wait_longer_until_that_is_forgotten() {
-        let (mut slow, mut well) = (Turn::first(0, 0.5), Turn::first(0, 0.5));
+    fn slow_endpoints_wait_longer_until_their_slowness_has_decayed() {
+        let (mut slow, mut normal) =
+            (RotationPlace::in_first_list(0, 0.5), RotationPlace::in_first_list(0, 0.5));
         for n in 1..=8 {
-            slow.learn(n * S, 3.0);
-            well.learn(n * S, 1.0);
+            slow.record_latency(n * S, 3.0);
+            normal.record_latency(n * S, 1.0);
         }
-        assert!(slow.waited(10 * S) < 0.5 * well.waited(10 * S));
-        assert!(slow.waited(10 * S) > 0.1 * well.waited(10 * S), "never none");
-        assert_eq!(slow.waited(200 * S), well.waited(200 * S));
+        assert!(slow.weighted_wait(10 * S) < 0.5 * normal.weighted_wait(10 * S));
+        assert!(
+            slow.weighted_wait(10 * S) > 0.1 * normal.weighted_wait(10 * S),
+            "a slow endpoint must still get turns"
+        );
+        assert_eq!(slow.weighted_wait(200 * S), normal.weighted_wait(200 * S));
     }
 
     #[test]
-    fn one_slow_answer_and_fast_ones_are_no_sign() {
-        let (mut once, mut fast) = (Turn::first(0, 0.5), Turn::first(0, 0.5));
-        once.learn(S, 2.0);
-        (1..=8).for_each(|n| fast.learn(n * S, 0.01));
-        assert_eq!(once.waited(2 * S), Turn::first(0, 0.5).waited(2 * S));
-        assert_eq!(fast.waited(9 * S), Turn::first(0, 0.5).waited(9 * S));
+    fn one_slow_answer_and_fast_answers_change_nothing() {
+        let (mut once, mut fast) =
+            (RotationPlace::in_first_list(0, 0.5), RotationPlace::in_first_list(0, 0.5));
+        once.record_latency(S, 2.0);
+        (1..=8).for_each(|n| fast.record_latency(n * S, 0.01));
+        assert_eq!(once.weighted_wait(2 * S), RotationPlace::in_first_list(0, 0.5).weighted_wait(2 * S));
+        assert_eq!(fast.weighted_wait(9 * S), RotationPlace::in_first_list(0, 0.5).weighted_wait(9 * S));
     }
 
     #[test]
-    fn newcomers_come_in_between_the_others_and_at_a_time_of_their_own() {
-        let at = |place, wait| Turn::beside(100 * S, vec![80 * S, 60 * S, 90 * S], (place, wait), 10 * S);
-        let places = [0.1, 0.3, 0.6, 0.9].map(|place| at(place, 0.0).last());
+    fn new_endpoints_join_between_the_others_at_a_random_time() {
+        let at = |place, delay| {
+            RotationPlace::among(100 * S, vec![80 * S, 60 * S, 90 * S], (place, delay), 10 * S)
+        };
+        let places = [0.1, 0.3, 0.6, 0.9].map(|place| at(place, 0.0).last_turn());
         assert_eq!(places, [60 * S - 1, 80 * S - 1, 90 * S - 1, 100 * S]);
-        assert_eq!(at(0.1, 0.5).last(), 65 * S - 1);
+        assert_eq!(at(0.1, 0.5).last_turn(), 65 * S - 1);
         assert!(
             !at(0.5, 0.0).is_new(100 * S) && at(0.5, 0.9).is_new(108 * S) && !at(0.5, 0.9).is_new(109 * S)
         );
-        // One in four goes there at once when its time has come.
+        // With three others, one sender in four opens a connection as soon as the delay is over.
         assert!(
-            at(0.1, 0.9).is_due(109 * S) && !at(0.1, 0.9).is_due(108 * S) && !at(0.3, 0.0).is_due(109 * S)
+            at(0.1, 0.9).wants_connection(109 * S)
+                && !at(0.1, 0.9).wants_connection(108 * S)
+                && !at(0.3, 0.0).wants_connection(109 * S)
         );
-        assert!(!Turn::first(0, 0.1).is_due(S));
+        assert!(!RotationPlace::in_first_list(0, 0.1).wants_connection(S));
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,114 +1,139 @@
-//! The plain data that the decisions in `src/logic.rs` are kept in. Nothing is decided here.
+//! The data behind the decisions in `src/logic.rs`; no decision is made here.
+//!
+//! The types that derive serde's traits are part of [`DispatcherState`](crate::DispatcherState) and
+//! [`InFlightCall`](crate::InFlightCall), which processes exchange at a handover in a format that stores
+//! fields and variants by position: their order and types are that format, their names are not.
 
 use crate::interface::*;
-use crate::rotation::Turn;
+use crate::rotation::RotationPlace;
 use std::collections::BTreeSet;
 
-/// What has one limit and one pool: a destination, or a route of it where routes are apart.
+/// Identifies a lane: the unit with one rate limit and one permit pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) enum LaneKey {
     #[default]
-    Nowhere,
-    Whole(DestId),
+    Unassigned,
+    /// A destination with all its endpoints.
+    Destination(DestId),
+    /// One endpoint, where the destination's endpoints are separate routes.
     Route(EndpointId),
 }
 
-/// Events a second, fading with its memory.
+/// Events a second, averaged with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Rate {
-    pub(crate) born: Micros,
-    pub(crate) at: Micros,
+    pub(crate) created_at: Micros,
+    pub(crate) updated_at: Micros,
+    /// The decayed sum as of `updated_at`.
     pub(crate) value: f64,
-    pub(crate) memory: f64,
+    /// Time constant of the decay, in microseconds.
+    pub(crate) memory_us: f64,
 }
 
-/// Latency as a log-normal, which gives a p99 from few samples.
+/// Latency as a log-normal distribution, which yields a p99 from few samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Latency {
-    pub(crate) n: f64,
-    pub(crate) mu: f64,
-    pub(crate) var: f64,
-    pub(crate) recent: f64,
+    pub(crate) samples: f64,
+    pub(crate) log_mean: f64,
+    pub(crate) log_variance: f64,
+    /// Moving average of the latest samples, in microseconds.
+    pub(crate) recent_us: f64,
 }
 
-/// A lane's pool, pace and wait.
+/// A lane's permit pool, call budget, pace and health.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Lane {
     pub(crate) dest: DestId,
+    /// Advertised limit for all senders together, in calls a second.
     pub(crate) limit: Option<f64>,
     pub(crate) latency: Latency,
+    /// Size of the permit pool.
     pub(crate) permits: u32,
-    pub(crate) resized: Micros,
-    /// It has been sized by enough answers.
-    pub(crate) sized: bool,
-    pub(crate) out: u32,
+    pub(crate) resized_at: Micros,
+    /// The pool has been sized from enough answers.
+    pub(crate) is_sized: bool,
+    /// Calls in flight.
+    pub(crate) in_flight: u32,
+    /// End of the wait that the receiver asked for.
     pub(crate) wait_until: Micros,
+    /// Calls a second that this sender allows itself after refusals; infinite before the first.
     pub(crate) budget: f64,
+    /// Calls that the pace allows now.
     pub(crate) tokens: f64,
-    pub(crate) filled: Micros,
+    pub(crate) refilled_at: Micros,
+    /// Refill rate of `tokens`, in calls a second.
     pub(crate) pace: f64,
-    pub(crate) cut: Micros,
-    pub(crate) accepted: Rate,
-    /// The first failure since a success, at whichever of its endpoints; and that success.
-    pub(crate) bad: Option<Micros>,
-    pub(crate) last_ok: Micros,
-    /// All of it is taken to be out.
+    /// When a refusal last cut the budget.
+    pub(crate) budget_cut_at: Micros,
+    pub(crate) accepted_rate: Rate,
+    /// First failure since the last success, at any of the lane's endpoints.
+    pub(crate) failing_since: Option<Micros>,
+    pub(crate) last_success: Micros,
+    /// The whole lane is considered down.
     pub(crate) down: bool,
-    /// All of it was out, and is loaded bit by bit.
-    pub(crate) back: Option<Warm>,
+    /// The whole lane was down, has returned, and is loaded gradually.
+    pub(crate) warm_up: Option<WarmUp>,
 }
 
 impl Lane {
-    /// One that no refusal has taught anything.
-    pub(crate) fn unhindered(dest: DestId, now: Micros) -> Self {
-        Lane { dest, filled: now, budget: f64::INFINITY, ..Lane::default() }
+    /// Returns a lane whose budget no refusal has cut yet.
+    pub(crate) fn unrestricted(dest: DestId, now: Micros) -> Self {
+        Lane { dest, refilled_at: now, budget: f64::INFINITY, ..Lane::default() }
     }
 }
 
-/// A destination's demand and its hold, oldest first.
+/// A destination's demand and its pending messages.
 #[derive(Default)]
-pub(crate) struct Dest {
-    pub(crate) rate: Rate,
-    /// The same over a longer time: this sender's part of the traffic.
-    pub(crate) share: Rate,
-    pub(crate) hold: BTreeSet<(u64, MsgId)>,
+pub(crate) struct Destination {
+    /// Messages a second, over a short time.
+    pub(crate) arrival_rate: Rate,
+    /// Messages a second, over a longer time: this sender's part of the traffic.
+    pub(crate) traffic: Rate,
+    /// Messages that wait to be sent, oldest first.
+    pub(crate) pending: BTreeSet<(u64, MsgId)>,
     pub(crate) endpoints: BTreeSet<EndpointId>,
-    /// When it is next on the agenda.
-    pub(crate) look: Micros,
+    /// When the schedule next makes this destination ready.
+    pub(crate) next_check: Micros,
 }
 
-/// An endpoint under suspicion, and the trials by which it is asked.
+/// The state of an unhealthy endpoint, which receives only single trial calls and probes.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub(crate) struct Trouble {
-    pub(crate) next: Micros,
+pub(crate) struct Unhealthy {
+    /// Earliest time of the next trial or probe.
+    pub(crate) next_trial: Micros,
     pub(crate) backoff: Micros,
-    pub(crate) trial: Option<Micros>,
-    /// Only symptoms that prove nothing ran: an unsafe message may be the trial.
-    pub(crate) harmless: bool,
+    /// When the trial in flight was sent.
+    pub(crate) trial_sent: Option<Micros>,
+    /// All failures prove that nothing ran, so an unsafe message may be the trial.
+    pub(crate) nothing_ran: bool,
+    /// A probe is in flight.
     pub(crate) probing: bool,
+    /// The last probe succeeded.
     pub(crate) probed: bool,
-    /// Known from its lane alone: no call here has failed.
-    pub(crate) hearsay: bool,
+    /// Inferred from the state of its lane: no call to this endpoint has failed.
+    pub(crate) inferred: bool,
 }
 
-/// What came back, an endpoint or a lane, and is loaded bit by bit.
+/// The gradual return of an endpoint or a lane after an outage.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub(crate) struct Warm {
+pub(crate) struct WarmUp {
     pub(crate) since: Micros,
+    /// Calls that the pace allows now.
     pub(crate) tokens: f64,
+    /// Refill rate of `tokens`, in calls a second.
     pub(crate) pace: f64,
-    pub(crate) filled: Micros,
+    pub(crate) refilled_at: Micros,
 }
 
-impl Warm {
+impl WarmUp {
     pub(crate) fn new(since: Micros, now: Micros) -> Self {
-        Warm { since, tokens: 0.0, pace: 0.0, filled: now }
+        WarmUp { since, tokens: 0.0, pace: 0.0, refilled_at: now }
     }
 }
 
@@ -120,105 +145,130 @@
     pub(crate) dest: DestId,
     pub(crate) kind: usize,
     pub(crate) zone: usize,
+    /// The endpoint list names it as up.
     pub(crate) listed: bool,
-    pub(crate) out: u32,
-    pub(crate) used: Micros,
-    pub(crate) conns: u32,
-    /// When a connection was last refused beside a success.
-    pub(crate) crowded: Option<Micros>,
-    pub(crate) last_ok: Micros,
-    /// The first failure or refusal since a success.
-    pub(crate) first_bad: Option<Micros>,
-    pub(crate) fails: f64,
-    /// Share of its calls that failed and may have run, and as of when.
-    pub(crate) burnt: f64,
-    pub(crate) burnt_at: Micros,
-    pub(crate) trouble: Option<Trouble>,
-    pub(crate) warm: Option<Warm>,
-    pub(crate) turn: Turn,
-}
-
-/// An attempt that is out.
+    /// Calls in flight.
+    pub(crate) in_flight: u32,
+    /// When a call to it last began or ended.
+    pub(crate) last_used: Micros,
+    /// Connections that are assumed to be open.
+    pub(crate) connections: u32,
+    /// When a connection was last refused while other calls succeeded.
+    pub(crate) connection_refused_at: Option<Micros>,
+    pub(crate) last_success: Micros,
+    /// First failure or refusal since a success.
+    pub(crate) failing_since: Option<Micros>,
+    /// Decaying share of failed calls, from 0 to 1.
+    pub(crate) failure_share: f64,
+    /// Share of its calls that failed and may have run, as of `ambiguous_share_at`.
+    pub(crate) ambiguous_share: f64,
+    pub(crate) ambiguous_share_at: Micros,
+    pub(crate) unhealthy: Option<Unhealthy>,
+    pub(crate) warm_up: Option<WarmUp>,
+    pub(crate) rotation: RotationPlace,
+}
+
+/// An attempt in flight.
 pub(crate) struct Attempt {
-    pub(crate) no: u32,
+    pub(crate) number: u32,
     pub(crate) call: u64,
     pub(crate) sent: Micros,
 }
 
-/// A message and what has been tried with it.
+/// A message and its attempts.
 #[derive(Default)]
-pub(crate) struct Msg {
-    pub(crate) seq: u64,
+pub(crate) struct Message {
+    /// Its place in the order of acceptance.
+    pub(crate) sequence: u64,
     pub(crate) class: usize,
+    /// Order key; set only in classes that keep order.
     pub(crate) key: Option<String>,
     pub(crate) dest: DestId,
     pub(crate) deadline: Micros,
     pub(crate) attempts: u32,
-    /// Attempts that reached no endpoint.
+    /// Attempts that reached no endpoint, which do not count against the maximum.
     pub(crate) unreached: u32,
-    pub(crate) out: Vec<Attempt>,
-    pub(crate) may_run: Option<(Micros, EndpointId)>,
+    pub(crate) in_flight: Vec<Attempt>,
+    /// When the first attempt that may have run was sent, and to which endpoint.
+    pub(crate) may_have_run: Option<(Micros, EndpointId)>,
+    /// Endpoint of the latest attempt; the next one prefers another.
     pub(crate) avoid: Option<EndpointId>,
+    /// The client has its final answer; attempts may still be in flight.
     pub(crate) closed: bool,
-    /// An earlier run took it on and it has surely not run, and no call of it has begun since: it is still to get one.
-    pub(crate) owed: bool,
+    /// Accepted before a restart, certainly not run, and not sent since: it gets an attempt before it may be
+    /// shed.
+    pub(crate) restored_untried: bool,
 }
 
-impl Msg {
-    /// Attempts that count.
-    pub(crate) fn tried(&self) -> u32 {
+impl Message {
+    /// Returns the number of attempts that count against the maximum.
+    pub(crate) fn counted_attempts(&self) -> u32 {
         self.attempts.saturating_sub(self.unreached)
     }
 }
 
-/// A call that is out, with the messages that share its fate.
+/// A call in flight, with one or more messages.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Call {
     pub(crate) endpoint: EndpointId,
     pub(crate) sent: Micros,
-    pub(crate) left: u32,
-    pub(crate) judged: bool,
-    pub(crate) trial: bool,
+    /// Attempts in this call whose outcome is still missing.
+    pub(crate) open_attempts: u32,
+    /// The first outcome has arrived and has updated the endpoint's health; the others do not.
+    pub(crate) health_updated: bool,
+    pub(crate) is_trial: bool,
     pub(crate) cancelled: bool,
-    /// All its messages may go again if it is given up.
+    /// All its messages may be sent again if it is cancelled.
     pub(crate) repeatable: bool,
-    /// How long the connection had rested.
-    pub(crate) rested: Micros,
+    /// How long the reused connection had been idle; 0 for a new connection or a busy one.
+    pub(crate) connection_idle: Micros,
 }
 
-/// The order of a key's messages.
+/// The order of the messages with one key.
 #[derive(Default)]
-pub(crate) struct Key {
+pub(crate) struct OrderKey {
     pub(crate) queue: BTreeSet<(u64, MsgId)>,
-    pub(crate) rest_until: Micros,
+    /// No first attempt before this time: an earlier message may still be running.
+    pub(crate) settle_until: Micros,
 }
 
-/// How an attempt ended, and what was told with it.
+/// How an attempt ended, with what the answer reported.
 #[derive(Clone, Copy)]
-pub(crate) struct Answer {
+pub(crate) struct AttemptResult {
     pub(crate) outcome: Outcome,
-    pub(crate) took: Micros,
+    pub(crate) elapsed: Micros,
     pub(crate) wait: Micros,
     pub(crate) report: Option<LoadReport>,
 }
 
-/// What can fall due.
+/// A check on the schedule.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Due {
-    /// A message's final answer.
-    Msg(MsgId),
-    /// A call's silence.
+pub(crate) enum Check {
+    /// Whether a message's final answer is due.
+    Message(MsgId),
+    /// Whether a call has stalled.
     Call(u64),
-    /// A destination that can send again.
-    Dest(DestId),
+    /// Whether a destination can send again.
+    Destination(DestId),
 }
 
-/// When a destination that can send nothing is looked at again.
-pub(crate) struct Look {
+/// When a destination that can send nothing is checked again.
+pub(crate) struct Recheck {
     pub(crate) at: Micros,
-    /// A slot that becomes free may change it.
-    pub(crate) slot: bool,
+    /// A freed slot may change the result, so the destination stays ready.
+    pub(crate) on_free_slot: bool,
+}
+
+/// An endpoint that can take a call now.
+pub(crate) struct Candidate {
+    pub(crate) endpoint: EndpointId,
+    /// It must not receive unsafe messages for now.
+    pub(crate) excludes_unsafe: bool,
+    /// Expected cost of a call; the cheapest candidate is used.
+    pub(crate) cost: f64,
+    /// Time since its last turn in the rotation; decides between equal costs.
+    pub(crate) turn_wait: f64,
 }
 
 /// What a destination would send next.
@@ -227,6 +277,6 @@
     pub(crate) rank: f64,
     pub(crate) id: MsgId,
     pub(crate) endpoint: EndpointId,
-    /// Unsafe messages keep off that endpoint for now.
-    pub(crate) careful: bool,
+    /// The endpoint must not receive unsafe messages for now.
+    pub(crate) excludes_unsafe: bool,
 }
