--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,80 +1,80 @@
-//! The types through which a sender and a [`Dispatcher`](crate::Dispatcher) talk: settings, events, actions.
+//! The inputs and outputs of a [`Dispatcher`](crate::Dispatcher): settings, events and actions.
 
 use crate::handover::{DispatcherState, InFlightCall};
 use std::fmt;
 
-/// Time in microseconds on the sender's own clock, or a span of it.
+/// A time on the sender's own clock or a span of time, in microseconds.
 pub type Micros = i64;
 
-/// A message, by the sender's number for it. Numbers are never used twice.
+/// The sender's number for a message. No number is used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct MsgId(pub u64);
 
-/// An endpoint, by the sender's number for it; the same number whenever it is named again.
+/// The sender's number for an endpoint, which stays the same when the endpoint is listed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct EndpointId(pub u32);
 
-/// A destination: the receiver that a message is meant for.
+/// The number of a destination: the receiver that a message is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct DestId(pub i64);
 
-/// What a second delivery of a message would do.
+/// The effect of delivering a message a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Effect {
     /// A repeat does no harm.
     Safe,
-    /// A repeat is dropped by the destination within the class's window.
+    /// The message has an idempotency key, by which the destination drops repeats within the class's window.
     Keyed,
     /// A repeat takes effect again.
     #[default]
     Unsafe,
 }
 
-/// Which endpoints of a destination share the memory that drops repeats of a guarded message.
+/// Which endpoints of a destination share the memory of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum DedupScope {
     /// All endpoints of the destination.
     #[default]
     All,
-    /// Those in the same zone.
+    /// The endpoints in one zone.
     Zone,
-    /// That endpoint alone.
+    /// None: each endpoint remembers its own.
     Endpoint,
 }
 
-/// How a message's worth falls after its aim.
+/// How the worth of a message decays after its aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum LateDecay {
-    /// Evenly, down to the late share at the deadline.
+    /// Linearly, to the late share at the deadline.
     #[default]
     Linear,
-    /// By half with each further aim, down to the late share.
+    /// By half with each further span of the aim, to the late share at least.
     Halving,
 }
 
-/// A class of messages.
+/// The settings of a class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Delivered within this span, a message earns its full worth.
+    /// A message delivered up to this age earns its full worth.
     pub aim: Micros,
-    /// The whole span in which a message may be delivered.
+    /// The age up to which a message may be delivered.
     pub deadline: Micros,
-    /// What a repeat would do.
+    /// The effect of a repeated delivery.
     pub effect: Effect,
-    /// For guarded classes: which endpoints drop repeats.
+    /// For keyed classes: which endpoints share the memory of idempotency keys.
     pub dedup_scope: DedupScope,
-    /// For guarded classes: how long repeats are dropped, from the first send that may have run.
+    /// For keyed classes: how long the destination drops repeats, from the first attempt that may have run.
     pub window: Micros,
-    /// Messages with the same key go one at a time, in order.
+    /// Messages with the same order key are delivered one at a time, in order.
     pub ordered: bool,
-    /// Worth of a message delivered in time.
+    /// The worth of a message delivered up to its aim.
     pub worth: f64,
-    /// Share of the worth left at the deadline.
+    /// The share of the worth that is left at the deadline.
     pub late_share: f64,
-    /// Attempts for one message of it at most, if not those of [`Settings::max_attempts`].
+    /// Maximum attempts for a message of this class, in place of [`Settings::max_attempts`].
     pub max_attempts: Option<u32>,
 }
 
@@ -94,88 +94,89 @@
     }
 }
 
-/// A kind of destination.
+/// The settings of a kind of destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KindSettings {
-    /// Messages in one call at most.
+    /// Maximum messages in one call.
     pub max_batch: u32,
-    /// The endpoints are separate routes, each with its own limit, pace and outages.
+    /// Each endpoint is a separate route with its own limit, pace and outages.
     pub separate_routes: bool,
 }
 
-/// A tenant, whose traffic beyond its quota is worth little.
+/// A tenant; its messages beyond the quota are worth less.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Messages a second over all senders within its share.
+    /// The tenant's messages a second through all senders together that are worth the full amount.
     pub quota: f64,
 }
 
-/// What a listed weight says of a destination.
+/// The meaning of the weights in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum WeightMeaning {
-    /// Nothing.
+    /// None: weights are ignored.
     #[default]
     Ignored,
-    /// The calls a second that the destination (or route) takes from all senders together.
+    /// The calls a second that the destination or route takes from all senders together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The same, with an error of up to one half in either direction.
     Approximate,
 }
 
-/// Everything a dispatcher is told at its start.
+/// The settings that a dispatcher is started with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of senders, this one included.
+    /// Number of senders, including this one.
     pub senders: u32,
     /// This sender's zone.
     pub zone: usize,
-    /// Calls that may be out at once.
+    /// Maximum calls in flight.
     pub slots: u32,
-    /// Messages that may be held, sent or not.
+    /// Maximum open messages, sent or not.
     pub max_open: u32,
-    /// Attempts for one message at most.
+    /// Maximum attempts for one message.
     pub max_attempts: u32,
-    /// A message may have two attempts out at once.
+    /// A message may have two attempts in flight.
     pub second_copies: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Endpoints may be probed.
     pub probes: bool,
-    /// Notes may be sent to the other senders.
+    /// Notes may be broadcast to the other senders.
     pub peers: bool,
-    /// The longest retry-after that a client heeds.
+    /// The longest retry-after that clients observe.
     pub max_retry_after: Micros,
-    /// Idle connections close after this.
+    /// Idle connections are closed after this span.
     pub idle_close: Micros,
-    /// Calls that one connection carries at once.
+    /// Concurrent calls on one connection.
     pub streams_per_conn: u32,
-    /// Least time between two rounds.
+    /// Minimum time between two rounds.
     pub quantum: Micros,
-    /// Grace in which sends to a draining or gone endpoint must end.
+    /// Grace period in which calls to a draining or removed endpoint must end.
     pub drain_grace: Micros,
-    /// Multiple of its present capacity at which a cold destination falls over.
+    /// Multiple of its present capacity at which a cold destination is overloaded and fails.
     pub fall_multiple: f64,
-    /// Span over which that is counted.
+    /// Span over which that load is counted.
     pub fall_window: Micros,
     /// Share of its capacity with which a destination returns from an outage.
     pub cold_from: f64,
-    /// Time until a returned destination has all of its capacity.
+    /// Time from its return until a destination has its full capacity.
     pub warm_up: Micros,
-    /// For ordered classes: how long a key rests after an attempt that may still run.
+    /// For ordered classes: how long the next message of a key waits after an attempt that may still be
+    /// running.
     pub order_settle: Micros,
-    /// How worth falls after the aim.
+    /// How worth decays after the aim.
     pub late_decay: LateDecay,
-    /// Worth of a message beyond its tenant's quota, as a share.
+    /// Worth of a message beyond its tenant's quota, as a share of its worth within it.
     pub over_share_worth: f64,
-    /// What listed weights say.
+    /// The meaning of listed weights.
     pub weights: WeightMeaning,
-    /// Price of attempts that cross zones.
+    /// Price of an attempt that crosses zones.
     pub cross_zone_price: f64,
-    /// Price of new connections.
+    /// Price of a new connection.
     pub handshake_price: f64,
-    /// For each zone: fee for each message that a route apart there takes on.
+    /// For each zone: the fee for each message to a separate route in it.
     pub zone_fees: Vec<f64>,
-    /// Classes of message, by index.
+    /// Message classes, by index.
     pub classes: Vec<ClassSettings>,
     /// Kinds of destination, by index.
     pub kinds: Vec<KindSettings>,
@@ -218,14 +219,14 @@
     }
 }
 
-/// Settings with which no dispatcher can work: which figure is wrong, and how.
+/// A value in the settings with which a dispatcher cannot work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// Its name in [`Settings`], or in [`ClassSettings`] where a class is named.
+    /// The field's name in [`Settings`], or in [`ClassSettings`] if `class` is given.
     pub field: &'static str,
-    /// The class that it belongs to, by index.
+    /// The class that the field belongs to, by index.
     pub class: Option<usize>,
-    /// What it must be.
+    /// What the value must be.
     pub requirement: &'static str,
 }
 
@@ -243,18 +244,18 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Messages that a call of a kind takes; one where the kind is not known.
+    /// Returns the messages that one call to a kind takes; 1 for an unknown kind.
     pub(crate) fn max_batch(&self, kind: usize) -> u32 {
         self.kinds.get(kind).map_or(1, |k| k.max_batch.max(1))
     }
 
-    /// Checks the figures that the dispatcher relies on.
+    /// Checks the values that the dispatcher relies on.
     ///
     /// # Errors
-    /// Names the first figure that is out of range.
+    /// Returns the first value that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let check = |good: bool, field, class, requirement| {
-            if good { Ok(()) } else { Err(SettingsError { field, class, requirement }) }
+        let check = |valid: bool, field, class, requirement| {
+            if valid { Ok(()) } else { Err(SettingsError { field, class, requirement }) }
         };
         let counts = [
             ("slots", self.slots),
@@ -265,37 +266,38 @@
         for (field, count) in counts {
             check(count > 0, field, None, "at least 1")?;
         }
-        let a_span = "a span of time from 0 to a year";
-        let span = |s: Micros| (0..=MAX_SPAN).contains(&s);
+        let span_requirement = "a span of time from 0 to a year";
+        let is_valid_span = |span: Micros| (0..=MAX_SPAN_US).contains(&span);
         let spans = [
             ("drain_grace", self.drain_grace),
             ("fall_window", self.fall_window),
             ("warm_up", self.warm_up),
             ("order_settle", self.order_settle),
         ];
-        for (field, s) in spans {
-            check(span(s), field, None, a_span)?;
+        for (field, span) in spans {
+            check(is_valid_span(span), field, None, span_requirement)?;
         }
         check(
-            (0..=QUANTUM_MOST).contains(&self.quantum),
+            (0..=MAX_QUANTUM_US).contains(&self.quantum),
             "quantum",
             None,
             "a span of time from 0 to a second",
         )?;
-        let figures = [
+        let numbers = [
             ("fall_multiple", self.fall_multiple),
             ("cold_from", self.cold_from),
             ("over_share_worth", self.over_share_worth),
         ];
-        for (field, figure) in figures {
-            check(figure.is_finite() && figure >= 0.0, field, None, "a number that is not negative")?;
+        for (field, number) in numbers {
+            check(number.is_finite() && number >= 0.0, field, None, "a number that is not negative")?;
         }
-        for (n, c) in self.classes.iter().enumerate() {
-            let class = Some(n);
-            for (field, s) in [("aim", c.aim), ("deadline", c.deadline), ("window", c.window)] {
-                check(span(s), field, class, a_span)?;
+        for (index, settings) in self.classes.iter().enumerate() {
+            let class = Some(index);
+            let spans = [("aim", settings.aim), ("deadline", settings.deadline), ("window", settings.window)];
+            for (field, span) in spans {
+                check(is_valid_span(span), field, class, span_requirement)?;
             }
-            for (field, worth) in [("worth", c.worth), ("late_share", c.late_share)] {
+            for (field, worth) in [("worth", settings.worth), ("late_share", settings.late_share)] {
                 check(worth.is_finite(), field, class, "a number")?;
             }
         }
@@ -303,36 +305,36 @@
     }
 }
 
-/// With rounds further apart nothing would be in time.
-const QUANTUM_MOST: Micros = 1_000_000;
-/// Spans beyond this are taken for mistakes; it also keeps sums of times from overflowing.
-pub(crate) const MAX_SPAN: Micros = 366 * 24 * 3600 * 1_000_000;
+/// With longer intervals between rounds no message would be in time.
+const MAX_QUANTUM_US: Micros = 1_000_000;
+/// Longer spans are rejected as mistakes; this also keeps sums of times from overflowing.
+pub(crate) const MAX_SPAN_US: Micros = 366 * 24 * 3600 * 1_000_000;
 
-/// An endpoint's standing in the directory, which says nothing of its health.
+/// An endpoint's status in the list from discovery, which is independent of its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Listed.
+    /// It takes messages.
     Up,
-    /// To be sent nothing new.
+    /// It must not be sent new messages.
     Draining,
-    /// Gone.
+    /// It no longer exists.
     Removed,
 }
 
-/// One line of the directory.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The destination it belongs to.
+    /// The destination that it belongs to.
     pub dest: DestId,
-    /// Its standing.
+    /// Its status.
     pub status: Status,
-    /// Kind of its destination, by index.
+    /// The kind of its destination, by index.
     pub kind: usize,
     /// Its zone, by index.
     pub zone: usize,
-    /// Its weight, where one is given; see [`WeightMeaning`].
+    /// Its weight, if one is listed; see [`WeightMeaning`].
     pub weight: Option<f64>,
 }
 
@@ -342,87 +344,87 @@
 pub enum Outcome {
     /// Delivered.
     Done,
-    /// The destination answered with an error; it may have run.
+    /// Answered with an error; the message may have run.
     Error,
-    /// Turned away unseen: above the limit, queue full, shut or draining.
+    /// Refused without being processed: over a limit, a full queue, shut down or draining.
     Busy,
-    /// No answer in time; it may have run or still do so.
+    /// No answer in time; the message may have run or may still be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// The connection failed; the message did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the message may have run.
     Reset,
-    /// The destination answered with what can't be read; it may have run. Only real senders are told so.
+    /// The answer could not be parsed; the message may have run. The simulator does not report this.
     #[cfg_attr(feature = "serde", serde(rename = "Spoilt"))]
     MalformedAnswer,
-    /// Called off; it may have run.
+    /// Cancelled; the message may have run.
     Cancelled,
-    /// Never sent: no slot was free, the message was over, or its attempts were used up.
+    /// Not sent: no slot was free, the message was closed, or its attempts were used up.
     Skipped,
-    /// No connection came up, so that no byte was written: no endpoint knows of it, and it does not count as
-    /// an attempt. Only real senders are told so.
+    /// No connection was established and no byte written: no endpoint knows of the attempt, and it does not
+    /// count. The simulator does not report this.
     Unreached,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt had no effect.
+    /// Returns whether this outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Busy | Outcome::ConnectFailed | Outcome::Skipped | Outcome::Unreached)
     }
 
-    /// Whether no byte of it was written.
+    /// Returns whether no byte of the attempt was written.
     pub fn never_sent(self) -> bool {
         matches!(self, Outcome::Skipped | Outcome::Unreached)
     }
 
-    /// Whether no connection came up, or one broke before all was written.
+    /// Returns whether no connection was established, or it broke before the request was written.
     pub(crate) fn is_unconnected(self) -> bool {
         matches!(self, Outcome::ConnectFailed | Outcome::Unreached)
     }
 }
 
-/// What an endpoint tells of its limit.
+/// An endpoint's report on its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct LoadReport {
-    /// Share of the allowance that is left.
+    /// The share of the allowance that remains.
     #[cfg_attr(feature = "serde", serde(rename = "left"))]
     pub remaining: Option<f64>,
-    /// Calls a second that the limit allows; 0 where there is none.
+    /// The calls a second that the limit allows; 0 if there is no limit.
     pub limit: Option<f64>,
 }
 
-/// What a dispatcher remembers of an endpoint's outage, for a sender that keeps it over a restart.
+/// The health of an endpoint, which a sender persists over a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointHealth {
-    /// When its present troubles began, if it has any.
+    /// The first failure since the last success, if there is one.
     pub failing_since: Option<Micros>,
-    /// It is in trouble: asked by single trials only.
+    /// It receives only single trials.
     pub unhealthy: bool,
-    /// When it came back from an outage, if it is still being loaded bit by bit.
+    /// When it returned from an outage, if its warm-up has not ended.
     pub warming_since: Option<Micros>,
 }
 
-/// What a dispatcher remembers of a receiver as a whole, a destination or a route of it where routes are
-/// apart, for a sender that keeps it over a restart.
+/// The health of a receiver as a whole, which a sender persists over a restart. The receiver is a
+/// destination, or one route of it where routes are separate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceiverHealth {
-    /// Since when it has answered nothing well, if its last answers were bad.
+    /// The first failure since the last success, if there is one.
     pub failing_since: Option<Micros>,
-    /// It is taken to be out as a whole.
+    /// It is considered down as a whole.
     pub down: bool,
-    /// When it came back from an outage, if it is still being loaded bit by bit.
+    /// When it returned from an outage, if its warm-up has not ended.
     pub warming_since: Option<Micros>,
-    /// Until when it told its callers to wait.
+    /// The end of the wait that it asked for.
     pub wait_until: Option<Micros>,
-    /// What this sender holds itself to after refusals, in thousandths of a call a second.
+    /// The sender's call budget after refusals, in thousandths of a call a second.
     pub budget_milli_per_s: Option<u32>,
-    /// This sender's own traffic for it, in thousandths of a message a second.
+    /// The sender's own traffic to it, in thousandths of a message a second.
     pub traffic_milli_per_s: Option<u32>,
 }
 
 impl ReceiverHealth {
-    /// What is assumed of a receiver of which an earlier run has kept nothing, not even that it was well.
+    /// The health assumed of a receiver for which nothing was persisted, not even that it was healthy.
     pub const UNKNOWN: ReceiverHealth = ReceiverHealth {
         failing_since: None,
         down: true,
@@ -433,17 +435,17 @@
     };
 }
 
-/// What a sender tells its dispatcher. Events that name something unknown are ignored.
+/// An event that a sender reports to its dispatcher. Events that name something unknown are ignored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The directory: the whole list, or changes to it.
+    /// The endpoint list from discovery, or changes to it.
     Listing {
-        /// Endpoints missing from `entries` are gone.
+        /// The list is complete: endpoints missing from `entries` are gone.
         complete: bool,
-        /// The lines.
+        /// The entries.
         entries: Vec<EndpointEntry>,
     },
-    /// A message to deliver, which is owed one final answer.
+    /// A message to deliver. It gets exactly one final answer.
     Message {
         /// The message.
         id: MsgId,
@@ -451,62 +453,64 @@
         class: usize,
         /// Its tenant, by index.
         tenant: usize,
-        /// What it is about, in classes that keep order.
+        /// Its order key, in classes that keep order.
         key: Option<String>,
         /// Its destination.
         dest: DestId,
-        /// Time until it is given up.
+        /// Time until its deadline.
         time_left: Micros,
-        /// It is known to have been handed in before.
+        /// It is known to have been put before.
         resubmitted: bool,
     },
-    /// A message taken on before this sender restarted, which is still owed its final answer.
+    /// A message accepted before a restart of this sender, which still needs its final answer.
     MessageRestored {
         /// The message.
         id: MsgId,
-        /// Its class, by index; one that no longer exists counts as one whose repeats take effect again.
+        /// Its class, by index. A class that no longer exists counts as [`Effect::Unsafe`].
         class: usize,
-        /// What it is about, in classes that keep order.
+        /// Its order key, in classes that keep order.
         key: Option<String>,
         /// Its destination.
         dest: DestId,
-        /// Time until it is given up.
+        /// Time until its deadline.
         time_left: Micros,
         /// Attempts made before the restart.
         attempts: u32,
-        /// Those of them that reached no endpoint.
+        /// How many of them reached no endpoint.
         unreached: u32,
-        /// Where and when the first attempt went that may have run; one with no known outcome may.
+        /// The endpoint and time of the first attempt that may have run. An attempt without a known outcome
+        /// may have.
         may_have_run: Option<(EndpointId, Micros)>,
     },
-    /// What an earlier run of this sender knew of an endpoint, once it has been listed.
+    /// The health of an endpoint before a restart. Comes after the endpoint has been listed.
     EndpointHealthRestored {
         /// The endpoint.
         endpoint: EndpointId,
-        /// As [`Dispatcher::health`](crate::Dispatcher::health) told it.
+        /// From [`Dispatcher::endpoint_health`](crate::Dispatcher::endpoint_health).
         health: EndpointHealth,
     },
-    /// What an earlier run of this sender knew of a receiver as a whole, after all that it knew of its
-    /// endpoints.
+    /// The health of a receiver before a restart. Comes after the health of all its endpoints.
     ReceiverHealthRestored {
         /// The destination.
         dest: DestId,
-        /// The endpoint, where it is a route of its own.
+        /// The endpoint, if it is a separate route.
         route: Option<EndpointId>,
-        /// As [`Dispatcher::receivers`](crate::Dispatcher::receivers) told it.
+        /// From [`Dispatcher::receiver_health`](crate::Dispatcher::receiver_health).
         health: ReceiverHealth,
     },
-    /// What another process's dispatcher knew that this one goes on for, once its endpoints have been listed.
+    /// The state of the dispatcher in the process that this one replaces. Comes after its endpoints have
+    /// been listed.
     StateInherited(Box<DispatcherState>),
-    /// The calls which that process still has out, once its messages have been restored. Their outcomes come
-    /// like any other's.
+    /// The calls that this process's predecessor still has in flight. Comes after its messages have been
+    /// restored; the outcomes follow as [`Event::Outcome`].
     CallsInherited(Vec<InFlightCall>),
-    /// The sender ends at this time: nothing is to begin that would not end before.
+    /// The sender ends at this time: no call may begin that would not end before it.
     Stopping {
         /// When.
         at: Micros,
     },
-    /// Other classes hold from now on. A message keeps its class's index, and with it whatever stands there.
+    /// The classes have changed. A message keeps the index of its class and follows the class now at that
+    /// index.
     ClassesChanged(Vec<ClassSettings>),
     /// An attempt ended.
     Outcome {
@@ -514,25 +518,25 @@
         id: MsgId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// Where it went.
+        /// The endpoint that was called.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// The message is closed; no answer is owed any more.
+        /// The message needs no further answer.
         closes_message: bool,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
-        /// For [`Outcome::Busy`]: the wait asked for, 0 if none.
+        /// For [`Outcome::Busy`]: the wait that the receiver asked for; 0 if none.
         wait: Micros,
-        /// What was told of the limit.
+        /// The report on the limit that came with the answer.
         report: Option<LoadReport>,
     },
-    /// Nobody wants this message any more.
+    /// A message that nobody waits for any more: it needs no final answer.
     MessageAbandoned {
         /// The message.
         id: MsgId,
     },
-    /// A timer asked for with [`Action::Timer`] fell due.
+    /// A timer requested with [`Action::Timer`] has expired.
     Timer {
         /// Its token.
         token: u64,
@@ -543,7 +547,7 @@
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// What was told of the limit.
+        /// The report on the limit that came with the answer.
         report: Option<LoadReport>,
     },
     /// A note from another sender.
@@ -555,44 +559,45 @@
     },
 }
 
-/// What a dispatcher asks its sender to do, in order.
+/// An action that a dispatcher asks its sender to carry out. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call an endpoint with a message.
+    /// Send a message to an endpoint.
     Send {
-        /// Sends of one round with the same number share a call, which ends at the longest of their timeouts.
+        /// The call. Sends of one round with the same number share a call, which ends at the longest of their
+        /// timeouts.
         call: u64,
         /// The message.
         id: MsgId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// Wait for the answer this long.
+        /// How long to wait for the answer.
         timeout: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The message.
         id: MsgId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: handed back unsent, trying again does no harm.
+    /// Final answer: refused. Putting the message again does no harm.
     Refuse {
         /// The message.
         id: MsgId,
-        /// Time the client should stay away.
+        /// How long the client should wait before it retries.
         retry_after: Micros,
     },
-    /// Final answer: given up.
+    /// Final answer: the message has failed.
     Fail {
         /// The message.
         id: MsgId,
     },
-    /// Ask for [`Event::Timer`] at this time.
+    /// Request an [`Event::Timer`].
     Timer {
         /// When.
         at: Micros,
-        /// Returned with the event.
+        /// The token that the event returns.
         token: u64,
     },
     /// Probe an endpoint.
@@ -605,9 +610,9 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send a note to all other senders.
+    /// Broadcast a note to all other senders.
     Broadcast {
-        /// Its text, 256 bytes at most.
+        /// The note's text, at most 256 bytes.
         text: String,
     },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
 //! # heronroute
 //!
-//! Decides, for a dispatcher of notifications to outside receivers, which held message goes to which
-//! endpoint when, how long to wait for it, when to try again, refuse or fail it. It does no I/O: a sender
-//! feeds it [`Event`]s with a clock and carries out the [`Action`]s it answers with.
+//! Decides, for a sender of notifications to outside receivers, which pending message goes to which endpoint
+//! and when, how long to wait for the answer, and when to retry, refuse or fail the message. It does no I/O:
+//! a sender passes it [`Event`]s with a clock and carries out the [`Action`]s that it returns.
 //!
 //! The mechanism is the bulkhead: every destination owns a bounded pool of permits sized from its own
-//! traffic, so that one slow destination cannot take all slots. `README.md` ("Decisions") tells what was kept
-//! of the source, what was added, and when each addition acts.
+//! traffic, so that one slow destination cannot take all slots. `README.md` ("Decisions") lists what was
+//! added to the bulkhead of the source, and when each addition acts.
 //!
 //! ```
 //! use heronroute::{Action, ClassSettings, Dispatcher, DestId, Effect, EndpointEntry, EndpointId, Event};
@@ -17,14 +17,20 @@
 //! settings.kinds.push(KindSettings { max_batch: 1, separate_routes: false });
 //! let mut dispatcher = Dispatcher::new(0, 42, settings)?;
 //!
-//! let endpoint = EndpointEntry {     endpoint: EndpointId(1), dest: DestId(7), status: Status::Up, kind: 0,
-//! zone: 0, weight: None, }; let message = Event::Message {     id: MsgId(1), class: 0, tenant: 0, key: None,
-//! dest: DestId(7), time_left: 5_000_000, resubmitted: false, }; let mut actions = Vec::new();
-//! dispatcher.round(0, &[Event::Listing { complete: true, entries: vec![endpoint] }, message], &mut actions);
-//! let sent = actions.iter().any(|a| matches!(a, Action::Send { id: MsgId(1), endpoint: EndpointId(1), ..
-//! })); assert!(sent);
+//! let endpoint = EndpointEntry {
+//!     endpoint: EndpointId(1), dest: DestId(7), status: Status::Up, kind: 0, zone: 0, weight: None,
+//! };
+//! let message = Event::Message {
+//!     id: MsgId(1), class: 0, tenant: 0, key: None, dest: DestId(7), time_left: 5_000_000,
+//!     resubmitted: false,
+//! };
+//! let mut actions = Vec::new();
+//! let listing = Event::Listing { complete: true, entries: vec![endpoint] };
+//! dispatcher.round(0, &[listing, message], &mut actions);
+//! let is_send = |a: &Action| matches!(a, Action::Send { id: MsgId(1), endpoint: EndpointId(1), .. });
+//! assert!(actions.iter().any(is_send));
 //!
-//! // Later, the sender reports how the call ended; a delivered message needs no further answer.
+//! // Later the sender reports how the attempt ended; a delivered message needs no further answer.
 //! actions.clear();
 //! let outcome = Event::Outcome {
 //!     id: MsgId(1), attempt: 0, endpoint: EndpointId(1), outcome: Outcome::Done, closes_message: true,
@@ -53,10 +59,10 @@
 pub use logic::Dispatcher;
 
 impl Dispatcher {
-    /// How many destinations, lanes, endpoints, messages, calls and keys are remembered, for those who watch
-    /// a sender's memory.
+    /// Returns how many destinations, lanes, endpoints, messages, calls and order keys are in memory, so that
+    /// a sender's memory use can be monitored.
     pub fn tracked_items(&self) -> usize {
-        let fleet = self.destinations.len() + self.lanes.len() + self.endpoints.len();
-        fleet + self.messages.len() + self.calls.len() + self.order_keys.len()
+        let listed = self.destinations.len() + self.lanes.len() + self.endpoints.len();
+        listed + self.messages.len() + self.calls.len() + self.order_keys.len()
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -247,7 +247,7 @@
             }
             Event::Stopping { at } => self.stop_at = Some(*at),
             Event::Outcome { id, attempt, outcome, closes_message, elapsed, wait, report, .. } => {
-                let wait = (*wait).clamp(0, MAX_SPAN);
+                let wait = (*wait).clamp(0, MAX_SPAN_US);
                 let result = AttemptResult { outcome: *outcome, elapsed: *elapsed, wait, report: *report };
                 self.end_attempt(*id, *attempt, *closes_message, result, out);
             }
@@ -276,7 +276,7 @@
         }
         self.sequence += 1;
         let (sequence, now, dest) = (self.sequence, self.now, message.dest);
-        (message.sequence, message.deadline) = (sequence, now + time_left.clamp(0, MAX_SPAN));
+        (message.sequence, message.deadline) = (sequence, now + time_left.clamp(0, MAX_SPAN_US));
         let ordered = self.settings.classes.get(message.class).is_some_and(|c| c.ordered);
         message.key = message.key.filter(|_| ordered);
         if let Some(key) = &message.key {
@@ -449,8 +449,8 @@
         endpoint.unhealthy.get_or_insert_with(inferred).delay_past(wait_until, gap);
     }
 
-    /// Marks the lane of a failing endpoint as down. Guards against many senders at once at a return: the
-    /// lane's other endpoints look healthy until one of them is tried, and all senders would return to them.
+    /// Marks the lane of a failing endpoint as down. Guards against all senders returning at once: the lane's
+    /// other endpoints look healthy until one of them is tried.
     fn mark_lane_down(&mut self, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get(&id) else { return };
         let nothing_ran = endpoint.unhealthy.as_ref().is_some_and(|u| u.nothing_ran);
