--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints: what a batch's body holds, and what an answer means.
+//! Calls to endpoints: the body of a batch, and the meaning of answers.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// The status that an answer's first line tells.
+/// Parses the status code in an answer's first line.
 pub fn parse_status(line: &[u8]) -> Option<u16> {
     let rest = line.strip_prefix(b"HTTP/1.").and_then(|r| r.strip_prefix(b"1").or(r.strip_prefix(b"0")))?;
     let (code, rest) = rest.strip_prefix(b" ")?.split_at_checked(3)?;
@@ -15,7 +15,7 @@
     std::str::from_utf8(code).ok().filter(|c| ends && c.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()
 }
 
-/// A message as a call of several carries it.
+/// A message in the body of a batch.
 #[derive(Deserialize, Serialize)]
 struct BatchItem<'a> {
     id: Cow<'a, str>,
@@ -24,10 +24,10 @@
     body: String,
 }
 
-/// Writes the body of a call of several messages: each one's id, idempotency key and body.
+/// Encodes the body of a batch from each message's id, idempotency key and body.
 ///
 /// # Errors
-/// None that text and bytes could cause; they are the JSON writer's.
+/// Returns the errors of the JSON writer, which text and bytes do not cause.
 pub fn encode_batch<'a>(
     items: impl Iterator<Item = (&'a str, Option<&'a str>, &'a [u8])>,
 ) -> serde_json::Result<Vec<u8>> {
@@ -39,34 +39,36 @@
     serde_json::to_vec(&items.map(item).collect::<Vec<_>>())
 }
 
-/// Reads such a body: each message's id, idempotency key and length.
+/// Decodes the body of a batch into each message's id, idempotency key and body length.
 ///
 /// # Errors
-/// Says what can't be read, is empty, or names a message twice.
+/// Returns an error if the body is malformed, has no message or has one twice.
 pub fn decode_batch(body: &[u8]) -> Result<Vec<(String, Option<String>, usize)>, String> {
     let items: Vec<BatchItem<'_>> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let mut read: Vec<(String, Option<String>, usize)> = Vec::with_capacity(items.len());
+    let mut messages: Vec<(String, Option<String>, usize)> = Vec::with_capacity(items.len());
     for item in items {
-        let bytes = BASE64.decode(&item.body).map_err(|e| format!("the body of {}: {e}", item.id))?;
-        if read.iter().any(|(id, ..)| *id == item.id) {
-            return Err(format!("{} stands there twice", item.id));
+        let bytes = BASE64
+            .decode(&item.body)
+            .map_err(|e| format!("body of message '{}' is not Base64: {e}", item.id))?;
+        if messages.iter().any(|(id, ..)| *id == item.id) {
+            return Err(format!("message '{}' is in the batch twice", item.id));
         }
-        read.push((item.id.into_owned(), item.key.map(Cow::into_owned), bytes.len()));
+        messages.push((item.id.into_owned(), item.key.map(Cow::into_owned), bytes.len()));
     }
-    if read.is_empty() { Err("no message".into()) } else { Ok(read) }
+    if messages.is_empty() { Err("the batch has no message".into()) } else { Ok(messages) }
 }
 
-/// One message's end in the answer to a call of several.
+/// The state of one message in the answer to a batch.
 #[derive(Deserialize, Serialize)]
 pub struct BatchState {
-    /// The message.
+    /// The message's id.
     pub id: String,
     /// `ok`, `error`, `later`, `gone` or `exhausted`.
     pub state: String,
 }
 
-/// What a message's state in a batch's answer means, and whether nothing more is owed. A state that is missing or
-/// unknown leaves it open whether the message ran.
+/// Returns the outcome that a message's state in the answer to a batch stands for, and whether the message is closed.
+/// With a missing or unknown state the message may have run.
 pub fn outcome_of_state(state: Option<&str>) -> (Outcome, bool) {
     match state {
         Some("ok") => (Outcome::Done, true),
@@ -77,37 +79,37 @@
     }
 }
 
-/// What an answer's head says.
+/// The content of an answer's head.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerHead {
     /// How the call ended, for all its messages alike.
     pub outcome: Outcome,
-    /// Nothing more is owed.
+    /// The messages need no further answer.
     pub closes_message: bool,
-    /// The wait that it tells, in microseconds; 0 if none.
+    /// The wait that the receiver asked for; 0 if none.
     pub wait: Micros,
-    /// The report that it carries.
+    /// The load report, if there is one.
     pub report: Option<LoadReport>,
 }
 
-/// Reads the head of an answer to a call or a probe.
+/// Reads the head of the answer to a call or a probe.
 pub fn read_head(status: u16, headers: &HeaderMap) -> AnswerHead {
     let number = |name: &str| headers.get(name)?.to_str().ok()?.trim().parse::<u32>().ok();
     let outcome = match status {
         200 => Outcome::Done,
         503 if number("x-no-slot") == Some(1) => Outcome::Skipped,
         429 | 503 => Outcome::Busy,
-        // Malformed, too many in a batch, all attempts used, over: none of these has run.
+        // Malformed, batch too large, attempts used up, closed: the messages did not run.
         400 | 413 | 504 | 410 => Outcome::Skipped,
         _ => Outcome::Error,
     };
     let wait = Micros::from(number("x-retry-in-ms").unwrap_or(0)) * 1000;
     let report = headers.get("x-server-load").and_then(|v| v.to_str().ok()).map(|text| {
-        let figure = |name: &str| {
+        let value = |name: &str| {
             let pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
-            pairs.filter(|(n, _)| *n == name).find_map(|(_, v)| v.parse().ok())
+            pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
         };
-        LoadReport { remaining: figure("x0"), limit: figure("x1") }
+        LoadReport { remaining: value("x0"), limit: value("x1") }
     });
     AnswerHead { outcome, closes_message: matches!(status, 200 | 410), wait, report }
 }
--- a/crates/protocol/src/listing.rs
+++ b/crates/protocol/src/listing.rs
@@ -1,94 +1,95 @@
-//! The directory's lines: endpoints, and changes to them.
+//! Endpoint lists from discovery, and changes to them.
 
 use crate::nesting::Nesting;
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 use std::fmt;
 
-/// A list, or changes to it, as discovery tells them.
+/// An endpoint list, or changes to it, as discovery sends them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Listing {
     /// The list's version.
     pub index: u64,
-    /// It is the whole list.
+    /// The list is complete.
     #[serde(default)]
     pub snapshot: bool,
-    /// The whole list's lines, or those that have changed.
+    /// All entries of a complete list, or the changed entries.
     #[serde(default)]
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 impl Listing {
-    /// Reads one that is whole.
+    /// Parses one listing.
     ///
     /// # Errors
-    /// Names what is wrong in it. A whole list that names an endpoint twice says nothing certain of it; among changes the
-    /// later one holds.
+    /// Returns what is wrong in it. A complete list must not name an endpoint twice, since it would be unclear which entry
+    /// holds; among changes the later one holds.
     pub fn read(text: &[u8]) -> Result<Self, ListingError> {
-        let list: Listing = serde_json::from_slice(text).map_err(ListingError::InvalidListing)?;
-        unique_names(list)
+        let listing: Listing = serde_json::from_slice(text).map_err(ListingError::InvalidListing)?;
+        check_unique_names(listing)
     }
 }
 
-/// The list, unless it is a whole one that has a name twice.
-pub(crate) fn unique_names(list: Listing) -> Result<Listing, ListingError> {
+/// Returns the listing, or an error if it is complete and has a name twice.
+pub(crate) fn check_unique_names(listing: Listing) -> Result<Listing, ListingError> {
     let mut names = HashSet::new();
-    let twice = list.endpoints.iter().find(|line| list.snapshot && !names.insert(&*line.name));
-    match twice {
-        Some(line) => Err(ListingError::DuplicateName(line.name.clone())),
-        None => Ok(list),
+    let mut entries = listing.endpoints.iter();
+    let duplicate = entries.find(|entry| listing.snapshot && !names.insert(&*entry.name));
+    match duplicate {
+        Some(entry) => Err(ListingError::DuplicateName(entry.name.clone())),
+        None => Ok(listing),
     }
 }
 
-/// An endpoint.
+/// An endpoint in a listing.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListedEndpoint {
-    /// The same at every sender.
+    /// Its name, which is the same at every sender.
     pub name: String,
-    /// Where this sender reaches it.
+    /// The address at which this sender reaches it.
     #[serde(default)]
     pub address: String,
-    /// Its building.
+    /// Its zone.
     #[serde(default)]
     pub zone: String,
-    /// Its destination's kind.
+    /// The kind of its destination.
     #[serde(rename = "type", default)]
     pub kind: String,
-    /// Its destination's number.
+    /// The number of its destination.
     #[serde(default)]
     pub group: i64,
     /// `Ready`, `Terminating` or `Gone`; anything else counts as `Terminating`.
     pub status: String,
-    /// Calls a second that its destination takes from all senders, where that is told.
+    /// The calls a second that its destination takes from all senders, if discovery reports it.
     #[serde(default)]
     pub weight: Option<f64>,
 }
 
-/// ListingReader in a stream that may be cut at any byte: one object after another, each in one line or, where lists come
-/// indented, in several. What stands between them is white space, and the line that only tells that the other side
-/// lives.
+/// Reads listings from a stream whose bytes arrive in arbitrary pieces. The stream is a sequence of JSON objects, each on
+/// one line or indented over several. Between them is white space, such as the empty lines that discovery sends as
+/// heartbeats.
 #[derive(Debug, Default)]
 pub struct ListingReader {
-    text: Vec<u8>,
-    /// White space since the last listing that is not kept.
-    passed: usize,
-    /// How much of the text has been looked at, and where in an object that is.
-    seen: usize,
+    buffer: Vec<u8>,
+    /// Bytes of white space since the last listing that have been dropped from the buffer.
+    dropped_bytes: usize,
+    /// Bytes of the buffer that have been scanned; `nesting` is the state after them.
+    scanned_bytes: usize,
     nesting: Nesting,
 }
 
-/// Endpoints that begin in a listing's text, which may be cut at any byte.
+/// Counts the endpoints that begin in the text of a listing, which may be incomplete.
 pub fn endpoints_started(text: &[u8]) -> usize {
-    /// Objects in the array of an object.
+    /// Depth of an entry: an object in an array in an object.
     const ENDPOINT_DEPTH: usize = 3;
-    let (mut depth, mut quoted, mut escaped, mut endpoints) = (0_usize, false, false, 0);
+    let (mut depth, mut in_string, mut escaped, mut endpoints) = (0_usize, false, false, 0);
     for byte in text {
-        if quoted {
-            (quoted, escaped) = (escaped || *byte != b'"', !escaped && *byte == b'\\');
+        if in_string {
+            (in_string, escaped) = (escaped || *byte != b'"', !escaped && *byte == b'\\');
             continue;
         }
         match byte {
-            b'"' => quoted = true,
+            b'"' => in_string = true,
             b'{' | b'[' => depth += 1,
             b'}' | b']' => depth = depth.saturating_sub(1),
             _ => {}
@@ -98,18 +99,18 @@
     endpoints
 }
 
-/// What in a stream of listings can't be read; nothing after it can.
+/// An error in a stream of listings. Nothing after it can be parsed.
 #[derive(Debug)]
 pub enum ListingError {
-    /// This byte, at this place behind the last listing, begins none.
+    /// The byte at this position after the last listing, counted from 1, does not begin a listing.
     UnexpectedByte(u8, usize),
-    /// An object is no listing.
+    /// An object is not a valid listing.
     InvalidListing(serde_json::Error),
-    /// The entry with this number, from 0, is none.
+    /// The entry with this number, counted from 0, is invalid.
     InvalidEntry(usize, serde_json::Error),
-    /// This byte stands behind so many entries of a list, where a comma, an entry or the list's end is due.
+    /// The byte after this number of entries is neither a comma nor the start of an entry nor the end of the list.
     UnexpectedByteInList(u8, usize),
-    /// A whole list has this name twice.
+    /// A complete list has this name twice.
     DuplicateName(String),
 }
 
@@ -117,14 +118,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ListingError::UnexpectedByte(byte, at) => {
-                write!(f, "byte {at} behind the last list is {byte:#04x}, where '{{' is due")
+                write!(f, "byte {at} after the last list is {byte:#04x}, expected '{{'")
             }
-            ListingError::InvalidListing(e) => write!(f, "a list can't be read: {e}"),
-            ListingError::InvalidEntry(number, e) => write!(f, "entry {number} of a list can't be read: {e}"),
+            ListingError::InvalidListing(e) => write!(f, "malformed list: {e}"),
+            ListingError::InvalidEntry(number, e) => write!(f, "malformed entry {number} in a list: {e}"),
             ListingError::UnexpectedByteInList(byte, count) => {
-                write!(f, "behind {count} entries of a list stands {byte:#04x}, where none is due")
+                write!(
+                    f,
+                    "unexpected byte {byte:#04x} after {count} entries of a list, expected ',', an entry or ']'"
+                )
             }
-            ListingError::DuplicateName(name) => write!(f, "'{name}' stands twice in a whole list"),
+            ListingError::DuplicateName(name) => write!(f, "complete list names '{name}' twice"),
         }
     }
 }
@@ -132,47 +136,47 @@
 impl std::error::Error for ListingError {}
 
 impl ListingReader {
-    /// Takes what has been read.
+    /// Appends bytes that have been read.
     pub fn extend(&mut self, bytes: &[u8]) {
-        self.text.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that are kept of a listing that is not whole yet.
+    /// Returns the bytes buffered of an incomplete listing.
     pub fn buffered_bytes(&self) -> usize {
-        self.text.len()
+        self.buffer.len()
     }
 
-    /// A listing has begun and is not whole yet.
+    /// Returns whether a listing has begun and is incomplete.
     pub fn is_partial(&self) -> bool {
         self.nesting.depth() > 0
     }
 
-    /// Endpoints that begin in what is kept of a listing that is not whole yet.
+    /// Counts the endpoints that begin in the buffered part of an incomplete listing.
     pub fn endpoints_started(&self) -> usize {
-        endpoints_started(&self.text)
+        endpoints_started(&self.buffer)
     }
 
-    /// The next listing that is whole.
+    /// Returns the next complete listing, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// Names what can't be read.
+    /// Returns the first error in the stream.
     pub fn next_listing(&mut self) -> Result<Option<Listing>, ListingError> {
-        while let Some(byte) = self.text.get(self.seen).copied() {
-            self.seen += 1;
+        while let Some(byte) = self.buffer.get(self.scanned_bytes).copied() {
+            self.scanned_bytes += 1;
             if self.nesting.depth() == 0 && byte != b'{' && !byte.is_ascii_whitespace() {
-                return Err(ListingError::UnexpectedByte(byte, self.passed + self.seen));
+                return Err(ListingError::UnexpectedByte(byte, self.dropped_bytes + self.scanned_bytes));
             }
             self.nesting.advance(byte);
             if self.nesting.depth() == 0 && !byte.is_ascii_whitespace() {
-                let object: Vec<u8> = self.text.drain(..self.seen).collect();
-                (self.seen, self.passed) = (0, 0);
+                let object: Vec<u8> = self.buffer.drain(..self.scanned_bytes).collect();
+                (self.scanned_bytes, self.dropped_bytes) = (0, 0);
                 return Listing::read(&object).map(Some);
             }
         }
         if self.nesting.depth() == 0 {
-            self.passed += self.seen;
-            self.text.clear();
-            self.seen = 0;
+            self.dropped_bytes += self.scanned_bytes;
+            self.buffer.clear();
+            self.scanned_bytes = 0;
         }
         Ok(None)
     }
@@ -182,10 +186,10 @@
 mod tests {
     use super::*;
 
-    /// All listings' versions in a text that comes in such pieces.
-    fn versions(text: &str, piece: usize) -> Result<Vec<u64>, ListingError> {
+    /// Returns the versions of all listings in a text that arrives in pieces of this size.
+    fn versions(text: &str, piece_size: usize) -> Result<Vec<u64>, ListingError> {
         let (mut listings, mut found) = (ListingReader::default(), Vec::new());
-        for bytes in text.as_bytes().chunks(piece) {
+        for bytes in text.as_bytes().chunks(piece_size) {
             listings.extend(bytes);
             while let Some(listing) = listings.next_listing()? {
                 found.push(listing.index);
@@ -195,19 +199,19 @@
     }
 
     #[test]
-    fn listings_come_indented_in_several_lines_and_cut_at_any_byte() {
+    fn indented_listings_and_listings_split_at_any_byte_are_read() {
         let line = |name: &str| serde_json::json!({"name": name, "status": "Ready"});
         let odd = [line("a}]{\"\\"), line("b\n\\\"{")];
         let plain = serde_json::json!({"index": 7, "snapshot": true, "endpoints": odd});
         let indented = serde_json::to_string_pretty(&plain).unwrap().replace("7", "8");
         let text = format!("\n{plain}\n\n \r\n{indented}\n{{\"index\":9}}{{\"index\":10}}\n");
-        for piece in 1..=text.len() {
-            assert_eq!(versions(&text, piece).unwrap(), [7, 8, 9, 10], "in pieces of {piece}");
+        for size in 1..=text.len() {
+            assert_eq!(versions(&text, size).unwrap(), [7, 8, 9, 10], "in pieces of {size}");
         }
     }
 
     #[test]
-    fn endpoints_are_counted_in_a_text_that_is_cut_anywhere() {
+    fn endpoints_are_counted_in_an_incomplete_text() {
         let odd =
             [r#"{"name":"a}]{\"\\","tags":{"x":[{}]},"status":"Ready"}"#, r#"{"name":"{[","status":"Gone"}"#];
         let text = format!(r#"{{"index":7, "of":{{}}, "endpoints":[ {}, {} ]}}"#, odd[0], odd[1]);
@@ -219,19 +223,19 @@
     }
 
     #[test]
-    fn noise_is_told_with_its_place_and_kept_text_is_let_go() {
-        let flaw = versions("{\"index\":1}\n  x", 4).unwrap_err();
-        assert_eq!(flaw.to_string(), "byte 4 behind the last list is 0x78, where '{' is due");
+    fn errors_name_their_position_and_the_buffer_is_released() {
+        let error = versions("{\"index\":1}\n  x", 4).unwrap_err();
+        assert_eq!(error.to_string(), "byte 4 after the last list is 0x78, expected '{'");
         for wrong in ["{\"index\":null}", "{\"index\":1,\"endpoints\":[{\"status\":3}]}", "{]"] {
             assert!(matches!(versions(wrong, 3), Err(ListingError::InvalidListing(_))), "{wrong}");
         }
         assert!(matches!(versions("[1]", 1), Err(ListingError::UnexpectedByte(b'[', 1))));
         let twice = r#"{"index":1,"snapshot":true,"endpoints":[{"name":"a","status":"Ready"},{"name":"a","status":"Gone"}]}"#;
-        assert_eq!(versions(twice, 9).unwrap_err().to_string(), "'a' stands twice in a whole list");
+        assert_eq!(versions(twice, 9).unwrap_err().to_string(), "complete list names 'a' twice");
         assert_eq!(
             versions(&twice.replace("true", "false"), 9).unwrap(),
             [1],
-            "changes of one may follow each other"
+            "one endpoint may change twice"
         );
         let mut listings = ListingReader::default();
         listings.extend(b"\n\n{\"ind");
--- a/crates/protocol/src/nesting.rs
+++ b/crates/protocol/src/nesting.rs
@@ -1,37 +1,37 @@
-//! Where in nested JSON the bytes of a stream stand.
+//! Tracks the nesting depth in a stream of JSON.
 
-/// Follows objects, arrays and strings byte by byte. It checks no grammar: it only finds where a value ends.
+/// Tracks objects, arrays and strings byte by byte. It checks no grammar; it only finds where a value ends.
 #[derive(Debug, Default)]
 pub(crate) struct Nesting {
     depth: usize,
-    quoted: bool,
+    in_string: bool,
     escaped: bool,
 }
 
 impl Nesting {
-    /// Objects and arrays that are open; only an object opens the first level.
+    /// Returns the number of open objects and arrays. Only an object opens the first level.
     pub(crate) fn depth(&self) -> usize {
         self.depth
     }
 
-    /// The bytes stand in a string.
-    pub(crate) fn is_quoted(&self) -> bool {
-        self.quoted
+    /// Returns whether the position is within a string.
+    pub(crate) fn is_in_string(&self) -> bool {
+        self.in_string
     }
 
-    /// Takes the next byte.
+    /// Processes the next byte.
     pub(crate) fn advance(&mut self, byte: u8) {
-        if self.quoted {
+        if self.in_string {
             let ends = byte == b'"' && !self.escaped;
             self.escaped = byte == b'\\' && !self.escaped;
-            self.quoted = !ends;
+            self.in_string = !ends;
             return;
         }
         match byte {
             b'{' => self.depth += 1,
             b'[' if self.depth > 0 => self.depth += 1,
             b'}' | b']' if self.depth > 0 => self.depth -= 1,
-            b'"' if self.depth > 0 => self.quoted = true,
+            b'"' if self.depth > 0 => self.in_string = true,
             _ => {}
         }
     }
--- a/crates/protocol/src/notice.rs
+++ b/crates/protocol/src/notice.rs
@@ -1,4 +1,4 @@
-//! Notices: the ends of messages that were not delivered, as the platform is told them.
+//! Notices: reports to the platform on the ends of messages that were not delivered.
 
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -6,20 +6,20 @@
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// Delivered, or withdrawn by its client: nothing more is owed.
+    /// Delivered, or abandoned by its client; no notice is needed.
     #[serde(rename = "Over")]
     Closed,
-    /// Given up.
+    /// Failed.
     Failed,
-    /// Refused: handing it in again is harmless.
+    /// Refused; putting it again is harmless.
     Returned {
-        /// When to come again, in milliseconds; 0 says nothing of it.
+        /// After how long to put it again, in milliseconds; 0 if not known.
         #[serde(rename = "after_ms")]
         retry_after_ms: u64,
     },
 }
 
-/// The line that tells the end of the message with this id.
+/// Returns the line that reports the end of a message.
 pub fn encode(id: &str, end: End) -> String {
     let line = match end {
         End::Returned { retry_after_ms: 0 } => json!({"id": id, "state": "returned"}),
--- a/crates/protocol/src/resp_client.rs
+++ b/crates/protocol/src/resp_client.rs
@@ -1,20 +1,20 @@
-//! The client's half of the clients' protocol, for a sender that forwards a message to another.
+//! The client side of the clients' protocol, for a sender that forwards a message to another sender.
 
 use crate::resp::{Put, Reply};
 use std::io::Write;
 
-/// Bytes of an answer's line at most, its end included; no sender writes a longer one.
+/// Maximum length of a reply with its line end, in bytes. No sender writes a longer one.
 pub const MAX_REPLY_BYTES: usize = 1024;
 
-/// A message as the command `MSG.PUT`, which [`crate::resp::decode_put`] reads as the same message. Its time left is told in whole
-/// milliseconds, rounded down, and never below 0.
+/// Encodes a message as the command `MSG.PUT`, which [`crate::resp::decode_put`] decodes to the same message. The time
+/// left is written in whole milliseconds, rounded down, and never below 0.
 pub fn encode_put(put: &Put) -> Vec<u8> {
     let fields = encode_fields(put);
     let arguments: [&[u8]; 5] =
         [b"MSG.PUT", put.order_key.as_bytes(), put.request_id.as_bytes(), fields.as_bytes(), &put.body];
     let length: usize = arguments.iter().map(|argument| argument.len() + 16).sum();
     let mut command = Vec::with_capacity(length + 16);
-    // Writing to a vector does not fail.
+    // Writing to a vector cannot fail.
     _ = write!(command, "*{}\r\n", arguments.len());
     for argument in arguments {
         _ = write!(command, "${}\r\n", argument.len());
@@ -37,7 +37,7 @@
     fields
 }
 
-/// Reads the line that a sender answers a message with, without its end; nothing if it is no such answer.
+/// Decodes a reply without its line end; returns `None` if it is not a reply to `MSG.PUT`.
 pub fn decode_reply(line: &[u8]) -> Option<Reply> {
     let line = std::str::from_utf8(line).ok()?;
     if line == "+OK" {
@@ -53,5 +53,5 @@
     if reason == FAILED { Some(Reply::Failed) } else { Some(Reply::Invalid(reason.to_owned().into())) }
 }
 
-/// The reason in [`Reply::Failed`]'s line.
+/// The error text of [`Reply::Failed`].
 const FAILED: &str = "the message failed";
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a sender is started with, as they stand on the wire and in its configuration.
+//! The settings that a sender is started with, in the form of the wire and of its configuration.
 
 use heronroute::{
     ClassSettings, DedupScope, Effect, KindSettings, LateDecay, Micros, Settings, SettingsError,
@@ -22,16 +22,16 @@
 
 impl Default for Profile {
     fn default() -> Self {
-        let c = ClassSettings::default();
+        let defaults = ClassSettings::default();
         Profile {
             name: String::new(),
             effect: "single_shot".into(),
             group: "all".into(),
-            hard_limit_us: c.deadline,
-            objective_us: c.aim,
-            window_us: c.window,
-            late_share: c.late_share,
-            worth: c.worth,
+            hard_limit_us: defaults.deadline,
+            objective_us: defaults.aim,
+            window_us: defaults.window,
+            late_share: defaults.late_share,
+            worth: defaults.worth,
             serial_by_key: false,
         }
     }
@@ -88,7 +88,7 @@
     quota_rps: f64,
 }
 
-/// Where in a configuration's settings a figure stands that the library found to be wrong.
+/// Returns the path, in a configuration's settings, of the value that an error names.
 pub fn setting_path(error: &SettingsError) -> String {
     if let Some(class) = error.class {
         let field = match error.field {
@@ -119,10 +119,10 @@
     .into()
 }
 
-/// The names that stand for indices on sockets.
+/// The names of classes, tenants, zones and kinds, in the order of their indices.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Classes of message.
+    /// Message classes.
     pub classes: Vec<String>,
     /// Tenants.
     pub tenants: Vec<String>,
@@ -132,7 +132,7 @@
     pub kinds: Vec<String>,
 }
 
-/// The settings as the wire gives them.
+/// The settings in the form of the wire.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct ProfileData {
@@ -153,7 +153,7 @@
 }
 
 impl ProfileData {
-    /// The names of what the settings number.
+    /// Returns the names to which indices in the settings refer.
     pub fn names(&self) -> Names {
         let customers = self.customers.iter().flatten();
         Names {
@@ -164,67 +164,67 @@
         }
     }
 
-    /// How long a connection may take to come up.
+    /// Returns how long a connection attempt may take.
     pub fn connect_timeout(&self) -> Option<Micros> {
         self.limits.connect_timeout_us
     }
 
-    /// Where discovery tells changes only to those that ask, which costs it work: how often a sender asks at most.
+    /// Returns the minimum interval between polls, if discovery reports changes only to polls. Polls cost it work.
     pub fn poll_interval(&self) -> Option<Micros> {
         self.rules.ask_every_us.filter(|_| self.discovery == "ask")
     }
 
-    /// Puts the wire's settings into the library's words; where the wire is silent, its defaults stand.
+    /// Converts the wire's settings to the library's. A missing setting gets the library's default.
     pub fn settings(self) -> Settings {
-        let d = Settings::default();
+        let defaults = Settings::default();
         let attempts = self.limits.max_attempts;
-        let class = |p: Profile| ClassSettings {
+        let class = |profile: Profile| ClassSettings {
             max_attempts: attempts,
-            aim: p.objective_us,
-            deadline: p.hard_limit_us,
-            effect: match p.effect.as_str() {
+            aim: profile.objective_us,
+            deadline: profile.hard_limit_us,
+            effect: match profile.effect.as_str() {
                 "free" => Effect::Safe,
                 "guarded" => Effect::Keyed,
                 _ => Effect::Unsafe,
             },
-            dedup_scope: match p.group.as_str() {
+            dedup_scope: match profile.group.as_str() {
                 "all" => DedupScope::All,
                 "zone" => DedupScope::Zone,
                 _ => DedupScope::Endpoint,
             },
-            window: p.window_us,
-            ordered: p.serial_by_key,
-            worth: p.worth,
-            late_share: p.late_share,
+            window: profile.window_us,
+            ordered: profile.serial_by_key,
+            worth: profile.worth,
+            late_share: profile.late_share,
         };
-        let f = self.family_info;
-        let kinds = self.shapes.len().max(f.batch_by_kind.len()).max(f.kind_apart.len());
-        let kind = |k: usize| KindSettings {
-            max_batch: f.batch_by_kind.get(k).copied().unwrap_or(1).max(1),
-            separate_routes: f.kind_apart.get(k).copied().unwrap_or(false),
+        let family = self.family_info;
+        let kinds = self.shapes.len().max(family.batch_by_kind.len()).max(family.kind_apart.len());
+        let kind = |kind: usize| KindSettings {
+            max_batch: family.batch_by_kind.get(kind).copied().unwrap_or(1).max(1),
+            separate_routes: family.kind_apart.get(kind).copied().unwrap_or(false),
         };
         Settings {
-            senders: self.balancers.unwrap_or(d.senders),
+            senders: self.balancers.unwrap_or(defaults.senders),
             zone: self.zone,
-            slots: f.workers.unwrap_or(d.slots),
-            max_open: self.limits.max_open.unwrap_or(d.max_open),
-            max_attempts: self.limits.max_attempts.unwrap_or(d.max_attempts),
+            slots: family.workers.unwrap_or(defaults.slots),
+            max_open: self.limits.max_open.unwrap_or(defaults.max_open),
+            max_attempts: self.limits.max_attempts.unwrap_or(defaults.max_attempts),
             second_copies: self.limits.second_copies,
             cancel: self.limits.cancel,
             probes: self.limits.probes,
             peers: self.limits.peers,
             max_retry_after: self.limits.max_retry_after_us,
-            idle_close: self.limits.idle_close_us.unwrap_or(d.idle_close),
-            streams_per_conn: self.limits.streams_per_conn.unwrap_or(d.streams_per_conn),
+            idle_close: self.limits.idle_close_us.unwrap_or(defaults.idle_close),
+            streams_per_conn: self.limits.streams_per_conn.unwrap_or(defaults.streams_per_conn),
             quantum: self.quantum_us,
             drain_grace: self.rules.drain_grace_us,
-            fall_multiple: self.rules.fall_multiple.unwrap_or(d.fall_multiple),
-            fall_window: self.rules.fall_us.unwrap_or(d.fall_window),
-            cold_from: self.rules.cold_from.unwrap_or(d.cold_from),
-            warm_up: self.rules.warm_up_us.unwrap_or(d.warm_up),
+            fall_multiple: self.rules.fall_multiple.unwrap_or(defaults.fall_multiple),
+            fall_window: self.rules.fall_us.unwrap_or(defaults.fall_window),
+            cold_from: self.rules.cold_from.unwrap_or(defaults.cold_from),
+            warm_up: self.rules.warm_up_us.unwrap_or(defaults.warm_up),
             order_settle: self.rules.order_settle_us,
-            late_decay: if f.late == "halves" { LateDecay::Halving } else { LateDecay::Linear },
-            over_share_worth: self.over_share_worth.unwrap_or(d.over_share_worth),
+            late_decay: if family.late == "halves" { LateDecay::Halving } else { LateDecay::Linear },
+            over_share_worth: self.over_share_worth.unwrap_or(defaults.over_share_worth),
             weights: match self.weights.as_str() {
                 "nominal" => WeightMeaning::Nominal,
                 "rough" => WeightMeaning::Approximate,
@@ -232,7 +232,7 @@
             },
             cross_zone_price: self.prices.cross_zone,
             handshake_price: self.prices.handshake,
-            zone_fees: f.carriage.clone(),
+            zone_fees: family.carriage.clone(),
             classes: self.profiles.into_iter().map(class).collect(),
             kinds: (0..kinds).map(kind).collect(),
             tenants: self
--- a/crates/protocol/tests/listing_stream.rs
+++ b/crates/protocol/tests/listing_stream.rs
@@ -1,12 +1,12 @@
-//! Lists of which a part is kept: the same as reading all and dropping the rest, however the text is cut, and with no
-//! more held than is kept.
+//! The filtering reader: it returns the same as reading everything and dropping the rest, however the text is split, and
+//! holds little more than it keeps.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
 use embershore_protocol::listing_stream::FilteredListingReader;
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-fn line() -> impl Strategy<Value = ListedEndpoint> {
+fn entry() -> impl Strategy<Value = ListedEndpoint> {
     (".{0,12}", "[A-Za-z{}\\[\\]\"\\\\ ]{0,12}", -3..4i64).prop_map(|(name, status, group)| ListedEndpoint {
         name,
         address: "127.0.0.1:9".into(),
@@ -19,15 +19,15 @@
 }
 
 fn listing() -> impl Strategy<Value = Listing> {
-    (any::<u64>(), any::<bool>(), vec(line(), 0..6)).prop_map(|(index, snapshot, mut endpoints)| {
-        // A whole list names each once.
-        endpoints.iter_mut().enumerate().for_each(|(n, line)| line.name += &format!("-{n}"));
+    (any::<u64>(), any::<bool>(), vec(entry(), 0..6)).prop_map(|(index, snapshot, mut endpoints)| {
+        // A complete list names each endpoint once.
+        endpoints.iter_mut().enumerate().for_each(|(n, entry)| entry.name += &format!("-{n}"));
         Listing { index, snapshot, endpoints }
     })
 }
 
-/// A list's text: in one line or indented, its fields in either order, white space behind it.
-fn written(listing: &Listing, indented: bool, reversed: bool, behind: &str) -> String {
+/// Writes a list on one line or indented, its fields in either order, followed by white space.
+fn written(listing: &Listing, indented: bool, reversed: bool, white_space: &str) -> String {
     let value = serde_json::to_value(listing).expect("JSON");
     let mut text =
         if indented { serde_json::to_string_pretty(listing) } else { serde_json::to_string(listing) }
@@ -38,33 +38,34 @@
             "{{\"more\": [{{\"endpoints\":[1,[2]]}}], \"endpoints\" : {endpoints}, \"snapshot\":{snapshot}, \"index\":{index}}}"
         );
     }
-    text + behind
+    text + white_space
 }
 
-fn cut(text: &[u8], mut cuts: Vec<usize>) -> Vec<&[u8]> {
+/// Splits a text at these places.
+fn split(text: &[u8], mut cuts: Vec<usize>) -> Vec<&[u8]> {
     cuts.iter_mut().for_each(|c| *c %= text.len() + 1);
     cuts.extend([0, text.len()]);
     cuts.sort_unstable();
     cuts.windows(2).map(|w| &text[w[0]..w[1]]).collect()
 }
 
-/// All lists of a text that comes in these pieces, and what ended it.
-fn filtered(pieces: &[&[u8]], keeps: &dyn Fn(i64) -> bool) -> (Vec<String>, Option<ListingError>) {
+/// Reads all lists of a text that arrives in these pieces, up to the first error.
+fn filtered(pieces: &[&[u8]], is_wanted: &dyn Fn(i64) -> bool) -> (Vec<String>, Option<ListingError>) {
     let (mut listings, mut found) = (FilteredListingReader::default(), Vec::new());
     for bytes in pieces {
         listings.extend(bytes);
         loop {
-            match listings.next_listing(keeps) {
+            match listings.next_listing(is_wanted) {
                 Ok(Some(listing)) => found.push(format!("{listing:?}")),
                 Ok(None) => break,
-                Err(flaw) => return (found, Some(flaw)),
+                Err(error) => return (found, Some(error)),
             }
         }
     }
     (found, None)
 }
 
-/// The same by reading all of it.
+/// Reads the same text in full.
 fn all(pieces: &[&[u8]]) -> (Vec<Listing>, Option<ListingError>) {
     let (mut listings, mut found) = (ListingReader::default(), Vec::new());
     for bytes in pieces {
@@ -73,7 +74,7 @@
             match listings.next_listing() {
                 Ok(Some(listing)) => found.push(listing),
                 Ok(None) => break,
-                Err(flaw) => return (found, Some(flaw)),
+                Err(error) => return (found, Some(error)),
             }
         }
     }
@@ -84,66 +85,71 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_kept_is_what_reading_all_and_dropping_the_rest_leaves(
+    fn the_result_is_the_same_as_reading_all_and_dropping_the_rest(
         lists in vec((listing(), any::<bool>(), any::<bool>(), "[ \r\n\t]{0,4}"), 0..5),
         cuts in vec(any::<usize>(), 0..12),
-        least in -4..5i64,
+        min_dest in -4..5i64,
     ) {
-        let text: String = lists.iter().map(|(l, indented, reversed, behind)| written(l, *indented, *reversed, behind)).collect();
-        let wanted: Vec<String> = lists.iter().map(|(list, ..)| {
+        let text: String = lists.iter().map(|(list, indented, reversed, white_space)| written(list, *indented, *reversed, white_space)).collect();
+        let expected: Vec<String> = lists.iter().map(|(list, ..)| {
             let mut list = list.clone();
-            list.endpoints.retain(|line| line.group >= least);
+            list.endpoints.retain(|entry| entry.group >= min_dest);
             format!("{list:?}")
         }).collect();
-        let (found, flaw) = filtered(&cut(text.as_bytes(), cuts), &|dest| dest >= least);
-        prop_assert!(flaw.is_none(), "{flaw:?}");
-        prop_assert_eq!(found, wanted);
+        let (found, error) = filtered(&split(text.as_bytes(), cuts), &|dest| dest >= min_dest);
+        prop_assert!(error.is_none(), "{error:?}");
+        prop_assert_eq!(found, expected);
     }
 
     #[test]
-    fn a_spoilt_text_is_read_or_refused_as_by_reading_all(
+    fn a_corrupted_text_is_read_or_rejected_as_by_reading_all(
         lists in vec(listing(), 1..3),
-        spoilt in vec((any::<usize>(), any::<u8>()), 1..3),
+        corrupted in vec((any::<usize>(), any::<u8>()), 1..3),
         cuts in vec(any::<usize>(), 0..6),
     ) {
-        let mut text: Vec<u8> = lists.iter().flat_map(|l| written(l, false, false, "\n").into_bytes()).collect();
-        for (at, byte) in spoilt {
+        let mut text: Vec<u8> = lists.iter().flat_map(|list| written(list, false, false, "\n").into_bytes()).collect();
+        for (at, byte) in corrupted {
             let at = at % text.len();
             text[at] = byte;
         }
-        let pieces = cut(&text, cuts);
-        let (found, flaw) = filtered(&pieces, &|_| true);
-        let (wanted, wanted_flaw) = all(&pieces);
-        let wanted: Vec<String> = wanted.iter().map(|list| format!("{list:?}")).collect();
-        // A fault within an entry shows before its list has come to its end.
-        prop_assert!(wanted.starts_with(&found) || found == wanted, "{found:?} {wanted:?}");
-        if wanted_flaw.is_some() {
-            prop_assert_eq!(found, wanted);
+        let pieces = split(&text, cuts);
+        let (found, error) = filtered(&pieces, &|_| true);
+        let (expected, expected_error) = all(&pieces);
+        let expected: Vec<String> = expected.iter().map(|list| format!("{list:?}")).collect();
+        // An error within an entry is found before the end of its list.
+        prop_assert!(expected.starts_with(&found) || found == expected, "{found:?} {expected:?}");
+        if expected_error.is_some() {
+            prop_assert_eq!(found, expected);
         }
-        if flaw.is_none() {
-            prop_assert!(wanted_flaw.is_none(), "{wanted_flaw:?}");
+        if error.is_none() {
+            prop_assert!(expected_error.is_none(), "{expected_error:?}");
         }
     }
 }
 
-fn one(text: &str, keeps: &dyn Fn(i64) -> bool) -> Result<Vec<String>, String> {
+/// Reads one list and returns the names of its wanted entries.
+fn one(text: &str, is_wanted: &dyn Fn(i64) -> bool) -> Result<Vec<String>, String> {
     let mut listings = FilteredListingReader::default();
     listings.extend(text.as_bytes());
-    let list = listings.next_listing(keeps).map_err(|flaw| flaw.to_string())?.expect("whole");
-    Ok(list.endpoints.into_iter().map(|line| line.name).collect())
+    let list = listings.next_listing(is_wanted).map_err(|error| error.to_string())?.expect("complete");
+    Ok(list.endpoints.into_iter().map(|entry| entry.name).collect())
 }
 
 #[test]
-fn a_name_that_stands_twice_among_the_kept_ones_is_an_error() {
+fn a_duplicate_name_among_the_kept_entries_is_an_error() {
     let text = r#"{"endpoints":[{"name":"a","group":1,"status":"Ready"},{"name":"b","group":2,"status":"Ready"},
         {"name":"a","group":1,"status":"Gone"}],"index":1,"snapshot":true}"#;
-    assert_eq!(one(text, &|_| true), Err("'a' stands twice in a whole list".into()));
-    assert_eq!(one(text, &|dest| dest == 2), Ok(vec!["b".into()]), "it is none of ours");
+    assert_eq!(one(text, &|_| true), Err("complete list names 'a' twice".into()));
+    assert_eq!(
+        one(text, &|dest| dest == 2),
+        Ok(vec!["b".into()]),
+        "the duplicate name is not among the wanted entries"
+    );
     let changes = text.replace("true", "false");
     assert_eq!(
         one(&changes, &|dest| dest == 1),
         Ok(vec!["a".into(), "a".into()]),
-        "changes follow each other"
+        "one endpoint may change twice"
     );
 }
 
@@ -154,29 +160,29 @@
 }
 
 #[test]
-fn faults_are_told_with_their_entry() {
+fn errors_name_their_entry() {
     let good = r#"{"name":"a","group":1,"status":"Ready"}"#;
     let list = |entries: &str| one(&format!(r#"{{"index":1,"endpoints":[{entries}]}}"#), &|_| false);
     assert_eq!(list(&format!("{good},{good}")), Ok(vec![]));
-    for (entries, what) in [
-        (format!("{good}{good}"), "behind 1 entries of a list stands 0x7b"),
-        (format!("{good},,{good}"), "behind 1 entries of a list stands 0x2c"),
-        (format!("{good},"), "behind 1 entries of a list stands 0x5d"),
-        (format!("{good},7"), "behind 1 entries of a list stands 0x37"),
-        (format!("{good},{{\"status\":3}}"), "entry 1 of a list can't be read"),
+    for (entries, message) in [
+        (format!("{good}{good}"), "unexpected byte 0x7b after 1 entries of a list"),
+        (format!("{good},,{good}"), "unexpected byte 0x2c after 1 entries of a list"),
+        (format!("{good},"), "unexpected byte 0x5d after 1 entries of a list"),
+        (format!("{good},7"), "unexpected byte 0x37 after 1 entries of a list"),
+        (format!("{good},{{\"status\":3}}"), "malformed entry 1 in a list"),
     ] {
-        let told = list(&entries).expect_err(&entries);
-        assert!(told.contains(what), "{entries}: {told}");
+        let error = list(&entries).expect_err(&entries);
+        assert!(error.contains(message), "{entries}: {error}");
     }
-    let twice = r#"{"index":1,"endpoints":[],"endpoints":[]}"#;
-    assert!(one(twice, &|_| true).expect_err("twice").contains("duplicate field"));
+    let duplicate = r#"{"index":1,"endpoints":[],"endpoints":[]}"#;
+    assert!(one(duplicate, &|_| true).expect_err("duplicate").contains("duplicate field"));
 }
 
 #[test]
-fn a_long_list_of_which_little_is_kept_is_not_held() {
+fn a_long_list_of_which_little_is_kept_takes_little_memory() {
     let mut listings = FilteredListingReader::default();
     listings.extend(br#"{"index":1,"snapshot":true,"endpoints":["#);
-    let mut most = 0;
+    let mut max_buffered = 0;
     for number in 0..40_000 {
         let comma = if number == 0 { "" } else { "," };
         let address = "127.0.0.1:9";
@@ -189,11 +195,11 @@
         assert!(
             listings.next_listing(&|dest| dest % 1000 == 0).expect("good").is_none() && listings.is_partial()
         );
-        most = most.max(listings.buffered_bytes());
+        max_buffered = max_buffered.max(listings.buffered_bytes());
     }
-    assert!(most < 4096, "{most} bytes were held at a time");
+    assert!(max_buffered < 4096, "{max_buffered} bytes were buffered at a time");
     listings.extend(b"]}\n");
-    let list = listings.next_listing(&|dest| dest % 1000 == 0).expect("good").expect("whole");
+    let list = listings.next_listing(&|dest| dest % 1000 == 0).expect("good").expect("complete");
     assert_eq!((list.index, list.snapshot, list.endpoints.len()), (1, true, 40));
     assert!(!listings.is_partial());
 }
--- a/crates/protocol/tests/listings.rs
+++ b/crates/protocol/tests/listings.rs
@@ -1,10 +1,10 @@
-//! A watch's text, as random lists in random shape, cut at random bytes.
+//! The stream of a watch: random lists in random form, split at random bytes.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-fn line() -> impl Strategy<Value = ListedEndpoint> {
+fn entry() -> impl Strategy<Value = ListedEndpoint> {
     (
         ".{0,12}",
         "[A-Za-z{}\\[\\]\"\\\\ ]{0,12}",
@@ -22,18 +22,18 @@
         })
 }
 
-/// A list, whether it comes indented, and what stands behind it.
+/// A list, whether it is indented, and the white space after it.
 fn piece() -> impl Strategy<Value = (Listing, bool, String)> {
     let listing =
-        (any::<u64>(), any::<bool>(), vec(line(), 0..4)).prop_map(|(index, snapshot, mut endpoints)| {
-            // A whole list names each once.
-            endpoints.iter_mut().enumerate().for_each(|(n, line)| line.name += &format!("-{n}"));
+        (any::<u64>(), any::<bool>(), vec(entry(), 0..4)).prop_map(|(index, snapshot, mut endpoints)| {
+            // A complete list names each endpoint once.
+            endpoints.iter_mut().enumerate().for_each(|(n, entry)| entry.name += &format!("-{n}"));
             Listing { index, snapshot, endpoints }
         });
     (listing, any::<bool>(), "[ \r\n\t]{0,4}")
 }
 
-/// All that can be read of a text that comes in these pieces, and what ended it.
+/// Reads all lists of a text that arrives in these pieces, up to the first error.
 fn read<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> (Vec<String>, Option<ListingError>) {
     let (mut listings, mut found) = (ListingReader::default(), Vec::new());
     for bytes in pieces {
@@ -42,14 +42,15 @@
             match listings.next_listing() {
                 Ok(Some(listing)) => found.push(format!("{listing:?}")),
                 Ok(None) => break,
-                Err(flaw) => return (found, Some(flaw)),
+                Err(error) => return (found, Some(error)),
             }
         }
     }
     (found, None)
 }
 
-fn cut(text: &[u8], mut cuts: Vec<usize>) -> impl Iterator<Item = &[u8]> {
+/// Splits a text at these places.
+fn split(text: &[u8], mut cuts: Vec<usize>) -> impl Iterator<Item = &[u8]> {
     cuts.iter_mut().for_each(|c| *c %= text.len() + 1);
     cuts.extend([0, text.len()]);
     cuts.sort_unstable();
@@ -60,24 +61,24 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn lists_are_read_alike_however_they_are_written_and_cut(
+    fn lists_are_read_however_they_are_indented_and_split(
         pieces in vec(piece(), 0..5),
         cuts in vec(any::<usize>(), 0..12),
         tail in "[ \r\n]{0,3}",
     ) {
         let mut text = tail;
-        for (listing, indented, behind) in &pieces {
+        for (listing, indented, white_space) in &pieces {
             text += &if *indented { serde_json::to_string_pretty(listing) } else { serde_json::to_string(listing) }.unwrap();
-            text += behind;
+            text += white_space;
         }
-        let wanted: Vec<String> = pieces.iter().map(|(listing, ..)| format!("{listing:?}")).collect();
-        let (found, flaw) = read(cut(text.as_bytes(), cuts));
-        prop_assert!(flaw.is_none(), "{flaw:?}");
-        prop_assert_eq!(found, wanted);
+        let expected: Vec<String> = pieces.iter().map(|(listing, ..)| format!("{listing:?}")).collect();
+        let (found, error) = read(split(text.as_bytes(), cuts));
+        prop_assert!(error.is_none(), "{error:?}");
+        prop_assert_eq!(found, expected);
     }
 
     #[test]
-    fn what_stands_before_noise_is_read_and_no_noise_is_taken_for_a_list(
+    fn lists_before_noise_are_read_and_noise_is_never_read_as_a_list(
         pieces in vec(piece(), 0..4),
         noise in vec(any::<u8>(), 1..40),
         cuts in vec(any::<usize>(), 0..8),
@@ -87,11 +88,11 @@
             text.extend_from_slice(serde_json::to_string(listing).unwrap().as_bytes());
             text.push(b'\n');
         }
-        // Nothing that begins so is white space or a list.
+        // Neither white space nor a list begins with this byte.
         text.push(b'!');
         text.extend_from_slice(&noise);
-        let (found, flaw) = read(cut(&text, cuts));
+        let (found, error) = read(split(&text, cuts));
         prop_assert_eq!(found.len(), pieces.len());
-        prop_assert!(matches!(flaw, Some(ListingError::UnexpectedByte(b'!', 2)) | Some(ListingError::UnexpectedByte(b'!', 1))), "{flaw:?}");
+        prop_assert!(matches!(error, Some(ListingError::UnexpectedByte(b'!', 2)) | Some(ListingError::UnexpectedByte(b'!', 1))), "{error:?}");
     }
 }
--- a/crates/protocol/tests/resp_client.rs
+++ b/crates/protocol/tests/resp_client.rs
@@ -1,4 +1,4 @@
-//! What one sender writes to another is read there as the same message, and answers come back as they were meant.
+//! Messages and replies survive encoding by one sender and decoding by another.
 
 use bytes::{Bytes, BytesMut};
 use embershore_protocol::resp::{MAX_BODY_BYTES, Put, Reply, decode_command, decode_put};
@@ -10,7 +10,11 @@
     let names = ("[ -~ä€]{0,30}", "[!-~]{1,128}", "[a-z=-]{0,20}", "[a-z=-]{0,20}");
     let rest = (any::<u32>(), any::<i64>(), prop::option::of("[!-+--~]{1,128}"), any::<bool>());
     (names, rest, vec(any::<u8>(), 0..300)).prop_map(
-        |((order_key, request_id, class, tenant), (milliseconds, dest, idempotency_key, again), body)| Put {
+        |(
+            (order_key, request_id, class, tenant),
+            (milliseconds, dest, idempotency_key, resubmitted),
+            body,
+        )| Put {
             order_key,
             request_id,
             class,
@@ -18,7 +22,7 @@
             time_left: i64::from(milliseconds) * 1000,
             dest,
             idempotency_key,
-            resubmitted: again,
+            resubmitted,
             body: Bytes::from(body),
         },
     )
@@ -28,16 +32,16 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_message_is_read_as_it_was_written(message in message()) {
-        let mut written = BytesMut::from(&encode_put(&message)[..]);
-        let arguments = decode_command(&mut written).expect("well framed").expect("whole");
-        prop_assert!(written.is_empty());
+    fn a_message_is_decoded_as_it_was_encoded(message in message()) {
+        let mut encoded = BytesMut::from(&encode_put(&message)[..]);
+        let arguments = decode_command(&mut encoded).expect("well framed").expect("complete");
+        prop_assert!(encoded.is_empty());
         prop_assert_eq!(decode_put(&arguments), Ok(message));
     }
 
     #[test]
-    fn a_wrong_reply_is_read_as_it_was_written(reason in "[a-z '.]{1,40}", after_ms in any::<u64>()) {
-        for reply in [Reply::Invalid(reason.clone().into()), Reply::Busy { retry_after_ms: after_ms }] {
+    fn a_reply_is_decoded_as_it_was_encoded(reason in "[a-z '.]{1,40}", retry_after_ms in any::<u64>()) {
+        for reply in [Reply::Invalid(reason.clone().into()), Reply::Busy { retry_after_ms }] {
             let line = reply.clone().encode();
             prop_assert!(line.len() <= MAX_REPLY_BYTES);
             prop_assert_eq!(decode_reply(line.trim_end_matches("\r\n").as_bytes()), Some(reply));
@@ -47,11 +51,11 @@
 
 #[test]
 fn time_left_is_rounded_down_and_never_negative() {
-    for (time_left, told) in [(1_999, 1_000), (999, 0), (-5_000_000, 0)] {
+    for (time_left, expected) in [(1_999, 1_000), (999, 0), (-5_000_000, 0)] {
         let message = Put { request_id: "r".into(), time_left, ..Put::default() };
-        let mut written = BytesMut::from(&encode_put(&message)[..]);
-        let arguments = decode_command(&mut written).expect("well framed").expect("whole");
-        assert_eq!(decode_put(&arguments).expect("a message").time_left, told);
+        let mut encoded = BytesMut::from(&encode_put(&message)[..]);
+        let arguments = decode_command(&mut encoded).expect("well framed").expect("complete");
+        assert_eq!(decode_put(&arguments).expect("a message").time_left, expected);
     }
 }
 
@@ -64,12 +68,12 @@
         body: vec![7; MAX_BODY_BYTES].into(),
         ..Put::default()
     };
-    let mut written = BytesMut::from(&encode_put(&message)[..]);
-    assert!(decode_command(&mut written).expect("well framed").is_some());
+    let mut encoded = BytesMut::from(&encode_put(&message)[..]);
+    assert!(decode_command(&mut encoded).expect("well framed").is_some());
 }
 
 #[test]
-fn replies_are_read_and_all_else_is_none() {
+fn other_lines_are_no_replies() {
     for reply in [Reply::Accepted, Reply::Failed, Reply::Busy { retry_after_ms: 0 }] {
         assert_eq!(decode_reply(reply.clone().encode().trim_end_matches("\r\n").as_bytes()), Some(reply));
     }
