--- a/crates/finding/src/lib.rs
+++ b/crates/finding/src/lib.rs
@@ -1,4 +1,5 @@
-//! What is wrong in a file that a person wrote, and where. Scenarios and options files tell it alike.
+//! Findings: errors in files that people write, with their position. Scenarios and options files report them
+//! alike.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -8,98 +9,103 @@
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
-/// Something wrong in a file.
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// The column, from 1, in characters.
+    /// The column in characters, counted from 1.
     pub column: usize,
-    /// What is wrong, and the mend.
+    /// What is wrong, and how to fix it.
     #[serde(rename = "what")]
     pub message: String,
 }
 
 impl Finding {
-    /// A finding at a byte of a text.
-    pub fn at(text: &str, byte: usize, what: impl Into<String>) -> Finding {
+    /// Returns a finding at a byte offset of a text.
+    pub fn at(text: &str, byte: usize, message: impl Into<String>) -> Finding {
         let before = &text.as_bytes()[..byte.min(text.len())];
         let line = before.iter().filter(|b| **b == b'\n').count() + 1;
         let start = before.iter().rposition(|b| *b == b'\n').map_or(0, |n| n + 1);
         let column = String::from_utf8_lossy(&before[start..]).chars().count() + 1;
-        Finding { line, column, message: what.into() }
+        Finding { line, column, message: message.into() }
     }
 
-    /// What keeps a text from being read as TOML, or as what it should hold. On one line, as all findings are.
+    /// Returns the finding for a text that is not valid TOML or lacks the expected structure. Its message is
+    /// on one line, as in all findings.
     pub fn from_toml_error(text: &str, error: &toml::de::Error) -> Finding {
         Finding::at(text, error.span().map_or(0, |s| s.start), error.message().replace('\n', "; "))
     }
 }
 
-/// Something wrong in a section that a subsystem checks, and where: it knows bytes of the text, not lines.
+/// An error in a section that a subsystem checks, which knows byte offsets but not lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpanFinding {
-    /// Where, in bytes.
+    /// The byte range.
     pub span: Range<usize>,
-    /// What is wrong, and the mend.
+    /// What is wrong, and how to fix it.
     pub message: String,
 }
 
 impl SpanFinding {
-    /// All that was found, with lines and columns, in the order of the text.
+    /// Converts byte ranges to lines and columns and sorts the findings by position.
     pub fn resolve(text: &str, mut found: Vec<SpanFinding>) -> Vec<Finding> {
-        found.sort_by_key(|f| f.span.start);
-        found.into_iter().map(|f| Finding::at(text, f.span.start, f.message)).collect()
+        found.sort_by_key(|finding| finding.span.start);
+        let at_start = |finding: SpanFinding| Finding::at(text, finding.span.start, finding.message);
+        found.into_iter().map(at_start).collect()
     }
 }
 
-/// Findings as lines `name:line:column: what`, with no line end after the last.
+/// Displays findings as lines `name:line:column: message`, without a line end after the last.
 pub struct Findings<'a> {
     /// The file's name.
     pub name: &'a str,
-    /// All that was found, in the order of the file.
+    /// The findings, in the order of the file.
     pub findings: &'a [Finding],
 }
 
 impl fmt::Display for Findings<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (n, finding) in self.findings.iter().enumerate() {
-            let end = if n + 1 < self.findings.len() { "\n" } else { "" };
+        for (index, finding) in self.findings.iter().enumerate() {
+            let end = if index + 1 < self.findings.len() { "\n" } else { "" };
             write!(f, "{}:{}:{}: {}{end}", self.name, finding.line, finding.column, finding.message)?;
         }
         Ok(())
     }
 }
 
-/// A file that can't be used. Nothing of it has taken effect.
+/// A file that cannot be used. Nothing in it has taken effect.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It can't be read.
+    /// The file cannot be read.
     #[error("{}: {error}", path.display())]
     Io {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// What stands in it is wrong.
+    /// The content of the file is invalid.
     #[error("{}", Findings { name, findings })]
     Invalid {
         /// The file's name.
         name: String,
-        /// All that was found.
+        /// The findings, in the order of the file.
         findings: Vec<Finding>,
     },
 }
 
-/// Reads a file of at most so many bytes; a longer one is no such file, and is not read. `what` names its sort.
+/// Reads a text file of at most `max_bytes`; a longer file is not read. `kind` names the sort of file in
+/// errors.
 ///
 /// # Errors
-/// When it can't be read, is too long, or is no text.
-pub fn read(path: &Path, most: u64, what: &str) -> io::Result<String> {
+/// Returns an error if the file cannot be read, is too long or is not UTF-8.
+pub fn read(path: &Path, max_bytes: u64, kind: &str) -> io::Result<String> {
     let length = std::fs::metadata(path)?.len();
-    if length > most {
-        return Err(io::Error::other(format!("{length} bytes; {what} has {most} at most")));
+    if length > max_bytes {
+        return Err(io::Error::other(format!(
+            "the file has {length} bytes; {kind} may have {max_bytes} at most"
+        )));
     }
     std::fs::read_to_string(path)
 }
--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -67,8 +67,8 @@
     pub state: String,
 }
 
-/// Returns the outcome that a message's state in the answer to a batch stands for, and whether the message is closed.
-/// With a missing or unknown state the message may have run.
+/// Returns the outcome that a message's state in the answer to a batch stands for, and whether the message is
+/// closed. With a missing or unknown state the message may have run.
 pub fn outcome_of_state(state: Option<&str>) -> (Outcome, bool) {
     match state {
         Some("ok") => (Outcome::Done, true),
--- a/crates/protocol/src/listing.rs
+++ b/crates/protocol/src/listing.rs
@@ -22,8 +22,8 @@
     /// Parses one listing.
     ///
     /// # Errors
-    /// Returns what is wrong in it. A complete list must not name an endpoint twice, since it would be unclear which entry
-    /// holds; among changes the later one holds.
+    /// Returns what is wrong in it. A complete list must not name an endpoint twice, since it would be
+    /// unclear which entry holds; among changes the later one holds.
     pub fn read(text: &[u8]) -> Result<Self, ListingError> {
         let listing: Listing = serde_json::from_slice(text).map_err(ListingError::InvalidListing)?;
         check_unique_names(listing)
@@ -65,9 +65,9 @@
     pub weight: Option<f64>,
 }
 
-/// Reads listings from a stream whose bytes arrive in arbitrary pieces. The stream is a sequence of JSON objects, each on
-/// one line or indented over several. Between them is white space, such as the empty lines that discovery sends as
-/// heartbeats.
+/// Reads listings from a stream whose bytes arrive in arbitrary pieces. The stream is a sequence of JSON
+/// objects, each on one line or indented over several. Between them is white space, such as the empty lines
+/// that discovery sends as heartbeats.
 #[derive(Debug, Default)]
 pub struct ListingReader {
     buffer: Vec<u8>,
@@ -108,7 +108,8 @@
     InvalidListing(serde_json::Error),
     /// The entry with this number, counted from 0, is invalid.
     InvalidEntry(usize, serde_json::Error),
-    /// The byte after this number of entries is neither a comma nor the start of an entry nor the end of the list.
+    /// The byte after this number of entries is neither a comma nor the start of an entry nor the end of the
+    /// list.
     UnexpectedByteInList(u8, usize),
     /// A complete list has this name twice.
     DuplicateName(String),
--- a/crates/protocol/src/listing_stream.rs
+++ b/crates/protocol/src/listing_stream.rs
@@ -1,4 +1,5 @@
-//! Reads listings entry by entry and keeps only a part, so that memory use does not depend on the length of a list.
+//! Reads listings entry by entry and keeps only a part, so that memory use does not depend on the length of a
+//! list.
 
 use crate::listing::{ListedEndpoint, Listing, ListingError, check_unique_names};
 use crate::nesting::Nesting;
@@ -10,10 +11,11 @@
 const IN_ENTRIES: usize = 2;
 const IN_ENTRY: usize = 3;
 
-/// Reads listings like [`crate::listing::ListingReader`], and keeps only the entries of wanted destinations. At any time
-/// it holds one entry, the kept entries and the listing's other fields.
+/// Reads listings like [`crate::listing::ListingReader`], and keeps only the entries of wanted destinations.
+/// At any time it holds one entry, the kept entries and the listing's other fields.
 ///
-/// A complete list that names a kept entry twice is an error. Entries that are not kept only have to be valid entries.
+/// A complete list that names a kept entry twice is an error. Entries that are not kept only have to be valid
+/// entries.
 #[derive(Debug, Default)]
 pub struct FilteredListingReader {
     unread: Vec<u8>,
@@ -67,8 +69,8 @@
         self.nesting.depth() > 0
     }
 
-    /// Returns the next complete listing with the entries of the destinations for which `is_wanted` holds, or `None` if
-    /// more bytes are needed.
+    /// Returns the next complete listing with the entries of the destinations for which `is_wanted` holds, or
+    /// `None` if more bytes are needed.
     ///
     /// # Errors
     /// Returns the first error in the stream; nothing after it can be parsed.
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -1,7 +1,7 @@
 //! The clients' protocol: RESP2 commands, which are arrays of bulk strings, and the replies to them.
 //!
-//! The framing is parsed here rather than by a general RESP crate: requests have only one shape, and parsing just that
-//! shape bounds every length before anything is stored for it, and needs no nesting.
+//! The framing is parsed here rather than by a general RESP crate: requests have only one shape, and parsing
+//! just that shape bounds every length before anything is stored for it, and needs no nesting.
 
 use bytes::{Bytes, BytesMut};
 use heronroute::Micros;
@@ -84,8 +84,8 @@
 
 impl std::error::Error for FramingError {}
 
-/// Parses `marker`, a number and a line end at `at`. Returns the number and the offset after the line end, or `None` if
-/// more bytes are needed.
+/// Parses `marker`, a number and a line end at `at`. Returns the number and the offset after the line end, or
+/// `None` if more bytes are needed.
 fn parse_header(
     buffer: &[u8],
     at: usize,
@@ -107,7 +107,8 @@
     number.map(|n| Some((n, at + end + 1))).ok_or(FramingError("invalid length"))
 }
 
-/// Removes the first complete command from `buffer` and returns its arguments; returns `None` if it is incomplete.
+/// Removes the first complete command from `buffer` and returns its arguments; returns `None` if it is
+/// incomplete.
 ///
 /// # Errors
 /// Returns a framing error as soon as the bytes show it.
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -169,7 +169,8 @@
         self.limits.connect_timeout_us
     }
 
-    /// Returns the minimum interval between polls, if discovery reports changes only to polls. Polls cost it work.
+    /// Returns the minimum interval between polls, if discovery reports changes only to polls. Polls cost it
+    /// work.
     pub fn poll_interval(&self) -> Option<Micros> {
         self.rules.ask_every_us.filter(|_| self.discovery == "ask")
     }
--- a/crates/protocol/tests/listing_stream.rs
+++ b/crates/protocol/tests/listing_stream.rs
@@ -1,5 +1,5 @@
-//! The filtering reader: it returns the same as reading everything and dropping the rest, however the text is split, and
-//! holds little more than it keeps.
+//! The filtering reader: it returns the same as reading everything and dropping the rest, however the text is
+//! split, and holds little more than it keeps.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
 use embershore_protocol::listing_stream::FilteredListingReader;
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -6,16 +6,18 @@
 
 fn serve() -> Result<(), String> {
     let stdin = io::stdin();
-    let mut out = BufWriter::with_capacity(1 << 20, io::stdout().lock());
+    let mut output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
     let mut host = Host::default();
     for (number, line) in stdin.lock().lines().enumerate() {
-        let at = |e: String| format!("line {}: {e}", number + 1);
-        let line = line.map_err(|e| at(e.to_string()))?;
+        let at_line = |error: String| format!("line {}: {error}", number + 1);
+        let line = line.map_err(|error| at_line(error.to_string()))?;
         if line.trim().is_empty() {
             continue;
         }
-        let reply = host.batch(&line).map_err(at)?;
-        writeln!(out, "{reply}").and_then(|()| out.flush()).map_err(|e| at(e.to_string()))?;
+        let reply = host.batch(&line).map_err(at_line)?;
+        writeln!(output, "{reply}")
+            .and_then(|()| output.flush())
+            .map_err(|error| at_line(error.to_string()))?;
     }
     Ok(())
 }
@@ -23,8 +25,8 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("heronroute-wirehost: {e}");
+        Err(error) => {
+            eprintln!("heronroute-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/tests/host.rs
+++ b/crates/wirehost/tests/host.rs
@@ -1,4 +1,4 @@
-//! The adapter: parsing, isolation of instances, bad input.
+//! Tests of the adapter: parsing, isolation of instances and malformed input.
 
 use heronroute_wirehost::Host;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_message_is_issued_and_the_sequence_number_restated() {
+fn a_message_is_issued_and_the_reply_has_the_batch_number() {
     let mut host = Host::default();
     started(&mut host);
     let reply = host.batch(&batch(2000, &[&inbound("sender/1", "00000000000000ab")])).expect("good");
@@ -34,27 +34,27 @@
 }
 
 #[test]
-fn unknown_names_and_instances_are_disregarded() {
+fn unknown_names_and_instances_are_ignored() {
     let mut host = Host::default();
     started(&mut host);
-    let news = r#"["Novelty","sender/1",1,2,3]"#;
-    let reply = host.batch(&batch(2000, &[news, &inbound("sender/2", "00000000000000ab")])).expect("good");
+    let unknown = r#"["Novelty","sender/1",1,2,3]"#;
+    let reply = host.batch(&batch(2000, &[unknown, &inbound("sender/2", "00000000000000ab")])).expect("good");
     assert!(!reply.contains("Issue"), "{reply}");
 }
 
 #[test]
-fn a_stopped_instance_forgets_and_may_start_again_in_the_same_batch() {
+fn a_stopped_instance_loses_its_state_and_may_start_again_in_the_same_batch() {
     let mut host = Host::default();
     started(&mut host);
     let first = inbound("sender/1", "00000000000000ab");
     let reply = host.batch(&batch(2000, &[&first, r#"["Teardown","sender/1"]"#, START])).expect("good");
     assert!(!reply.contains("00000000000000ab"), "{reply}");
     let again = host.batch(&batch(3000, &[&inbound("sender/1", "00000000000000ac")])).expect("good");
-    assert!(!again.contains("Issue"), "its list is gone: {again}");
+    assert!(!again.contains("Issue"), "the restarted instance has no endpoint list: {again}");
 }
 
 #[test]
-fn a_list_number_is_resolved_in_the_order_of_events() {
+fn a_table_number_means_the_latest_table_before_the_event() {
     let mut host = Host::default();
     let (a, b) = (START.replace("sender/1", "sender/2"), r#"["Announce","sender/1","Persisted",1,3]"#);
     let other = r#"["Table",3,[["up",0,1,null,0,"10.0.0.2:80",7]]]"#;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn bad_input_is_named_with_its_place() {
+fn errors_name_the_position_of_malformed_input() {
     let cases = [
         ("{", "bad batch"),
         (r#"{"TUs":"x","seq":1,"msgs":[]}"#, "bad batch"),
@@ -78,16 +78,16 @@
         (r#"{"TUs":1,"seq":1,"msgs":[["Table",1,[["up"]]]]}"#, "Table entry: value 6"),
         (r#"{"TUs":1,"seq":1,"msgs":[["NewInstance","s",1,{"Limits":7}]]}"#, "settings"),
     ];
-    for (line, want) in cases {
+    for (line, expected) in cases {
         let mut host = Host::default();
         started(&mut host);
         let error = host.batch(line).expect_err(line);
-        assert!(error.contains(want), "{line}: {error}");
+        assert!(error.contains(expected), "{line}: {error}");
     }
 }
 
 #[test]
-fn the_program_ends_with_one_plain_line_on_bad_input() {
+fn the_program_exits_with_a_one_line_error_on_malformed_input() {
     use std::io::Write;
     use std::process::{Command, Stdio};
     let mut child = Command::new(env!("CARGO_BIN_EXE_heronroute-wirehost"))
