--- a/src/logic.rs
+++ b/src/logic.rs
@@ -27,13 +27,13 @@
 const MAX_DOUBTFUL_SHARE: f64 = 0.6;
 /// Share of the slots that borrowers leave free.
 const BORROW_RESERVE_SHARE: f64 = 0.15;
-/// With fewer free slots than this share, stalled calls are cancelled ...
+/// With fewer free slots than this share of all, stalled calls are cancelled ...
 const RECLAIM_RESERVE_SHARE: f64 = 0.2;
 /// ... once they have been in flight for this multiple of the stall threshold,
 const RECLAIM_AFTER_STALLS: f64 = 3.0;
 /// or for this one if all their messages may be sent again.
 const RECLAIM_REPEATABLE_AFTER_STALLS: f64 = 2.0;
-/// Answers after which a pool's size is known.
+/// Answers after which a pool counts as sized.
 const MIN_SIZING_SAMPLES: f64 = 8.0;
 /// Memory of arrival rates: long against bursts, short against the swing of a day.
 const ARRIVAL_MEMORY_US: f64 = 8e6;
@@ -70,7 +70,7 @@
 /// can take adds up to much more.
 const OWN_TRAFFIC_FACTOR: f64 = 1.25;
 const EQUAL_SHARE_BASE: f64 = 0.1;
-/// So few senders' trials do no harm by their number.
+/// The trials of this many senders together do no harm.
 const FEW_SENDERS: f64 = 2.0;
 /// Limit that is assumed of a destination that advertises none, in calls a second.
 const DEFAULT_LIMIT_PER_S: f64 = 3.0;
@@ -117,7 +117,7 @@
 const CONNECTIONS_SCARCE_US: Micros = 20_000_000;
 /// A connection that is busy for this share of the time is kept nevertheless ...
 const MIN_KEPT_UTILIZATION: f64 = 0.3;
-/// ... and every connection is kept with so few senders that each could keep one.
+/// ... and with at most this many senders all are kept, since any connection table has room for one of each.
 const MIN_TABLE_CONNECTIONS: f64 = 6.0;
 /// Messages stay in their zone until the load on the zone's endpoints is this multiple of the load on all.
 const MAX_ZONE_LOAD_FACTOR: f64 = 1.5;
@@ -608,13 +608,13 @@
         if connection_idle > 0 && broke && self.blame_idle_connection(id) {
             return;
         }
-        let (gap, few_senders) = (self.trial_gap(id), self.few_senders());
+        let (gap, few_senders_weight) = (self.trial_gap(id), self.few_senders_weight());
         self.maybe_idle.insert(id);
         self.refresh(self.endpoints.get(&id).map_or_else(DestId::default, |e| e.dest));
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let Some(lane) = self.lanes.get_mut(&endpoint.lane) else { return };
         let connect_timed_out = outcome.is_unconnected() && elapsed >= MIN_STALL_US as Micros;
-        // A malformed answer changes nothing here: healthy endpoints send some too.
+        // A malformed answer does not count as ambiguous: healthy endpoints send some too.
         let ambiguous = match outcome {
             Outcome::Done => Some(0.0),
             Outcome::Error | Outcome::TimedOut | Outcome::Reset => Some(1.0),
@@ -720,8 +720,11 @@
         // receiver is shut down: all senders that were given the same end would return at once, so each adds
         // a gap.
         let is_shut_down = wait > SHUTDOWN_WAIT_US;
-        let error_allowance =
-            if outcome == Outcome::Error { few_senders * (MAX_ERROR_SHARE - MAX_FAILURE_SHARE) } else { 0.0 };
+        let error_allowance = if outcome == Outcome::Error {
+            few_senders_weight * (MAX_ERROR_SHARE - MAX_FAILURE_SHARE)
+        } else {
+            0.0
+        };
         let max_failure_share = MAX_FAILURE_SHARE + error_allowance;
         let is_failing =
             outcome != Outcome::Busy || is_shut_down || endpoint.failure_share > max_failure_share;
@@ -773,16 +776,17 @@
         let chance = self.random.next_unit();
         // With few senders the backoff limits trials, and one with little traffic tries as often as the
         // others.
-        let few_senders = self.few_senders();
-        let trial_share =
-            |e: &Endpoint| self.own_share(e).max(self.equal_share(e) * few_senders) / self.lane_endpoints(e);
+        let few_senders_weight = self.few_senders_weight();
+        let trial_share = |e: &Endpoint| {
+            self.own_share(e).max(self.equal_share(e) * few_senders_weight) / self.lane_endpoints(e)
+        };
         let share = self.endpoints.get(&id).map_or(0.0, trial_share);
         let (cold_from, fall_multiple) = (self.settings.cold_from, self.settings.fall_multiple);
         2.0 * chance * 1e6 / (TRIAL_LOAD_FACTOR * cold_from * fall_multiple * share).max(1e-3)
     }
 
     /// Returns 1 with two senders at most, and less the more senders there are, down to nearly 0.
-    fn few_senders(&self) -> f64 {
+    fn few_senders_weight(&self) -> f64 {
         (FEW_SENDERS / self.settings.senders as f64).powi(2).min(1.0)
     }
 
@@ -986,8 +990,8 @@
             destination.endpoints.iter().filter_map(|id| self.endpoints.get(id)).filter(|e| e.listed);
         let unhealthy_lanes: BTreeSet<LaneKey> =
             listed.filter(|e| e.unhealthy.is_some()).map(|e| e.lane).collect();
-        let (cold_from, warm_up, few_senders) =
-            (self.settings.cold_from, self.settings.warm_up, self.few_senders());
+        let (cold_from, warm_up, few_senders_weight) =
+            (self.settings.cold_from, self.settings.warm_up, self.few_senders_weight());
         let senders = self.settings.senders as f64;
         let aims = self.settings.classes.iter().map(|c| c.aim);
         let shortest_aim = aims.min().unwrap_or(self.default_class.aim).max(1);
@@ -1021,7 +1025,7 @@
                     recently_refused,
                 };
                 // With few senders, calls need hardly any spacing.
-                (limit * few_senders, demand)
+                (limit * few_senders_weight, demand)
             });
             let spaced = demand.and_then(|(unspaced, demand)| Some(demand.spacing()? + unspaced));
             lane.pace = lane.budget.min(max_pace).min(spaced.unwrap_or(UNLIMITED_PER_S)).min(UNLIMITED_PER_S);
