--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -19,10 +19,10 @@
 use tokio::net::TcpStream;
 
 /// An answer's head is shorter than this.
-const HEAD_MOST: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// An answer that has begun must have come to its end by then: one that is spoilt may never, and its call would
 /// hold a slot for all of its time.
-const REST_TIME: Duration = Duration::from_millis(400);
+const COMPLETION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What has passed on a socket, as far as the outcome of a call depends on it and hyper does not tell.
 #[derive(Default)]
@@ -31,35 +31,36 @@
     /// The bytes that had been written when all that was to be written had been.
     pub flushed: Cell<u64>,
     /// What is to be done once the next request has been written.
-    then: Cell<Option<Box<dyn FnOnce()>>>,
+    on_written: Cell<Option<Box<dyn FnOnce()>>>,
     /// A request is out whose answer has not begun.
-    awaited: Cell<bool>,
+    awaiting_response: Cell<bool>,
     /// When an answer began, or a line before it that is not over.
-    pub began: Cell<Option<Instant>>,
+    pub response_began: Cell<Option<Instant>>,
     /// The status in the answer's first line.
     pub status: Cell<Option<u16>>,
     /// The other side has ended the connection.
-    pub ended: Cell<bool>,
+    pub closed_by_peer: Cell<bool>,
 }
 
 impl Traffic {
     /// Has `then` done once the last byte of the next request has been written.
-    pub fn once_written(&self, then: impl FnOnce() + 'static) {
-        self.then.set(Some(Box::new(then)));
+    pub fn on_request_written(&self, on_written: impl FnOnce() + 'static) {
+        self.on_written.set(Some(Box::new(on_written)));
     }
 
-    fn expect(&self) {
-        self.awaited.set(true);
-        self.began.set(None);
+    fn begin_request(&self) {
+        self.awaiting_response.set(true);
+        self.response_began.set(None);
         self.status.set(None);
     }
 
     /// Waits until an answer that has begun is long overdue. To be polled beside what reads it.
-    pub async fn overdue(&self) {
+    pub async fn response_overdue(&self) {
         loop {
-            let began = std::future::poll_fn(|_| self.began.get().map_or(Poll::Pending, Poll::Ready)).await;
-            tokio::time::sleep_until((began + REST_TIME).into()).await;
-            if self.began.get() == Some(began) {
+            let began =
+                std::future::poll_fn(|_| self.response_began.get().map_or(Poll::Pending, Poll::Ready)).await;
+            tokio::time::sleep_until((began + COMPLETION_TIMEOUT).into()).await;
+            if self.response_began.get() == Some(began) {
                 return;
             }
         }
@@ -74,33 +75,33 @@
     stream: S,
     traffic: Rc<Traffic>,
     /// Read and not handed on: the first line so far, or all up to a 1xx answer's end.
-    held: BytesMut,
+    unread: BytesMut,
 }
 
 impl<S> Socket<S> {
     fn new(stream: S, traffic: Rc<Traffic>) -> Self {
-        Socket { stream, traffic, held: BytesMut::new() }
+        Socket { stream, traffic, unread: BytesMut::new() }
     }
 
     /// Looks at what is held: drops 1xx answers that are whole, and lets go of it once the answer's first line is
     /// known or can't be one.
-    fn look(&mut self) {
+    fn scan_head(&mut self) {
         let t = &self.traffic;
-        while let Some(end) = self.held.iter().position(|b| *b == b'\n') {
-            let status = status_of(&self.held[..=end]);
+        while let Some(end) = self.unread.iter().position(|b| *b == b'\n') {
+            let status = status_of(&self.unread[..=end]);
             if !status.is_some_and(|s| (100..200).contains(&s)) {
                 t.status.set(status);
-                t.awaited.set(false);
+                t.awaiting_response.set(false);
                 break;
             }
-            let Some(blank) = self.held.windows(4).position(|w| w == b"\r\n\r\n") else { break };
-            _ = self.held.split_to(blank + 4);
+            let Some(blank) = self.unread.windows(4).position(|w| w == b"\r\n\r\n") else { break };
+            _ = self.unread.split_to(blank + 4);
         }
-        if self.held.len() > HEAD_MOST {
-            t.awaited.set(false);
+        if self.unread.len() > MAX_HEAD_BYTES {
+            t.awaiting_response.set(false);
         }
-        let began = (!self.held.is_empty()).then(|| t.began.get().unwrap_or_else(Instant::now));
-        t.began.set(began);
+        let began = (!self.unread.is_empty()).then(|| t.response_began.get().unwrap_or_else(Instant::now));
+        t.response_began.set(began);
     }
 }
 
@@ -111,26 +112,26 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        while this.traffic.awaited.get() {
+        while this.traffic.awaiting_response.get() {
             let mut piece = [0; 1024];
             let mut piece = ReadBuf::new(&mut piece);
             std::task::ready!(Pin::new(&mut this.stream).poll_read(cx, &mut piece))?;
             if piece.filled().is_empty() {
-                this.traffic.ended.set(true);
+                this.traffic.closed_by_peer.set(true);
                 break;
             }
-            this.held.extend_from_slice(piece.filled());
-            this.look();
+            this.unread.extend_from_slice(piece.filled());
+            this.scan_head();
         }
-        if !this.held.is_empty() {
-            let n = this.held.len().min(buf.remaining());
-            buf.put_slice(&this.held.split_to(n));
+        if !this.unread.is_empty() {
+            let n = this.unread.len().min(buf.remaining());
+            buf.put_slice(&this.unread.split_to(n));
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
         let read = std::task::ready!(Pin::new(&mut this.stream).poll_read(cx, buf));
         if read.is_err() || buf.filled().len() == before {
-            this.traffic.ended.set(true);
+            this.traffic.closed_by_peer.set(true);
         }
         Poll::Ready(read)
     }
@@ -147,8 +148,8 @@
         let (written, before) = (self.traffic.written.get(), self.traffic.flushed.get());
         if written > before {
             self.traffic.flushed.set(written);
-            if let Some(then) = self.traffic.then.take() {
-                then();
+            if let Some(on_written) = self.traffic.on_written.take() {
+                on_written();
             }
         }
         Pin::new(&mut self.stream).poll_flush(cx)
@@ -169,7 +170,7 @@
     pub traffic: Rc<Traffic>,
     addr: SocketAddr,
     /// Since when nothing is on it.
-    pub since: Instant,
+    pub idle_since: Instant,
 }
 
 impl Connection {
@@ -178,9 +179,9 @@
         stream.set_nodelay(true)?;
         let traffic = Rc::new(Traffic::default());
         let socket = TokioIo::new(Socket::new(stream, traffic.clone()));
-        let handshake = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(socket);
+        let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(socket);
         let (requests, driver) = handshake.await.map_err(io::Error::other)?;
-        Ok(Connection { requests, driver: Some(driver), traffic, addr, since: Instant::now() })
+        Ok(Connection { requests, driver: Some(driver), traffic, addr, idle_since: Instant::now() })
     }
 
     pub fn addr(&self) -> SocketAddr {
@@ -202,7 +203,7 @@
     }
 
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
-        self.traffic.expect();
+        self.traffic.begin_request();
         let answer = self.requests.send_request(request);
         let mut driver = self.driver.take();
         let mut answer = pin!(answer);
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -1,17 +1,20 @@
 //! The daemon: reads its configuration, puts its parts together and runs them.
 
-use crate::asking::Asking;
-use crate::clients::Entrance;
+use crate::clients::Origin;
 use crate::clock::Clock;
-use crate::driver::{Driver, Handing, Known, Parts};
-use crate::figures::Figures;
+use crate::driver::{Driver, HandoverContext, InitialList, Parts};
 use crate::input::Input;
 use crate::list_limit::{self, ListLimit};
+use crate::metrics::Metrics;
 use crate::placement::Placement;
-use crate::placement::follow::Follower;
 use crate::placement::forward::Forwarder;
-use crate::standing::{Change, Standings};
-use crate::{calls, clients, discovery, fleet, handover, inherited, journal, mgmt, notices, retune};
+use crate::placement::member_list::MemberListFollower;
+use crate::poll_schedule::PollSchedule;
+use crate::status::{Change, SharedStatus};
+use crate::{
+    calls, clients, discovery, endpoint_table, handover, inherited_socket, journal, mgmt, notices,
+    reload_check,
+};
 use embershore_options::{Options, OptionsError};
 use embershore_owed::ClassFacts;
 use embershore_placement::MAX_REPLICAS;
@@ -32,34 +35,34 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 
-const CONNECT_TIMEOUT: i64 = 1_500_000;
-const LAST_WRITES: Duration = Duration::from_millis(20);
+const DEFAULT_CONNECT_TIMEOUT_US: i64 = 1_500_000;
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(20);
 /// How long a new start waits for discovery's word before it goes by the list it was given.
-const LIST_WAIT: Duration = Duration::from_millis(500);
+const FIRST_LIST_WAIT: Duration = Duration::from_millis(500);
 /// How often it looks whether it has come.
-const LIST_LOOK: Duration = Duration::from_millis(2);
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Inputs that wait for the driver; whoever has more waits in turn.
-const INPUTS_MOST: usize = 1024;
+const MAX_QUEUED_INPUTS: usize = 1024;
 /// Descriptors for all but clients and endpoints: the standard streams, the event queue and its signals, the
 /// listener and a client that is being turned away, the journal and its successor, the configuration,
 /// discovery's list and its next, and the notices' connection. These are 16; as many again are kept free.
-const OWN_FILES: usize = 32;
+const OWN_DESCRIPTORS: usize = 32;
 
 /// As many bytes as a semaphore can count; more than any machine has.
-const BYTES_MOST: usize = tokio::sync::Semaphore::MAX_PERMITS;
+const MAX_COUNTED_BYTES: usize = tokio::sync::Semaphore::MAX_PERMITS;
 
 /// Descriptors of the operators' door: its callers, one more that is let in as the first gives way, the listener.
-const DOOR_FILES: usize = mgmt::CALLERS_MOST + 2;
+const MGMT_DESCRIPTORS: usize = mgmt::MAX_CALLERS + 2;
 
 /// Descriptors of placement beside connections to other members: the listener for them, the connection to a control agent,
 /// and the file that is written.
-const PLACEMENT_FILES: usize = 3;
+const PLACEMENT_DESCRIPTORS: usize = 3;
 /// How long a start waits for an answer of a control agent, ...
-const MEMBERS_WAIT: Duration = Duration::from_secs(2);
+const MEMBER_LIST_WAIT: Duration = Duration::from_secs(2);
 /// ... for the table of the list that came, which takes up to a second at full size, and more on a busy machine, ...
 const TABLE_WAIT: Duration = Duration::from_secs(8);
 /// ... and how often it looks whether the address is free at which the process before this one takes forwarded messages.
-const FORWARD_ADDRESS_LOOK: Duration = Duration::from_millis(50);
+const FORWARD_BIND_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Deserialize)]
 pub(crate) struct Config {
@@ -103,16 +106,17 @@
     /// A third of the descriptors for connections. An eighth of the memory each for commands that are being
     /// read and for messages that are not answered yet: the rest is for what the journal holds, which is bounded
     /// by the disk, for a copy of it while it is compacted, and for calls, which are bounded by their slots.
-    fn clients(&self) -> clients::Bounds {
-        let eighth = ((self.memory_mb * 1e6 / 8.0) as usize).min(BYTES_MOST);
-        clients::Bounds { places: (self.sockets / 3).max(1), buffers: eighth, bodies: eighth }
+    fn clients(&self) -> clients::ClientLimits {
+        let eighth = ((self.memory_mb * 1e6 / 8.0) as usize).min(MAX_COUNTED_BYTES);
+        clients::ClientLimits { connections: (self.sockets / 3).max(1), buffers: eighth, bodies: eighth }
     }
 
     /// Idle connections to endpoints: what clients, calls, probes, other members and the sender's own files leave.
-    fn idle(&self, slots: usize, door: bool, placement: Option<&PlacementOptions>) -> usize {
-        let door = if door { DOOR_FILES } else { 0 };
-        let members = placement.map_or(0, |options| options.owner_connections + PLACEMENT_FILES);
-        let others = self.clients().places + slots + calls::PROBES_MOST + OWN_FILES + door + members;
+    fn max_idle_connections(&self, slots: usize, mgmt: bool, placement: Option<&PlacementOptions>) -> usize {
+        let mgmt = if mgmt { MGMT_DESCRIPTORS } else { 0 };
+        let members = placement.map_or(0, |options| options.owner_connections + PLACEMENT_DESCRIPTORS);
+        let others =
+            self.clients().connections + slots + calls::MAX_PROBES + OWN_DESCRIPTORS + mgmt + members;
         self.sockets.saturating_sub(others)
     }
 }
@@ -166,28 +170,28 @@
 }
 
 /// An error of the library's in the words of the file.
-fn in_the_file(e: &SettingsError) -> String {
+fn settings_error(e: &SettingsError) -> String {
     format!("settings.{}: must be {}", place(e), e.must)
 }
 
 /// What a sender takes over of a configuration that is read while it runs.
-struct Retuning {
+struct ReloadedConfig {
     discovery: SocketAddr,
     classes: Vec<(String, ClassSettings)>,
     /// All that the file says.
     value: Value,
 }
 
-impl Retuning {
+impl ReloadedConfig {
     /// Reads it, where it may be taken over by a sender that runs by `running`.
     fn read(path: &Path, running: &Value) -> Result<Self, String> {
         let (config, value) = Config::read_with_value(path)?;
         let at = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-        retune::check(running, &value).map_err(|e| at(&e))?;
+        reload_check::check(running, &value).map_err(|e| at(&e))?;
         let (names, settings) = (config.settings.names().classes, config.settings.settings());
-        settings.validate().map_err(|e| at(&in_the_file(&e)))?;
+        settings.validate().map_err(|e| at(&settings_error(&e)))?;
         let classes = names.into_iter().zip(settings.classes).collect();
-        Ok(Retuning { discovery: config.discovery, classes, value })
+        Ok(ReloadedConfig { discovery: config.discovery, classes, value })
     }
 }
 
@@ -197,7 +201,7 @@
     /// What the running configuration says.
     running: Value,
     discovery: watch::Sender<SocketAddr>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     inputs: mpsc::Sender<Input>,
 }
 
@@ -205,21 +209,21 @@
 /// attempts. The rest holds from the next start on. A file that cannot be read or is wrong anywhere changes nothing.
 async fn reload(mut to: Reload, mut hang_up: Signal) {
     while hang_up.recv().await.is_some() {
-        match Retuning::read(&to.path, &to.running) {
-            Ok(Retuning { discovery, classes, value }) => {
+        match ReloadedConfig::read(&to.path, &to.running) {
+            Ok(ReloadedConfig { discovery, classes, value }) => {
                 to.running = value;
                 // Before discovery moves: a driver that has much to do must not be told of one without the other.
-                _ = to.inputs.send(Input::Retuned(classes)).await;
+                _ = to.inputs.send(Input::ClassesReloaded(classes)).await;
                 let moved = to.discovery.send_if_modified(|addr| {
                     let before = std::mem::replace(addr, discovery);
                     before != *addr
                 });
-                to.figures.applied.set(to.figures.applied.get() + 1);
+                to.metrics.applied.set(to.metrics.applied.get() + 1);
                 let word = if moved { "now" } else { "still" };
                 eprintln!("configuration read again: discovery is {word} at {discovery}");
             }
             Err(e) => {
-                to.figures.rejected.set(to.figures.rejected.get() + 1);
+                to.metrics.rejected.set(to.metrics.rejected.get() + 1);
                 eprintln!("configuration: {e}; the old one stays");
             }
         }
@@ -227,7 +231,7 @@
 }
 
 /// The operators' door is this process's own, as its environment says, or the one that the configuration names.
-fn door_address(configured: Option<SocketAddr>) -> Result<Option<SocketAddr>, String> {
+fn mgmt_address(configured: Option<SocketAddr>) -> Result<Option<SocketAddr>, String> {
     match std::env::var("LB_MGMT") {
         Ok(addr) if !addr.is_empty() => {
             addr.parse().map(Some).map_err(|_| format!("LB_MGMT: '{addr}' is no address and port"))
@@ -237,11 +241,11 @@
 }
 
 /// How this process comes to its journal and its clients' socket.
-enum Way {
+enum Startup {
     /// Both are its own from the start.
-    Alone(Box<journal::Journal>, TcpListener),
+    Standalone(Box<journal::Journal>, TcpListener),
     /// The platform holds the socket; the journal may still be another process's.
-    Held(std::net::TcpListener),
+    InheritedSocket(std::net::TcpListener),
 }
 
 /// What the operator's options file switches on: the file that the command line names, or else LB_OPTIONS. Without
@@ -255,10 +259,10 @@
 }
 
 /// The destinations of all messages that an earlier run left are kept, whoever owns them by now.
-fn hold_destinations(placement: &Placement, journal: &journal::Journal) {
+fn retain_destinations(placement: &Placement, journal: &journal::Journal) {
     for (id, entry) in journal.entries() {
         if entry.progress.end.is_none() {
-            placement.hold(MsgId(id), entry.accepted.dest);
+            placement.add_pending(MsgId(id), entry.accepted.dest);
         }
     }
 }
@@ -266,9 +270,9 @@
 /// Waits for the member list, but not for ever: what an earlier run left is delivered without it.
 async fn wait_for_members(placement: &Placement) {
     let begun = tokio::time::Instant::now();
-    let waits = || begun.elapsed() < if placement.is_reading() { TABLE_WAIT } else { MEMBERS_WAIT };
+    let waits = || begun.elapsed() < if placement.is_reading() { TABLE_WAIT } else { MEMBER_LIST_WAIT };
     while placement.epoch().is_none() && waits() {
-        tokio::time::sleep(LIST_LOOK).await;
+        tokio::time::sleep(LIST_POLL_INTERVAL).await;
     }
     if placement.epoch().is_none() {
         eprintln!(
@@ -280,26 +284,26 @@
 }
 
 /// The part of a list that this sender keeps.
-fn kept_of(mut list: Listing, placement: Option<&Placement>) -> Listing {
+fn owned_part(mut list: Listing, placement: Option<&Placement>) -> Listing {
     if let Some(placement) = placement {
-        list.endpoints.retain(|line| placement.keeps(line.group));
+        list.endpoints.retain(|line| placement.retains(line.group));
         placement.scale_limits(&mut list);
     }
     list
 }
 
 /// Listens at an address as soon as the process before this one has left it.
-async fn free_listener(address: SocketAddr) -> TcpListener {
+async fn bind_when_free(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            Err(_) => tokio::time::sleep(FORWARD_ADDRESS_LOOK).await,
+            Err(_) => tokio::time::sleep(FORWARD_BIND_INTERVAL).await,
         }
     }
 }
 
 async fn serve(options_file: Option<PathBuf>) -> Result<(), Box<dyn Error>> {
-    let inherited = inherited::listener()?;
+    let inherited = inherited_socket::listener()?;
     // Before anything is awaited: by default either signal ends the process.
     let (mut terminate, hang_up) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
     let var = |name: &str| std::env::var(name).map_err(|_| format!("{name} is not set"));
@@ -307,10 +311,11 @@
     let (mut config, running) = Config::read_with_value(&path)?;
     // Before a client can connect: one whose connection ends with no answer has lost its message.
     let names = config.settings.names();
-    let connect_timeout = config.settings.connect_timeout().filter(|t| *t > 0).unwrap_or(CONNECT_TIMEOUT);
+    let connect_timeout =
+        config.settings.connect_timeout().filter(|t| *t > 0).unwrap_or(DEFAULT_CONNECT_TIMEOUT_US);
     let ask_every = config.settings.ask_every().map(|every| Duration::from_micros(every.max(0) as u64));
     let mut settings = config.settings.settings();
-    settings.validate().map_err(|e| format!("{}: {}", path.display(), in_the_file(&e)))?;
+    settings.validate().map_err(|e| format!("{}: {}", path.display(), settings_error(&e)))?;
     let options = operator_options(options_file, &class_facts(names.classes.clone(), &settings.classes))?;
     let state = PathBuf::from(var("LB_STATE")?);
     let placement =
@@ -319,17 +324,17 @@
         journal::Journal::open(&state, (config.limits.disk_mb * 1e6) as u64)
             .map_err(|e| format!("journal in {}: {e}", state.display()))
     };
-    let way = match inherited {
+    let startup = match inherited {
         None => {
             let journal = Box::new(open_journal()?);
             let listener = TcpListener::bind(config.listen).await;
-            Way::Alone(journal, listener.map_err(|e| format!("listen on {}: {e}", config.listen))?)
+            Startup::Standalone(journal, listener.map_err(|e| format!("listen on {}: {e}", config.listen))?)
         }
-        Some(socket) => Way::Held(socket),
+        Some(socket) => Startup::InheritedSocket(socket),
     };
-    let forward_listener = match (&placement, &way) {
-        (Some(placement), Way::Alone(journal, _)) => {
-            hold_destinations(placement, journal);
+    let forward_listener = match (&placement, &startup) {
+        (Some(placement), Startup::Standalone(journal, _)) => {
+            retain_destinations(placement, journal);
             let address = placement.options.listen;
             let bound = TcpListener::bind(address).await;
             Some(bound.map_err(|e| format!("placement: listen on {address}: {e}"))?)
@@ -338,26 +343,30 @@
     };
 
     // The module is to know for how long a connection really is kept: it takes the one that has rested longest.
-    settings.idle_close = (settings.idle_close.max(0) as f64 * calls::KEPT_PART) as i64;
-    let fleet = Rc::new(RefCell::new(fleet::Fleet::new(names.clone())));
-    let figures = Rc::new(Figures::default());
+    settings.idle_close = (settings.idle_close.max(0) as f64 * calls::IDLE_LIFETIME_SHARE) as i64;
+    let endpoints = Rc::new(RefCell::new(endpoint_table::EndpointTable::new(names.clone())));
+    let metrics = Rc::new(Metrics::default());
     let shared = clients::Shared::default();
-    let mgmt = door_address(config.mgmt)?;
+    let mgmt = mgmt_address(config.mgmt)?;
     let calls = calls::Calls::new(
-        fleet.clone(),
-        figures.clone(),
+        endpoints.clone(),
+        metrics.clone(),
         Duration::from_micros(settings.idle_close as u64),
         Duration::from_micros(connect_timeout as u64),
-        config.limits.idle(settings.slots as usize, mgmt.is_some(), placement.as_ref().map(|p| &p.options)),
-        shared.by_two.clone(),
+        config.limits.max_idle_connections(
+            settings.slots as usize,
+            mgmt.is_some(),
+            placement.as_ref().map(|p| &p.options),
+        ),
+        shared.two_processes.clone(),
     );
-    let (inputs, inbox) = mpsc::channel(INPUTS_MOST);
+    let (inputs, inbox) = mpsc::channel(MAX_QUEUED_INPUTS);
     let (notices, queue) = mpsc::unbounded_channel();
-    let standings = Standings::new();
+    let status = SharedStatus::new();
     let list_limit = ListLimit::of_memory(config.limits.memory_mb);
-    figures.lists.limit.set(list_limit.bytes());
+    metrics.lists.limit.set(list_limit.bytes());
     if let Some(too_long) = config.known.as_ref().and_then(|list| list_limit.check_known(list).err()) {
-        list_limit::reject(&figures, too_long, false);
+        list_limit::reject(&metrics, too_long, false);
         config.known = None;
     }
     let (discovery, follow_discovery) = watch::channel(config.discovery);
@@ -366,76 +375,80 @@
         config.known.as_ref().filter(|l| l.index > 0 || (ask_every.is_some() && !l.endpoints.is_empty()));
     let index = index.map(|l| l.index);
     let seed = u64::from_str_radix(&config.seed, 16).unwrap_or(0);
-    let asking = Asking::new(ask_every, seed);
+    let schedule = PollSchedule::new(ask_every, seed);
     // Where many senders take turns in asking, the list that was given must do at first.
-    let list_wait = if asking.is_dear() { Duration::ZERO } else { LIST_WAIT };
+    let list_wait = if schedule.is_costly() { Duration::ZERO } else { FIRST_LIST_WAIT };
     if let Some(addr) = mgmt {
-        let door = mgmt::Door {
-            standings: standings.clone(),
-            figures: figures.clone(),
-            fleet: fleet.clone(),
+        let management = mgmt::Management {
+            status: status.clone(),
+            metrics: metrics.clone(),
+            endpoints: endpoints.clone(),
             placement: placement.clone(),
         };
         let listener =
             TcpListener::bind(addr).await.map_err(|e| format!("operators' door on {addr}: {e}"))?;
-        tokio::task::spawn_local(mgmt::serve(listener, door));
+        tokio::task::spawn_local(mgmt::serve(listener, management));
     }
     if let Some(placement) = &placement {
-        let (placement, fleet, inputs) = (placement.clone(), fleet.clone(), inputs.clone());
-        tokio::task::spawn_local(Follower { placement, fleet, inputs }.run());
+        let (placement, endpoints, inputs) = (placement.clone(), endpoints.clone(), inputs.clone());
+        tokio::task::spawn_local(MemberListFollower { placement, endpoints, inputs }.run());
     }
     if let Some(placement) = &placement {
         wait_for_members(placement).await;
         // The module shares a destination's limit among its owners.
-        settings.senders = placement.settle_sharers();
+        settings.senders = placement.fix_sharers();
     }
     // A newcomer hears discovery long before it has the journal. What it is told must not be overwritten later by the
     // older list that it was given.
-    let known = Known::given(config.known.map(|list| kept_of(list, placement.as_deref())));
+    let known = InitialList::from_config(config.known.map(|list| owned_part(list, placement.as_deref())));
     let taken = match &known {
-        Known::Listed(list) if matches!(way, Way::Held(_)) => {
-            Some(fleet.borrow_mut().apply(&Listing { snapshot: true, ..list.clone() }))
+        InitialList::Configured(list) if matches!(startup, Startup::InheritedSocket(_)) => {
+            Some(endpoints.borrow_mut().apply(&Listing { snapshot: true, ..list.clone() }))
         }
         _ => None,
     };
     let follow = follow_discovery.clone();
-    let news = discovery::News {
-        fleet: fleet.clone(),
+    let sink = discovery::ListingSink {
+        endpoints: endpoints.clone(),
         driver: inputs.clone(),
-        figures: figures.clone(),
+        metrics: metrics.clone(),
         limit: list_limit,
         placement: placement.clone(),
     };
-    tokio::task::spawn_local(discovery::follow(follow, index, asking, news));
+    tokio::task::spawn_local(discovery::follow(follow, index, schedule, sink));
     tokio::task::spawn_local(notices::send(follow_discovery, queue, inputs.clone()));
-    let to = Reload { path, running, discovery, figures: figures.clone(), inputs: inputs.clone() };
+    let to = Reload { path, running, discovery, metrics: metrics.clone(), inputs: inputs.clone() };
     tokio::task::spawn_local(reload(to, hang_up));
-    let (told, stop) = (standings.clone(), inputs.clone());
+    let (stop_status, stop) = (status.clone(), inputs.clone());
     tokio::task::spawn_local(async move {
         terminate.recv().await;
-        _ = told.change(Change::Stop);
+        _ = stop_status.change(Change::Stop);
         _ = stop.send(Input::Stop).await;
     });
-    let (journal, handing, listener) = match way {
-        Way::Alone(journal, listener) => (*journal, None, listener),
-        Way::Held(socket) => {
+    let (journal, handover, listener) = match startup {
+        Startup::Standalone(journal, listener) => (*journal, None, listener),
+        Startup::InheritedSocket(socket) => {
             // All that needs no journal comes first: the shorter is the time in which no process serves.
             let begun = tokio::time::Instant::now();
             while inbox.is_empty() && begun.elapsed() < list_wait {
-                tokio::time::sleep(LIST_LOOK).await;
+                tokio::time::sleep(LIST_POLL_INTERVAL).await;
             }
-            let taken = handover::take_over(&state, &standings).await;
+            let taken = handover::take_over(&state, &status).await;
             let taken = taken.map_err(|e| format!("lock in {}: {e}", state.display()))?;
-            let Some(handover::Taken { lock, former }) = taken else { return Ok(()) };
+            let Some(handover::Acquired { lock, predecessor }) = taken else { return Ok(()) };
             let journal = open_journal()?;
             if let Some(placement) = &placement {
-                hold_destinations(placement, &journal);
-                placement.want_held_destinations();
+                retain_destinations(placement, &journal);
+                placement.request_pending_destinations();
             }
-            let (asked, newcomers) = mpsc::channel(1);
-            let door = lock.listen().map_err(|e| format!("socket in {}: {e}", state.display()))?;
-            tokio::task::spawn_local(handover::await_newcomers(door, asked));
-            (journal, Some(Handing { lock, former, newcomers }), TcpListener::from_std(socket)?)
+            let (takeover_sender, takeover_requests) = mpsc::channel(1);
+            let handover_socket = lock.listen().map_err(|e| format!("socket in {}: {e}", state.display()))?;
+            tokio::task::spawn_local(handover::accept_takeovers(handover_socket, takeover_sender));
+            (
+                journal,
+                Some(HandoverContext { lock, predecessor, takeover_requests }),
+                TcpListener::from_std(socket)?,
+            )
         }
     };
     let driver = Driver::new(Parts {
@@ -445,53 +458,53 @@
         settings,
         names,
         journal,
-        fleet,
+        endpoints,
         calls,
         notices,
         inputs: inputs.clone(),
-        standings: standings.clone(),
-        figures,
+        status: status.clone(),
+        metrics,
         shared: shared.clone(),
-        handing,
+        handover,
         placement: placement.clone(),
     })?;
     let clients = config.limits.clients();
     match placement {
         None => {
-            let entrance = Entrance::Clients;
-            let serving = clients::serve(listener, clients, inputs, standings.follow(), shared, entrance);
+            let origin = Origin::Clients;
+            let serving = clients::serve(listener, clients, inputs, status.subscribe(), shared, origin);
             tokio::task::spawn_local(serving);
         }
         Some(placement) => {
-            let bounds = clients.halved();
-            let entrance = Entrance::Routed(placement.clone(), Forwarder::new(placement.clone()));
-            let (driver, standing) = (inputs.clone(), standings.follow());
+            let limits = clients.halved();
+            let origin = Origin::Routed(placement.clone(), Forwarder::new(placement.clone()));
+            let (driver, client_status) = (inputs.clone(), status.subscribe());
             tokio::task::spawn_local(clients::serve(
                 listener,
-                bounds,
+                limits,
                 driver,
-                standing,
+                client_status,
                 shared.clone(),
-                entrance,
+                origin,
             ));
             tokio::task::spawn_local(async move {
                 let listener = match forward_listener {
                     Some(listener) => listener,
-                    None => free_listener(placement.options.listen).await,
+                    None => bind_when_free(placement.options.listen).await,
                 };
-                let entrance = Entrance::Members(placement);
-                clients::serve(listener, bounds, inputs, standings.follow(), shared, entrance).await;
+                let origin = Origin::Members(placement);
+                clients::serve(listener, limits, inputs, status.subscribe(), shared, origin).await;
             });
         }
     }
     // With no word of discovery's yet the list is taken over once more, less what the journal knows to drain.
     let known = match taken {
-        Some(entries) if !inbox.is_empty() => Known::Taken(entries),
+        Some(entries) if !inbox.is_empty() => InitialList::Applied(entries),
         _ => known,
     };
     driver.run(inbox, known).await;
     // Answers that the last round has decided are written still: a client that gets none has lost its message.
-    tokio::time::sleep(LAST_WRITES).await;
+    tokio::time::sleep(FINAL_WRITE_TIME).await;
     Ok(())
 }
 
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -1,33 +1,33 @@
 //! The core: feeds the dispatcher with what happens, in rounds, and carries out what it decides. How it starts is in
 //! `start`, how one process replaces another in `replace`.
 
+mod handover;
 mod recovered;
-mod replace;
 mod start;
 
-pub use replace::Handing;
-pub use start::Known;
+pub use handover::HandoverContext;
+pub use start::InitialList;
 
-use crate::calls::{Calls, Item, Lane, Order};
+use crate::calls::{CallItem, CallSpec, Calls, Lane};
+use crate::class_table::ClassTable;
 use crate::clients::Shared;
 use crate::clock::Clock;
-use crate::figures::{Ending, Figures};
-use crate::fleet::{Endpoint, Fleet};
-use crate::input::{Ended, Input, Notice};
+use crate::endpoint_table::{Endpoint, EndpointTable};
+use crate::input::{CallEnd, Input, Notice};
 use crate::journal::{Accepted, Journal, Receiver};
+use crate::metrics::{MessageEnd, Metrics};
 use crate::placement::Placement;
-use crate::rows::Rows;
-use crate::standing::{Change, Standings};
+use crate::status::{Change, SharedStatus};
 use embershore_handover::Frame;
 use embershore_protocol::notice::End;
 use embershore_protocol::resp::{Put, Reply};
 use embershore_protocol::settings::Names;
+use handover::{Predecessor, next_takeover_request};
 use heronroute::{
     Action, DestId, Dispatcher, Effect, EndpointEntry, EndpointId, Event, KindSettings, Micros, MsgId,
     Outcome, Settings, Status,
 };
 use recovered::RecoveredMessages;
-use replace::{Former, next_of};
 use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -36,20 +36,20 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// After SIGTERM: the process stays for this long at the least, also with nothing to do, ...
-const STAY_LEAST: Micros = 900_000;
+const MIN_STAY_US: Micros = 900_000;
 /// ... calls have this long to end ...
-const CALLS_END_AFTER: Micros = 3_300_000;
+const CALL_DEADLINE_US: Micros = 3_300_000;
 /// ... and the process this long, before it is killed.
-const EXIT_AFTER: Micros = 3_500_000;
-const RETIRE_EVERY: Micros = 500_000;
-/// What time a message has left is known only in the round that it comes into: see [`Driver::bring_up_to_date`].
-const AS_OF_THE_ROUND: Micros = 0;
+const EXIT_DEADLINE_US: Micros = 3_500_000;
+const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
+/// What time a message has left is known only in the round that it comes into: see [`Driver::set_time_left`].
+const SET_IN_ROUND: Micros = 0;
 /// What a client is told of a destination that is in no list.
 const UNKNOWN_DESTINATION: &str = "unknown destination";
 
 /// What a message needs while it is held, beside its journal entry.
 #[derive(Default)]
-struct Live {
+struct PendingMessage {
     attempts: u32,
     call: Option<u64>,
     /// The rules under which it was taken on.
@@ -57,7 +57,7 @@
 }
 
 /// A client that waits to hear whether its message is taken on.
-struct Newcomer {
+struct UnansweredPut {
     put: Put,
     /// When its time is up.
     deadline: Micros,
@@ -73,14 +73,14 @@
     pub settings: Settings,
     pub names: Names,
     pub journal: Journal,
-    pub fleet: Rc<RefCell<Fleet>>,
+    pub endpoints: Rc<RefCell<EndpointTable>>,
     pub calls: Calls,
     pub notices: mpsc::UnboundedSender<Notice>,
     pub inputs: mpsc::Sender<Input>,
-    pub standings: Standings,
-    pub figures: Rc<Figures>,
+    pub status: SharedStatus,
+    pub metrics: Rc<Metrics>,
     pub shared: Shared,
-    pub handing: Option<Handing>,
+    pub handover: Option<HandoverContext>,
     /// Where other senders own some of the destinations.
     pub placement: Option<Rc<Placement>>,
 }
@@ -91,86 +91,88 @@
     names: Names,
     kinds: Vec<KindSettings>,
     /// The classes' rules; a row is a class's index in the module.
-    rows: Rows,
+    class_table: ClassTable,
     quantum: Micros,
     list_wait: Duration,
     max_open: usize,
     /// When a client is to come again that finds no room: as the module tells those that it refuses.
-    come_again_ms: u64,
+    retry_after_ms: u64,
     journal: Rc<RefCell<Journal>>,
-    fleet: Rc<RefCell<Fleet>>,
+    endpoints: Rc<RefCell<EndpointTable>>,
     calls: Rc<Calls>,
     notices: mpsc::UnboundedSender<Notice>,
     inputs: mpsc::Sender<Input>,
-    standings: Standings,
-    figures: Rc<Figures>,
+    status: SharedStatus,
+    metrics: Rc<Metrics>,
     shared: Shared,
-    handing: Option<Handing>,
+    handover: Option<HandoverContext>,
     placement: Option<Rc<Placement>>,
-    former: Option<Former>,
+    predecessor: Option<Predecessor>,
     events: Vec<Event>,
-    newcomers: BTreeMap<MsgId, Newcomer>,
-    live: HashMap<MsgId, Live>,
+    unanswered_puts: BTreeMap<MsgId, UnansweredPut>,
+    pending: HashMap<MsgId, PendingMessage>,
     recovered: RecoveredMessages,
     by_request: HashMap<String, MsgId>,
-    out: HashMap<u64, Option<oneshot::Sender<()>>>,
+    calls_in_flight: HashMap<u64, Option<oneshot::Sender<()>>>,
     next_call: u64,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
-    unconfirmed: usize,
+    unconfirmed_notices: usize,
     stopping: Option<Micros>,
 }
 
 impl Driver {
     pub fn new(parts: Parts) -> Result<Self, heronroute::SettingsError> {
-        let Parts { clock, seed, list_wait, settings, names, journal, fleet, calls, notices, inputs, .. } =
-            parts;
-        let Parts { standings, figures, shared, handing, placement, .. } = parts;
-        figures.name_classes(&names.classes);
+        let Parts {
+            clock, seed, list_wait, settings, names, journal, endpoints, calls, notices, inputs, ..
+        } = parts;
+        let Parts { status, metrics, shared, handover, placement, .. } = parts;
+        metrics.register_classes(&names.classes);
         let (kinds, quantum, max_open) =
             (settings.kinds.clone(), settings.quantum, settings.max_open as usize);
-        let rows = Rows::new(names.classes.iter().cloned().zip(settings.classes.iter().cloned()));
-        let come_again_ms = (settings.max_retry_after / 2000).max(0) as u64;
+        let class_table =
+            ClassTable::new(names.classes.iter().cloned().zip(settings.classes.iter().cloned()));
+        let retry_after_ms = (settings.max_retry_after / 2000).max(0) as u64;
         Ok(Driver {
             clock,
-            rows,
+            class_table,
             dispatcher: Dispatcher::new(clock.now(), seed, settings)?,
             names,
             kinds,
             quantum,
             list_wait,
             max_open,
-            come_again_ms,
+            retry_after_ms,
             journal: Rc::new(RefCell::new(journal)),
-            fleet,
+            endpoints,
             calls: Rc::new(calls),
             notices,
             inputs,
-            standings,
-            figures,
+            status,
+            metrics,
             shared,
-            handing,
+            handover,
             placement,
-            former: None,
+            predecessor: None,
             events: Vec::new(),
-            newcomers: BTreeMap::new(),
-            live: HashMap::new(),
+            unanswered_puts: BTreeMap::new(),
+            pending: HashMap::new(),
             recovered: RecoveredMessages::default(),
             by_request: HashMap::new(),
-            out: HashMap::new(),
+            calls_in_flight: HashMap::new(),
             next_call: 0,
             timers: BinaryHeap::new(),
-            unconfirmed: 0,
+            unconfirmed_notices: 0,
             stopping: None,
         })
     }
 
     /// Runs until the sender has been told to stop and has done so.
-    pub async fn run(mut self, mut inbox: mpsc::Receiver<Input>, known: Known) {
+    pub async fn run(mut self, mut inbox: mpsc::Receiver<Input>, known: InitialList) {
         let Some(early) = self.wait_for_list(&mut inbox, known).await else { return };
         self.restore();
-        early.into_iter().for_each(|input| self.take(input));
+        early.into_iter().for_each(|input| self.handle_input(input));
         self.round();
-        _ = self.standings.change(Change::Started);
+        _ = self.status.change(Change::Started);
         let mut last = self.clock.now();
         let mut retire = last;
         loop {
@@ -178,22 +180,22 @@
             let pending = if self.events.is_empty() { Micros::MAX } else { last };
             // A round at most once a quantum; also while nothing happens, for what goes by the clock alone.
             let wake = timer.min(pending).max(last + self.quantum);
-            let wake = wake.min(last + RETIRE_EVERY).min(self.next_phase(last));
+            let wake = wake.min(last + IDLE_SWEEP_INTERVAL_US).min(self.next_exit_check(last));
             tokio::select! {
                 biased;
                 input = inbox.recv() => {
                     let Some(input) = input else { return };
-                    self.take(input);
+                    self.handle_input(input);
                     while let Ok(input) = inbox.try_recv() {
-                        self.take(input);
+                        self.handle_input(input);
                     }
                     if self.clock.now() < last + self.quantum {
                         continue;
                     }
                 }
-                Some((owner, link)) = next_of(&mut self.handing) => {
+                Some((owner, link)) = next_takeover_request(&mut self.handover) => {
                     if let Some(link) = self.hand_over(owner, link).await {
-                        return self.retire(inbox, link).await;
+                        return self.forward_until_idle(inbox, link).await;
                     }
                     continue;
                 }
@@ -201,11 +203,11 @@
             }
             last = self.clock.now();
             self.round();
-            if last - retire >= RETIRE_EVERY {
+            if last - retire >= IDLE_SWEEP_INTERVAL_US {
                 retire = last;
-                self.calls.retire();
+                self.calls.close_expired();
             }
-            if self.stopped(last) {
+            if self.can_exit(last) {
                 if self.recovered.any() {
                     eprintln!("{}", self.recovered);
                 }
@@ -214,53 +216,54 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Put(put, reply) => self.put(put, reply),
-            Input::Members { index, whole, entries } => self.members(index, whole, entries),
-            Input::Ended(call, ended) => self.ended(call, ended),
+            Input::Put(put, reply) => self.handle_put(put, reply),
+            Input::EndpointsListed { index, full, entries } => self.handle_listing(index, full, entries),
+            Input::CallEnded(call, ended) => self.handle_call_end(call, ended),
             Input::Probed(endpoint, outcome, report) => {
                 self.events.push(Event::Probed { endpoint, outcome, report });
             }
-            Input::Noticed(ids) => {
-                self.unconfirmed = self.unconfirmed.saturating_sub(ids.len());
-                self.note(|j| j.noticed(ids));
+            Input::NoticesConfirmed(ids) => {
+                self.unconfirmed_notices = self.unconfirmed_notices.saturating_sub(ids.len());
+                self.write_journal(|j| j.record_notices_confirmed(ids));
             }
-            Input::Retuned(classes) => {
-                self.figures.name_classes(classes.iter().map(|(name, _)| name));
+            Input::ClassesReloaded(classes) => {
+                self.metrics.register_classes(classes.iter().map(|(name, _)| name));
                 if let Some(placement) = &self.placement {
-                    placement.take_classes(classes.iter().map(|(name, class)| (name, class)));
+                    placement.update_classes(classes.iter().map(|(name, class)| (name, class)));
                 }
-                self.rows.retune(classes, self.clock.now());
-                self.events.push(Event::Classes(self.rows.classes()));
+                self.class_table.reload(classes, self.clock.now());
+                self.events.push(Event::Classes(self.class_table.classes()));
             }
-            Input::Former(frame) => self.hear(frame),
-            Input::FormerGone => self.former_gone(),
+            Input::PredecessorFrame(frame) => self.handle_predecessor_frame(frame),
+            Input::PredecessorGone => self.former_gone(),
             Input::Stop => {
                 let now = self.clock.now();
                 self.stopping.get_or_insert(now);
-                self.events.push(Event::Stopping { at: now + CALLS_END_AFTER });
+                self.events.push(Event::Stopping { at: now + CALL_DEADLINE_US });
             }
         }
     }
 
-    fn members(&mut self, index: u64, whole: bool, entries: Vec<EndpointEntry>) {
-        let fleet = self.fleet.borrow();
-        let line = |e: &EndpointEntry| Some((fleet.get(e.endpoint)?.name.clone(), e.status == Status::Up));
+    fn handle_listing(&mut self, index: u64, full: bool, entries: Vec<EndpointEntry>) {
+        let endpoints = self.endpoints.borrow();
+        let line =
+            |e: &EndpointEntry| Some((endpoints.get(e.endpoint)?.name.clone(), e.status == Status::Up));
         let lines: Vec<_> = entries.iter().filter_map(line).collect();
-        drop(fleet);
-        self.note(|j| j.keep_listed(index, &lines));
-        self.events.push(Event::Members { whole, entries });
+        drop(endpoints);
+        self.write_journal(|j| j.record_endpoints_listed(index, &lines));
+        self.events.push(Event::Members { whole: full, entries });
     }
 
     /// What cannot be written may be done twice after a restart, or told twice; it is not undone.
-    fn note(&mut self, write: impl FnOnce(&mut Journal) -> std::io::Result<()>) {
+    fn write_journal(&mut self, write: impl FnOnce(&mut Journal) -> std::io::Result<()>) {
         if let Err(e) = write(&mut self.journal.borrow_mut()) {
             eprintln!("journal: {e}");
         }
     }
 
-    fn put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
+    fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
             // The same message on a second connection. One that is not written down yet is not taken on yet,
             // and may never be: a client that hears so would not come again.
@@ -268,45 +271,47 @@
             _ = reply.send(if written { Reply::Taken } else { Reply::Busy { after_ms: 0 } });
             return;
         }
-        if self.live.len() >= self.max_open || self.standings.get().refuses(std::time::Instant::now()) {
-            self.figures.count(&put.class, Ending::Refused);
-            _ = reply.send(Reply::Busy { after_ms: self.come_again_ms });
+        if self.pending.len() >= self.max_open
+            || self.status.get().refuses_messages(std::time::Instant::now())
+        {
+            self.metrics.count(&put.class, MessageEnd::Refused);
+            _ = reply.send(Reply::Busy { after_ms: self.retry_after_ms });
             return;
         }
-        if let Some(after_ms) = self.placement.as_ref().and_then(|placement| placement.refuses(&put)) {
-            self.figures.count(&put.class, Ending::Refused);
+        if let Some(after_ms) = self.placement.as_ref().and_then(|placement| placement.retry_after_ms(&put)) {
+            self.metrics.count(&put.class, MessageEnd::Refused);
             _ = reply.send(Reply::Busy { after_ms });
             return;
         }
-        let class = match self.row_for(&put) {
+        let class = match self.rules_for(&put) {
             Ok(row) => row,
             Err(why) if why == UNKNOWN_DESTINATION && self.awaits_endpoints() => {
-                self.figures.count(&put.class, Ending::Refused);
-                _ = reply.send(Reply::Busy { after_ms: self.come_again_ms });
+                self.metrics.count(&put.class, MessageEnd::Refused);
+                _ = reply.send(Reply::Busy { after_ms: self.retry_after_ms });
                 return;
             }
             Err(why) => {
-                self.figures.count(&put.class, Ending::Wrong);
+                self.metrics.count(&put.class, MessageEnd::Wrong);
                 _ = reply.send(Reply::Wrong(why.into()));
                 return;
             }
         };
-        let id = MsgId(self.journal.borrow_mut().number());
+        let id = MsgId(self.journal.borrow_mut().allocate_number());
         self.events.push(Event::Message {
             id,
             class,
             tenant: index(&self.names.tenants, &put.tenant),
             key: Some(put.order_key.clone()),
             dest: DestId(put.dest),
-            time_left: AS_OF_THE_ROUND,
+            time_left: SET_IN_ROUND,
             again: put.again,
         });
         self.by_request.insert(put.request_id.clone(), id);
-        self.rows.enter(class);
-        self.live.insert(id, Live { row: class, ..Live::default() });
-        self.hold_destination(id, put.dest);
+        self.class_table.add_message(class);
+        self.pending.insert(id, PendingMessage { row: class, ..PendingMessage::default() });
+        self.retain_destination(id, put.dest);
         let deadline = self.clock.now() + put.time_left;
-        self.newcomers.insert(id, Newcomer { put, deadline, reply });
+        self.unanswered_puts.insert(id, UnansweredPut { put, deadline, reply });
     }
 
     /// A destination that is not in the list of endpoints may only not have been read yet.
@@ -315,23 +320,23 @@
     }
 
     /// The destination is kept for as long as the message is held, whoever owns it.
-    fn hold_destination(&self, id: MsgId, dest: i64) {
+    fn retain_destination(&self, id: MsgId, dest: i64) {
         if let Some(placement) = &self.placement {
-            placement.hold(id, dest);
+            placement.add_pending(id, dest);
         }
     }
 
     /// The rules for this message, or why no sender could take it on.
-    fn row_for(&self, put: &Put) -> Result<usize, &'static str> {
-        let row = self.rows.newest(&put.class, self.clock.now()).ok_or("unknown class")?;
-        let class = self.rows.get(row).ok_or("unknown class")?;
+    fn rules_for(&self, put: &Put) -> Result<usize, &'static str> {
+        let row = self.class_table.current_row(&put.class, self.clock.now()).ok_or("unknown class")?;
+        let class = self.class_table.settings(row).ok_or("unknown class")?;
         let tenants = &self.names.tenants;
         if !tenants.is_empty() && !tenants.contains(&put.tenant) {
             Err("unknown tenant")
         } else if put.time_left > class.deadline + 1000 {
             // The time is told in whole milliseconds.
             Err("field 'd' is more than the class's time")
-        } else if !self.fleet.borrow().knows(DestId(put.dest)) {
+        } else if !self.endpoints.borrow().knows(DestId(put.dest)) {
             Err(UNKNOWN_DESTINATION)
         } else if class.effect == Effect::Guarded && put.idempotency_key.is_none() {
             Err("field 'k' is missing in a keyed class")
@@ -340,27 +345,27 @@
         }
     }
 
-    fn ended(&mut self, call: u64, ended: Ended) {
-        self.out.remove(&call);
-        let Ended { endpoint, fates, elapsed, wait, report } = ended;
+    fn handle_call_end(&mut self, call: u64, ended: CallEnd) {
+        self.calls_in_flight.remove(&call);
+        let CallEnd { endpoint, fates, elapsed, wait, report } = ended;
         for fate in fates {
             let (id, outcome, last) = (fate.id, fate.outcome, fate.over);
-            self.tell_called(id);
-            if let Some(live) = self.live.get_mut(&id) {
-                live.call = None;
+            self.record_first_call(id);
+            if let Some(pending) = self.pending.get_mut(&id) {
+                pending.call = None;
                 let deadline = self.journal.borrow().get(id.0).map(|e| e.accepted.deadline);
                 if last && outcome == Outcome::Done && deadline.is_some_and(|at| at < self.clock.now()) {
                     // Delivered out of its time, which may count for nothing: its client is owed word all the same.
-                    self.end(id, End::Failed);
+                    self.end_undelivered(id, End::Failed);
                 } else if last {
                     if outcome == Outcome::Done
                         && let Some(entry) = self.journal.borrow().get(id.0)
                     {
-                        self.figures.count(&entry.accepted.class, Ending::Delivered);
+                        self.metrics.count(&entry.accepted.class, MessageEnd::Delivered);
                     }
-                    self.forget(id);
+                    self.close_message(id);
                 } else {
-                    self.note(|j| j.settled(id.0, !outcome.never_ran()));
+                    self.write_journal(|j| j.record_attempt_settled(id.0, !outcome.never_ran()));
                 }
             }
             let attempt = fate.attempt;
@@ -369,24 +374,24 @@
     }
 
     /// The message is held no more. False if it was not.
-    fn drop_live(&mut self, id: MsgId) -> bool {
-        let live = self.live.remove(&id);
+    fn remove_pending(&mut self, id: MsgId) -> bool {
+        let pending = self.pending.remove(&id);
         if let Some(placement) = &self.placement {
-            placement.release(id);
+            placement.remove_pending(id);
         }
-        if let Some(live) = &live {
-            self.rows.leave(live.row);
+        if let Some(pending) = &pending {
+            self.class_table.remove_message(pending.row);
         }
-        self.tell_called(id);
+        self.record_first_call(id);
         // The module ends a message up to two quanta early.
         if self.recovered.over(id, self.clock.now(), 2 * self.quantum) {
             eprintln!("{}", self.recovered);
         }
-        live.is_some()
+        pending.is_some()
     }
 
     /// A message that a restart recovered is attempted once a call of it has begun.
-    fn tell_called(&mut self, id: MsgId) {
+    fn record_first_call(&mut self, id: MsgId) {
         let begun = self.journal.borrow().get(id.0).map_or(0, |entry| entry.progress.attempts);
         if self.recovered.call(id, begun) {
             eprintln!("{}", self.recovered);
@@ -394,12 +399,12 @@
     }
 
     /// Nothing more is owed for the message.
-    fn forget(&mut self, id: MsgId) {
-        self.drop_live(id);
+    fn close_message(&mut self, id: MsgId) {
+        self.remove_pending(id);
         if let Some(entry) = self.journal.borrow().get(id.0) {
             self.by_request.remove(&entry.accepted.request_id);
         }
-        self.note(|j| j.ended(id.0, End::Over));
+        self.write_journal(|j| j.record_message_ended(id.0, End::Over));
     }
 
     fn round(&mut self) {
@@ -409,25 +414,25 @@
             self.events.push(Event::Timer { token });
         }
         let mut events = std::mem::take(&mut self.events);
-        self.bring_up_to_date(now, &mut events);
+        self.set_time_left(now, &mut events);
         let mut actions = Vec::new();
         self.dispatcher.round(now, &events, &mut actions);
-        self.welcome(&events, &actions);
-        self.carry_out(actions);
-        self.keep_health();
-        self.figures.outstanding.set(self.live.len() - self.newcomers.len());
+        self.answer_puts(&events, &actions);
+        self.execute_actions(actions);
+        self.persist_health();
+        self.metrics.outstanding.set(self.pending.len() - self.unanswered_puts.len());
     }
 
     /// Gives each message what time it has left as of the round, which may come a quantum after it was read, or later at a
     /// start that has much to read. With what it had when it was read the module would end it too late, and an answer
     /// that came then would count for nothing.
-    fn bring_up_to_date(&self, now: Micros, events: &mut [Event]) {
+    fn set_time_left(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
         for event in events {
             let (Event::Message { id, time_left, .. } | Event::Restored { id, time_left, .. }) = event else {
                 continue;
             };
-            let new = self.newcomers.get(id).map(|n| n.deadline);
+            let new = self.unanswered_puts.get(id).map(|n| n.deadline);
             if let Some(deadline) = new.or_else(|| Some(journal.get(id.0)?.accepted.deadline)) {
                 *time_left = deadline - now;
             }
@@ -436,9 +441,9 @@
 
     /// Answers the clients whose messages this round has seen: those refused at once hear it, the others'
     /// messages are written down first.
-    fn welcome(&mut self, events: &[Event], actions: &[Action]) {
+    fn answer_puts(&mut self, events: &[Event], actions: &[Action]) {
         let mut answers: BTreeMap<MsgId, Reply> = BTreeMap::new();
-        if self.newcomers.is_empty() {
+        if self.unanswered_puts.is_empty() {
             return;
         }
         for action in actions {
@@ -452,12 +457,14 @@
         }
         for event in events {
             let Event::Message { id, .. } = event else { continue };
-            let Some(Newcomer { put, deadline, reply }) = self.newcomers.remove(id) else { continue };
+            let Some(UnansweredPut { put, deadline, reply }) = self.unanswered_puts.remove(id) else {
+                continue;
+            };
             if let Some(answer) = answers.get(id) {
                 let busy = matches!(answer, Reply::Busy { .. });
-                self.figures.count(&put.class, if busy { Ending::Refused } else { Ending::Wrong });
+                self.metrics.count(&put.class, if busy { MessageEnd::Refused } else { MessageEnd::Wrong });
                 self.by_request.remove(&put.request_id);
-                self.drop_live(*id);
+                self.remove_pending(*id);
                 _ = reply.send(answer.clone());
                 continue;
             }
@@ -471,7 +478,7 @@
                 deadline,
                 body: put.body,
             };
-            let row = self.live.get(id).and_then(|live| self.rows.get(live.row));
+            let row = self.pending.get(id).and_then(|pending| self.class_table.settings(pending.row));
             let Some(rules) = row else { continue };
             let taken = self.journal.borrow_mut().accept(id.0, accepted, rules);
             let answer = match taken {
@@ -484,16 +491,16 @@
             let taken = answer == Reply::Taken;
             if reply.send(answer).is_err() || !taken {
                 // Its client has gone without an answer, or is told to come again.
-                self.figures.count(&class, Ending::Refused);
-                self.note(|j| j.ended(id.0, End::Over));
+                self.metrics.count(&class, MessageEnd::Refused);
+                self.write_journal(|j| j.record_message_ended(id.0, End::Over));
                 self.by_request.remove(&request_id);
-                self.drop_live(*id);
+                self.remove_pending(*id);
                 self.events.push(Event::Left { id: *id });
             }
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute_actions(&mut self, actions: Vec<Action>) {
         let mut sends: BTreeMap<u64, (EndpointId, Vec<(MsgId, Micros)>)> = BTreeMap::new();
         for action in actions {
             match action {
@@ -501,19 +508,21 @@
                     sends.entry(call).or_insert((endpoint, Vec::new())).1.push((id, timeout));
                 }
                 Action::Cancel { id, .. } => {
-                    let call = self.live.get(&id).and_then(|l| l.call);
-                    if let Some(cancel) = call.and_then(|c| self.out.get_mut(&c)).and_then(Option::take) {
+                    let call = self.pending.get(&id).and_then(|l| l.call);
+                    if let Some(cancel) =
+                        call.and_then(|c| self.calls_in_flight.get_mut(&c)).and_then(Option::take)
+                    {
                         _ = cancel.send(());
-                    } else if let (Some(former), Some(call)) = (&self.former, call)
-                        && former.out.values().any(|(c, _)| *c == call)
+                    } else if let (Some(predecessor), Some(call)) = (&self.predecessor, call)
+                        && predecessor.attempts_in_flight.values().any(|(c, _)| *c == call)
                     {
-                        _ = former.say.send(Frame::Cancel { call });
+                        _ = predecessor.send.send(Frame::Cancel { call });
                     }
                 }
                 Action::Refuse { id, retry_after } => {
-                    self.end(id, End::Returned { after_ms: (retry_after / 1000).max(0) as u64 });
+                    self.end_undelivered(id, End::Returned { after_ms: (retry_after / 1000).max(0) as u64 });
                 }
-                Action::Fail { id } => self.end(id, End::Failed),
+                Action::Fail { id } => self.end_undelivered(id, End::Failed),
                 Action::Timer { at, token } => self.timers.push(Reverse((at, token))),
                 Action::Probe { endpoint } => self.probe(endpoint),
                 Action::Close { endpoint } => self.calls.close(endpoint),
@@ -527,57 +536,57 @@
     }
 
     /// The message is over but for the notice. A newcomer's client has heard it already.
-    fn end(&mut self, id: MsgId, end: End) {
-        if !self.drop_live(id) {
+    fn end_undelivered(&mut self, id: MsgId, end: End) {
+        if !self.remove_pending(id) {
             return;
         }
         let journal = self.journal.borrow();
         let Some(request_id) = journal.get(id.0).map(|e| {
-            self.figures.count(&e.accepted.class, Ending::of(end));
+            self.metrics.count(&e.accepted.class, MessageEnd::of(end));
             e.accepted.request_id.clone()
         }) else {
             return;
         };
         drop(journal);
-        self.note(|j| j.ended(id.0, end));
+        self.write_journal(|j| j.record_message_ended(id.0, end));
         self.by_request.remove(&request_id);
-        self.unconfirmed += 1;
+        self.unconfirmed_notices += 1;
         _ = self.notices.send(Notice { id: id.0, request_id, end });
     }
 
     /// The message was not sent after all.
-    fn unsent(&mut self, id: MsgId, attempt: u32, endpoint: EndpointId, last: bool) {
+    fn report_skipped(&mut self, id: MsgId, attempt: u32, endpoint: EndpointId, last: bool) {
         let (outcome, elapsed, wait, report) = (Outcome::Skipped, 0, 0, None);
         self.events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report });
     }
 
     fn send(&mut self, endpoint: EndpointId, sends: Vec<(MsgId, Micros)>) {
-        let target = self.fleet.borrow().get(endpoint).cloned();
+        let target = self.endpoints.borrow().get(endpoint).cloned();
         let target = target.and_then(|t| t.addr.map(|addr| (t, addr)));
         let call = self.next_call;
         self.next_call += 1;
         let (mut items, mut longest, mut last_moment) = (Vec::new(), 0, Micros::MAX);
         for (id, timeout) in sends {
-            let Some(live) = self.live.get_mut(&id) else {
+            let Some(pending) = self.pending.get_mut(&id) else {
                 // Its client left in this very round.
-                self.unsent(id, 0, endpoint, true);
+                self.report_skipped(id, 0, endpoint, true);
                 continue;
             };
-            let attempt = live.attempts;
-            live.attempts += 1;
+            let attempt = pending.attempts;
+            pending.attempts += 1;
             let journal = self.journal.clone();
             let journal = journal.borrow();
             let Some(entry) = journal.get(id.0).filter(|_| target.is_some()) else {
-                self.unsent(id, attempt, endpoint, false);
+                self.report_skipped(id, attempt, endpoint, false);
                 continue;
             };
-            live.call = Some(call);
-            let class = self.rows.get(live.row).filter(|c| c.effect == Effect::Guarded);
-            if let (Some(class), Some((_, first))) = (class, entry.progress.unknown()) {
+            pending.call = Some(call);
+            let class = self.class_table.settings(pending.row).filter(|c| c.effect == Effect::Guarded);
+            if let (Some(class), Some((_, first))) = (class, entry.progress.first_possible_run()) {
                 last_moment = last_moment.min(first + class.window);
             }
             longest = longest.max(timeout);
-            items.push(Item {
+            items.push(CallItem {
                 id,
                 attempt,
                 request_id: entry.accepted.request_id.clone(),
@@ -589,9 +598,9 @@
         let lane = self.lane(endpoint, &target);
         let batch = items.len() > 1;
         let timeout = Duration::from_micros(longest.max(1) as u64);
-        let order = Order { endpoint, addr, lane, items, batch, timeout };
+        let spec = CallSpec { endpoint, addr, lane, items, batch, timeout };
         let (cancel, cancelled) = oneshot::channel();
-        self.out.insert(call, Some(cancel));
+        self.calls_in_flight.insert(call, Some(cancel));
         let (calls, journal, inputs, clock) =
             (self.calls.clone(), self.journal.clone(), self.inputs.clone(), self.clock);
         tokio::task::spawn_local(async move {
@@ -604,12 +613,12 @@
                 // Nor a message past its end, which its client may have been told while it came up.
                 let open =
                     |id: &MsgId| journal.borrow().get(id.0).is_some_and(|entry| entry.progress.end.is_none());
-                let wanted: Vec<MsgId> = order.items.iter().map(|i| i.id).filter(open).collect();
+                let wanted: Vec<MsgId> = spec.items.iter().map(|i| i.id).filter(open).collect();
                 if wanted.is_empty() {
                     return wanted;
                 }
                 let ids = wanted.iter().map(|id| id.0).collect();
-                match journal.borrow_mut().started(ids, &target.name, clock.now()) {
+                match journal.borrow_mut().record_attempts_started(ids, &target.name, clock.now()) {
                     Ok(()) => wanted,
                     Err(e) => {
                         eprintln!("journal: {e}");
@@ -617,8 +626,8 @@
                     }
                 }
             };
-            let ended = calls.call(&order, begin, cancelled).await;
-            _ = inputs.send(Input::Ended(call, ended)).await;
+            let ended = calls.call(&spec, begin, cancelled).await;
+            _ = inputs.send(Input::CallEnded(call, ended)).await;
         });
     }
 
@@ -629,7 +638,7 @@
     }
 
     fn probe(&mut self, endpoint: EndpointId) {
-        let addr = self.fleet.borrow().get(endpoint).and_then(|e| e.addr.filter(|_| e.ready));
+        let addr = self.endpoints.borrow().get(endpoint).and_then(|e| e.addr.filter(|_| e.ready));
         let Some(addr) = addr else {
             self.events.push(Event::Probed { endpoint, outcome: Outcome::Skipped, report: None });
             return;
@@ -641,40 +650,42 @@
         });
     }
 
-    fn keep_health(&mut self) {
-        let fleet = self.fleet.borrow();
+    fn persist_health(&mut self) {
+        let endpoints = self.endpoints.borrow();
         let (mut health, mut avoided) = (BTreeMap::new(), 0);
         for (id, h) in self.dispatcher.health() {
-            let Some(endpoint) = fleet.get(id) else { continue };
+            let Some(endpoint) = endpoints.get(id) else { continue };
             avoided += usize::from(h.trouble && endpoint.listed());
             health.insert(endpoint.name.clone(), h);
         }
-        self.figures.ejected.set(avoided);
+        self.metrics.ejected.set(avoided);
         let receivers = self.dispatcher.receivers().filter_map(|(dest, route, health)| {
             let receiver = match route {
-                Some(id) => Receiver::Route(dest.0, fleet.get(id)?.name.clone()),
+                Some(id) => Receiver::Route(dest.0, endpoints.get(id)?.name.clone()),
                 None => Receiver::Destination(dest.0),
             };
             Some((receiver, health))
         });
         let mut journal = self.journal.borrow_mut();
-        let kept = journal.keep_health(&health).and_then(|()| journal.keep_receivers(&receivers.collect()));
+        let kept = journal
+            .record_endpoint_health(&health)
+            .and_then(|()| journal.record_receiver_health(&receivers.collect()));
         if let Err(e) = kept {
             eprintln!("journal: {e}");
         }
     }
 
     /// Guards against a process that is killed because it saw its time to exit only at its next round.
-    fn next_phase(&self, last: Micros) -> Micros {
-        let phases = self.stopping.into_iter().flat_map(|t| [t + STAY_LEAST, t + EXIT_AFTER]);
+    fn next_exit_check(&self, last: Micros) -> Micros {
+        let phases = self.stopping.into_iter().flat_map(|t| [t + MIN_STAY_US, t + EXIT_DEADLINE_US]);
         phases.filter(|at| *at > last).min().unwrap_or(Micros::MAX)
     }
 
     /// After SIGTERM: tells when all is done that can be.
-    fn stopped(&self, now: Micros) -> bool {
+    fn can_exit(&self, now: Micros) -> bool {
         let Some(since) = self.stopping.map(|t| now - t) else { return false };
-        let done = self.live.is_empty() && self.unconfirmed == 0 && since > STAY_LEAST;
-        done || since >= EXIT_AFTER
+        let done = self.pending.is_empty() && self.unconfirmed_notices == 0 && since > MIN_STAY_US;
+        done || since >= EXIT_DEADLINE_US
     }
 }
 
--- a/crates/sender/src/fleet.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -9,11 +9,11 @@
 
 /// A gone endpoint keeps its number for this long, in case it is named again. Where endpoints are ever new, what
 /// is kept of the gone ones is most of what is kept at all.
-const KEEP_GONE: Duration = Duration::from_secs(60);
+const GONE_RETENTION: Duration = Duration::from_secs(60);
 /// A destination is known for this long after its last endpoint has gone.
-const KEEP_DEST: Duration = Duration::from_secs(3600);
+const DESTINATION_RETENTION: Duration = Duration::from_secs(3600);
 /// Destinations that are remembered beside those with an endpoint.
-const DESTS_MOST: usize = 10_000;
+const MAX_DESTINATIONS: usize = 10_000;
 
 /// An endpoint as last listed.
 #[derive(Clone, Debug)]
@@ -37,18 +37,18 @@
 
 /// All endpoints by number. A name keeps its number when it is listed again.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct EndpointTable {
     names: Names,
     numbers: HashMap<String, EndpointId>,
     endpoints: HashMap<EndpointId, Endpoint>,
     /// The destinations, and when an endpoint of each was last named.
-    dests: HashMap<DestId, Instant>,
-    next: u32,
+    destinations: HashMap<DestId, Instant>,
+    last_number: u32,
 }
 
-impl Fleet {
+impl EndpointTable {
     pub fn new(names: Names) -> Self {
-        Fleet { names, ..Fleet::default() }
+        EndpointTable { names, ..EndpointTable::default() }
     }
 
     pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
@@ -66,28 +66,28 @@
 
     /// Whether the destination has an endpoint or had one not long ago.
     pub fn knows(&self, dest: DestId) -> bool {
-        self.dests.contains_key(&dest)
+        self.destinations.contains_key(&dest)
     }
 
     /// Takes a listing over and puts it into the module's words. What a whole list lacks is named as removed.
     pub fn apply(&mut self, listing: &Listing) -> Vec<EndpointEntry> {
         let now = Instant::now();
         let mut entries: Vec<EndpointEntry> =
-            listing.endpoints.iter().map(|line| self.take(line, now)).collect();
+            listing.endpoints.iter().map(|line| self.apply_line(line, now)).collect();
         if listing.snapshot {
             let named: HashSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
             entries.extend(self.remove(now, |id, _| !named.contains(&id)));
         }
-        let kept = |e: &Endpoint| e.gone.is_none_or(|t| now - t < KEEP_GONE);
-        self.numbers.retain(|_, id| self.endpoints.get(id).is_some_and(kept));
-        self.endpoints.retain(|_, e| kept(e));
+        let retained = |e: &Endpoint| e.gone.is_none_or(|t| now - t < GONE_RETENTION);
+        self.numbers.retain(|_, id| self.endpoints.get(id).is_some_and(retained));
+        self.endpoints.retain(|_, e| retained(e));
         for e in self.endpoints.values() {
-            self.dests.insert(e.dest, now);
+            self.destinations.insert(e.dest, now);
         }
-        if self.dests.len() > DESTS_MOST {
-            self.dests.retain(|_, named| *named == now);
+        if self.destinations.len() > MAX_DESTINATIONS {
+            self.destinations.retain(|_, named| *named == now);
         }
-        self.dests.retain(|_, named| now - *named < KEEP_DEST);
+        self.destinations.retain(|_, named| now - *named < DESTINATION_RETENTION);
         entries
     }
 
@@ -110,7 +110,7 @@
         })
     }
 
-    fn take(&mut self, line: &Line, now: Instant) -> EndpointEntry {
+    fn apply_line(&mut self, line: &Line, now: Instant) -> EndpointEntry {
         let status = match line.status.as_str() {
             "Ready" => Status::Up,
             "Gone" => Status::Removed,
@@ -124,8 +124,8 @@
         let index = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(usize::MAX);
         let (kind, zone) = (index(&self.names.kinds, &line.kind), index(&self.names.zones, &line.zone));
         let id = *self.numbers.entry(line.name.clone()).or_insert_with(|| {
-            self.next += 1;
-            EndpointId(self.next)
+            self.last_number += 1;
+            EndpointId(self.last_number)
         });
         let dest = DestId(line.group);
         let gone = (status == Status::Removed).then_some(now);
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -1,7 +1,7 @@
 //! One process replaced by another: the lock on the journal's folder, and the link between the two.
 //! `embershore-handover` says what follows from what.
 
-use crate::standing::{Change, Phase, Standings};
+use crate::status::{Change, Phase, SharedStatus};
 use embershore_handover::{
     Decoder, Frame, Newcomer, NewcomerDo, NewcomerEvent, Owner, OwnerDo, OwnerEvent, State, encode,
 };
@@ -17,12 +17,12 @@
 
 /// A word of the other process that is waited for comes within this. The owner finishes what it has in hand and writes
 /// the state; the newcomer takes the lock.
-pub const WORD_TIME: Duration = Duration::from_millis(1000);
+pub const FRAME_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Between two looks at who has the lock.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A newcomer that has not got the journal by then is ready all the same: the platform then ends the owner, which
 /// does not answer, and the lock is free. Until then clients wait at the door.
-const OWNER_PATIENCE: Duration = Duration::from_millis(4500);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(4500);
 const READ_AHEAD: usize = 16 * 1024;
 
 /// The lock by which one process owns the journal. It ends with its process at the latest.
@@ -63,14 +63,14 @@
     }
 
     /// Whether the lock is this process's now.
-    pub fn take(&self) -> io::Result<bool> {
-        taken(&self.file)
+    pub fn try_acquire(&self) -> io::Result<bool> {
+        try_lock(&self.file)
     }
 
     /// Waits until no other newcomer asks. What is got here ends with the process or [`Lock::end_turn`].
-    async fn wait_turn(&self) -> io::Result<()> {
-        while !taken(&self.turn)? {
-            tokio::time::sleep(LOOK_EVERY).await;
+    async fn wait_for_turn(&self) -> io::Result<()> {
+        while !try_lock(&self.turn)? {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -80,7 +80,7 @@
     }
 
     /// Gives it free.
-    pub fn free(&self) -> io::Result<()> {
+    pub fn release(&self) -> io::Result<()> {
         self.file.unlock()
     }
 
@@ -95,7 +95,7 @@
     }
 }
 
-fn taken(file: &File) -> io::Result<bool> {
+fn try_lock(file: &File) -> io::Result<bool> {
     match file.try_lock() {
         Ok(()) => Ok(true),
         Err(TryLockError::WouldBlock) => Ok(false),
@@ -104,21 +104,21 @@
 }
 
 /// What is heard of the other process within the time for which it is waited.
-pub enum Word {
-    Said(Frame),
+pub enum Received {
+    Frame(Frame),
     /// Nothing yet.
-    Late,
+    Timeout,
     /// The link has ended, or can't be read on.
-    Gone,
+    Closed,
 }
 
-impl Word {
+impl Received {
     /// What it is to an owner.
     pub fn event(&self) -> OwnerEvent<'_> {
         match self {
-            Word::Said(frame) => OwnerEvent::Heard(frame),
-            Word::Late => OwnerEvent::Late,
-            Word::Gone => OwnerEvent::Gone,
+            Received::Frame(frame) => OwnerEvent::Heard(frame),
+            Received::Timeout => OwnerEvent::Late,
+            Received::Closed => OwnerEvent::Gone,
         }
     }
 }
@@ -131,12 +131,12 @@
 
 /// A link that is read and written in the background. Unbounded both ways: what is told are the messages of clients, which
 /// their places bound, and the ends of calls, which the slots do.
-pub struct Carried {
-    pub say: mpsc::UnboundedSender<Frame>,
+pub struct BackgroundLink {
+    pub send: mpsc::UnboundedSender<Frame>,
     /// What the other side says; ends with the link.
     pub frames: mpsc::UnboundedReceiver<Frame>,
     /// Ends once all is said, after `say` has been dropped.
-    pub carrying: JoinHandle<()>,
+    pub task: JoinHandle<()>,
 }
 
 impl Link {
@@ -144,14 +144,14 @@
         Link { stream, decoder: Decoder::default() }
     }
 
-    pub async fn say(&mut self, frame: &Frame) -> io::Result<()> {
+    pub async fn send(&mut self, frame: &Frame) -> io::Result<()> {
         let bytes = encode(frame).map_err(io::Error::other)?;
-        tokio::time::timeout(WORD_TIME, self.stream.write_all(&bytes)).await?
+        tokio::time::timeout(FRAME_TIMEOUT, self.stream.write_all(&bytes)).await?
     }
 
     /// The next frame, for as long as it takes; nothing once the other side has ended. Nothing is lost if it is not
     /// waited for to the end.
-    pub async fn hear(&mut self) -> io::Result<Option<Frame>> {
+    pub async fn receive(&mut self) -> io::Result<Option<Frame>> {
         loop {
             if let Some(frame) = self.decoder.decode().map_err(io::Error::other)? {
                 return Ok(Some(frame));
@@ -164,34 +164,38 @@
     }
 
     /// The next frame, if it comes in time.
-    pub async fn hear_soon(&mut self) -> Word {
-        match tokio::time::timeout(WORD_TIME, self.hear()).await {
-            Ok(Ok(frame)) => frame.map_or(Word::Gone, Word::Said),
+    pub async fn receive_soon(&mut self) -> Received {
+        match tokio::time::timeout(FRAME_TIMEOUT, self.receive()).await {
+            Ok(Ok(frame)) => frame.map_or(Received::Closed, Received::Frame),
             Ok(Err(e)) => {
                 eprintln!("handover: {e}");
-                Word::Gone
+                Received::Closed
             }
-            Err(_) => Word::Late,
+            Err(_) => Received::Timeout,
         }
     }
 
     /// Has frames go both ways by themselves, until either side ends.
-    pub fn carry(self) -> Carried {
-        let ((say, to_say), (heard, frames)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
-        Carried { say, frames, carrying: tokio::task::spawn_local(self.run(to_say, heard)) }
+    pub fn run_in_background(self) -> BackgroundLink {
+        let ((send, outgoing), (received, frames)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
+        BackgroundLink { send, frames, task: tokio::task::spawn_local(self.run(outgoing, received)) }
     }
 
-    async fn run(mut self, mut to_say: mpsc::UnboundedReceiver<Frame>, heard: mpsc::UnboundedSender<Frame>) {
+    async fn run(
+        mut self,
+        mut outgoing: mpsc::UnboundedReceiver<Frame>,
+        received: mpsc::UnboundedSender<Frame>,
+    ) {
         loop {
             tokio::select! {
                 biased;
-                frame = to_say.recv() => match frame {
-                    Some(frame) if self.say(&frame).await.is_ok() => {}
+                frame = outgoing.recv() => match frame {
+                    Some(frame) if self.send(&frame).await.is_ok() => {}
                     _ => return,
                 },
-                frame = self.hear() => match frame {
+                frame = self.receive() => match frame {
                     Ok(Some(frame)) => {
-                        if heard.send(frame).is_err() {
+                        if received.send(frame).is_err() {
                             return;
                         }
                     }
@@ -204,28 +208,28 @@
 
 /// Lets newcomers in, one after the other, and tells the driver of each that asks for the journal. Ends with the
 /// channel, once this process owns nothing any more.
-pub async fn await_newcomers(listener: UnixListener, asked: mpsc::Sender<(Owner, Link)>) {
+pub async fn accept_takeovers(listener: UnixListener, requests: mpsc::Sender<(Owner, Link)>) {
     loop {
         let mut link = match listener.accept().await {
             Ok((stream, _)) => Link::new(stream),
             Err(e) => {
                 eprintln!("handover: accept: {e}");
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
         };
         let mut owner = Owner::default();
         loop {
-            let then = owner.on(link.hear_soon().await.event());
+            let then = owner.on(link.receive_soon().await.event());
             match then {
                 OwnerDo::Greet => {
                     let hello = Frame::Hello { version: embershore_handover::VERSION };
-                    if link.say(&hello).await.is_err() {
+                    if link.send(&hello).await.is_err() {
                         break;
                     }
                 }
                 OwnerDo::Give => {
-                    if asked.send((owner, link)).await.is_err() {
+                    if requests.send((owner, link)).await.is_err() {
                         return;
                     }
                     break;
@@ -240,73 +244,75 @@
 }
 
 /// What a newcomer has got: the lock, and where the process before it lives, its state and the link to it.
-pub struct Taken {
+pub struct Acquired {
     pub lock: Lock,
-    pub former: Option<(Box<State>, Link)>,
+    pub predecessor: Option<(Box<State>, Link)>,
 }
 
 /// Waits until this process owns the journal; nothing if it is told to end before.
-pub async fn take_over(folder: &Path, standings: &Standings) -> io::Result<Option<Taken>> {
+pub async fn take_over(folder: &Path, status: &SharedStatus) -> io::Result<Option<Acquired>> {
     let lock = Lock::new(Folder::open(folder)?)?;
-    let mut follow = standings.follow();
+    let mut follow = status.subscribe();
     let work = async {
         let patience = async {
-            tokio::time::sleep(OWNER_PATIENCE).await;
+            tokio::time::sleep(OWNER_TIMEOUT).await;
             eprintln!("handover: the process before this one does not answer; ready for when it has ended");
-            _ = standings.change(Change::Standby);
+            _ = status.change(Change::Standby);
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            former = async {
-                lock.wait_turn().await?;
-                let former = become_owner(&lock).await?;
-                lock.end_turn().map(|()| former)
-            } => former,
+            predecessor = async {
+                lock.wait_for_turn().await?;
+                let predecessor = become_owner(&lock).await?;
+                lock.end_turn().map(|()| predecessor)
+            } => predecessor,
             () = patience => Ok(None),
         }
     };
-    let former = tokio::select! {
-        former = work => former?,
+    let predecessor = tokio::select! {
+        predecessor = work => predecessor?,
         _ = follow.wait_for(|s| s.phase() == Phase::Stopping) => return Ok(None),
     };
-    Ok(Some(Taken { lock, former }))
+    Ok(Some(Acquired { lock, predecessor }))
 }
 
 async fn become_owner(lock: &Lock) -> io::Result<Option<(Box<State>, Link)>> {
-    let (mut newcomer, mut link, mut told) = (Newcomer::default(), None::<Link>, None);
-    let mut then = newcomer.on(NewcomerEvent::Lock(lock.take()?));
+    let (mut newcomer, mut link, mut received_state) = (Newcomer::default(), None::<Link>, None);
+    let mut then = newcomer.on(NewcomerEvent::Lock(lock.try_acquire()?));
     loop {
         then = match then {
             NewcomerDo::Start => return Ok(None),
             NewcomerDo::GoOn => {
-                let (Some(mut link), Some(state)) = (link.take(), told.take()) else { return Ok(None) };
+                let (Some(mut link), Some(state)) = (link.take(), received_state.take()) else {
+                    return Ok(None);
+                };
                 // If it is not heard, the owner finds the lock taken.
-                _ = link.say(&Frame::Taken).await;
+                _ = link.send(&Frame::Taken).await;
                 return Ok(Some((state, link)));
             }
-            NewcomerDo::TryLock => newcomer.on(NewcomerEvent::Lock(lock.take()?)),
+            NewcomerDo::TryLock => newcomer.on(NewcomerEvent::Lock(lock.try_acquire()?)),
             NewcomerDo::Pause => {
-                (link, told) = (None, None);
-                tokio::time::sleep(LOOK_EVERY).await;
-                newcomer.on(NewcomerEvent::Lock(lock.take()?))
+                (link, received_state) = (None, None);
+                tokio::time::sleep(POLL_INTERVAL).await;
+                newcomer.on(NewcomerEvent::Lock(lock.try_acquire()?))
             }
             NewcomerDo::Greet => {
                 link = UnixStream::connect(lock.folder.socket()).await.ok().map(Link::new);
                 let hello = Frame::Hello { version: embershore_handover::VERSION };
-                said(&mut newcomer, &mut link, &hello).await
+                send_or_lost(&mut newcomer, &mut link, &hello).await
             }
-            NewcomerDo::Ask => said(&mut newcomer, &mut link, &Frame::Take).await,
+            NewcomerDo::Ask => send_or_lost(&mut newcomer, &mut link, &Frame::Take).await,
             NewcomerDo::Wait => {
                 let frame = match &mut link {
-                    Some(link) => match link.hear_soon().await {
-                        Word::Said(frame) => Some(frame),
-                        Word::Late | Word::Gone => None,
+                    Some(link) => match link.receive_soon().await {
+                        Received::Frame(frame) => Some(frame),
+                        Received::Timeout | Received::Closed => None,
                     },
                     None => None,
                 };
                 let then = newcomer.on(frame.as_ref().map_or(NewcomerEvent::Lost, NewcomerEvent::Heard));
                 if let Some(Frame::State(state)) = frame {
-                    told = Some(state);
+                    received_state = Some(state);
                 }
                 then
             }
@@ -315,10 +321,10 @@
 }
 
 /// Says something to the owner; what follows if it can't be said.
-async fn said(newcomer: &mut Newcomer, link: &mut Option<Link>, frame: &Frame) -> NewcomerDo {
-    let well = match link {
-        Some(link) => link.say(frame).await.is_ok(),
+async fn send_or_lost(newcomer: &mut Newcomer, link: &mut Option<Link>, frame: &Frame) -> NewcomerDo {
+    let sent = match link {
+        Some(link) => link.send(frame).await.is_ok(),
         None => false,
     };
-    if well { NewcomerDo::Wait } else { newcomer.on(NewcomerEvent::Lost) }
+    if sent { NewcomerDo::Wait } else { newcomer.on(NewcomerEvent::Lost) }
 }
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -10,20 +10,20 @@
 #[derive(Debug)]
 pub enum Input {
     Put(Put, oneshot::Sender<Reply>),
-    Members {
+    EndpointsListed {
         index: u64,
-        whole: bool,
+        full: bool,
         entries: Vec<EndpointEntry>,
     },
-    Ended(u64, Ended),
+    CallEnded(u64, CallEnd),
     Probed(EndpointId, Outcome, Option<Report>),
-    Noticed(Vec<u64>),
+    NoticesConfirmed(Vec<u64>),
     /// The classes of a configuration that has been read again.
-    Retuned(Vec<(String, ClassSettings)>),
+    ClassesReloaded(Vec<(String, ClassSettings)>),
     /// What the process that this one replaces has to say.
-    Former(Frame),
+    PredecessorFrame(Frame),
     /// It has ended.
-    FormerGone,
+    PredecessorGone,
     Stop,
 }
 
@@ -31,7 +31,7 @@
 
 /// How a call ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct CallEnd {
     pub endpoint: EndpointId,
     pub fates: Vec<Fate>,
     pub elapsed: Micros,
--- a/crates/sender/src/crossings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -274,7 +274,7 @@
 
     fn put(&mut self, class: usize, dest: i64, time_left: Micros) {
         self.next += 1;
-        let id = self.process.journal.number();
+        let id = self.process.journal.allocate_number();
         let deadline = self.now + time_left;
         let accepted = Accepted {
             request_id: format!("r{}", self.next),
@@ -356,11 +356,11 @@
         self.process.out.extend(calls.into_values());
         let health = self.process.module.health().map(|(id, h)| (name_of(id.0), h)).collect();
         self.process.step()?;
-        self.process.journal.keep_health(&health).unwrap();
+        self.process.journal.record_endpoint_health(&health).unwrap();
         let receivers = self.process.module.receivers();
         let receivers = receivers.map(|(dest, _, health)| (Receiver::Destination(dest.0), health)).collect();
         self.process.step()?;
-        self.process.journal.keep_receivers(&receivers).unwrap();
+        self.process.journal.record_receiver_health(&receivers).unwrap();
         Ok(())
     }
 
@@ -404,7 +404,7 @@
         let open = |id: u64| {
             let entry = process.journal.get(id).filter(|e| e.progress.end.is_none())?;
             let guarded = EFFECTS[truth[&id].class] == Effect::Guarded;
-            let first = entry.progress.unknown().map(|(_, at)| *at).filter(|_| guarded);
+            let first = entry.progress.first_possible_run().map(|(_, at)| *at).filter(|_| guarded);
             first.is_none_or(|first| now < first + WINDOW).then_some(id)
         };
         let wanted: Vec<u64> =
@@ -421,7 +421,7 @@
             return Ok(());
         }
         process.step()?;
-        process.journal.started(wanted.clone(), &name_of(endpoint), now).unwrap();
+        process.journal.record_attempts_started(wanted.clone(), &name_of(endpoint), now).unwrap();
         process.out[at].items = go;
         process.out[at].begun = Some(now);
         process.step()?;
@@ -462,8 +462,8 @@
                 self.process.step()?;
                 let journal = &mut self.process.journal;
                 match outcome {
-                    Outcome::Done => journal.ended(id, End::Over).unwrap(),
-                    _ => journal.settled(id, !outcome.never_ran()).unwrap(),
+                    Outcome::Done => journal.record_message_ended(id, End::Over).unwrap(),
+                    _ => journal.record_attempt_settled(id, !outcome.never_ran()).unwrap(),
                 }
             }
             let (process, last) = (&mut self.process, outcome == Outcome::Done);
@@ -491,7 +491,7 @@
             return Ok(());
         }
         self.process.step()?;
-        self.process.journal.ended(id, end).unwrap();
+        self.process.journal.record_message_ended(id, end).unwrap();
         self.process.step()?;
         self.tell(id, end);
         Ok(())
@@ -508,7 +508,7 @@
         let ended: Vec<u64> = ended.map(|(id, _)| id).collect();
         if !ended.is_empty() {
             self.process.step()?;
-            self.process.journal.noticed(ended).unwrap();
+            self.process.journal.record_notices_confirmed(ended).unwrap();
         }
         Ok(())
     }
@@ -540,13 +540,13 @@
                 continue;
             }
             assert!(
-                progress.unknown().is_some() || t.tries.is_empty(),
+                progress.first_possible_run().is_some() || t.tries.is_empty(),
                 "{} may have run, and the journal does not know: {:?}",
                 id,
                 t
             );
             // What was written and not promised is the sender's own all the same: its client got no answer.
-            if progress.unknown().is_none() && progress.attempts < ATTEMPTS {
+            if progress.first_possible_run().is_none() && progress.attempts < ATTEMPTS {
                 t.found = Some(now);
             }
             let number = |name: &str| EndpointId(name[2..].parse().unwrap());
@@ -558,13 +558,13 @@
                 time_left: 0,
                 attempts: progress.attempts,
                 unreached: 0,
-                may_have_run: progress.unknown().map(|(name, at)| (number(name), *at)),
+                may_have_run: progress.first_possible_run().map(|(name, at)| (number(name), *at)),
             });
             live.push((id, progress.attempts));
         }
         for (id, attempts) in live {
             process.attempts.insert(id, attempts);
-            process.journal.settled(id, true).unwrap();
+            process.journal.record_attempt_settled(id, true).unwrap();
         }
         for (id, t) in &self.truth {
             let kept = t.delivered || t.told.is_some() || process.journal.get(*id).is_some();
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -13,18 +13,18 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-const HEADER: usize = 8;
+const HEADER_BYTES: usize = 8;
 /// A record holds one message of 64 KiB at most; anything longer is damage.
-const LONGEST: usize = 1 << 20;
+const MAX_RECORD_BYTES: usize = 1 << 20;
 /// Below this size a journal is left as it is.
-const COMPACT_FROM: u64 = 256 * 1024;
+const MIN_COMPACT_BYTES: u64 = 256 * 1024;
 /// Part of the limit that new messages leave free for what becomes of the ones taken on.
-const RESERVE: f64 = 0.1;
+const OUTCOME_RESERVE: f64 = 0.1;
 
 /// Bytes that a record of rules takes, at the most.
-const RULES_MOST: u64 = 96;
+const MAX_RULES_BYTES: u64 = 96;
 /// Endpoints that are remembered as draining or gone.
-const BARRED_MOST: usize = 500;
+const MAX_NOT_READY: usize = 500;
 
 /// A message as it was handed in. Times are wall-clock microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -90,29 +90,29 @@
 }
 
 /// An attempt: to which endpoint and when.
-pub type Try = (String, Micros);
+pub type Attempt = (String, Micros);
 
 /// What has become of a message.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
     pub attempts: u32,
     /// The attempt with no outcome yet.
-    pub out: Option<Try>,
+    pub in_flight: Option<Attempt>,
     /// The first attempt that may have run.
-    pub may_have_run: Option<Try>,
+    pub may_have_run: Option<Attempt>,
     /// Its end, while the platform has not confirmed the notice.
     pub end: Option<End>,
 }
 
 impl Progress {
     /// The first attempt that may have run; one that is out may.
-    pub fn unknown(&self) -> Option<&Try> {
-        self.may_have_run.as_ref().or(self.out.as_ref())
+    pub fn first_possible_run(&self) -> Option<&Attempt> {
+        self.may_have_run.as_ref().or(self.in_flight.as_ref())
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Ailment {
+struct EndpointCondition {
     bad_since: Option<Micros>,
     trouble: bool,
     warm_since: Option<Micros>,
@@ -127,7 +127,7 @@
 
 /// [`ReceiverHealth`] in a form that does not change with the module's types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Condition {
+struct ReceiverCondition {
     bad_since: Option<Micros>,
     down: bool,
     warm_since: Option<Micros>,
@@ -136,16 +136,16 @@
     share: Option<u32>,
 }
 
-impl From<ReceiverHealth> for Condition {
+impl From<ReceiverHealth> for ReceiverCondition {
     fn from(health: ReceiverHealth) -> Self {
         let ReceiverHealth { bad_since, down, warm_since, wait_until, budget, share } = health;
-        Condition { bad_since, down, warm_since, wait_until, budget, share }
+        ReceiverCondition { bad_since, down, warm_since, wait_until, budget, share }
     }
 }
 
-impl From<Condition> for ReceiverHealth {
-    fn from(condition: Condition) -> Self {
-        let Condition { bad_since, down, warm_since, wait_until, budget, share } = condition;
+impl From<ReceiverCondition> for ReceiverHealth {
+    fn from(condition: ReceiverCondition) -> Self {
+        let ReceiverCondition { bad_since, down, warm_since, wait_until, budget, share } = condition;
         ReceiverHealth { bad_since, down, warm_since, wait_until, budget, share }
     }
 }
@@ -153,19 +153,19 @@
 #[derive(Debug, Serialize, Deserialize)]
 enum Record {
     Message(u64, Accepted, Progress),
-    Started(Vec<u64>, Try),
-    Settled(u64, bool),
+    AttemptStarted(Vec<u64>, Attempt),
+    AttemptSettled(u64, bool),
     Ended(u64, End),
-    Noticed(Vec<u64>),
-    Health(String, Option<Ailment>),
-    Listed(String, Option<u64>),
+    NoticesConfirmed(Vec<u64>),
+    EndpointHealth(String, Option<EndpointCondition>),
+    EndpointListed(String, Option<u64>),
     /// Rules and their number, before the first message under them.
     Rules(u32, Rules),
     /// As `Message`, under the rules of that number.
-    Held(u32, u64, Accepted, Progress),
-    Receiver(Receiver, Option<Condition>),
+    MessageUnderRules(u32, u64, Accepted, Progress),
+    ReceiverHealth(Receiver, Option<ReceiverCondition>),
     /// From here on receivers are kept: one that has no record was well.
-    ReceiversKept,
+    ReceiversRecorded,
 }
 
 #[derive(Debug)]
@@ -185,26 +185,26 @@
     len: u64,
     limit: u64,
     entries: BTreeMap<u64, Entry>,
-    health: BTreeMap<String, Ailment>,
-    receivers: BTreeMap<Receiver, Condition>,
+    health: BTreeMap<String, EndpointCondition>,
+    receivers: BTreeMap<Receiver, ReceiverCondition>,
     /// A receiver without a record was well; a journal of an earlier version does not tell.
-    receivers_kept: bool,
+    receivers_recorded: bool,
     /// Endpoints told to be draining or gone, with the version of the list that told it.
-    barred: BTreeMap<String, u64>,
+    not_ready: BTreeMap<String, u64>,
     /// Rules by number. Those without messages go when the journal is compacted.
     rules: BTreeMap<u32, Rules>,
-    live: u64,
-    next: u64,
+    live_bytes: u64,
+    next_number: u64,
     /// Another process writes to it.
     closed: bool,
 }
 
 fn encode(record: &Record) -> io::Result<Vec<u8>> {
-    let mut frame = postcard::to_extend(record, vec![0; HEADER]).map_err(io::Error::other)?;
-    let payload = &frame[HEADER..];
+    let mut frame = postcard::to_extend(record, vec![0; HEADER_BYTES]).map_err(io::Error::other)?;
+    let payload = &frame[HEADER_BYTES..];
     let (len, sum) = (payload.len() as u32, crc32fast::hash(payload));
     frame[..4].copy_from_slice(&len.to_le_bytes());
-    frame[4..HEADER].copy_from_slice(&sum.to_le_bytes());
+    frame[4..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
     Ok(frame)
 }
 
@@ -212,11 +212,11 @@
 fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
     let word = |at: usize| bytes.get(at..at + 4)?.try_into().ok().map(u32::from_le_bytes);
     let (len, sum) = (word(0)? as usize, word(4)?);
-    let payload = bytes.get(HEADER..HEADER.checked_add(len)?)?;
-    if len > LONGEST || crc32fast::hash(payload) != sum {
+    let payload = bytes.get(HEADER_BYTES..HEADER_BYTES.checked_add(len)?)?;
+    if len > MAX_RECORD_BYTES || crc32fast::hash(payload) != sum {
         return None;
     }
-    Some((postcard::from_bytes(payload).ok()?, HEADER + len))
+    Some((postcard::from_bytes(payload).ok()?, HEADER_BYTES + len))
 }
 
 impl Journal {
@@ -230,7 +230,7 @@
         let mut file = OpenOptions::new().read(true).append(true).create(true).open(&path)?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)?;
-        let (len, live, next, closed) = (0, 0, 1, false);
+        let (len, live_bytes, next_number, closed) = (0, 0, 1, false);
         let mut journal = Journal {
             path,
             file,
@@ -239,11 +239,11 @@
             entries: BTreeMap::new(),
             health: BTreeMap::new(),
             receivers: BTreeMap::new(),
-            receivers_kept: false,
-            barred: BTreeMap::new(),
+            receivers_recorded: false,
+            not_ready: BTreeMap::new(),
             rules: BTreeMap::new(),
-            live,
-            next,
+            live_bytes,
+            next_number,
             closed,
         };
         let mut at = 0;
@@ -262,60 +262,60 @@
     fn apply(&mut self, record: Record, size: u64) {
         match record {
             Record::Message(id, accepted, progress) => self.insert(id, accepted, progress, None, size),
-            Record::Held(rules, id, accepted, progress) => {
+            Record::MessageUnderRules(rules, id, accepted, progress) => {
                 self.insert(id, accepted, progress, Some(rules), size);
             }
             Record::Rules(number, rules) => _ = self.rules.insert(number, rules),
-            Record::Started(ids, attempt) => {
+            Record::AttemptStarted(ids, attempt) => {
                 for id in ids {
                     let Some(p) = self.entries.get_mut(&id).map(|e| &mut e.progress) else { continue };
                     p.attempts += 1;
-                    p.out = Some(attempt.clone());
+                    p.in_flight = Some(attempt.clone());
                 }
             }
-            Record::Settled(id, may_have_run) => {
+            Record::AttemptSettled(id, may_have_run) => {
                 if let Some(p) = self.entries.get_mut(&id).map(|e| &mut e.progress) {
-                    let out = p.out.take().filter(|_| may_have_run);
-                    p.may_have_run = p.may_have_run.take().or(out);
+                    let in_flight = p.in_flight.take().filter(|_| may_have_run);
+                    p.may_have_run = p.may_have_run.take().or(in_flight);
                 }
             }
-            Record::Ended(id, End::Over) => self.drop_entry(id),
+            Record::Ended(id, End::Over) => self.remove_entry(id),
             Record::Ended(id, end) => {
                 if let Some(e) = self.entries.get_mut(&id) {
                     e.progress.end = Some(end);
                     let body = std::mem::take(&mut e.accepted.body).len() as u64;
                     e.size = e.size.saturating_sub(body);
-                    self.live = self.live.saturating_sub(body);
+                    self.live_bytes = self.live_bytes.saturating_sub(body);
                 }
             }
-            Record::Noticed(ids) => ids.into_iter().for_each(|id| self.drop_entry(id)),
-            Record::Health(name, Some(a)) => _ = self.health.insert(name, a),
-            Record::Health(name, None) => _ = self.health.remove(&name),
-            Record::Receiver(receiver, Some(c)) => _ = self.receivers.insert(receiver, c),
-            Record::Receiver(receiver, None) => _ = self.receivers.remove(&receiver),
-            Record::ReceiversKept => self.receivers_kept = true,
-            Record::Listed(name, Some(index)) => _ = self.barred.insert(name, index),
-            Record::Listed(name, None) => _ = self.barred.remove(&name),
+            Record::NoticesConfirmed(ids) => ids.into_iter().for_each(|id| self.remove_entry(id)),
+            Record::EndpointHealth(name, Some(a)) => _ = self.health.insert(name, a),
+            Record::EndpointHealth(name, None) => _ = self.health.remove(&name),
+            Record::ReceiverHealth(receiver, Some(c)) => _ = self.receivers.insert(receiver, c),
+            Record::ReceiverHealth(receiver, None) => _ = self.receivers.remove(&receiver),
+            Record::ReceiversRecorded => self.receivers_recorded = true,
+            Record::EndpointListed(name, Some(index)) => _ = self.not_ready.insert(name, index),
+            Record::EndpointListed(name, None) => _ = self.not_ready.remove(&name),
         }
     }
 
     fn insert(&mut self, id: u64, accepted: Accepted, progress: Progress, rules: Option<u32>, size: u64) {
-        self.next = self.next.max(id + 1);
-        self.drop_entry(id);
-        self.live += size;
+        self.next_number = self.next_number.max(id + 1);
+        self.remove_entry(id);
+        self.live_bytes += size;
         self.entries.insert(id, Entry { accepted, progress, rules, size });
     }
 
-    fn drop_entry(&mut self, id: u64) {
+    fn remove_entry(&mut self, id: u64) {
         if let Some(e) = self.entries.remove(&id) {
-            self.live = self.live.saturating_sub(e.size);
+            self.live_bytes = self.live_bytes.saturating_sub(e.size);
         }
     }
 
     /// What a compacted journal would take: tries and ailments are small, so a flat allowance will do.
-    fn compacted(&self) -> u64 {
-        let names = self.health.len() + self.barred.len() + self.receivers.len() + 1;
-        self.live + 160 * self.entries.len() as u64 + 96 * (names + self.rules.len()) as u64
+    fn compacted_len(&self) -> u64 {
+        let names = self.health.len() + self.not_ready.len() + self.receivers.len() + 1;
+        self.live_bytes + 160 * self.entries.len() as u64 + 96 * (names + self.rules.len()) as u64
     }
 
     /// Guards the disk limit: old and new file together stay under it, whenever the journal is compacted.
@@ -330,8 +330,10 @@
         if self.closed {
             return Err(io::Error::other("another process has the journal"));
         }
-        let fits = |j: &Journal| j.len + j.compacted() + 2 * size + 2048 <= j.limit - reserve;
-        if self.len > COMPACT_FROM.min(self.limit / 4) && self.len > 2 * self.compacted() || !fits(self) {
+        let fits = |j: &Journal| j.len + j.compacted_len() + 2 * size + 2048 <= j.limit - reserve;
+        if self.len > MIN_COMPACT_BYTES.min(self.limit / 4) && self.len > 2 * self.compacted_len()
+            || !fits(self)
+        {
             self.compact()?;
         }
         if !fits(self) {
@@ -354,11 +356,11 @@
 
     /// Writes what still matters to a new file and puts it in the old one's place.
     fn compact(&mut self) -> io::Result<()> {
-        if self.len + self.compacted() > self.limit {
+        if self.len + self.compacted_len() > self.limit {
             return Ok(());
         }
         let path = self.path.with_extension("new");
-        let mut bytes = Vec::with_capacity(self.compacted() as usize);
+        let mut bytes = Vec::with_capacity(self.compacted_len() as usize);
         let used: BTreeSet<u32> = self.entries.values().filter_map(|e| e.rules).collect();
         for (number, rules) in self.rules.iter().filter(|(number, _)| used.contains(number)) {
             bytes.extend_from_slice(&encode(&Record::Rules(*number, rules.clone()))?);
@@ -366,22 +368,22 @@
         for (id, e) in &self.entries {
             let (accepted, progress) = (e.accepted.clone(), e.progress.clone());
             let frame = encode(&match e.rules {
-                Some(rules) => Record::Held(rules, *id, accepted, progress),
+                Some(rules) => Record::MessageUnderRules(rules, *id, accepted, progress),
                 None => Record::Message(*id, accepted, progress),
             })?;
             bytes.extend_from_slice(&frame);
         }
         for (name, ailment) in &self.health {
-            bytes.extend_from_slice(&encode(&Record::Health(name.clone(), Some(*ailment)))?);
+            bytes.extend_from_slice(&encode(&Record::EndpointHealth(name.clone(), Some(*ailment)))?);
         }
         for (receiver, condition) in &self.receivers {
-            bytes.extend_from_slice(&encode(&Record::Receiver(receiver.clone(), Some(*condition)))?);
+            bytes.extend_from_slice(&encode(&Record::ReceiverHealth(receiver.clone(), Some(*condition)))?);
         }
-        if self.receivers_kept {
-            bytes.extend_from_slice(&encode(&Record::ReceiversKept)?);
+        if self.receivers_recorded {
+            bytes.extend_from_slice(&encode(&Record::ReceiversRecorded)?);
         }
-        for (name, index) in &self.barred {
-            bytes.extend_from_slice(&encode(&Record::Listed(name.clone(), Some(*index)))?);
+        for (name, index) in &self.not_ready {
+            bytes.extend_from_slice(&encode(&Record::EndpointListed(name.clone(), Some(*index)))?);
         }
         if self.len + bytes.len() as u64 > self.limit {
             return Ok(());
@@ -399,14 +401,14 @@
 
     /// Takes a message on under these rules. On an error nothing has been taken on.
     pub fn accept(&mut self, id: u64, accepted: Accepted, class: &ClassSettings) -> io::Result<()> {
-        let reserve = (self.limit as f64 * RESERVE) as u64;
+        let reserve = (self.limit as f64 * OUTCOME_RESERVE) as u64;
         let rules = Rules::from(class);
         let known = self.rules.iter().find(|(_, r)| **r == rules).map(|(number, _)| *number);
         let number = known.unwrap_or_else(|| self.rules.keys().next_back().map_or(0, |last| last + 1));
-        let message = Record::Held(number, id, accepted, Progress::default());
+        let message = Record::MessageUnderRules(number, id, accepted, Progress::default());
         let frame = encode(&message)?;
         // Room is made first: a compaction drops rules without messages.
-        self.make_room(frame.len() as u64 + RULES_MOST, reserve)?;
+        self.make_room(frame.len() as u64 + MAX_RULES_BYTES, reserve)?;
         if !self.rules.contains_key(&number) {
             let rules = Record::Rules(number, rules);
             self.write(encode(&rules)?, rules)?;
@@ -420,107 +422,109 @@
     }
 
     /// A number that no message in the journal has, nor any that this process has been given.
-    pub fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next - 1
+    pub fn allocate_number(&mut self) -> u64 {
+        self.next_number += 1;
+        self.next_number - 1
     }
 
     /// Numbers below this have been given by the process before this one.
-    pub fn number_from(&mut self, next: u64) {
-        self.next = self.next.max(next);
+    pub fn reserve_numbers_below(&mut self, next: u64) {
+        self.next_number = self.next_number.max(next);
     }
 
     /// The number that comes next.
     pub fn next_number(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
     /// While it is another process's, nothing is written.
-    pub fn close(&mut self, closed: bool) {
+    pub fn set_closed(&mut self, closed: bool) {
         self.closed = closed;
     }
 
     /// A call with these messages is about to be written.
-    pub fn started(&mut self, ids: Vec<u64>, endpoint: &str, at: Micros) -> io::Result<()> {
-        self.append(Record::Started(ids, (endpoint.to_string(), at)), 0)
+    pub fn record_attempts_started(&mut self, ids: Vec<u64>, endpoint: &str, at: Micros) -> io::Result<()> {
+        self.append(Record::AttemptStarted(ids, (endpoint.to_string(), at)), 0)
     }
 
     /// The attempt that was out has ended.
-    pub fn settled(&mut self, id: u64, may_have_run: bool) -> io::Result<()> {
-        if self.entries.get(&id).is_none_or(|e| e.progress.out.is_none()) {
+    pub fn record_attempt_settled(&mut self, id: u64, may_have_run: bool) -> io::Result<()> {
+        if self.entries.get(&id).is_none_or(|e| e.progress.in_flight.is_none()) {
             return Ok(());
         }
-        self.append(Record::Settled(id, may_have_run), 0)
+        self.append(Record::AttemptSettled(id, may_have_run), 0)
     }
 
-    pub fn ended(&mut self, id: u64, end: End) -> io::Result<()> {
+    pub fn record_message_ended(&mut self, id: u64, end: End) -> io::Result<()> {
         if self.entries.contains_key(&id) { self.append(Record::Ended(id, end), 0) } else { Ok(()) }
     }
 
     /// The platform has confirmed these ends.
-    pub fn noticed(&mut self, ids: Vec<u64>) -> io::Result<()> {
-        self.append(Record::Noticed(ids), 0)
+    pub fn record_notices_confirmed(&mut self, ids: Vec<u64>) -> io::Result<()> {
+        self.append(Record::NoticesConfirmed(ids), 0)
     }
 
     /// Keeps what has changed in the health of the endpoints.
-    pub fn keep_health(&mut self, now: &BTreeMap<String, Health>) -> io::Result<()> {
+    pub fn record_endpoint_health(&mut self, now: &BTreeMap<String, Health>) -> io::Result<()> {
         let gone = self.health.keys().filter(|n| !now.contains_key(*n)).map(|n| (n.clone(), None));
-        let ailing = now.iter().map(|(name, h)| {
+        let unhealthy = now.iter().map(|(name, h)| {
             let (bad_since, trouble, warm_since) = (h.bad_since, h.trouble, h.warm_since);
-            (name.clone(), Some(Ailment { bad_since, trouble, warm_since }))
+            (name.clone(), Some(EndpointCondition { bad_since, trouble, warm_since }))
         });
-        let news: Vec<_> = gone.chain(ailing.filter(|(n, a)| self.health.get(n) != a.as_ref())).collect();
-        for (name, ailment) in news {
-            self.append(Record::Health(name, ailment), 0)?;
+        let changes: Vec<_> =
+            gone.chain(unhealthy.filter(|(n, a)| self.health.get(n) != a.as_ref())).collect();
+        for (name, ailment) in changes {
+            self.append(Record::EndpointHealth(name, ailment), 0)?;
         }
         Ok(())
     }
 
     /// Keeps what has changed in the health of receivers. From then on one without a record is known to be well.
-    pub fn keep_receivers(&mut self, now: &BTreeMap<Receiver, ReceiverHealth>) -> io::Result<()> {
+    pub fn record_receiver_health(&mut self, now: &BTreeMap<Receiver, ReceiverHealth>) -> io::Result<()> {
         let well = self.receivers.keys().filter(|r| !now.contains_key(*r)).map(|r| (r.clone(), None));
-        let ailing = now.iter().map(|(receiver, health)| (receiver.clone(), Some(Condition::from(*health))));
-        let changed = ailing.filter(|(receiver, c)| self.receivers.get(receiver) != c.as_ref());
-        let news: Vec<_> = well.chain(changed).collect();
-        for (receiver, condition) in news {
-            self.append(Record::Receiver(receiver, condition), 0)?;
+        let unhealthy =
+            now.iter().map(|(receiver, health)| (receiver.clone(), Some(ReceiverCondition::from(*health))));
+        let changed = unhealthy.filter(|(receiver, c)| self.receivers.get(receiver) != c.as_ref());
+        let changes: Vec<_> = well.chain(changed).collect();
+        for (receiver, condition) in changes {
+            self.append(Record::ReceiverHealth(receiver, condition), 0)?;
         }
-        if !self.receivers_kept && !self.closed {
-            self.append(Record::ReceiversKept, 0)?;
+        if !self.receivers_recorded && !self.closed {
+            self.append(Record::ReceiversRecorded, 0)?;
         }
         Ok(())
     }
 
     /// Keeps which endpoints are told to be draining or gone. A restarted sender is given a list that may be
     /// older, and must not send to them although discovery says nothing.
-    pub fn keep_listed(&mut self, index: u64, lines: &[(String, bool)]) -> io::Result<()> {
-        let mut news: Vec<(String, Option<u64>)> = Vec::new();
+    pub fn record_endpoints_listed(&mut self, index: u64, lines: &[(String, bool)]) -> io::Result<()> {
+        let mut changes: Vec<(String, Option<u64>)> = Vec::new();
         for (name, ready) in lines {
-            match self.barred.get(name) {
-                None if !ready => news.push((name.clone(), Some(index))),
-                Some(_) if *ready => news.push((name.clone(), None)),
+            match self.not_ready.get(name) {
+                None if !ready => changes.push((name.clone(), Some(index))),
+                Some(_) if *ready => changes.push((name.clone(), None)),
                 _ => {}
             }
         }
         // Those that are long gone are in no list that this sender may be given.
-        let surplus = self.barred.len().saturating_sub(BARRED_MOST);
-        let mut by_age: Vec<(u64, String)> = self.barred.iter().map(|(n, i)| (*i, n.clone())).collect();
+        let surplus = self.not_ready.len().saturating_sub(MAX_NOT_READY);
+        let mut by_age: Vec<(u64, String)> = self.not_ready.iter().map(|(n, i)| (*i, n.clone())).collect();
         by_age.sort();
-        news.extend(by_age.into_iter().take(surplus).map(|(_, name)| (name, None)));
-        for (name, index) in news {
-            self.append(Record::Listed(name, index), 0)?;
+        changes.extend(by_age.into_iter().take(surplus).map(|(_, name)| (name, None)));
+        for (name, index) in changes {
+            self.append(Record::EndpointListed(name, index), 0)?;
         }
         Ok(())
     }
 
     /// Whether the endpoint was told to be draining or gone by a later list than this one.
-    pub fn barred_since(&self, name: &str, index: u64) -> bool {
-        self.barred.get(name).is_some_and(|told| *told > index)
+    pub fn not_ready_since(&self, name: &str, index: u64) -> bool {
+        self.not_ready.get(name).is_some_and(|told| *told > index)
     }
 
     pub fn health(&self) -> impl Iterator<Item = (&str, Health)> {
         self.health.iter().map(|(name, a)| {
-            let Ailment { bad_since, trouble, warm_since } = *a;
+            let EndpointCondition { bad_since, trouble, warm_since } = *a;
             (name.as_str(), Health { bad_since, trouble, warm_since })
         })
     }
@@ -531,8 +535,8 @@
     }
 
     /// Whether a receiver without a record was well. A journal of an earlier version does not tell.
-    pub fn keeps_receivers(&self) -> bool {
-        self.receivers_kept
+    pub fn has_receiver_records(&self) -> bool {
+        self.receivers_recorded
     }
 
     pub fn get(&self, id: u64) -> Option<&Entry> {
@@ -572,20 +576,20 @@
         let refused = ReceiverHealth { budget: Some(96), wait_until: Some(7), ..ReceiverHealth::default() };
         let down = ReceiverHealth { bad_since: Some(3), down: true, ..ReceiverHealth::default() };
         let route = Receiver::Route(2, "r2-1".into());
-        let ailing = BTreeMap::from([(Receiver::Destination(1), refused), (route.clone(), down)]);
+        let unhealthy = BTreeMap::from([(Receiver::Destination(1), refused), (route.clone(), down)]);
         let mut journal = reopen(folder.path());
-        journal.keep_receivers(&ailing).unwrap();
+        journal.record_receiver_health(&unhealthy).unwrap();
         let kept =
             |journal: &Journal| journal.receivers().map(|(r, h)| (r.clone(), h)).collect::<BTreeMap<_, _>>();
-        assert_eq!(kept(&reopen(folder.path())), ailing);
+        assert_eq!(kept(&reopen(folder.path())), unhealthy);
         journal.compact().unwrap();
         let mut journal = reopen(folder.path());
-        assert_eq!(kept(&journal), ailing);
-        assert!(journal.keeps_receivers());
+        assert_eq!(kept(&journal), unhealthy);
+        assert!(journal.has_receiver_records());
         let length = journal.len;
-        journal.keep_receivers(&ailing).unwrap();
+        journal.record_receiver_health(&unhealthy).unwrap();
         assert_eq!(journal.len, length, "nothing changed, so nothing is written");
-        journal.keep_receivers(&BTreeMap::from([(route.clone(), down)])).unwrap();
+        journal.record_receiver_health(&BTreeMap::from([(route.clone(), down)])).unwrap();
         assert_eq!(kept(&reopen(folder.path())), BTreeMap::from([(route, down)]));
     }
 
@@ -596,9 +600,9 @@
         journal.accept(1, accepted(5), &ClassSettings::default()).unwrap();
         drop(journal);
         let mut journal = reopen(folder.path());
-        assert!(!journal.keeps_receivers() && journal.entries().count() == 1);
-        journal.keep_receivers(&BTreeMap::new()).unwrap();
+        assert!(!journal.has_receiver_records() && journal.entries().count() == 1);
+        journal.record_receiver_health(&BTreeMap::new()).unwrap();
         let journal = reopen(folder.path());
-        assert!(journal.keeps_receivers() && journal.entries().count() == 1);
+        assert!(journal.has_receiver_records() && journal.entries().count() == 1);
     }
 }
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -6,30 +6,30 @@
 #![warn(missing_docs)]
 #![deny(unsafe_code)]
 
-mod asking;
 mod calls;
 mod check;
+mod class_table;
 pub mod cli;
 mod clients;
 mod clock;
 mod connection;
-#[cfg(test)]
-mod crossings;
 pub mod daemon;
 mod discovery;
 mod driver;
-mod figures;
-mod fleet;
+mod endpoint_table;
 mod handover;
-mod inherited;
+mod inherited_socket;
 mod input;
+#[cfg(test)]
+mod interleavings;
 mod journal;
 mod list_limit;
 mod matrix;
+mod metrics;
 mod mgmt;
 mod notices;
 mod placement;
+mod poll_schedule;
 mod rehearse;
-mod retune;
-mod rows;
-mod standing;
+mod reload_check;
+mod status;
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -1,6 +1,6 @@
 //! How long a list of endpoints may be, and what is known of one that was longer.
 
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use embershore_protocol::listing::Listing;
 use std::fmt;
 use std::io;
@@ -119,16 +119,16 @@
 }
 
 /// Counts a list that was not taken. The first of several is logged, with what the sender goes by.
-pub fn reject(figures: &Figures, too_long: TooLong, in_force: bool) {
-    if figures.lists.reject(too_long) {
+pub fn reject(metrics: &Metrics, too_long: TooLong, in_force: bool) {
+    if metrics.lists.reject(too_long) {
         let stays = if in_force { "the last good list stays" } else { "no list is in force: not ready" };
         eprintln!("{too_long}; {stays}");
     }
 }
 
 /// Notes that a list has been taken; logged where the one before it was not.
-pub fn accept(figures: &Figures) {
-    if figures.lists.accept() {
+pub fn accept(metrics: &Metrics) {
+    if metrics.lists.accept() {
         eprintln!("discovery's list is within its limit again and in force");
     }
 }
--- a/crates/sender/src/figures.rs
+++ b/crates/sender/src/metrics.rs
@@ -1,18 +1,18 @@
 //! What the sender reports of itself: counters from the process's start, and how things stand.
 
 use crate::list_limit::TooLong;
-use crate::placement::figures::PlacementFigures;
+use crate::placement::metrics::PlacementMetrics;
 use embershore_protocol::notice::End;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
 /// Classes that are counted apart. Those of one configuration are far fewer; each new one may bring more.
-const CLASSES_MOST: usize = 1000;
+const MAX_CLASSES: usize = 1000;
 
 /// How a message ended, as far as the figures tell it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum MessageEnd {
     /// An endpoint has taken it (200, or `ok` in the answer to several).
     Delivered,
     /// Its client was told `-BUSY` in place of `+OK`.
@@ -32,28 +32,28 @@
     Aborted,
 }
 
-impl Ending {
+impl MessageEnd {
     /// What a notice tells.
     pub fn of(end: End) -> Self {
         match end {
-            End::Returned { .. } => Ending::Returned,
-            End::Failed | End::Over => Ending::Failed,
+            End::Returned { .. } => MessageEnd::Returned,
+            End::Failed | End::Over => MessageEnd::Failed,
         }
     }
 
     /// Where each ending counts.
     fn column(self) -> Column {
         match self {
-            Ending::Delivered => Column::Succeeded,
-            Ending::Refused | Ending::Returned => Column::Declined,
-            Ending::Wrong | Ending::Failed => Column::Aborted,
+            MessageEnd::Delivered => Column::Succeeded,
+            MessageEnd::Refused | MessageEnd::Returned => Column::Declined,
+            MessageEnd::Wrong | MessageEnd::Failed => Column::Aborted,
         }
     }
 }
 
 /// The figures as they are told.
 #[derive(Debug, Serialize)]
-pub struct Told {
+pub struct MetricsSnapshot {
     succeeded: BTreeMap<String, u64>,
     declined: BTreeMap<String, u64>,
     aborted: BTreeMap<String, u64>,
@@ -69,12 +69,12 @@
     list_endpoints: usize,
     /// Only while placement is on.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub placement: Option<PlacementFigures>,
+    pub placement: Option<PlacementMetrics>,
 }
 
 /// What is counted of lists that are too long.
 #[derive(Debug, Default)]
-pub struct ListFigures {
+pub struct ListMetrics {
     /// The bytes that a list may have.
     pub limit: Cell<usize>,
     rejected: Cell<u64>,
@@ -83,7 +83,7 @@
     is_rejected: Cell<bool>,
 }
 
-impl ListFigures {
+impl ListMetrics {
     /// Counts a list that was not taken. True for the first one since one was taken.
     pub fn reject(&self, too_long: TooLong) -> bool {
         self.rejected.set(self.rejected.get() + 1);
@@ -104,9 +104,9 @@
 
 /// The figures as they are kept: the driver counts the ends that it decides, a connection what it has written.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     /// By class: delivered, declined, aborted.
-    ends: RefCell<BTreeMap<String, [u64; 3]>>,
+    ends_by_class: RefCell<BTreeMap<String, [u64; 3]>>,
     /// Messages written whole to endpoints.
     pub forwards: Cell<u64>,
     /// Messages taken and not ended.
@@ -118,33 +118,34 @@
     /// Files turned down at SIGHUP.
     pub rejected: Cell<u64>,
     /// Lists of endpoints that were too long.
-    pub lists: ListFigures,
+    pub lists: ListMetrics,
 }
 
-impl Figures {
+impl Metrics {
     /// Lets these classes stand in the figures from now on. One that is dropped later keeps its count.
-    pub fn name_classes<'a>(&self, classes: impl IntoIterator<Item = &'a String>) {
-        let mut ends = self.ends.borrow_mut();
+    pub fn register_classes<'a>(&self, classes: impl IntoIterator<Item = &'a String>) {
+        let mut ends_by_class = self.ends_by_class.borrow_mut();
         for class in classes {
-            if ends.len() < CLASSES_MOST {
-                ends.entry(class.clone()).or_default();
+            if ends_by_class.len() < MAX_CLASSES {
+                ends_by_class.entry(class.clone()).or_default();
             }
         }
     }
 
     /// Counts a message's end. A class that is in no configuration is not counted: its name is the client's own.
-    pub fn count(&self, class: &str, ending: Ending) {
-        if let Some(row) = self.ends.borrow_mut().get_mut(class) {
+    pub fn count(&self, class: &str, ending: MessageEnd) {
+        if let Some(row) = self.ends_by_class.borrow_mut().get_mut(class) {
             row[ending.column() as usize] += 1;
         }
     }
 
     /// All of it, where so many endpoints are listed.
-    pub fn tell(&self, discovered: usize) -> Told {
-        let ends = self.ends.borrow();
+    pub fn snapshot(&self, discovered: usize) -> MetricsSnapshot {
+        let ends_by_class = self.ends_by_class.borrow();
         let last_list = self.lists.last.get();
-        let column = |c: Column| ends.iter().map(|(name, row)| (name.clone(), row[c as usize])).collect();
-        Told {
+        let column =
+            |c: Column| ends_by_class.iter().map(|(name, row)| (name.clone(), row[c as usize])).collect();
+        MetricsSnapshot {
             succeeded: column(Column::Succeeded),
             declined: column(Column::Declined),
             aborted: column(Column::Aborted),
@@ -170,26 +171,26 @@
 
     #[test]
     fn each_ending_counts_in_its_column() {
-        let figures = Figures::default();
-        figures.name_classes(&["push".to_string(), "pay".to_string()]);
+        let metrics = Metrics::default();
+        metrics.register_classes(&["push".to_string(), "pay".to_string()]);
         for ending in [
-            Ending::Delivered,
-            Ending::Refused,
-            Ending::Returned,
-            Ending::Wrong,
-            Ending::Failed,
-            Ending::Failed,
+            MessageEnd::Delivered,
+            MessageEnd::Refused,
+            MessageEnd::Returned,
+            MessageEnd::Wrong,
+            MessageEnd::Failed,
+            MessageEnd::Failed,
         ] {
-            figures.count("push", ending);
+            metrics.count("push", ending);
         }
-        figures.count("nobody's", Ending::Delivered);
-        let told: Value = serde_json::to_value(figures.tell(7)).unwrap();
-        assert_eq!(told["succeeded"], json!({"pay": 0, "push": 1}));
-        assert_eq!(told["declined"], json!({"pay": 0, "push": 2}));
-        assert_eq!(told["aborted"], json!({"pay": 0, "push": 3}));
-        assert_eq!(told["discovered"], 7);
-        figures.name_classes(&["push".to_string(), "new".to_string()]);
-        let told: Value = serde_json::to_value(figures.tell(7)).unwrap();
-        assert_eq!(told["succeeded"], json!({"pay": 0, "push": 1, "new": 0}));
+        metrics.count("nobody's", MessageEnd::Delivered);
+        let snapshot: Value = serde_json::to_value(metrics.snapshot(7)).unwrap();
+        assert_eq!(snapshot["succeeded"], json!({"pay": 0, "push": 1}));
+        assert_eq!(snapshot["declined"], json!({"pay": 0, "push": 2}));
+        assert_eq!(snapshot["aborted"], json!({"pay": 0, "push": 3}));
+        assert_eq!(snapshot["discovered"], 7);
+        metrics.register_classes(&["push".to_string(), "new".to_string()]);
+        let snapshot: Value = serde_json::to_value(metrics.snapshot(7)).unwrap();
+        assert_eq!(snapshot["succeeded"], json!({"pay": 0, "push": 1, "new": 0}));
     }
 }
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-const BATCH_MOST: usize = 200;
+const MAX_BATCH: usize = 200;
 /// An answer comes at once, and a notice is due 0.3 s after its message's time at the latest: one that is not answered
 /// by the first of these is told again, on a new connection. Each further one has twice as long.
-const PATIENCE_FIRST: Duration = Duration::from_millis(100);
-const PATIENCE_MOST: Duration = Duration::from_millis(1000);
-const RETRY_FIRST: Duration = Duration::from_millis(20);
-const RETRY_MOST: Duration = Duration::from_millis(500);
+const FIRST_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_TIMEOUT: Duration = Duration::from_millis(1000);
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(20);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// Sends notices for ever. The queue holds at most what the journal has room for. When the platform's address
 /// changes, a post in work is repeated at the new one: telling an end twice does no harm.
@@ -26,15 +26,15 @@
     mut queue: mpsc::UnboundedReceiver<Notice>,
     driver: mpsc::Sender<Input>,
 ) {
-    let mut kept: Option<Connection> = None;
+    let mut idle: Option<Connection> = None;
     let mut batch = Vec::new();
-    while queue.recv_many(&mut batch, BATCH_MOST).await > 0 {
+    while queue.recv_many(&mut batch, MAX_BATCH).await > 0 {
         let body = Bytes::from(batch.iter().map(|n| line(&n.request_id, n.end)).collect::<String>());
-        let (mut pause, mut patience) = (RETRY_FIRST, PATIENCE_FIRST);
+        let (mut pause, mut timeout) = (FIRST_RETRY_PAUSE, FIRST_TIMEOUT);
         loop {
             let to = *addr.borrow_and_update();
             let work = async {
-                match tokio::time::timeout(patience, post(to, kept.take(), body.clone())).await {
+                match tokio::time::timeout(timeout, post(to, idle.take(), body.clone())).await {
                     Ok(Ok(connection)) => return Ok(connection),
                     Ok(Err(e)) => eprintln!("notices: {e}"),
                     Err(_) => eprintln!("notices: no answer"),
@@ -46,26 +46,26 @@
                 biased;
                 posted = work => match posted {
                     Ok(connection) => {
-                        kept = connection;
+                        idle = connection;
                         break;
                     }
                     Err(()) => {
-                        (pause, patience) = ((pause * 2).min(RETRY_MOST), (patience * 2).min(PATIENCE_MOST));
+                        (pause, timeout) = ((pause * 2).min(MAX_RETRY_PAUSE), (timeout * 2).min(MAX_TIMEOUT));
                     }
                 },
                 // The other end of the channel lasts as long as the process.
-                _ = addr.changed() => (pause, patience) = (RETRY_FIRST, PATIENCE_FIRST),
+                _ = addr.changed() => (pause, timeout) = (FIRST_RETRY_PAUSE, FIRST_TIMEOUT),
             }
         }
-        let told = Input::Noticed(batch.drain(..).map(|n| n.id).collect());
-        if driver.send(told).await.is_err() {
+        let confirmed = Input::NoticesConfirmed(batch.drain(..).map(|n| n.id).collect());
+        if driver.send(confirmed).await.is_err() {
             return;
         }
     }
 }
 
-async fn post(addr: SocketAddr, kept: Option<Connection>, body: Bytes) -> io::Result<Option<Connection>> {
-    let mut connection = match kept.filter(|c| c.addr() == addr).and_then(Connection::if_usable) {
+async fn post(addr: SocketAddr, idle: Option<Connection>, body: Bytes) -> io::Result<Option<Connection>> {
+    let mut connection = match idle.filter(|c| c.addr() == addr).and_then(Connection::if_usable) {
         Some(connection) => connection,
         None => Connection::open(addr).await?,
     };
--- a/crates/sender/src/placement/endpoint_list.rs
+++ b/crates/sender/src/placement/endpoint_list.rs
@@ -9,59 +9,59 @@
 /// began after number n was asked for serves all up to n.
 #[derive(Debug)]
 pub struct EndpointList {
-    wanted: watch::Sender<u64>,
-    done: Cell<u64>,
+    requested: watch::Sender<u64>,
+    mark_read: Cell<u64>,
     /// Owned shards whose endpoints are not known, with the reading that they wait for. Bounded by the number of shards.
     unread: RefCell<HashMap<ShardId, u64>>,
     /// The version that was last told.
-    version: Cell<u64>,
+    last_version: Cell<u64>,
 }
 
 impl Default for EndpointList {
     fn default() -> Self {
         EndpointList {
-            wanted: watch::Sender::new(0),
-            done: Cell::new(0),
+            requested: watch::Sender::new(0),
+            mark_read: Cell::new(0),
             unread: RefCell::default(),
-            version: Cell::new(0),
+            last_version: Cell::new(0),
         }
     }
 }
 
 impl EndpointList {
     /// Asks for another reading, for which these shards wait.
-    pub fn want(&self, shards: impl IntoIterator<Item = ShardId>) {
-        let number = *self.wanted.borrow() + 1;
+    pub fn request(&self, shards: impl IntoIterator<Item = ShardId>) {
+        let number = *self.requested.borrow() + 1;
         self.unread.borrow_mut().extend(shards.into_iter().map(|shard| (shard, number)));
-        self.wanted.send_replace(number);
+        self.requested.send_replace(number);
     }
 
     /// These shards are owned no more.
-    pub fn forget(&self, shards: &[ShardId]) {
+    pub fn drop_shards(&self, shards: &[ShardId]) {
         let mut unread = self.unread.borrow_mut();
         shards.iter().for_each(|shard| _ = unread.remove(shard));
     }
 
     /// The last reading that was asked for.
-    pub fn wanted(&self) -> u64 {
-        *self.wanted.borrow()
+    pub fn requested(&self) -> u64 {
+        *self.requested.borrow()
     }
 
     /// Whether a reading is asked for and not done.
-    pub fn is_wanted(&self) -> bool {
-        self.wanted() > self.done.get()
+    pub fn is_requested(&self) -> bool {
+        self.requested() > self.mark_read.get()
     }
 
     /// Waits until a reading is asked for and not done.
-    pub async fn until_wanted(&self) {
-        let mut follow = self.wanted.subscribe();
+    pub async fn until_requested(&self) {
+        let mut follow = self.requested.subscribe();
         // The sender is part of this.
-        _ = follow.wait_for(|number| *number > self.done.get()).await;
+        _ = follow.wait_for(|number| *number > self.mark_read.get()).await;
     }
 
     /// A reading has been done that began when this number was the last one asked for.
-    pub fn done(&self, number: u64) {
-        self.done.set(self.done.get().max(number));
+    pub fn mark_read(&self, number: u64) {
+        self.mark_read.set(self.mark_read.get().max(number));
         self.unread.borrow_mut().retain(|_, waits_for| *waits_for > number);
     }
 
@@ -76,13 +76,13 @@
     }
 
     /// The version of the list that was last told.
-    pub fn version(&self) -> u64 {
-        self.version.get()
+    pub fn last_version(&self) -> u64 {
+        self.last_version.get()
     }
 
     /// Notes the version that has been told.
-    pub fn set_version(&self, version: u64) {
-        self.version.set(version);
+    pub fn set_last_version(&self, last_version: u64) {
+        self.last_version.set(last_version);
     }
 }
 
@@ -93,14 +93,14 @@
     #[test]
     fn a_shard_waits_for_a_reading_that_began_after_it_was_gained() {
         let list = EndpointList::default();
-        list.want([ShardId(1)]);
-        let begun_at = list.wanted();
-        list.want([ShardId(2), ShardId(3)]);
-        list.done(begun_at);
-        assert!(list.is_read(ShardId(1)) && !list.is_read(ShardId(2)) && list.is_wanted());
-        list.forget(&[ShardId(3)]);
+        list.request([ShardId(1)]);
+        let begun_at = list.requested();
+        list.request([ShardId(2), ShardId(3)]);
+        list.mark_read(begun_at);
+        assert!(list.is_read(ShardId(1)) && !list.is_read(ShardId(2)) && list.is_requested());
+        list.drop_shards(&[ShardId(3)]);
         assert_eq!(list.unread(), 1);
-        list.done(list.wanted());
-        assert!(list.is_read(ShardId(2)) && !list.is_wanted());
+        list.mark_read(list.requested());
+        assert!(list.is_read(ShardId(2)) && !list.is_requested());
     }
 }
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -1,7 +1,7 @@
 //! Passes a message on to an owner: what `embershore_placement::Forwarding` decides, over kept connections.
 
-use super::figures::{ForwardedCounters, count};
-use super::pool::{Place, Pool};
+use super::metrics::{ForwardedCounters, count};
+use super::pool::{Pool, Reservation};
 use super::{Forwarded, Placement, clock};
 use bytes::BytesMut;
 use embershore_placement::{Forwarding, Outcome, Step, Verdict};
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// A client waits 400 ms for its answer; what is left over is for the way there and back.
-const BUDGET: Micros = 300_000;
+const FORWARD_BUDGET_US: Micros = 300_000;
 
 /// Passes messages on.
 pub struct Forwarder {
@@ -27,7 +27,7 @@
 }
 
 /// How long one owner has.
-struct Patience {
+struct Deadlines {
     /// The first byte is written by then.
     begin_by: Instant,
     /// The answer has come by then.
@@ -65,7 +65,7 @@
     }
 
     async fn forward(&self, put: &Put, to: Forwarded, read_at: Micros) -> Verdict {
-        let mut forwarding = Forwarding::new(to.effect, to.candidates, read_at, BUDGET);
+        let mut forwarding = Forwarding::new(to.effect, to.candidates, read_at, FORWARD_BUDGET_US);
         let mut step = forwarding.start(clock::now());
         loop {
             match step {
@@ -73,7 +73,7 @@
                 Step::Send { to, begin_within, patience } => {
                     let outcome = match self.placement.address_of(to) {
                         Some(owner) => {
-                            self.send(owner, put, read_at, patience_from_now(begin_within, patience)).await
+                            self.send(owner, put, read_at, deadlines_from_now(begin_within, patience)).await
                         }
                         None => Outcome::NeverSent,
                     };
@@ -87,26 +87,26 @@
     }
 
     /// Sends the message to one owner.
-    async fn send(&self, owner: SocketAddr, put: &Put, read_at: Micros, patience: Patience) -> Outcome {
-        let begun = timeout_at(patience.begin_by, self.begin(owner, put, read_at)).await;
-        let Ok(Ok(mut exchange)) = begun else { return Outcome::NeverSent };
-        let answered = timeout_at(patience.answer_by, exchange.finish()).await;
-        let Ok(Ok(reply)) = answered else { return Outcome::Unknown };
+    async fn send(&self, owner: SocketAddr, put: &Put, read_at: Micros, deadlines: Deadlines) -> Outcome {
+        let started = timeout_at(deadlines.begin_by, self.begin(owner, put, read_at)).await;
+        let Ok(Ok(mut exchange)) = started else { return Outcome::NeverSent };
+        let finished = timeout_at(deadlines.answer_by, exchange.finish()).await;
+        let Ok(Ok(reply)) = finished else { return Outcome::Unknown };
         exchange.keep();
         outcome_of(reply)
     }
 
     /// Connects and writes the first bytes. Given up before it is done, it has written none.
     async fn begin(&self, owner: SocketAddr, put: &Put, read_at: Micros) -> io::Result<Exchange> {
-        let mut place = self.pool.place(owner).await;
-        let mut stream = place.connect().await?;
+        let mut reservation = self.pool.reserve(owner).await;
+        let mut stream = reservation.connect().await?;
         let passed = clock::now() - read_at;
         let command = encode_put(&Put { time_left: put.time_left - passed, ..put.clone() });
         let written = stream.write(&command).await?;
         if written == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
-        Ok(Exchange { place, stream, command, written, answer: BytesMut::new() })
+        Ok(Exchange { reservation, stream, command, written, answer: BytesMut::new() })
     }
 
     fn counters(&self) -> &ForwardedCounters {
@@ -125,7 +125,7 @@
 
 /// A message of which at least one byte has been written.
 struct Exchange {
-    place: Place,
+    reservation: Reservation,
     stream: TcpStream,
     command: Vec<u8>,
     written: usize,
@@ -147,13 +147,13 @@
 
     /// Keeps the connection for the next message.
     fn keep(self) {
-        self.place.keep(self.stream);
+        self.reservation.keep(self.stream);
     }
 }
 
-fn patience_from_now(begin_within: Micros, patience: Micros) -> Patience {
+fn deadlines_from_now(begin_within: Micros, patience: Micros) -> Deadlines {
     let now = Instant::now();
-    Patience { begin_by: now + span(begin_within), answer_by: now + span(patience) }
+    Deadlines { begin_by: now + span(begin_within), answer_by: now + span(patience) }
 }
 
 fn span(micros: Micros) -> Duration {
--- a/crates/sender/src/placement/figures.rs
+++ b/crates/sender/src/placement/metrics.rs
@@ -31,7 +31,7 @@
 
 /// The object `placement` at the operators' door.
 #[derive(Debug, Serialize)]
-pub struct PlacementFigures {
+pub struct PlacementMetrics {
     /// Epoch in force; null before the first list.
     pub epoch: Option<u64>,
     /// What is left of the lease, in milliseconds; 0 once it has expired.
@@ -45,14 +45,14 @@
     /// Answers of control agents that were refused.
     pub lists_refused: u64,
     /// Requests that were passed on.
-    pub forwarded: ForwardedFigures,
+    pub forwarded: ForwardedMetrics,
     /// Requests of other members that were taken on.
     pub taken_for_others: u64,
 }
 
 /// Requests that were passed on, see [`ForwardedCounters`].
 #[derive(Debug, Serialize)]
-pub struct ForwardedFigures {
+pub struct ForwardedMetrics {
     pub taken: u64,
     pub busy: u64,
     pub failed: u64,
@@ -61,8 +61,8 @@
 
 impl ForwardedCounters {
     /// As they are told.
-    pub fn tell(&self) -> ForwardedFigures {
-        ForwardedFigures {
+    pub fn snapshot(&self) -> ForwardedMetrics {
+        ForwardedMetrics {
             taken: self.taken.get(),
             busy: self.busy.get(),
             failed: self.failed.get(),
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -6,13 +6,13 @@
 
 pub mod clock;
 mod endpoint_list;
-pub mod figures;
-pub mod follow;
 pub mod forward;
-mod held;
-mod memory;
+pub mod member_list;
+pub mod metrics;
+mod pending;
 mod pool;
 pub mod reader;
+mod saved_state;
 
 use embershore_placement::options::PlacementOptions;
 use embershore_placement::{
@@ -21,10 +21,10 @@
 use embershore_protocol::listing::Listing;
 use embershore_protocol::resp::Put;
 use endpoint_list::EndpointList;
-use figures::{Counters, PlacementFigures};
-use held::HeldMessages;
 use heronroute::{ClassSettings, Effect, Micros, MsgId, Settings};
-use memory::Memory;
+use metrics::{Counters, PlacementMetrics};
+use pending::PendingMessages;
+use saved_state::SavedState;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 /// A message's time is told in whole milliseconds, and may be over its class's by one.
 const DEADLINE_ROUNDING: Micros = 1_000;
 /// A client is told to come again after this at most, however long a destination is on hold: other owners may have it.
-const HOLD_WAIT_MOST_MS: u64 = 1_000;
+const MAX_HOLD_WAIT_MS: u64 = 1_000;
 
 /// What the routing of a message depends on in its class.
 #[derive(Clone, Copy, Debug)]
@@ -44,13 +44,13 @@
 
 /// Where a client's message goes.
 #[derive(Debug)]
-pub enum Destination {
+pub enum Routing {
     /// To this sender's own driver, which may refuse it.
-    Here,
+    Local,
     /// To one of these owners, the preferred one first.
     Forward(Forwarded),
     /// Nobody is known to own it.
-    Nowhere,
+    Unowned,
 }
 
 /// A message that others own.
@@ -68,10 +68,10 @@
     ownership: RefCell<Ownership>,
     /// Classes by name. One that a new configuration drops keeps its rule: clients hear of it later.
     classes: RefCell<HashMap<String, ClassRule>>,
-    held: RefCell<HeldMessages>,
+    pending: RefCell<PendingMessages>,
     pub endpoint_list: EndpointList,
     pub counters: Counters,
-    memory: Memory,
+    saved: SavedState,
     owned_shards: Cell<usize>,
     /// An answer of a control agent has come and is being read.
     reading: Cell<bool>,
@@ -82,38 +82,38 @@
 impl Placement {
     /// A sender that has heard nothing yet.
     pub fn new(options: PlacementOptions, class_names: &[String], settings: &Settings, state: &Path) -> Self {
-        let memory = Memory::open(state);
+        let saved = SavedState::open(state);
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         let delivered_within = longest_deadline + DEADLINE_ROUNDING + settings.order_settle;
         let ownership = Ownership::new(&*options.name, options.lease, delivered_within)
             .with_agent_lag(options.agent_lag)
-            .with_memory(memory.get());
+            .with_memory(saved.get());
         let placement = Placement {
             options,
             ownership: RefCell::new(ownership),
             classes: RefCell::default(),
-            held: RefCell::default(),
+            pending: RefCell::default(),
             endpoint_list: EndpointList::default(),
             counters: Counters::default(),
-            memory,
+            saved,
             owned_shards: Cell::new(0),
             reading: Cell::new(false),
             sharers: Cell::new(MAX_REPLICAS as u32),
         };
-        placement.take_classes(class_names.iter().zip(&settings.classes));
+        placement.update_classes(class_names.iter().zip(&settings.classes));
         placement
     }
 
     /// Takes over the classes of a configuration.
-    pub fn take_classes<'a>(&self, classes: impl Iterator<Item = (&'a String, &'a ClassSettings)>) {
+    pub fn update_classes<'a>(&self, classes: impl Iterator<Item = (&'a String, &'a ClassSettings)>) {
         let rule = |class: &ClassSettings| ClassRule { effect: class.effect, ordered: class.ordered };
         self.classes.borrow_mut().extend(classes.map(|(name, class)| (name.clone(), rule(class))));
     }
 
     /// Settles among how many owners the module shares a destination's limit: the most replicas that may still be acted upon,
     /// by the list in force or else by the last run, or that a list can name. It holds until the process ends.
-    pub fn settle_sharers(&self) -> u32 {
-        let known = self.ownership.borrow().remembered(clock::now()).or_else(|| self.memory.get());
+    pub fn fix_sharers(&self) -> u32 {
+        let known = self.ownership.borrow().remembered(clock::now()).or_else(|| self.saved.get());
         let replicas = known.map_or(MAX_REPLICAS, |remembered| remembered.replicas);
         let sharers = u32::try_from(replicas).unwrap_or(u32::MAX).max(1);
         self.sharers.set(sharers);
@@ -133,23 +133,23 @@
     /// Puts a view in force that was made of the one in force.
     fn put_in_force(&self, ownership: Ownership, heard: &Heard) {
         // Before anything is done under the new list.
-        self.write_down(&ownership);
+        self.save(&ownership);
         let before = self.ownership.replace(ownership);
         self.owned_shards.set(self.owned_shards.get() + heard.gained.len() - heard.lost.len());
-        self.endpoint_list.forget(&heard.lost);
+        self.endpoint_list.drop_shards(&heard.lost);
         if !heard.gained.is_empty() || wide_of(&before) != wide_of(&self.ownership.borrow()) {
-            self.endpoint_list.want(heard.gained.iter().copied());
+            self.endpoint_list.request(heard.gained.iter().copied());
         }
     }
 
     /// Writes down what the next start has to know.
     fn remember(&self) {
-        self.write_down(&self.ownership.borrow());
+        self.save(&self.ownership.borrow());
     }
 
-    fn write_down(&self, ownership: &Ownership) {
+    fn save(&self, ownership: &Ownership) {
         let Some(remembered) = ownership.remembered(clock::now()) else { return };
-        if let Err(e) = self.memory.keep(remembered) {
+        if let Err(e) = self.saved.save(remembered) {
             eprintln!(
                 "placement: the state folder can't be written: {e}; after a restart this sender waits as a new owner"
             );
@@ -157,27 +157,29 @@
     }
 
     /// Where a client's message goes. One of an unknown class stays here: this sender says so itself.
-    pub fn route(&self, put: &Put) -> Destination {
-        let Some(rule) = self.rule_of(put) else { return Destination::Here };
+    pub fn route(&self, put: &Put) -> Routing {
+        let Some(rule) = self.rule_of(put) else { return Routing::Local };
         let route = self.ownership.borrow().route(clock::now(), &request_of(put, rule));
         match route {
-            Route::Here => Destination::Here,
-            Route::Forward(candidates) => Destination::Forward(Forwarded { candidates, effect: rule.effect }),
-            Route::Unknown => Destination::Nowhere,
+            Route::Here => Routing::Local,
+            Route::Forward(candidates) => Routing::Forward(Forwarded { candidates, effect: rule.effect }),
+            Route::Unknown => Routing::Unowned,
         }
     }
 
     /// Why this sender's driver must not take a message on now: after how many milliseconds to come again.
-    pub fn refuses(&self, put: &Put) -> Option<u64> {
+    pub fn retry_after_ms(&self, put: &Put) -> Option<u64> {
         let rule = self.rule_of(put)?;
         let (ownership, now) = (self.ownership.borrow(), clock::now());
         match ownership.admits(now, &request_of(put, rule)) {
-            Takes::Yes if self.shares_enough(&ownership) && self.endpoints_known(&ownership, put.dest) => {
+            Takes::Yes
+                if self.limit_shares_suffice(&ownership) && self.endpoints_known(&ownership, put.dest) =>
+            {
                 None
             }
             Takes::OnHold(until) => {
                 let left_ms = u64::try_from((until - now) / 1000).unwrap_or(0);
-                Some(left_ms.clamp(DEFAULT_WAIT_MS, HOLD_WAIT_MOST_MS))
+                Some(left_ms.clamp(DEFAULT_WAIT_MS, MAX_HOLD_WAIT_MS))
             }
             Takes::Yes | Takes::NotOwner | Takes::LeaseExpired => Some(DEFAULT_WAIT_MS),
         }
@@ -185,12 +187,12 @@
 
     /// Whether a destination that is not in the list of endpoints may only not have been read yet.
     pub fn awaits_endpoints(&self) -> bool {
-        self.endpoint_list.is_wanted()
+        self.endpoint_list.is_requested()
     }
 
     /// Whether this sender keeps the destination from the list of endpoints.
-    pub fn keeps(&self, dest: i64) -> bool {
-        self.ownership.borrow().keeps(dest) || self.held.borrow().contains(dest)
+    pub fn retains(&self, dest: i64) -> bool {
+        self.ownership.borrow().keeps(dest) || self.pending.borrow().contains(dest)
     }
 
     /// Told limits of wide destinations are shared by more owners than the module reckons with: it is told this sender's part
@@ -205,20 +207,20 @@
     }
 
     /// A message is held from now on; its destination is kept.
-    pub fn hold(&self, id: MsgId, dest: i64) {
-        self.held.borrow_mut().insert(id, dest);
+    pub fn add_pending(&self, id: MsgId, dest: i64) {
+        self.pending.borrow_mut().insert(id, dest);
     }
 
     /// It is held no more.
-    pub fn release(&self, id: MsgId) {
-        self.held.borrow_mut().remove(id);
+    pub fn remove_pending(&self, id: MsgId) {
+        self.pending.borrow_mut().remove(id);
     }
 
     /// Asks for the list of endpoints where messages are held whose destinations it was not kept for.
-    pub fn want_held_destinations(&self) {
+    pub fn request_pending_destinations(&self) {
         let ownership = self.ownership.borrow();
-        if self.held.borrow().destinations().any(|dest| !ownership.keeps(dest)) {
-            self.endpoint_list.want([]);
+        if self.pending.borrow().destinations().any(|dest| !ownership.keeps(dest)) {
+            self.endpoint_list.request([]);
         }
     }
 
@@ -229,18 +231,18 @@
     }
 
     /// What is told at the operators' door.
-    pub fn figures(&self) -> PlacementFigures {
+    pub fn metrics(&self) -> PlacementMetrics {
         let (ownership, now) = (self.ownership.borrow(), clock::now());
         let left_ms =
             |until: Option<Micros>| until.map_or(0, |until| u64::try_from((until - now) / 1000).unwrap_or(0));
-        PlacementFigures {
+        PlacementMetrics {
             epoch: ownership.epoch(),
             lease_left_ms: left_ms(ownership.lease().until()),
             owned_shards: self.owned_shards.get(),
             unread_shards: self.endpoint_list.unread(),
             on_hold_ms: left_ms(ownership.on_hold(now)),
             lists_refused: self.counters.lists_refused.get(),
-            forwarded: self.counters.forwarded.tell(),
+            forwarded: self.counters.forwarded.snapshot(),
             taken_for_others: self.counters.taken_for_others.get(),
         }
     }
@@ -251,7 +253,7 @@
 
     /// Whether the module shares limits among as many owners as there are: a list with more replicas than at this process's
     /// start needs a restart.
-    fn shares_enough(&self, ownership: &Ownership) -> bool {
+    fn limit_shares_suffice(&self, ownership: &Ownership) -> bool {
         ownership.list().is_some_and(|list| list.replicas() <= self.sharers.get() as usize)
     }
 
--- a/crates/sender/src/placement/held.rs
+++ b/crates/sender/src/placement/pending.rs
@@ -5,12 +5,12 @@
 
 /// Held messages by destination. Bounded by what the sender may hold.
 #[derive(Debug, Default)]
-pub struct HeldMessages {
+pub struct PendingMessages {
     destinations: HashMap<MsgId, i64>,
     counts: HashMap<i64, usize>,
 }
 
-impl HeldMessages {
+impl PendingMessages {
     /// A message is held from now on.
     pub fn insert(&mut self, id: MsgId, dest: i64) {
         if self.destinations.insert(id, dest).is_none() {
@@ -45,15 +45,15 @@
 
     #[test]
     fn a_destination_is_held_until_its_last_message_has_gone() {
-        let mut held = HeldMessages::default();
-        held.insert(MsgId(1), 7);
-        held.insert(MsgId(1), 7);
-        held.insert(MsgId(2), 7);
-        held.remove(MsgId(1));
-        held.remove(MsgId(1));
-        assert!(held.contains(7) && !held.contains(8));
-        held.remove(MsgId(2));
-        assert!(!held.contains(7));
-        assert_eq!(held.destinations().count(), 0);
+        let mut pending = PendingMessages::default();
+        pending.insert(MsgId(1), 7);
+        pending.insert(MsgId(1), 7);
+        pending.insert(MsgId(2), 7);
+        pending.remove(MsgId(1));
+        pending.remove(MsgId(1));
+        assert!(pending.contains(7) && !pending.contains(8));
+        pending.remove(MsgId(2));
+        assert!(!pending.contains(7));
+        assert_eq!(pending.destinations().count(), 0);
     }
 }
--- a/crates/sender/src/placement/reader.rs
+++ b/crates/sender/src/placement/reader.rs
@@ -9,14 +9,14 @@
 pub enum ListReader {
     All(Listings),
     /// Without the endpoints of destinations that this sender does not keep.
-    Kept(FilteredListings, Rc<Placement>),
+    Filtered(FilteredListings, Rc<Placement>),
 }
 
 impl ListReader {
     /// Reads what this sender keeps; all of it without placement.
     pub fn new(placement: Option<&Rc<Placement>>) -> Self {
         match placement {
-            Some(placement) => ListReader::Kept(FilteredListings::default(), placement.clone()),
+            Some(placement) => ListReader::Filtered(FilteredListings::default(), placement.clone()),
             None => ListReader::All(Listings::default()),
         }
     }
@@ -25,7 +25,7 @@
     pub fn extend(&mut self, bytes: &[u8]) {
         match self {
             ListReader::All(listings) => listings.extend(bytes),
-            ListReader::Kept(listings, _) => listings.extend(bytes),
+            ListReader::Filtered(listings, _) => listings.extend(bytes),
         }
     }
 
@@ -33,7 +33,7 @@
     pub fn held(&self) -> usize {
         match self {
             ListReader::All(listings) => listings.kept(),
-            ListReader::Kept(listings, _) => listings.held(),
+            ListReader::Filtered(listings, _) => listings.held(),
         }
     }
 
@@ -41,7 +41,7 @@
     pub fn endpoints_begun(&self) -> usize {
         match self {
             ListReader::All(listings) => listings.endpoints_begun(),
-            ListReader::Kept(listings, _) => listings.entries_read(),
+            ListReader::Filtered(listings, _) => listings.entries_read(),
         }
     }
 
@@ -49,7 +49,7 @@
     pub fn is_within(&self) -> bool {
         match self {
             ListReader::All(listings) => listings.is_within(),
-            ListReader::Kept(listings, _) => listings.is_within(),
+            ListReader::Filtered(listings, _) => listings.is_within(),
         }
     }
 
@@ -57,8 +57,8 @@
     pub fn next_whole(&mut self) -> Result<Option<Listing>, Flaw> {
         match self {
             ListReader::All(listings) => listings.next_whole(),
-            ListReader::Kept(listings, placement) => {
-                let mut listing = listings.next_whole(&|dest| placement.keeps(dest))?;
+            ListReader::Filtered(listings, placement) => {
+                let mut listing = listings.next_whole(&|dest| placement.retains(dest))?;
                 if let Some(listing) = &mut listing {
                     placement.scale_limits(listing);
                 }
--- a/crates/sender/src/placement/memory.rs
+++ b/crates/sender/src/placement/saved_state.rs
@@ -11,17 +11,17 @@
 
 /// The file, and what stands in it.
 #[derive(Debug)]
-pub struct Memory {
+pub struct SavedState {
     folder: PathBuf,
     written: RefCell<Option<Remembered>>,
 }
 
-impl Memory {
+impl SavedState {
     /// Reads what an earlier run left. A file that can't be read counts as none: the sender then waits as a new owner.
-    pub fn open(folder: &Path) -> Memory {
+    pub fn open(folder: &Path) -> SavedState {
         let read = std::fs::read(folder.join(FILE)).ok();
         let remembered = read.and_then(|text| serde_json::from_slice(&text).ok());
-        Memory { folder: folder.into(), written: RefCell::new(remembered) }
+        SavedState { folder: folder.into(), written: RefCell::new(remembered) }
     }
 
     /// What an earlier run left, or this one has written.
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// When the folder can't be written; what stood there before stays.
-    pub fn keep(&self, remembered: Remembered) -> io::Result<()> {
+    pub fn save(&self, remembered: Remembered) -> io::Result<()> {
         if self.written.borrow().as_ref() == Some(&remembered) {
             return Ok(());
         }
--- a/crates/sender/src/standing.rs
+++ b/crates/sender/src/status.rs
@@ -6,10 +6,10 @@
 
 /// While the sender is emptied or stops, clients still connect for this long: the front that deals them out asks
 /// every 0.1 s and sends new connections for 0.2 s more. Then their connections close between requests.
-const CLIENTS_STAY: Duration = Duration::from_millis(450);
+const CLIENT_GRACE: Duration = Duration::from_millis(450);
 /// A message that is handed in later than this after the sender was told to empty itself is refused: whoever
 /// still comes goes by an old word, and would be here when the sender is to be empty.
-const CLIENTS_LATE: Duration = Duration::from_millis(1400);
+const LATE_MESSAGE_CUTOFF: Duration = Duration::from_millis(1400);
 
 /// What the process is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
 /// How far the process is, and since when. Being told to empty itself is remembered through the start, and nothing
 /// undoes a stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct ProcessStatus {
     started: bool,
     standby: bool,
     lame_duck: Option<Instant>,
@@ -58,15 +58,15 @@
     stopping: Option<Instant>,
 }
 
-impl Standing {
+impl ProcessStatus {
     /// What the process is doing.
     pub fn phase(&self) -> Phase {
         match self {
-            Standing { stopping: Some(_), .. } => Phase::Stopping,
-            Standing { handed_over: Some(_), .. } => Phase::HandedOver,
-            Standing { started: false, standby: true, lame_duck: None, .. } => Phase::Standby,
-            Standing { started: false, .. } => Phase::Starting,
-            Standing { lame_duck: Some(_), .. } => Phase::LameDuck,
+            ProcessStatus { stopping: Some(_), .. } => Phase::Stopping,
+            ProcessStatus { handed_over: Some(_), .. } => Phase::HandedOver,
+            ProcessStatus { started: false, standby: true, lame_duck: None, .. } => Phase::Standby,
+            ProcessStatus { started: false, .. } => Phase::Starting,
+            ProcessStatus { lame_duck: Some(_), .. } => Phase::LameDuck,
             _ => Phase::Serving,
         }
     }
@@ -77,15 +77,15 @@
     }
 
     /// From when on clients' connections close between requests, if they do.
-    pub fn closes_at(&self) -> Option<Instant> {
+    pub fn clients_close_at(&self) -> Option<Instant> {
         let empties = [self.lame_duck, self.stopping].into_iter().flatten().min();
         // The next process has clients' new connections already.
-        empties.map(|since| since + CLIENTS_STAY).into_iter().chain(self.handed_over).min()
+        empties.map(|since| since + CLIENT_GRACE).into_iter().chain(self.handed_over).min()
     }
 
     /// Whether a message that comes now is refused, since clients were to be elsewhere long ago.
-    pub fn refuses(&self, now: Instant) -> bool {
-        self.lame_duck.is_some_and(|since| now >= since + CLIENTS_LATE)
+    pub fn refuses_messages(&self, now: Instant) -> bool {
+        self.lame_duck.is_some_and(|since| now >= since + LATE_MESSAGE_CUTOFF)
     }
 
     /// The state after a change.
@@ -110,26 +110,26 @@
 
 /// The state, for those that change it; cheap to clone.
 #[derive(Clone)]
-pub struct Standings(Rc<watch::Sender<Standing>>);
+pub struct SharedStatus(Rc<watch::Sender<ProcessStatus>>);
 
-impl Standings {
+impl SharedStatus {
     pub fn new() -> Self {
-        Standings(Rc::new(watch::Sender::new(Standing::default())))
+        SharedStatus(Rc::new(watch::Sender::new(ProcessStatus::default())))
     }
 
-    pub fn get(&self) -> Standing {
+    pub fn get(&self) -> ProcessStatus {
         *self.0.borrow()
     }
 
-    pub fn follow(&self) -> watch::Receiver<Standing> {
+    pub fn subscribe(&self) -> watch::Receiver<ProcessStatus> {
         self.0.subscribe()
     }
 
     /// Changes the state and tells all who follow it.
     ///
     /// # Errors
-    /// As [`Standing::after`].
-    pub fn change(&self, change: Change) -> Result<Standing, TooLate> {
+    /// As [`ProcessStatus::after`].
+    pub fn change(&self, change: Change) -> Result<ProcessStatus, TooLate> {
         let next = self.get().after(change, Instant::now())?;
         self.0.send_replace(next);
         Ok(next)
@@ -137,12 +137,12 @@
 }
 
 /// Waits until a client's connection is to close between requests, which is no sooner than `least`.
-pub async fn closing(standing: &mut watch::Receiver<Standing>, least: Instant) {
+pub async fn wait_until_closing(status: &mut watch::Receiver<ProcessStatus>, not_before: Instant) {
     loop {
-        let at = standing.borrow_and_update().closes_at();
+        let at = status.borrow_and_update().clients_close_at();
         let closes = async {
             match at {
-                Some(at) => tokio::time::sleep_until(at.max(least).into()).await,
+                Some(at) => tokio::time::sleep_until(at.max(not_before).into()).await,
                 None => std::future::pending().await,
             }
         };
@@ -150,7 +150,7 @@
             biased;
             () = closes => return,
             // The other end lasts as long as the process.
-            Ok(()) = standing.changed() => {}
+            Ok(()) = status.changed() => {}
         }
     }
 }
@@ -160,14 +160,14 @@
     use super::*;
 
     /// Plays changes, each a tenth of a second after the one before.
-    fn played(changes: &[Change]) -> (Instant, Standing) {
+    fn apply_changes(changes: &[Change]) -> (Instant, ProcessStatus) {
         let start = Instant::now();
-        let mut standing = Standing::default();
+        let mut status = ProcessStatus::default();
         for (n, change) in changes.iter().enumerate() {
             let at = start + Duration::from_millis(100 * n as u64);
-            standing = standing.after(*change, at).unwrap_or(standing);
+            status = status.after(*change, at).unwrap_or(status);
         }
-        (start, standing)
+        (start, status)
     }
 
     #[test]
@@ -196,33 +196,33 @@
             (&[Started, HandedOver, Stop], Phase::Stopping),
         ];
         for (changes, phase) in rows {
-            let (_, standing) = played(changes);
-            assert_eq!(standing.phase(), phase, "{changes:?}");
+            let (_, status) = apply_changes(changes);
+            assert_eq!(status.phase(), phase, "{changes:?}");
             let ready = matches!(phase, Phase::Serving | Phase::Standby);
-            assert_eq!(standing.ready(), ready, "{changes:?}");
+            assert_eq!(status.ready(), ready, "{changes:?}");
         }
     }
 
     #[test]
     fn only_a_stop_can_not_be_undone() {
         let now = Instant::now();
-        let (_, stopping) = played(&[Change::Started, Change::LameDuck(true), Change::Stop]);
+        let (_, stopping) = apply_changes(&[Change::Started, Change::LameDuck(true), Change::Stop]);
         assert_eq!(stopping.after(Change::LameDuck(false), now), Err(TooLate));
         assert_eq!(stopping.after(Change::LameDuck(true), now), Ok(stopping));
-        let (_, serving) = played(&[Change::Started]);
+        let (_, serving) = apply_changes(&[Change::Started]);
         assert!(serving.after(Change::LameDuck(false), now).is_ok());
     }
 
     #[test]
     fn being_told_again_does_not_put_the_closing_off() {
-        let (start, once) = played(&[Change::LameDuck(true)]);
-        let (again_start, again) = played(&[Change::LameDuck(true), Change::LameDuck(true)]);
-        assert_eq!(once.closes_at(), Some(start + CLIENTS_STAY));
-        assert_eq!(again.closes_at(), Some(again_start + CLIENTS_STAY));
-        assert!(!once.refuses(start + CLIENTS_STAY));
-        assert!(once.refuses(start + CLIENTS_LATE));
-        let (_, off) = played(&[Change::LameDuck(true), Change::LameDuck(false)]);
-        assert_eq!(off.closes_at(), None);
-        assert!(!off.refuses(start + 10 * CLIENTS_LATE));
+        let (start, once) = apply_changes(&[Change::LameDuck(true)]);
+        let (again_start, again) = apply_changes(&[Change::LameDuck(true), Change::LameDuck(true)]);
+        assert_eq!(once.clients_close_at(), Some(start + CLIENT_GRACE));
+        assert_eq!(again.clients_close_at(), Some(again_start + CLIENT_GRACE));
+        assert!(!once.refuses_messages(start + CLIENT_GRACE));
+        assert!(once.refuses_messages(start + LATE_MESSAGE_CUTOFF));
+        let (_, off) = apply_changes(&[Change::LameDuck(true), Change::LameDuck(false)]);
+        assert_eq!(off.clients_close_at(), None);
+        assert!(!off.refuses_messages(start + 10 * LATE_MESSAGE_CUTOFF));
     }
 }
