--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -5,8 +5,8 @@
 use crate::input::{CallEnd, Fate};
 use crate::metrics::Metrics;
 use bytes::Bytes;
-use embershore_protocol::call::{BatchState, Head, batch_body, read_head, state};
-use heronroute::{DestId, EndpointId, Micros, MsgId, Outcome, Report};
+use embershore_protocol::call::{AnswerHead, BatchState, encode_batch, outcome_of_state, read_head};
+use heronroute::{DestId, EndpointId, LoadReport, Micros, MsgId, Outcome};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Request;
 use std::cell::{Cell, RefCell};
@@ -70,7 +70,7 @@
     outcome: Outcome,
     over: bool,
     wait: Micros,
-    report: Option<Report>,
+    report: Option<LoadReport>,
     states: Option<HashMap<String, String>>,
 }
 
@@ -79,8 +79,8 @@
         ResponseSummary { outcome, over: outcome == Outcome::Done, wait: 0, report: None, states: None }
     }
 
-    fn for_all(head: Head) -> Self {
-        let Head { outcome, over, wait, report } = head;
+    fn for_all(head: AnswerHead) -> Self {
+        let AnswerHead { outcome, closes_message: over, wait, report } = head;
         ResponseSummary { outcome, over, wait, report, states: None }
     }
 }
@@ -290,7 +290,7 @@
             let (outcome, over) = match &response.states {
                 _ if progress.left_out.borrow().contains(&item.id) => (Outcome::Skipped, true),
                 None => (response.outcome, response.over),
-                Some(states) => state(states.get(&item.request_id).map(String::as_str)),
+                Some(states) => outcome_of_state(states.get(&item.request_id).map(String::as_str)),
             };
             Fate { id: item.id, attempt: item.attempt, outcome, over }
         });
@@ -356,7 +356,7 @@
             None if traffic.closed_by_peer.get() || traffic.response_began.get().is_none() => {
                 progress.incomplete(spec, Outcome::Reset)
             }
-            None => progress.incomplete(spec, Outcome::Spoilt),
+            None => progress.incomplete(spec, Outcome::MalformedAnswer),
         }
     }
 
@@ -377,7 +377,7 @@
         if summary.outcome == Outcome::Done && spec.batch {
             // An answer that tells nothing of a message leaves it open whether it ran.
             let Ok(states) = serde_json::from_slice::<Vec<BatchState>>(&body.to_bytes()) else {
-                return Some(ResponseSummary { outcome: Outcome::Spoilt, over: false, ..summary });
+                return Some(ResponseSummary { outcome: Outcome::MalformedAnswer, over: false, ..summary });
             };
             summary.states = Some(states.into_iter().map(|s| (s.id, s.state)).collect());
         }
@@ -385,7 +385,7 @@
     }
 
     /// Asks whether an endpoint is well.
-    pub async fn probe(&self, endpoint: EndpointId, addr: SocketAddr) -> (Outcome, Option<Report>) {
+    pub async fn probe(&self, endpoint: EndpointId, addr: SocketAddr) -> (Outcome, Option<LoadReport>) {
         let Ok(_one) = self.probes.try_acquire() else { return (Outcome::Skipped, None) };
         let work = async {
             let mut connection = match self.take_idle(endpoint, addr) {
@@ -437,7 +437,7 @@
         }
         items => {
             let items = items.iter().map(|i| (&*i.request_id, i.idempotency_key.as_deref(), &*i.body));
-            let body = batch_body(items)?;
+            let body = encode_batch(items)?;
             head.uri("/v1/messages:batch")
                 .header("content-type", "application/json")
                 .body(Full::new(body.into()))?
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -7,7 +7,7 @@
 use crate::status::{Phase, ProcessStatus, wait_until_closing};
 use bytes::{Bytes, BytesMut};
 use embershore_placement::DEFAULT_WAIT_MS;
-use embershore_protocol::resp::{BODY_MOST, COMMAND_MOST, Put, Reply, command, put};
+use embershore_protocol::resp::{MAX_BODY_BYTES, MAX_COMMAND_BYTES, Put, Reply, decode_command, decode_put};
 use heronroute::Micros;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
 
 impl Response {
     fn busy(after_ms: u64) -> Self {
-        Response::Text(Reply::Busy { after_ms }.line())
+        Response::Text(Reply::Busy { retry_after_ms: after_ms }.encode())
     }
 }
 
@@ -138,7 +138,7 @@
 
     /// Counts what has been answered.
     fn count_reply(&self, reply: &Reply) {
-        if let (Origin::Members(placement), Reply::Taken) = (self, reply) {
+        if let (Origin::Members(placement), Reply::Accepted) = (self, reply) {
             count(&placement.counters.taken_for_others);
         }
     }
@@ -250,7 +250,7 @@
             let mut answers = Vec::new();
             let mut broken = false;
             while answers.len() < MAX_PIPELINE && !broken {
-                match command(&mut self.buf) {
+                match decode_command(&mut self.buf) {
                     Ok(Some(args)) => {
                         self.guard.entry.busy.set(true);
                         answers.push(self.start(&args).await);
@@ -307,7 +307,7 @@
         let buffers = self.guard.table.buffers.clone();
         let more = async {
             if self.buf.len() >= USUAL_COMMAND_BYTES && self.long_command.is_none() {
-                self.long_command = buffers.acquire_many_owned(COMMAND_MOST as u32).await.ok();
+                self.long_command = buffers.acquire_many_owned(MAX_COMMAND_BYTES as u32).await.ok();
             }
             self.buf.reserve(READ_AHEAD);
             self.socket.read_buf(&mut self.buf).await
@@ -359,7 +359,7 @@
         let name = args.first().map(|n| n.to_ascii_uppercase()).unwrap_or_default();
         match name.as_slice() {
             b"PING" => Response::Ping,
-            b"MSG.PUT" => match put(args) {
+            b"MSG.PUT" => match decode_put(args) {
                 Ok(put) => self.submit(put).await,
                 Err(e) => Response::Text(format!("-ERR {e}\r\n")),
             },
@@ -421,9 +421,9 @@
 
     /// What is written for a reply; without one the message was not taken on.
     fn reply_text(&self, reply: Option<Reply>) -> String {
-        let reply = reply.unwrap_or(Reply::Busy { after_ms: 0 });
+        let reply = reply.unwrap_or(Reply::Busy { retry_after_ms: 0 });
         self.origin.count_reply(&reply);
-        reply.line()
+        reply.encode()
     }
 }
 
@@ -441,8 +441,8 @@
         open_count: origin.connections(&shared),
         entries: RefCell::default(),
         freed: Notify::new(),
-        buffers: Arc::new(Semaphore::new(limits.buffers.max(COMMAND_MOST))),
-        bodies: Arc::new(Semaphore::new(limits.bodies.max(BODY_MOST + PUT_OVERHEAD))),
+        buffers: Arc::new(Semaphore::new(limits.buffers.max(MAX_COMMAND_BYTES))),
+        bodies: Arc::new(Semaphore::new(limits.bodies.max(MAX_BODY_BYTES + PUT_OVERHEAD))),
     });
     let mut follow = status.clone();
     let mut stopped = std::pin::pin!(async {
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -234,7 +234,7 @@
                     placement.update_classes(classes.iter().map(|(name, class)| (name, class)));
                 }
                 self.class_table.reload(classes, self.clock.now());
-                self.events.push(Event::Classes(self.class_table.classes()));
+                self.events.push(Event::ClassesChanged(self.class_table.classes()));
             }
             Input::PredecessorFrame(frame) => self.handle_predecessor_frame(frame),
             Input::PredecessorGone => self.former_gone(),
@@ -253,7 +253,7 @@
         let lines: Vec<_> = entries.iter().filter_map(line).collect();
         drop(endpoints);
         self.write_journal(|j| j.record_endpoints_listed(index, &lines));
-        self.events.push(Event::Members { whole: full, entries });
+        self.events.push(Event::Listing { complete: full, entries });
     }
 
     /// What cannot be written may be done twice after a restart, or told twice; it is not undone.
@@ -268,31 +268,31 @@
             // The same message on a second connection. One that is not written down yet is not taken on yet,
             // and may never be: a client that hears so would not come again.
             let written = self.journal.borrow().get(id.0).is_some();
-            _ = reply.send(if written { Reply::Taken } else { Reply::Busy { after_ms: 0 } });
+            _ = reply.send(if written { Reply::Accepted } else { Reply::Busy { retry_after_ms: 0 } });
             return;
         }
         if self.pending.len() >= self.max_open
             || self.status.get().refuses_messages(std::time::Instant::now())
         {
             self.metrics.count(&put.class, MessageEnd::Refused);
-            _ = reply.send(Reply::Busy { after_ms: self.retry_after_ms });
+            _ = reply.send(Reply::Busy { retry_after_ms: self.retry_after_ms });
             return;
         }
         if let Some(after_ms) = self.placement.as_ref().and_then(|placement| placement.retry_after_ms(&put)) {
             self.metrics.count(&put.class, MessageEnd::Refused);
-            _ = reply.send(Reply::Busy { after_ms });
+            _ = reply.send(Reply::Busy { retry_after_ms: after_ms });
             return;
         }
         let class = match self.rules_for(&put) {
             Ok(row) => row,
             Err(why) if why == UNKNOWN_DESTINATION && self.awaits_endpoints() => {
                 self.metrics.count(&put.class, MessageEnd::Refused);
-                _ = reply.send(Reply::Busy { after_ms: self.retry_after_ms });
+                _ = reply.send(Reply::Busy { retry_after_ms: self.retry_after_ms });
                 return;
             }
             Err(why) => {
                 self.metrics.count(&put.class, MessageEnd::Wrong);
-                _ = reply.send(Reply::Wrong(why.into()));
+                _ = reply.send(Reply::Invalid(why.into()));
                 return;
             }
         };
@@ -304,7 +304,7 @@
             key: Some(put.order_key.clone()),
             dest: DestId(put.dest),
             time_left: SET_IN_ROUND,
-            again: put.again,
+            resubmitted: put.resubmitted,
         });
         self.by_request.insert(put.request_id.clone(), id);
         self.class_table.add_message(class);
@@ -338,7 +338,7 @@
             Err("field 'd' is more than the class's time")
         } else if !self.endpoints.borrow().knows(DestId(put.dest)) {
             Err(UNKNOWN_DESTINATION)
-        } else if class.effect == Effect::Guarded && put.idempotency_key.is_none() {
+        } else if class.effect == Effect::Keyed && put.idempotency_key.is_none() {
             Err("field 'k' is missing in a keyed class")
         } else {
             Ok(row)
@@ -369,7 +369,16 @@
                 }
             }
             let attempt = fate.attempt;
-            self.events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report });
+            self.events.push(Event::Outcome {
+                id,
+                attempt,
+                endpoint,
+                outcome,
+                closes_message: last,
+                elapsed,
+                wait,
+                report,
+            });
         }
     }
 
@@ -404,7 +413,7 @@
         if let Some(entry) = self.journal.borrow().get(id.0) {
             self.by_request.remove(&entry.accepted.request_id);
         }
-        self.write_journal(|j| j.record_message_ended(id.0, End::Over));
+        self.write_journal(|j| j.record_message_ended(id.0, End::Closed));
     }
 
     fn round(&mut self) {
@@ -429,7 +438,8 @@
     fn set_time_left(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
         for event in events {
-            let (Event::Message { id, time_left, .. } | Event::Restored { id, time_left, .. }) = event else {
+            let (Event::Message { id, time_left, .. } | Event::MessageRestored { id, time_left, .. }) = event
+            else {
                 continue;
             };
             let new = self.unanswered_puts.get(id).map(|n| n.deadline);
@@ -449,7 +459,7 @@
         for action in actions {
             match action {
                 Action::Refuse { id, retry_after } => {
-                    answers.insert(*id, Reply::Busy { after_ms: (*retry_after / 1000).max(0) as u64 });
+                    answers.insert(*id, Reply::Busy { retry_after_ms: (*retry_after / 1000).max(0) as u64 });
                 }
                 Action::Fail { id } => _ = answers.insert(*id, Reply::Failed),
                 _ => {}
@@ -482,20 +492,20 @@
             let Some(rules) = row else { continue };
             let taken = self.journal.borrow_mut().accept(id.0, accepted, rules);
             let answer = match taken {
-                Ok(()) => Reply::Taken,
+                Ok(()) => Reply::Accepted,
                 Err(e) => {
                     eprintln!("journal: {e}");
-                    Reply::Busy { after_ms: 1000 }
+                    Reply::Busy { retry_after_ms: 1000 }
                 }
             };
-            let taken = answer == Reply::Taken;
+            let taken = answer == Reply::Accepted;
             if reply.send(answer).is_err() || !taken {
                 // Its client has gone without an answer, or is told to come again.
                 self.metrics.count(&class, MessageEnd::Refused);
-                self.write_journal(|j| j.record_message_ended(id.0, End::Over));
+                self.write_journal(|j| j.record_message_ended(id.0, End::Closed));
                 self.by_request.remove(&request_id);
                 self.remove_pending(*id);
-                self.events.push(Event::Left { id: *id });
+                self.events.push(Event::MessageAbandoned { id: *id });
             }
         }
     }
@@ -520,14 +530,17 @@
                     }
                 }
                 Action::Refuse { id, retry_after } => {
-                    self.end_undelivered(id, End::Returned { after_ms: (retry_after / 1000).max(0) as u64 });
+                    self.end_undelivered(
+                        id,
+                        End::Returned { retry_after_ms: (retry_after / 1000).max(0) as u64 },
+                    );
                 }
                 Action::Fail { id } => self.end_undelivered(id, End::Failed),
                 Action::Timer { at, token } => self.timers.push(Reverse((at, token))),
                 Action::Probe { endpoint } => self.probe(endpoint),
-                Action::Close { endpoint } => self.calls.close(endpoint),
+                Action::CloseIdle { endpoint } => self.calls.close(endpoint),
                 // Senders share nothing here.
-                Action::Tell { .. } => {}
+                Action::Broadcast { .. } => {}
             }
         }
         for (endpoint, items) in sends.into_values() {
@@ -557,7 +570,16 @@
     /// The message was not sent after all.
     fn report_skipped(&mut self, id: MsgId, attempt: u32, endpoint: EndpointId, last: bool) {
         let (outcome, elapsed, wait, report) = (Outcome::Skipped, 0, 0, None);
-        self.events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report });
+        self.events.push(Event::Outcome {
+            id,
+            attempt,
+            endpoint,
+            outcome,
+            closes_message: last,
+            elapsed,
+            wait,
+            report,
+        });
     }
 
     fn send(&mut self, endpoint: EndpointId, sends: Vec<(MsgId, Micros)>) {
@@ -581,7 +603,7 @@
                 continue;
             };
             pending.call = Some(call);
-            let class = self.class_table.settings(pending.row).filter(|c| c.effect == Effect::Guarded);
+            let class = self.class_table.settings(pending.row).filter(|c| c.effect == Effect::Keyed);
             if let (Some(class), Some((_, first))) = (class, entry.progress.first_possible_run()) {
                 last_moment = last_moment.min(first + class.window);
             }
@@ -633,7 +655,7 @@
 
     /// What a wait binds that an endpoint tells.
     fn lane(&self, id: EndpointId, endpoint: &Endpoint) -> Lane {
-        let apart = self.kinds.get(endpoint.kind).is_some_and(|kind| kind.apart);
+        let apart = self.kinds.get(endpoint.kind).is_some_and(|kind| kind.separate_routes);
         if apart { Lane::Route(id) } else { Lane::Whole(endpoint.dest) }
     }
 
@@ -653,13 +675,13 @@
     fn persist_health(&mut self) {
         let endpoints = self.endpoints.borrow();
         let (mut health, mut avoided) = (BTreeMap::new(), 0);
-        for (id, h) in self.dispatcher.health() {
+        for (id, h) in self.dispatcher.endpoint_health() {
             let Some(endpoint) = endpoints.get(id) else { continue };
-            avoided += usize::from(h.trouble && endpoint.listed());
+            avoided += usize::from(h.unhealthy && endpoint.listed());
             health.insert(endpoint.name.clone(), h);
         }
         self.metrics.ejected.set(avoided);
-        let receivers = self.dispatcher.receivers().filter_map(|(dest, route, health)| {
+        let receivers = self.dispatcher.receiver_health().filter_map(|(dest, route, health)| {
             let receiver = match route {
                 Some(id) => Receiver::Route(dest.0, endpoints.get(id)?.name.clone()),
                 None => Receiver::Destination(dest.0),
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -8,7 +8,7 @@
 use crate::status::{Change, Phase};
 use embershore_handover::{Frame, Owner, OwnerDo, OwnerEvent, State};
 use embershore_protocol::resp::Reply;
-use heronroute::{DestId, EndpointId, MsgId, OutCall, Outcome};
+use heronroute::{DestId, EndpointId, InFlightCall, MsgId, Outcome};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -41,7 +41,7 @@
     pub(super) fn follow_predecessor(
         &self,
         link: Link,
-        out: &[OutCall],
+        out: &[InFlightCall],
         in_call: &HashMap<MsgId, u64>,
     ) -> Predecessor {
         let BackgroundLink { send, mut frames, .. } = link.run_in_background();
@@ -67,7 +67,7 @@
                 let (reply, answer) = oneshot::channel();
                 let send = predecessor.send.clone();
                 tokio::task::spawn_local(async move {
-                    let reply = answer.await.unwrap_or(Reply::Busy { after_ms: 0 });
+                    let reply = answer.await.unwrap_or(Reply::Busy { retry_after_ms: 0 });
                     _ = send.send(Frame::Reply { number, reply });
                 });
                 self.handle_put(put, reply);
@@ -157,9 +157,9 @@
 
     /// What the next process has to know beside the journal.
     pub(super) fn handover_state(&self) -> State {
-        let (learnt, out) = self.dispatcher.hand_over();
+        let (learnt, out) = self.dispatcher.handover_state();
         let endpoints = self.endpoints.borrow();
-        let numbers = learnt.endpoints().chain(out.iter().map(OutCall::endpoint));
+        let numbers = learnt.endpoints().chain(out.iter().map(InFlightCall::endpoint));
         State {
             next_message: self.journal.borrow().next_number(),
             next_call: self.next_call,
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -8,7 +8,7 @@
 use crate::status::Change;
 use embershore_handover::State;
 use embershore_protocol::listing::Listing;
-use heronroute::{DestId, EndpointEntry, EndpointId, Event, MsgId, OutCall, ReceiverHealth};
+use heronroute::{DestId, EndpointEntry, EndpointId, Event, InFlightCall, MsgId, ReceiverHealth};
 use std::collections::{BTreeSet, HashMap};
 use tokio::sync::mpsc;
 
@@ -41,7 +41,7 @@
         let deadline = tokio::time::Instant::now() + self.list_wait;
         let listed = !matches!(known, InitialList::Missing);
         if let InitialList::Applied(entries) = known {
-            self.events.push(Event::Members { whole: true, entries });
+            self.events.push(Event::Listing { complete: true, entries });
         } else if let InitialList::Configured(mut list) = known {
             let (journal, index) = (self.journal.borrow(), list.index);
             for line in list.endpoints.iter_mut().filter(|l| journal.not_ready_since(&l.name, index)) {
@@ -49,7 +49,7 @@
             }
             drop(journal);
             let entries = self.endpoints.borrow_mut().apply(&Listing { snapshot: true, ..list });
-            self.events.push(Event::Members { whole: true, entries });
+            self.events.push(Event::Listing { complete: true, entries });
         }
         let mut early = Vec::new();
         loop {
@@ -84,7 +84,7 @@
             let names: HashMap<EndpointId, String> = names.into_iter().collect();
             let endpoints = self.endpoints.borrow();
             // One that is listed no more, but has calls out, bears a number that no listed one will.
-            let abroad: BTreeSet<EndpointId> = calls.iter().map(OutCall::endpoint).collect();
+            let abroad: BTreeSet<EndpointId> = calls.iter().map(InFlightCall::endpoint).collect();
             let number = |id: EndpointId| {
                 let known = names.get(&id).and_then(|name| endpoints.number(name));
                 known.or_else(|| {
@@ -96,7 +96,7 @@
             out = calls;
             out.iter_mut().for_each(|call| call.renumber(number(call.endpoint()).unwrap_or_default()));
             drop(endpoints);
-            self.events.push(Event::Learnt(Box::new(learnt)));
+            self.events.push(Event::StateInherited(Box::new(learnt)));
             attempts.extend(state.attempts);
             in_call.extend(state.calls);
             self.predecessor = Some(self.follow_predecessor(link, &out, &in_call));
@@ -104,7 +104,7 @@
         let (journal, endpoints, now) = (self.journal.borrow(), self.endpoints.borrow(), self.clock.now());
         for (name, health) in journal.health().filter(|_| self.predecessor.is_none()) {
             if let Some(endpoint) = endpoints.number(name) {
-                self.events.push(Event::Recalled { endpoint, health });
+                self.events.push(Event::EndpointHealthRestored { endpoint, health });
             }
         }
         if self.predecessor.is_none() {
@@ -128,7 +128,7 @@
                 self.class_table.row_for_restored(&message.class, rules.as_ref(), now).unwrap_or(usize::MAX);
             let attempts = attempts.get(&MsgId(id)).copied().unwrap_or(progress.attempts);
             let call = in_call.get(&MsgId(id)).copied();
-            restored.push(Event::Restored {
+            restored.push(Event::MessageRestored {
                 id: MsgId(id),
                 class: row,
                 key: Some(message.order_key.clone()),
@@ -156,10 +156,10 @@
         }
         drop(journal);
         self.metrics.register_classes(self.class_table.names());
-        self.events.push(Event::Classes(self.class_table.classes()));
+        self.events.push(Event::ClassesChanged(self.class_table.classes()));
         self.events.append(&mut restored);
         if !out.is_empty() {
-            self.events.push(Event::Out(out));
+            self.events.push(Event::CallsInherited(out));
         }
         let (mut journal, pending) = (self.journal.borrow_mut(), self.pending.iter());
         for (id, _) in pending.filter(|(_, pending)| pending.call.is_none()) {
@@ -185,5 +185,5 @@
         Receiver::Route(dest, name) => Some((DestId(*dest), Some(endpoints.number(name)?), health)),
     });
     let recalled = unknown.chain(known);
-    recalled.map(|(dest, route, health)| Event::RecalledReceiver { dest, route, health }).collect()
+    recalled.map(|(dest, route, health)| Event::ReceiverHealthRestored { dest, route, health }).collect()
 }
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -37,7 +37,7 @@
     pub fn of(end: End) -> Self {
         match end {
             End::Returned { .. } => MessageEnd::Returned,
-            End::Failed | End::Over => MessageEnd::Failed,
+            End::Failed | End::Closed => MessageEnd::Failed,
         }
     }
 
