--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -1,5 +1,6 @@
-//! The core: feeds the dispatcher with what happens, in rounds, and carries out what it decides. How it starts is in
-//! `start`, how one process replaces another in `replace`.
+//! The driver: passes events to the decision module (the dispatcher) in rounds and executes the actions that it
+//! returns. `start` holds the start from a journal or a predecessor, `handover` the replacement of one process by
+//! another, `recovered` the count of messages that a restart recovered unattempted.
 
 mod handover;
 mod recovered;
@@ -35,40 +36,40 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// After SIGTERM: the process stays for this long at the least, also with nothing to do, ...
+/// After SIGTERM the process stays for at least this long, even if it has nothing to do.
 const MIN_STAY_US: Micros = 900_000;
-/// ... calls have this long to end ...
+/// Time from SIGTERM until all calls must have ended.
 const CALL_DEADLINE_US: Micros = 3_300_000;
-/// ... and the process this long, before it is killed.
+/// Time from SIGTERM until the process exits whatever is left: it is killed soon after.
 const EXIT_DEADLINE_US: Micros = 3_500_000;
+/// Interval of closing expired idle connections; also the longest time between two rounds.
 const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
-/// What time a message has left is known only in the round that it comes into: see [`Driver::set_time_left`].
+/// Placeholder for a message's remaining time, which [`Driver::set_time_left`] fills in when the round begins.
 const SET_IN_ROUND: Micros = 0;
-/// What a client is told of a destination that is in no list.
+/// Error reply for a destination that is in no listing.
 const UNKNOWN_DESTINATION: &str = "unknown destination";
 
-/// What a message needs while it is held, beside its journal entry.
+/// State of an accepted or submitted message that has not ended, beside its journal entry.
 #[derive(Default)]
 struct PendingMessage {
     attempts: u32,
     call: Option<u64>,
-    /// The rules under which it was taken on.
+    /// Row of the class table with the rules under which the message was accepted.
     row: usize,
 }
 
-/// A client that waits to hear whether its message is taken on.
+/// A submitted message whose client has no reply yet.
 struct UnansweredPut {
     put: Put,
-    /// When its time is up.
     deadline: Micros,
     reply: oneshot::Sender<Reply>,
 }
 
-/// The parts that a driver is made of.
+/// The parts from which [`Driver::new`] builds a driver.
 pub struct Parts {
     pub clock: Clock,
     pub seed: u64,
-    /// How long to wait for discovery's word where a list was given with the configuration.
+    /// How long to wait for discovery's listing before the one in the configuration is used.
     pub list_wait: Duration,
     pub settings: Settings,
     pub names: Names,
@@ -81,21 +82,22 @@
     pub metrics: Rc<Metrics>,
     pub shared: Shared,
     pub handover: Option<HandoverContext>,
-    /// Where other senders own some of the destinations.
+    /// Present if placement is on: other senders then own some of the destinations.
     pub placement: Option<Rc<Placement>>,
 }
 
+/// Owns the dispatcher, the pending messages and the journal, and runs the rounds.
 pub struct Driver {
     clock: Clock,
     dispatcher: Dispatcher,
     names: Names,
     kinds: Vec<KindSettings>,
-    /// The classes' rules; a row is a class's index in the module.
+    /// The classes' rules; a row number is the class index that the dispatcher knows.
     class_table: ClassTable,
     quantum: Micros,
     list_wait: Duration,
     max_open: usize,
-    /// When a client is to come again that finds no room: as the module tells those that it refuses.
+    /// Retry time in the reply to a client that finds no room; the same as in the dispatcher's refusals.
     retry_after_ms: u64,
     journal: Rc<RefCell<Journal>>,
     endpoints: Rc<RefCell<EndpointTable>>,
@@ -166,7 +168,7 @@
         })
     }
 
-    /// Runs until the sender has been told to stop and has done so.
+    /// Runs until the sender has received the stop signal and has stopped, or until a successor has taken over.
     pub async fn run(mut self, mut inbox: mpsc::Receiver<Input>, known: InitialList) {
         let Some(early) = self.wait_for_list(&mut inbox, known).await else { return };
         self.restore();
@@ -177,9 +179,9 @@
         let mut retire = last;
         loop {
             let timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
-            let pending = if self.events.is_empty() { Micros::MAX } else { last };
-            // A round at most once a quantum; also while nothing happens, for what goes by the clock alone.
-            let wake = timer.min(pending).max(last + self.quantum);
+            let pending_events = if self.events.is_empty() { Micros::MAX } else { last };
+            // At most one round per quantum; also one while no event comes, for what depends on the clock alone.
+            let wake = timer.min(pending_events).max(last + self.quantum);
             let wake = wake.min(last + IDLE_SWEEP_INTERVAL_US).min(self.next_exit_check(last));
             tokio::select! {
                 biased;
@@ -237,7 +239,7 @@
                 self.events.push(Event::ClassesChanged(self.class_table.classes()));
             }
             Input::PredecessorFrame(frame) => self.handle_predecessor_frame(frame),
-            Input::PredecessorGone => self.former_gone(),
+            Input::PredecessorGone => self.handle_predecessor_gone(),
             Input::Stop => {
                 let now = self.clock.now();
                 self.stopping.get_or_insert(now);
@@ -256,17 +258,18 @@
         self.events.push(Event::Listing { complete: full, entries });
     }
 
-    /// What cannot be written may be done twice after a restart, or told twice; it is not undone.
+    /// Writes to the journal. A failed write is logged and nothing is undone: after a restart the attempt or the
+    /// notice may be repeated.
     fn write_journal(&mut self, write: impl FnOnce(&mut Journal) -> std::io::Result<()>) {
         if let Err(e) = write(&mut self.journal.borrow_mut()) {
-            eprintln!("journal: {e}");
+            eprintln!("journal: write failed, a restart may repeat an attempt or a notice: {e}");
         }
     }
 
     fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
-            // The same message on a second connection. One that is not written down yet is not taken on yet,
-            // and may never be: a client that hears so would not come again.
+            // The same message on a second connection. Until it is in the journal it may still be rejected, so it
+            // must not be reported as accepted: the client would not send it again.
             let written = self.journal.borrow().get(id.0).is_some();
             _ = reply.send(if written { Reply::Accepted } else { Reply::Busy { retry_after_ms: 0 } });
             return;
@@ -278,21 +281,22 @@
             _ = reply.send(Reply::Busy { retry_after_ms: self.retry_after_ms });
             return;
         }
-        if let Some(after_ms) = self.placement.as_ref().and_then(|placement| placement.retry_after_ms(&put)) {
+        let retry_after_ms = self.placement.as_ref().and_then(|placement| placement.retry_after_ms(&put));
+        if let Some(retry_after_ms) = retry_after_ms {
             self.metrics.count(&put.class, MessageEnd::Refused);
-            _ = reply.send(Reply::Busy { retry_after_ms: after_ms });
+            _ = reply.send(Reply::Busy { retry_after_ms });
             return;
         }
         let class = match self.rules_for(&put) {
             Ok(row) => row,
-            Err(why) if why == UNKNOWN_DESTINATION && self.awaits_endpoints() => {
+            Err(reason) if reason == UNKNOWN_DESTINATION && self.awaits_endpoints() => {
                 self.metrics.count(&put.class, MessageEnd::Refused);
                 _ = reply.send(Reply::Busy { retry_after_ms: self.retry_after_ms });
                 return;
             }
-            Err(why) => {
+            Err(reason) => {
                 self.metrics.count(&put.class, MessageEnd::Wrong);
-                _ = reply.send(Reply::Invalid(why.into()));
+                _ = reply.send(Reply::Invalid(reason.into()));
                 return;
             }
         };
@@ -314,19 +318,19 @@
         self.unanswered_puts.insert(id, UnansweredPut { put, deadline, reply });
     }
 
-    /// A destination that is not in the list of endpoints may only not have been read yet.
+    /// Whether an unknown destination may be one whose part of the endpoint listing has not been read yet.
     fn awaits_endpoints(&self) -> bool {
         self.placement.as_ref().is_some_and(|placement| placement.awaits_endpoints())
     }
 
-    /// The destination is kept for as long as the message is held, whoever owns it.
+    /// Keeps the destination's endpoints in the table until the message ends, whichever sender owns the destination.
     fn retain_destination(&self, id: MsgId, dest: i64) {
         if let Some(placement) = &self.placement {
             placement.add_pending(id, dest);
         }
     }
 
-    /// The rules for this message, or why no sender could take it on.
+    /// Returns the class table's row for a new message, or why no sender can accept the message.
     fn rules_for(&self, put: &Put) -> Result<usize, &'static str> {
         let row = self.class_table.current_row(&put.class, self.clock.now()).ok_or("unknown class")?;
         let class = self.class_table.settings(row).ok_or("unknown class")?;
@@ -334,7 +338,7 @@
         if !tenants.is_empty() && !tenants.contains(&put.tenant) {
             Err("unknown tenant")
         } else if put.time_left > class.deadline + 1000 {
-            // The time is told in whole milliseconds.
+            // Clients send the time in whole milliseconds, so it may be up to 1 ms over.
             Err("field 'd' is more than the class's time")
         } else if !self.endpoints.borrow().knows(DestId(put.dest)) {
             Err(UNKNOWN_DESTINATION)
@@ -355,7 +359,7 @@
                 pending.call = None;
                 let deadline = self.journal.borrow().get(id.0).map(|e| e.accepted.deadline);
                 if last && outcome == Outcome::Done && deadline.is_some_and(|at| at < self.clock.now()) {
-                    // Delivered out of its time, which may count for nothing: its client is owed word all the same.
+                    // Delivered after its deadline, which may not count as delivered: the client gets a notice.
                     self.end_undelivered(id, End::Failed);
                 } else if last {
                     if outcome == Outcome::Done
@@ -382,7 +386,7 @@
         }
     }
 
-    /// The message is held no more. False if it was not.
+    /// Removes a message from the pending ones. Returns false if it was not pending.
     fn remove_pending(&mut self, id: MsgId) -> bool {
         let pending = self.pending.remove(&id);
         if let Some(placement) = &self.placement {
@@ -392,22 +396,22 @@
             self.class_table.remove_message(pending.row);
         }
         self.record_first_call(id);
-        // The module ends a message up to two quanta early.
-        if self.recovered.over(id, self.clock.now(), 2 * self.quantum) {
+        // The dispatcher ends a message up to two quanta before its deadline.
+        if self.recovered.record_end(id, self.clock.now(), 2 * self.quantum) {
             eprintln!("{}", self.recovered);
         }
         pending.is_some()
     }
 
-    /// A message that a restart recovered is attempted once a call of it has begun.
+    /// Counts a recovered message as attempted if a call with it has begun since the start.
     fn record_first_call(&mut self, id: MsgId) {
         let begun = self.journal.borrow().get(id.0).map_or(0, |entry| entry.progress.attempts);
-        if self.recovered.call(id, begun) {
+        if self.recovered.record_calls(id, begun) {
             eprintln!("{}", self.recovered);
         }
     }
 
-    /// Nothing more is owed for the message.
+    /// Closes a message that needs no notice.
     fn close_message(&mut self, id: MsgId) {
         self.remove_pending(id);
         if let Some(entry) = self.journal.borrow().get(id.0) {
@@ -432,9 +436,9 @@
         self.metrics.outstanding.set(self.pending.len() - self.unanswered_puts.len());
     }
 
-    /// Gives each message what time it has left as of the round, which may come a quantum after it was read, or later at a
-    /// start that has much to read. With what it had when it was read the module would end it too late, and an answer
-    /// that came then would count for nothing.
+    /// Sets each new message's remaining time as of this round, which may come a quantum after the message was read,
+    /// or later at a start that has much to read. With the time as of reading, the dispatcher would end the message
+    /// too late, and an answer that came then would not count.
     fn set_time_left(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
         for event in events {
@@ -449,8 +453,8 @@
         }
     }
 
-    /// Answers the clients whose messages this round has seen: those refused at once hear it, the others'
-    /// messages are written down first.
+    /// Replies to the clients whose messages entered this round. A refusal is sent at once; an acceptance is sent after
+    /// the message has been written to the journal.
     fn answer_puts(&mut self, events: &[Event], actions: &[Action]) {
         let mut answers: BTreeMap<MsgId, Reply> = BTreeMap::new();
         if self.unanswered_puts.is_empty() {
@@ -490,17 +494,19 @@
             };
             let row = self.pending.get(id).and_then(|pending| self.class_table.settings(pending.row));
             let Some(rules) = row else { continue };
-            let taken = self.journal.borrow_mut().accept(id.0, accepted, rules);
-            let answer = match taken {
+            let recorded = self.journal.borrow_mut().accept(id.0, accepted, rules);
+            let answer = match recorded {
                 Ok(()) => Reply::Accepted,
                 Err(e) => {
-                    eprintln!("journal: {e}");
+                    eprintln!(
+                        "journal: recording message '{request_id}' failed, client told to retry in 1 s: {e}"
+                    );
                     Reply::Busy { retry_after_ms: 1000 }
                 }
             };
-            let taken = answer == Reply::Accepted;
-            if reply.send(answer).is_err() || !taken {
-                // Its client has gone without an answer, or is told to come again.
+            let accepted = answer == Reply::Accepted;
+            if reply.send(answer).is_err() || !accepted {
+                // The client has gone before the reply, or the reply asks it to retry later.
                 self.metrics.count(&class, MessageEnd::Refused);
                 self.write_journal(|j| j.record_message_ended(id.0, End::Closed));
                 self.by_request.remove(&request_id);
@@ -539,7 +545,7 @@
                 Action::Timer { at, token } => self.timers.push(Reverse((at, token))),
                 Action::Probe { endpoint } => self.probe(endpoint),
                 Action::CloseIdle { endpoint } => self.calls.close(endpoint),
-                // Senders share nothing here.
+                // This daemon's senders do not exchange peer notes.
                 Action::Broadcast { .. } => {}
             }
         }
@@ -548,7 +554,8 @@
         }
     }
 
-    /// The message is over but for the notice. A newcomer's client has heard it already.
+    /// Ends an undelivered message and queues its notice. Does nothing if the message was already answered with a
+    /// refusal.
     fn end_undelivered(&mut self, id: MsgId, end: End) {
         if !self.remove_pending(id) {
             return;
@@ -567,7 +574,7 @@
         _ = self.notices.send(Notice { id: id.0, request_id, end });
     }
 
-    /// The message was not sent after all.
+    /// Reports to the dispatcher that an attempt was not sent.
     fn report_skipped(&mut self, id: MsgId, attempt: u32, endpoint: EndpointId, last: bool) {
         let (outcome, elapsed, wait, report) = (Outcome::Skipped, 0, 0, None);
         self.events.push(Event::Outcome {
@@ -587,10 +594,10 @@
         let target = target.and_then(|t| t.addr.map(|addr| (t, addr)));
         let call = self.next_call;
         self.next_call += 1;
-        let (mut items, mut longest, mut last_moment) = (Vec::new(), 0, Micros::MAX);
+        let (mut items, mut longest, mut key_window_end) = (Vec::new(), 0, Micros::MAX);
         for (id, timeout) in sends {
             let Some(pending) = self.pending.get_mut(&id) else {
-                // Its client left in this very round.
+                // The message was withdrawn in this round: its client left before the reply.
                 self.report_skipped(id, 0, endpoint, true);
                 continue;
             };
@@ -605,7 +612,7 @@
             pending.call = Some(call);
             let class = self.class_table.settings(pending.row).filter(|c| c.effect == Effect::Keyed);
             if let (Some(class), Some((_, first))) = (class, entry.progress.first_possible_run()) {
-                last_moment = last_moment.min(first + class.window);
+                key_window_end = key_window_end.min(first + class.window);
             }
             longest = longest.max(timeout);
             items.push(CallItem {
@@ -627,12 +634,12 @@
             (self.calls.clone(), self.journal.clone(), self.inputs.clone(), self.clock);
         tokio::task::spawn_local(async move {
             let begin = || {
-                // A connection that is slow to come up must not carry a repeat past the time for which the
-                // destination remembers its key.
-                if clock.now() >= last_moment {
+                // A repeat must not go out after the key window, in which the destination recognises the key, even
+                // if the connection took long to open.
+                if clock.now() >= key_window_end {
                     return Vec::new();
                 }
-                // Nor a message past its end, which its client may have been told while it came up.
+                // Nor a message that ended while the connection was opening: its client may have the notice.
                 let open =
                     |id: &MsgId| journal.borrow().get(id.0).is_some_and(|entry| entry.progress.end.is_none());
                 let wanted: Vec<MsgId> = spec.items.iter().map(|i| i.id).filter(open).collect();
@@ -643,7 +650,7 @@
                 match journal.borrow_mut().record_attempts_started(ids, &target.name, clock.now()) {
                     Ok(()) => wanted,
                     Err(e) => {
-                        eprintln!("journal: {e}");
+                        eprintln!("journal: recording a call to '{}' failed, not sent: {e}", target.name);
                         Vec::new()
                     }
                 }
@@ -653,10 +660,10 @@
         });
     }
 
-    /// What a wait binds that an endpoint tells.
+    /// Returns the lane to which a wait applies that this endpoint advertises.
     fn lane(&self, id: EndpointId, endpoint: &Endpoint) -> Lane {
-        let apart = self.kinds.get(endpoint.kind).is_some_and(|kind| kind.separate_routes);
-        if apart { Lane::Route(id) } else { Lane::Whole(endpoint.dest) }
+        let separate_routes = self.kinds.get(endpoint.kind).is_some_and(|kind| kind.separate_routes);
+        if separate_routes { Lane::Route(id) } else { Lane::Whole(endpoint.dest) }
     }
 
     fn probe(&mut self, endpoint: EndpointId) {
@@ -689,21 +696,22 @@
             Some((receiver, health))
         });
         let mut journal = self.journal.borrow_mut();
-        let kept = journal
+        let recorded = journal
             .record_endpoint_health(&health)
             .and_then(|()| journal.record_receiver_health(&receivers.collect()));
-        if let Err(e) = kept {
-            eprintln!("journal: {e}");
+        if let Err(e) = recorded {
+            eprintln!("journal: recording the health of endpoints and receivers failed: {e}");
         }
     }
 
-    /// Guards against a process that is killed because it saw its time to exit only at its next round.
+    /// Returns the next time at which [`Driver::can_exit`] may change by the clock alone. Without it the process could
+    /// notice its exit time only at its next round, and be killed before.
     fn next_exit_check(&self, last: Micros) -> Micros {
         let phases = self.stopping.into_iter().flat_map(|t| [t + MIN_STAY_US, t + EXIT_DEADLINE_US]);
         phases.filter(|at| *at > last).min().unwrap_or(Micros::MAX)
     }
 
-    /// After SIGTERM: tells when all is done that can be.
+    /// Whether the process may exit: after SIGTERM, once no message or notice is open, or at the exit deadline.
     fn can_exit(&self, now: Micros) -> bool {
         let Some(since) = self.stopping.map(|t| now - t) else { return false };
         let done = self.pending.is_empty() && self.unconfirmed_notices == 0 && since > MIN_STAY_US;
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -1,5 +1,5 @@
-//! One process replaced by another, on the driver's side: what it hears from the one before it, gives to the next, and
-//! still passes on afterwards.
+//! The driver's part in replacing one process by another: it handles the frames of its predecessor, hands its state to
+//! a successor, and afterwards passes on what still arrives.
 
 use super::{Driver, EXIT_DEADLINE_US};
 use crate::calls::Lane;
@@ -13,31 +13,31 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Rounds in which a sender that hands over finishes what it has in hand: each may leave some events to the next.
+/// Rounds that a sender runs before it hands over, to process its queued events: each round may leave some to the next.
 const MAX_FINAL_ROUNDS: usize = 8;
-/// The next process is told of the last outcomes within this.
+/// Time for sending the last outcomes to the successor before exiting.
 const FINAL_SEND_TIMEOUT: Duration = Duration::from_millis(200);
-/// A sender that was replaced looks this often whether it has anything left.
+/// Interval at which a replaced sender checks whether it has anything left to do.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where processes of a sender replace each other.
+/// The lock on the journal and the links to the processes before and after this one.
 pub struct HandoverContext {
     pub lock: Lock,
-    /// The process before this one: what it has handed over, and the link to it.
+    /// The state that the predecessor has handed over, and the link to it.
     pub predecessor: Option<(Box<State>, Link)>,
-    /// Processes that ask for the journal.
+    /// Successors that ask for the journal.
     pub takeover_requests: mpsc::Receiver<(Owner, Link)>,
 }
 
-/// The process before this one, while it lives.
+/// The process that this one has replaced, while it still has calls or clients.
 pub(super) struct Predecessor {
     pub(super) send: mpsc::UnboundedSender<Frame>,
-    /// Attempts that it has out, in which of its calls, and to which endpoint.
+    /// Its attempts in flight, each with the number of its call and the endpoint.
     pub(super) attempts_in_flight: BTreeMap<(MsgId, u32), (u64, EndpointId)>,
 }
 
 impl Driver {
-    /// Follows what the process before this one says, until it ends.
+    /// Passes the predecessor's frames to the driver until the predecessor ends.
     pub(super) fn follow_predecessor(
         &self,
         link: Link,
@@ -59,7 +59,7 @@
         Predecessor { send, attempts_in_flight: attempts_in_flight.collect() }
     }
 
-    /// What the process before this one says.
+    /// Handles a put or an outcome that the predecessor passes on.
     pub(super) fn handle_predecessor_frame(&mut self, frame: Frame) {
         let Some(predecessor) = &mut self.predecessor else { return };
         match frame {
@@ -73,9 +73,9 @@
                 self.handle_put(put, reply);
             }
             Frame::Ended { call, fates, elapsed, wait, report } => {
-                let gone = fates.iter().map(|f| predecessor.attempts_in_flight.remove(&(f.id, f.attempt)));
-                let endpoint = gone.flatten().map(|(_, endpoint)| endpoint).last();
-                // Connections of this process that are coming up have not heard of it.
+                let removed = fates.iter().map(|f| predecessor.attempts_in_flight.remove(&(f.id, f.attempt)));
+                let endpoint = removed.flatten().map(|(_, endpoint)| endpoint).last();
+                // Calls of this process whose connections are still opening must respect the wait too.
                 let (endpoints, journal) = (self.endpoints.borrow(), self.journal.borrow());
                 let listed = endpoint.and_then(|id| Some(self.lane(id, endpoints.get(id)?)));
                 let dest = || Some(journal.get(fates.first()?.id.0)?.accepted.dest);
@@ -92,12 +92,12 @@
         }
     }
 
-    /// The process before this one has ended. What it had out may have run.
-    pub(super) fn former_gone(&mut self) {
+    /// Ends the predecessor's attempts in flight when it has exited: those that had begun may have run.
+    pub(super) fn handle_predecessor_gone(&mut self) {
         self.shared.two_processes.set(false);
         let Some(predecessor) = self.predecessor.take() else { return };
         let journal = self.journal.borrow();
-        // What had not begun when the journal was given away could not begin after that.
+        // An attempt that had not begun when the journal was handed over could not begin after that.
         let begun = |id: MsgId| journal.get(id.0).is_none_or(|entry| entry.progress.in_flight.is_some());
         let fate = |(id, attempt)| {
             let outcome = if begun(id) { Outcome::Cancelled } else { Outcome::Skipped };
@@ -106,13 +106,14 @@
         let fates: Vec<Fate> = predecessor.attempts_in_flight.into_keys().map(fate).collect();
         drop(journal);
         if !fates.is_empty() {
-            eprintln!("handover: the process before this one has ended with {} attempts out", fates.len());
+            eprintln!("handover: the previous process exited with {} attempts in flight", fates.len());
             let endpoint = EndpointId(u32::MAX);
             self.handle_call_end(u64::MAX, CallEnd { endpoint, fates, elapsed: 0, wait: 0, report: None });
         }
     }
 
-    /// Gives the journal to a process that asks for it; the link to it once it has it. Otherwise this one serves on.
+    /// Hands the journal to a successor that asks for it. Returns the link to it once it has the journal; None if it
+    /// failed to take over and this process serves on.
     pub(super) async fn hand_over(&mut self, mut owner: Owner, mut link: Link) -> Option<Link> {
         for _ in 0..MAX_FINAL_ROUNDS {
             self.round();
@@ -122,26 +123,26 @@
         }
         let state = Frame::State(Box::new(self.handover_state()));
         let lock = &self.handover.as_ref()?.lock;
-        // Calls whose connections are still coming up can't begin from here on: none goes out unwritten.
+        // With the journal closed, calls whose connections are still opening can't begin: none goes out unrecorded.
         self.journal.borrow_mut().set_closed(true);
         let released = lock.release();
-        let mut then = owner.on(OwnerEvent::Gave);
+        let mut step = owner.on(OwnerEvent::Gave);
         if released.is_err() || link.send(&state).await.is_err() {
-            then = owner.on(OwnerEvent::Gone);
+            step = owner.on(OwnerEvent::Gone);
         }
         loop {
-            match then {
+            match step {
                 OwnerDo::Retire => return Some(link),
                 OwnerDo::ServeOn => {
-                    eprintln!("handover: the newcomer has not taken over; serving on");
+                    eprintln!("handover: the new process did not take over; this process continues to serve");
                     self.journal.borrow_mut().set_closed(false);
                     return None;
                 }
                 OwnerDo::Reclaim => {
-                    let mine = lock.try_acquire().unwrap_or(false);
-                    then = owner.on(OwnerEvent::Reclaimed(mine));
-                    if !mine {
-                        // Whoever has the lock writes the journal; once told to end there is nothing left to do.
+                    let reclaimed = lock.try_acquire().unwrap_or(false);
+                    step = owner.on(OwnerEvent::Reclaimed(reclaimed));
+                    if !reclaimed {
+                        // The lock's holder writes the journal. After a stop signal nothing is left to do here.
                         if self.status.get().phase() == Phase::Stopping {
                             return Some(link);
                         }
@@ -149,13 +150,13 @@
                     }
                 }
                 _ => {
-                    then = owner.on(link.receive_soon().await.event());
+                    step = owner.on(link.receive_soon().await.event());
                 }
             }
         }
     }
 
-    /// What the next process has to know beside the journal.
+    /// Returns the state that the successor needs beside the journal.
     pub(super) fn handover_state(&self) -> State {
         let (learnt, out) = self.dispatcher.handover_state();
         let endpoints = self.endpoints.borrow();
@@ -172,33 +173,34 @@
         }
     }
 
-    /// After another process has taken over: passes on what still comes to this one, and ends with its last call and
-    /// its last client.
+    /// Runs after a successor has taken over: passes on puts, replies and outcomes, and returns with the last call and
+    /// the last client, or at the exit deadline.
     pub(super) async fn forward_until_idle(mut self, mut inbox: mpsc::Receiver<Input>, link: Link) {
         _ = self.status.change(Change::HandedOver);
         self.calls.close_all();
         self.metrics.outstanding.set(0);
         let BackgroundLink { send, mut frames, task } = link.run_in_background();
-        let (mut asked, mut number, mut linked) = (HashMap::<u64, oneshot::Sender<Reply>>::new(), 0, true);
+        let (mut awaiting_reply, mut number, mut linked) =
+            (HashMap::<u64, oneshot::Sender<Reply>>::new(), 0, true);
         loop {
             tokio::select! {
                 biased;
                 frame = frames.recv(), if linked => match frame {
                     Some(Frame::Reply { number, reply }) => {
-                        _ = asked.remove(&number).map(|answer| answer.send(reply));
+                        _ = awaiting_reply.remove(&number).map(|answer| answer.send(reply));
                     }
                     Some(Frame::Cancel { call }) => {
                         _ = self.calls_in_flight.get_mut(&call).and_then(Option::take).map(|cancel| cancel.send(()));
                     }
                     Some(_) => {}
-                    // Dropping what waits tells its clients to come again.
-                    None => (linked, asked) = (false, HashMap::new()),
+                    // Dropping the reply channels makes the clients' replies "busy, retry".
+                    None => (linked, awaiting_reply) = (false, HashMap::new()),
                 },
                 Some(input) = inbox.recv() => match input {
                     Input::Put(put, answer) => {
                         number += 1;
                         if linked && send.send(Frame::Put { number, put }).is_ok() {
-                            asked.insert(number, answer);
+                            awaiting_reply.insert(number, answer);
                         }
                     }
                     Input::CallEnded(call, CallEnd { fates, elapsed, wait, report, .. }) => {
@@ -221,7 +223,7 @@
     }
 }
 
-/// The next process that asks for the journal, where one can.
+/// Waits for the next successor that asks for the journal; for ever where handover is not set up.
 pub(super) async fn next_takeover_request(handover: &mut Option<HandoverContext>) -> Option<(Owner, Link)> {
     match handover {
         Some(handover) => handover.takeover_requests.recv().await,
--- a/crates/sender/src/driver/recovered.rs
+++ b/crates/sender/src/driver/recovered.rs
@@ -1,28 +1,28 @@
-//! Messages that a restart recovers from the journal and that were not attempted yet (or by attempts only that surely
-//! never ran), and what becomes of them: each is still to get a call while its time lasts. The log tells of them once
-//! the last has got one or is over.
+//! Counts the messages that a restart recovers from the journal and that were never attempted, or only by attempts that
+//! certainly did not run. Each is to get a call before its deadline. The counts are logged once the last of them has
+//! had a call or has ended.
 
 use heronroute::{Micros, MsgId};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The messages that wait for their first call since the start, with the end of each one's time and the calls that had
-/// begun before; and how many of the others fared how. Bounded by what the journal held.
+/// The recovered messages that wait for their first call, and the outcomes of the others. Bounded by the journal.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct RecoveredMessages {
+    /// The deadline of each, and the calls with it that had begun before the start.
     waiting: BTreeMap<MsgId, (Micros, u32)>,
-    /// Over before this process began.
+    /// Past their deadline at the start.
     late: usize,
     called: usize,
-    /// Over with no call when their time was.
+    /// Ended at their deadline without a call.
     expired: usize,
-    /// Over with no call and with time left.
+    /// Ended before their deadline without a call.
     given_up: usize,
 }
 
 impl RecoveredMessages {
-    /// One was found at the start.
-    pub(super) fn found(&mut self, id: MsgId, deadline: Micros, begun: u32, now: Micros) {
+    /// Adds a message found in the journal at the start, with the number of its calls that had begun.
+    pub(super) fn add(&mut self, id: MsgId, deadline: Micros, begun: u32, now: Micros) {
         if deadline > now {
             self.waiting.insert(id, (deadline, begun));
         } else {
@@ -30,8 +30,8 @@
         }
     }
 
-    /// So many calls of a message have begun in all. Whether it was the last that waited for one.
-    pub(super) fn call(&mut self, id: MsgId, begun: u32) -> bool {
+    /// Records that `begun` calls with a message have begun in all. Returns whether it was the last one waiting.
+    pub(super) fn record_calls(&mut self, id: MsgId, begun: u32) -> bool {
         let waited = self.waiting.get(&id).is_some_and(|(_, before)| begun > *before);
         if waited {
             self.waiting.remove(&id);
@@ -40,8 +40,9 @@
         waited && self.waiting.is_empty()
     }
 
-    /// A message is over; `slack` is how long before its time that may be. Whether it was the last that waited.
-    pub(super) fn over(&mut self, id: MsgId, now: Micros, slack: Micros) -> bool {
+    /// Records that a message has ended; within `slack` before its deadline it counts as expired. Returns whether it was
+    /// the last one waiting.
+    pub(super) fn record_end(&mut self, id: MsgId, now: Micros, slack: Micros) -> bool {
         let Some((deadline, _)) = self.waiting.remove(&id) else { return false };
         if deadline - now <= slack {
             self.expired += 1
@@ -51,7 +52,7 @@
         self.waiting.is_empty()
     }
 
-    /// Whether any was found.
+    /// Whether any message was added.
     pub(super) fn any(&self) -> bool {
         *self != RecoveredMessages::default()
     }
@@ -63,9 +64,9 @@
         let found = waiting.len() + late + called + expired + given_up;
         write!(
             f,
-            "untried since an earlier run: {found} found, {late} of them out of time; {called} called, "
+            "recovered unattempted messages: {found} found, {late} past their deadline; {called} attempted, "
         )?;
-        write!(f, "{expired} ended in time with no call, {given_up} given up, {} waiting", waiting.len())
+        write!(f, "{expired} expired, {given_up} ended before their deadline, {} waiting", waiting.len())
     }
 }
 
@@ -74,24 +75,24 @@
     use super::*;
 
     #[test]
-    fn each_one_is_counted_once_and_the_last_is_told() {
-        let mut u = RecoveredMessages::default();
-        assert!(!u.any());
+    fn each_message_is_counted_once_and_the_last_is_reported() {
+        let mut recovered = RecoveredMessages::default();
+        assert!(!recovered.any());
         for (id, deadline) in [(1, 5), (2, 100), (3, 100), (4, 100)] {
-            u.found(MsgId(id), deadline, 2, 10);
+            recovered.add(MsgId(id), deadline, 2, 10);
         }
         assert!(
-            !u.call(MsgId(2), 2)
-                && u.waiting.len() == 3
-                && !u.call(MsgId(2), 3)
-                && !u.call(MsgId(2), 4)
-                && !u.over(MsgId(2), 20, 0)
-                && !u.over(MsgId(9), 20, 0)
+            !recovered.record_calls(MsgId(2), 2)
+                && recovered.waiting.len() == 3
+                && !recovered.record_calls(MsgId(2), 3)
+                && !recovered.record_calls(MsgId(2), 4)
+                && !recovered.record_end(MsgId(2), 20, 0)
+                && !recovered.record_end(MsgId(9), 20, 0)
         );
-        assert!(!u.over(MsgId(3), 95, 5));
-        assert!(u.over(MsgId(4), 94, 5));
-        let told = "untried since an earlier run: 4 found, 1 of them out of time; 1 called, \
-                    1 ended in time with no call, 1 given up, 0 waiting";
-        assert!(u.any() && u.to_string() == told, "{u}");
+        assert!(!recovered.record_end(MsgId(3), 95, 5));
+        assert!(recovered.record_end(MsgId(4), 94, 5));
+        let expected = "recovered unattempted messages: 4 found, 1 past their deadline; 1 attempted, \
+                        1 expired, 1 ended before their deadline, 0 waiting";
+        assert!(recovered.any() && recovered.to_string() == expected, "{recovered}");
     }
 }
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -1,4 +1,4 @@
-//! How a driver comes to its list, and to what an earlier run or the process before this one has left.
+//! The driver's start: obtaining the endpoint listing, and restoring what the journal or the predecessor holds.
 
 use super::{Driver, PendingMessage, SET_IN_ROUND};
 use crate::endpoint_table::EndpointTable;
@@ -12,27 +12,27 @@
 use std::collections::{BTreeSet, HashMap};
 use tokio::sync::mpsc;
 
-/// The list that was given with the configuration.
+/// The endpoint listing given with the configuration.
 pub enum InitialList {
-    /// There is none.
+    /// The configuration has none.
     Missing,
-    /// As it was given.
+    /// Not applied to the endpoint table yet.
     Configured(Listing),
-    /// The fleet has taken it over, and discovery's word after it: it must not be taken over again.
+    /// Applied to the endpoint table. Discovery's listing may have been applied since, so it must not be applied again.
     Applied(Vec<EndpointEntry>),
 }
 
 impl InitialList {
-    /// What the configuration gave.
+    /// Wraps the configuration's listing; an empty one counts as missing.
     pub fn from_config(list: Option<Listing>) -> Self {
         list.filter(|l| !l.endpoints.is_empty()).map_or(InitialList::Missing, InitialList::Configured)
     }
 }
 
 impl Driver {
-    /// The list must be known before anything is sent. Discovery's own word is waited for, since the list
-    /// given at the start may be old; without it, that list must do. What comes in meanwhile is given back:
-    /// what an earlier run left goes first.
+    /// Waits for an endpoint listing, which is needed before anything is sent. The configuration's may be old, so
+    /// discovery's is awaited; after `list_wait` the configuration's is used. Returns the inputs that arrived
+    /// meanwhile, to be handled after the restored messages; None if the stop signal came.
     pub(super) async fn wait_for_list(
         &mut self,
         inbox: &mut mpsc::Receiver<Input>,
@@ -68,14 +68,22 @@
         }
     }
 
-    /// Hands the dispatcher what an earlier run left in the journal, or what a process has that this one replaces.
+    /// Passes to the dispatcher what an earlier run left in the journal, and what the predecessor has handed over.
     pub(super) fn restore(&mut self) {
-        let handed = self.handover.as_mut().and_then(|handover| handover.predecessor.take());
+        let handed_over = self.handover.as_mut().and_then(|handover| handover.predecessor.take());
         let mut restored = Vec::new();
-        let mut out = Vec::new();
-        let (mut attempts, mut in_call) = (HashMap::new(), HashMap::new());
-        if let Some((state, link)) = handed {
-            let State { next_message, next_call, lame_duck, names, mut learnt, out: calls, .. } = *state;
+        let mut inherited_calls = Vec::new();
+        let (mut attempts, mut call_of_message) = (HashMap::new(), HashMap::new());
+        if let Some((state, link)) = handed_over {
+            let State {
+                next_message,
+                next_call,
+                lame_duck,
+                names,
+                learnt: mut dispatcher_state,
+                out: calls,
+                ..
+            } = *state;
             self.journal.borrow_mut().reserve_numbers_below(next_message);
             self.next_call = next_call;
             if lame_duck {
@@ -83,23 +91,25 @@
             }
             let names: HashMap<EndpointId, String> = names.into_iter().collect();
             let endpoints = self.endpoints.borrow();
-            // One that is listed no more, but has calls out, bears a number that no listed one will.
-            let abroad: BTreeSet<EndpointId> = calls.iter().map(InFlightCall::endpoint).collect();
+            // An endpoint with calls in flight that is no longer listed gets a number that no listed one will have.
+            let unlisted: BTreeSet<EndpointId> = calls.iter().map(InFlightCall::endpoint).collect();
             let number = |id: EndpointId| {
                 let known = names.get(&id).and_then(|name| endpoints.number(name));
                 known.or_else(|| {
-                    let at = abroad.iter().position(|other| *other == id)?;
+                    let at = unlisted.iter().position(|other| *other == id)?;
                     Some(EndpointId(u32::MAX - 1 - u32::try_from(at).ok()?))
                 })
             };
-            learnt.renumber(number);
-            out = calls;
-            out.iter_mut().for_each(|call| call.renumber(number(call.endpoint()).unwrap_or_default()));
+            dispatcher_state.renumber(number);
+            inherited_calls = calls;
+            inherited_calls
+                .iter_mut()
+                .for_each(|call| call.renumber(number(call.endpoint()).unwrap_or_default()));
             drop(endpoints);
-            self.events.push(Event::StateInherited(Box::new(learnt)));
+            self.events.push(Event::StateInherited(Box::new(dispatcher_state)));
             attempts.extend(state.attempts);
-            in_call.extend(state.calls);
-            self.predecessor = Some(self.follow_predecessor(link, &out, &in_call));
+            call_of_message.extend(state.calls);
+            self.predecessor = Some(self.follow_predecessor(link, &inherited_calls, &call_of_message));
         }
         let (journal, endpoints, now) = (self.journal.borrow(), self.endpoints.borrow(), self.clock.now());
         for (name, health) in journal.health().filter(|_| self.predecessor.is_none()) {
@@ -115,19 +125,19 @@
             let request_id = message.request_id.clone();
             if let Some(end) = progress.end {
                 self.unconfirmed_notices += 1;
-                // The platform hears of it from this process, which counts from nought.
+                // This process, whose counters began at zero, sends the notice and so counts the end.
                 self.metrics.count(&message.class, MessageEnd::of(end));
                 _ = self.notices.send(Notice { id, request_id, end });
                 continue;
             }
-            // An endpoint that is listed no more has no number; any that no one has will do.
+            // An endpoint that is no longer listed has no number; an unused one takes its place.
             let number = |name: &str| endpoints.number(name).unwrap_or(EndpointId(u32::MAX));
-            // Under the rules by which it was taken on, whatever the configuration says by now.
+            // The rules under which the message was accepted apply, whatever the configuration has now.
             let rules = journal.rules(entry);
             let row =
                 self.class_table.row_for_restored(&message.class, rules.as_ref(), now).unwrap_or(usize::MAX);
             let attempts = attempts.get(&MsgId(id)).copied().unwrap_or(progress.attempts);
-            let call = in_call.get(&MsgId(id)).copied();
+            let call = call_of_message.get(&MsgId(id)).copied();
             restored.push(Event::MessageRestored {
                 id: MsgId(id),
                 class: row,
@@ -135,11 +145,12 @@
                 dest: DestId(message.dest),
                 time_left: SET_IN_ROUND,
                 attempts,
-                // The journal knows of those that began. One that is out and has not will be told of yet.
+                // The journal records the attempts that began. The outcome of one in flight that has not is still to
+                // come from the predecessor.
                 unreached: attempts
                     .saturating_sub(progress.attempts)
                     .saturating_sub(u32::from(call.is_some() && progress.in_flight.is_none())),
-                // What the process before this one has out may still end well.
+                // The predecessor's attempt in flight may still succeed.
                 may_have_run: match call {
                     Some(_) => progress.may_have_run.as_ref(),
                     None => progress.first_possible_run(),
@@ -147,7 +158,7 @@
                 .map(|(name, at)| (number(name), *at)),
             });
             if progress.first_possible_run().is_none() {
-                self.recovered.found(MsgId(id), message.deadline, progress.attempts, now);
+                self.recovered.add(MsgId(id), message.deadline, progress.attempts, now);
             }
             self.by_request.insert(request_id, MsgId(id));
             self.class_table.add_message(row);
@@ -158,20 +169,20 @@
         self.metrics.register_classes(self.class_table.names());
         self.events.push(Event::ClassesChanged(self.class_table.classes()));
         self.events.append(&mut restored);
-        if !out.is_empty() {
-            self.events.push(Event::CallsInherited(out));
+        if !inherited_calls.is_empty() {
+            self.events.push(Event::CallsInherited(inherited_calls));
         }
         let (mut journal, pending) = (self.journal.borrow_mut(), self.pending.iter());
         for (id, _) in pending.filter(|(_, pending)| pending.call.is_none()) {
             if let Err(e) = journal.record_attempt_settled(id.0, true) {
-                eprintln!("journal: {e}");
+                eprintln!("journal: recording the end of an earlier run's attempt failed: {e}");
             }
         }
     }
 }
 
-/// What an earlier run knew of receivers as a whole. A journal of an earlier version does not tell: those to which it
-/// holds messages, or whose endpoints were failing, may be out or just be coming back.
+/// Returns the receivers' health as of the earlier run. A journal of an earlier version has no records of it: receivers
+/// for which it holds messages, or whose endpoints were failing, may be down or warming up, and count as unknown.
 fn restored_receivers(journal: &Journal, endpoints: &EndpointTable) -> Vec<Event> {
     let mut unknown = BTreeSet::new();
     if !journal.has_receiver_records() {
@@ -184,6 +195,8 @@
         Receiver::Destination(dest) => Some((DestId(*dest), None, health)),
         Receiver::Route(dest, name) => Some((DestId(*dest), Some(endpoints.number(name)?), health)),
     });
-    let recalled = unknown.chain(known);
-    recalled.map(|(dest, route, health)| Event::ReceiverHealthRestored { dest, route, health }).collect()
+    unknown
+        .chain(known)
+        .map(|(dest, route, health)| Event::ReceiverHealthRestored { dest, route, health })
+        .collect()
 }
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -1,4 +1,4 @@
-//! What the parts of the sender tell each other.
+//! The inputs that the daemon's parts send to the driver, and the notices that it sends out.
 
 use embershore_handover::Frame;
 use embershore_protocol::notice::End;
@@ -6,30 +6,32 @@
 use heronroute::{ClassSettings, EndpointEntry, EndpointId, LoadReport, Micros, Outcome};
 use tokio::sync::oneshot;
 
-/// What can happen to a sender.
+/// An input to the driver.
 #[derive(Debug)]
 pub enum Input {
+    /// A client's message, and the channel for the reply.
     Put(Put, oneshot::Sender<Reply>),
-    EndpointsListed {
-        index: u64,
-        full: bool,
-        entries: Vec<EndpointEntry>,
-    },
+    /// A listing from discovery: complete, or the changes since the last one.
+    EndpointsListed { index: u64, full: bool, entries: Vec<EndpointEntry> },
+    /// The end of the call with this number.
     CallEnded(u64, CallEnd),
+    /// The outcome of a probe.
     Probed(EndpointId, Outcome, Option<LoadReport>),
+    /// The platform has confirmed the notices of these messages.
     NoticesConfirmed(Vec<u64>),
-    /// The classes of a configuration that has been read again.
+    /// The classes of a reloaded configuration.
     ClassesReloaded(Vec<(String, ClassSettings)>),
-    /// What the process that this one replaces has to say.
+    /// A frame from the predecessor.
     PredecessorFrame(Frame),
-    /// It has ended.
+    /// The predecessor has exited.
     PredecessorGone,
+    /// SIGTERM.
     Stop,
 }
 
 pub use embershore_handover::Fate;
 
-/// How a call ended.
+/// The end of a call, with each message's outcome.
 #[derive(Debug)]
 pub struct CallEnd {
     pub endpoint: EndpointId,
@@ -39,7 +41,7 @@
     pub report: Option<LoadReport>,
 }
 
-/// An end that the platform is owed.
+/// An undelivered message's end, to be reported to the platform.
 #[derive(Debug)]
 pub struct Notice {
     pub id: u64,
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -1,8 +1,8 @@
-//! What outlasts the process: every message taken on and not yet over, what has been tried with it, the
-//! notices still owed, and which endpoints and receivers were failing or refusing calls.
+//! The journal: every accepted message that has not ended, its attempts, the notices not yet confirmed, and the
+//! health of endpoints and receivers. It survives the process.
 //!
-//! An append-only file of records, each `length (u32 LE), CRC-32 of the payload (u32 LE), payload`, the
-//! payload a [`Record`] in postcard's form. The same records rebuild the same [`Journal`] at the next start.
+//! An append-only file of records, each `length (u32 LE), CRC-32 of the payload (u32 LE), payload`, the payload a
+//! [`Record`] encoded by postcard. Replaying the records at the next start rebuilds the same [`Journal`].
 
 use bytes::Bytes;
 use embershore_protocol::notice::End;
@@ -14,19 +14,19 @@
 use std::path::{Path, PathBuf};
 
 const HEADER_BYTES: usize = 8;
-/// A record holds one message of 64 KiB at most; anything longer is damage.
+/// A longer record counts as damaged: a record holds one message of at most 64 KiB.
 const MAX_RECORD_BYTES: usize = 1 << 20;
-/// Below this size a journal is left as it is.
+/// A journal below this size is not compacted, unless space runs out.
 const MIN_COMPACT_BYTES: u64 = 256 * 1024;
-/// Part of the limit that new messages leave free for what becomes of the ones taken on.
+/// Share of the size limit that new messages leave free, for the progress records of the accepted ones.
 const OUTCOME_RESERVE: f64 = 0.1;
 
-/// Bytes that a record of rules takes, at the most.
+/// Upper bound of a rules record.
 const MAX_RULES_BYTES: u64 = 96;
-/// Endpoints that are remembered as draining or gone.
+/// Number of draining or gone endpoints that are recorded.
 const MAX_NOT_READY: usize = 500;
 
-/// A message as it was handed in. Times are wall-clock microseconds.
+/// A message as the client submitted it. Times are wall-clock microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
     pub request_id: String,
@@ -38,14 +38,14 @@
     pub body: Bytes,
 }
 
-/// A class's rules under which messages were taken on, in a form that does not change with the module's types.
+/// The class rules under which messages were accepted, encoded independently of the dispatcher's types.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
     aim: Micros,
     deadline: Micros,
-    /// 0 free, 1 guarded, 2 single-shot.
+    /// 0 safe, 1 keyed, 2 unsafe.
     effect: u8,
-    /// 0 all endpoints, 1 a zone's, 2 one.
+    /// Deduplication scope: 0 all endpoints, 1 one zone, 2 one endpoint.
     group: u8,
     window: Micros,
     ordered: bool,
@@ -79,7 +79,7 @@
         let effect = match rules.effect {
             0 => Effect::Safe,
             1 => Effect::Keyed,
-            // What a later version may write is taken for what allows least.
+            // Values that a later version may write are read as the most restrictive one.
             _ => Effect::Unsafe,
         };
         let group = match rules.group {
@@ -101,23 +101,23 @@
     }
 }
 
-/// An attempt: to which endpoint and when.
+/// An attempt: the endpoint's name and the time.
 pub type Attempt = (String, Micros);
 
-/// What has become of a message.
+/// The progress of a message.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
     pub attempts: u32,
-    /// The attempt with no outcome yet.
+    /// The attempt that has no outcome yet.
     pub in_flight: Option<Attempt>,
     /// The first attempt that may have run.
     pub may_have_run: Option<Attempt>,
-    /// Its end, while the platform has not confirmed the notice.
+    /// The message's end, until the platform has confirmed the notice.
     pub end: Option<End>,
 }
 
 impl Progress {
-    /// The first attempt that may have run; one that is out may.
+    /// Returns the first attempt that may have run, which includes the one in flight.
     pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.may_have_run.as_ref().or(self.in_flight.as_ref())
     }
@@ -130,14 +130,14 @@
     warm_since: Option<Micros>,
 }
 
-/// A receiver as a whole: a destination by its number, or an endpoint by its name where routes are apart.
+/// A receiver: a destination by number, or one route of it by endpoint name where routes are separate.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Receiver {
     Destination(i64),
     Route(i64, String),
 }
 
-/// [`ReceiverHealth`] in a form that does not change with the module's types.
+/// [`ReceiverHealth`] encoded independently of the dispatcher's types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ReceiverCondition {
     bad_since: Option<Micros>,
@@ -185,12 +185,12 @@
     NoticesConfirmed(Vec<u64>),
     EndpointHealth(String, Option<EndpointCondition>),
     EndpointListed(String, Option<u64>),
-    /// Rules and their number, before the first message under them.
+    /// Rules and their number; precedes the first message under them.
     Rules(u32, Rules),
-    /// As `Message`, under the rules of that number.
+    /// Like `Message`, with the number of its rules.
     MessageUnderRules(u32, u64, Accepted, Progress),
     ReceiverHealth(Receiver, Option<ReceiverCondition>),
-    /// From here on receivers are kept: one that has no record was well.
+    /// From this record on receivers' health is recorded: a receiver without a record was healthy.
     ReceiversRecorded,
 }
 
@@ -198,12 +198,12 @@
 pub struct Entry {
     pub accepted: Accepted,
     pub progress: Progress,
-    /// The number of its rules; none in a journal from before there were any.
+    /// The number of its rules; None for a message from a journal version without rules records.
     rules: Option<u32>,
     size: u64,
 }
 
-/// The journal and the table of messages that it keeps.
+/// The journal file and the state that its records describe.
 #[derive(Debug)]
 pub struct Journal {
     path: PathBuf,
@@ -213,15 +213,15 @@
     entries: BTreeMap<u64, Entry>,
     health: BTreeMap<String, EndpointCondition>,
     receivers: BTreeMap<Receiver, ReceiverCondition>,
-    /// A receiver without a record was well; a journal of an earlier version does not tell.
+    /// Whether the journal records receivers' health; earlier versions did not. If so, one without a record was healthy.
     receivers_recorded: bool,
-    /// Endpoints told to be draining or gone, with the version of the list that told it.
+    /// Endpoints listed as draining or gone, with the version of that listing.
     not_ready: BTreeMap<String, u64>,
-    /// Rules by number. Those without messages go when the journal is compacted.
+    /// Rules by number. Compaction drops those without messages.
     rules: BTreeMap<u32, Rules>,
     live_bytes: u64,
     next_number: u64,
-    /// Another process writes to it.
+    /// Set while another process owns the journal: nothing is written.
     closed: bool,
 }
 
@@ -234,7 +234,7 @@
     Ok(frame)
 }
 
-/// The first record of `bytes` and its length, unless it is torn or damaged.
+/// Decodes the first record of `bytes` and returns it with its length; None if it is truncated or damaged.
 fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
     let word = |at: usize| bytes.get(at..at + 4)?.try_into().ok().map(u32::from_le_bytes);
     let (len, sum) = (word(0)? as usize, word(4)?);
@@ -246,7 +246,7 @@
 }
 
 impl Journal {
-    /// Opens the journal in `folder` and replays it. A torn tail, as a killed process leaves, is cut off.
+    /// Opens the journal in `folder` and replays it. A truncated last record, as a killed process may leave, is cut off.
     pub fn open(folder: &Path, limit: u64) -> io::Result<Journal> {
         let path = folder.join("journal");
         match fs::remove_file(path.with_extension("new")) {
@@ -278,13 +278,17 @@
             journal.apply(record, size as u64);
         }
         if at < bytes.len() {
-            eprintln!("journal: cutting off {} bytes that are no whole record", bytes.len() - at);
+            eprintln!(
+                "journal: discarding {} bytes of an incomplete or damaged record at offset {at}",
+                bytes.len() - at
+            );
             journal.file.set_len(at as u64)?;
         }
         journal.len = at as u64;
         Ok(journal)
     }
 
+    /// Applies a record to the state in memory.
     fn apply(&mut self, record: Record, size: u64) {
         match record {
             Record::Message(id, accepted, progress) => self.insert(id, accepted, progress, None, size),
@@ -338,23 +342,23 @@
         }
     }
 
-    /// What a compacted journal would take: tries and ailments are small, so a flat allowance will do.
+    /// Estimates the compacted journal's size, with a flat allowance for attempts and health records, which are small.
     fn compacted_len(&self) -> u64 {
         let names = self.health.len() + self.not_ready.len() + self.receivers.len() + 1;
         self.live_bytes + 160 * self.entries.len() as u64 + 96 * (names + self.rules.len()) as u64
     }
 
-    /// Guards the disk limit: old and new file together stay under it, whenever the journal is compacted.
+    /// Appends a record if the old and the new file together stay below the size limit at any later compaction.
     fn append(&mut self, record: Record, reserve: u64) -> io::Result<()> {
         let frame = encode(&record)?;
         self.make_room(frame.len() as u64, reserve)?;
         self.write(frame, record)
     }
 
-    /// Compacts the journal where that is due or needed.
+    /// Compacts the journal if that is due or needed, and fails if `size` more bytes do not fit.
     fn make_room(&mut self, size: u64, reserve: u64) -> io::Result<()> {
         if self.closed {
-            return Err(io::Error::other("another process has the journal"));
+            return Err(io::Error::other("another process owns the journal"));
         }
         let fits = |j: &Journal| j.len + j.compacted_len() + 2 * size + 2048 <= j.limit - reserve;
         if self.len > MIN_COMPACT_BYTES.min(self.limit / 4) && self.len > 2 * self.compacted_len()
@@ -363,7 +367,9 @@
             self.compact()?;
         }
         if !fits(self) {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal is full"));
+            let text =
+                format!("the journal is full: {} bytes, limits.disk_mb allows {}", self.len, self.limit);
+            return Err(io::Error::new(io::ErrorKind::StorageFull, text));
         }
         Ok(())
     }
@@ -371,7 +377,7 @@
     fn write(&mut self, frame: Vec<u8>, record: Record) -> io::Result<()> {
         let size = frame.len() as u64;
         if let Err(e) = self.file.write_all(&frame) {
-            // A record written in part would hide all that follow it.
+            // A partly written record would make all records after it unreadable.
             self.file.set_len(self.len)?;
             return Err(e);
         }
@@ -380,7 +386,7 @@
         Ok(())
     }
 
-    /// Writes what still matters to a new file and puts it in the old one's place.
+    /// Writes the current state to a new file and renames it over the old one.
     fn compact(&mut self) -> io::Result<()> {
         if self.len + self.compacted_len() > self.limit {
             return Ok(());
@@ -399,8 +405,8 @@
             })?;
             bytes.extend_from_slice(&frame);
         }
-        for (name, ailment) in &self.health {
-            bytes.extend_from_slice(&encode(&Record::EndpointHealth(name.clone(), Some(*ailment)))?);
+        for (name, condition) in &self.health {
+            bytes.extend_from_slice(&encode(&Record::EndpointHealth(name.clone(), Some(*condition)))?);
         }
         for (receiver, condition) in &self.receivers {
             bytes.extend_from_slice(&encode(&Record::ReceiverHealth(receiver.clone(), Some(*condition)))?);
@@ -425,7 +431,7 @@
         Ok(())
     }
 
-    /// Takes a message on under these rules. On an error nothing has been taken on.
+    /// Records a message accepted under these rules. After an error the message has not been accepted.
     pub fn accept(&mut self, id: u64, accepted: Accepted, class: &ClassSettings) -> io::Result<()> {
         let reserve = (self.limit as f64 * OUTCOME_RESERVE) as u64;
         let rules = Rules::from(class);
@@ -433,7 +439,7 @@
         let number = known.unwrap_or_else(|| self.rules.keys().next_back().map_or(0, |last| last + 1));
         let message = Record::MessageUnderRules(number, id, accepted, Progress::default());
         let frame = encode(&message)?;
-        // Room is made first: a compaction drops rules without messages.
+        // Room is made before the rules are written, since a compaction drops rules without messages.
         self.make_room(frame.len() as u64 + MAX_RULES_BYTES, reserve)?;
         if !self.rules.contains_key(&number) {
             let rules = Record::Rules(number, rules);
@@ -442,38 +448,38 @@
         self.write(frame, message)
     }
 
-    /// The rules under which a message was taken on.
+    /// Returns the rules under which a message was accepted.
     pub fn rules(&self, entry: &Entry) -> Option<ClassSettings> {
         self.rules.get(&entry.rules?).map(ClassSettings::from)
     }
 
-    /// A number that no message in the journal has, nor any that this process has been given.
+    /// Returns a new message number.
     pub fn allocate_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number - 1
     }
 
-    /// Numbers below this have been given by the process before this one.
+    /// Skips the numbers below `next`, which the predecessor has given.
     pub fn reserve_numbers_below(&mut self, next: u64) {
         self.next_number = self.next_number.max(next);
     }
 
-    /// The number that comes next.
+    /// Returns the number that the next message will get.
     pub fn next_number(&self) -> u64 {
         self.next_number
     }
 
-    /// While it is another process's, nothing is written.
+    /// Closes or opens the journal for writing: closed while another process owns it.
     pub fn set_closed(&mut self, closed: bool) {
         self.closed = closed;
     }
 
-    /// A call with these messages is about to be written.
+    /// Records an attempt for each message of a call, before the call's first byte is written.
     pub fn record_attempts_started(&mut self, ids: Vec<u64>, endpoint: &str, at: Micros) -> io::Result<()> {
         self.append(Record::AttemptStarted(ids, (endpoint.to_string(), at)), 0)
     }
 
-    /// The attempt that was out has ended.
+    /// Records the end of the attempt in flight.
     pub fn record_attempt_settled(&mut self, id: u64, may_have_run: bool) -> io::Result<()> {
         if self.entries.get(&id).is_none_or(|e| e.progress.in_flight.is_none()) {
             return Ok(());
@@ -485,33 +491,33 @@
         if self.entries.contains_key(&id) { self.append(Record::Ended(id, end), 0) } else { Ok(()) }
     }
 
-    /// The platform has confirmed these ends.
+    /// Records that the platform has confirmed the notices of these messages.
     pub fn record_notices_confirmed(&mut self, ids: Vec<u64>) -> io::Result<()> {
         self.append(Record::NoticesConfirmed(ids), 0)
     }
 
-    /// Keeps what has changed in the health of the endpoints.
+    /// Records the changes in the endpoints' health.
     pub fn record_endpoint_health(&mut self, now: &BTreeMap<String, EndpointHealth>) -> io::Result<()> {
-        let gone = self.health.keys().filter(|n| !now.contains_key(*n)).map(|n| (n.clone(), None));
+        let recovered = self.health.keys().filter(|n| !now.contains_key(*n)).map(|n| (n.clone(), None));
         let unhealthy = now.iter().map(|(name, h)| {
             let (bad_since, trouble, warm_since) = (h.failing_since, h.unhealthy, h.warming_since);
             (name.clone(), Some(EndpointCondition { bad_since, trouble, warm_since }))
         });
         let changes: Vec<_> =
-            gone.chain(unhealthy.filter(|(n, a)| self.health.get(n) != a.as_ref())).collect();
-        for (name, ailment) in changes {
-            self.append(Record::EndpointHealth(name, ailment), 0)?;
+            recovered.chain(unhealthy.filter(|(n, a)| self.health.get(n) != a.as_ref())).collect();
+        for (name, condition) in changes {
+            self.append(Record::EndpointHealth(name, condition), 0)?;
         }
         Ok(())
     }
 
-    /// Keeps what has changed in the health of receivers. From then on one without a record is known to be well.
+    /// Records the changes in the receivers' health. From then on a receiver without a record is known to be healthy.
     pub fn record_receiver_health(&mut self, now: &BTreeMap<Receiver, ReceiverHealth>) -> io::Result<()> {
-        let well = self.receivers.keys().filter(|r| !now.contains_key(*r)).map(|r| (r.clone(), None));
+        let recovered = self.receivers.keys().filter(|r| !now.contains_key(*r)).map(|r| (r.clone(), None));
         let unhealthy =
             now.iter().map(|(receiver, health)| (receiver.clone(), Some(ReceiverCondition::from(*health))));
         let changed = unhealthy.filter(|(receiver, c)| self.receivers.get(receiver) != c.as_ref());
-        let changes: Vec<_> = well.chain(changed).collect();
+        let changes: Vec<_> = recovered.chain(changed).collect();
         for (receiver, condition) in changes {
             self.append(Record::ReceiverHealth(receiver, condition), 0)?;
         }
@@ -521,8 +527,8 @@
         Ok(())
     }
 
-    /// Keeps which endpoints are told to be draining or gone. A restarted sender is given a list that may be
-    /// older, and must not send to them although discovery says nothing.
+    /// Records which endpoints are listed as draining or gone. A restarted sender may be given an older list, and must
+    /// not send to them while discovery does not answer.
     pub fn record_endpoints_listed(&mut self, index: u64, lines: &[(String, bool)]) -> io::Result<()> {
         let mut changes: Vec<(String, Option<u64>)> = Vec::new();
         for (name, ready) in lines {
@@ -532,7 +538,7 @@
                 _ => {}
             }
         }
-        // Those that are long gone are in no list that this sender may be given.
+        // The oldest entries are dropped: endpoints gone for long are in no list that this sender may be given.
         let surplus = self.not_ready.len().saturating_sub(MAX_NOT_READY);
         let mut by_age: Vec<(u64, String)> = self.not_ready.iter().map(|(n, i)| (*i, n.clone())).collect();
         by_age.sort();
@@ -543,9 +549,9 @@
         Ok(())
     }
 
-    /// Whether the endpoint was told to be draining or gone by a later list than this one.
+    /// Whether a later listing than `index` lists the endpoint as draining or gone.
     pub fn not_ready_since(&self, name: &str, index: u64) -> bool {
-        self.not_ready.get(name).is_some_and(|told| *told > index)
+        self.not_ready.get(name).is_some_and(|version| *version > index)
     }
 
     pub fn health(&self) -> impl Iterator<Item = (&str, EndpointHealth)> {
@@ -558,12 +564,12 @@
         })
     }
 
-    /// What is known of receivers as a whole.
+    /// Returns the receivers' recorded health.
     pub fn receivers(&self) -> impl Iterator<Item = (&Receiver, ReceiverHealth)> {
         self.receivers.iter().map(|(receiver, condition)| (receiver, ReceiverHealth::from(*condition)))
     }
 
-    /// Whether a receiver without a record was well. A journal of an earlier version does not tell.
+    /// Whether receivers' health is recorded, so that one without a record was healthy. Earlier versions did not.
     pub fn has_receiver_records(&self) -> bool {
         self.receivers_recorded
     }
@@ -600,7 +606,7 @@
     }
 
     #[test]
-    fn what_is_known_of_receivers_outlasts_the_process_and_a_compaction() {
+    fn receiver_health_survives_a_restart_and_a_compaction() {
         let folder = tempfile::tempdir().unwrap();
         let refused =
             ReceiverHealth { budget_milli_per_s: Some(96), wait_until: Some(7), ..ReceiverHealth::default() };
@@ -609,22 +615,22 @@
         let unhealthy = BTreeMap::from([(Receiver::Destination(1), refused), (route.clone(), down)]);
         let mut journal = reopen(folder.path());
         journal.record_receiver_health(&unhealthy).unwrap();
-        let kept =
+        let recorded =
             |journal: &Journal| journal.receivers().map(|(r, h)| (r.clone(), h)).collect::<BTreeMap<_, _>>();
-        assert_eq!(kept(&reopen(folder.path())), unhealthy);
+        assert_eq!(recorded(&reopen(folder.path())), unhealthy);
         journal.compact().unwrap();
         let mut journal = reopen(folder.path());
-        assert_eq!(kept(&journal), unhealthy);
+        assert_eq!(recorded(&journal), unhealthy);
         assert!(journal.has_receiver_records());
         let length = journal.len;
         journal.record_receiver_health(&unhealthy).unwrap();
         assert_eq!(journal.len, length, "nothing changed, so nothing is written");
         journal.record_receiver_health(&BTreeMap::from([(route.clone(), down)])).unwrap();
-        assert_eq!(kept(&reopen(folder.path())), BTreeMap::from([(route, down)]));
+        assert_eq!(recorded(&reopen(folder.path())), BTreeMap::from([(route, down)]));
     }
 
     #[test]
-    fn a_journal_of_an_earlier_version_does_not_tell_how_receivers_were() {
+    fn a_journal_of_an_earlier_version_has_no_receiver_health() {
         let folder = tempfile::tempdir().unwrap();
         let mut journal = reopen(folder.path());
         journal.accept(1, accepted(5), &ClassSettings::default()).unwrap();
