--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints: their connections, one call on each at a time, and what comes back.
+//! Calls and probes to endpoints: the idle connections to them, one call per connection at a time, and the outcomes.
 
 use crate::connection::{Connection, Traffic};
 use crate::endpoint_table::EndpointTable;
@@ -17,23 +17,24 @@
 use tokio::sync::{Semaphore, oneshot};
 
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// A connection is used only after this: again, so that bytes which follow an answer show up before the next
-/// request (they would be read as its answer), and at first, so that a reset does which meets a new one.
+/// Minimum age of a new connection, and minimum idle time of a reused one, before a request is written. Stray bytes
+/// after a response arrive in this time, which would be read as the next response; so does the reset of a new
+/// connection.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
-/// A kept connection that is reset this soon after its next request was written had been dropped before it.
+/// A reused connection that is reset within this time after a request was written had been dropped before it.
 const IMMEDIATE_RESET: Duration = Duration::from_millis(100);
-/// Connections that have rested no longer than this are taken to be good.
+/// Connections idle for no longer than this are always reused.
 const MIN_IDLE_LIFETIME: Duration = Duration::from_millis(50);
-/// Kept connections are trusted less for this long after some were reset; so many resets are remembered.
+/// Time for which resets of reused connections shorten the idle lifetime.
 const STALE_RETENTION: Duration = Duration::from_secs(10);
+/// Number of such resets that are remembered.
 const MAX_STALE_RECORDS: usize = 64;
-/// Part of the time after which endpoints close idle connections for which they are kept: the other side may close at
-/// its limit at the latest, and what crosses that is reset.
+/// Share of the endpoints' idle timeout for which connections are kept idle: a request that crosses the endpoint's
+/// close is reset.
 pub const IDLE_LIFETIME_SHARE: f64 = 0.8;
-/// Connections that are kept idle while another process of this sender runs: the two together may hold no more
-/// descriptors than one.
+/// Idle connections while another process of this sender runs: both processes share one process's descriptor limit.
 const MAX_IDLE_DURING_HANDOVER: usize = 24;
-/// Probes that are out at once: each takes a descriptor beside those of the calls.
+/// Concurrent probes; each takes a descriptor besides those of the calls.
 pub const MAX_PROBES: usize = 8;
 
 /// One message in a call.
@@ -46,25 +47,25 @@
     pub body: Bytes,
 }
 
-/// A call to make.
+/// A call to be made.
 pub struct CallSpec {
     pub endpoint: EndpointId,
     pub addr: SocketAddr,
-    /// What a wait told in its answer binds.
+    /// The lane to which a wait in the response applies.
     pub lane: Lane,
     pub items: Vec<CallItem>,
     pub batch: bool,
     pub timeout: Duration,
 }
 
-/// What a wait holds back: a destination, or one route of it.
+/// The scope of a wait: a destination, or one route of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Lane {
     Whole(DestId),
     Route(EndpointId),
 }
 
-/// What an answer says, for all messages of the call alike unless `states` tells each one's end.
+/// What a response reports: for all messages of the call alike, or for each one in `states`.
 #[derive(Clone)]
 struct ResponseSummary {
     outcome: Outcome,
@@ -75,67 +76,67 @@
 }
 
 impl ResponseSummary {
-    fn of(outcome: Outcome) -> Self {
+    /// Returns the summary of a call without a readable response.
+    fn without_response(outcome: Outcome) -> Self {
         ResponseSummary { outcome, over: outcome == Outcome::Done, wait: 0, report: None, states: None }
     }
 
-    fn for_all(head: AnswerHead) -> Self {
+    fn from_head(head: AnswerHead) -> Self {
         let AnswerHead { outcome, closes_message: over, wait, report } = head;
         ResponseSummary { outcome, over, wait, report, states: None }
     }
 }
 
-/// What is known of a call that is out.
+/// The progress of a call in flight.
 #[derive(Default)]
 struct CallProgress {
-    /// Messages that were left out when it began: each was over by then.
+    /// Messages not sent with the call, since they had ended before it began.
     left_out: RefCell<Vec<MsgId>>,
-    /// Its connection's traffic, and what had been written there before.
+    /// The connection's traffic, and the bytes written on it before this call.
     traffic: RefCell<Option<(Rc<Traffic>, u64)>>,
     head: RefCell<Option<ResponseSummary>>,
 }
 
 impl CallProgress {
-    /// The request's last byte has been written.
+    /// Whether the request's last byte has been written.
     fn fully_written(&self) -> bool {
         self.traffic.borrow().as_ref().is_some_and(|(t, before)| t.flushed.get() > *before)
     }
 
-    /// A first byte of it may have been written.
+    /// Whether a byte of the request may have been written.
     fn may_be_written(&self) -> bool {
         self.traffic.borrow().is_some()
     }
 
-    /// What a call is whose last byte has not been written.
+    /// Returns the outcome of a call whose last byte has not been written.
     fn unsent(&self) -> Outcome {
         if self.may_be_written() { Outcome::ConnectFailed } else { Outcome::Unreached }
     }
 
-    /// The answer where it has not come to its end. A single message is delivered by a first line that says so,
-    /// whatever becomes of the rest. Any other answer that is not whole proves nothing, but a wait told in it
-    /// binds.
+    /// Summarises a response that was not read to its end. A status line with 200 delivers a single message, whatever
+    /// becomes of the rest. Any other incomplete response proves nothing, but a wait in its head applies.
     fn incomplete(&self, spec: &CallSpec, outcome: Outcome) -> ResponseSummary {
-        let head = self.head.take().unwrap_or_else(|| ResponseSummary::of(outcome));
+        let head = self.head.take().unwrap_or_else(|| ResponseSummary::without_response(outcome));
         let status = self.traffic.borrow().as_ref().and_then(|(t, _)| t.status.get());
         if status == Some(200) && !spec.batch {
             return ResponseSummary {
                 report: head.report,
                 wait: head.wait,
-                ..ResponseSummary::of(Outcome::Done)
+                ..ResponseSummary::without_response(Outcome::Done)
             };
         }
-        ResponseSummary { report: None, wait: head.wait, ..ResponseSummary::of(outcome) }
+        ResponseSummary { report: None, wait: head.wait, ..ResponseSummary::without_response(outcome) }
     }
 }
 
-/// A kept connection that was reset at its next request.
+/// A reused connection that was reset when its next request was written.
 struct StaleConnection {
     endpoint: EndpointId,
     at: Instant,
     idle_for: Duration,
 }
 
-/// The connections to all endpoints, and the waits that they have told.
+/// Makes the calls: holds the idle connections to all endpoints and the waits that receivers advertised.
 pub struct Calls {
     stale: RefCell<VecDeque<StaleConnection>>,
     endpoints: Rc<RefCell<EndpointTable>>,
@@ -143,7 +144,7 @@
     idle: RefCell<HashMap<EndpointId, Vec<Connection>>>,
     waits: RefCell<HashMap<Lane, Instant>>,
     max_idle: usize,
-    /// Descriptors are shared with another process: none is kept idle.
+    /// Descriptors are shared with another process of this sender: fewer connections are kept idle.
     two_processes: Rc<Cell<bool>>,
     probes: Semaphore,
     max_idle_time: Duration,
@@ -175,14 +176,14 @@
         }
     }
 
-    /// Whether a call may begin now: a drain or a wait may have been learnt since it was decided.
+    /// Whether a call may begin now: a drain or a wait may have become known since it was decided.
     fn may_begin(&self, endpoint: EndpointId, lane: Lane) -> bool {
         let ready = self.endpoints.borrow().get(endpoint).is_some_and(|e| e.ready);
         let waits = self.waits.borrow().get(&lane).is_some_and(|until| Instant::now() < *until);
         ready && !waits
     }
 
-    /// A wait has been told, by an answer of this process or to a call of the one before it.
+    /// Records a wait from a response to a call of this process or of its predecessor.
     pub fn record_wait(&self, lane: Lane, wait: Micros) {
         if wait > 0 {
             let until = Instant::now() + Duration::from_micros(wait as u64);
@@ -203,25 +204,25 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes connections that have been idle for long.
+    /// Closes connections past their idle lifetime.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|endpoint, connections| {
-            let most = self.idle_lifetime(*endpoint);
-            connections.retain(|c| c.idle_since.elapsed() < most);
+            let max_age = self.idle_lifetime(*endpoint);
+            connections.retain(|c| c.idle_since.elapsed() < max_age);
             !connections.is_empty()
         });
     }
 
-    /// How long a connection may rest and still be used. Guards against kept connections that are dropped unseen,
-    /// by the endpoint or between: the reset comes at the next request, which may have run for all that is known,
-    /// and an unsafe message is lost by it. Costs new connections for a while. Where it happens at one endpoint
-    /// only, the others' are kept.
+    /// Returns how long a connection to the endpoint may be idle and still be reused. Guards against connections that the
+    /// endpoint or the network has dropped unnoticed: the reset comes at the next request, which may then have run, so
+    /// that an unsafe message can't be repeated and is lost. After such resets the lifetime is halved for a while, at the
+    /// cost of new connections; for all endpoints only if several had resets.
     fn idle_lifetime(&self, endpoint: EndpointId) -> Duration {
         let mut stale = self.stale.borrow_mut();
         stale.retain(|s| s.at.elapsed() < STALE_RETENTION);
         let at_several_endpoints = stale.iter().any(|s| s.endpoint != stale[0].endpoint);
-        let for_all = stale.iter().filter(|s| at_several_endpoints || s.endpoint == endpoint);
-        let shortest = for_all.map(|s| (s.idle_for / 2).max(MIN_IDLE_LIFETIME)).min();
+        let relevant = stale.iter().filter(|s| at_several_endpoints || s.endpoint == endpoint);
+        let shortest = relevant.map(|s| (s.idle_for / 2).max(MIN_IDLE_LIFETIME)).min();
         shortest.unwrap_or(self.max_idle_time).min(self.max_idle_time)
     }
 
@@ -231,12 +232,13 @@
         stale.push_front(StaleConnection { endpoint, at: Instant::now(), idle_for });
     }
 
+    /// Takes a reusable idle connection to the endpoint, if there is one.
     fn take_idle(&self, endpoint: EndpointId, addr: SocketAddr) -> Option<Connection> {
-        let most = self.idle_lifetime(endpoint);
+        let max_age = self.idle_lifetime(endpoint);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&endpoint)?;
         // An endpoint may be listed again under another address.
-        connections.retain(|c| c.addr() == addr && c.idle_since.elapsed() < most);
+        connections.retain(|c| c.addr() == addr && c.idle_since.elapsed() < max_age);
         while let Some(at) = connections.iter().rposition(|c| c.idle_since.elapsed() >= SETTLE_TIME) {
             if let Some(connection) = connections.remove(at).if_usable() {
                 return Some(connection);
@@ -245,19 +247,20 @@
         None
     }
 
+    /// Keeps a connection for reuse; if there are too many, the longest idle one of some endpoint is closed.
     fn put_idle(&self, endpoint: EndpointId, connection: Connection) {
         let Some(mut connection) = connection.if_usable() else { return };
         connection.idle_since = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        let most = if self.two_processes.get() {
+        let max_idle = if self.two_processes.get() {
             self.max_idle.min(MAX_IDLE_DURING_HANDOVER)
         } else {
             self.max_idle
         };
-        if most == 0 {
+        if max_idle == 0 {
             return;
         }
-        if idle.values().map(Vec::len).sum::<usize>() >= most
+        if idle.values().map(Vec::len).sum::<usize>() >= max_idle
             && let Some(oldest) = idle.values_mut().filter(|c| !c.is_empty()).min_by_key(|c| c[0].idle_since)
         {
             oldest.remove(0);
@@ -265,9 +268,9 @@
         idle.entry(endpoint).or_default().push(connection);
     }
 
-    /// Makes a call. `begin` is asked right before the first byte is written, and tells which of the messages go:
-    /// a connection takes its time to come up, and some may be over by then. With none the call is not made.
-    /// `cancelled` ends it by closing its connection.
+    /// Makes a call. Right before the first byte is written, `begin` returns the messages to send: some may have ended
+    /// while the connection was opening. With none the call is not made. `cancelled` ends the call by closing its
+    /// connection.
     pub async fn call(
         &self,
         spec: &CallSpec,
@@ -307,25 +310,27 @@
         progress: &CallProgress,
     ) -> ResponseSummary {
         let endpoint = spec.endpoint;
-        let kept = self.take_idle(endpoint, spec.addr);
-        let idle_for = kept.as_ref().map(|c| c.idle_since.elapsed());
-        let opened = match kept {
+        let reused = self.take_idle(endpoint, spec.addr);
+        let idle_for = reused.as_ref().map(|c| c.idle_since.elapsed());
+        let opened = match reused {
             Some(c) => Some(c),
             None => tokio::time::timeout(self.connect_timeout, open_settled(spec.addr)).await.ok().flatten(),
         };
-        let Some(mut connection) = opened else { return ResponseSummary::of(Outcome::Unreached) };
+        let Some(mut connection) = opened else {
+            return ResponseSummary::without_response(Outcome::Unreached);
+        };
         if !self.may_begin(endpoint, spec.lane) {
             self.put_idle(endpoint, connection);
-            return ResponseSummary::of(Outcome::Skipped);
+            return ResponseSummary::without_response(Outcome::Skipped);
         }
-        let wanted = begin();
+        let to_send = begin();
         let (items, left_out): (Vec<&CallItem>, Vec<&CallItem>) =
-            spec.items.iter().partition(|item| wanted.contains(&item.id));
-        let left = spec.timeout.saturating_sub(start.elapsed());
-        let request = (!items.is_empty()).then(|| request(spec, &items, left).ok()).flatten();
+            spec.items.iter().partition(|item| to_send.contains(&item.id));
+        let time_left = spec.timeout.saturating_sub(start.elapsed());
+        let request = (!items.is_empty()).then(|| request(spec, &items, time_left).ok()).flatten();
         let Some(request) = request else {
             self.put_idle(endpoint, connection);
-            return ResponseSummary::of(Outcome::Skipped);
+            return ResponseSummary::without_response(Outcome::Skipped);
         };
         progress.left_out.replace(left_out.iter().map(|item| item.id).collect());
         let traffic = connection.traffic.clone();
@@ -350,9 +355,9 @@
                 self.put_idle(endpoint, connection);
                 response
             }
-            None if !progress.fully_written() => ResponseSummary::of(Outcome::ConnectFailed),
-            // A connection that ends speaks of the endpoint, an answer that can't be read on one that stays
-            // open of itself alone.
+            None if !progress.fully_written() => ResponseSummary::without_response(Outcome::ConnectFailed),
+            // A closed connection says something about the endpoint. A response that can't be read on a connection that
+            // stays open is only malformed itself.
             None if traffic.closed_by_peer.get() || traffic.response_began.get().is_none() => {
                 progress.incomplete(spec, Outcome::Reset)
             }
@@ -360,7 +365,7 @@
         }
     }
 
-    /// Sends a request and reads its answer to the end; nothing if there is none that can be read.
+    /// Sends a request and reads its response to the end; None if no readable response came.
     async fn exchange(
         &self,
         connection: &mut Connection,
@@ -369,13 +374,14 @@
         progress: &CallProgress,
     ) -> Option<ResponseSummary> {
         let response = connection.send(request).await.ok()?;
-        let mut summary = ResponseSummary::for_all(read_head(response.status().as_u16(), response.headers()));
+        let mut summary =
+            ResponseSummary::from_head(read_head(response.status().as_u16(), response.headers()));
         self.record_wait(spec.lane, summary.wait);
         progress.head.replace(Some(summary.clone()));
         let body =
             connection.drive(Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect()).await.ok()?;
         if summary.outcome == Outcome::Done && spec.batch {
-            // An answer that tells nothing of a message leaves it open whether it ran.
+            // If the response has no readable states, whether the messages ran is unknown.
             let Ok(states) = serde_json::from_slice::<Vec<BatchState>>(&body.to_bytes()) else {
                 return Some(ResponseSummary { outcome: Outcome::MalformedAnswer, over: false, ..summary });
             };
@@ -384,7 +390,7 @@
         Some(summary)
     }
 
-    /// Asks whether an endpoint is well.
+    /// Probes an endpoint's health, on an idle connection or a new one.
     pub async fn probe(&self, endpoint: EndpointId, addr: SocketAddr) -> (Outcome, Option<LoadReport>) {
         let Ok(_one) = self.probes.try_acquire() else { return (Outcome::Skipped, None) };
         let work = async {
@@ -410,8 +416,8 @@
     }
 }
 
-/// A new connection that was not reset as soon as it was up: nothing has been written on one that was, so that
-/// its message has not run.
+/// Opens a connection and waits for a reset that comes at once; None if it came. Nothing has been written by then, so
+/// that the message has certainly not run.
 async fn open_settled(addr: SocketAddr) -> Option<Connection> {
     let connection = Connection::open(addr).await.ok()?;
     tokio::time::sleep(SETTLE_TIME).await;
@@ -421,12 +427,12 @@
 fn request(
     spec: &CallSpec,
     items: &[&CallItem],
-    left: Duration,
+    time_left: Duration,
 ) -> Result<Request<Full<Bytes>>, Box<dyn std::error::Error>> {
     let head = Request::builder()
         .method("POST")
         .header("host", spec.addr.to_string())
-        .header("x-timeout", format!("{}m", left.as_millis().max(1)));
+        .header("x-timeout", format!("{}m", time_left.as_millis().max(1)));
     Ok(match items {
         [item] if !spec.batch => {
             let mut head = head.uri("/v1/messages").header("x-request-id", &item.request_id);
@@ -455,7 +461,7 @@
         let addr = listener.local_addr().unwrap();
         let (ended, taken) = tokio::join!(open_settled(addr), async { listener.accept().await.map(drop) });
         assert!(taken.is_ok() && ended.is_none());
-        let (kept, taken) = tokio::join!(open_settled(addr), listener.accept());
-        assert!(taken.is_ok() && kept.is_some());
+        let (reused, taken) = tokio::join!(open_settled(addr), listener.accept());
+        assert!(taken.is_ok() && reused.is_some());
     }
 }
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: a server of RESP2 commands.
+//! The server for clients and other members: RESP2 commands over TCP.
 
 use crate::input::Input;
 use crate::placement::forward::Forwarder;
@@ -20,60 +20,62 @@
 use tokio::task::AbortHandle;
 
 const READ_AHEAD: usize = 4096;
-/// A buffer grows beyond this only with leave: most commands are shorter, and all connections' buffers at their
-/// longest would not fit the memory.
+/// A connection's buffer may grow beyond this only with a permit: most commands are shorter, and the memory would not
+/// suffice for all connections' buffers at full length.
 const USUAL_COMMAND_BYTES: usize = 8 * 1024;
-/// What a message that is not answered yet takes beside its body, at the most.
+/// Upper bound of an unanswered message's memory besides its body, in bytes.
 const PUT_OVERHEAD: usize = 1024;
-/// Requests of one connection that are in work together when a client pipelines.
+/// Pipelined requests of one connection that are processed together.
 const MAX_PIPELINE: usize = 64;
-/// A connection on which no request is open closes after this, also one that has never said anything.
+/// Time after which a connection without an open request is closed, including one that never sent anything.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// A command that has begun goes on within this: under the 3 s after which a client that says nothing of use is to be
-/// turned away, and over the time that a slow client takes between its pieces.
+/// Longest pause within a command: below the 3 s after which a useless client must be rejected, and above the time that a
+/// slow client takes between two parts.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2400);
-/// It has come to its end by then, in pieces of whatever size: the longest command at 16 KiB a second.
+/// Longest time for a whole command: enough for the longest one at 16 KiB a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(8);
-/// Where places are short: whoever has said nothing for this long, and owes the next word, gives way first ...
+/// When connections run short, those are evicted first that were silent for this long before or within a command ...
 const EVICT_SILENT_AFTER: Duration = Duration::from_millis(300);
-/// ... and then whoever has been served and has asked nothing for this long.
+/// ... and next those that have been served and have sent no request for this long.
 const EVICT_SERVED_AFTER: Duration = Duration::from_millis(1000);
-/// While connections are being closed, a new one has this long to say what it has come for.
+/// Time that a new connection gets for its first command while connections are being closed.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(300);
-/// A client that does not read its answers is left.
+/// Time for writing replies; a client that does not read them in this time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// What is read and thrown away of a connection that is being ended.
+/// Input that is read and discarded of a connection that is being closed.
 const MAX_DRAIN_BYTES: usize = 256 * 1024;
+/// Time for which it is read.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An answer that is known, or one that the driver will give; its message's bytes are counted until then.
-enum Response {
+/// The reply to a command, or the channel on which it will come. The permit counts the message's bytes until then.
+enum PendingReply {
     Text(String),
     Ping,
     FromDriver(oneshot::Receiver<Reply>, OwnedSemaphorePermit),
-    /// An owner gives it, whether or not the client still sends: what it has taken on can't be withdrawn.
+    /// From another owner. It is awaited even after the client has ended its sending: a message that the owner has
+    /// accepted can't be withdrawn.
     Forwarded(oneshot::Receiver<Reply>, OwnedSemaphorePermit),
 }
 
-impl Response {
-    fn busy(after_ms: u64) -> Self {
-        Response::Text(Reply::Busy { retry_after_ms: after_ms }.encode())
+impl PendingReply {
+    fn busy(retry_after_ms: u64) -> Self {
+        PendingReply::Text(Reply::Busy { retry_after_ms }.encode())
     }
 }
 
-/// What clients' connections may hold together.
+/// Limits for all connections of one server together.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Connections; half of them while another process of this sender has some.
+    /// Connections; half as many while another process of this sender runs.
     pub connections: usize,
-    /// Bytes of commands that are longer than a usual one and not read to their end.
+    /// Bytes of incomplete commands that are longer than [`USUAL_COMMAND_BYTES`].
     pub buffers: usize,
-    /// Bytes of messages that have been read and not answered.
+    /// Bytes of messages that have been read and have no reply yet.
     pub bodies: usize,
 }
 
 impl ClientLimits {
-    /// Half of them: where clients and other members come in at two addresses.
+    /// Returns half of the limits, for each of two servers: one for clients, one for other members.
     pub fn halved(self) -> Self {
         ClientLimits {
             connections: (self.connections / 2).max(1),
@@ -83,32 +85,32 @@
     }
 }
 
-/// What two processes of one sender have to know while both run.
+/// Connection counts that are shared between the servers, the driver and the calls.
 #[derive(Clone, Default)]
 pub struct Shared {
     /// Clients' connections of this process.
     pub connections: Rc<Cell<usize>>,
     /// Other members' connections of this process, at its forward address.
     pub forwarding: Rc<Cell<usize>>,
-    /// Descriptors are shared with the process that this one replaces.
+    /// Whether descriptors are shared with another process of this sender, the predecessor.
     pub two_processes: Rc<Cell<bool>>,
 }
 
 impl Shared {
-    /// All connections on which messages come in.
+    /// Returns the number of connections on which messages may arrive.
     pub fn open_connections(&self) -> usize {
         self.connections.get() + self.forwarding.get()
     }
 }
 
-/// Who connects, and what becomes of the messages that come in.
+/// Who connects to a server, and how its messages are routed.
 #[derive(Clone)]
 pub enum Origin {
-    /// Clients, where this sender takes all messages itself.
+    /// Clients, without placement: all messages go to this sender's driver.
     Clients,
-    /// Clients, where other members own some destinations: their messages are forwarded.
+    /// Clients, with placement: messages for other owners' destinations are forwarded.
     Routed(Rc<Placement>, Rc<Forwarder>),
-    /// Other members: what they forward is served or refused, and never forwarded again.
+    /// Other members: a forwarded message is accepted or refused, and never forwarded again.
     Members(Rc<Placement>),
 }
 
@@ -120,7 +122,7 @@
         }
     }
 
-    /// When a message was read, by the clock that its forwarding goes by.
+    /// Returns the time at which a message was read, by the clock that forwarding uses; 0 without forwarding.
     fn clock(&self) -> Micros {
         match self {
             Origin::Routed(..) => clock::now(),
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Where its connections are counted.
+    /// Returns the counter of this server's connections.
     fn connections(&self, shared: &Shared) -> Rc<Cell<usize>> {
         match self {
             Origin::Clients | Origin::Routed(..) => shared.connections.clone(),
@@ -136,14 +138,14 @@
         }
     }
 
-    /// Counts what has been answered.
+    /// Counts a message accepted for another member.
     fn count_reply(&self, reply: &Reply) {
         if let (Origin::Members(placement), Reply::Accepted) = (self, reply) {
             count(&placement.counters.taken_for_others);
         }
     }
 
-    /// What one is told for whom there is no place. A member goes on to the next owner.
+    /// Returns the reply to a connection above the limit. On `-BUSY` a member goes on to the next owner.
     fn rejection(&self) -> &'static [u8] {
         match self {
             Origin::Clients | Origin::Routed(..) => b"-ERR max number of clients reached\r\n",
@@ -152,32 +154,32 @@
     }
 }
 
-/// A connection's place, as others see it.
+/// A connection's state, as far as the eviction of others depends on it.
 struct ClientEntry {
-    /// A request of it has been answered. Those that have asked nothing yet give way first.
+    /// One of its requests has been answered.
     served: Cell<bool>,
-    /// A request is open.
+    /// A request is being processed.
     busy: Cell<bool>,
-    /// Since when none is.
+    /// When the last request was answered, or the connection was accepted.
     idle_since: Cell<Instant>,
-    /// When something of it was last read.
+    /// When input was last read.
     last_read: Cell<Instant>,
-    /// A command has come in part.
+    /// Part of a command has been read.
     partial: Cell<bool>,
     task: OnceCell<AbortHandle>,
 }
 
 impl ClientEntry {
-    /// Who gives way to a newcomer: the least first. Those at work never do.
+    /// Returns the order of eviction, lowest first. Busy connections are never evicted.
     fn rank(&self, now: Instant) -> (u8, Instant) {
         let last = self.idle_since.get().max(self.last_read.get());
         let silent_for = now.saturating_duration_since(last);
         let awaits_input = self.partial.get() || !self.served.get();
         let rank = match awaits_input {
-            // It has said nothing yet, or stands still half written.
+            // No command yet, or stalled within one.
             true if silent_for >= EVICT_SILENT_AFTER => 0,
             false if silent_for >= EVICT_SERVED_AFTER => 1,
-            // It may only be on its way: a message that is cut off here is lost.
+            // The rest may be in transit: a message that is cut off here is lost.
             true => 2,
             false => 3,
         };
@@ -185,9 +187,9 @@
     }
 }
 
-/// The places in use.
+/// The open connections of one server, and its byte limits.
 struct ClientTable {
-    /// How many.
+    /// The number of entries, for the driver.
     open_count: Rc<Cell<usize>>,
     entries: RefCell<BTreeMap<u64, Rc<ClientEntry>>>,
     freed: Notify,
@@ -196,8 +198,8 @@
 }
 
 impl ClientTable {
-    /// Waits for a place for a newcomer. When there is none, one that is not at work gives way: many that say nothing
-    /// must not keep out those that do. False if all are at work.
+    /// Makes room for a new connection. At the limit it evicts an idle one, so that many silent connections can't keep
+    /// out active ones. Returns false if all are busy.
     async fn make_room(&self, max_connections: usize) -> bool {
         while self.entries.borrow().len() >= max_connections {
             {
@@ -214,7 +216,7 @@
     }
 }
 
-/// Gives a connection's place back.
+/// Removes a connection from the table when dropped.
 struct ClientGuard {
     table: Rc<ClientTable>,
     number: u64,
@@ -229,14 +231,15 @@
     }
 }
 
+/// A connection and its unprocessed input.
 struct Client {
     socket: TcpStream,
     buf: BytesMut,
-    /// When the command that `buf` begins with began.
+    /// When the first byte of the command at the start of `buf` was read.
     command_begun: Instant,
-    /// Its client has ended its sending: it may still read.
+    /// The client has closed its sending side; it may still read.
     ended: bool,
-    /// Held while `buf` may grow beyond a usual command.
+    /// The permit for a buffer above [`USUAL_COMMAND_BYTES`].
     long_command: Option<OwnedSemaphorePermit>,
     driver: mpsc::Sender<Input>,
     status: watch::Receiver<ProcessStatus>,
@@ -247,22 +250,22 @@
 impl Client {
     async fn serve(mut self) -> std::io::Result<()> {
         loop {
-            let mut answers = Vec::new();
-            let mut broken = false;
-            while answers.len() < MAX_PIPELINE && !broken {
+            let mut replies = Vec::new();
+            let mut malformed = false;
+            while replies.len() < MAX_PIPELINE && !malformed {
                 match decode_command(&mut self.buf) {
                     Ok(Some(args)) => {
                         self.guard.entry.busy.set(true);
-                        answers.push(self.start(&args).await);
+                        replies.push(self.start(&args).await);
                     }
                     Ok(None) => break,
                     Err(e) => {
-                        answers.push(Response::Text(format!("-ERR {e}\r\n")));
-                        broken = true;
+                        replies.push(PendingReply::Text(format!("-ERR {e}\r\n")));
+                        malformed = true;
                     }
                 }
             }
-            if answers.is_empty() {
+            if replies.is_empty() {
                 if self.ended || !self.read().await? {
                     return Ok(());
                 }
@@ -270,7 +273,7 @@
             }
             self.command_begun = Instant::now();
             let mut text = String::new();
-            for answer in answers {
+            for answer in replies {
                 let Some(answer) = self.wait(answer).await else { return Ok(()) };
                 text.push_str(&answer);
             }
@@ -281,19 +284,19 @@
             entry.busy.set(false);
             entry.idle_since.set(Instant::now());
             entry.partial.set(!self.buf.is_empty());
-            if broken {
+            if malformed {
                 return self.close_gracefully().await;
             }
-            // What was kept for a long command is given back.
+            // Releases the permit and the memory of a long command.
             if self.buf.len() < READ_AHEAD && self.long_command.take().is_some() {
                 self.buf = BytesMut::from(&self.buf[..]);
             }
         }
     }
 
-    /// Reads on; false once the connection is to close.
+    /// Reads more input. Returns false once the connection is to close.
     async fn read(&mut self) -> std::io::Result<bool> {
-        // Only between requests: one that has been read in part is waited for.
+        // The sender's stop closes connections only between requests; a partly read one is awaited.
         let between = self.buf.is_empty();
         let until = if between {
             self.guard.entry.idle_since.get() + IDLE_TIMEOUT
@@ -302,7 +305,7 @@
         };
         let until = tokio::time::sleep_until(until.into());
         let entry = &self.guard.entry;
-        let wait_to_end =
+        let open_until =
             entry.idle_since.get() + if entry.served.get() { Duration::ZERO } else { FIRST_COMMAND_GRACE };
         let buffers = self.guard.table.buffers.clone();
         let more = async {
@@ -326,7 +329,7 @@
                 entry.partial.set(true);
                 return Ok(true);
             }
-            () = wait_until_closing(&mut self.status, wait_to_end), if between => {}
+            () = wait_until_closing(&mut self.status, open_until), if between => {}
             () = until => {}
         }
         if !between {
@@ -336,8 +339,8 @@
         Ok(false)
     }
 
-    /// Ends the connection so that what was written last arrives: closing a socket with unread input resets it,
-    /// which can overtake an answer.
+    /// Closes the connection so that the last reply arrives: closing a socket with unread input resets the connection,
+    /// and the reset can overtake a reply.
     async fn close_gracefully(&mut self) -> std::io::Result<()> {
         self.socket.shutdown().await?;
         let drain = async {
@@ -355,54 +358,55 @@
         Ok(())
     }
 
-    async fn start(&mut self, args: &[Bytes]) -> Response {
+    /// Starts processing a command.
+    async fn start(&mut self, args: &[Bytes]) -> PendingReply {
         let name = args.first().map(|n| n.to_ascii_uppercase()).unwrap_or_default();
         match name.as_slice() {
-            b"PING" => Response::Ping,
+            b"PING" => PendingReply::Ping,
             b"MSG.PUT" => match decode_put(args) {
                 Ok(put) => self.submit(put).await,
-                Err(e) => Response::Text(format!("-ERR {e}\r\n")),
+                Err(e) => PendingReply::Text(format!("-ERR {e}\r\n")),
             },
-            _ => Response::Text("-ERR unknown command\r\n".into()),
+            _ => PendingReply::Text("-ERR unknown command\r\n".into()),
         }
     }
 
-    /// Hands a message to whoever decides over it.
-    async fn submit(&mut self, put: Put) -> Response {
+    /// Passes a message to the driver or to the owner of its destination.
+    async fn submit(&mut self, put: Put) -> PendingReply {
         let read_at = self.origin.clock();
         let route = self.origin.route(&put);
         let bytes = (put.body.len() + PUT_OVERHEAD) as u32;
         let bodies = self.guard.table.bodies.clone();
         let (reply, answer) = oneshot::channel();
-        // The semaphore is never closed, and the driver ends with the process only.
-        let Ok(counted) = bodies.acquire_many_owned(bytes).await else { return Response::busy(0) };
+        // Neither error occurs: the semaphore is never closed, and the driver ends only with the process.
+        let Ok(counted) = bodies.acquire_many_owned(bytes).await else { return PendingReply::busy(0) };
         match (route, &self.origin) {
             (Routing::Forward(to), Origin::Routed(_, forwarder)) => {
                 forwarder.start(put, to, read_at, reply);
-                Response::Forwarded(answer, counted)
+                PendingReply::Forwarded(answer, counted)
             }
-            (Routing::Unowned, _) => Response::busy(DEFAULT_WAIT_MS),
+            (Routing::Unowned, _) => PendingReply::busy(DEFAULT_WAIT_MS),
             _ => match self.driver.send(Input::Put(put, reply)).await {
-                Ok(()) => Response::FromDriver(answer, counted),
-                Err(_) => Response::busy(0),
+                Ok(()) => PendingReply::FromDriver(answer, counted),
+                Err(_) => PendingReply::busy(0),
             },
         }
     }
 
-    /// The answer's text; nothing once the connection is broken. Dropping the driver's channel tells it so. A client
-    /// that has ended its sending may have left, or still read: what is not taken on yet is withdrawn and refused, which
-    /// does no harm either way, and what was taken on before is told.
-    async fn wait(&mut self, answer: Response) -> Option<String> {
+    /// Returns the reply's text, or None once the connection is broken; the driver notices by the dropped channel. A
+    /// client that has closed its sending side may have left or may still read: a message not accepted yet is withdrawn
+    /// and refused, which is harmless in both cases, and one accepted before is answered.
+    async fn wait(&mut self, answer: PendingReply) -> Option<String> {
         let (mut answer, _counted, wait_to_end) = match answer {
-            Response::Text(text) => return Some(text),
-            Response::Ping => {
+            PendingReply::Text(text) => return Some(text),
+            PendingReply::Ping => {
                 let status = self.status.wait_for(|s| s.phase() != Phase::Starting).await.ok()?;
                 let answer =
                     if status.ready() { "+PONG\r\n" } else { "-ERR the sender takes no clients now\r\n" };
                 return Some(answer.into());
             }
-            Response::FromDriver(answer, counted) => (answer, counted, false),
-            Response::Forwarded(answer, counted) => (answer, counted, true),
+            PendingReply::FromDriver(answer, counted) => (answer, counted, false),
+            PendingReply::Forwarded(answer, counted) => (answer, counted, true),
         };
         while !self.ended {
             let room = self.buf.len() < USUAL_COMMAND_BYTES;
@@ -419,7 +423,7 @@
         Some(self.reply_text(reply))
     }
 
-    /// What is written for a reply; without one the message was not taken on.
+    /// Encodes a reply; None means that the message was not accepted, and the client is to retry.
     fn reply_text(&self, reply: Option<Reply>) -> String {
         let reply = reply.unwrap_or(Reply::Busy { retry_after_ms: 0 });
         self.origin.count_reply(&reply);
@@ -427,8 +431,8 @@
     }
 }
 
-/// Serves clients until the sender stops and their connections close. While it is a lame duck new ones are let in:
-/// the front asks whether it is one, and what crosses the answer is served.
+/// Accepts and serves connections until the sender stops and its connections close. A lame duck still accepts
+/// connections: the load balancer in front polls its readiness, and connections sent before it knows are served.
 pub async fn serve(
     listener: TcpListener,
     limits: ClientLimits,
@@ -458,7 +462,7 @@
         let mut socket = match accepted {
             Ok((socket, _)) => socket,
             Err(e) => {
-                eprintln!("clients: accept: {e}");
+                eprintln!("clients: accepting a connection failed, retrying in 20 ms: {e}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             }
@@ -492,7 +496,7 @@
             guard,
         };
         let task = tokio::task::spawn_local(async move {
-            // A client that breaks off is no fault of the sender's.
+            // An I/O error means that the client has disconnected, which needs no log line.
             _ = client.serve().await;
         });
         _ = entry.task.set(task.abort_handle());
@@ -504,10 +508,10 @@
     use super::*;
 
     #[test]
-    fn who_gives_way_first() {
+    fn order_of_eviction() {
         let (start, second) = (Instant::now(), Duration::from_secs(1));
         let now = start + 10 * second;
-        // Asked before, half written, and how long it has been quiet.
+        // Whether it was served, whether a command is incomplete, and for how long it has been silent.
         let entry = |served: bool, partial: bool, silent_for: Duration| ClientEntry {
             served: Cell::new(served),
             busy: Cell::new(false),
@@ -517,18 +521,18 @@
             task: OnceCell::new(),
         };
         let order = [
-            ("silent for long", entry(false, false, 2 * second)),
-            ("half written, standing still", entry(false, true, second)),
-            ("served, and half written since", entry(true, true, second / 2)),
-            ("served long ago", entry(true, false, 2 * second)),
-            ("served, resting", entry(true, false, second)),
-            ("just come", entry(false, false, second / 10)),
-            ("half written, going on", entry(false, true, second / 100)),
-            ("just served", entry(true, false, second / 2)),
+            ("never served, silent for 2 s", entry(false, false, 2 * second)),
+            ("incomplete command, silent for 1 s", entry(false, true, second)),
+            ("served, then an incomplete command, silent for 0.5 s", entry(true, true, second / 2)),
+            ("served, silent for 2 s", entry(true, false, 2 * second)),
+            ("served, silent for 1 s", entry(true, false, second)),
+            ("never served, silent for 0.1 s", entry(false, false, second / 10)),
+            ("incomplete command, silent for 0.01 s", entry(false, true, second / 100)),
+            ("served, silent for 0.5 s", entry(true, false, second / 2)),
         ];
         for pair in order.windows(2) {
             let ((first, a), (then, b)) = (&pair[0], &pair[1]);
-            assert!(a.rank(now) < b.rank(now), "{first} gives way before {then}");
+            assert!(a.rank(now) < b.rank(now), "'{first}' is evicted before '{then}'");
         }
     }
 }
--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -1,4 +1,5 @@
-//! An HTTP/1.1 connection to an endpoint or the platform, and what has passed on its socket.
+//! An HTTP/1.1 client connection to an endpoint, discovery, the platform or a control agent, with a record of what has
+//! passed on its socket.
 
 use bytes::{Bytes, BytesMut};
 use embershore_protocol::call::parse_status;
@@ -18,32 +19,32 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// An answer's head is shorter than this.
+/// Limit of a response's head, and of the read buffer.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// An answer that has begun must have come to its end by then: one that is spoilt may never, and its call would
-/// hold a slot for all of its time.
+/// Time from a response's first byte to its end. A malformed response may never end, and its call would hold a slot
+/// until its timeout.
 const COMPLETION_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What has passed on a socket, as far as the outcome of a call depends on it and hyper does not tell.
+/// What has passed on a socket, as far as a call's outcome depends on it and hyper does not report it.
 #[derive(Default)]
 pub struct Traffic {
     pub written: Cell<u64>,
-    /// The bytes that had been written when all that was to be written had been.
+    /// The value of `written` at the last flush, when a request had been written completely.
     pub flushed: Cell<u64>,
-    /// What is to be done once the next request has been written.
+    /// Called once the next request has been written.
     on_written: Cell<Option<Box<dyn FnOnce()>>>,
-    /// A request is out whose answer has not begun.
+    /// A request is in flight whose response's status line has not been read.
     awaiting_response: Cell<bool>,
-    /// When an answer began, or a line before it that is not over.
+    /// When the current response's first byte, or that of an unfinished 1xx response, was read.
     pub response_began: Cell<Option<Instant>>,
-    /// The status in the answer's first line.
+    /// The status in the response's status line.
     pub status: Cell<Option<u16>>,
-    /// The other side has ended the connection.
+    /// The peer has closed or reset the connection.
     pub closed_by_peer: Cell<bool>,
 }
 
 impl Traffic {
-    /// Has `then` done once the last byte of the next request has been written.
+    /// Calls `on_written` once the last byte of the next request has been written.
     pub fn on_request_written(&self, on_written: impl FnOnce() + 'static) {
         self.on_written.set(Some(Box::new(on_written)));
     }
@@ -54,7 +55,7 @@
         self.status.set(None);
     }
 
-    /// Waits until an answer that has begun is long overdue. To be polled beside what reads it.
+    /// Waits until a response that has begun exceeds its time to complete. To be polled together with the read.
     pub async fn response_overdue(&self) {
         loop {
             let began =
@@ -67,14 +68,14 @@
     }
 }
 
-/// A socket that tells when a request's last byte has been written (hyper flushes it only once its own buffer is
-/// empty, and a request's head and body enter that buffer together) and what an answer's first line says, which
-/// decides even where the rest can't be read. It keeps 1xx answers to itself: hyper would take a 101 for the end
-/// of HTTP on the connection.
+/// A socket that records when a request's last byte has been written and what the response's status line says, which
+/// decides a call's outcome even if the rest can't be read. The last byte is known from the flush: hyper flushes once its
+/// buffer is empty, and a request's head and body enter that buffer together. 1xx responses are dropped here: hyper would
+/// treat a 101 as the end of HTTP on the connection.
 struct Socket<S = TcpStream> {
     stream: S,
     traffic: Rc<Traffic>,
-    /// Read and not handed on: the first line so far, or all up to a 1xx answer's end.
+    /// Bytes read and not passed on to hyper: an incomplete status line or an incomplete 1xx response.
     unread: BytesMut,
 }
 
@@ -83,25 +84,26 @@
         Socket { stream, traffic, unread: BytesMut::new() }
     }
 
-    /// Looks at what is held: drops 1xx answers that are whole, and lets go of it once the answer's first line is
-    /// known or can't be one.
+    /// Scans the bytes not passed on yet: drops complete 1xx responses, and stops waiting once the status line is known
+    /// or the head is too long.
     fn scan_head(&mut self) {
-        let t = &self.traffic;
+        let traffic = &self.traffic;
         while let Some(end) = self.unread.iter().position(|b| *b == b'\n') {
             let status = parse_status(&self.unread[..=end]);
             if !status.is_some_and(|s| (100..200).contains(&s)) {
-                t.status.set(status);
-                t.awaiting_response.set(false);
+                traffic.status.set(status);
+                traffic.awaiting_response.set(false);
                 break;
             }
             let Some(blank) = self.unread.windows(4).position(|w| w == b"\r\n\r\n") else { break };
             _ = self.unread.split_to(blank + 4);
         }
         if self.unread.len() > MAX_HEAD_BYTES {
-            t.awaiting_response.set(false);
+            traffic.awaiting_response.set(false);
         }
-        let began = (!self.unread.is_empty()).then(|| t.response_began.get().unwrap_or_else(Instant::now));
-        t.response_began.set(began);
+        let began =
+            (!self.unread.is_empty()).then(|| traffic.response_began.get().unwrap_or_else(Instant::now));
+        traffic.response_began.set(began);
     }
 }
 
@@ -113,14 +115,14 @@
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
         while this.traffic.awaiting_response.get() {
-            let mut piece = [0; 1024];
-            let mut piece = ReadBuf::new(&mut piece);
-            std::task::ready!(Pin::new(&mut this.stream).poll_read(cx, &mut piece))?;
-            if piece.filled().is_empty() {
+            let mut chunk = [0; 1024];
+            let mut chunk = ReadBuf::new(&mut chunk);
+            std::task::ready!(Pin::new(&mut this.stream).poll_read(cx, &mut chunk))?;
+            if chunk.filled().is_empty() {
                 this.traffic.closed_by_peer.set(true);
                 break;
             }
-            this.unread.extend_from_slice(piece.filled());
+            this.unread.extend_from_slice(chunk.filled());
             this.scan_head();
         }
         if !this.unread.is_empty() {
@@ -162,14 +164,14 @@
 
 type Driver = http1::Connection<TokioIo<Socket>, Full<Bytes>>;
 
-/// An HTTP/1.1 connection. Nothing runs it in the background: dropping it closes the socket at once, so that
-/// a call which was given up is never still out when the next one of its message begins.
+/// An HTTP/1.1 connection. No background task drives it, so that dropping it closes the socket at once: an abandoned call
+/// is never still in flight when the message's next call begins.
 pub struct Connection {
     requests: http1::SendRequest<Full<Bytes>>,
     driver: Option<Driver>,
     pub traffic: Rc<Traffic>,
     addr: SocketAddr,
-    /// Since when nothing is on it.
+    /// When the last exchange on it ended.
     pub idle_since: Instant,
 }
 
@@ -188,7 +190,7 @@
         self.addr
     }
 
-    /// Runs the connection until `work` is done.
+    /// Drives the connection until `work` completes.
     pub async fn drive<F: Future>(&mut self, work: F) -> F::Output {
         let mut work = pin!(work);
         std::future::poll_fn(|cx| {
@@ -202,14 +204,15 @@
         .await
     }
 
+    /// Sends a request and waits for the response's head.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
         self.traffic.begin_request();
         let answer = self.requests.send_request(request);
         let mut driver = self.driver.take();
         let mut answer = pin!(answer);
         let result = std::future::poll_fn(|cx| {
-            // Twice: the connection takes the request that the first poll handed over, and its answer may
-            // have come by then.
+            // Polled twice: driving the connection takes up the request that the first poll passed to it, and the
+            // response may be complete by then.
             if let Poll::Ready(r) = answer.as_mut().poll(cx) {
                 return Poll::Ready(r);
             }
@@ -225,7 +228,7 @@
         result
     }
 
-    /// Itself, if a further request may go on it: notices that the other side has closed it.
+    /// Returns the connection if another request can be sent on it, and None if the peer has closed it.
     pub fn if_usable(mut self) -> Option<Self> {
         let mut cx = Context::from_waker(std::task::Waker::noop());
         if let Some(driver) = &mut self.driver
@@ -242,7 +245,7 @@
     use super::*;
     use tokio::io::{AsyncReadExt, DuplexStream};
 
-    /// Sends a request with a long body through a pipe of 64 bytes of which `read` reads; what was written.
+    /// Sends a request with a long body through a pipe of 64 bytes, from which `read` reads. Returns the traffic.
     async fn written(read: impl AsyncFnOnce(&mut DuplexStream)) -> Rc<Traffic> {
         let (near, mut far) = tokio::io::duplex(64);
         let traffic = Rc::new(Traffic::default());
@@ -260,19 +263,19 @@
 
     #[tokio::test]
     async fn a_call_counts_as_written_only_with_its_last_byte() {
-        let cut = written(async |far| _ = far.read_exact(&mut [0; 5_000]).await.unwrap()).await;
-        assert!(cut.written.get() >= 5_000);
-        assert_eq!(cut.flushed.get(), 0);
-        let whole = written(async |far| {
+        let partial = written(async |far| _ = far.read_exact(&mut [0; 5_000]).await.unwrap()).await;
+        assert!(partial.written.get() >= 5_000);
+        assert_eq!(partial.flushed.get(), 0);
+        let complete = written(async |far| {
             let mut seen = Vec::new();
             while !seen.ends_with(&[7; 10_000]) {
                 far.read_buf(&mut seen).await.unwrap();
             }
-            // The other side sees the last byte before this one is told so.
+            // The peer reads the last byte before the writing side is notified of the write.
             tokio::task::yield_now().await;
         });
-        let whole = whole.await;
-        assert!(whole.flushed.get() > 10_000);
-        assert_eq!(whole.flushed.get(), whole.written.get());
+        let complete = complete.await;
+        assert!(complete.flushed.get() > 10_000);
+        assert_eq!(complete.flushed.get(), complete.written.get());
     }
 }
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -1,4 +1,4 @@
-//! Ends of messages that were not delivered, told to the platform until it confirms them.
+//! Sends the notices of undelivered messages to the platform, and repeats them until the platform confirms.
 
 use crate::connection::Connection;
 use crate::input::{Input, Notice};
@@ -11,16 +11,18 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
+/// Notices in one request.
 const MAX_BATCH: usize = 200;
-/// An answer comes at once, and a notice is due 0.3 s after its message's time at the latest: one that is not answered
-/// by the first of these is told again, on a new connection. Each further one has twice as long.
+/// Response timeout of the first attempt; it doubles with each further one. The platform answers at once, and a notice
+/// is due 0.3 s after its message's deadline: one without a response is repeated on a new connection.
 const FIRST_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Pause after the first failed attempt; it doubles with each further one.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(20);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Sends notices for ever. The queue holds at most what the journal has room for. When the platform's address
-/// changes, a post in work is repeated at the new one: telling an end twice does no harm.
+/// Sends notices for ever. The queue is bounded by what the journal holds. When the platform's address changes, a request
+/// in flight is repeated at the new address: reporting an end twice is harmless.
 pub async fn send(
     mut addr: watch::Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<Notice>,
@@ -37,8 +39,8 @@
             let work = async {
                 match tokio::time::timeout(timeout, post(to, idle.take(), body.clone())).await {
                     Ok(Ok(connection)) => return Ok(connection),
-                    Ok(Err(e)) => eprintln!("notices: {e}"),
-                    Err(_) => eprintln!("notices: no answer"),
+                    Ok(Err(e)) => eprintln!("notices: sending {} to {to} failed, retrying: {e}", batch.len()),
+                    Err(_) => eprintln!("notices: no response from {to} within {timeout:?}, retrying"),
                 }
                 tokio::time::sleep(pause).await;
                 Err(())
@@ -54,7 +56,7 @@
                         (pause, timeout) = ((pause * 2).min(MAX_RETRY_PAUSE), (timeout * 2).min(MAX_TIMEOUT));
                     }
                 },
-                // The other end of the channel lasts as long as the process.
+                // The sending half of the channel lives as long as the process.
                 _ = addr.changed() => (pause, timeout) = (FIRST_RETRY_PAUSE, FIRST_TIMEOUT),
             }
         }
@@ -65,6 +67,7 @@
     }
 }
 
+/// Posts one batch. Returns the connection if it can be reused.
 async fn post(addr: SocketAddr, idle: Option<Connection>, body: Bytes) -> io::Result<Option<Connection>> {
     let mut connection = match idle.filter(|c| c.addr() == addr).and_then(Connection::if_usable) {
         Some(connection) => connection,
@@ -77,9 +80,9 @@
         .map_err(io::Error::other)?;
     let response = connection.send(request).await.map_err(io::Error::other)?;
     let status = response.status();
-    let whole = connection.drive(response.into_body().collect()).await;
+    let body_read = connection.drive(response.into_body().collect()).await;
     if status != 204 && status != 200 {
-        return Err(io::Error::other(format!("status {status}")));
+        return Err(io::Error::other(format!("response status {status}, expected 204")));
     }
-    Ok(whole.is_ok().then_some(connection).filter(|_| status == 204))
+    Ok(body_read.is_ok().then_some(connection).filter(|_| status == 204))
 }
