--- a/crates/sender/src/class_table.rs
+++ b/crates/sender/src/class_table.rs
@@ -1,19 +1,20 @@
-//! The rules of each class, as rows that never change: a class whose rules differ after a retuning becomes a new row, its
-//! name points to that, and messages that are open keep the row under which they were taken on.
+//! The table of class rules. A row's rules never change: if a class's rules differ after a reload of the configuration, the
+//! class gets a new row for new messages, and open messages keep the row under which they were accepted.
 
 use heronroute::{ClassSettings, Micros};
 
-/// A class that a configuration drops is taken on for this long: clients hear of it when the sender does, or later.
+/// Time for which messages of a class are accepted after a reload has dropped it: clients may be notified of the new
+/// configuration later than the sender.
 const DROPPED_CLASS_GRACE_US: Micros = 3_000_000;
 
-/// What a row still serves for.
+/// Which messages use a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RowUse {
-    /// New messages of its name.
+    /// New messages of the class, and those accepted under the row.
     Current,
-    /// The same, until then: its name stands in the configuration no more.
+    /// The same until this time: the class is no longer in the configuration.
     Dropped(Micros),
-    /// Only messages that were taken on under it.
+    /// Only messages accepted under the row.
     MessagesOnly,
 }
 
@@ -22,24 +23,24 @@
     name: String,
     class: ClassSettings,
     used: RowUse,
-    /// Messages that are open under it.
+    /// Number of open messages accepted under the row.
     open: usize,
 }
 
-/// All rows that are in use. A row's number is the class's index in the module.
+/// The rows in use. A row's number is the class index that the dispatcher knows.
 #[derive(Debug, Default)]
 pub struct ClassTable {
     rows: Vec<Row>,
 }
 
 impl ClassTable {
-    /// The rows of the configuration at the start.
+    /// Creates the rows of the configuration at the start.
     pub fn new(classes: impl IntoIterator<Item = (String, ClassSettings)>) -> Self {
         let row = |(name, class)| Row { name, class, used: RowUse::Current, open: 0 };
         ClassTable { rows: classes.into_iter().map(row).collect() }
     }
 
-    /// The row for a new message of that class.
+    /// Returns the row for a new message of the class.
     pub fn current_row(&self, name: &str, now: Micros) -> Option<usize> {
         self.rows.iter().position(|row| {
             row.name == name
@@ -51,8 +52,8 @@
         })
     }
 
-    /// The row under which a message goes on that an earlier process took on. Where its rules are not known (an old
-    /// journal), those of its name's newest row hold.
+    /// Returns the row for a message that an earlier process accepted. If its rules are unknown (in an old journal), those
+    /// of the class's current row apply.
     pub fn row_for_restored(
         &mut self,
         name: &str,
@@ -64,7 +65,7 @@
         same.or_else(|| Some(self.insert(name, class.clone(), RowUse::MessagesOnly, now)))
     }
 
-    /// Takes another configuration's classes over.
+    /// Applies the classes of a reloaded configuration.
     pub fn reload(&mut self, classes: Vec<(String, ClassSettings)>, now: Micros) {
         for row in &mut self.rows {
             if row.used == RowUse::Current && !classes.iter().any(|(name, _)| *name == row.name) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Puts a new row where one is free.
+    /// Adds a row, in the place of one that no message uses if there is one.
     fn insert(&mut self, name: &str, class: ClassSettings, used: RowUse, now: Micros) -> usize {
         let row = Row { name: name.to_string(), class, used, open: 0 };
         let free = self.rows.iter().position(|row| {
@@ -100,31 +101,31 @@
         free.unwrap_or(self.rows.len() - 1)
     }
 
-    /// A message has been taken on under this row.
+    /// Counts a message accepted under this row.
     pub fn add_message(&mut self, at: usize) {
         if let Some(row) = self.rows.get_mut(at) {
             row.open += 1;
         }
     }
 
-    /// A message that was has ended.
+    /// Counts the end of a message accepted under this row.
     pub fn remove_message(&mut self, at: usize) {
         if let Some(row) = self.rows.get_mut(at) {
             row.open = row.open.saturating_sub(1);
         }
     }
 
-    /// A row's rules.
+    /// Returns a row's rules.
     pub fn settings(&self, at: usize) -> Option<&ClassSettings> {
         self.rows.get(at).map(|row| &row.class)
     }
 
-    /// All rules, by row.
+    /// Returns all rules, by row number.
     pub fn classes(&self) -> Vec<ClassSettings> {
         self.rows.iter().map(|row| row.class.clone()).collect()
     }
 
-    /// The names of all rows.
+    /// Returns the class names of all rows.
     pub fn names(&self) -> impl Iterator<Item = &String> {
         self.rows.iter().map(|row| &row.name)
     }
@@ -144,12 +145,12 @@
     }
 
     #[test]
-    fn a_class_that_comes_back_with_other_rules_is_a_row_beside_the_old_one() {
+    fn a_class_that_returns_with_other_rules_gets_a_new_row() {
         let mut rows = ClassTable::new(listed(&[("a", Effect::Safe, 6), ("b", Effect::Safe, 6)]));
         let before = rows.current_row("a", 0).unwrap();
         rows.add_message(before);
         rows.reload(listed(&[("b", Effect::Safe, 6)]), 10);
-        assert_eq!(rows.current_row("a", 11), Some(before), "clients hear of it later");
+        assert_eq!(rows.current_row("a", 11), Some(before), "clients may be notified later");
         assert_eq!(rows.current_row("a", 10 + DROPPED_CLASS_GRACE_US), None);
         rows.reload(listed(&[("a", Effect::Unsafe, 6), ("b", Effect::Safe, 6)]), 20);
         let after = rows.current_row("a", 21).unwrap();
@@ -159,7 +160,7 @@
     }
 
     #[test]
-    fn fewer_attempts_are_other_rules_and_the_same_rules_are_the_same_row() {
+    fn changed_max_attempts_give_a_new_row_and_unchanged_rules_the_same_row() {
         let mut rows = ClassTable::new(listed(&[("a", Effect::Safe, 6)]));
         let six = rows.current_row("a", 0).unwrap();
         rows.add_message(six);
@@ -174,14 +175,14 @@
     }
 
     #[test]
-    fn rows_without_messages_are_used_again_and_others_never() {
+    fn only_rows_without_messages_are_reused() {
         let mut rows = ClassTable::new(listed(&[("a", Effect::Safe, 6)]));
         let first = rows.current_row("a", 0).unwrap();
         rows.add_message(first);
         for n in 1..100 {
             rows.reload(listed(&[("a", Effect::Safe, n)]), Micros::from(n));
         }
-        assert_eq!(rows.classes().len(), 2, "the one with a message, and the newest");
+        assert_eq!(rows.classes().len(), 2, "the row with a message, and the current one");
         assert_eq!(rows.settings(first).unwrap().max_attempts, Some(6));
         rows.remove_message(first);
         rows.reload(listed(&[("a", Effect::Safe, 200)]), 1000);
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -363,9 +363,9 @@
     let (inputs, inbox) = mpsc::channel(MAX_QUEUED_INPUTS);
     let (notices, queue) = mpsc::unbounded_channel();
     let status = SharedStatus::new();
-    let list_limit = ListLimit::of_memory(config.limits.memory_mb);
+    let list_limit = ListLimit::from_memory_mb(config.limits.memory_mb);
     metrics.lists.limit.set(list_limit.bytes());
-    if let Some(too_long) = config.known.as_ref().and_then(|list| list_limit.check_known(list).err()) {
+    if let Some(too_long) = config.known.as_ref().and_then(|list| list_limit.check_configured(list).err()) {
         list_limit::reject(&metrics, too_long, false);
         config.known = None;
     }
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: how it is learnt.
+//! The discovery client: obtains the endpoint listing and follows its changes.
 
 use crate::connection::Connection;
 use crate::endpoint_table::EndpointTable;
@@ -20,22 +20,23 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// The watch says something whole every 2 s; when it has not for this long it is dead, also where it trickles. What it
-/// misses counts as told 6 s after it fell silent: by then a further question may have hung, and the next been answered.
+/// A watch without a complete listing for this long is dead, even if single bytes arrive: discovery sends one every 2 s.
+/// A change that a silent watch misses must be heeded 6 s after the silence began. The limit leaves time for a poll that
+/// hangs and a further one that is answered.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// An answer begins at once unless discovery is down. What it has to tell at its return counts at once: no question may
-/// hang for longer than the least time in which a drain has to be heeded leaves.
+/// Timeout for a response's head, which comes at once unless discovery is down. When discovery returns, a drain that it
+/// reports must be heeded at once, so no poll may hang for longer than that leaves.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Where asking costs it work, a question may stand in line that long before its answer says whether it succeeded.
+/// The same where polls cost discovery work: a poll may be queued that long before discovery answers.
 const COSTLY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A list of which a part is kept may be long; it has been read by then.
+/// Time for reading a listing of which only the owned part is kept; the listing may be long.
 const FILTERED_LIST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Follows the list for ever. The fleet is changed as soon as a line is read, so that a drain stops calls that
-/// have not begun; the driver is told of it in order. When discovery's address changes, the new one is asked at
-/// once, and for the whole list: it may not know the version that the old one last told.
+/// Follows the listing for ever. The endpoint table is updated as soon as a line is read, so that a drain stops calls that
+/// have not begun; the driver receives the changes in order. When discovery's address changes, the new one is polled at
+/// once, and for the complete listing: it may not know the version that the old one last sent.
 ///
-/// `index` is the version of the list in hand, if there is one.
+/// `index` is the version of the known listing, if there is one.
 pub async fn follow(
     mut addr: watch::Receiver<SocketAddr>,
     mut index: Option<u64>,
@@ -43,7 +44,7 @@
     sink: ListingSink,
 ) {
     let mut pause = if index.is_some() { schedule.spread_delay() } else { Duration::ZERO };
-    // The version that this address told last: what a list that is too long leaves in force.
+    // The last version from this address, which stays in force after a listing that is too long.
     let mut in_force = index;
     loop {
         let (at, before) = (*addr.borrow_and_update(), index);
@@ -53,39 +54,41 @@
             tokio::time::sleep(pause).await;
             let (begun, mut opened) = (Instant::now(), false);
             let ended = watch(at, &mut index, &mut in_force, costly, &mut opened, &sink, spread).await;
-            if matches!(ended, Ok(WatchStop::ListWanted)) {
-                return WatchEnd::ListWanted;
+            if matches!(ended, Ok(WatchStop::RereadRequested)) {
+                return WatchEnd::RereadRequested;
             }
             let timed_out = ended.as_ref().is_err_and(|e| opened && e.kind() == io::ErrorKind::TimedOut);
             let rejected = ended.as_ref().err().and_then(list_limit::too_long);
             let broken = ended.is_err();
             match (rejected, ended) {
                 (Some(too_long), _) => sink.reject(too_long),
-                (None, Err(e)) => eprintln!("discovery: {e}"),
+                (None, Err(e)) => {
+                    eprintln!("discovery: following the endpoint list at {at} failed, retrying: {e}")
+                }
                 (None, Ok(_)) => {}
             }
-            // A watch that fails may bring a line first that tells nothing. A question that hung, or made the version
-            // be forgotten, was of no use.
+            // A failing watch may still send one line without news, which does not make it useful. Nor was a poll useful
+            // that hung, or after which the version was dropped.
             let (took, advanced) = (begun.elapsed(), index.is_some() && index != before);
-            let well = opened && (advanced || took > STALL_TIMEOUT);
+            let useful = opened && (advanced || took > STALL_TIMEOUT);
             if rejected.is_some() {
-                // Where the whole list is too long, what has changed since the last good one may not be, and the
-                // other way round.
+                // If the complete listing is too long, the changes since the last accepted one may be short enough, and
+                // the other way round. The next poll tries the other.
                 index = if before.is_some() { None } else { in_force };
                 WatchEnd::Rejected(took)
             } else if timed_out {
                 WatchEnd::Silent
-            } else if well && broken {
+            } else if useful && broken {
                 WatchEnd::Broken
-            } else if well {
-                WatchEnd::Well
+            } else if useful {
+                WatchEnd::Complete
             } else {
                 WatchEnd::Failed(took)
             }
         };
         tokio::select! {
             biased;
-            // The other end of the channel lasts as long as the process.
+            // The sending half of the channel lives as long as the process.
             _ = addr.changed() => {
                 (index, in_force, pause) = (None, None, Duration::ZERO);
                 schedule.reset();
@@ -93,56 +96,56 @@
             end = work => pause = match end {
                 WatchEnd::Silent => schedule.after_stall(),
                 WatchEnd::Broken => schedule.after_break(),
-                WatchEnd::Well => schedule.after_end(),
+                WatchEnd::Complete => schedule.after_end(),
                 WatchEnd::Failed(took) => schedule.after_failure(took),
                 WatchEnd::Rejected(took) => schedule.after_rejection(took),
-                WatchEnd::ListWanted => Duration::ZERO,
+                WatchEnd::RereadRequested => Duration::ZERO,
             },
         }
     }
 }
 
-/// How a watch, or the attempt at one, has ended.
+/// How a watch, or the attempt to open one, has ended.
 enum WatchEnd {
-    /// It was open and fell silent.
+    /// It was open and received nothing complete within the stall timeout.
     Silent,
-    /// It was of use, and its connection broke.
+    /// It was useful, and its connection broke.
     Broken,
-    /// It was of use, and discovery ended it.
-    Well,
-    /// It came to nothing, this long after it was begun.
+    /// It was useful, and discovery ended it.
+    Complete,
+    /// It failed, this long after it was begun.
     Failed(Duration),
-    /// It brought a list that is too long.
+    /// It received a listing that is too long, this long after it was begun.
     Rejected(Duration),
-    /// The whole list is asked for again, of which another part is kept from now on.
-    ListWanted,
+    /// The complete listing has to be read again, since this sender owns other destinations now.
+    RereadRequested,
 }
 
-/// Where a watch ended that did not fail.
+/// Why a watch ended without an error.
 enum WatchStop {
-    /// With its connection.
+    /// Discovery closed the connection.
     Connection,
-    /// Where the whole list was wanted.
-    ListWanted,
+    /// The complete listing has to be read again.
+    RereadRequested,
 }
 
-/// Where what discovery tells goes.
+/// Receives the listings, and decides which part of them is kept.
 pub struct ListingSink {
     pub endpoints: Rc<RefCell<EndpointTable>>,
     pub driver: mpsc::Sender<Input>,
     pub metrics: Rc<Metrics>,
     pub limit: ListLimit,
-    /// Which part of a list is kept, where it is not all of it.
+    /// Present if only the destinations that this sender owns are kept.
     pub placement: Option<Rc<Placement>>,
 }
 
 impl ListingSink {
-    /// Changes the fleet and tells the driver. The place comes first: a new address may end the wait for it, and the fleet
-    /// must not know what the driver has not been told.
-    async fn tell(&self, listing: Listing) -> io::Result<()> {
-        let place = self.driver.reserve().await.map_err(io::Error::other)?;
+    /// Applies a listing to the endpoint table and sends the changes to the driver. The channel's slot is reserved first: a
+    /// change of discovery's address may cancel that wait, and the table must not be ahead of the driver.
+    async fn apply(&self, listing: Listing) -> io::Result<()> {
+        let slot = self.driver.reserve().await.map_err(io::Error::other)?;
         let entries = self.endpoints.borrow_mut().apply(&listing);
-        place.send(Input::EndpointsListed { index: listing.index, full: listing.snapshot, entries });
+        slot.send(Input::EndpointsListed { index: listing.index, full: listing.snapshot, entries });
         list_limit::accept(&self.metrics);
         if let Some(placement) = &self.placement {
             placement.endpoint_list.set_last_version(listing.index);
@@ -155,7 +158,7 @@
         list_limit::reject(&self.metrics, too_long, in_force);
     }
 
-    /// The number of the last reading of the whole list that was asked for.
+    /// Returns the number of the last requested reading of the complete listing.
     fn requested(&self) -> u64 {
         self.placement.as_ref().map_or(0, |placement| placement.endpoint_list.requested())
     }
@@ -170,7 +173,8 @@
         }
     }
 
-    /// Waits until the whole list is to be read again; `spread` keeps many senders that gain at once from asking at once.
+    /// Waits until the complete listing is to be read again. The delay `spread` keeps many senders that gain shards at the
+    /// same time from polling at once.
     async fn until_requested(&self, spread: Duration) {
         match &self.placement {
             Some(placement) => {
@@ -182,18 +186,19 @@
     }
 }
 
-/// Lists of endpoints as they are told.
+/// A response with one or more listings, read as it arrives.
 struct ListStream {
     connection: Connection,
     body: Incoming,
     listings: ListReader,
     limit: ListLimit,
-    /// Since when nothing whole has come.
-    since: Instant,
+    /// When the last complete listing arrived, or progress that counts as such.
+    last_progress: Instant,
 }
 
 impl ListStream {
-    async fn ask(
+    /// Sends the request and checks the response's status.
+    async fn open(
         mut connection: Connection,
         path: &str,
         costly: bool,
@@ -211,15 +216,15 @@
         if status != 200 {
             let busy = status.is_server_error() || status == 429;
             let kind = if busy { io::ErrorKind::ResourceBusy } else { io::ErrorKind::Other };
-            return Err(io::Error::new(kind, format!("status {status}")));
+            return Err(io::Error::new(kind, format!("{path}: response status {status}, expected 200")));
         }
         let (body, listings) = (response.into_body(), ListReader::new(sink.placement.as_ref()));
-        Ok(ListStream { connection, body, listings, limit: sink.limit, since: Instant::now() })
+        Ok(ListStream { connection, body, listings, limit: sink.limit, last_progress: Instant::now() })
     }
 
-    /// Reads on; nothing at the end.
+    /// Reads the next part of the body; None at its end.
     async fn read(&mut self) -> io::Result<Option<Bytes>> {
-        let until = (self.since + STALL_TIMEOUT).into();
+        let until = (self.last_progress + STALL_TIMEOUT).into();
         let frame = self.connection.drive(self.body.frame());
         let Some(frame) = tokio::time::timeout_at(until, frame).await.map_err(timed_out)? else {
             return Ok(None);
@@ -227,8 +232,8 @@
         Ok(Some(frame.map_err(io::Error::other)?.into_data().unwrap_or_default()))
     }
 
-    /// All of it as one list.
-    async fn whole(self) -> io::Result<Listing> {
+    /// Reads the body to its end as one listing.
+    async fn read_complete(self) -> io::Result<Listing> {
         match self.listings {
             ListReader::All(_) => self.read_text().await,
             ListReader::Filtered(..) => {
@@ -238,22 +243,25 @@
         }
     }
 
-    /// The part of one list that is kept, however long all of it is. It may take longer than what comes at once, as long as
-    /// more of it comes.
+    /// Reads one listing and keeps the owned part, however long the rest is. The stall timeout applies to each part of the
+    /// body, not to the whole.
     async fn read_filtered(mut self) -> io::Result<Listing> {
-        let mut whole = None;
+        let mut listing = None;
         loop {
             while let Some(list) = self.listings.next_listing().map_err(invalid_data)? {
-                if whole.replace(list).is_some() {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "two lists where one is due"));
+                if listing.replace(list).is_some() {
+                    return Err(io::Error::new(
+                        io::ErrorKind::InvalidData,
+                        "two listings in a response for one",
+                    ));
                 }
             }
             self.limit.check(self.listings.held(), || self.listings.endpoints_started())?;
             let Some(bytes) = self.read().await? else { break };
-            self.since = Instant::now();
+            self.last_progress = Instant::now();
             self.listings.extend(&bytes);
         }
-        whole
+        listing
             .ok_or_else(|| io::Error::new(io::ErrorKind::UnexpectedEof, "the list ended before it was whole"))
     }
 
@@ -268,13 +276,13 @@
 
     async fn next(&mut self) -> io::Result<Option<Listing>> {
         loop {
-            let whole = self.listings.next_listing();
-            if let Some(list) = whole.map_err(invalid_data)? {
-                self.since = Instant::now();
+            let listing = self.listings.next_listing();
+            if let Some(list) = listing.map_err(invalid_data)? {
+                self.last_progress = Instant::now();
                 return Ok(Some(list));
             }
             if !self.listings.is_partial() {
-                self.since = Instant::now();
+                self.last_progress = Instant::now();
             }
             self.limit.check(self.listings.held(), || self.listings.endpoints_started())?;
             let Some(bytes) = self.read().await? else { return Ok(None) };
@@ -283,15 +291,15 @@
     }
 }
 
-fn invalid_data(flaw: ListingError) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, flaw)
+fn invalid_data(error: ListingError) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, error)
 }
 
 fn timed_out<E>(_: E) -> io::Error {
-    io::Error::new(io::ErrorKind::TimedOut, "silent")
+    io::Error::new(io::ErrorKind::TimedOut, "no response or no complete listing in time")
 }
 
-/// Takes the whole list, unless its version `index` is known, and then its changes until the connection ends.
+/// Reads the complete listing, unless a version `index` is known, and then the changes until the connection ends.
 async fn watch(
     addr: SocketAddr,
     index: &mut Option<u64>,
@@ -307,45 +315,49 @@
         Some(since) => since,
         None => {
             let requested = sink.requested();
-            let list = ListStream::ask(open().await?, "/v1/servers", costly, sink).await?.whole().await?;
+            let list =
+                ListStream::open(open().await?, "/v1/servers", costly, sink).await?.read_complete().await?;
             let since = list.index;
-            sink.tell(Listing { snapshot: true, ..list }).await?;
+            sink.apply(Listing { snapshot: true, ..list }).await?;
             sink.mark_read(requested);
             (*index, *in_force) = (Some(since), Some(since));
             since
         }
     };
     let path = format!("/v1/servers?follow=1&since={since}");
-    let mut lines = match ListStream::ask(open().await?, &path, costly, sink).await {
-        Ok(lines) => lines,
+    let mut stream = match ListStream::open(open().await?, &path, costly, sink).await {
+        Ok(stream) => stream,
         Err(e) => {
-            // A version that it does not know must not be asked for again and again. Turned away, it has not
-            // looked at the version, and the whole list would cost it more.
-            let looked =
+            // A version that discovery does not know must not be requested again and again. If it rejected the request
+            // for lack of time it has not checked the version, and the complete listing would cost it more.
+            let version_checked =
                 e.kind() != io::ErrorKind::ResourceBusy && !(costly && e.kind() == io::ErrorKind::TimedOut);
-            *index = index.filter(|_| !looked);
+            *index = index.filter(|_| !version_checked);
             return Err(e);
         }
     };
     *opened = true;
-    // The same for one after which it says nothing, unless it may only have had no time for it.
+    // The same for a version after which discovery sends nothing, unless it may be short of time.
     *index = index.filter(|_| costly);
     let mut known = since;
-    let mut list_wanted = std::pin::pin!(sink.until_requested(spread));
+    let mut reread_requested = std::pin::pin!(sink.until_requested(spread));
     loop {
         let next = tokio::select! {
             biased;
-            next = lines.next() => next,
-            () = &mut list_wanted => return Ok(WatchStop::ListWanted),
+            next = stream.next() => next,
+            () = &mut reread_requested => return Ok(WatchStop::RereadRequested),
         };
         let next = next.inspect_err(|e| *index = index.filter(|_| e.kind() != io::ErrorKind::InvalidData));
         let Some(list) = next? else { return Ok(WatchStop::Connection) };
         if list.index < known && !list.snapshot {
             *index = None;
-            return Err(io::Error::other(format!("version {known} was asked for, {} told", list.index)));
+            return Err(io::Error::other(format!(
+                "changes to version {known} were requested, version {} was sent",
+                list.index
+            )));
         }
         known = list.index;
-        sink.tell(list).await?;
+        sink.apply(list).await?;
         (*index, *in_force) = (Some(known), Some(known));
     }
 }
--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints as they were last listed, and how their names are numbered.
+//! The table of endpoints as last listed, and the numbers under which the dispatcher knows them.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing};
 use embershore_protocol::settings::Names;
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A gone endpoint keeps its number for this long, in case it is named again. Where endpoints are ever new, what
-/// is kept of the gone ones is most of what is kept at all.
+/// Time for which a gone endpoint keeps its number, in case it is listed again. Where endpoints are replaced all the time,
+/// gone ones make up most of the table.
 const GONE_RETENTION: Duration = Duration::from_secs(60);
-/// A destination is known for this long after its last endpoint has gone.
+/// Time for which a destination stays known after its last endpoint has gone.
 const DESTINATION_RETENTION: Duration = Duration::from_secs(3600);
-/// Destinations that are remembered beside those with an endpoint.
+/// Number of destinations above which those without an endpoint are dropped.
 const MAX_DESTINATIONS: usize = 10_000;
 
 /// An endpoint as last listed.
@@ -23,25 +23,25 @@
     pub dest: DestId,
     pub kind: usize,
     zone: usize,
-    /// Listed, neither draining nor gone.
+    /// Listed as ready: neither draining nor gone.
     pub ready: bool,
-    gone: Option<Instant>,
+    gone_since: Option<Instant>,
 }
 
 impl Endpoint {
-    /// It is in the list, whatever that says of it.
+    /// Whether the endpoint is in the listing, with whatever status.
     pub fn listed(&self) -> bool {
-        self.gone.is_none()
+        self.gone_since.is_none()
     }
 }
 
-/// All endpoints by number. A name keeps its number when it is listed again.
+/// The endpoints by number. A name keeps its number when it is listed again.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     names: Names,
     numbers: HashMap<String, EndpointId>,
     endpoints: HashMap<EndpointId, Endpoint>,
-    /// The destinations, and when an endpoint of each was last named.
+    /// The destinations, each with the time at which it last had an endpoint.
     destinations: HashMap<DestId, Instant>,
     last_number: u32,
 }
@@ -59,17 +59,18 @@
         self.numbers.get(name).copied()
     }
 
-    /// Endpoints in the list, whatever it says of them.
+    /// Returns the number of listed endpoints, with whatever status.
     pub fn listed(&self) -> usize {
         self.endpoints.values().filter(|e| e.listed()).count()
     }
 
-    /// Whether the destination has an endpoint or had one not long ago.
+    /// Whether the destination has an endpoint, or had one within [`DESTINATION_RETENTION`].
     pub fn knows(&self, dest: DestId) -> bool {
         self.destinations.contains_key(&dest)
     }
 
-    /// Takes a listing over and puts it into the module's words. What a whole list lacks is named as removed.
+    /// Applies a listing and returns the changes for the dispatcher. Endpoints missing from a complete listing are
+    /// returned as removed.
     pub fn apply(&mut self, listing: &Listing) -> Vec<EndpointEntry> {
         let now = Instant::now();
         let mut entries: Vec<EndpointEntry> =
@@ -78,25 +79,25 @@
             let named: HashSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
             entries.extend(self.remove(now, |id, _| !named.contains(&id)));
         }
-        let retained = |e: &Endpoint| e.gone.is_none_or(|t| now - t < GONE_RETENTION);
+        let retained = |e: &Endpoint| e.gone_since.is_none_or(|t| now - t < GONE_RETENTION);
         self.numbers.retain(|_, id| self.endpoints.get(id).is_some_and(retained));
         self.endpoints.retain(|_, e| retained(e));
         for e in self.endpoints.values() {
             self.destinations.insert(e.dest, now);
         }
         if self.destinations.len() > MAX_DESTINATIONS {
-            self.destinations.retain(|_, named| *named == now);
+            self.destinations.retain(|_, last_present| *last_present == now);
         }
-        self.destinations.retain(|_, named| now - *named < DESTINATION_RETENTION);
+        self.destinations.retain(|_, last_present| now - *last_present < DESTINATION_RETENTION);
         entries
     }
 
-    /// Takes out the endpoints of all destinations that are not kept.
-    pub fn remove_unless(&mut self, keeps: impl Fn(i64) -> bool) -> Vec<EndpointEntry> {
-        self.remove(Instant::now(), |_, endpoint| !keeps(endpoint.dest.0)).collect()
+    /// Removes the endpoints of destinations for which `retain` returns false.
+    pub fn retain_destinations(&mut self, retain: impl Fn(i64) -> bool) -> Vec<EndpointEntry> {
+        self.remove(Instant::now(), |_, endpoint| !retain(endpoint.dest.0)).collect()
     }
 
-    /// Counts the listed endpoints that `unwanted` names as gone.
+    /// Marks the listed endpoints for which `unwanted` returns true as gone.
     fn remove(
         &mut self,
         now: Instant,
@@ -104,7 +105,7 @@
     ) -> impl Iterator<Item = EndpointEntry> {
         let present = self.endpoints.iter_mut().filter(|(_, e)| e.listed());
         present.filter(move |(id, e)| unwanted(**id, e)).map(move |(id, e)| {
-            (e.ready, e.gone) = (false, Some(now));
+            (e.ready, e.gone_since) = (false, Some(now));
             let (endpoint, dest, kind, zone) = (*id, e.dest, e.kind, e.zone);
             EndpointEntry { endpoint, dest, status: Status::Removed, kind, zone, weight: None }
         })
@@ -115,9 +116,13 @@
             "Ready" => Status::Up,
             "Gone" => Status::Removed,
             "Terminating" => Status::Draining,
-            // Nothing new goes where it is not known to be welcome; the rest of the list is good.
+            // No new message is sent to an endpoint of unknown status; the rest of the listing is used.
             other => {
-                eprintln!("discovery: '{}' has the status '{other}', taken for Terminating", line.name);
+                eprintln!(
+                    "discovery: endpoint '{}' has the unknown status '{other}' (expected Ready, Terminating or Gone); \
+                     treated as Terminating",
+                    line.name
+                );
                 Status::Draining
             }
         };
@@ -128,9 +133,9 @@
             EndpointId(self.last_number)
         });
         let dest = DestId(line.group);
-        let gone = (status == Status::Removed).then_some(now);
+        let gone_since = (status == Status::Removed).then_some(now);
         let (name, addr, ready) = (line.name.clone(), line.address.parse().ok(), status == Status::Up);
-        self.endpoints.insert(id, Endpoint { name, addr, dest, kind, zone, ready, gone });
+        self.endpoints.insert(id, Endpoint { name, addr, dest, kind, zone, ready, gone_since });
         EndpointEntry { endpoint: id, dest, status, kind, zone, weight: line.weight }
     }
 }
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -1,29 +1,29 @@
-//! How long a list of endpoints may be, and what is known of one that was longer.
+//! The size limit of an endpoint list, and the report of a list that exceeds it.
 
 use crate::metrics::Metrics;
 use embershore_protocol::listing::Listing;
 use std::fmt;
 use std::io;
 
-/// Part of the sender's memory that the text of a list may take. Measured with 24,000 endpoints of 123 bytes and one
+/// Share of the sender's memory that the text of a list may take. Measured with 24,000 endpoints of 123 bytes and one
 /// destination each, a byte of the text costs 13 bytes resident, 22 once a list of other endpoints has replaced it (the
-/// old ones are remembered for a minute), and 27 where the first one was given with the configuration: at most 27 / 48
-/// of the memory, and the rest is for all else.
+/// old ones are retained for a minute), and 27 if the first one was given with the configuration. So a list takes at most
+/// 27 / 48 of the memory.
 const MEMORY_SHARE: f64 = 1.0 / 48.0;
-/// A list that is no longer than this is taken whatever the memory: some 500 endpoints, 2 MB resident.
-const LEAST: usize = 64 * 1024;
+/// A list up to this size is accepted whatever the memory: some 500 endpoints, 2 MB resident.
+const MIN_LIMIT_BYTES: usize = 64 * 1024;
 
-/// The longest list that is taken, in bytes of its text.
+/// The longest list that is accepted, in bytes of its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListLimit(usize);
 
 impl ListLimit {
-    /// For a sender that may use so many megabytes (of a million bytes).
-    pub fn of_memory(memory_mb: f64) -> Self {
-        ListLimit(((memory_mb * 1e6 * MEMORY_SHARE) as usize).max(LEAST))
+    /// Returns the limit for a sender with this much memory, in megabytes of a million bytes.
+    pub fn from_memory_mb(memory_mb: f64) -> Self {
+        ListLimit(((memory_mb * 1e6 * MEMORY_SHARE) as usize).max(MIN_LIMIT_BYTES))
     }
 
-    /// In bytes.
+    /// Returns the limit in bytes.
     pub fn bytes(self) -> usize {
         self.0
     }
@@ -31,28 +31,28 @@
     /// Checks the text of a list, as far as it has been read.
     ///
     /// # Errors
-    /// It is too long; `endpoints` counts those that begin in it.
-    pub fn check(self, read: usize, endpoints: impl FnOnce() -> usize) -> Result<(), TooLong> {
-        if read <= self.0 {
+    /// The list is too long; `endpoints` then counts those that begin in the part read.
+    pub fn check(self, bytes_read: usize, endpoints: impl FnOnce() -> usize) -> Result<(), TooLong> {
+        if bytes_read <= self.0 {
             return Ok(());
         }
-        Err(TooLong { source: Source::Discovery, limit: self.0, bytes: read, endpoints: endpoints() })
+        Err(TooLong { source: Source::Discovery, limit: self.0, bytes: bytes_read, endpoints: endpoints() })
     }
 
-    /// Checks a list that has been read already, by the length that it has when it is written without white space.
+    /// Checks a list that has been read completely, by its length when written without white space.
     ///
     /// # Errors
-    /// It is too long.
-    pub fn check_known(self, list: &Listing) -> Result<(), TooLong> {
+    /// The list is too long.
+    pub fn check_configured(self, list: &Listing) -> Result<(), TooLong> {
         let mut text = Length(0);
-        // Only a writer that fails or a map with other keys than strings makes this fail; there is neither.
+        // Can't fail: the writer does not, and no map has other keys than strings.
         _ = serde_json::to_writer(&mut text, list);
         self.check(text.0, || list.endpoints.len())
             .map_err(|too_long| TooLong { source: Source::Configuration, ..too_long })
     }
 }
 
-/// Counts what is written to it.
+/// A writer that counts the bytes.
 struct Length(usize);
 
 impl io::Write for Length {
@@ -69,21 +69,20 @@
 /// Where a list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// It was given with the configuration, as `known`.
+    /// The field `known` of the configuration.
     Configuration,
-    /// Discovery told it.
     Discovery,
 }
 
-/// A list that is not taken.
+/// The error for a list above the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong {
     pub source: Source,
-    /// The bytes that it may have.
+    /// The limit in bytes.
     pub limit: usize,
-    /// The bytes that have been read of it: the rest is not.
+    /// The bytes that were read before the list was rejected.
     pub bytes: usize,
-    /// The endpoints that begin in these.
+    /// The endpoints that begin in those bytes.
     pub endpoints: usize,
 }
 
@@ -113,12 +112,12 @@
     }
 }
 
-/// The list that an attempt to read one has found too long, if that is why it failed.
+/// Returns the [`TooLong`] that caused an I/O error, if it did.
 pub fn too_long(error: &io::Error) -> Option<TooLong> {
     error.get_ref()?.downcast_ref::<TooLong>().copied()
 }
 
-/// Counts a list that was not taken. The first of several is logged, with what the sender goes by.
+/// Counts a rejected list. The first one after an accepted one is logged, with the list that stays in force.
 pub fn reject(metrics: &Metrics, too_long: TooLong, in_force: bool) {
     if metrics.lists.reject(too_long) {
         let stays = if in_force { "the last good list stays" } else { "no list is in force: not ready" };
@@ -126,7 +125,7 @@
     }
 }
 
-/// Notes that a list has been taken; logged where the one before it was not.
+/// Notes an accepted list, and logs it if the one before was rejected.
 pub fn accept(metrics: &Metrics) {
     if metrics.lists.accept() {
         eprintln!("discovery's list is within its limit again and in force");
@@ -139,10 +138,10 @@
 
     #[test]
     fn the_limit_is_a_share_of_the_memory_and_never_less_than_a_small_list() {
-        assert_eq!(ListLimit::of_memory(192.0).bytes(), 4_000_000);
-        assert_eq!(ListLimit::of_memory(32.0).bytes(), 666_666);
-        assert_eq!(ListLimit::of_memory(0.5).bytes(), LEAST);
-        assert_eq!(ListLimit::of_memory(f64::MAX).bytes(), usize::MAX);
+        assert_eq!(ListLimit::from_memory_mb(192.0).bytes(), 4_000_000);
+        assert_eq!(ListLimit::from_memory_mb(32.0).bytes(), 666_666);
+        assert_eq!(ListLimit::from_memory_mb(0.5).bytes(), MIN_LIMIT_BYTES);
+        assert_eq!(ListLimit::from_memory_mb(f64::MAX).bytes(), usize::MAX);
     }
 
     #[test]
@@ -162,9 +161,9 @@
     fn a_list_that_has_been_read_is_counted_whole() {
         let text = r#"{"index":1,"endpoints":[{"name":"a","status":"Ready"},{"name":"b","status":"Gone"}]}"#;
         let list = Listing::read(text.as_bytes()).unwrap();
-        assert_eq!(ListLimit(10_000).check_known(&list), Ok(()));
-        let too_long = ListLimit(10).check_known(&list).unwrap_err();
+        assert_eq!(ListLimit(10_000).check_configured(&list), Ok(()));
+        let too_long = ListLimit(10).check_configured(&list).unwrap_err();
         assert_eq!((too_long.source, too_long.endpoints), (Source::Configuration, 2));
-        assert!(too_long.bytes > text.len(), "fields that are not told stand for their defaults");
+        assert!(too_long.bytes > text.len(), "fields absent from the text are written with their defaults");
     }
 }
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the sender reports of itself: counters from the process's start, and how things stand.
+//! The sender's metrics: counters since the process's start, and gauges. `GET /_vars` returns them.
 
 use crate::list_limit::TooLong;
 use crate::placement::metrics::PlacementMetrics;
@@ -7,21 +7,21 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// Classes that are counted apart. Those of one configuration are far fewer; each new one may bring more.
+/// Limit of the classes with counters of their own. One configuration has far fewer, but each reload may add some.
 const MAX_CLASSES: usize = 1000;
 
-/// How a message ended, as far as the figures tell it.
+/// How a message ended, as the metrics distinguish it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageEnd {
-    /// An endpoint has taken it (200, or `ok` in the answer to several).
+    /// An endpoint has accepted it (status 200, or state `ok` in a batch response).
     Delivered,
-    /// Its client was told `-BUSY` in place of `+OK`.
+    /// Its client got the reply `-BUSY` in place of `+OK`.
     Refused,
-    /// It was taken on and its client is told by a notice that it may come again.
+    /// It was accepted, and its client gets a notice that it may submit it again.
     Returned,
-    /// Its client was told `-ERR` in place of `+OK`.
+    /// Its client got the reply `-ERR` in place of `+OK`.
     Wrong,
-    /// It was taken on and its client is told by a notice that it failed.
+    /// It was accepted, and its client gets a notice that it failed.
     Failed,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl MessageEnd {
-    /// What a notice tells.
+    /// Returns the end that a notice reports.
     pub fn of(end: End) -> Self {
         match end {
             End::Returned { .. } => MessageEnd::Returned,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Where each ending counts.
+    /// Returns the counter to which the end adds.
     fn column(self) -> Column {
         match self {
             MessageEnd::Delivered => Column::Succeeded,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The figures as they are told.
+/// The metrics in the form that `GET /_vars` returns as JSON.
 #[derive(Debug, Serialize)]
 pub struct MetricsSnapshot {
     succeeded: BTreeMap<String, u64>,
@@ -72,57 +72,57 @@
     pub placement: Option<PlacementMetrics>,
 }
 
-/// What is counted of lists that are too long.
+/// Metrics of endpoint lists that are too long.
 #[derive(Debug, Default)]
 pub struct ListMetrics {
-    /// The bytes that a list may have.
+    /// The size limit of a list, in bytes.
     pub limit: Cell<usize>,
     rejected: Cell<u64>,
     last: Cell<Option<TooLong>>,
-    /// No list has been taken since the last one that was too long.
+    /// Whether no list has been accepted since the last one that was too long.
     is_rejected: Cell<bool>,
 }
 
 impl ListMetrics {
-    /// Counts a list that was not taken. True for the first one since one was taken.
+    /// Counts a rejected list. Returns true for the first one after an accepted list.
     pub fn reject(&self, too_long: TooLong) -> bool {
         self.rejected.set(self.rejected.get() + 1);
         self.last.set(Some(too_long));
         !self.is_rejected.replace(true)
     }
 
-    /// A list has been taken. True for the first one since one was not.
+    /// Notes an accepted list. Returns true for the first one after a rejected list.
     pub fn accept(&self) -> bool {
         self.is_rejected.replace(false)
     }
 
-    /// The list told last, if it was too long.
+    /// Returns the last list if it was too long.
     pub fn rejection(&self) -> Option<TooLong> {
         self.last.get().filter(|_| self.is_rejected.get())
     }
 }
 
-/// The figures as they are kept: the driver counts the ends that it decides, a connection what it has written.
+/// The live metrics. The driver counts the messages' ends, the calls count what they have written.
 #[derive(Debug, Default)]
 pub struct Metrics {
     /// By class: delivered, declined, aborted.
     ends_by_class: RefCell<BTreeMap<String, [u64; 3]>>,
-    /// Messages written whole to endpoints.
+    /// Messages written completely to endpoints.
     pub forwards: Cell<u64>,
-    /// Messages taken and not ended.
+    /// Messages accepted and not ended.
     pub outstanding: Cell<usize>,
     /// Listed endpoints that are avoided now.
     pub ejected: Cell<usize>,
-    /// Files taken over at SIGHUP.
+    /// Configurations applied at SIGHUP.
     pub applied: Cell<u64>,
-    /// Files turned down at SIGHUP.
+    /// Configurations rejected at SIGHUP.
     pub rejected: Cell<u64>,
     /// Lists of endpoints that were too long.
     pub lists: ListMetrics,
 }
 
 impl Metrics {
-    /// Lets these classes stand in the figures from now on. One that is dropped later keeps its count.
+    /// Adds these classes to the counters. A class that is dropped later keeps its counters.
     pub fn register_classes<'a>(&self, classes: impl IntoIterator<Item = &'a String>) {
         let mut ends_by_class = self.ends_by_class.borrow_mut();
         for class in classes {
@@ -132,14 +132,14 @@
         }
     }
 
-    /// Counts a message's end. A class that is in no configuration is not counted: its name is the client's own.
-    pub fn count(&self, class: &str, ending: MessageEnd) {
+    /// Counts a message's end. A class that is in no configuration is not counted: the client chose its name freely.
+    pub fn count(&self, class: &str, end: MessageEnd) {
         if let Some(row) = self.ends_by_class.borrow_mut().get_mut(class) {
-            row[ending.column() as usize] += 1;
+            row[end.column() as usize] += 1;
         }
     }
 
-    /// All of it, where so many endpoints are listed.
+    /// Returns all metrics; `discovered` is the number of listed endpoints.
     pub fn snapshot(&self, discovered: usize) -> MetricsSnapshot {
         let ends_by_class = self.ends_by_class.borrow();
         let last_list = self.lists.last.get();
@@ -170,10 +170,10 @@
     use serde_json::{Value, json};
 
     #[test]
-    fn each_ending_counts_in_its_column() {
+    fn each_end_adds_to_its_counter() {
         let metrics = Metrics::default();
         metrics.register_classes(&["push".to_string(), "pay".to_string()]);
-        for ending in [
+        for end in [
             MessageEnd::Delivered,
             MessageEnd::Refused,
             MessageEnd::Returned,
@@ -181,7 +181,7 @@
             MessageEnd::Failed,
             MessageEnd::Failed,
         ] {
-            metrics.count("push", ending);
+            metrics.count("push", end);
         }
         metrics.count("nobody's", MessageEnd::Delivered);
         let snapshot: Value = serde_json::to_value(metrics.snapshot(7)).unwrap();
--- a/crates/sender/src/placement/member_list.rs
+++ b/crates/sender/src/placement/member_list.rs
@@ -55,7 +55,7 @@
         // The place comes first: the fleet must not know what the driver has not been told.
         let Ok(place) = self.inputs.reserve().await else { return };
         let keeps = |dest| self.placement.retains(dest);
-        let entries = self.endpoints.borrow_mut().remove_unless(keeps);
+        let entries = self.endpoints.borrow_mut().retain_destinations(keeps);
         if !entries.is_empty() {
             let index = self.placement.endpoint_list.last_version();
             place.send(Input::EndpointsListed { index, full: false, entries });
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -1,54 +1,55 @@
-//! The state of the process, in one place: what every front and the operators' door go by.
+//! The process's status: whether it serves, drains, hands over or stops. The servers, the driver and the management
+//! interface all read it here.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// While the sender is emptied or stops, clients still connect for this long: the front that deals them out asks
-/// every 0.1 s and sends new connections for 0.2 s more. Then their connections close between requests.
+/// Time after a lame-duck command or a stop for which clients are served as before: the load balancer in front polls
+/// readiness every 0.1 s and sends new connections for 0.2 s more. After it connections close between requests.
 const CLIENT_GRACE: Duration = Duration::from_millis(450);
-/// A message that is handed in later than this after the sender was told to empty itself is refused: whoever
-/// still comes goes by an old word, and would be here when the sender is to be empty.
+/// Time after a lame-duck command from which messages are refused: a client that still submits one uses outdated
+/// information, and its message would keep the sender from being empty when it should be.
 const LATE_MESSAGE_CUTOFF: Duration = Duration::from_millis(1400);
 
-/// What the process is doing.
+/// The phase that a process is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has not read its list yet, nor what an earlier run left.
+    /// It has no endpoint list yet, or has not restored the messages of an earlier run.
     Starting,
-    /// Its start waits for the process before it, which does not answer and is about to be ended.
+    /// Its start waits for a predecessor that does not answer and is about to be ended.
     Standby,
-    /// It takes messages.
+    /// It accepts messages.
     Serving,
-    /// It has been told to empty itself, and serves what it has.
+    /// It drains: it delivers what it has, for the operator.
     LameDuck,
-    /// Another process of this sender has taken its place: it ends with its last call.
+    /// A successor has taken over: this process exits with its last call and client.
     HandedOver,
-    /// It has been told to end.
+    /// It has received SIGTERM.
     Stopping,
 }
 
-/// What can change the phase.
+/// An event that may change the phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// All is read that has to be.
+    /// The start is complete.
     Started,
-    /// The operators empty the sender, or let it have clients again.
+    /// The operator switches the lame-duck mode on or off.
     LameDuck(bool),
-    /// The process before this one does not let go of the journal.
+    /// The predecessor does not release the journal.
     Standby,
-    /// The next process has the journal.
+    /// The successor has the journal.
     HandedOver,
     /// SIGTERM.
     Stop,
 }
 
-/// Why a change can't be made.
+/// The error for a change that is no longer possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLate;
 
-/// How far the process is, and since when. Being told to empty itself is remembered through the start, and nothing
-/// undoes a stop.
+/// The status and the times of its changes. A lame-duck command during the start takes effect after it; a stop can't be
+/// undone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessStatus {
     started: bool,
@@ -59,7 +60,7 @@
 }
 
 impl ProcessStatus {
-    /// What the process is doing.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         match self {
             ProcessStatus { stopping: Some(_), .. } => Phase::Stopping,
@@ -71,27 +72,27 @@
         }
     }
 
-    /// Whether new clients are welcome: what `PING` and `/_ready` answer.
+    /// Whether new clients are accepted: what `PING` and `/_ready` report.
     pub fn ready(&self) -> bool {
         matches!(self.phase(), Phase::Serving | Phase::Standby)
     }
 
-    /// From when on clients' connections close between requests, if they do.
+    /// Returns the time from which clients' connections close between requests, if they do.
     pub fn clients_close_at(&self) -> Option<Instant> {
-        let empties = [self.lame_duck, self.stopping].into_iter().flatten().min();
-        // The next process has clients' new connections already.
-        empties.map(|since| since + CLIENT_GRACE).into_iter().chain(self.handed_over).min()
+        let draining = [self.lame_duck, self.stopping].into_iter().flatten().min();
+        // After a handover there is no grace: the successor accepts the clients' new connections.
+        draining.map(|since| since + CLIENT_GRACE).into_iter().chain(self.handed_over).min()
     }
 
-    /// Whether a message that comes now is refused, since clients were to be elsewhere long ago.
+    /// Whether a message submitted at `now` is refused: the lame duck should have no clients any more.
     pub fn refuses_messages(&self, now: Instant) -> bool {
         self.lame_duck.is_some_and(|since| now >= since + LATE_MESSAGE_CUTOFF)
     }
 
-    /// The state after a change.
+    /// Returns the status after a change.
     ///
     /// # Errors
-    /// Once the process has been told to end, or has been replaced, it does not take clients again.
+    /// After a stop or a handover the lame-duck mode can't be switched off.
     pub fn after(mut self, change: Change, now: Instant) -> Result<Self, TooLate> {
         match change {
             Change::Started => self.started = true,
@@ -108,7 +109,7 @@
     }
 }
 
-/// The state, for those that change it; cheap to clone.
+/// The status, shared between the daemon's parts; cheap to clone.
 #[derive(Clone)]
 pub struct SharedStatus(Rc<watch::Sender<ProcessStatus>>);
 
@@ -125,7 +126,7 @@
         self.0.subscribe()
     }
 
-    /// Changes the state and tells all who follow it.
+    /// Changes the status and notifies all subscribers.
     ///
     /// # Errors
     /// As [`ProcessStatus::after`].
@@ -136,7 +137,7 @@
     }
 }
 
-/// Waits until a client's connection is to close between requests, which is no sooner than `least`.
+/// Waits until a client's connection is to close between requests, but at least until `not_before`.
 pub async fn wait_until_closing(status: &mut watch::Receiver<ProcessStatus>, not_before: Instant) {
     loop {
         let at = status.borrow_and_update().clients_close_at();
@@ -149,7 +150,7 @@
         tokio::select! {
             biased;
             () = closes => return,
-            // The other end lasts as long as the process.
+            // The sending half lives as long as the process.
             Ok(()) = status.changed() => {}
         }
     }
@@ -159,7 +160,7 @@
 mod tests {
     use super::*;
 
-    /// Plays changes, each a tenth of a second after the one before.
+    /// Applies changes, each a tenth of a second after the one before. Returns the first one's time and the status.
     fn apply_changes(changes: &[Change]) -> (Instant, ProcessStatus) {
         let start = Instant::now();
         let mut status = ProcessStatus::default();
@@ -171,7 +172,7 @@
     }
 
     #[test]
-    fn each_row_of_the_table_of_phases() {
+    fn phase_after_each_sequence_of_changes() {
         use Change::{HandedOver, LameDuck as Lame, Standby, Started, Stop};
         let rows: [(&[Change], Phase); 20] = [
             (&[], Phase::Starting),
@@ -214,7 +215,7 @@
     }
 
     #[test]
-    fn being_told_again_does_not_put_the_closing_off() {
+    fn a_repeated_lame_duck_command_does_not_postpone_the_closing() {
         let (start, once) = apply_changes(&[Change::LameDuck(true)]);
         let (again_start, again) = apply_changes(&[Change::LameDuck(true), Change::LameDuck(true)]);
         assert_eq!(once.clients_close_at(), Some(start + CLIENT_GRACE));
