--- a/crates/sender/src/clock.rs
+++ b/crates/sender/src/clock.rs
@@ -3,7 +3,8 @@
 use heronroute::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Wall-clock microseconds that never go back: journal and dispatcher share them.
+/// Wall-clock microseconds as of the start plus the monotonic time since, so that they never go back. The journal and the
+/// dispatcher share them.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     wall: Micros,
@@ -11,15 +12,18 @@
 }
 
 impl Clock {
+    /// Reads the wall clock, once.
     pub fn start() -> Self {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { wall: wall.as_micros() as Micros, start: Instant::now() }
     }
 
+    /// Returns the time in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
         self.wall + self.start.elapsed().as_micros() as Micros
     }
 
+    /// Converts a time of this clock to an instant for a timer.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         let after = Duration::from_micros((at - self.wall).max(0) as u64);
         (self.start + after).into()
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads its configuration, puts its parts together and runs them.
+//! The daemon: reads the configuration and the environment, builds the parts and runs them.
 
 use crate::clients::Origin;
 use crate::clock::Clock;
@@ -36,32 +36,34 @@
 use tokio::sync::{mpsc, watch};
 
 const DEFAULT_CONNECT_TIMEOUT_US: i64 = 1_500_000;
+/// Time after the driver's end for writing the last replies.
 const FINAL_WRITE_TIME: Duration = Duration::from_millis(20);
-/// How long a new start waits for discovery's word before it goes by the list it was given.
+/// Time that a start waits for discovery's list before it uses the one in the configuration.
 const FIRST_LIST_WAIT: Duration = Duration::from_millis(500);
-/// How often it looks whether it has come.
+/// Interval of checking whether it has arrived.
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Inputs that wait for the driver; whoever has more waits in turn.
+/// Inputs queued for the driver; a sender of more waits.
 const MAX_QUEUED_INPUTS: usize = 1024;
-/// Descriptors for all but clients and endpoints: the standard streams, the event queue and its signals, the
-/// listener and a client that is being turned away, the journal and its successor, the configuration,
-/// discovery's list and its next, and the notices' connection. These are 16; as many again are kept free.
+/// Descriptors for everything except clients and endpoints: the standard streams, the event queue and its signals, the
+/// listener and a client that is being rejected, the journal and its compacted copy, the configuration, discovery's list
+/// and its next connection, and the notices' connection. These are 16; as many again are kept free.
 const OWN_DESCRIPTORS: usize = 32;
 
-/// As many bytes as a semaphore can count; more than any machine has.
+/// The largest number of bytes that a semaphore can count; more than any machine's memory.
 const MAX_COUNTED_BYTES: usize = tokio::sync::Semaphore::MAX_PERMITS;
 
-/// Descriptors of the operators' door: its callers, one more that is let in as the first gives way, the listener.
+/// Descriptors of the management interface: its connections, one more while the oldest is being closed, and the listener.
 const MGMT_DESCRIPTORS: usize = mgmt::MAX_CALLERS + 2;
 
-/// Descriptors of placement beside connections to other members: the listener for them, the connection to a control agent,
-/// and the file that is written.
+/// Descriptors of placement besides the connections to other members: the listener for them, the connection to a control
+/// agent, and the state file.
 const PLACEMENT_DESCRIPTORS: usize = 3;
-/// How long a start waits for an answer of a control agent, ...
+/// Time that a start waits for a control agent's response.
 const MEMBER_LIST_WAIT: Duration = Duration::from_secs(2);
-/// ... for the table of the list that came, which takes up to a second at full size, and more on a busy machine, ...
+/// Time that a start waits for the table to be built from the member list, which takes up to a second at full size, and
+/// more on a busy machine.
 const TABLE_WAIT: Duration = Duration::from_secs(8);
-/// ... and how often it looks whether the address is free at which the process before this one takes forwarded messages.
+/// Interval of the attempts to bind the forward address, which the predecessor may still use.
 const FORWARD_BIND_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Deserialize)]
@@ -72,7 +74,7 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    /// Where the operators' door is, unless the environment names another place.
+    /// Address of the management interface, unless `LB_MGMT` gives another.
     mgmt: Option<SocketAddr>,
     known: Option<Listing>,
     pub(crate) settings: ProfileData,
@@ -93,31 +95,36 @@
 }
 
 impl Limits {
-    /// A sender can do nothing without any of these.
+    /// Checks that no limit is zero: a sender without memory, sockets or disk can do nothing.
     fn check(&self) -> Result<(), String> {
         let (disk, memory) = (self.disk_mb, self.memory_mb);
         let all = [("disk_mb", disk > 0.0), ("memory_mb", memory > 0.0), ("sockets", self.sockets > 0)];
         match all.iter().find(|(_, good)| !good) {
-            Some((field, _)) => Err(format!("limits.{field}: must be above 0")),
+            Some((field, _)) => Err(format!("limits.{field}: must be greater than 0")),
             None => Ok(()),
         }
     }
 
-    /// A third of the descriptors for connections. An eighth of the memory each for commands that are being
-    /// read and for messages that are not answered yet: the rest is for what the journal holds, which is bounded
-    /// by the disk, for a copy of it while it is compacted, and for calls, which are bounded by their slots.
+    /// Returns the limits for clients: a third of the descriptors for connections, and an eighth of the memory each for
+    /// incomplete commands and for messages without a reply. The rest is for the messages in the journal, which the disk
+    /// limit bounds, for a copy of it during a compaction, and for calls, which their slots bound.
     fn clients(&self) -> clients::ClientLimits {
-        let eighth = ((self.memory_mb * 1e6 / 8.0) as usize).min(MAX_COUNTED_BYTES);
-        clients::ClientLimits { connections: (self.sockets / 3).max(1), buffers: eighth, bodies: eighth }
+        let eighth_of_memory = ((self.memory_mb * 1e6 / 8.0) as usize).min(MAX_COUNTED_BYTES);
+        clients::ClientLimits {
+            connections: (self.sockets / 3).max(1),
+            buffers: eighth_of_memory,
+            bodies: eighth_of_memory,
+        }
     }
 
-    /// Idle connections to endpoints: what clients, calls, probes, other members and the sender's own files leave.
+    /// Returns the number of idle connections to endpoints: the descriptors that clients, calls, probes, other members and
+    /// the sender's own files leave.
     fn max_idle_connections(&self, slots: usize, mgmt: bool, placement: Option<&PlacementOptions>) -> usize {
         let mgmt = if mgmt { MGMT_DESCRIPTORS } else { 0 };
         let members = placement.map_or(0, |options| options.owner_connections + PLACEMENT_DESCRIPTORS);
-        let others =
+        let other_descriptors =
             self.clients().connections + slots + calls::MAX_PROBES + OWN_DESCRIPTORS + mgmt + members;
-        self.sockets.saturating_sub(others)
+        self.sockets.saturating_sub(other_descriptors)
     }
 }
 
@@ -126,20 +133,20 @@
         Ok(Self::read_with_value(path)?.0)
     }
 
-    /// The configuration, and what stands in the file but for the known list's content.
+    /// Reads a configuration file. Returns it also as JSON, without the content of the known list.
     fn read_with_value(path: &Path) -> Result<(Self, Value), String> {
         let at = |e: &dyn Display| format!("{}: {e}", path.display());
         let text = std::fs::read_to_string(path).map_err(|e| at(&e))?;
         let mut value: Value = serde_json::from_str(&text).map_err(|e| at(&e))?;
         let config = Self::of(value.clone()).map_err(|e| at(&e))?;
         if let Some(Value::Object(known)) = value.get_mut("known") {
-            // That there was a list is compared with a later file, what it said is not: it may be long.
+            // A reload compares whether there was a list, but not its content, which may be long.
             known.clear();
         }
         Ok((config, value))
     }
 
-    /// What a file's content says; a wrong value is told with its place.
+    /// Converts and checks a file's content. An error names the field's path.
     fn of(value: Value) -> Result<Self, String> {
         let config: Config =
             serde_path_to_error::deserialize(without_nulls(value)).map_err(|e| e.to_string())?;
@@ -148,7 +155,7 @@
     }
 }
 
-/// The classes, as far as the operator's options are checked against them.
+/// Returns the properties of the classes against which the operator's options are checked.
 pub(crate) fn class_facts(names: Vec<String>, settings: &[ClassSettings]) -> Vec<ClassFacts> {
     let facts = |(name, class): (String, &ClassSettings)| {
         let (effect, window, deadline) = (class.effect, class.window, class.deadline);
@@ -157,7 +164,7 @@
     names.into_iter().zip(settings).map(facts).collect()
 }
 
-/// What is null counts as not there, and stands for its default.
+/// Removes the fields that are null, so that their defaults apply.
 fn without_nulls(value: Value) -> Value {
     match value {
         Value::Object(fields) => {
@@ -169,21 +176,21 @@
     }
 }
 
-/// An error of the library's in the words of the file.
+/// Formats an error of the dispatcher's settings with the field's path in the configuration file.
 fn settings_error(e: &SettingsError) -> String {
     format!("settings.{}: must be {}", setting_path(e), e.requirement)
 }
 
-/// What a sender takes over of a configuration that is read while it runs.
+/// The part of a reloaded configuration that a running sender applies.
 struct ReloadedConfig {
     discovery: SocketAddr,
     classes: Vec<(String, ClassSettings)>,
-    /// All that the file says.
+    /// The file's content.
     value: Value,
 }
 
 impl ReloadedConfig {
-    /// Reads it, where it may be taken over by a sender that runs by `running`.
+    /// Reads a configuration and checks it against the running one.
     fn read(path: &Path, running: &Value) -> Result<Self, String> {
         let (config, value) = Config::read_with_value(path)?;
         let at = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
@@ -195,61 +202,63 @@
     }
 }
 
-/// Where a new configuration's parts go.
+/// The receivers of a reloaded configuration's parts.
 struct Reload {
     path: PathBuf,
-    /// What the running configuration says.
+    /// The running configuration.
     running: Value,
     discovery: watch::Sender<SocketAddr>,
     metrics: Rc<Metrics>,
     inputs: mpsc::Sender<Input>,
 }
 
-/// Takes over what a new configuration may change in a running sender: where discovery is, its classes and their
-/// attempts. The rest holds from the next start on. A file that cannot be read or is wrong anywhere changes nothing.
+/// Reloads the configuration at each SIGHUP. Applies discovery's address, the classes and the number of attempts; the rest
+/// takes effect at the next start. A file that can't be read or has any error changes nothing.
 async fn reload(mut to: Reload, mut hang_up: Signal) {
     while hang_up.recv().await.is_some() {
         match ReloadedConfig::read(&to.path, &to.running) {
             Ok(ReloadedConfig { discovery, classes, value }) => {
                 to.running = value;
-                // Before discovery moves: a driver that has much to do must not be told of one without the other.
+                // Before discovery's address: a busy driver must not get listings from the new address without the new
+                // classes.
                 _ = to.inputs.send(Input::ClassesReloaded(classes)).await;
                 let moved = to.discovery.send_if_modified(|addr| {
                     let before = std::mem::replace(addr, discovery);
                     before != *addr
                 });
                 to.metrics.applied.set(to.metrics.applied.get() + 1);
-                let word = if moved { "now" } else { "still" };
-                eprintln!("configuration read again: discovery is {word} at {discovery}");
+                let change = if moved { "changed to" } else { "still at" };
+                eprintln!("configuration {} reloaded: discovery {change} {discovery}", to.path.display());
             }
             Err(e) => {
                 to.metrics.rejected.set(to.metrics.rejected.get() + 1);
-                eprintln!("configuration: {e}; the old one stays");
+                eprintln!("configuration: reload failed, the running one stays in force: {e}");
             }
         }
     }
 }
 
-/// The operators' door is this process's own, as its environment says, or the one that the configuration names.
+/// Returns the management interface's address: `LB_MGMT`, which each process may set differently, or else the
+/// configuration's.
 fn mgmt_address(configured: Option<SocketAddr>) -> Result<Option<SocketAddr>, String> {
     match std::env::var("LB_MGMT") {
         Ok(addr) if !addr.is_empty() => {
-            addr.parse().map(Some).map_err(|_| format!("LB_MGMT: '{addr}' is no address and port"))
+            addr.parse().map(Some).map_err(|_| format!("LB_MGMT: '{addr}' is not of the form ADDRESS:PORT"))
         }
         _ => Ok(configured),
     }
 }
 
-/// How this process comes to its journal and its clients' socket.
+/// How this process obtains its journal and its clients' socket.
 enum Startup {
-    /// Both are its own from the start.
+    /// It opens both itself, at once.
     Standalone(Box<journal::Journal>, TcpListener),
-    /// The platform holds the socket; the journal may still be another process's.
+    /// It inherits the socket from the platform; the journal may still belong to another process.
     InheritedSocket(std::net::TcpListener),
 }
 
-/// What the operator's options file switches on: the file that the command line names, or else LB_OPTIONS. Without
-/// either nothing is read.
+/// Reads the operator's options file, named on the command line or else by `LB_OPTIONS`. Without either, all options are
+/// off.
 fn operator_options(file: Option<PathBuf>, classes: &[ClassFacts]) -> Result<Options, OptionsError> {
     let named = || std::env::var_os("LB_OPTIONS").filter(|name| !name.is_empty()).map(PathBuf::from);
     match file.or_else(named) {
@@ -258,7 +267,7 @@
     }
 }
 
-/// The destinations of all messages that an earlier run left are kept, whoever owns them by now.
+/// Retains the destinations of all messages that an earlier run left, whichever sender owns them now.
 fn retain_destinations(placement: &Placement, journal: &journal::Journal) {
     for (id, entry) in journal.entries() {
         if entry.progress.end.is_none() {
@@ -267,7 +276,7 @@
     }
 }
 
-/// Waits for the member list, but not for ever: what an earlier run left is delivered without it.
+/// Waits for the member list for a limited time: the messages of an earlier run are delivered without it.
 async fn wait_for_members(placement: &Placement) {
     let begun = tokio::time::Instant::now();
     let waits = || begun.elapsed() < if placement.is_reading() { TABLE_WAIT } else { MEMBER_LIST_WAIT };
@@ -276,14 +285,14 @@
     }
     if placement.epoch().is_none() {
         eprintln!(
-            "placement: no member list after {:?}; starting without: nothing new is taken on, and limits are \
-             shared as in the last run, or among {MAX_REPLICAS} owners, until the next start",
+            "placement: no member list after {:?}; starting without it: new messages are refused, and until the next \
+             start limits are shared as in the last run, or else among {MAX_REPLICAS} owners",
             begun.elapsed()
         );
     }
 }
 
-/// The part of a list that this sender keeps.
+/// Returns the part of a list that this sender keeps.
 fn owned_part(mut list: Listing, placement: Option<&Placement>) -> Listing {
     if let Some(placement) = placement {
         list.endpoints.retain(|line| placement.retains(line.group));
@@ -292,7 +301,7 @@
     list
 }
 
-/// Listens at an address as soon as the process before this one has left it.
+/// Binds an address as soon as the predecessor has released it.
 async fn bind_when_free(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
@@ -306,10 +315,10 @@
     let inherited = inherited_socket::listener()?;
     // Before anything is awaited: by default either signal ends the process.
     let (mut terminate, hang_up) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
-    let var = |name: &str| std::env::var(name).map_err(|_| format!("{name} is not set"));
-    let path = PathBuf::from(var("LB_CONFIG")?);
+    let required_variable = |name: &str| std::env::var(name).map_err(|_| format!("{name} is not set"));
+    let path = PathBuf::from(required_variable("LB_CONFIG")?);
     let (mut config, running) = Config::read_with_value(&path)?;
-    // Before a client can connect: one whose connection ends with no answer has lost its message.
+    // All checks come before a client can connect: a client whose connection ends without a reply has lost its message.
     let names = config.settings.names();
     let connect_timeout =
         config.settings.connect_timeout().filter(|t| *t > 0).unwrap_or(DEFAULT_CONNECT_TIMEOUT_US);
@@ -317,7 +326,7 @@
     let mut settings = config.settings.settings();
     settings.validate().map_err(|e| format!("{}: {}", path.display(), settings_error(&e)))?;
     let options = operator_options(options_file, &class_facts(names.classes.clone(), &settings.classes))?;
-    let state = PathBuf::from(var("LB_STATE")?);
+    let state = PathBuf::from(required_variable("LB_STATE")?);
     let placement =
         options.placement.map(|section| Rc::new(Placement::new(section, &names.classes, &settings, &state)));
     let open_journal = || {
@@ -342,7 +351,7 @@
         _ => None,
     };
 
-    // The module is to know for how long a connection really is kept: it takes the one that has rested longest.
+    // The dispatcher prefers endpoints with an open connection, so it must know the time for which one really is kept.
     settings.idle_close = (settings.idle_close.max(0) as f64 * calls::IDLE_LIFETIME_SHARE) as i64;
     let endpoints = Rc::new(RefCell::new(endpoint_table::EndpointTable::new(names.clone())));
     let metrics = Rc::new(Metrics::default());
@@ -370,13 +379,13 @@
         config.known = None;
     }
     let (discovery, follow_discovery) = watch::channel(config.discovery);
-    // A version of nought means that there is no list yet, unless one was given with it.
+    // Version 0 means that there is no list yet, unless endpoints were given with it.
     let index =
         config.known.as_ref().filter(|l| l.index > 0 || (ask_every.is_some() && !l.endpoints.is_empty()));
     let index = index.map(|l| l.index);
     let seed = u64::from_str_radix(&config.seed, 16).unwrap_or(0);
     let schedule = PollSchedule::new(ask_every, seed);
-    // Where many senders take turns in asking, the list that was given must do at first.
+    // Where polls of many senders are spread over time, the configuration's list is used at first.
     let list_wait = if schedule.is_costly() { Duration::ZERO } else { FIRST_LIST_WAIT };
     if let Some(addr) = mgmt {
         let management = mgmt::Management {
@@ -385,8 +394,9 @@
             endpoints: endpoints.clone(),
             placement: placement.clone(),
         };
-        let listener =
-            TcpListener::bind(addr).await.map_err(|e| format!("operators' door on {addr}: {e}"))?;
+        let listener = TcpListener::bind(addr)
+            .await
+            .map_err(|e| format!("management interface: listen on {addr}: {e}"))?;
         tokio::task::spawn_local(mgmt::serve(listener, management));
     }
     if let Some(placement) = &placement {
@@ -395,11 +405,11 @@
     }
     if let Some(placement) = &placement {
         wait_for_members(placement).await;
-        // The module shares a destination's limit among its owners.
+        // The dispatcher shares a destination's limit among this many senders.
         settings.senders = placement.fix_sharers();
     }
-    // A newcomer hears discovery long before it has the journal. What it is told must not be overwritten later by the
-    // older list that it was given.
+    // A process that waits for the journal may get discovery's list long before. The configuration's older list is applied
+    // now, so that it does not overwrite discovery's later.
     let known = InitialList::from_config(config.known.map(|list| owned_part(list, placement.as_deref())));
     let taken = match &known {
         InitialList::Configured(list) if matches!(startup, Startup::InheritedSocket(_)) => {
@@ -428,7 +438,7 @@
     let (journal, handover, listener) = match startup {
         Startup::Standalone(journal, listener) => (*journal, None, listener),
         Startup::InheritedSocket(socket) => {
-            // All that needs no journal comes first: the shorter is the time in which no process serves.
+            // What needs no journal is done first, to shorten the time in which no process serves.
             let begun = tokio::time::Instant::now();
             while inbox.is_empty() && begun.elapsed() < list_wait {
                 tokio::time::sleep(LIST_POLL_INTERVAL).await;
@@ -497,23 +507,22 @@
             });
         }
     }
-    // With no word of discovery's yet the list is taken over once more, less what the journal knows to drain.
+    // If discovery has sent nothing yet, the list is applied once more, without the endpoints that drain by the journal.
     let known = match taken {
         Some(entries) if !inbox.is_empty() => InitialList::Applied(entries),
         _ => known,
     };
     driver.run(inbox, known).await;
-    // Answers that the last round has decided are written still: a client that gets none has lost its message.
+    // The replies of the last round are still to be written: a client that gets none has lost its message.
     tokio::time::sleep(FINAL_WRITE_TIME).await;
     Ok(())
 }
 
-/// Runs the sender as `LB_CONFIG` and `LB_STATE` in its environment say, until it has been told to stop and has done
-/// so. The operator's options are read from `options`, or else from the file that `LB_OPTIONS` names, if any.
+/// Runs the sender with the configuration in `LB_CONFIG` and the state folder in `LB_STATE`, until it has received the stop
+/// signal and has stopped. The operator's options are read from `options`, or else from the file that `LB_OPTIONS` names.
 ///
 /// # Errors
-/// Names what it could not start with: a variable, the configuration, the options, the journal or the address to
-/// listen on.
+/// The start failed; the message names the variable, the configuration, the options, the journal or the listen address.
 pub fn run(options: Option<PathBuf>) -> Result<(), Box<dyn Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, serve(options))
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -1,5 +1,5 @@
-//! One process replaced by another: the lock on the journal's folder, and the link between the two.
-//! `embershore-handover` says what follows from what.
+//! I/O for replacing one process by another: the lock on the journal's folder and the link between the two processes. The
+//! protocol's state machines are in the crate `embershore-handover`.
 
 use crate::status::{Change, Phase, SharedStatus};
 use embershore_handover::{
@@ -15,26 +15,26 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// A word of the other process that is waited for comes within this. The owner finishes what it has in hand and writes
-/// the state; the newcomer takes the lock.
+/// Time for an expected frame of the other process. In it the owner processes its queued events and writes the state, or
+/// the newcomer acquires the lock.
 pub const FRAME_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Between two looks at who has the lock.
+/// Interval of the attempts to acquire a lock.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A newcomer that has not got the journal by then is ready all the same: the platform then ends the owner, which
-/// does not answer, and the lock is free. Until then clients wait at the door.
+/// Time after which a newcomer without the journal reports ready all the same. The platform then ends the unresponsive
+/// owner, which frees the lock. Until then clients' connections wait to be accepted.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(4500);
 const READ_AHEAD: usize = 16 * 1024;
 
-/// The lock by which one process owns the journal. It ends with its process at the latest.
+/// The file lock by which one process owns the journal. The process's end releases it.
 pub struct Lock {
     file: File,
-    /// Who asks for the lock holds this one: the owner gives the lock free to one newcomer, and another that came at that
-    /// very moment must not have it without the state.
+    /// Locked by the newcomer that asks for the lock: when the owner releases the lock for one newcomer, another that
+    /// starts at that moment must not acquire it without the state.
     turn: File,
     folder: Folder,
 }
 
-/// The folder that lasts, by a path short enough for a socket's name.
+/// The state folder, by a path short enough for a Unix socket's name.
 pub struct Folder {
     _open: File,
     path: PathBuf,
@@ -43,7 +43,7 @@
 impl Folder {
     pub fn open(path: &Path) -> io::Result<Self> {
         let open = File::open(path)?;
-        // A socket's name holds some hundred bytes, the folder's may be longer.
+        // A Unix socket's name is limited to some hundred bytes; the folder's path may be longer.
         let path = PathBuf::from(format!("/proc/self/fd/{}", open.as_raw_fd()));
         Ok(Folder { _open: open, path })
     }
@@ -62,12 +62,12 @@
         Ok(Lock { file, turn, folder })
     }
 
-    /// Whether the lock is this process's now.
+    /// Tries to acquire the lock; returns whether this process holds it now.
     pub fn try_acquire(&self) -> io::Result<bool> {
         try_lock(&self.file)
     }
 
-    /// Waits until no other newcomer asks. What is got here ends with the process or [`Lock::end_turn`].
+    /// Waits until no other newcomer is asking. The turn ends with the process or [`Lock::end_turn`].
     async fn wait_for_turn(&self) -> io::Result<()> {
         while !try_lock(&self.turn)? {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -79,13 +79,13 @@
         self.turn.unlock()
     }
 
-    /// Gives it free.
+    /// Releases the lock.
     pub fn release(&self) -> io::Result<()> {
         self.file.unlock()
     }
 
-    /// The socket at which newcomers ask. Only the lock's holder makes it, in the place of one that an earlier process
-    /// left.
+    /// Creates the socket at which newcomers ask, replacing one that an earlier process left. Only the lock's holder may
+    /// call it.
     pub fn listen(&self) -> io::Result<UnixListener> {
         let path = self.folder.socket();
         match std::fs::remove_file(&path) {
@@ -103,17 +103,17 @@
     }
 }
 
-/// What is heard of the other process within the time for which it is waited.
+/// What was received from the other process within [`FRAME_TIMEOUT`].
 pub enum Received {
     Frame(Frame),
     /// Nothing yet.
     Timeout,
-    /// The link has ended, or can't be read on.
+    /// The link has ended, or its data is invalid.
     Closed,
 }
 
 impl Received {
-    /// What it is to an owner.
+    /// Returns the event for the owner's state machine.
     pub fn event(&self) -> OwnerEvent<'_> {
         match self {
             Received::Frame(frame) => OwnerEvent::Heard(frame),
@@ -129,13 +129,13 @@
     decoder: Decoder,
 }
 
-/// A link that is read and written in the background. Unbounded both ways: what is told are the messages of clients, which
-/// their places bound, and the ends of calls, which the slots do.
+/// A link that a task reads and writes. The channels are unbounded, but what they carry is not: clients' messages are
+/// limited by the connections, the ends of calls by the slots.
 pub struct BackgroundLink {
     pub send: mpsc::UnboundedSender<Frame>,
-    /// What the other side says; ends with the link.
+    /// The frames received; ends with the link.
     pub frames: mpsc::UnboundedReceiver<Frame>,
-    /// Ends once all is said, after `say` has been dropped.
+    /// Ends once all frames are written, after `send` has been dropped.
     pub task: JoinHandle<()>,
 }
 
@@ -149,8 +149,7 @@
         tokio::time::timeout(FRAME_TIMEOUT, self.stream.write_all(&bytes)).await?
     }
 
-    /// The next frame, for as long as it takes; nothing once the other side has ended. Nothing is lost if it is not
-    /// waited for to the end.
+    /// Waits for the next frame; None once the other side has closed the link. Cancellation loses no data.
     pub async fn receive(&mut self) -> io::Result<Option<Frame>> {
         loop {
             if let Some(frame) = self.decoder.decode().map_err(io::Error::other)? {
@@ -163,19 +162,19 @@
         }
     }
 
-    /// The next frame, if it comes in time.
+    /// Waits for the next frame up to [`FRAME_TIMEOUT`].
     pub async fn receive_soon(&mut self) -> Received {
         match tokio::time::timeout(FRAME_TIMEOUT, self.receive()).await {
             Ok(Ok(frame)) => frame.map_or(Received::Closed, Received::Frame),
             Ok(Err(e)) => {
-                eprintln!("handover: {e}");
+                eprintln!("handover: the link to the other process failed: {e}");
                 Received::Closed
             }
             Err(_) => Received::Timeout,
         }
     }
 
-    /// Has frames go both ways by themselves, until either side ends.
+    /// Starts a task that reads and writes frames until either side closes.
     pub fn run_in_background(self) -> BackgroundLink {
         let ((send, outgoing), (received, frames)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
         BackgroundLink { send, frames, task: tokio::task::spawn_local(self.run(outgoing, received)) }
@@ -206,22 +205,22 @@
     }
 }
 
-/// Lets newcomers in, one after the other, and tells the driver of each that asks for the journal. Ends with the
-/// channel, once this process owns nothing any more.
+/// Accepts newcomers one at a time and passes each that asks for the journal to the driver. Ends when the driver has
+/// dropped its end of the channel, after it has handed the journal over.
 pub async fn accept_takeovers(listener: UnixListener, requests: mpsc::Sender<(Owner, Link)>) {
     loop {
         let mut link = match listener.accept().await {
             Ok((stream, _)) => Link::new(stream),
             Err(e) => {
-                eprintln!("handover: accept: {e}");
+                eprintln!("handover: accepting a connection failed, retrying in {POLL_INTERVAL:?}: {e}");
                 tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
         };
         let mut owner = Owner::default();
         loop {
-            let then = owner.on(link.receive_soon().await.event());
-            match then {
+            let step = owner.on(link.receive_soon().await.event());
+            match step {
                 OwnerDo::Greet => {
                     let hello = Frame::Hello { version: embershore_handover::VERSION };
                     if link.send(&hello).await.is_err() {
@@ -235,7 +234,10 @@
                     break;
                 }
                 _ => {
-                    eprintln!("handover: a newcomer has not asked as this version does, or has gone");
+                    eprintln!(
+                        "handover: a new process left, or uses another protocol version than {}",
+                        embershore_handover::VERSION
+                    );
                     break;
                 }
             }
@@ -243,20 +245,22 @@
     }
 }
 
-/// What a newcomer has got: the lock, and where the process before it lives, its state and the link to it.
+/// The lock that a newcomer has acquired, with the predecessor's state and the link to it if it still runs.
 pub struct Acquired {
     pub lock: Lock,
     pub predecessor: Option<(Box<State>, Link)>,
 }
 
-/// Waits until this process owns the journal; nothing if it is told to end before.
+/// Waits until this process owns the journal; None if it receives the stop signal before.
 pub async fn take_over(folder: &Path, status: &SharedStatus) -> io::Result<Option<Acquired>> {
     let lock = Lock::new(Folder::open(folder)?)?;
     let mut follow = status.subscribe();
     let work = async {
-        let patience = async {
+        let owner_timeout = async {
             tokio::time::sleep(OWNER_TIMEOUT).await;
-            eprintln!("handover: the process before this one does not answer; ready for when it has ended");
+            eprintln!(
+                "handover: the previous process did not hand over within {OWNER_TIMEOUT:?}; ready to start once it has ended"
+            );
             _ = status.change(Change::Standby);
             std::future::pending::<()>().await;
         };
@@ -266,7 +270,7 @@
                 let predecessor = become_owner(&lock).await?;
                 lock.end_turn().map(|()| predecessor)
             } => predecessor,
-            () = patience => Ok(None),
+            () = owner_timeout => Ok(None),
         }
     };
     let predecessor = tokio::select! {
@@ -278,15 +282,15 @@
 
 async fn become_owner(lock: &Lock) -> io::Result<Option<(Box<State>, Link)>> {
     let (mut newcomer, mut link, mut received_state) = (Newcomer::default(), None::<Link>, None);
-    let mut then = newcomer.on(NewcomerEvent::Lock(lock.try_acquire()?));
+    let mut step = newcomer.on(NewcomerEvent::Lock(lock.try_acquire()?));
     loop {
-        then = match then {
+        step = match step {
             NewcomerDo::Start => return Ok(None),
             NewcomerDo::GoOn => {
                 let (Some(mut link), Some(state)) = (link.take(), received_state.take()) else {
                     return Ok(None);
                 };
-                // If it is not heard, the owner finds the lock taken.
+                // If this frame is lost, the owner still finds the lock taken.
                 _ = link.send(&Frame::Taken).await;
                 return Ok(Some((state, link)));
             }
@@ -310,17 +314,17 @@
                     },
                     None => None,
                 };
-                let then = newcomer.on(frame.as_ref().map_or(NewcomerEvent::Lost, NewcomerEvent::Heard));
+                let step = newcomer.on(frame.as_ref().map_or(NewcomerEvent::Lost, NewcomerEvent::Heard));
                 if let Some(Frame::State(state)) = frame {
                     received_state = Some(state);
                 }
-                then
+                step
             }
         };
     }
 }
 
-/// Says something to the owner; what follows if it can't be said.
+/// Sends a frame to the owner and returns the next step: to wait for the response, or what follows if sending failed.
 async fn send_or_lost(newcomer: &mut Newcomer, link: &mut Option<Link>, frame: &Frame) -> NewcomerDo {
     let sent = match link {
         Some(link) => link.send(frame).await.is_ok(),
--- a/crates/sender/src/inherited_socket.rs
+++ b/crates/sender/src/inherited_socket.rs
@@ -1,7 +1,6 @@
-//! The clients' listening socket, where the platform holds it and every process of the sender inherits it.
+//! The clients' listening socket, if the platform holds it and each process of the sender inherits it.
 //!
-//! The one place with `unsafe`: a descriptor that was there before the program was can be had by its number alone, and
-//! nothing but the environment vouches for it.
+//! The only module with `unsafe`: an inherited descriptor is known by its number alone, which the environment gives.
 #![allow(unsafe_code)]
 
 use socket2::{SockRef, Type};
@@ -11,10 +10,11 @@
 /// The variable that names the descriptor.
 const NAME: &str = "LB_SOCKET_FD";
 
-/// The listening socket that the environment names, if it names one. Must be called before anything else opens files.
+/// Returns the listening socket that `LB_SOCKET_FD` names, or None if the variable is unset or empty. Must be called
+/// before anything else opens files.
 ///
 /// # Errors
-/// Says what the variable or the descriptor is instead.
+/// The variable is no descriptor number, or the descriptor is no listening TCP socket; the message says what it is.
 pub fn listener() -> Result<Option<TcpListener>, String> {
     match std::env::var(NAME) {
         Ok(text) if !text.is_empty() => read(&text).map(Some),
@@ -24,22 +24,22 @@
 
 fn read(text: &str) -> Result<TcpListener, String> {
     let number: Option<RawFd> = text.parse().ok().filter(|n| *n > 2);
-    let number = number.ok_or_else(|| format!("{NAME}: '{text}' is no descriptor's number from 3 on"))?;
-    let what = std::fs::read_link(format!("/proc/self/fd/{number}"))
+    let number = number.ok_or_else(|| format!("{NAME}: '{text}' is not a descriptor number of 3 or more"))?;
+    let target = std::fs::read_link(format!("/proc/self/fd/{number}"))
         .map_err(|e| format!("{NAME}: descriptor {number} is not open: {e}"))?;
-    if !what.to_string_lossy().starts_with("socket:") {
-        return Err(format!("{NAME}: descriptor {number} is {} and no socket", what.display()));
+    if !target.to_string_lossy().starts_with("socket:") {
+        return Err(format!("{NAME}: descriptor {number} is {}, not a socket", target.display()));
     }
-    // SAFETY: it is open, as was just seen, and no part of this program has opened or taken it: it is called once,
-    // before anything else is opened, by the number that the platform gave for this use.
+    // SAFETY: the descriptor is open, as just checked, and nothing else in this program owns it: this function is called
+    // once, before anything else is opened, with the number that the platform gave for this use.
     let fd = unsafe { OwnedFd::from_raw_fd(number) };
     let socket = SockRef::from(&fd);
     let kind = socket.r#type().map_err(|e| format!("{NAME}: descriptor {number}: {e}"))?;
     if kind != Type::STREAM || !socket.is_listener().unwrap_or(false) {
-        return Err(format!("{NAME}: descriptor {number} is a socket on which nobody listens"));
+        return Err(format!("{NAME}: descriptor {number} is a socket, but not a listening stream socket"));
     }
     if socket.local_addr().ok().and_then(|a| a.as_socket()).is_none() {
-        return Err(format!("{NAME}: descriptor {number} listens, but not for TCP"));
+        return Err(format!("{NAME}: descriptor {number} is a listening socket, but not a TCP socket"));
     }
     let listener = TcpListener::from(fd);
     listener.set_nonblocking(true).map_err(|e| format!("{NAME}: descriptor {number}: {e}"))?;
@@ -52,7 +52,7 @@
     use std::os::fd::{AsRawFd, IntoRawFd};
 
     #[test]
-    fn only_a_listening_tcp_socket_is_taken() {
+    fn only_a_listening_tcp_socket_is_accepted() {
         let listening = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listening.local_addr().unwrap();
         let taken = read(&listening.into_raw_fd().to_string()).unwrap();
@@ -60,12 +60,12 @@
         let file = std::fs::File::open("/proc/self/status").unwrap();
         let plain = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
         for (text, why) in [
-            ("five".to_string(), "is no descriptor's number"),
-            ("-1".into(), "is no descriptor's number"),
-            ("1".into(), "is no descriptor's number"),
+            ("five".to_string(), "is not a descriptor number"),
+            ("-1".into(), "is not a descriptor number"),
+            ("1".into(), "is not a descriptor number"),
             ("999999".into(), "is not open"),
-            (file.as_raw_fd().to_string(), "and no socket"),
-            (plain.into_raw_fd().to_string(), "on which nobody listens"),
+            (file.as_raw_fd().to_string(), "not a socket"),
+            (plain.into_raw_fd().to_string(), "not a listening stream socket"),
         ] {
             let e = read(&text).unwrap_err();
             assert!(e.contains(NAME) && e.contains(why), "{text}: {e}");
--- a/crates/sender/src/mgmt.rs
+++ b/crates/sender/src/mgmt.rs
@@ -1,7 +1,7 @@
-//! The operators' door: HTTP/1.1 at an address of its own, one call to a connection.
+//! The management interface: HTTP/1.1 at an address of its own, one request per connection.
 //!
-//! It runs on the sender's one thread: an answer waits for what that thread is at, and `ready` is never said for a
-//! loop that hangs.
+//! It runs on the sender's only thread. A response waits for that thread's current work, so that a hanging event loop is
+//! never reported as ready.
 
 use crate::endpoint_table::EndpointTable;
 use crate::metrics::Metrics;
@@ -22,17 +22,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Callers at once. A call is answered as soon as it has come, so that those that are here have not said all
-/// they have to say; the one that came first gives way to a newcomer.
+/// Concurrent connections. A request is answered as soon as it is complete, so open connections have not sent a complete
+/// request yet; at the limit the oldest is closed for a new one.
 pub const MAX_CALLERS: usize = 24;
-/// A call's head must have come by then.
+/// Time for reading a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// A caller is here no longer than this, answer and all.
+/// Time for a connection in all, response included.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest head that is read.
+/// Limit of a request's head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// What the door shows, and what it changes.
+/// The parts of the daemon that the management interface reads and changes.
 #[derive(Clone)]
 pub struct Management {
     pub status: SharedStatus,
@@ -46,11 +46,16 @@
         let wanted = match path {
             "/_ready" | "/_vars" => Method::GET,
             "/_lameduck/on" | "/_lameduck/off" => Method::POST,
-            _ => return text(StatusCode::NOT_FOUND, "there is no such call"),
+            _ => {
+                return text(
+                    StatusCode::NOT_FOUND,
+                    "unknown path; known: /_ready, /_vars, /_lameduck/on, /_lameduck/off",
+                );
+            }
         };
         if *method != wanted {
             let mut response =
-                text(StatusCode::METHOD_NOT_ALLOWED, &format!("this call is made by {wanted}"));
+                text(StatusCode::METHOD_NOT_ALLOWED, &format!("method not allowed: use {wanted}"));
             if let Ok(allow) = wanted.as_str().parse() {
                 response.headers_mut().insert(ALLOW, allow);
             }
@@ -69,12 +74,14 @@
             path => match self.status.change(Change::LameDuck(path.ends_with("/on"))) {
                 Ok(status) if status.phase() == Phase::LameDuck => text(StatusCode::OK, "lame duck"),
                 Ok(_) => text(StatusCode::OK, "noted"),
-                Err(_) => text(StatusCode::CONFLICT, "the process has been told to end, or replaced"),
+                Err(_) => {
+                    text(StatusCode::CONFLICT, "too late: the process is stopping or has been replaced")
+                }
             },
         }
     }
 
-    /// Why a process that starts is not ready yet.
+    /// Returns the text for a process that is starting, with the reason if its endpoint list was rejected.
     fn starting(&self) -> String {
         let rejection = self.metrics.lists.rejection().filter(|_| self.endpoints.borrow().listed() == 0);
         match rejection {
@@ -87,7 +94,7 @@
         let mut snapshot = self.metrics.snapshot(self.endpoints.borrow().listed());
         snapshot.placement = self.placement.as_ref().map(|placement| placement.metrics());
         let Ok(mut body) = serde_json::to_vec(&snapshot) else {
-            return text(StatusCode::INTERNAL_SERVER_ERROR, "the figures can't be written");
+            return text(StatusCode::INTERNAL_SERVER_ERROR, "the metrics can't be encoded as JSON");
         };
         body.push(b'\n');
         response(StatusCode::OK, "application/json", body)
@@ -117,18 +124,18 @@
         .header_read_timeout(HEAD_TIMEOUT)
         .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(socket), service);
-    // A caller that breaks off or can't be understood has been told so, or has gone.
+    // After an error the client has its error response or has disconnected.
     _ = tokio::time::timeout(CALL_TIMEOUT, connection).await;
 }
 
-/// Answers calls for ever.
+/// Accepts and answers requests for ever.
 pub async fn serve(listener: TcpListener, management: Management) {
     let mut callers: VecDeque<AbortHandle> = VecDeque::with_capacity(MAX_CALLERS);
     loop {
         let socket = match listener.accept().await {
             Ok((socket, _)) => socket,
             Err(e) => {
-                eprintln!("mgmt: accept: {e}");
+                eprintln!("mgmt: accepting a connection failed, retrying in 20 ms: {e}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             }
--- a/crates/sender/src/reload_check.rs
+++ b/crates/sender/src/reload_check.rs
@@ -1,115 +1,124 @@
-//! Whether a configuration that is read while the sender runs may be taken over, as a whole.
+//! Checks whether a configuration that is reloaded while the sender runs may be applied; it is applied as a whole.
 
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// What is wrong in a configuration, and where.
+/// An error in a configuration, with the path of the field.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Flaw {
-    place: String,
-    what: String,
+pub struct ReloadError {
+    path: String,
+    message: String,
 }
 
-impl fmt::Display for Flaw {
+impl fmt::Display for ReloadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.what)
+        write!(f, "{}: {}", self.path, self.message)
     }
 }
 
-impl std::error::Error for Flaw {}
+impl std::error::Error for ReloadError {}
 
-fn flaw(place: &str, what: impl Into<String>) -> Flaw {
-    Flaw { place: place.trim_start_matches('.').to_string(), what: what.into() }
+fn reload_error(path: &str, message: impl Into<String>) -> ReloadError {
+    ReloadError { path: path.trim_start_matches('.').to_string(), message: message.into() }
 }
 
-/// Checks a new configuration against the one that the sender runs by. What that one says the new one has to say as well:
-/// a key that is missing would stand for a default that nobody meant.
+/// Checks a new configuration against the running one. Each key of the running one must be present in the new one too:
+/// a missing key would silently mean a default.
 ///
 /// # Errors
-/// Names the first thing that is wrong.
-pub fn check(running: &Value, new: &Value) -> Result<(), Flaw> {
-    alike("", running, new)?;
+/// Returns the first error found.
+pub fn check(running: &Value, new: &Value) -> Result<(), ReloadError> {
+    check_same_shape("", running, new)?;
     let settings = new.get("settings").unwrap_or(&Value::Null);
     let attempts = settings.get("Limits").and_then(|l| l.get("MaxAttempts"));
     if let Some(attempts) = attempts {
-        positive("settings.Limits.MaxAttempts", attempts)?;
+        check_positive("settings.Limits.MaxAttempts", attempts)?;
     }
     let profiles = settings.get("Profiles").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
     if profiles.is_empty() {
-        return Err(flaw("settings.Profiles", "there is no class"));
+        return Err(reload_error("settings.Profiles", "has no class; give at least one"));
     }
     let mut names: Vec<&str> = Vec::new();
     for (n, profile) in profiles.iter().enumerate() {
-        let place = format!("settings.Profiles[{n}]");
+        let path = format!("settings.Profiles[{n}]");
         let name = profile.get("Name").and_then(Value::as_str).unwrap_or_default();
         if name.is_empty() {
-            return Err(flaw(&format!("{place}.Name"), "a class needs a name"));
+            return Err(reload_error(
+                &format!("{path}.Name"),
+                "is missing or empty; each class needs a name",
+            ));
         }
         if names.contains(&name) {
-            return Err(flaw(&format!("{place}.Name"), format!("'{name}' stands there twice")));
+            return Err(reload_error(&format!("{path}.Name"), format!("'{name}' is used by two classes")));
         }
         names.push(name);
         let deadline = profile.get("HardLimitUs").unwrap_or(&Value::Null);
-        positive(&format!("{place}.HardLimitUs"), deadline)?;
+        check_positive(&format!("{path}.HardLimitUs"), deadline)?;
         let effect = profile.get("Effect").and_then(Value::as_str);
         if let Some(effect) = effect.filter(|e| !["free", "guarded", "single_shot"].contains(e)) {
-            return Err(flaw(
-                &format!("{place}.Effect"),
-                format!("'{effect}' is none of free, guarded, single_shot"),
+            return Err(reload_error(
+                &format!("{path}.Effect"),
+                format!("is '{effect}', expected free, guarded or single_shot"),
             ));
         }
         if effect == Some("guarded") {
-            positive(&format!("{place}.WindowUs"), profile.get("WindowUs").unwrap_or(&Value::Null))?;
+            check_positive(&format!("{path}.WindowUs"), profile.get("WindowUs").unwrap_or(&Value::Null))?;
         }
     }
     Ok(())
 }
 
-fn positive(place: &str, value: &Value) -> Result<(), Flaw> {
+fn check_positive(path: &str, value: &Value) -> Result<(), ReloadError> {
     match value.as_i64() {
         Some(1..) => Ok(()),
-        _ => Err(flaw(place, format!("{value} is no positive whole number"))),
+        _ => Err(reload_error(path, format!("is {value}, expected a positive whole number"))),
     }
 }
 
-/// What `running` has, `new` has, of the same kind.
-fn alike(place: &str, running: &Value, new: &Value) -> Result<(), Flaw> {
+/// Checks that each key of `running` is present in `new`, with a value of the same JSON type.
+fn check_same_shape(path: &str, running: &Value, new: &Value) -> Result<(), ReloadError> {
     match (running, new) {
-        (Value::Object(running), Value::Object(new)) => fields(place, running, new),
+        (Value::Object(running), Value::Object(new)) => check_fields(path, running, new),
         (Value::Array(running), Value::Array(new)) => {
-            // Lists may grow and shrink. What all the running one's entries have, each of the new one's has.
+            // Lists may grow and shrink. The keys that all entries of the running list have must be in each new entry.
             let Some(Value::Object(first)) = running.first() else { return Ok(()) };
             let mut common = first.clone();
             common.retain(|key, _| running.iter().all(|entry| entry.get(key).is_some()));
             for (n, entry) in new.iter().enumerate() {
-                let place = format!("{place}[{n}]");
-                let entry = entry.as_object().ok_or_else(|| flaw(&place, "should be an object"))?;
-                fields(&place, &common, entry)?;
+                let path = format!("{path}[{n}]");
+                let entry = entry.as_object().ok_or_else(|| reload_error(&path, "is not an object"))?;
+                check_fields(&path, &common, entry)?;
             }
             Ok(())
         }
         (Value::Null, _) => Ok(()),
-        _ if kind(running) == kind(new) => Ok(()),
-        _ => Err(flaw(place, format!("should be {}, and is {}", kind(running), kind(new)))),
+        _ if json_type(running) == json_type(new) => Ok(()),
+        _ => Err(reload_error(path, format!("is {}, expected {}", json_type(new), json_type(running)))),
     }
 }
 
-fn fields(place: &str, running: &Map<String, Value>, new: &Map<String, Value>) -> Result<(), Flaw> {
-    for (key, was) in running {
-        let place = format!("{place}.{key}");
-        let is = new.get(key).ok_or_else(|| flaw(&place, "is missing; the running configuration has it"))?;
-        alike(&place, was, is)?;
+fn check_fields(
+    path: &str,
+    running: &Map<String, Value>,
+    new: &Map<String, Value>,
+) -> Result<(), ReloadError> {
+    for (key, running_value) in running {
+        let path = format!("{path}.{key}");
+        let new_value = new
+            .get(key)
+            .ok_or_else(|| reload_error(&path, "is missing, but the running configuration has it"))?;
+        check_same_shape(&path, running_value, new_value)?;
     }
     Ok(())
 }
 
-fn kind(value: &Value) -> &'static str {
+fn json_type(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
-        Value::Bool(_) => "true or false",
+        Value::Bool(_) => "a boolean",
         Value::Number(_) => "a number",
-        Value::String(_) => "text",
-        Value::Array(_) => "a list",
+        Value::String(_) => "a string",
+        Value::Array(_) => "an array",
         Value::Object(_) => "an object",
     }
 }
@@ -134,7 +143,7 @@
     }
 
     #[test]
-    fn classes_come_and_go_and_attempts_get_fewer() {
+    fn classes_and_the_number_of_attempts_may_change() {
         let mut new = config();
         assert_eq!(check(&config(), &new), Ok(()));
         new["settings"]["Limits"]["MaxAttempts"] = json!(2);
@@ -146,29 +155,29 @@
     }
 
     #[test]
-    fn each_flaw_is_named_with_its_place() {
+    fn each_error_names_its_path() {
         type Change = fn(&mut Value);
         let changes: [(Change, &str); 14] = [
-            (|c| *c = json!(null), "should be an object"),
+            (|c| *c = json!(null), "is null, expected an object"),
             (|c| *c = json!({}), "discovery: is missing"),
             (|c| _ = c.as_object_mut().unwrap().remove("known"), "known: is missing"),
-            (|c| c["discovery"] = json!(5), "discovery: should be text"),
+            (|c| c["discovery"] = json!(5), "discovery: is a number, expected a string"),
             (
                 |c| _ = c["settings"]["Limits"].as_object_mut().unwrap().remove("MaxOpen"),
                 "settings.Limits.MaxOpen: is",
             ),
             (
                 |c| c["settings"]["Limits"]["MaxAttempts"] = json!(0),
-                "settings.Limits.MaxAttempts: 0 is no positive",
+                "settings.Limits.MaxAttempts: is 0, expected a positive",
             ),
             (
                 |c| c["settings"]["Limits"]["MaxAttempts"] = json!(1.5),
-                "settings.Limits.MaxAttempts: 1.5 is no",
+                "settings.Limits.MaxAttempts: is 1.5, expected",
             ),
-            (|c| c["settings"]["Profiles"] = json!([]), "settings.Profiles: there is no class"),
+            (|c| c["settings"]["Profiles"] = json!([]), "settings.Profiles: has no class"),
             (
                 |c| c["settings"]["Profiles"][0]["HardLimitUs"] = json!(-5),
-                "settings.Profiles[0].HardLimitUs: -5 is no",
+                "settings.Profiles[0].HardLimitUs: is -5, expected",
             ),
             (
                 |c| _ = c["settings"]["Profiles"][1].as_object_mut().unwrap().remove("Effect"),
@@ -176,19 +185,19 @@
             ),
             (
                 |c| _ = c["settings"]["Profiles"][1].as_object_mut().unwrap().remove("WindowUs"),
-                "settings.Profiles[1].WindowUs: null is no",
+                "settings.Profiles[1].WindowUs: is null, expected",
             ),
             (
                 |c| c["settings"]["Profiles"][1]["Name"] = json!("a"),
-                "settings.Profiles[1].Name: 'a' stands there twice",
+                "settings.Profiles[1].Name: 'a' is used by two",
             ),
             (
                 |c| c["settings"]["Profiles"][1]["Name"] = json!(""),
-                "settings.Profiles[1].Name: a class needs",
+                "settings.Profiles[1].Name: is missing or empty",
             ),
             (
                 |c| c["settings"]["Profiles"][1]["Effect"] = json!("maybe"),
-                "settings.Profiles[1].Effect: 'maybe'",
+                "settings.Profiles[1].Effect: is 'maybe'",
             ),
         ];
         for (change, expected) in changes {
