--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -256,7 +256,7 @@
                     ));
                 }
             }
-            self.limit.check(self.listings.held(), || self.listings.endpoints_started())?;
+            self.limit.check(self.listings.buffered_bytes(), || self.listings.endpoints_started())?;
             let Some(bytes) = self.read().await? else { break };
             self.last_progress = Instant::now();
             self.listings.extend(&bytes);
@@ -284,7 +284,7 @@
             if !self.listings.is_partial() {
                 self.last_progress = Instant::now();
             }
-            self.limit.check(self.listings.held(), || self.listings.endpoints_started())?;
+            self.limit.check(self.listings.buffered_bytes(), || self.listings.endpoints_started())?;
             let Some(bytes) = self.read().await? else { return Ok(None) };
             self.listings.extend(&bytes);
         }
--- a/crates/sender/src/placement/clock.rs
+++ b/crates/sender/src/placement/clock.rs
@@ -1,10 +1,10 @@
-//! The clock by which leases and holds are reckoned.
+//! The clock for leases and holds.
 
 use heronroute::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Microseconds since the machine started. It never goes back, and goes on while the process is stopped or the machine
-/// sleeps: a lease that ran out meanwhile is seen to have.
+/// Returns the microseconds since the machine started. The clock never goes back, and continues while the process is
+/// stopped or the machine sleeps, so that a lease that expired meanwhile is noticed.
 pub fn now() -> Micros {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec * 1_000_000 + time.tv_nsec / 1_000
--- a/crates/sender/src/placement/endpoint_list.rs
+++ b/crates/sender/src/placement/endpoint_list.rs
@@ -1,25 +1,26 @@
-//! When the whole list of endpoints has to be read again: the parts of it that a sender did not own it has not kept.
+//! Requests to read the complete endpoint list again. A sender keeps only the part that it owns, so that it must read the
+//! list again when it gains shards.
 
 use embershore_placement::ShardId;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use tokio::sync::watch;
 
-/// Which readings of the whole list were asked for, and which have been done. Readings are numbered from 1; a reading that
-/// began after number n was asked for serves all up to n.
+/// The requested and the completed readings of the complete list. Requests are numbered from 1; a reading that began after
+/// request n satisfies all up to n.
 #[derive(Debug)]
-pub struct EndpointList {
+pub struct ListRereads {
     requested: watch::Sender<u64>,
     mark_read: Cell<u64>,
-    /// Owned shards whose endpoints are not known, with the reading that they wait for. Bounded by the number of shards.
+    /// Owned shards whose endpoints are not known, with the request that they wait for. Bounded by the number of shards.
     unread: RefCell<HashMap<ShardId, u64>>,
-    /// The version that was last told.
+    /// The version of the last listing applied.
     last_version: Cell<u64>,
 }
 
-impl Default for EndpointList {
+impl Default for ListRereads {
     fn default() -> Self {
-        EndpointList {
+        ListRereads {
             requested: watch::Sender::new(0),
             mark_read: Cell::new(0),
             unread: RefCell::default(),
@@ -28,38 +29,38 @@
     }
 }
 
-impl EndpointList {
-    /// Asks for another reading, for which these shards wait.
+impl ListRereads {
+    /// Requests another reading, for which these shards wait.
     pub fn request(&self, shards: impl IntoIterator<Item = ShardId>) {
         let number = *self.requested.borrow() + 1;
         self.unread.borrow_mut().extend(shards.into_iter().map(|shard| (shard, number)));
         self.requested.send_replace(number);
     }
 
-    /// These shards are owned no more.
+    /// Removes shards that are no longer owned.
     pub fn drop_shards(&self, shards: &[ShardId]) {
         let mut unread = self.unread.borrow_mut();
         shards.iter().for_each(|shard| _ = unread.remove(shard));
     }
 
-    /// The last reading that was asked for.
+    /// Returns the number of the last request.
     pub fn requested(&self) -> u64 {
         *self.requested.borrow()
     }
 
-    /// Whether a reading is asked for and not done.
+    /// Whether a requested reading is still to be done.
     pub fn is_requested(&self) -> bool {
         self.requested() > self.mark_read.get()
     }
 
-    /// Waits until a reading is asked for and not done.
+    /// Waits until a requested reading is still to be done.
     pub async fn until_requested(&self) {
         let mut follow = self.requested.subscribe();
-        // The sender is part of this.
+        // Can't fail: `self` holds the sending half.
         _ = follow.wait_for(|number| *number > self.mark_read.get()).await;
     }
 
-    /// A reading has been done that began when this number was the last one asked for.
+    /// Notes a completed reading that began when `number` was the last request.
     pub fn mark_read(&self, number: u64) {
         self.mark_read.set(self.mark_read.get().max(number));
         self.unread.borrow_mut().retain(|_, waits_for| *waits_for > number);
@@ -70,17 +71,17 @@
         !self.unread.borrow().contains_key(&shard)
     }
 
-    /// Owned shards whose endpoints are not known yet.
+    /// Returns the number of owned shards whose endpoints are not known yet.
     pub fn unread(&self) -> usize {
         self.unread.borrow().len()
     }
 
-    /// The version of the list that was last told.
+    /// Returns the version of the last listing applied.
     pub fn last_version(&self) -> u64 {
         self.last_version.get()
     }
 
-    /// Notes the version that has been told.
+    /// Notes the version of a listing that has been applied.
     pub fn set_last_version(&self, last_version: u64) {
         self.last_version.set(last_version);
     }
@@ -92,7 +93,7 @@
 
     #[test]
     fn a_shard_waits_for_a_reading_that_began_after_it_was_gained() {
-        let list = EndpointList::default();
+        let list = ListRereads::default();
         list.request([ShardId(1)]);
         let begun_at = list.requested();
         list.request([ShardId(2), ShardId(3)]);
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -1,4 +1,4 @@
-//! Passes a message on to an owner: what `embershore_placement::Forwarding` decides, over kept connections.
+//! Forwards messages to other owners over reused connections, by the decisions of `embershore_placement::Forwarding`.
 
 use super::metrics::{ForwardedCounters, count};
 use super::pool::{Pool, Reservation};
@@ -17,32 +17,32 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-/// A client waits 400 ms for its answer; what is left over is for the way there and back.
+/// Time for forwarding a message. The client waits 400 ms for its reply; the rest is for the client's network path.
 const FORWARD_BUDGET_US: Micros = 300_000;
 
-/// Passes messages on.
+/// Forwards messages to other owners.
 pub struct Forwarder {
     placement: Rc<Placement>,
     pool: Rc<Pool>,
 }
 
-/// How long one owner has.
+/// The deadlines of an attempt at one owner.
 struct Deadlines {
-    /// The first byte is written by then.
+    /// For writing the first byte.
     begin_by: Instant,
-    /// The answer has come by then.
+    /// For the reply.
     answer_by: Instant,
 }
 
 impl Forwarder {
-    /// Passes on by what `placement` knows.
+    /// Creates a forwarder with an empty connection pool.
     pub fn new(placement: Rc<Placement>) -> Rc<Self> {
         let pool = Pool::new(placement.options.owner_connections);
         Rc::new(Forwarder { placement, pool })
     }
 
-    /// Passes a message on that was read at `read_at`, and tells `reply` what became of it. When nobody waits for that any
-    /// more the connection is dropped, and an owner that has not taken the message on yet withdraws it.
+    /// Starts forwarding a message that was read at `read_at`, and sends the outcome to `reply`. If the receiver of `reply`
+    /// is dropped, the connection is closed, and an owner that has not accepted the message yet withdraws it.
     pub fn start(
         self: &Rc<Self>,
         put: Put,
@@ -51,7 +51,7 @@
         mut reply: oneshot::Sender<Reply>,
     ) {
         let forwarder = self.clone();
-        // Tasks are bounded by the messages that may be unanswered.
+        // The limit of unanswered messages bounds the number of tasks.
         tokio::task::spawn_local(async move {
             tokio::select! {
                 biased;
@@ -96,7 +96,7 @@
         outcome_of(reply)
     }
 
-    /// Connects and writes the first bytes. Given up before it is done, it has written none.
+    /// Connects and writes the first bytes. If it is cancelled, nothing has been written.
     async fn begin(&self, owner: SocketAddr, put: &Put, read_at: Micros) -> io::Result<Exchange> {
         let mut reservation = self.pool.reserve(owner).await;
         let mut stream = reservation.connect().await?;
@@ -133,7 +133,7 @@
 }
 
 impl Exchange {
-    /// Writes the rest, and reads the answer.
+    /// Writes the rest and reads the reply.
     async fn finish(&mut self) -> io::Result<Reply> {
         self.stream.write_all(&self.command[self.written..]).await?;
         while !self.answer.ends_with(b"\r\n") {
@@ -145,9 +145,9 @@
         decode_reply(line).ok_or_else(|| io::ErrorKind::InvalidData.into())
     }
 
-    /// Keeps the connection for the next message.
+    /// Returns the connection to the pool.
     fn keep(self) {
-        self.reservation.keep(self.stream);
+        self.reservation.put_back(self.stream);
     }
 }
 
--- a/crates/sender/src/placement/member_list.rs
+++ b/crates/sender/src/placement/member_list.rs
@@ -1,4 +1,4 @@
-//! Follows the member list: asks a control agent again and again, and each good answer renews the lease.
+//! Follows the member list: polls a control agent at regular intervals. Each valid response renews the lease.
 
 use super::metrics::count;
 use super::{Placement, clock};
@@ -18,14 +18,14 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Bytes of an answer at most: a list of all seats that there can be, with 250 bytes each.
+/// Limit of a response: a list with the largest number of seats and 250 bytes for each.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// An agent that has not answered by then is given up; a shorter `ask_every` does not hurry it.
+/// Minimum of the response timeout; otherwise it is `ask_every`.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often endpoints of destinations that are kept no more are looked for.
+/// Interval of removing endpoints of destinations that are no longer kept.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Where news goes.
+/// The client of the control agents, with the parts that it updates.
 pub struct MemberListFollower {
     pub placement: Rc<Placement>,
     pub endpoints: Rc<RefCell<EndpointTable>>,
@@ -50,28 +50,28 @@
         }
     }
 
-    /// Takes endpoints out whose destinations are kept no more.
+    /// Removes endpoints of destinations that are no longer kept.
     async fn drop_endpoints(&self) {
-        // The place comes first: the fleet must not know what the driver has not been told.
-        let Ok(place) = self.inputs.reserve().await else { return };
-        let keeps = |dest| self.placement.retains(dest);
-        let entries = self.endpoints.borrow_mut().retain_destinations(keeps);
+        // The channel's slot is reserved first: the table must not be ahead of the driver.
+        let Ok(slot) = self.inputs.reserve().await else { return };
+        let retain = |dest| self.placement.retains(dest);
+        let entries = self.endpoints.borrow_mut().retain_destinations(retain);
         if !entries.is_empty() {
             let index = self.placement.endpoint_list.last_version();
-            place.send(Input::EndpointsListed { index, full: false, entries });
+            slot.send(Input::EndpointsListed { index, full: false, entries });
         }
     }
 }
 
-/// The control agents, asked in turn.
+/// The control agents, polled in turn.
 struct ControlAgents {
     addresses: Vec<SocketAddr>,
-    /// Which one answered last.
+    /// Index of the agent that answered last.
     current: usize,
-    /// The next question is for the whole list: the last changes did not fit.
+    /// Whether to request the complete list next, since the last changes were for another epoch.
     full: bool,
     response_timeout: Duration,
-    /// The last failure that was logged; the same one is logged once.
+    /// The last failure that was logged; a repeated one is logged once.
     last_logged: Option<String>,
 }
 
@@ -82,11 +82,11 @@
         ControlAgents { addresses, current: 0, full: false, response_timeout, last_logged: None }
     }
 
-    /// Asks the agent that answered last, and the others after it until one answers well.
+    /// Polls the agent that answered last, then the others until one gives a valid response.
     async fn poll_in_turn(&mut self, placement: &Placement) {
         for _ in 0..self.addresses.len() {
             match self.poll(placement).await {
-                Ok(heard) => return self.log_success(&heard),
+                Ok(update) => return self.log_success(&update),
                 Err(e) => self.log_failure(&*e),
             }
             self.current = (self.current + 1) % self.addresses.len();
@@ -97,34 +97,34 @@
         let known = placement.epoch().filter(|_| !self.full);
         let polled_at = clock::now();
         let fetch = fetch(self.addresses[self.current], known.unwrap_or(0));
-        let text = timeout(self.response_timeout, fetch).await.map_err(|_| "no answer in time")??;
-        let heard = apply_answer(placement, polled_at, text).await.inspect_err(|_| {
+        let text = timeout(self.response_timeout, fetch).await.map_err(|_| "no response in time")??;
+        let update = apply_answer(placement, polled_at, text).await.inspect_err(|_| {
             count(&placement.counters.lists_refused);
         });
-        self.full = matches!(heard, Err(ListError::SinceMismatch { .. }));
-        Ok(heard?)
+        self.full = matches!(update, Err(ListError::SinceMismatch { .. }));
+        Ok(update?)
     }
 
-    fn log_success(&mut self, heard: &Heard) {
+    fn log_success(&mut self, update: &Heard) {
         if self.last_logged.take().is_some() {
-            eprintln!("placement: control answers again, epoch {}", heard.epoch);
+            eprintln!("placement: a control agent answers again, epoch {}", update.epoch);
         }
-        if heard.changed {
-            let (gained, lost) = (heard.gained.len(), heard.lost.len());
-            eprintln!("placement: epoch {} is in force, {gained} shards gained, {lost} lost", heard.epoch);
+        if update.changed {
+            let (gained, lost) = (update.gained.len(), update.lost.len());
+            eprintln!("placement: epoch {} is in force, {gained} shards gained, {lost} lost", update.epoch);
         }
     }
 
     fn log_failure(&mut self, error: &dyn Error) {
         let line = format!("placement: control agent {}: {error}", self.addresses[self.current]);
         if self.last_logged.as_ref() != Some(&line) {
-            eprintln!("{line}; the list in force stays");
+            eprintln!("{line}; the member list in force stays");
             self.last_logged = Some(line);
         }
     }
 }
 
-/// Asks one agent for what is new since an epoch.
+/// Requests the changes since an epoch from one agent; since 0, the complete list.
 async fn fetch(agent: SocketAddr, since: u64) -> Result<Bytes, Box<dyn Error>> {
     let mut connection = Connection::open(agent).await?;
     let request = Request::get(format!("/v1/members?since={since}"))
@@ -133,31 +133,35 @@
         .body(Full::new(Bytes::new()))?;
     let response = connection.send(request).await?;
     if response.status() != 200 {
-        return Err(format!("status {}", response.status()).into());
+        return Err(format!("response status {}, expected 200", response.status()).into());
     }
     let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect();
     let body = connection.drive(body).await.map_err(|e| -> Box<dyn Error> { e })?;
     Ok(body.to_bytes())
 }
 
-/// Takes an answer over. What changes the table does so beside the sender's one thread: it takes the time of many rounds.
-/// Until it is done the former table and its lease stay in force.
+/// Applies a response. A new table is built on another thread than the sender's, since it takes the time of many rounds.
+/// Until it is complete the current table and its lease stay in force.
 async fn apply_answer(placement: &Placement, polled_at: Micros, text: Bytes) -> Result<Heard, ListError> {
     placement.reading.set(true);
     let before = placement.ownership.borrow().clone();
-    let read = tokio::task::spawn_blocking(move || hear(before, polled_at, &text)).await;
+    let read = tokio::task::spawn_blocking(move || process_answer(before, polled_at, &text)).await;
     placement.reading.set(false);
-    let (after, heard) =
-        read.unwrap_or_else(|e| Err(ListError::Malformed { reason: format!("reading it failed: {e}") }))?;
-    placement.put_in_force(after, &heard);
-    Ok(heard)
+    let (after, update) =
+        read.unwrap_or_else(|e| Err(ListError::Malformed { reason: format!("processing it failed: {e}") }))?;
+    placement.put_in_force(after, &update);
+    Ok(update)
 }
 
-/// Reads an answer; the view that it leads to, and what changed.
-fn hear(mut ownership: Ownership, polled_at: Micros, text: &[u8]) -> Result<(Ownership, Heard), ListError> {
+/// Parses a response and returns the view that results from it, with what changed.
+fn process_answer(
+    mut ownership: Ownership,
+    polled_at: Micros,
+    text: &[u8],
+) -> Result<(Ownership, Heard), ListError> {
     let answer = Answer::parse_json(text)?;
-    let heard = ownership.heard(polled_at, clock::now(), answer)?;
-    Ok((ownership, heard))
+    let update = ownership.heard(polled_at, clock::now(), answer)?;
+    Ok((ownership, update))
 }
 
 fn micros(span: Micros) -> Duration {
--- a/crates/sender/src/placement/metrics.rs
+++ b/crates/sender/src/placement/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted and told of placement.
+//! The metrics of placement.
 
 use serde::Serialize;
 use std::cell::Cell;
@@ -7,50 +7,50 @@
 #[derive(Debug, Default)]
 pub struct Counters {
     pub forwarded: ForwardedCounters,
-    /// Requests of other members that were taken on.
+    /// Messages accepted from other members.
     pub taken_for_others: Cell<u64>,
-    /// Answers of control agents that were refused.
+    /// Responses of control agents that were rejected.
     pub lists_refused: Cell<u64>,
 }
 
-/// Requests that were passed on, by what their client was told.
+/// Forwarded messages by the reply to their client.
 #[derive(Debug, Default)]
 pub struct ForwardedCounters {
     pub taken: Cell<u64>,
     pub busy: Cell<u64>,
-    /// Given up: an owner may have taken it on, or no sender can.
+    /// An owner may have accepted it without confirming, or no sender can accept it.
     pub failed: Cell<u64>,
-    /// Attempts whose outcome is not known, whatever the client was told.
+    /// Attempts to forward whose outcome is unknown, whatever the reply to the client was.
     pub unknown: Cell<u64>,
 }
 
-/// Adds one.
+/// Increments a counter.
 pub fn count(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
-/// The object `placement` at the operators' door.
+/// The object `placement` in the JSON of `GET /_vars`.
 #[derive(Debug, Serialize)]
 pub struct PlacementMetrics {
-    /// Epoch in force; null before the first list.
+    /// The epoch in force; null before the first list.
     pub epoch: Option<u64>,
-    /// What is left of the lease, in milliseconds; 0 once it has expired.
+    /// The rest of the lease in milliseconds; 0 once it has expired.
     pub lease_left_ms: u64,
     /// Shards that this sender owns.
     pub owned_shards: usize,
     /// Owned shards whose endpoints have not been read yet.
     pub unread_shards: usize,
-    /// Until nothing is on hold any more, in milliseconds.
+    /// Time in milliseconds until nothing is on hold.
     pub on_hold_ms: u64,
-    /// Answers of control agents that were refused.
+    /// Responses of control agents that were rejected.
     pub lists_refused: u64,
-    /// Requests that were passed on.
+    /// Forwarded messages.
     pub forwarded: ForwardedMetrics,
-    /// Requests of other members that were taken on.
+    /// Messages accepted from other members.
     pub taken_for_others: u64,
 }
 
-/// Requests that were passed on, see [`ForwardedCounters`].
+/// Forwarded messages; see [`ForwardedCounters`].
 #[derive(Debug, Serialize)]
 pub struct ForwardedMetrics {
     pub taken: u64,
@@ -60,7 +60,7 @@
 }
 
 impl ForwardedCounters {
-    /// As they are told.
+    /// Returns the current values.
     pub fn snapshot(&self) -> ForwardedMetrics {
         ForwardedMetrics {
             taken: self.taken.get(),
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -1,8 +1,8 @@
-//! Placement in the daemon: this sender owns some destinations, and passes on what is for others'. Off without the
-//! section `[placement]` of the operator's options; then nothing of this module exists.
+//! Placement in the daemon: this sender owns some destinations, and forwards messages for those of other owners. Off
+//! without the section `[placement]` of the operator's options; then no object of this module is created.
 //!
-//! [`Placement`] is what the daemon's parts share: whose a message is, what is kept of the list of endpoints, and the
-//! figures. `follow` keeps it up to date, `forward` passes messages on. The decisions are `embershore_placement`'s.
+//! The daemon's parts share a [`Placement`]: it decides who owns a message, which endpoints are kept, and holds the
+//! metrics. `member_list` keeps it up to date, `forward` forwards messages. The rules are in `embershore_placement`.
 
 pub mod clock;
 mod endpoint_list;
@@ -20,7 +20,7 @@
 };
 use embershore_protocol::listing::Listing;
 use embershore_protocol::resp::Put;
-use endpoint_list::EndpointList;
+use endpoint_list::ListRereads;
 use heronroute::{ClassSettings, Effect, Micros, MsgId, Settings};
 use metrics::{Counters, PlacementMetrics};
 use pending::PendingMessages;
@@ -30,57 +30,57 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A message's time is told in whole milliseconds, and may be over its class's by one.
+/// Clients send a message's time in whole milliseconds, which may exceed the class's deadline by one.
 const DEADLINE_ROUNDING: Micros = 1_000;
-/// A client is told to come again after this at most, however long a destination is on hold: other owners may have it.
+/// Longest retry time sent to a client, however long a destination is on hold: another owner may accept the message.
 const MAX_HOLD_WAIT_MS: u64 = 1_000;
 
-/// What the routing of a message depends on in its class.
+/// The properties of a class on which the routing of its messages depends.
 #[derive(Clone, Copy, Debug)]
 struct ClassRule {
     effect: Effect,
     ordered: bool,
 }
 
-/// Where a client's message goes.
+/// The route of a client's message.
 #[derive(Debug)]
 pub enum Routing {
     /// To this sender's own driver, which may refuse it.
     Local,
     /// To one of these owners, the preferred one first.
     Forward(Forwarded),
-    /// Nobody is known to own it.
+    /// No owner is known; the client is to retry.
     Unowned,
 }
 
-/// A message that others own.
+/// The owners of a message that this sender does not own.
 #[derive(Debug)]
 pub struct Forwarded {
     /// The owners, the preferred one first.
     pub candidates: Vec<SeatId>,
-    /// Its class's effect.
+    /// The effect of the message's class.
     pub effect: Effect,
 }
 
-/// What the daemon's parts share while placement is on.
+/// The state of placement, shared by the daemon's parts.
 pub struct Placement {
     pub options: PlacementOptions,
     ownership: RefCell<Ownership>,
-    /// Classes by name. One that a new configuration drops keeps its rule: clients hear of it later.
+    /// Classes by name. One that a reload drops stays: clients may be notified of the new configuration later.
     classes: RefCell<HashMap<String, ClassRule>>,
     pending: RefCell<PendingMessages>,
-    pub endpoint_list: EndpointList,
+    pub endpoint_list: ListRereads,
     pub counters: Counters,
     saved: SavedState,
     owned_shards: Cell<usize>,
-    /// An answer of a control agent has come and is being read.
+    /// Whether a control agent's response is being processed.
     reading: Cell<bool>,
-    /// Owners among which the module shares a destination's limit.
+    /// Number of owners among which the dispatcher shares a destination's limit.
     sharers: Cell<u32>,
 }
 
 impl Placement {
-    /// A sender that has heard nothing yet.
+    /// Creates the state of a sender without a member list.
     pub fn new(options: PlacementOptions, class_names: &[String], settings: &Settings, state: &Path) -> Self {
         let saved = SavedState::open(state);
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
@@ -93,7 +93,7 @@
             ownership: RefCell::new(ownership),
             classes: RefCell::default(),
             pending: RefCell::default(),
-            endpoint_list: EndpointList::default(),
+            endpoint_list: ListRereads::default(),
             counters: Counters::default(),
             saved,
             owned_shards: Cell::new(0),
@@ -104,14 +104,15 @@
         placement
     }
 
-    /// Takes over the classes of a configuration.
+    /// Adds or updates the classes of a configuration.
     pub fn update_classes<'a>(&self, classes: impl Iterator<Item = (&'a String, &'a ClassSettings)>) {
         let rule = |class: &ClassSettings| ClassRule { effect: class.effect, ordered: class.ordered };
         self.classes.borrow_mut().extend(classes.map(|(name, class)| (name.clone(), rule(class))));
     }
 
-    /// Settles among how many owners the module shares a destination's limit: the most replicas that may still be acted upon,
-    /// by the list in force or else by the last run, or that a list can name. It holds until the process ends.
+    /// Fixes the number of owners among which the dispatcher shares a destination's limit, until the process ends: the
+    /// largest number of replicas that may still be in effect, by the list in force, or else by the last run, or else the
+    /// largest number that a list can have.
     pub fn fix_sharers(&self) -> u32 {
         let known = self.ownership.borrow().remembered(clock::now()).or_else(|| self.saved.get());
         let replicas = known.map_or(MAX_REPLICAS, |remembered| remembered.replicas);
@@ -120,19 +121,19 @@
         sharers
     }
 
-    /// The epoch in force.
+    /// Returns the epoch in force.
     pub fn epoch(&self) -> Option<u64> {
         self.ownership.borrow().epoch()
     }
 
-    /// Whether an answer of a control agent has come and is being read.
+    /// Whether a control agent's response is being processed.
     pub fn is_reading(&self) -> bool {
         self.reading.get()
     }
 
-    /// Puts a view in force that was made of the one in force.
+    /// Puts a new view in force, which was derived from the current one.
     fn put_in_force(&self, ownership: Ownership, heard: &Heard) {
-        // Before anything is done under the new list.
+        // Saved before anything is done under the new list.
         self.save(&ownership);
         let before = self.ownership.replace(ownership);
         self.owned_shards.set(self.owned_shards.get() + heard.gained.len() - heard.lost.len());
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Writes down what the next start has to know.
+    /// Saves the state for the next start.
     fn remember(&self) {
         self.save(&self.ownership.borrow());
     }
@@ -151,12 +152,13 @@
         let Some(remembered) = ownership.remembered(clock::now()) else { return };
         if let Err(e) = self.saved.save(remembered) {
             eprintln!(
-                "placement: the state folder can't be written: {e}; after a restart this sender waits as a new owner"
+                "placement: writing placement.json to the state folder failed: {e}; after a restart this sender waits \
+                 as a new owner"
             );
         }
     }
 
-    /// Where a client's message goes. One of an unknown class stays here: this sender says so itself.
+    /// Returns the route of a client's message. One of an unknown class stays here, and the driver rejects it.
     pub fn route(&self, put: &Put) -> Routing {
         let Some(rule) = self.rule_of(put) else { return Routing::Local };
         let route = self.ownership.borrow().route(clock::now(), &request_of(put, rule));
@@ -167,7 +169,8 @@
         }
     }
 
-    /// Why this sender's driver must not take a message on now: after how many milliseconds to come again.
+    /// Returns the retry time in milliseconds if this sender must not accept the message now: it does not own the
+    /// destination, its lease has expired, the destination is on hold, or its endpoints are not known yet.
     pub fn retry_after_ms(&self, put: &Put) -> Option<u64> {
         let rule = self.rule_of(put)?;
         let (ownership, now) = (self.ownership.borrow(), clock::now());
@@ -185,18 +188,17 @@
         }
     }
 
-    /// Whether a destination that is not in the list of endpoints may only not have been read yet.
+    /// Whether an unknown destination may be one whose part of the endpoint list has not been read yet.
     pub fn awaits_endpoints(&self) -> bool {
         self.endpoint_list.is_requested()
     }
 
-    /// Whether this sender keeps the destination from the list of endpoints.
+    /// Whether this sender keeps the destination's endpoints.
     pub fn retains(&self, dest: i64) -> bool {
         self.ownership.borrow().keeps(dest) || self.pending.borrow().contains(dest)
     }
 
-    /// Told limits of wide destinations are shared by more owners than the module reckons with: it is told this sender's part
-    /// of them.
+    /// Scales the advertised limits of wide destinations, which more owners share than the dispatcher assumes.
     pub fn scale_limits(&self, listing: &mut Listing) {
         let (ownership, now) = (self.ownership.borrow(), clock::now());
         for line in &mut listing.endpoints {
@@ -206,17 +208,17 @@
         }
     }
 
-    /// A message is held from now on; its destination is kept.
+    /// Notes an open message, whose destination is retained until it ends.
     pub fn add_pending(&self, id: MsgId, dest: i64) {
         self.pending.borrow_mut().insert(id, dest);
     }
 
-    /// It is held no more.
+    /// Notes the end of a message.
     pub fn remove_pending(&self, id: MsgId) {
         self.pending.borrow_mut().remove(id);
     }
 
-    /// Asks for the list of endpoints where messages are held whose destinations it was not kept for.
+    /// Requests the complete endpoint list if there are open messages for destinations that were not kept from it.
     pub fn request_pending_destinations(&self) {
         let ownership = self.ownership.borrow();
         if self.pending.borrow().destinations().any(|dest| !ownership.keeps(dest)) {
@@ -224,13 +226,13 @@
         }
     }
 
-    /// Where a member takes forwarded messages.
+    /// Returns the address at which a member accepts forwarded messages.
     fn address_of(&self, seat: SeatId) -> Option<SocketAddr> {
         let ownership = self.ownership.borrow();
         Some(ownership.list()?.member(seat)?.address())
     }
 
-    /// What is told at the operators' door.
+    /// Returns the metrics of placement.
     pub fn metrics(&self) -> PlacementMetrics {
         let (ownership, now) = (self.ownership.borrow(), clock::now());
         let left_ms =
@@ -251,8 +253,8 @@
         self.classes.borrow().get(&put.class).copied()
     }
 
-    /// Whether the module shares limits among as many owners as there are: a list with more replicas than at this process's
-    /// start needs a restart.
+    /// Whether the dispatcher shares limits among at least as many owners as the list has replicas. A list with more
+    /// replicas than at this process's start needs a restart.
     fn limit_shares_suffice(&self, ownership: &Ownership) -> bool {
         ownership.list().is_some_and(|list| list.replicas() <= self.sharers.get() as usize)
     }
--- a/crates/sender/src/placement/pending.rs
+++ b/crates/sender/src/placement/pending.rs
@@ -1,9 +1,9 @@
-//! The destinations for which this sender holds messages, whoever owns them by now.
+//! The destinations for which this sender has open messages, whichever sender owns them now.
 
 use heronroute::MsgId;
 use std::collections::HashMap;
 
-/// Held messages by destination. Bounded by what the sender may hold.
+/// The open messages and their destinations. Bounded by the number of messages that the sender accepts.
 #[derive(Debug, Default)]
 pub struct PendingMessages {
     destinations: HashMap<MsgId, i64>,
@@ -11,14 +11,14 @@
 }
 
 impl PendingMessages {
-    /// A message is held from now on.
+    /// Adds a message; adding it twice has no effect.
     pub fn insert(&mut self, id: MsgId, dest: i64) {
         if self.destinations.insert(id, dest).is_none() {
             *self.counts.entry(dest).or_default() += 1;
         }
     }
 
-    /// It is not any more.
+    /// Removes a message, if present.
     pub fn remove(&mut self, id: MsgId) {
         let Some(dest) = self.destinations.remove(&id) else { return };
         let Some(count) = self.counts.get_mut(&dest) else { return };
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Whether a message for this destination is held.
+    /// Whether there is a message for this destination.
     pub fn contains(&self, dest: i64) -> bool {
         self.counts.contains_key(&dest)
     }
 
-    /// The destinations of all held messages.
+    /// Returns the destinations of all messages.
     pub fn destinations(&self) -> impl Iterator<Item = i64> {
         self.counts.keys().copied()
     }
@@ -44,7 +44,7 @@
     use super::*;
 
     #[test]
-    fn a_destination_is_held_until_its_last_message_has_gone() {
+    fn a_destination_is_retained_until_its_last_message_is_removed() {
         let mut pending = PendingMessages::default();
         pending.insert(MsgId(1), 7);
         pending.insert(MsgId(1), 7);
--- a/crates/sender/src/placement/pool.rs
+++ b/crates/sender/src/placement/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to other members, bounded in number.
+//! The pool of connections to other members, bounded in number.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -9,42 +9,42 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// A connection that rested longer is not used again: its other end closes it after 2 s, and what is written meanwhile
+/// Idle time after which a connection is not reused: the member closes it after 2 s, and a message that crosses the close
 /// would have an unknown outcome.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(1);
-/// One member has at most one part in so many of all connections, rounded up: one that does not answer must not keep the
-/// others from being reached.
+/// One member gets at most this fraction (1 / divisor, rounded up) of all connections, so that a member that does not
+/// answer can't block forwarding to the others.
 const MEMBER_SHARE_DIVISOR: usize = 4;
 
-/// A connection on which nothing is open.
+/// A connection without an open request.
 struct IdleConnection {
     owner: SocketAddr,
     stream: TcpStream,
     idle_since: Instant,
 }
 
-/// The connections of this sender to other members.
+/// The connections to other members.
 pub struct Pool {
     max_connections: usize,
     max_per_member: usize,
-    /// Connections in use or resting.
+    /// Number of connections in use or idle.
     open: Cell<usize>,
-    /// Those in use, by member; bounded by `most`.
+    /// Number of connections in use by member; bounded by `max_connections`.
     in_use: RefCell<HashMap<SocketAddr, usize>>,
     idle: RefCell<VecDeque<IdleConnection>>,
     freed: Notify,
 }
 
-/// A place for a connection to one member, given back when dropped. While it is held the connection is in use.
+/// The right to one connection to a member, which counts as in use until the reservation is dropped.
 pub struct Reservation {
     pool: Rc<Pool>,
     owner: SocketAddr,
-    /// The connection, where one was kept.
+    /// An idle connection to reuse, if there was one.
     reused: Option<TcpStream>,
 }
 
 impl Pool {
-    /// At most so many connections.
+    /// Creates a pool with at most `max_connections` connections.
     pub fn new(max_connections: usize) -> Rc<Self> {
         Rc::new(Pool {
             max_connections,
@@ -56,13 +56,12 @@
         })
     }
 
-    /// A place for a connection to this member, as soon as there is one. The number of those that wait is bounded by the
-    /// messages that may be unanswered.
+    /// Waits for a reservation for this member. The limit of unanswered messages bounds the number of waiting callers.
     pub async fn reserve(self: &Rc<Self>, owner: SocketAddr) -> Reservation {
         loop {
             let freed = self.freed.notified();
             let mut freed = std::pin::pin!(freed);
-            // From here on no place that comes free is missed.
+            // From here on no notification is missed.
             freed.as_mut().enable();
             if let Some(reservation) = self.try_reserve(owner) {
                 return reservation;
@@ -80,7 +79,7 @@
         let reused = self.take_idle(owner);
         if reused.is_none() {
             if self.open.get() >= self.max_connections {
-                // The one that has rested longest gives way.
+                // Closes the connection that has been idle longest.
                 self.idle.borrow_mut().pop_front()?;
                 self.open.set(self.open.get() - 1);
             }
@@ -90,7 +89,7 @@
         Some(Reservation { pool: self.clone(), owner, reused })
     }
 
-    /// Closes what has rested for long, or was closed by its other end.
+    /// Closes idle connections that are too old or that the member has closed.
     fn close_stale(&self) {
         let mut idle = self.idle.borrow_mut();
         let before = idle.len();
@@ -118,14 +117,14 @@
     }
 }
 
-/// Whether the other end has neither closed the connection nor said anything unasked.
+/// Whether the peer has neither closed the connection nor sent unexpected data.
 fn is_open_and_silent(stream: &TcpStream) -> bool {
     let read = stream.try_read(&mut [0; 1]);
     read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
 impl Reservation {
-    /// The connection that was kept, or a new one.
+    /// Returns the idle connection, or opens a new one.
     pub async fn connect(&mut self) -> io::Result<TcpStream> {
         if let Some(stream) = self.reused.take() {
             return Ok(stream);
@@ -135,11 +134,11 @@
         Ok(stream)
     }
 
-    /// Keeps the connection for the next use.
-    pub fn keep(self, stream: TcpStream) {
+    /// Returns the connection to the pool for reuse.
+    pub fn put_back(self, stream: TcpStream) {
         let idle = IdleConnection { owner: self.owner, stream, idle_since: Instant::now() };
         self.pool.idle.borrow_mut().push_back(idle);
-        // Dropping the place counts it as closed.
+        // Compensates for the decrement when `self` is dropped.
         self.pool.open.set(self.pool.open.get() + 1);
     }
 }
@@ -168,18 +167,18 @@
     }
 
     #[tokio::test]
-    async fn a_connection_is_used_again_until_its_other_end_closes_it() {
+    async fn a_connection_is_reused_until_the_member_closes_it() {
         let [(listener, owner)] = members().await;
         let pool = Pool::new(4);
         let mut reservation = pool.reserve(owner).await;
         let stream = reservation.connect().await.unwrap();
         let (mut other_end, _) = listener.accept().await.unwrap();
         let port = stream.local_addr().unwrap().port();
-        reservation.keep(stream);
+        reservation.put_back(stream);
         let mut reservation = pool.reserve(owner).await;
         let stream = reservation.connect().await.unwrap();
         assert_eq!(stream.local_addr().unwrap().port(), port);
-        reservation.keep(stream);
+        reservation.put_back(stream);
         tokio::io::AsyncWriteExt::shutdown(&mut other_end).await.unwrap();
         tokio::time::sleep(Duration::from_millis(20)).await;
         let mut reservation = pool.reserve(owner).await;
@@ -188,22 +187,22 @@
     }
 
     #[tokio::test]
-    async fn places_are_bounded_together_and_for_one_member() {
+    async fn connections_are_limited_in_total_and_per_member() {
         let [(_a, first), (_b, second), (_c, third)] = members().await;
         let pool = Pool::new(2);
         let held = pool.try_reserve(first).unwrap();
-        assert!(pool.try_reserve(first).is_none(), "one of two for one member");
+        assert!(pool.try_reserve(first).is_none(), "one member gets one of two connections");
         let mut other = pool.try_reserve(second).unwrap();
-        assert!(pool.try_reserve(third).is_none(), "all are in use");
+        assert!(pool.try_reserve(third).is_none(), "all connections are in use");
         let stream = other.connect().await.unwrap();
-        other.keep(stream);
-        let late = pool.try_reserve(third).expect("the one that rests gives way");
+        other.put_back(stream);
+        let late = pool.try_reserve(third).expect("an idle connection is closed for it");
         drop((held, late));
         assert_eq!((pool.open.get(), pool.idle.borrow().len()), (0, 0));
     }
 
     #[tokio::test]
-    async fn whoever_waits_gets_a_place_that_comes_free() {
+    async fn a_waiting_caller_gets_a_connection_when_one_is_released() {
         let [(_a, owner)] = members().await;
         let pool = Pool::new(1);
         let held = pool.reserve(owner).await;
--- a/crates/sender/src/placement/reader.rs
+++ b/crates/sender/src/placement/reader.rs
@@ -1,19 +1,20 @@
-//! The list of endpoints as it is read: all of it, or what this sender keeps.
+//! Reads endpoint listings from a stream: all endpoints, or with placement only those that this sender keeps.
 
 use super::Placement;
 use embershore_protocol::listing::{Listing, ListingError, ListingReader};
 use embershore_protocol::listing_stream::FilteredListingReader;
 use std::rc::Rc;
 
-/// Reads listings from a stream that is cut at any byte.
+/// An incremental reader of listings, whose input may be split at any byte.
 pub enum ListReader {
+    /// Keeps all endpoints.
     All(ListingReader),
-    /// Without the endpoints of destinations that this sender does not keep.
+    /// Drops the endpoints of destinations that this sender does not keep.
     Filtered(FilteredListingReader, Rc<Placement>),
 }
 
 impl ListReader {
-    /// Reads what this sender keeps; all of it without placement.
+    /// Creates a reader that keeps what this sender owns, or everything without placement.
     pub fn new(placement: Option<&Rc<Placement>>) -> Self {
         match placement {
             Some(placement) => ListReader::Filtered(FilteredListingReader::default(), placement.clone()),
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Takes what has been read.
+    /// Adds input.
     pub fn extend(&mut self, bytes: &[u8]) {
         match self {
             ListReader::All(listings) => listings.extend(bytes),
@@ -29,15 +30,15 @@
         }
     }
 
-    /// Bytes that are held of a listing that is not whole yet.
-    pub fn held(&self) -> usize {
+    /// Returns the number of buffered bytes of an incomplete listing.
+    pub fn buffered_bytes(&self) -> usize {
         match self {
             ListReader::All(listings) => listings.buffered_bytes(),
             ListReader::Filtered(listings, _) => listings.buffered_bytes(),
         }
     }
 
-    /// Endpoints that begin in what is held of a listing that is not whole yet.
+    /// Returns the number of endpoints that begin in an incomplete listing's input so far.
     pub fn endpoints_started(&self) -> usize {
         match self {
             ListReader::All(listings) => listings.endpoints_started(),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// A listing has begun and is not whole yet.
+    /// Whether a listing has begun and is incomplete.
     pub fn is_partial(&self) -> bool {
         match self {
             ListReader::All(listings) => listings.is_partial(),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The next listing that is whole.
+    /// Returns the next complete listing, if there is one.
     pub fn next_listing(&mut self) -> Result<Option<Listing>, ListingError> {
         match self {
             ListReader::All(listings) => listings.next_listing(),
--- a/crates/sender/src/placement/saved_state.rs
+++ b/crates/sender/src/placement/saved_state.rs
@@ -1,5 +1,5 @@
-//! What the state folder remembers of the member list: a restarted owner need not wait as a new one, and does not take a
-//! larger share of a limit than its last run left it.
+//! The member list's state that is saved in the state folder. With it a restarted owner does not have to wait like a new
+//! one, and does not take a larger share of a limit than its last run had.
 
 use embershore_placement::Remembered;
 use std::cell::RefCell;
@@ -9,7 +9,7 @@
 const FILE: &str = "placement.json";
 const NEXT_FILE: &str = "placement.json.next";
 
-/// The file, and what stands in it.
+/// The file and its content.
 #[derive(Debug)]
 pub struct SavedState {
     folder: PathBuf,
@@ -17,22 +17,22 @@
 }
 
 impl SavedState {
-    /// Reads what an earlier run left. A file that can't be read counts as none: the sender then waits as a new owner.
+    /// Reads the file of an earlier run. A file that can't be read counts as missing: the sender then waits as a new owner.
     pub fn open(folder: &Path) -> SavedState {
         let read = std::fs::read(folder.join(FILE)).ok();
         let remembered = read.and_then(|text| serde_json::from_slice(&text).ok());
         SavedState { folder: folder.into(), written: RefCell::new(remembered) }
     }
 
-    /// What an earlier run left, or this one has written.
+    /// Returns the state that an earlier run left or this one has written.
     pub fn get(&self) -> Option<Remembered> {
         self.written.borrow().clone()
     }
 
-    /// Writes it down, unless it stands there.
+    /// Writes the state, unless it is unchanged.
     ///
     /// # Errors
-    /// When the folder can't be written; what stood there before stays.
+    /// The folder can't be written; the file then keeps its old content.
     pub fn save(&self, remembered: Remembered) -> io::Result<()> {
         if self.written.borrow().as_ref() == Some(&remembered) {
             return Ok(());
