--- a/crates/sender/src/check.rs
+++ b/crates/sender/src/check.rs
@@ -1,6 +1,6 @@
-//! `embershore check`: an options file is checked against a daemon's configuration, and shown as what it means.
+//! `embershore check`: checks an options file against a daemon's configuration, and shows its effect.
 
-use crate::cli::BAD;
+use crate::cli::EXIT_USAGE;
 use crate::daemon::{Config, class_facts};
 use clap::Args;
 use embershore_options::{Options, OptionsError};
@@ -23,9 +23,9 @@
 
 Exit codes: 0 the file is good, 1 something in it is wrong, 2 it or the configuration can't be read.";
 
-/// Checks the operator's options file, and shows what would become of messages that can't be delivered.
+/// Checks the operator's options file, and shows what happens to messages that can't be delivered.
 ///
-/// Nothing is started or changed. A daemon takes such a file over whole or not at all, by these same checks.
+/// Nothing is started or changed. A daemon applies the same checks, and takes such a file as a whole or not at all.
 #[derive(Args)]
 #[command(after_help = EXAMPLES)]
 pub struct Arguments {
@@ -34,45 +34,46 @@
     /// The daemon's configuration, which names the classes.
     #[arg(long, value_name = "FILE", env = "LB_CONFIG")]
     config: PathBuf,
-    /// As JSON.
+    /// Print the result as JSON.
     #[arg(long)]
     json: bool,
 }
 
-/// What would become of one sort of message.
+/// What the rules do with the messages of one receiver, class and reason.
 #[derive(Debug, PartialEq, Serialize)]
-struct Fate {
-    /// The receiver, where a rule names it; else all others.
+struct RuleEffect {
+    /// The receiver, if a rule names it; None stands for all others.
     receiver: Option<i64>,
     class: String,
     reason: Reason,
-    /// Absent where no rule speaks of it.
+    /// The rule's name; None if no rule applies.
     rule: Option<String>,
-    fate: String,
+    #[serde(rename = "fate")]
+    effect: String,
 }
 
 fn span(micros: i64) -> String {
     humantime::format_duration(std::time::Duration::from_micros(micros.max(0) as u64)).to_string()
 }
 
-/// What the section on the fleet amounts to.
+/// The section `[fleet]`, with the values derived from it.
 #[derive(Debug, PartialEq, Serialize)]
-struct Seen {
+struct FleetSummary {
     name: String,
     address: SocketAddr,
     domain: String,
     members: usize,
     majority: usize,
     domains: usize,
-    /// The domain with the most members, and how many.
+    /// The domain with the most members, and their number.
     largest: (String, usize),
     outlives_a_domain: bool,
 }
 
-impl Seen {
-    fn of(fleet: &FleetOptions) -> Seen {
+impl FleetSummary {
+    fn of(fleet: &FleetOptions) -> FleetSummary {
         let (largest, size) = fleet.largest_domain();
-        Seen {
+        FleetSummary {
             name: fleet.name.clone(),
             address: fleet.address,
             domain: fleet.domain.clone(),
@@ -85,7 +86,9 @@
     }
 
     fn text(&self) -> String {
-        let Seen { name, address, domain, members, majority, domains, largest: (largest, size), .. } = self;
+        let FleetSummary {
+            name, address, domain, members, majority, domains, largest: (largest, size), ..
+        } = self;
         let lost = if self.outlives_a_domain { "a majority is left" } else { "no majority is left" };
         format!(
             "fleet: this is '{name}' at {address} in '{domain}', one of {members} in {domains} domains; a majority is \
@@ -94,9 +97,9 @@
     }
 }
 
-/// What the section on placement amounts to.
+/// The section `[placement]`, with its defaults filled in.
 #[derive(Debug, PartialEq, Serialize)]
-struct ShownPlacement {
+struct PlacementSummary {
     name: String,
     listen: SocketAddr,
     control: Vec<SocketAddr>,
@@ -106,9 +109,9 @@
     owner_connections: usize,
 }
 
-impl ShownPlacement {
-    fn of(placement: &PlacementOptions) -> ShownPlacement {
-        ShownPlacement {
+impl PlacementSummary {
+    fn of(placement: &PlacementOptions) -> PlacementSummary {
+        PlacementSummary {
             name: placement.name.clone(),
             listen: placement.listen,
             control: placement.control.clone(),
@@ -120,7 +123,7 @@
     }
 
     fn text(&self) -> String {
-        let ShownPlacement { name, listen, control, lease, ask_every, agent_lag, owner_connections } = self;
+        let PlacementSummary { name, listen, control, lease, ask_every, agent_lag, owner_connections } = self;
         let control: Vec<String> = control.iter().map(SocketAddr::to_string).collect();
         format!(
             "placement: this is '{name}', takes forwarded requests at {listen}, asks {} every {ask_every} for a lease \
@@ -130,8 +133,8 @@
     }
 }
 
-/// In words, what a rule does with a message of this class that ended for this reason.
-fn fate(rules: &Rules, receiver: i64, class: &ClassFacts, reason: Reason) -> (Option<String>, String) {
+/// Returns the rule that applies to a message of this class that ended for this reason, and describes its effect.
+fn rule_effect(rules: &Rules, receiver: i64, class: &ClassFacts, reason: Reason) -> (Option<String>, String) {
     let Some(rule) = rules.rule_of(receiver, &class.name, reason) else {
         return (None, "not kept".into());
     };
@@ -139,65 +142,66 @@
     if !rule.keep {
         return (name, "not kept".into());
     }
-    let mut words = vec!["kept".to_string()];
-    let doubt = reason == Reason::MayHaveRun;
-    if doubt && class.effect == Effect::Unsafe {
-        words.push("in doubt: waits for a word".into());
+    let mut parts = vec!["kept".to_string()];
+    let may_have_run = reason == Reason::MayHaveRun;
+    if may_have_run && class.effect == Effect::Unsafe {
+        parts.push("in doubt: waits for a word".into());
     } else if let Some(r) = &rule.resend {
-        words.push(format!("sent again {} times at most, {} apart", r.times, span(r.gap)));
+        parts.push(format!("sent again {} times at most, {} apart", r.times, span(r.gap)));
         if r.growth > 1.0 {
-            words.push(format!("growing to {}", span(r.gap_most)));
+            parts.push(format!("growing to {}", span(r.gap_most)));
         }
-        if doubt && class.effect == Effect::Keyed {
-            words.push("while its key is remembered, then in doubt".into());
+        if may_have_run && class.effect == Effect::Keyed {
+            parts.push("while its key is remembered, then in doubt".into());
         }
     } else {
-        words.push("not sent again".into());
+        parts.push("not sent again".into());
     }
     if rule.supersede {
-        words.push("dropped for a newer one".into());
+        parts.push("dropped for a newer one".into());
     }
     if let Some(owed_for) = rule.owed_for {
         let then = match rule.then {
             Then::Keep => "kept for inspection",
             Then::Drop => "taken out",
         };
-        words.push(format!("after {} {then}", span(owed_for)));
+        parts.push(format!("after {} {then}", span(owed_for)));
     }
-    (name, words.join(", "))
+    (name, parts.join(", "))
 }
 
-fn fates(rules: &Rules, classes: &[ClassFacts]) -> Vec<Fate> {
+/// Returns the effects for all receivers that rules name, and for one that stands for all others.
+fn rule_effects(rules: &Rules, classes: &[ClassFacts]) -> Vec<RuleEffect> {
     let named = rules.receivers();
-    // Any number that no rule names stands for all others.
+    // A number that no rule names stands for all other receivers.
     let other = (0..).find(|n| !named.contains(n)).unwrap_or(-1);
     let receivers = named.iter().map(|n| (Some(*n), *n)).chain([(None, other)]);
     let mut list = Vec::new();
     for (receiver, number) in receivers {
         for class in classes {
             for reason in Reason::ALL {
-                let (rule, fate) = fate(rules, number, class, reason);
-                list.push(Fate { receiver, class: class.name.clone(), reason, rule, fate });
+                let (rule, effect) = rule_effect(rules, number, class, reason);
+                list.push(RuleEffect { receiver, class: class.name.clone(), reason, rule, effect });
             }
         }
     }
     list
 }
 
-/// Does what the arguments ask for; its exit code.
+/// Checks the file, prints the result and returns the exit code.
 pub fn main(arguments: &Arguments) -> ExitCode {
     let classes = match Config::read(&arguments.config) {
         Ok(config) => class_facts(config.settings.names().classes, &config.settings.settings().classes),
         Err(e) => {
             eprintln!("embershore check: {e}");
-            return ExitCode::from(BAD);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     match Options::read(&arguments.file, &classes) {
         Ok(options) => {
-            let fates = options.owed.as_ref().map(|rules| fates(rules, &classes));
-            let fleet = options.fleet.as_ref().map(Seen::of);
-            show(arguments, fates, fleet, options.placement.as_ref().map(ShownPlacement::of));
+            let effects = options.owed.as_ref().map(|rules| rule_effects(rules, &classes));
+            let fleet = options.fleet.as_ref().map(FleetSummary::of);
+            show(arguments, effects, fleet, options.placement.as_ref().map(PlacementSummary::of));
             ExitCode::SUCCESS
         }
         Err(OptionsError::Invalid { findings, .. }) if arguments.json => {
@@ -210,19 +214,19 @@
         }
         Err(e @ OptionsError::Io { .. }) => {
             eprintln!("embershore check: {e}");
-            ExitCode::from(BAD)
+            ExitCode::from(EXIT_USAGE)
         }
     }
 }
 
 fn show(
     arguments: &Arguments,
-    fates: Option<Vec<Fate>>,
-    fleet: Option<Seen>,
-    placement: Option<ShownPlacement>,
+    effects: Option<Vec<RuleEffect>>,
+    fleet: Option<FleetSummary>,
+    placement: Option<PlacementSummary>,
 ) {
     if arguments.json {
-        let mut shown = serde_json::json!({ "good": true, "owed": fates, "fleet": fleet });
+        let mut shown = serde_json::json!({ "good": true, "owed": effects, "fleet": fleet });
         if let Some(placement) = placement {
             shown["placement"] = serde_json::json!(placement);
         }
@@ -236,16 +240,21 @@
     if let Some(placement) = &placement {
         println!("{}", placement.text());
     }
-    let Some(fates) = fates else {
+    let Some(effects) = effects else {
         if fleet.is_none() && placement.is_none() {
             println!("nothing is switched on");
         }
         return;
     };
     println!("{:<10} {:<18} {:<17} {:<20} what becomes of it", "receiver", "class", "given up as", "rule");
-    for f in fates {
-        let receiver = f.receiver.map_or("others".into(), |r| r.to_string());
-        let rule = f.rule.as_deref().unwrap_or("none");
-        println!("{receiver:<10} {:<18} {:<17} {rule:<20} {}", f.class, f.reason.name(), f.fate);
+    for entry in effects {
+        let receiver = entry.receiver.map_or("others".into(), |r| r.to_string());
+        let rule = entry.rule.as_deref().unwrap_or("none");
+        println!(
+            "{receiver:<10} {:<18} {:<17} {rule:<20} {}",
+            entry.class,
+            entry.reason.name(),
+            entry.effect
+        );
     }
 }
--- a/crates/sender/src/cli.rs
+++ b/crates/sender/src/cli.rs
@@ -1,12 +1,12 @@
-//! The command line.
+//! The command line of the binary: the daemon, `rehearse` and `check`.
 
 use crate::{check, daemon, rehearse};
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What a shell is told when arguments, or a file that they name, can't be used.
-pub(crate) const BAD: u8 = 2;
+/// Exit code for invalid arguments, or for a file named in them that can't be read.
+pub(crate) const EXIT_USAGE: u8 = 2;
 
 /// Takes messages from clients and delivers them to outside receivers.
 ///
@@ -16,7 +16,7 @@
 #[derive(Parser)]
 #[command(name = "embershore", version, args_conflicts_with_subcommands = true)]
 struct Arguments {
-    /// The daemon's options file, in place of the one that LB_OPTIONS names.
+    /// The daemon's options file, instead of the one that LB_OPTIONS names.
     #[arg(long, value_name = "FILE")]
     options: Option<PathBuf>,
     #[command(subcommand)]
@@ -25,15 +25,15 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Rehearse an evening: stand-in receivers, directory and clients around real senders, and a verdict.
+    /// Rehearse a scenario: run real senders among stand-in receivers, directory and clients, and judge the run.
     Rehearse(Box<rehearse::Arguments>),
-    /// Check an options file, and say what would become of what.
+    /// Check an options file, and show its effect on undeliverable messages.
     Check(check::Arguments),
 }
 
-/// Does what the process was started for; its exit code.
+/// Parses the arguments, runs the daemon or a subcommand, and returns the exit code.
 pub fn main() -> ExitCode {
-    // The daemon as the platform starts it reads no arguments at all.
+    // The platform starts the daemon without arguments; clap is not run then.
     let mut options = None;
     if std::env::args_os().len() > 1 {
         let arguments = Arguments::parse();
--- a/crates/sender/src/main.rs
+++ b/crates/sender/src/main.rs
@@ -1,4 +1,4 @@
-//! The one binary: see the library's `cli`.
+//! The binary; its code is in the library's module `cli`.
 
 use std::process::ExitCode;
 
--- a/crates/sender/src/matrix.rs
+++ b/crates/sender/src/matrix.rs
@@ -1,5 +1,5 @@
-//! `embershore rehearse matrix`: scenarios by number of senders by seeds, as many at once as the machine plays without
-//! being late. Each run is a process of its own; a run that is there already is not played again.
+//! `embershore rehearse matrix`: runs scenarios for each number of senders and each seed, as many at once as the machine
+//! can without running late. Each run is a process of its own. A run whose report exists is not repeated.
 
 use clap::Args;
 use embershore_rehearsal::matrix::{Cell, page, rows, text};
@@ -12,57 +12,57 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// Runs that were late are played again, with fewer beside them, so often.
-const AGAIN_MOST: u32 = 1;
-/// Name of the report in a run's folder.
+/// Number of times that a void run, in which the rig was late, is repeated, with fewer concurrent runs.
+const MAX_REPEATS: u32 = 1;
+/// File name of the report in a run's folder.
 const REPORT: &str = "report.json";
 
-/// How often a worker with nothing to do looks again; runs last half a minute.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which an idle worker checks for work; runs last half a minute.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What to play.
+/// The arguments of `rehearse matrix`.
 #[derive(Args, Clone)]
 pub struct Matrix {
     /// The scenarios: files, or names of shipped ones.
     #[arg(required = true)]
     scenarios: Vec<String>,
-    /// Numbers of senders: the load, and the slots in all, stay the same.
+    /// Numbers of senders; the load and the total of slots stay the same.
     #[arg(long, value_delimiter = ',', default_values_t = [1, 2, 3, 6, 12, 24])]
     senders: Vec<usize>,
     /// Seeds.
     #[arg(long, value_delimiter = ',', default_values_t = [1])]
     seeds: Vec<u64>,
-    /// The folder for the runs; what it holds already is not played again.
+    /// The folder for the runs; runs that it holds already are not repeated.
     #[arg(long, value_name = "FOLDER")]
     out: PathBuf,
-    /// Runs at once; half as many as there are cores if not given. After one that was late it is one less.
+    /// Concurrent runs [default: half the number of cores]. Reduced by one after a run that was late.
     #[arg(long)]
     jobs: Option<usize>,
-    /// The table as one HTML page with pictures.
+    /// Write the table as one HTML page with charts.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
-    /// The table as JSON on standard output.
+    /// Print the table as JSON on standard output.
     #[arg(long)]
     json: bool,
-    /// Keep each run's history, some tens of MB; else only that of a run in which a rule was broken.
+    /// Keep each run's history, some tens of MB. Without it only the histories of runs with a broken rule are kept.
     #[arg(long)]
     keep: bool,
 }
 
-/// What is left to play, and how many at once.
+/// The remaining runs, the reports so far, and the number of concurrent runs.
 struct Queue {
     left: VecDeque<(Cell, String, u32)>,
     runs: BTreeMap<Cell, Report>,
     done: usize,
-    most: usize,
+    max_running: usize,
     running: usize,
     failed: Option<String>,
 }
 
-/// Plays what is not there yet, and shows the table; the exit code.
+/// Runs what has no report yet, prints the table and returns the exit code.
 ///
 /// # Errors
-/// A scenario or a folder is wrong, or a run could not be played.
+/// An argument, a scenario or the folder is invalid, or a run failed.
 pub fn main(matrix: &Matrix) -> Result<u8, Box<dyn Error>> {
     if let Some(wrong) = matrix.senders.iter().find(|n| !(1..=SENDERS_MOST).contains(*n)) {
         return Err(format!("--senders {wrong}: a scenario has 1 to {SENDERS_MOST} senders").into());
@@ -71,7 +71,7 @@
     for name in &matrix.scenarios {
         let scenario = super::rehearse::read(name)?;
         for senders in &matrix.senders {
-            // All are checked before the first is played.
+            // All scenarios are checked before the first run.
             scenario.clone().split(*senders).map_err(|e| format!("{name}: {e}"))?;
             let of = |seed: &u64| Cell {
                 scenario: scenario.parameters.scenario.clone(),
@@ -82,7 +82,7 @@
         }
     }
     std::fs::create_dir_all(&matrix.out).map_err(|e| format!("{}: {e}", matrix.out.display()))?;
-    let (mut runs, mut left, many) = (BTreeMap::new(), VecDeque::new(), cells.len());
+    let (mut runs, mut left, total) = (BTreeMap::new(), VecDeque::new(), cells.len());
     for (cell, name) in cells {
         match read(&matrix.out.join(cell.folder()).join(REPORT)) {
             Some(report) => _ = runs.insert(cell, report),
@@ -90,18 +90,18 @@
         }
     }
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    let most = matrix.jobs.unwrap_or(cores / 2).max(1);
-    eprintln!("{many} runs, {} of them there already, {most} at once", runs.len());
-    let all = left.len();
-    let queue = Mutex::new(Queue { left, runs, done: 0, most, running: 0, failed: None });
+    let max_running = matrix.jobs.unwrap_or(cores / 2).max(1);
+    eprintln!("{total} runs, {} of them done already, up to {max_running} at once", runs.len());
+    let to_run = left.len();
+    let queue = Mutex::new(Queue { left, runs, done: 0, max_running, running: 0, failed: None });
     std::thread::scope(|scope| {
-        for _ in 0..most {
-            scope.spawn(|| work(matrix, &queue, all));
+        for _ in 0..max_running {
+            scope.spawn(|| work(matrix, &queue, to_run));
         }
     });
     let queue = queue.into_inner().unwrap_or_else(PoisonError::into_inner);
-    if let Some(why) = queue.failed {
-        return Err(why.into());
+    if let Some(reason) = queue.failed {
+        return Err(reason.into());
     }
     let rows = rows(&queue.runs);
     if let Some(path) = &matrix.html {
@@ -122,25 +122,26 @@
     })
 }
 
-/// A run's report; nothing if it is not there whole, so that the run is played anew.
+/// Reads a run's report; None if it is missing or incomplete, so that the run is repeated.
 fn read(path: &Path) -> Option<Report> {
     serde_json::from_slice(&std::fs::read(path).ok()?).ok()
 }
 
-fn work(matrix: &Matrix, queue: &Mutex<Queue>, all: usize) {
+/// Runs the queue's entries until none is left or one has failed.
+fn work(matrix: &Matrix, queue: &Mutex<Queue>, to_run: usize) {
     loop {
         let next = {
             let mut q = queue.lock().unwrap_or_else(PoisonError::into_inner);
-            // One that is still playing may have to be played again.
+            // A run in progress may be void and return to the queue.
             if q.failed.is_some() || (q.left.is_empty() && q.running == 0) {
                 return;
             }
-            let next = if q.running < q.most { q.left.pop_front() } else { None };
+            let next = if q.running < q.max_running { q.left.pop_front() } else { None };
             q.running += usize::from(next.is_some());
             next
         };
         let Some(next) = next else {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
             continue;
         };
         let (cell, name, tries) = next;
@@ -149,30 +150,34 @@
         q.running -= 1;
         match played {
             Ok(report) => match &report.judgement.void {
-                Some(why) if tries < AGAIN_MOST => {
-                    q.most = (q.most - 1).max(1);
-                    eprintln!("{}: void, {why}; again, {} at once from now on", cell.folder(), q.most);
+                Some(reason) if tries < MAX_REPEATS => {
+                    q.max_running = (q.max_running - 1).max(1);
+                    eprintln!(
+                        "{}: void, will be repeated: {reason}; concurrent runs reduced to {}",
+                        cell.folder(),
+                        q.max_running
+                    );
                     q.left.push_back((cell, name, tries + 1));
                 }
                 _ => {
                     q.done += 1;
-                    let word = if report.judgement.broken() { ", a rule BROKEN" } else { "" };
+                    let broken = if report.judgement.broken() { ", a rule BROKEN" } else { "" };
                     let figure = report.judgement.service.figure;
-                    eprintln!("{:>4} of {all}  {}: service {figure:.3}{word}", q.done, cell.folder());
+                    eprintln!("{:>4} of {to_run}  {}: service {figure:.3}{broken}", q.done, cell.folder());
                     q.runs.insert(cell, report);
                 }
             },
-            Err(why) => {
-                q.failed.get_or_insert(format!("{}: {why}", cell.folder()));
+            Err(reason) => {
+                q.failed.get_or_insert(format!("{}: {reason}", cell.folder()));
             }
         }
     }
 }
 
-/// Plays one run as a process of its own, and leaves its report.
+/// Runs one cell as a process of its own and stores its report.
 fn play(matrix: &Matrix, cell: &Cell, name: &str) -> Result<Report, Box<dyn Error>> {
     let folder = matrix.out.join(cell.folder());
-    // What an interrupted run left there is no part of this one.
+    // Removes the files of an interrupted run.
     match std::fs::remove_dir_all(&folder) {
         Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(e.into()),
         _ => {}
@@ -188,7 +193,7 @@
     if !matrix.keep && !report.judgement.broken() {
         std::fs::remove_file(folder.join("history.jsonl"))?;
     }
-    // Written whole or not at all: its name says that the run is there.
+    // Renamed only when complete: the file's name marks the run as done.
     let new = folder.join("report.new");
     std::fs::write(&new, &run.stdout)?;
     std::fs::rename(&new, folder.join(REPORT))?;
--- a/crates/sender/src/rehearse.rs
+++ b/crates/sender/src/rehearse.rs
@@ -1,6 +1,6 @@
-//! `embershore rehearse`: the command line of the rehearsal kit.
+//! `embershore rehearse`: the command line of the rehearsal tools.
 
-use crate::cli::BAD;
+use crate::cli::EXIT_USAGE;
 use crate::matrix::{self, Matrix};
 use clap::{Args, Subcommand};
 use embershore_rehearsal::capture::{Tap, capture};
@@ -18,185 +18,189 @@
 
 const EXAMPLES: &str = "\
 Examples:
-  embershore rehearse                               the built-in evening rush, about a minute
-  embershore rehearse list                          the shipped scenarios
-  embershore rehearse run cold-return --html r.html a shipped scenario, with pictures
-  embershore rehearse run evening.toml --json       a scenario of one's own, for a machine to read
+  embershore rehearse                               run the built-in evening rush, about a minute
+  embershore rehearse list                          list the shipped scenarios
+  embershore rehearse run cold-return --html r.html run a shipped scenario and write a page with charts
+  embershore rehearse run evening.toml --json       run a scenario file and print the report as JSON
   embershore rehearse matrix return-herd --seeds 1,2,3 --out herd --html herd.html
-                                                    the same evening with 1 to 24 senders
+                                                    run a scenario with 1 to 24 senders
   embershore rehearse tell 127.0.0.1:7070 slow receiver=3 for=10s factor=8
 
-Exit codes: 0 all rules kept, 1 a rule broken, 2 bad arguments, scenario or evidence, 3 void, since the rig itself
+Exit codes: 0 all rules kept, 1 a rule broken, 2 invalid arguments, scenario or evidence, 3 void, since the rig itself
 ran late or was cut off.";
 
-/// Rehearses an evening without any partner's part in it.
+/// Rehearses a scenario without any outside receiver.
 ///
-/// Stand-in receivers, a directory and clients on loopback are put around real daemon processes. All that they see
-/// is taken down, and judged by the six rules and the service. Without a subcommand the built-in evening rush is
-/// played.
+/// Runs real daemon processes among stand-in receivers, a directory and clients on loopback. Everything that these see is
+/// recorded, and judged by the six rules and the service metric. Without a subcommand the built-in evening rush is run.
 #[derive(Args)]
 #[command(after_help = EXAMPLES, args_conflicts_with_subcommands = true)]
 pub struct Arguments {
     #[command(subcommand)]
-    what: Option<What>,
+    command: Option<Command>,
     #[command(flatten)]
-    play: Play,
+    run: RunOptions,
 }
 
+/// Options of the subcommands that run a scenario.
 #[derive(Args, Clone, Default)]
-struct Play {
-    /// Another seed than the scenario's: other traffic of the same kind.
+struct RunOptions {
+    /// Use this seed instead of the scenario's, for other traffic of the same kind.
     #[arg(long)]
     seed: Option<u64>,
-    /// Another number of senders, all alike: the same load, and the same slots and room in all.
+    /// Use this number of identical senders; the load and the totals of slots and open messages stay the same.
     #[arg(long, value_name = "NUMBER")]
     senders: Option<usize>,
-    /// The folder for the evidence: history, configurations, logs. A new one below the system's folder for
-    /// temporary files if not given.
+    /// The folder for the evidence: history, configurations, logs [default: a new folder in the system's folder for
+    /// temporary files].
     #[arg(long, value_name = "FOLDER")]
     evidence: Option<PathBuf>,
-    /// The report as one HTML page with pictures.
+    /// Write the report as one HTML page with charts.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
-    /// The report as JSON on standard output.
+    /// Print the report as JSON on standard output.
     #[arg(long)]
     json: bool,
-    /// No progress on standard error.
+    /// Print no progress on standard error.
     #[arg(long)]
     quiet: bool,
-    /// Listen here for `rehearse tell`; loopback only.
+    /// The address at which to accept `rehearse tell` commands; loopback only.
     #[arg(long, value_name = "ADDRESS")]
     control: Option<SocketAddr>,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Play a scenario: a file, or the name of a shipped one.
+enum Command {
+    /// Run a scenario: a file, or the name of a shipped one.
     Run {
-        /// The scenario.
+        /// The scenario: a file or a shipped name.
         scenario: String,
-        /// Play against a sender that someone else has started, once for each of the scenario's; the rig writes
-        /// their configurations into the evidence's folder.
+        /// Run against a sender that is started by other means; to be given once for each of the scenario's senders. Their
+        /// configurations are written to the evidence folder.
         #[arg(long, value_name = "ADDRESS")]
         sender: Vec<SocketAddr>,
         #[command(flatten)]
-        play: Play,
+        options: RunOptions,
     },
-    /// Check a scenario and say what it would play. Starts nothing.
+    /// Check a scenario and print a summary of it. Starts nothing.
     Check {
-        /// The scenario.
+        /// The scenario: a file or a shipped name.
         scenario: String,
-        /// As JSON.
+        /// Print the summary as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// The scenarios that ship with the kit.
+    /// List the shipped scenarios.
     List {
-        /// As JSON.
+        /// Print the list as JSON.
         #[arg(long)]
         json: bool,
-        /// Print the text of this one, as a beginning for one's own.
+        /// Print the text of this scenario, as a template.
         #[arg(long, value_name = "NAME")]
         show: Option<String>,
     },
-    /// Stand-in receivers and directory alone, for senders that someone else starts.
+    /// Run only the stand-in receivers and the directory, for senders that are started by other means.
     Serve {
-        /// The scenario.
+        /// The scenario: a file or a shipped name.
         scenario: String,
-        /// Where each of the scenario's senders will listen.
+        /// The address at which a sender will listen; to be given once for each of the scenario's senders.
         #[arg(long, value_name = "ADDRESS", required = true)]
         sender: Vec<SocketAddr>,
         #[command(flatten)]
-        play: Play,
+        options: RunOptions,
     },
     /// Judge a recorded run again.
     Judge {
-        /// Its history, or the folder that it lies in.
+        /// The run's history file or evidence folder.
         evidence: PathBuf,
         #[command(flatten)]
-        play: Shown,
+        output: ReportOptions,
     },
     /// Compare two recorded runs.
     Compare {
-        /// One.
+        /// History file or evidence folder of the first run.
         a: PathBuf,
-        /// The other.
+        /// History file or evidence folder of the second run.
         b: PathBuf,
-        /// Both reports as JSON.
+        /// Print both reports as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Play scenarios by numbers of senders by seeds, and show the table.
+    /// Run scenarios for each number of senders and each seed, and print the table of results.
     Matrix(Matrix),
-    /// Have something done while a rehearsal runs that was started with `--control`.
+    /// Send a command to a running rehearsal that was started with `--control`.
     Tell {
-        /// Its control port.
+        /// The control address of the rehearsal.
         address: SocketAddr,
-        /// What: `status`, or an event such as `slow receiver=3 for=10s factor=8`.
+        /// The command: `status`, or an event such as `slow receiver=3 for=10s factor=8`.
         #[arg(required = true)]
         words: Vec<String>,
     },
-    /// Stand as a tap in front of a sender and write down what it is handed in, as a trace to replay.
+    /// Relay the clients' connections to a sender and record the messages as a trace to replay.
     Capture {
-        /// Where clients are to connect.
+        /// The address at which clients connect.
         #[arg(long, value_name = "ADDRESS")]
         listen: SocketAddr,
-        /// The sender.
+        /// The sender's address.
         #[arg(long, value_name = "ADDRESS")]
         to: SocketAddr,
-        /// The trace.
+        /// The trace file to write.
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
-        /// How many seconds; until Ctrl-C if not given.
+        /// Duration in seconds [default: until Ctrl-C].
         #[arg(long)]
         seconds: Option<u64>,
     },
 }
 
+/// Options of the report's output.
 #[derive(Args, Clone)]
-struct Shown {
-    /// The report as one HTML page with pictures.
+struct ReportOptions {
+    /// Write the report as one HTML page with charts.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
-    /// The report as JSON on standard output.
+    /// Print the report as JSON on standard output.
     #[arg(long)]
     json: bool,
 }
 
-/// Does what the arguments say; the exit code.
+/// Runs the subcommand and returns the exit code.
 pub fn main(arguments: Arguments) -> ExitCode {
-    let done = match arguments.what {
-        None => play(shipped::ALL[0].name, &arguments.play, Vec::new(), false),
-        Some(What::Run { scenario, sender, play: how }) => play(&scenario, &how, sender, false),
-        Some(What::Serve { scenario, sender, play: how }) => play(&scenario, &how, sender, true),
-        Some(What::Check { scenario, json }) => check(&scenario, json),
-        Some(What::List { json, show }) => list(json, show.as_deref()),
-        Some(What::Judge { evidence, play }) => show(&evidence, play.html.as_deref(), play.json),
-        Some(What::Compare { a, b, json }) => both(&a, &b, json),
-        Some(What::Matrix(what)) => matrix::main(&what),
-        Some(What::Tell { address, words }) => tell(address, &words.join(" ")),
-        Some(What::Capture { listen, to, out, seconds }) => {
+    let result = match arguments.command {
+        None => run(shipped::ALL[0].name, &arguments.run, Vec::new(), false),
+        Some(Command::Run { scenario, sender, options }) => run(&scenario, &options, sender, false),
+        Some(Command::Serve { scenario, sender, options }) => run(&scenario, &options, sender, true),
+        Some(Command::Check { scenario, json }) => check(&scenario, json),
+        Some(Command::List { json, show }) => list(json, show.as_deref()),
+        Some(Command::Judge { evidence, output }) => {
+            print_report(&evidence, output.html.as_deref(), output.json)
+        }
+        Some(Command::Compare { a, b, json }) => compare_runs(&a, &b, json),
+        Some(Command::Matrix(matrix)) => matrix::main(&matrix),
+        Some(Command::Tell { address, words }) => tell(address, &words.join(" ")),
+        Some(Command::Capture { listen, to, out, seconds }) => {
             let tap = Tap { listen, to, lasting: seconds.map(Duration::from_secs) };
-            capture(&tap, &out, |at| eprintln!("listening on {at}, in front of {to}"))
+            capture(&tap, &out, |at| eprintln!("listening on {at}, relaying to {to}"))
                 .map(|n| {
-                    eprintln!("{n} messages in {}", out.display());
+                    eprintln!("{n} messages recorded in {}", out.display());
                     0
                 })
                 .map_err(Into::into)
         }
     };
-    match done {
+    match result {
         Ok(code) => ExitCode::from(code),
         Err(e) => {
             eprintln!("embershore rehearse: {e}");
-            ExitCode::from(BAD)
+            ExitCode::from(EXIT_USAGE)
         }
     }
 }
 
+/// Reads a scenario by file name or shipped name.
 pub(crate) fn read(name: &str) -> Result<Scenario, ScenarioError> {
     match shipped::find(name) {
-        // A file of that name goes first: an operator's own copy is meant.
+        // A file of that name takes precedence: it is the operator's own copy.
         Some(s) if !Path::new(name).is_file() => {
             Scenario::parse(&format!("{name} (shipped)"), s.text, Path::new("."))
         }
@@ -204,20 +208,29 @@
     }
 }
 
-fn play(name: &str, how: &Play, senders: Vec<SocketAddr>, serve_only: bool) -> Result<u8, Box<dyn Error>> {
+/// Runs a scenario, or only its stand-ins with `serve_only`, and prints the report.
+fn run(
+    name: &str,
+    run_options: &RunOptions,
+    senders: Vec<SocketAddr>,
+    serve_only: bool,
+) -> Result<u8, Box<dyn Error>> {
     let mut scenario = read(name)?;
-    if let Some(seed) = how.seed {
+    if let Some(seed) = run_options.seed {
         scenario.parameters.seed = seed;
     }
-    if let Some(number) = how.senders {
+    if let Some(number) = run_options.senders {
         scenario.split(number).map_err(|e| format!("--senders {number}: {e}"))?;
     }
     if !senders.is_empty() && senders.len() != scenario.senders.len() {
-        return Err(
-            format!("the scenario has {} senders; give as many --sender", scenario.senders.len()).into()
-        );
+        return Err(format!(
+            "the scenario has {} senders, but --sender was given {} times",
+            scenario.senders.len(),
+            senders.len()
+        )
+        .into());
     }
-    let folder = match &how.evidence {
+    let folder = match &run_options.evidence {
         Some(folder) => folder.clone(),
         None => {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
@@ -230,24 +243,24 @@
     } else {
         Subject::External(senders)
     };
-    let (control, stall) = (how.control, None);
+    let (control, stall) = (run_options.control, None);
     let options = Options { subject, folder: folder.clone(), control, serve_only, stall };
-    if !how.quiet {
-        eprintln!("rehearsing {}: {}", scenario.parameters.scenario, scenario.about);
+    if !run_options.quiet {
+        eprintln!("running scenario {}: {}", scenario.parameters.scenario, scenario.about);
         eprintln!("evidence in {}", folder.display());
     }
-    rig::run(scenario, &options, progress(how.quiet))?;
+    rig::run(scenario, &options, progress(run_options.quiet))?;
     if serve_only {
         return Ok(0);
     }
-    show(&folder, how.html.as_deref(), how.json)
+    print_report(&folder, run_options.html.as_deref(), run_options.json)
 }
 
-/// A bar where someone looks on, and else a line now and then.
+/// Returns the progress display: a bar on a terminal, otherwise a line every 10 s, or nothing with `--quiet`.
 fn progress(quiet: bool) -> Box<dyn FnMut(Progress)> {
-    let words = |p: Progress| {
+    let counts = |p: Progress| {
         format!(
-            "{} handed in, {} delivered, {} refused, {} failed",
+            "{} submitted, {} delivered, {} refused, {} failed",
             p.offered, p.delivered, p.refused, p.failed
         )
     };
@@ -255,11 +268,11 @@
         return Box::new(|_| {});
     }
     if !std::io::stderr().is_terminal() {
-        let mut told = 0;
+        let mut last_printed = 0;
         return Box::new(move |p| {
-            if p.t - told >= 10_000_000 {
-                told = p.t;
-                eprintln!("{:>5.0} s  {}", p.t as f64 / 1e6, words(p));
+            if p.t - last_printed >= 10_000_000 {
+                last_printed = p.t;
+                eprintln!("{:>5.0} s  {}", p.t as f64 / 1e6, counts(p));
             }
         });
     }
@@ -271,11 +284,12 @@
     Box::new(move |p| {
         bar.set_length((p.length / 1_000_000).max(1) as u64);
         bar.set_position((p.t.min(p.length) / 1_000_000) as u64);
-        bar.set_message(words(p));
+        bar.set_message(counts(p));
     })
 }
 
-fn show(evidence: &Path, page: Option<&Path>, json: bool) -> Result<u8, Box<dyn Error>> {
+/// Judges a recorded run and prints the report; with `page` also writes it as HTML.
+fn print_report(evidence: &Path, page: Option<&Path>, json: bool) -> Result<u8, Box<dyn Error>> {
     let (report, table) = report(evidence)?;
     if let Some(path) = page {
         let page = html::page(&report, &table)?;
@@ -289,7 +303,7 @@
     Ok(report.exit_code())
 }
 
-fn both(a: &Path, b: &Path, json: bool) -> Result<u8, Box<dyn Error>> {
+fn compare_runs(a: &Path, b: &Path, json: bool) -> Result<u8, Box<dyn Error>> {
     let ((a, _), (b, _)) = (report(a)?, report(b)?);
     if json {
         println!("{}", serde_json::to_string_pretty(&[&a, &b] as &[&Report])?);
@@ -302,23 +316,23 @@
 fn check(name: &str, json: bool) -> Result<u8, Box<dyn Error>> {
     let scenario = read(name)?;
     let planned = plan::plan(&scenario)?;
-    let f = &scenario.parameters;
+    let parameters = &scenario.parameters;
     let endpoints: usize = scenario.receivers.iter().map(|r| r.endpoints).sum();
-    let rate = planned.len() as f64 / (f.length as f64 / 1e6);
+    let rate = planned.len() as f64 / (parameters.length as f64 / 1e6);
     if json {
-        let figures = serde_json::json!({
-            "scenario": f.scenario, "about": scenario.about, "seed": f.seed, "seconds": f.length as f64 / 1e6,
+        let summary = serde_json::json!({
+            "scenario": parameters.scenario, "about": scenario.about, "seed": parameters.seed, "seconds": parameters.length as f64 / 1e6,
             "messages": planned.len(), "rate": rate, "receivers": scenario.receivers.len(), "endpoints": endpoints,
-            "events": scenario.events.len(), "senders": f.senders,
+            "events": scenario.events.len(), "senders": parameters.senders,
         });
-        println!("{figures:#}");
+        println!("{summary:#}");
         return Ok(0);
     }
-    println!("{}: {}", f.scenario, scenario.about);
-    println!("{} messages in {:.0} s, {rate:.1} a second", planned.len(), f.length as f64 / 1e6);
+    println!("{}: {}", parameters.scenario, scenario.about);
+    println!("{} messages in {:.0} s, {rate:.1} per second", planned.len(), parameters.length as f64 / 1e6);
     println!("{} receivers with {endpoints} endpoints", scenario.receivers.len());
-    for s in &f.senders {
-        println!("sender {} in {}: {} slots, room for {} messages", s.name, s.zone, s.slots, s.max_open);
+    for s in &parameters.senders {
+        println!("sender {} in {}: {} slots, at most {} open messages", s.name, s.zone, s.slots, s.max_open);
     }
     for (at, event) in &scenario.events {
         println!("{:>7.1} s  {event}", *at as f64 / 1e6);
@@ -328,8 +342,9 @@
 
 fn list(json: bool, show: Option<&str>) -> Result<u8, Box<dyn Error>> {
     if let Some(name) = show {
-        let found = shipped::find(name)
-            .ok_or_else(|| format!("there is no shipped scenario '{name}'; see 'list'"))?;
+        let found = shipped::find(name).ok_or_else(|| {
+            format!("no shipped scenario is named '{name}'; see 'embershore rehearse list'")
+        })?;
         print!("{}", found.text);
         return Ok(0);
     }
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -373,7 +373,7 @@
     std::fs::write(Path::new(&half).join("history.jsonl"), "{}").unwrap();
     let second = matrix("1,3");
     assert_eq!(second.status.code(), Some(0), "{}", text(&second.stderr));
-    assert!(text(&second.stderr).contains("2 runs, 1 of them there already"), "{}", text(&second.stderr));
+    assert!(text(&second.stderr).contains("2 runs, 1 of them done already"), "{}", text(&second.stderr));
     assert_eq!(std::fs::metadata(&report(1)[0]).unwrap().modified().unwrap(), written);
     assert_eq!(report(3).len(), 1);
     let rows: serde_json::Value = serde_json::from_slice(&second.stdout).unwrap();
