--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -1,8 +1,8 @@
-//! Random orders of what can cross, played against the parts without I/O of their own: the decision module and the journal,
-//! with a kill after any step, a tail torn at any byte, and a start from what is left.
+//! A property test of random interleavings of events, against the dispatcher and the real journal: with a kill after any
+//! step, a journal truncated at any byte, and a restart from what is left.
 //!
-//! The world knows what no sender can: which calls have run. It carries out what the module decides in the order in which
-//! the driver does, a step at a time, and a kill comes between any two of them.
+//! The model, [`World`], knows what no sender can know: which calls have run. It executes the dispatcher's actions in the
+//! driver's order, step by step, and a kill may come between any two steps.
 
 use crate::journal::{Accepted, Journal, Receiver};
 use embershore_protocol::notice::End;
@@ -23,7 +23,7 @@
 const ENDPOINTS: u32 = 5;
 const DISK: u64 = 200_000;
 
-/// Free, guarded, single-shot.
+/// The effects of classes 0 to 2.
 const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
 
 fn settings() -> Settings {
@@ -51,44 +51,44 @@
     }
 }
 
-/// Destination 0 has endpoints 1, 3 and 5 and takes single messages, destination 1 has 2 and 4 and takes four in a call.
-fn dest_of(endpoint: u32) -> i64 {
+/// Destination 0 has endpoints 1, 3 and 5 and accepts single messages; destination 1 has 2 and 4 and accepts four per call.
+fn destination_of(endpoint: u32) -> i64 {
     i64::from((endpoint + 1) % 2)
 }
 
-fn name_of(endpoint: u32) -> String {
+fn endpoint_name(endpoint: u32) -> String {
     format!("s-{endpoint}")
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Deed {
+enum Operation {
     Put {
         class: usize,
         dest: i64,
         time_left: Micros,
     },
     Pass(Micros),
-    /// The connection of one of the calls comes up, or fails.
+    /// The connection of a call opens, or fails to.
     Connect {
         which: usize,
         up: bool,
     },
-    /// One of the calls ends.
+    /// A call ends.
     End {
         which: usize,
         outcome: Outcome,
         runs: bool,
         wait: Micros,
     },
-    /// The platform confirms what it has been told.
+    /// The platform confirms the notices.
     Confirm,
     List {
         endpoint: u32,
         status: Status,
     },
-    /// SIGTERM, without its end.
+    /// SIGTERM; the process goes on.
     Stop,
-    /// SIGKILL after so many steps, with so many bytes of a further record, and so long until the next start.
+    /// SIGKILL after `after` steps, with `torn` bytes of an incomplete record left, and `away` until the next start.
     Kill {
         after: usize,
         torn: usize,
@@ -96,7 +96,7 @@
     },
 }
 
-fn deed() -> impl Strategy<Value = Deed> {
+fn operation() -> impl Strategy<Value = Operation> {
     use Outcome::*;
     let outcome = prop::sample::select(vec![
         (Done, true),
@@ -115,63 +115,67 @@
     let status = prop::sample::select(vec![Status::Up, Status::Up, Status::Draining, Status::Removed]);
     prop_oneof![
         6 => (0..3usize, 0..2i64, 200 * MS..12 * S)
-            .prop_map(|(class, dest, time_left)| Deed::Put { class, dest, time_left }),
-        6 => prop_oneof![Just(QUANTUM), QUANTUM..800 * MS, S..3 * S].prop_map(Deed::Pass),
-        6 => (any::<usize>(), prop::bool::weighted(0.7)).prop_map(|(which, up)| Deed::Connect { which, up }),
+            .prop_map(|(class, dest, time_left)| Operation::Put { class, dest, time_left }),
+        6 => prop_oneof![Just(QUANTUM), QUANTUM..800 * MS, S..3 * S].prop_map(Operation::Pass),
+        6 => (any::<usize>(), prop::bool::weighted(0.7)).prop_map(|(which, up)| Operation::Connect { which, up }),
         6 => (any::<usize>(), outcome, prop_oneof![3 => Just(0), 1 => Just(400 * MS)])
-            .prop_map(|(which, (outcome, runs), wait)| Deed::End { which, outcome, runs, wait }),
-        1 => Just(Deed::Confirm),
-        1 => (1..=ENDPOINTS, status).prop_map(|(endpoint, status)| Deed::List { endpoint, status }),
-        1 => Just(Deed::Stop),
+            .prop_map(|(which, (outcome, runs), wait)| Operation::End { which, outcome, runs, wait }),
+        1 => Just(Operation::Confirm),
+        1 => (1..=ENDPOINTS, status).prop_map(|(endpoint, status)| Operation::List { endpoint, status }),
+        1 => Just(Operation::Stop),
         2 => (0..12usize, 0..40usize, prop_oneof![Just(0), 0..4 * S])
-            .prop_map(|(after, torn, away)| Deed::Kill { after, torn, away }),
+            .prop_map(|(after, torn, away)| Operation::Kill { after, torn, away }),
     ]
 }
 
-/// What really is with a message.
+/// The true state of a message.
 #[derive(Debug, Default)]
 struct Truth {
     class: usize,
     deadline: Micros,
-    /// Its client has read `+OK`.
-    promised: bool,
-    /// First bytes of calls whose effect is not known to be none, each with whether it has run.
-    tries: Vec<Micros>,
+    /// Its client has received `+OK`.
+    acknowledged: bool,
+    /// When the calls began that may have had an effect.
+    possible_runs: Vec<Micros>,
+    /// How often it took effect.
     runs: usize,
-    /// Calls that have begun in this process.
+    /// Calls begun by this process.
     calls: usize,
     delivered: bool,
-    /// This process has heard so. One that is killed as it writes it down may not know it any more.
-    over: bool,
-    told: Option<End>,
-    /// Since when it has been owed a call by what a restart found, if that came.
-    found: Option<Micros>,
+    /// This process knows of the delivery. One that is killed while it records it may not know it any more.
+    known_delivered: bool,
+    /// The end in the notice.
+    notice: Option<End>,
+    /// When a restart found it unattempted; from then on it must get a call before its deadline.
+    recovered: Option<Micros>,
 }
 
-/// A call that the sender has out.
-struct Out {
+/// A call in flight.
+struct InFlightCall {
     endpoint: u32,
-    /// With each message, the number of its attempt.
+    /// The messages, each with its attempt's number.
     items: Vec<(u64, u32)>,
-    begun: Option<Micros>,
-    made: Micros,
+    begun_at: Option<Micros>,
+    decided_at: Micros,
 }
 
-/// The process is gone.
+/// The process has been killed.
 struct Killed;
 
+/// The sender process: the dispatcher, the journal and the driver's state.
 struct Process {
-    module: Dispatcher,
+    dispatcher: Dispatcher,
     journal: Journal,
     attempts: BTreeMap<u64, u32>,
-    out: Vec<Out>,
+    in_flight: Vec<InFlightCall>,
     events: Vec<Event>,
-    /// Newcomers that no round has seen.
-    new: BTreeMap<u64, Accepted>,
+    /// Submitted messages that no round has processed.
+    submitted: BTreeMap<u64, Accepted>,
     /// Steps until it is killed.
-    fuel: Option<usize>,
+    steps_left: Option<usize>,
 }
 
+/// The model: the clients, the endpoints, the platform and the process.
 struct World {
     folder: tempfile::TempDir,
     now: Micros,
@@ -180,7 +184,7 @@
     process: Process,
     next: u64,
     kill: (usize, Micros),
-    /// Every connection is refused at once.
+    /// Whether every connection is refused at once.
     refused: bool,
 }
 
@@ -194,21 +198,21 @@
         World { folder, now, truth: BTreeMap::new(), listed, process, next: 0, kill: (0, 0), refused }
     }
 
-    fn play(&mut self, deeds: &[Deed]) {
-        for deed in deeds {
-            if self.perform(*deed).is_err() {
+    fn play(&mut self, operations: &[Operation]) {
+        for operation in operations {
+            if self.perform(*operation).is_err() {
                 self.restart();
             }
         }
-        // No more kills, all that is asked for well answered: each message has its end by its time.
-        (self.process.fuel, self.refused) = (None, false);
+        // Without further kills, and with all calls answered, each message must end by its deadline.
+        (self.process.steps_left, self.refused) = (None, false);
         let mut rounds = 0;
         while rounds < 4_000 {
-            for at in (0..self.process.out.len()).rev() {
+            for at in (0..self.process.in_flight.len()).rev() {
                 _ = self.connect(at, true);
             }
-            for at in (0..self.process.out.len()).rev() {
-                if self.process.out[at].begun.is_some_and(|t| self.now - t >= 50 * MS) {
+            for at in (0..self.process.in_flight.len()).rev() {
+                if self.process.in_flight[at].begun_at.is_some_and(|t| self.now - t >= 50 * MS) {
                     _ = self.end(at, Outcome::Done, true, 0);
                 }
             }
@@ -217,58 +221,62 @@
             _ = self.confirm();
             rounds += 1;
         }
-        for (id, t) in &self.truth {
-            assert!(!t.promised || t.delivered || t.told.is_some(), "{id} has no end: {t:?}");
+        for (id, truth) in &self.truth {
+            assert!(
+                !truth.acknowledged || truth.delivered || truth.notice.is_some(),
+                "message {id} has no end: {truth:?}"
+            );
         }
         assert_eq!(self.process.journal.entries().count(), 0);
     }
 
-    fn perform(&mut self, deed: Deed) -> Result<(), Killed> {
-        match deed {
-            Deed::Put { class, dest, time_left } => {
+    fn perform(&mut self, operation: Operation) -> Result<(), Killed> {
+        match operation {
+            Operation::Put { class, dest, time_left } => {
                 self.put(class, dest, time_left);
                 Ok(())
             }
-            Deed::Pass(span) => {
+            Operation::Pass(span) => {
                 let until = self.now + span;
                 while self.now < until {
                     self.now += QUANTUM;
-                    self.give_up()?;
+                    self.time_out_calls()?;
                     self.round()?;
                 }
                 Ok(())
             }
-            Deed::Connect { which, up } => match self.pick(which, false) {
+            Operation::Connect { which, up } => match self.pick(which, false) {
                 Some(at) => self.connect(at, up),
                 None => Ok(()),
             },
-            Deed::End { which, outcome, runs, wait } => match self.pick(which, true) {
+            Operation::End { which, outcome, runs, wait } => match self.pick(which, true) {
                 Some(at) => self.end(at, outcome, runs, wait),
                 None => Ok(()),
             },
-            Deed::Confirm => self.confirm(),
-            Deed::List { endpoint, status } => {
+            Operation::Confirm => self.confirm(),
+            Operation::List { endpoint, status } => {
                 self.listed.insert(endpoint, status);
                 let entries = vec![entry(endpoint, status)];
                 self.process.events.push(Event::Listing { complete: false, entries });
                 Ok(())
             }
-            Deed::Stop => {
+            Operation::Stop => {
                 self.process.events.push(Event::Stopping { at: self.now + 3 * S });
                 Ok(())
             }
-            Deed::Kill { after, torn, away } => {
+            Operation::Kill { after, torn, away } => {
                 self.kill = (torn, away);
-                self.process.fuel.get_or_insert(after);
+                self.process.steps_left.get_or_insert(after);
                 Ok(())
             }
         }
     }
 
-    /// One of the calls that are out, begun or not.
+    /// Picks a call in flight, begun or not begun.
     fn pick(&self, which: usize, begun: bool) -> Option<usize> {
-        let fit: Vec<usize> =
-            (0..self.process.out.len()).filter(|at| self.process.out[*at].begun.is_some() == begun).collect();
+        let fit: Vec<usize> = (0..self.process.in_flight.len())
+            .filter(|at| self.process.in_flight[*at].begun_at.is_some() == begun)
+            .collect();
         fit.get(which % fit.len().max(1)).copied()
     }
 
@@ -285,25 +293,25 @@
             deadline,
             body: vec![7; 300].into(),
         };
-        // Numbers start anew where the process before had none written: such a message was never promised.
+        // A number may be reused if the previous process had not recorded its message, which then was never accepted.
         self.truth.insert(id, Truth { class, deadline, ..Truth::default() });
-        self.process.new.insert(id, accepted);
+        self.process.submitted.insert(id, accepted);
         self.process.attempts.insert(id, 0);
         let (id, dest) = (MsgId(id), DestId(dest));
         let event = Event::Message { id, class, tenant: 0, key: None, dest, time_left, resubmitted: false };
         self.process.events.push(event);
     }
 
-    /// Time-outs, as calls have them.
-    fn give_up(&mut self) -> Result<(), Killed> {
-        for at in (0..self.process.out.len()).rev() {
+    /// Ends calls at their timeout.
+    fn time_out_calls(&mut self) -> Result<(), Killed> {
+        for at in (0..self.process.in_flight.len()).rev() {
             if self.refused {
                 self.connect(at, false)?;
                 continue;
             }
-            let out = &self.process.out[at];
-            if self.now - out.made >= 6 * S {
-                let outcome = if out.begun.is_some() { Outcome::TimedOut } else { Outcome::Unreached };
+            let call = &self.process.in_flight[at];
+            if self.now - call.decided_at >= 6 * S {
+                let outcome = if call.begun_at.is_some() { Outcome::TimedOut } else { Outcome::Unreached };
                 self.end(at, outcome, false, 0)?;
             }
         }
@@ -321,55 +329,56 @@
             *time_left = self.truth[&id.0].deadline - now;
         }
         let mut actions = Vec::new();
-        self.process.module.round(now, &events, &mut actions);
-        self.welcome(&events, &actions)?;
-        let mut calls: BTreeMap<u64, Out> = BTreeMap::new();
+        self.process.dispatcher.round(now, &events, &mut actions);
+        self.accept_submitted(&events, &actions)?;
+        let mut calls: BTreeMap<u64, InFlightCall> = BTreeMap::new();
         for action in &actions {
             match action {
                 Action::Send { call, id, endpoint, .. } => {
                     let attempt = self.process.attempts.entry(id.0).or_default();
-                    let out = calls.entry(*call).or_insert_with(|| Out {
+                    let call = calls.entry(*call).or_insert_with(|| InFlightCall {
                         endpoint: endpoint.0,
                         items: Vec::new(),
-                        begun: None,
-                        made: now,
+                        begun_at: None,
+                        decided_at: now,
                     });
-                    out.items.push((id.0, *attempt));
+                    call.items.push((id.0, *attempt));
                     *attempt += 1;
                 }
                 Action::Cancel { id, attempt } => {
-                    let at = self.process.out.iter().position(|o| o.items.contains(&(id.0, *attempt)));
+                    let at = self.process.in_flight.iter().position(|o| o.items.contains(&(id.0, *attempt)));
                     if let Some(at) = at {
-                        let begun = self.process.out[at].begun.is_some();
+                        let begun = self.process.in_flight[at].begun_at.is_some();
                         let outcome = if begun { Outcome::Cancelled } else { Outcome::Unreached };
                         self.end(at, outcome, begun, 0)?;
                     }
                 }
                 Action::Refuse { id, .. } => {
-                    self.finish(id.0, End::Returned { retry_after_ms: 0 })?;
+                    self.end_undelivered(id.0, End::Returned { retry_after_ms: 0 })?;
                 }
                 Action::Fail { id } => {
-                    self.finish(id.0, End::Failed)?;
+                    self.end_undelivered(id.0, End::Failed)?;
                 }
                 _ => {}
             }
         }
-        self.process.out.extend(calls.into_values());
-        let health = self.process.module.endpoint_health().map(|(id, h)| (name_of(id.0), h)).collect();
+        self.process.in_flight.extend(calls.into_values());
+        let health =
+            self.process.dispatcher.endpoint_health().map(|(id, h)| (endpoint_name(id.0), h)).collect();
         self.process.step()?;
         self.process.journal.record_endpoint_health(&health).unwrap();
-        let receivers = self.process.module.receiver_health();
+        let receivers = self.process.dispatcher.receiver_health();
         let receivers = receivers.map(|(dest, _, health)| (Receiver::Destination(dest.0), health)).collect();
         self.process.step()?;
         self.process.journal.record_receiver_health(&receivers).unwrap();
         Ok(())
     }
 
-    /// Newcomers are written down, then promised.
-    fn welcome(&mut self, events: &[Event], actions: &[Action]) -> Result<(), Killed> {
+    /// Records submitted messages and then accepts them.
+    fn accept_submitted(&mut self, events: &[Event], actions: &[Action]) -> Result<(), Killed> {
         for event in events {
             let Event::Message { id, class, .. } = event else { continue };
-            let Some(accepted) = self.process.new.remove(&id.0) else { continue };
+            let Some(accepted) = self.process.submitted.remove(&id.0) else { continue };
             let over =
                 |a: &Action| matches!(a, Action::Refuse { id: o, .. } | Action::Fail { id: o } if o == id);
             if actions.iter().any(over) {
@@ -382,26 +391,26 @@
                 continue;
             }
             self.process.step()?;
-            self.truth.get_mut(&id.0).unwrap().promised = true;
+            self.truth.get_mut(&id.0).unwrap().acknowledged = true;
         }
         Ok(())
     }
 
-    /// An attempt is written down before its first byte; which of its messages go is asked then.
+    /// Opens a call's connection. The attempts are recorded before the first byte, for the messages that still may go.
     fn connect(&mut self, at: usize, up: bool) -> Result<(), Killed> {
         let now = self.now;
-        if self.process.out[at].begun.is_some() {
+        if self.process.in_flight[at].begun_at.is_some() {
             return Ok(());
         }
         if !up {
-            let out = self.process.out.remove(at);
-            for (id, attempt) in out.items {
-                self.process.outcome(id, attempt, out.endpoint, Outcome::Unreached, false);
+            let call = self.process.in_flight.remove(at);
+            for (id, attempt) in call.items {
+                self.process.outcome(id, attempt, call.endpoint, Outcome::Unreached, false);
             }
             return Ok(());
         }
         let (truth, process) = (&self.truth, &mut self.process);
-        let ready = self.listed[&process.out[at].endpoint] == Status::Up;
+        let ready = self.listed[&process.in_flight[at].endpoint] == Status::Up;
         let open = |id: u64| {
             let entry = process.journal.get(id).filter(|e| e.progress.end.is_none())?;
             let guarded = EFFECTS[truth[&id].class] == Effect::Keyed;
@@ -409,55 +418,66 @@
             first.is_none_or(|first| now < first + WINDOW).then_some(id)
         };
         let wanted: Vec<u64> =
-            process.out[at].items.iter().filter_map(|(id, _)| open(*id)).filter(|_| ready).collect();
-        let endpoint = process.out[at].endpoint;
-        let (go, stay): (Vec<_>, Vec<_>) =
-            process.out[at].items.iter().partition(|(id, _)| wanted.contains(id));
-        for (id, attempt) in stay {
+            process.in_flight[at].items.iter().filter_map(|(id, _)| open(*id)).filter(|_| ready).collect();
+        let endpoint = process.in_flight[at].endpoint;
+        let (sent, skipped): (Vec<_>, Vec<_>) =
+            process.in_flight[at].items.iter().partition(|(id, _)| wanted.contains(id));
+        for (id, attempt) in skipped {
             let last = process.journal.get(id).is_none();
             process.outcome(id, attempt, endpoint, Outcome::Skipped, last);
         }
-        if go.is_empty() {
-            process.out.remove(at);
+        if sent.is_empty() {
+            process.in_flight.remove(at);
             return Ok(());
         }
         process.step()?;
-        process.journal.record_attempts_started(wanted.clone(), &name_of(endpoint), now).unwrap();
-        process.out[at].items = go;
-        process.out[at].begun = Some(now);
+        process.journal.record_attempts_started(wanted.clone(), &endpoint_name(endpoint), now).unwrap();
+        process.in_flight[at].items = sent;
+        process.in_flight[at].begun_at = Some(now);
         process.step()?;
         for id in wanted {
-            let t = self.truth.get_mut(&id).unwrap();
-            let first = t.tries.iter().min().copied();
-            match EFFECTS[t.class] {
-                Effect::Unsafe => assert!(first.is_none(), "{id} goes again, and may have run: {t:?}"),
+            let truth = self.truth.get_mut(&id).unwrap();
+            let first = truth.possible_runs.iter().min().copied();
+            match EFFECTS[truth.class] {
+                Effect::Unsafe => {
+                    assert!(first.is_none(), "message {id} is sent again and may have run: {truth:?}")
+                }
                 Effect::Keyed => {
-                    assert!(first.is_none_or(|f| now <= f + WINDOW), "{id} goes too late: {t:?}")
+                    assert!(
+                        first.is_none_or(|f| now <= f + WINDOW),
+                        "message {id} is sent after its key window: {truth:?}"
+                    )
                 }
                 Effect::Safe => {}
             }
-            assert!(!t.over && t.told.is_none(), "{id} is over, and goes again: {t:?}");
-            t.tries.push(now);
-            t.calls += 1;
+            assert!(
+                !truth.known_delivered && truth.notice.is_none(),
+                "message {id} has ended and is sent again: {truth:?}"
+            );
+            truth.possible_runs.push(now);
+            truth.calls += 1;
         }
         Ok(())
     }
 
-    /// A call ends; `runs` if it took effect.
+    /// Ends a call, which took effect if `runs`.
     fn end(&mut self, at: usize, outcome: Outcome, runs: bool, wait: Micros) -> Result<(), Killed> {
-        let out = self.process.out.remove(at);
-        for (id, attempt) in out.items {
+        let call = self.process.in_flight.remove(at);
+        for (id, attempt) in call.items {
             let truth = self.truth.get_mut(&id).unwrap();
-            if let Some(begun) = out.begun {
+            if let Some(begun_at) = call.begun_at {
                 if runs {
                     truth.runs += 1;
-                    assert!(truth.runs == 1 || EFFECTS[truth.class] != Effect::Unsafe, "{id} ran twice");
+                    assert!(
+                        truth.runs == 1 || EFFECTS[truth.class] != Effect::Unsafe,
+                        "message {id} ran twice"
+                    );
                 } else if outcome.never_ran() {
-                    truth.tries.retain(|t| *t != begun);
+                    truth.possible_runs.retain(|t| *t != begun_at);
                 }
             }
             truth.delivered |= outcome == Outcome::Done;
-            truth.over |= outcome == Outcome::Done;
+            truth.known_delivered |= outcome == Outcome::Done;
             let open = self.process.journal.get(id).is_some_and(|e| e.progress.end.is_none());
             if open {
                 self.process.step()?;
@@ -468,25 +488,25 @@
                 }
             }
             let (process, last) = (&mut self.process, outcome == Outcome::Done);
-            process.outcome(id, attempt, out.endpoint, outcome, last);
-            if let Some(Event::Outcome { wait: told, .. }) = process.events.last_mut() {
-                *told = if outcome == Outcome::Busy { wait } else { 0 };
+            process.outcome(id, attempt, call.endpoint, outcome, last);
+            if let Some(Event::Outcome { wait: reported, .. }) = process.events.last_mut() {
+                *reported = if outcome == Outcome::Busy { wait } else { 0 };
             }
         }
         Ok(())
     }
 
-    /// The sender gives a message up.
-    fn finish(&mut self, id: u64, end: End) -> Result<(), Killed> {
-        let t = &self.truth[&id];
-        let due = t.deadline - 2 * QUANTUM;
+    /// Ends an undelivered message.
+    fn end_undelivered(&mut self, id: u64, end: End) -> Result<(), Killed> {
+        let truth = &self.truth[&id];
+        let due = truth.deadline - 2 * QUANTUM;
         assert!(
-            t.found.is_none() || t.calls > 0 || self.now >= due,
-            "{id} was found untried, and is given up {} ms early with no call: {t:?}",
-            (t.deadline - self.now) / MS
+            truth.recovered.is_none() || truth.calls > 0 || self.now >= due,
+            "message {id} was recovered unattempted and ends {} ms early without a call: {truth:?}",
+            (truth.deadline - self.now) / MS
         );
-        if matches!(end, End::Returned { .. }) && EFFECTS[t.class] == Effect::Unsafe {
-            assert!(t.tries.is_empty(), "{id} is handed back, and may have run: {t:?}");
+        if matches!(end, End::Returned { .. }) && EFFECTS[truth.class] == Effect::Unsafe {
+            assert!(truth.possible_runs.is_empty(), "message {id} is returned and may have run: {truth:?}");
         }
         if self.process.journal.get(id).is_none() {
             return Ok(());
@@ -494,14 +514,17 @@
         self.process.step()?;
         self.process.journal.record_message_ended(id, end).unwrap();
         self.process.step()?;
-        self.tell(id, end);
+        self.send_notice(id, end);
         Ok(())
     }
 
-    fn tell(&mut self, id: u64, end: End) {
-        let t = self.truth.get_mut(&id).unwrap();
-        assert!(t.told.is_none_or(|told| told == end), "{id} has two ends: {t:?}, now {end:?}");
-        t.told = Some(end);
+    fn send_notice(&mut self, id: u64, end: End) {
+        let truth = self.truth.get_mut(&id).unwrap();
+        assert!(
+            truth.notice.is_none_or(|notice| notice == end),
+            "message {id} has two ends: {truth:?}, now {end:?}"
+        );
+        truth.notice = Some(end);
     }
 
     fn confirm(&mut self) -> Result<(), Killed> {
@@ -514,11 +537,11 @@
         Ok(())
     }
 
-    /// The process is gone; another begins with what it has left.
+    /// Starts a new process from the journal of the killed one.
     fn restart(&mut self) {
         let (torn, away) = self.kill;
         if torn > 0 {
-            // The head of a record whose rest was never written.
+            // The beginning of a record whose rest was never written.
             let path = self.folder.path().join("journal");
             let mut file = std::fs::OpenOptions::new().append(true).open(path).unwrap();
             let record: Vec<u8> = [200u8, 0, 0, 0].into_iter().chain(std::iter::repeat_n(9, torn)).collect();
@@ -526,34 +549,34 @@
         }
         self.now += away;
         let journal = Journal::open(self.folder.path(), DISK).unwrap();
-        for t in self.truth.values_mut() {
-            (t.found, t.over, t.calls) = (None, false, 0);
+        for truth in self.truth.values_mut() {
+            (truth.recovered, truth.known_delivered, truth.calls) = (None, false, 0);
         }
         let now = self.now;
         let mut process = Process::start(journal, now, &self.listed);
-        let (mut live, mut ends) = (Vec::new(), Vec::new());
+        let (mut open, mut ends) = (Vec::new(), Vec::new());
         for (id, entry) in process.journal.entries() {
             let progress = &entry.progress;
-            let t = self.truth.get_mut(&id).expect("what is in the journal was handed in");
-            assert_eq!(entry.accepted.deadline, t.deadline);
+            let truth = self.truth.get_mut(&id).expect("a message in the journal was submitted");
+            assert_eq!(entry.accepted.deadline, truth.deadline);
             if let Some(end) = progress.end {
                 ends.push((id, end));
                 continue;
             }
             assert!(
-                progress.first_possible_run().is_some() || t.tries.is_empty(),
-                "{} may have run, and the journal does not know: {:?}",
+                progress.first_possible_run().is_some() || truth.possible_runs.is_empty(),
+                "message {} may have run, and the journal does not know: {:?}",
                 id,
-                t
+                truth
             );
-            // What was written and not promised is the sender's own all the same: its client got no answer.
+            // A message that was recorded but not accepted counts as well: its client got no reply.
             if progress.first_possible_run().is_none() && progress.attempts < ATTEMPTS {
-                t.found = Some(now);
+                truth.recovered = Some(now);
             }
             let number = |name: &str| EndpointId(name[2..].parse().unwrap());
             process.events.push(Event::MessageRestored {
                 id: MsgId(id),
-                class: t.class,
+                class: truth.class,
                 key: None,
                 dest: DestId(entry.accepted.dest),
                 time_left: 0,
@@ -561,32 +584,33 @@
                 unreached: 0,
                 may_have_run: progress.first_possible_run().map(|(name, at)| (number(name), *at)),
             });
-            live.push((id, progress.attempts));
+            open.push((id, progress.attempts));
         }
-        for (id, attempts) in live {
+        for (id, attempts) in open {
             process.attempts.insert(id, attempts);
             process.journal.record_attempt_settled(id, true).unwrap();
         }
-        for (id, t) in &self.truth {
-            let kept = t.delivered || t.told.is_some() || process.journal.get(*id).is_some();
-            assert!(!t.promised || kept, "{id} was taken on, and is gone: {t:?}");
+        for (id, truth) in &self.truth {
+            let accounted_for =
+                truth.delivered || truth.notice.is_some() || process.journal.get(*id).is_some();
+            assert!(!truth.acknowledged || accounted_for, "message {id} was accepted and is lost: {truth:?}");
         }
         self.process = process;
         for (id, end) in ends {
-            self.tell(id, end);
+            self.send_notice(id, end);
         }
         _ = self.round();
     }
 }
 
 fn entry(endpoint: u32, status: Status) -> EndpointEntry {
-    let (dest, kind) = (DestId(dest_of(endpoint)), dest_of(endpoint) as usize);
+    let (dest, kind) = (DestId(destination_of(endpoint)), destination_of(endpoint) as usize);
     EndpointEntry { endpoint: EndpointId(endpoint), dest, status, kind, zone: 0, weight: None }
 }
 
 impl Process {
     fn start(journal: Journal, now: Micros, listed: &BTreeMap<u32, Status>) -> Self {
-        let module = Dispatcher::new(now, 7, settings()).unwrap();
+        let dispatcher = Dispatcher::new(now, 7, settings()).unwrap();
         let entries = listed.iter().map(|(e, status)| entry(*e, *status)).collect();
         let mut events = vec![Event::Listing { complete: true, entries }];
         for (name, health) in journal.health() {
@@ -598,13 +622,13 @@
                 events.push(Event::ReceiverHealthRestored { dest: DestId(*dest), route: None, health });
             }
         }
-        let (attempts, out, new) = (BTreeMap::new(), Vec::new(), BTreeMap::new());
-        Process { module, journal, attempts, out, events, new, fuel: None }
+        let (attempts, in_flight, submitted) = (BTreeMap::new(), Vec::new(), BTreeMap::new());
+        Process { dispatcher, journal, attempts, in_flight, events, submitted, steps_left: None }
     }
 
-    /// Something is about to be done that outlasts the process, if it lives to do it.
+    /// Counts a step with a lasting effect, before it is done; fails if the process is killed before it.
     fn step(&mut self) -> Result<(), Killed> {
-        match &mut self.fuel {
+        match &mut self.steps_left {
             Some(0) => Err(Killed),
             Some(left) => {
                 *left -= 1;
@@ -634,10 +658,10 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn each_message_has_one_end_and_no_effect_comes_twice_whatever_crosses(
-        deeds in vec(deed(), 1..120),
+    fn each_message_ends_once_and_no_effect_repeats_in_any_interleaving(
+        operations in vec(operation(), 1..120),
         refused in prop::bool::weighted(0.3),
     ) {
-        World::new(refused).play(&deeds);
+        World::new(refused).play(&operations);
     }
 }
