--- a/crates/sender/src/check.rs
+++ b/crates/sender/src/check.rs
@@ -246,7 +246,7 @@
         }
         return;
     };
-    println!("{:<10} {:<18} {:<17} {:<20} what becomes of it", "receiver", "class", "given up as", "rule");
+    println!("{:<10} {:<18} {:<17} {:<20} effect", "receiver", "class", "reason", "rule");
     for entry in effects {
         let receiver = entry.receiver.map_or("others".into(), |r| r.to_string());
         let rule = entry.rule.as_deref().unwrap_or("none");
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -34,9 +34,10 @@
 const STALL_TIMEOUT: Duration = Duration::from_millis(2400);
 /// Longest time for a whole command: enough for the longest one at 16 KiB a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(8);
-/// When connections run short, those are evicted first that were silent for this long before or within a command ...
+/// At the connection limit, a connection that has been silent for this long before its first command or within a command is
+/// evicted first.
 const EVICT_SILENT_AFTER: Duration = Duration::from_millis(300);
-/// ... and next those that have been served and have sent no request for this long.
+/// Next is a connection that has been served and has sent no request for this long.
 const EVICT_SERVED_AFTER: Duration = Duration::from_millis(1000);
 /// Time that a new connection gets for its first command while connections are being closed.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(300);
@@ -193,7 +194,9 @@
     open_count: Rc<Cell<usize>>,
     entries: RefCell<BTreeMap<u64, Rc<ClientEntry>>>,
     freed: Notify,
+    /// Permits for the bytes of long incomplete commands.
     buffers: Arc<Semaphore>,
+    /// Permits for the bytes of messages without a reply.
     bodies: Arc<Semaphore>,
 }
 
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -311,9 +311,10 @@
     }
 }
 
+/// Builds the daemon's parts and runs them until the driver ends.
 async fn serve(options_file: Option<PathBuf>) -> Result<(), Box<dyn Error>> {
     let inherited = inherited_socket::listener()?;
-    // Before anything is awaited: by default either signal ends the process.
+    // The handlers are installed before anything is awaited: by default either signal ends the process.
     let (mut terminate, hang_up) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
     let required_variable = |name: &str| std::env::var(name).map_err(|_| format!("{name} is not set"));
     let path = PathBuf::from(required_variable("LB_CONFIG")?);
@@ -331,7 +332,7 @@
         options.placement.map(|section| Rc::new(Placement::new(section, &names.classes, &settings, &state)));
     let open_journal = || {
         journal::Journal::open(&state, (config.limits.disk_mb * 1e6) as u64)
-            .map_err(|e| format!("journal in {}: {e}", state.display()))
+            .map_err(|e| format!("opening the journal in {}: {e}", state.display()))
     };
     let startup = match inherited {
         None => {
@@ -444,7 +445,7 @@
                 tokio::time::sleep(LIST_POLL_INTERVAL).await;
             }
             let taken = handover::take_over(&state, &status).await;
-            let taken = taken.map_err(|e| format!("lock in {}: {e}", state.display()))?;
+            let taken = taken.map_err(|e| format!("acquiring the lock in {}: {e}", state.display()))?;
             let Some(handover::Acquired { lock, predecessor }) = taken else { return Ok(()) };
             let journal = open_journal()?;
             if let Some(placement) = &placement {
@@ -452,7 +453,9 @@
                 placement.request_pending_destinations();
             }
             let (takeover_sender, takeover_requests) = mpsc::channel(1);
-            let handover_socket = lock.listen().map_err(|e| format!("socket in {}: {e}", state.display()))?;
+            let handover_socket = lock
+                .listen()
+                .map_err(|e| format!("creating the handover socket in {}: {e}", state.display()))?;
             tokio::task::spawn_local(handover::accept_takeovers(handover_socket, takeover_sender));
             (
                 journal,
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -67,7 +67,7 @@
                 }
                 (None, Ok(_)) => {}
             }
-            // A failing watch may still send one line without news, which does not make it useful. Nor was a poll useful
+            // A failing watch may still send one line without a change, which does not make it useful. Nor was a poll useful
             // that hung, or after which the version was dropped.
             let (took, advanced) = (begun.elapsed(), index.is_some() && index != before);
             let useful = opened && (advanced || took > STALL_TIMEOUT);
@@ -77,11 +77,11 @@
                 index = if before.is_some() { None } else { in_force };
                 WatchEnd::Rejected(took)
             } else if timed_out {
-                WatchEnd::Silent
+                WatchEnd::Stalled
             } else if useful && broken {
                 WatchEnd::Broken
             } else if useful {
-                WatchEnd::Complete
+                WatchEnd::Closed
             } else {
                 WatchEnd::Failed(took)
             }
@@ -94,9 +94,9 @@
                 schedule.reset();
             }
             end = work => pause = match end {
-                WatchEnd::Silent => schedule.after_stall(),
+                WatchEnd::Stalled => schedule.after_stall(),
                 WatchEnd::Broken => schedule.after_break(),
-                WatchEnd::Complete => schedule.after_end(),
+                WatchEnd::Closed => schedule.after_end(),
                 WatchEnd::Failed(took) => schedule.after_failure(took),
                 WatchEnd::Rejected(took) => schedule.after_rejection(took),
                 WatchEnd::RereadRequested => Duration::ZERO,
@@ -108,11 +108,11 @@
 /// How a watch, or the attempt to open one, has ended.
 enum WatchEnd {
     /// It was open and received nothing complete within the stall timeout.
-    Silent,
+    Stalled,
     /// It was useful, and its connection broke.
     Broken,
     /// It was useful, and discovery ended it.
-    Complete,
+    Closed,
     /// It failed, this long after it was begun.
     Failed(Duration),
     /// It received a listing that is too long, this long after it was begun.
@@ -261,8 +261,9 @@
             self.last_progress = Instant::now();
             self.listings.extend(&bytes);
         }
-        listing
-            .ok_or_else(|| io::Error::new(io::ErrorKind::UnexpectedEof, "the list ended before it was whole"))
+        listing.ok_or_else(|| {
+            io::Error::new(io::ErrorKind::UnexpectedEof, "the response ended before the listing was complete")
+        })
     }
 
     async fn read_text(mut self) -> io::Result<Listing> {
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -49,7 +49,7 @@
 /// Error reply for a destination that is in no listing.
 const UNKNOWN_DESTINATION: &str = "unknown destination";
 
-/// State of an accepted or submitted message that has not ended, beside its journal entry.
+/// State of a message that has not ended, in addition to its journal entry.
 #[derive(Default)]
 struct PendingMessage {
     attempts: u32,
@@ -114,11 +114,14 @@
     unanswered_puts: BTreeMap<MsgId, UnansweredPut>,
     pending: HashMap<MsgId, PendingMessage>,
     recovered: RecoveredMessages,
+    /// The pending messages by request id.
     by_request: HashMap<String, MsgId>,
+    /// The calls in flight, each with the channel that cancels it.
     calls_in_flight: HashMap<u64, Option<oneshot::Sender<()>>>,
     next_call: u64,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
     unconfirmed_notices: usize,
+    /// When SIGTERM came.
     stopping: Option<Micros>,
 }
 
@@ -175,14 +178,14 @@
         early.into_iter().for_each(|input| self.handle_input(input));
         self.round();
         _ = self.status.change(Change::Started);
-        let mut last = self.clock.now();
-        let mut retire = last;
+        let mut last_round = self.clock.now();
+        let mut last_sweep = last_round;
         loop {
             let timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
-            let pending_events = if self.events.is_empty() { Micros::MAX } else { last };
+            let pending_events = if self.events.is_empty() { Micros::MAX } else { last_round };
             // At most one round per quantum; also one while no event comes, for what depends on the clock alone.
-            let wake = timer.min(pending_events).max(last + self.quantum);
-            let wake = wake.min(last + IDLE_SWEEP_INTERVAL_US).min(self.next_exit_check(last));
+            let wake = timer.min(pending_events).max(last_round + self.quantum);
+            let wake = wake.min(last_round + IDLE_SWEEP_INTERVAL_US).min(self.next_exit_check(last_round));
             tokio::select! {
                 biased;
                 input = inbox.recv() => {
@@ -191,7 +194,7 @@
                     while let Ok(input) = inbox.try_recv() {
                         self.handle_input(input);
                     }
-                    if self.clock.now() < last + self.quantum {
+                    if self.clock.now() < last_round + self.quantum {
                         continue;
                     }
                 }
@@ -203,13 +206,13 @@
                 }
                 _ = tokio::time::sleep_until(self.clock.instant(wake)) => {}
             }
-            last = self.clock.now();
+            last_round = self.clock.now();
             self.round();
-            if last - retire >= IDLE_SWEEP_INTERVAL_US {
-                retire = last;
+            if last_round - last_sweep >= IDLE_SWEEP_INTERVAL_US {
+                last_sweep = last_round;
                 self.calls.close_expired();
             }
-            if self.can_exit(last) {
+            if self.can_exit(last_round) {
                 if self.recovered.any() {
                     eprintln!("{}", self.recovered);
                 }
@@ -218,11 +221,12 @@
         }
     }
 
+    /// Queues an input as an event for the next round, and updates what does not wait for it.
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Put(put, reply) => self.handle_put(put, reply),
             Input::EndpointsListed { index, full, entries } => self.handle_listing(index, full, entries),
-            Input::CallEnded(call, ended) => self.handle_call_end(call, ended),
+            Input::CallEnded(call, call_end) => self.handle_call_end(call, call_end),
             Input::Probed(endpoint, outcome, report) => {
                 self.events.push(Event::Probed { endpoint, outcome, report });
             }
@@ -266,6 +270,7 @@
         }
     }
 
+    /// Queues a new message as an event, or rejects it at once.
     fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
             // The same message on a second connection. Until it is in the journal it may still be rejected, so it
@@ -349,19 +354,23 @@
         }
     }
 
-    fn handle_call_end(&mut self, call: u64, ended: CallEnd) {
+    /// Closes the messages that a call has ended, records the other attempts' ends, and queues the outcomes.
+    fn handle_call_end(&mut self, call: u64, call_end: CallEnd) {
         self.calls_in_flight.remove(&call);
-        let CallEnd { endpoint, fates, elapsed, wait, report } = ended;
+        let CallEnd { endpoint, fates, elapsed, wait, report } = call_end;
         for fate in fates {
-            let (id, outcome, last) = (fate.id, fate.outcome, fate.over);
+            let (id, outcome, closes_message) = (fate.id, fate.outcome, fate.over);
             self.record_first_call(id);
             if let Some(pending) = self.pending.get_mut(&id) {
                 pending.call = None;
                 let deadline = self.journal.borrow().get(id.0).map(|e| e.accepted.deadline);
-                if last && outcome == Outcome::Done && deadline.is_some_and(|at| at < self.clock.now()) {
+                if closes_message
+                    && outcome == Outcome::Done
+                    && deadline.is_some_and(|at| at < self.clock.now())
+                {
                     // Delivered after its deadline, which may not count as delivered: the client gets a notice.
                     self.end_undelivered(id, End::Failed);
-                } else if last {
+                } else if closes_message {
                     if outcome == Outcome::Done
                         && let Some(entry) = self.journal.borrow().get(id.0)
                     {
@@ -378,7 +387,7 @@
                 attempt,
                 endpoint,
                 outcome,
-                closes_message: last,
+                closes_message,
                 elapsed,
                 wait,
                 report,
@@ -420,6 +429,7 @@
         self.write_journal(|j| j.record_message_ended(id.0, End::Closed));
     }
 
+    /// Runs one round of the dispatcher with the queued events and executes its actions.
     fn round(&mut self) {
         let now = self.clock.now();
         while let Some(Reverse((_, token))) = self.timers.peek().copied().filter(|t| t.0.0 <= now) {
@@ -575,20 +585,21 @@
     }
 
     /// Reports to the dispatcher that an attempt was not sent.
-    fn report_skipped(&mut self, id: MsgId, attempt: u32, endpoint: EndpointId, last: bool) {
+    fn report_skipped(&mut self, id: MsgId, attempt: u32, endpoint: EndpointId, closes_message: bool) {
         let (outcome, elapsed, wait, report) = (Outcome::Skipped, 0, 0, None);
         self.events.push(Event::Outcome {
             id,
             attempt,
             endpoint,
             outcome,
-            closes_message: last,
+            closes_message,
             elapsed,
             wait,
             report,
         });
     }
 
+    /// Starts a call with these messages, as a task of its own.
     fn send(&mut self, endpoint: EndpointId, sends: Vec<(MsgId, Micros)>) {
         let target = self.endpoints.borrow().get(endpoint).cloned();
         let target = target.and_then(|t| t.addr.map(|addr| (t, addr)));
@@ -655,8 +666,8 @@
                     }
                 }
             };
-            let ended = calls.call(&spec, begin, cancelled).await;
-            _ = inputs.send(Input::CallEnded(call, ended)).await;
+            let call_end = calls.call(&spec, begin, cancelled).await;
+            _ = inputs.send(Input::CallEnded(call, call_end)).await;
         });
     }
 
@@ -666,6 +677,7 @@
         if separate_routes { Lane::Route(id) } else { Lane::Whole(endpoint.dest) }
     }
 
+    /// Starts a probe, as a task of its own.
     fn probe(&mut self, endpoint: EndpointId) {
         let addr = self.endpoints.borrow().get(endpoint).and_then(|e| e.addr.filter(|_| e.ready));
         let Some(addr) = addr else {
@@ -679,6 +691,7 @@
         });
     }
 
+    /// Records the changes in the health of endpoints and receivers in the journal.
     fn persist_health(&mut self) {
         let endpoints = self.endpoints.borrow();
         let (mut health, mut avoided) = (BTreeMap::new(), 0);
@@ -706,9 +719,9 @@
 
     /// Returns the next time at which [`Driver::can_exit`] may change by the clock alone. Without it the process could
     /// notice its exit time only at its next round, and be killed before.
-    fn next_exit_check(&self, last: Micros) -> Micros {
+    fn next_exit_check(&self, last_round: Micros) -> Micros {
         let phases = self.stopping.into_iter().flat_map(|t| [t + MIN_STAY_US, t + EXIT_DEADLINE_US]);
-        phases.filter(|at| *at > last).min().unwrap_or(Micros::MAX)
+        phases.filter(|at| *at > last_round).min().unwrap_or(Micros::MAX)
     }
 
     /// Whether the process may exit: after SIGTERM, once no message or notice is open, or at the exit deadline.
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -41,8 +41,8 @@
     pub(super) fn follow_predecessor(
         &self,
         link: Link,
-        out: &[InFlightCall],
-        in_call: &HashMap<MsgId, u64>,
+        inherited_calls: &[InFlightCall],
+        call_of_message: &HashMap<MsgId, u64>,
     ) -> Predecessor {
         let BackgroundLink { send, mut frames, .. } = link.run_in_background();
         let inputs = self.inputs.clone();
@@ -53,8 +53,9 @@
             _ = inputs.send(Input::PredecessorGone).await;
         });
         self.shared.two_processes.set(true);
-        let attempts = out.iter().flat_map(|call| call.messages().map(|attempt| (attempt, call.endpoint())));
-        let number = |id: MsgId| in_call.get(&id).copied().unwrap_or(u64::MAX);
+        let attempts =
+            inherited_calls.iter().flat_map(|call| call.messages().map(|attempt| (attempt, call.endpoint())));
+        let number = |id: MsgId| call_of_message.get(&id).copied().unwrap_or(u64::MAX);
         let attempts_in_flight = attempts.map(|(attempt, endpoint)| (attempt, (number(attempt.0), endpoint)));
         Predecessor { send, attempts_in_flight: attempts_in_flight.collect() }
     }
--- a/crates/sender/src/placement/member_list.rs
+++ b/crates/sender/src/placement/member_list.rs
@@ -41,7 +41,7 @@
         loop {
             let next = Instant::now() + every;
             agents.poll_in_turn(&self.placement).await;
-            self.placement.remember();
+            self.placement.save_for_restart();
             if Instant::now() >= drop_at {
                 self.drop_endpoints().await;
                 drop_at = Instant::now() + CLEANUP_INTERVAL;
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -132,19 +132,19 @@
     }
 
     /// Puts a new view in force, which was derived from the current one.
-    fn put_in_force(&self, ownership: Ownership, heard: &Heard) {
+    fn put_in_force(&self, ownership: Ownership, update: &Heard) {
         // Saved before anything is done under the new list.
         self.save(&ownership);
         let before = self.ownership.replace(ownership);
-        self.owned_shards.set(self.owned_shards.get() + heard.gained.len() - heard.lost.len());
-        self.endpoint_list.drop_shards(&heard.lost);
-        if !heard.gained.is_empty() || wide_of(&before) != wide_of(&self.ownership.borrow()) {
-            self.endpoint_list.request(heard.gained.iter().copied());
+        self.owned_shards.set(self.owned_shards.get() + update.gained.len() - update.lost.len());
+        self.endpoint_list.drop_shards(&update.lost);
+        if !update.gained.is_empty() || wide_of(&before) != wide_of(&self.ownership.borrow()) {
+            self.endpoint_list.request(update.gained.iter().copied());
         }
     }
 
     /// Saves the state for the next start.
-    fn remember(&self) {
+    fn save_for_restart(&self) {
         self.save(&self.ownership.borrow());
     }
 
