--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -29,8 +29,8 @@
 const STALE_RETENTION: Duration = Duration::from_secs(10);
 /// Number of such resets that are remembered.
 const MAX_STALE_RECORDS: usize = 64;
-/// Share of the endpoints' idle timeout for which connections are kept idle: a request that crosses the endpoint's
-/// close is reset.
+/// Share of the endpoints' idle timeout for which connections are kept idle. The endpoint may close at any time up to
+/// its timeout, and a request that crosses the close is reset.
 pub const IDLE_LIFETIME_SHARE: f64 = 0.8;
 /// Idle connections while another process of this sender runs: both processes share one process's descriptor limit.
 const MAX_IDLE_DURING_HANDOVER: usize = 24;
@@ -69,7 +69,7 @@
 #[derive(Clone)]
 struct ResponseSummary {
     outcome: Outcome,
-    over: bool,
+    closes_message: bool,
     wait: Micros,
     report: Option<LoadReport>,
     states: Option<HashMap<String, String>>,
@@ -78,12 +78,18 @@
 impl ResponseSummary {
     /// Returns the summary of a call without a readable response.
     fn without_response(outcome: Outcome) -> Self {
-        ResponseSummary { outcome, over: outcome == Outcome::Done, wait: 0, report: None, states: None }
+        ResponseSummary {
+            outcome,
+            closes_message: outcome == Outcome::Done,
+            wait: 0,
+            report: None,
+            states: None,
+        }
     }
 
     fn from_head(head: AnswerHead) -> Self {
-        let AnswerHead { outcome, closes_message: over, wait, report } = head;
-        ResponseSummary { outcome, over, wait, report, states: None }
+        let AnswerHead { outcome, closes_message, wait, report } = head;
+        ResponseSummary { outcome, closes_message, wait, report, states: None }
     }
 }
 
@@ -152,6 +158,8 @@
 }
 
 impl Calls {
+    /// Creates the caller. `max_idle_time` is the longest time for which a connection is kept idle, `max_idle` the
+    /// number of such connections.
     pub fn new(
         endpoints: Rc<RefCell<EndpointTable>>,
         metrics: Rc<Metrics>,
@@ -213,10 +221,11 @@
         });
     }
 
-    /// Returns how long a connection to the endpoint may be idle and still be reused. Guards against connections that the
-    /// endpoint or the network has dropped unnoticed: the reset comes at the next request, which may then have run, so
-    /// that an unsafe message can't be repeated and is lost. After such resets the lifetime is halved for a while, at the
-    /// cost of new connections; for all endpoints only if several had resets.
+    /// Returns how long a connection to the endpoint may be idle and still be reused. Guards against connections that
+    /// the endpoint or the network has dropped unnoticed: the reset comes at the next request, which may then have run,
+    /// so that an unsafe message can't be repeated and is lost. For a while after such resets the lifetime is half of
+    /// the shortest idle time that ended in one, at the cost of new connections; for the endpoint alone, or for all
+    /// endpoints if several had resets.
     fn idle_lifetime(&self, endpoint: EndpointId) -> Duration {
         let mut stale = self.stale.borrow_mut();
         stale.retain(|s| s.at.elapsed() < STALE_RETENTION);
@@ -283,16 +292,18 @@
             biased;
             response = self.attempt(spec, start, begin, &progress) => response,
             _ = tokio::time::sleep(spec.timeout) => {
-                progress.incomplete(spec, if progress.fully_written() { Outcome::TimedOut } else { progress.unsent() })
+                let outcome = if progress.fully_written() { Outcome::TimedOut } else { progress.unsent() };
+                progress.incomplete(spec, outcome)
             }
             Ok(()) = cancelled => {
-                progress.incomplete(spec, if progress.may_be_written() { Outcome::Cancelled } else { Outcome::Unreached })
+                let outcome = if progress.may_be_written() { Outcome::Cancelled } else { Outcome::Unreached };
+                progress.incomplete(spec, outcome)
             }
         };
         let fates = spec.items.iter().map(|item| {
             let (outcome, over) = match &response.states {
                 _ if progress.left_out.borrow().contains(&item.id) => (Outcome::Skipped, true),
-                None => (response.outcome, response.over),
+                None => (response.outcome, response.closes_message),
                 Some(states) => outcome_of_state(states.get(&item.request_id).map(String::as_str)),
             };
             Fate { id: item.id, attempt: item.attempt, outcome, over }
@@ -383,7 +394,11 @@
         if summary.outcome == Outcome::Done && spec.batch {
             // If the response has no readable states, whether the messages ran is unknown.
             let Ok(states) = serde_json::from_slice::<Vec<BatchState>>(&body.to_bytes()) else {
-                return Some(ResponseSummary { outcome: Outcome::MalformedAnswer, over: false, ..summary });
+                return Some(ResponseSummary {
+                    outcome: Outcome::MalformedAnswer,
+                    closes_message: false,
+                    ..summary
+                });
             };
             summary.states = Some(states.into_iter().map(|s| (s.id, s.state)).collect());
         }
@@ -456,7 +471,7 @@
     use super::*;
 
     #[tokio::test]
-    async fn a_new_connection_that_ends_at_once_is_not_written_to() {
+    async fn a_new_connection_that_is_closed_at_once_is_not_used() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let (ended, taken) = tokio::join!(open_settled(addr), async { listener.accept().await.map(drop) });
--- a/crates/sender/src/class_table.rs
+++ b/crates/sender/src/class_table.rs
@@ -1,5 +1,5 @@
-//! The table of class rules. A row's rules never change: if a class's rules differ after a reload of the configuration, the
-//! class gets a new row for new messages, and open messages keep the row under which they were accepted.
+//! The table of class rules. A row's rules never change: if a class's rules differ after a reload of the configuration,
+//! the class gets a new row for new messages, and open messages keep the row under which they were accepted.
 
 use heronroute::{ClassSettings, Micros};
 
@@ -52,8 +52,8 @@
         })
     }
 
-    /// Returns the row for a message that an earlier process accepted. If its rules are unknown (in an old journal), those
-    /// of the class's current row apply.
+    /// Returns the row for a message that an earlier process accepted. If its rules are unknown (in an old journal),
+    /// those of the class's current row apply.
     pub fn row_for_restored(
         &mut self,
         name: &str,
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -29,13 +29,13 @@
 const MAX_PIPELINE: usize = 64;
 /// Time after which a connection without an open request is closed, including one that never sent anything.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Longest pause within a command: below the 3 s after which a useless client must be rejected, and above the time that a
-/// slow client takes between two parts.
+/// Longest pause within a command: below the 3 s after which a useless client must be rejected, and above the time that
+/// a slow client takes between two parts.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2400);
 /// Longest time for a whole command: enough for the longest one at 16 KiB a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(8);
-/// At the connection limit, a connection that has been silent for this long before its first command or within a command is
-/// evicted first.
+/// At the connection limit, a connection that has been silent for this long before its first command or within a
+/// command is evicted first.
 const EVICT_SILENT_AFTER: Duration = Duration::from_millis(300);
 /// Next is a connection that has been served and has sent no request for this long.
 const EVICT_SERVED_AFTER: Duration = Duration::from_millis(1000);
--- a/crates/sender/src/clock.rs
+++ b/crates/sender/src/clock.rs
@@ -3,8 +3,8 @@
 use heronroute::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Wall-clock microseconds as of the start plus the monotonic time since, so that they never go back. The journal and the
-/// dispatcher share them.
+/// Wall-clock microseconds as of the start plus the monotonic time since, so that they never go back. The journal and
+/// the dispatcher share them.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     wall: Micros,
--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -69,9 +69,9 @@
 }
 
 /// A socket that records when a request's last byte has been written and what the response's status line says, which
-/// decides a call's outcome even if the rest can't be read. The last byte is known from the flush: hyper flushes once its
-/// buffer is empty, and a request's head and body enter that buffer together. 1xx responses are dropped here: hyper would
-/// treat a 101 as the end of HTTP on the connection.
+/// decides a call's outcome even if the rest can't be read. The last byte is known from the flush: hyper flushes once
+/// its buffer is empty, and a request's head and body enter that buffer together. 1xx responses are dropped here: hyper
+/// would treat a 101 as the end of HTTP on the connection.
 struct Socket<S = TcpStream> {
     stream: S,
     traffic: Rc<Traffic>,
@@ -164,8 +164,8 @@
 
 type Driver = http1::Connection<TokioIo<Socket>, Full<Bytes>>;
 
-/// An HTTP/1.1 connection. No background task drives it, so that dropping it closes the socket at once: an abandoned call
-/// is never still in flight when the message's next call begins.
+/// An HTTP/1.1 connection. No background task drives it, so that dropping it closes the socket at once: an abandoned
+/// call is never still in flight when the message's next call begins.
 pub struct Connection {
     requests: http1::SendRequest<Full<Bytes>>,
     driver: Option<Driver>,
@@ -176,6 +176,7 @@
 }
 
 impl Connection {
+    /// Connects to `addr`.
     pub async fn open(addr: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(addr).await?;
         stream.set_nodelay(true)?;
@@ -186,6 +187,7 @@
         Ok(Connection { requests, driver: Some(driver), traffic, addr, idle_since: Instant::now() })
     }
 
+    /// Returns the peer's address as given to [`Connection::open`].
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -45,18 +45,19 @@
 /// Inputs queued for the driver; a sender of more waits.
 const MAX_QUEUED_INPUTS: usize = 1024;
 /// Descriptors for everything except clients and endpoints: the standard streams, the event queue and its signals, the
-/// listener and a client that is being rejected, the journal and its compacted copy, the configuration, discovery's list
-/// and its next connection, and the notices' connection. These are 16; as many again are kept free.
+/// listener and a client that is being rejected, the journal and its compacted copy, the configuration, discovery's
+/// list and its next connection, and the notices' connection. These are 16; as many again are kept free.
 const OWN_DESCRIPTORS: usize = 32;
 
 /// The largest number of bytes that a semaphore can count; more than any machine's memory.
 const MAX_COUNTED_BYTES: usize = tokio::sync::Semaphore::MAX_PERMITS;
 
-/// Descriptors of the management interface: its connections, one more while the oldest is being closed, and the listener.
+/// Descriptors of the management interface: its connections, one more while the oldest is being closed, and the
+/// listener.
 const MGMT_DESCRIPTORS: usize = mgmt::MAX_CALLERS + 2;
 
-/// Descriptors of placement besides the connections to other members: the listener for them, the connection to a control
-/// agent, and the state file.
+/// Descriptors of placement besides the connections to other members: the listener for them, the connection to a
+/// control agent, and the state file.
 const PLACEMENT_DESCRIPTORS: usize = 3;
 /// Time that a start waits for a control agent's response.
 const MEMBER_LIST_WAIT: Duration = Duration::from_secs(2);
@@ -106,8 +107,8 @@
     }
 
     /// Returns the limits for clients: a third of the descriptors for connections, and an eighth of the memory each for
-    /// incomplete commands and for messages without a reply. The rest is for the messages in the journal, which the disk
-    /// limit bounds, for a copy of it during a compaction, and for calls, which their slots bound.
+    /// incomplete commands and for messages without a reply. The rest is for the messages in the journal, which the
+    /// disk limit bounds, for a copy of it during a compaction, and for calls, which their slots bound.
     fn clients(&self) -> clients::ClientLimits {
         let eighth_of_memory = ((self.memory_mb * 1e6 / 8.0) as usize).min(MAX_COUNTED_BYTES);
         clients::ClientLimits {
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Returns the number of idle connections to endpoints: the descriptors that clients, calls, probes, other members and
-    /// the sender's own files leave.
+    /// Returns the number of idle connections to endpoints: the descriptors that clients, calls, probes, other members
+    /// and the sender's own files leave.
     fn max_idle_connections(&self, slots: usize, mgmt: bool, placement: Option<&PlacementOptions>) -> usize {
         let mgmt = if mgmt { MGMT_DESCRIPTORS } else { 0 };
         let members = placement.map_or(0, |options| options.owner_connections + PLACEMENT_DESCRIPTORS);
@@ -129,6 +130,7 @@
 }
 
 impl Config {
+    /// Reads and checks a configuration file.
     pub(crate) fn read(path: &Path) -> Result<Self, String> {
         Ok(Self::read_with_value(path)?.0)
     }
@@ -212,8 +214,8 @@
     inputs: mpsc::Sender<Input>,
 }
 
-/// Reloads the configuration at each SIGHUP. Applies discovery's address, the classes and the number of attempts; the rest
-/// takes effect at the next start. A file that can't be read or has any error changes nothing.
+/// Reloads the configuration at each SIGHUP. Applies discovery's address, the classes and the number of attempts; the
+/// rest takes effect at the next start. A file that can't be read or has any error changes nothing.
 async fn reload(mut to: Reload, mut hang_up: Signal) {
     while hang_up.recv().await.is_some() {
         match ReloadedConfig::read(&to.path, &to.running) {
@@ -257,8 +259,8 @@
     InheritedSocket(std::net::TcpListener),
 }
 
-/// Reads the operator's options file, named on the command line or else by `LB_OPTIONS`. Without either, all options are
-/// off.
+/// Reads the operator's options file, named on the command line or else by `LB_OPTIONS`. Without either, all options
+/// are off.
 fn operator_options(file: Option<PathBuf>, classes: &[ClassFacts]) -> Result<Options, OptionsError> {
     let named = || std::env::var_os("LB_OPTIONS").filter(|name| !name.is_empty()).map(PathBuf::from);
     match file.or_else(named) {
@@ -409,8 +411,8 @@
         // The dispatcher shares a destination's limit among this many senders.
         settings.senders = placement.fix_sharers();
     }
-    // A process that waits for the journal may get discovery's list long before. The configuration's older list is applied
-    // now, so that it does not overwrite discovery's later.
+    // A process that waits for the journal may get discovery's list long before. The configuration's older list is
+    // applied now, so that it does not overwrite discovery's later.
     let known = InitialList::from_config(config.known.map(|list| owned_part(list, placement.as_deref())));
     let taken = match &known {
         InitialList::Configured(list) if matches!(startup, Startup::InheritedSocket(_)) => {
@@ -510,7 +512,8 @@
             });
         }
     }
-    // If discovery has sent nothing yet, the list is applied once more, without the endpoints that drain by the journal.
+    // If discovery has sent nothing yet, the list is applied once more, without the endpoints that drain by the
+    // journal.
     let known = match taken {
         Some(entries) if !inbox.is_empty() => InitialList::Applied(entries),
         _ => known,
@@ -521,8 +524,9 @@
     Ok(())
 }
 
-/// Runs the sender with the configuration in `LB_CONFIG` and the state folder in `LB_STATE`, until it has received the stop
-/// signal and has stopped. The operator's options are read from `options`, or else from the file that `LB_OPTIONS` names.
+/// Runs the sender with the configuration in `LB_CONFIG` and the state folder in `LB_STATE`, until it has received the
+/// stop signal and has stopped. The operator's options are read from `options`, or else from the file that `LB_OPTIONS`
+/// names.
 ///
 /// # Errors
 /// The start failed; the message names the variable, the configuration, the options, the journal or the listen address.
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -20,9 +20,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// A watch without a complete listing for this long is dead, even if single bytes arrive: discovery sends one every 2 s.
-/// A change that a silent watch misses must be heeded 6 s after the silence began. The limit leaves time for a poll that
-/// hangs and a further one that is answered.
+/// A watch without a complete listing for this long is dead, even if single bytes arrive: discovery sends one every 2
+/// s. A change that a silent watch misses must be heeded 6 s after the silence began. The limit leaves time for a poll
+/// that hangs and a further one that is answered.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Timeout for a response's head, which comes at once unless discovery is down. When discovery returns, a drain that it
 /// reports must be heeded at once, so no poll may hang for longer than that leaves.
@@ -32,9 +32,9 @@
 /// Time for reading a listing of which only the owned part is kept; the listing may be long.
 const FILTERED_LIST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Follows the listing for ever. The endpoint table is updated as soon as a line is read, so that a drain stops calls that
-/// have not begun; the driver receives the changes in order. When discovery's address changes, the new one is polled at
-/// once, and for the complete listing: it may not know the version that the old one last sent.
+/// Follows the listing for ever. The endpoint table is updated as soon as a line is read, so that a drain stops calls
+/// that have not begun; the driver receives the changes in order. When discovery's address changes, the new one is
+/// polled at once, and for the complete listing: it may not know the version that the old one last sent.
 ///
 /// `index` is the version of the known listing, if there is one.
 pub async fn follow(
@@ -67,8 +67,8 @@
                 }
                 (None, Ok(_)) => {}
             }
-            // A failing watch may still send one line without a change, which does not make it useful. Nor was a poll useful
-            // that hung, or after which the version was dropped.
+            // A failing watch may still send one line without a change, which does not make it useful. Nor was a poll
+            // useful that hung, or after which the version was dropped.
             let (took, advanced) = (begun.elapsed(), index.is_some() && index != before);
             let useful = opened && (advanced || took > STALL_TIMEOUT);
             if rejected.is_some() {
@@ -140,8 +140,8 @@
 }
 
 impl ListingSink {
-    /// Applies a listing to the endpoint table and sends the changes to the driver. The channel's slot is reserved first: a
-    /// change of discovery's address may cancel that wait, and the table must not be ahead of the driver.
+    /// Applies a listing to the endpoint table and sends the changes to the driver. The channel's slot is reserved
+    /// first: a change of discovery's address may cancel that wait, and the table must not be ahead of the driver.
     async fn apply(&self, listing: Listing) -> io::Result<()> {
         let slot = self.driver.reserve().await.map_err(io::Error::other)?;
         let entries = self.endpoints.borrow_mut().apply(&listing);
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Waits until the complete listing is to be read again. The delay `spread` keeps many senders that gain shards at the
-    /// same time from polling at once.
+    /// Waits until the complete listing is to be read again. The delay `spread` keeps many senders that gain shards at
+    /// the same time from polling at once.
     async fn until_requested(&self, spread: Duration) {
         match &self.placement {
             Some(placement) => {
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Reads one listing and keeps the owned part, however long the rest is. The stall timeout applies to each part of the
-    /// body, not to the whole.
+    /// Reads one listing and keeps the owned part, however long the rest is. The stall timeout applies to each part of
+    /// the body, not to the whole.
     async fn read_filtered(mut self) -> io::Result<Listing> {
         let mut listing = None;
         loop {
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -126,6 +126,10 @@
 }
 
 impl Driver {
+    /// Builds a driver.
+    ///
+    /// # Errors
+    /// The dispatcher rejects the settings.
     pub fn new(parts: Parts) -> Result<Self, heronroute::SettingsError> {
         let Parts {
             clock, seed, list_wait, settings, names, journal, endpoints, calls, notices, inputs, ..
--- a/crates/sender/src/driver/recovered.rs
+++ b/crates/sender/src/driver/recovered.rs
@@ -40,8 +40,8 @@
         waited && self.waiting.is_empty()
     }
 
-    /// Records that a message has ended; within `slack` before its deadline it counts as expired. Returns whether it was
-    /// the last one waiting.
+    /// Records that a message has ended; within `slack` before its deadline it counts as expired. Returns whether it
+    /// was the last one waiting.
     pub(super) fn record_end(&mut self, id: MsgId, now: Micros, slack: Micros) -> bool {
         let Some((deadline, _)) = self.waiting.remove(&id) else { return false };
         if deadline - now <= slack {
--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time for which a gone endpoint keeps its number, in case it is listed again. Where endpoints are replaced all the time,
-/// gone ones make up most of the table.
+/// Time for which a gone endpoint keeps its number, in case it is listed again. Where endpoints are replaced all the
+/// time, gone ones make up most of the table.
 const GONE_RETENTION: Duration = Duration::from_secs(60);
 /// Time for which a destination stays known after its last endpoint has gone.
 const DESTINATION_RETENTION: Duration = Duration::from_secs(3600);
@@ -47,14 +47,17 @@
 }
 
 impl EndpointTable {
+    /// Creates an empty table. `names` are the configuration's kinds and zones.
     pub fn new(names: Names) -> Self {
         EndpointTable { names, ..EndpointTable::default() }
     }
 
+    /// Returns the endpoint with this number.
     pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(&id)
     }
 
+    /// Returns the number of the endpoint with this name.
     pub fn number(&self, name: &str) -> Option<EndpointId> {
         self.numbers.get(name).copied()
     }
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -1,5 +1,5 @@
-//! I/O for replacing one process by another: the lock on the journal's folder and the link between the two processes. The
-//! protocol's state machines are in the crate `embershore-handover`.
+//! I/O for replacing one process by another: the lock on the journal's folder and the link between the two processes.
+//! The protocol's state machines are in the crate `embershore-handover`.
 
 use crate::status::{Change, Phase, SharedStatus};
 use embershore_handover::{
@@ -15,8 +15,8 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// Time for an expected frame of the other process. In it the owner processes its queued events and writes the state, or
-/// the newcomer acquires the lock.
+/// Time for an expected frame of the other process. In it the owner processes its queued events and writes the state,
+/// or the newcomer acquires the lock.
 pub const FRAME_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Interval of the attempts to acquire a lock.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -41,6 +41,7 @@
 }
 
 impl Folder {
+    /// Opens the folder and keeps it open, for its path in `/proc`.
     pub fn open(path: &Path) -> io::Result<Self> {
         let open = File::open(path)?;
         // A Unix socket's name is limited to some hundred bytes; the folder's path may be longer.
@@ -84,8 +85,8 @@
         self.file.unlock()
     }
 
-    /// Creates the socket at which newcomers ask, replacing one that an earlier process left. Only the lock's holder may
-    /// call it.
+    /// Creates the socket at which newcomers ask, replacing one that an earlier process left. Only the lock's holder
+    /// may call it.
     pub fn listen(&self) -> io::Result<UnixListener> {
         let path = self.folder.socket();
         match std::fs::remove_file(&path) {
@@ -144,6 +145,7 @@
         Link { stream, decoder: Decoder::default() }
     }
 
+    /// Writes a frame, within [`FRAME_TIMEOUT`].
     pub async fn send(&mut self, frame: &Frame) -> io::Result<()> {
         let bytes = encode(frame).map_err(io::Error::other)?;
         tokio::time::timeout(FRAME_TIMEOUT, self.stream.write_all(&bytes)).await?
@@ -259,7 +261,8 @@
         let owner_timeout = async {
             tokio::time::sleep(OWNER_TIMEOUT).await;
             eprintln!(
-                "handover: the previous process did not hand over within {OWNER_TIMEOUT:?}; ready to start once it has ended"
+                "handover: the previous process did not hand over within {OWNER_TIMEOUT:?}; ready to start once it \
+                 has ended"
             );
             _ = status.change(Change::Standby);
             std::future::pending::<()>().await;
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -1,8 +1,8 @@
-//! A property test of random interleavings of events, against the dispatcher and the real journal: with a kill after any
-//! step, a journal truncated at any byte, and a restart from what is left.
+//! A property test of random interleavings of events, against the dispatcher and the real journal: with a kill after
+//! any step, a journal truncated at any byte, and a restart from what is left.
 //!
-//! The model, [`World`], knows what no sender can know: which calls have run. It executes the dispatcher's actions in the
-//! driver's order, step by step, and a kill may come between any two steps.
+//! The model, [`World`], knows what no sender can know: which calls have run. It executes the dispatcher's actions in
+//! the driver's order, step by step, and a kill may come between any two steps.
 
 use crate::journal::{Accepted, Journal, Receiver};
 use embershore_protocol::notice::End;
@@ -51,7 +51,8 @@
     }
 }
 
-/// Destination 0 has endpoints 1, 3 and 5 and accepts single messages; destination 1 has 2 and 4 and accepts four per call.
+/// Destination 0 has endpoints 1, 3 and 5 and accepts single messages; destination 1 has 2 and 4 and accepts four per
+/// call.
 fn destination_of(endpoint: u32) -> i64 {
     i64::from((endpoint + 1) % 2)
 }
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -194,6 +194,7 @@
     ReceiversRecorded,
 }
 
+/// A message in the journal.
 #[derive(Debug)]
 pub struct Entry {
     pub accepted: Accepted,
@@ -213,7 +214,8 @@
     entries: BTreeMap<u64, Entry>,
     health: BTreeMap<String, EndpointCondition>,
     receivers: BTreeMap<Receiver, ReceiverCondition>,
-    /// Whether the journal records receivers' health; earlier versions did not. If so, one without a record was healthy.
+    /// Whether the journal records receivers' health; earlier versions did not. If so, one without a record was
+    /// healthy.
     receivers_recorded: bool,
     /// Endpoints listed as draining or gone, with the version of that listing.
     not_ready: BTreeMap<String, u64>,
@@ -246,7 +248,8 @@
 }
 
 impl Journal {
-    /// Opens the journal in `folder` and replays it. A truncated last record, as a killed process may leave, is cut off.
+    /// Opens the journal in `folder` and replays it. A truncated last record, as a killed process may leave, is cut
+    /// off.
     pub fn open(folder: &Path, limit: u64) -> io::Result<Journal> {
         let path = folder.join("journal");
         match fs::remove_file(path.with_extension("new")) {
@@ -487,6 +490,7 @@
         self.append(Record::AttemptSettled(id, may_have_run), 0)
     }
 
+    /// Records a message's end. [`End::Closed`] removes it; after any other end its notice is still to be confirmed.
     pub fn record_message_ended(&mut self, id: u64, end: End) -> io::Result<()> {
         if self.entries.contains_key(&id) { self.append(Record::Ended(id, end), 0) } else { Ok(()) }
     }
@@ -554,6 +558,7 @@
         self.not_ready.get(name).is_some_and(|version| *version > index)
     }
 
+    /// Returns the endpoints' recorded health, by name.
     pub fn health(&self) -> impl Iterator<Item = (&str, EndpointHealth)> {
         self.health.iter().map(|(name, a)| {
             let EndpointCondition { bad_since, trouble, warm_since } = *a;
@@ -574,10 +579,12 @@
         self.receivers_recorded
     }
 
+    /// Returns a message's entry.
     pub fn get(&self, id: u64) -> Option<&Entry> {
         self.entries.get(&id)
     }
 
+    /// Returns all entries, by number.
     pub fn entries(&self) -> impl Iterator<Item = (u64, &Entry)> {
         self.entries.iter().map(|(id, e)| (*id, e))
     }
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -7,8 +7,8 @@
 
 /// Share of the sender's memory that the text of a list may take. Measured with 24,000 endpoints of 123 bytes and one
 /// destination each, a byte of the text costs 13 bytes resident, 22 once a list of other endpoints has replaced it (the
-/// old ones are retained for a minute), and 27 if the first one was given with the configuration. So a list takes at most
-/// 27 / 48 of the memory.
+/// old ones are retained for a minute), and 27 if the first one was given with the configuration. So a list takes at
+/// most 27 / 48 of the memory.
 const MEMORY_SHARE: f64 = 1.0 / 48.0;
 /// A list up to this size is accepted whatever the memory: some 500 endpoints, 2 MB resident.
 const MIN_LIMIT_BYTES: usize = 64 * 1024;
@@ -145,7 +145,7 @@
     }
 
     #[test]
-    fn the_limit_itself_is_taken_and_a_byte_more_is_not() {
+    fn a_list_at_the_limit_is_accepted_and_a_byte_more_is_rejected() {
         let limit = ListLimit(10);
         assert_eq!(limit.check(10, || 3), Ok(()));
         let too_long = limit.check(11, || 3).unwrap_err();
@@ -158,7 +158,7 @@
     }
 
     #[test]
-    fn a_list_that_has_been_read_is_counted_whole() {
+    fn a_configured_list_is_measured_in_full() {
         let text = r#"{"index":1,"endpoints":[{"name":"a","status":"Ready"},{"name":"b","status":"Gone"}]}"#;
         let list = Listing::read(text.as_bytes()).unwrap();
         assert_eq!(ListLimit(10_000).check_configured(&list), Ok(()));
--- a/crates/sender/src/matrix.rs
+++ b/crates/sender/src/matrix.rs
@@ -1,5 +1,5 @@
-//! `embershore rehearse matrix`: runs scenarios for each number of senders and each seed, as many at once as the machine
-//! can without running late. Each run is a process of its own. A run whose report exists is not repeated.
+//! `embershore rehearse matrix`: runs scenarios for each number of senders and each seed, as many at once as the
+//! machine can without running late. Each run is a process of its own. A run whose report exists is not repeated.
 
 use clap::Args;
 use embershore_rehearsal::matrix::{Cell, page, rows, text};
--- a/crates/sender/src/mgmt.rs
+++ b/crates/sender/src/mgmt.rs
@@ -1,7 +1,7 @@
 //! The management interface: HTTP/1.1 at an address of its own, one request per connection.
 //!
-//! It runs on the sender's only thread. A response waits for that thread's current work, so that a hanging event loop is
-//! never reported as ready.
+//! It runs on the sender's only thread. A response waits for that thread's current work, so that a hanging event loop
+//! is never reported as ready.
 
 use crate::endpoint_table::EndpointTable;
 use crate::metrics::Metrics;
@@ -22,8 +22,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Concurrent connections. A request is answered as soon as it is complete, so open connections have not sent a complete
-/// request yet; at the limit the oldest is closed for a new one.
+/// Concurrent connections. A request is answered as soon as it is complete, so open connections have not sent a
+/// complete request yet; at the limit the oldest is closed for a new one.
 pub const MAX_CALLERS: usize = 24;
 /// Time for reading a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -21,8 +21,8 @@
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(20);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Sends notices for ever. The queue is bounded by what the journal holds. When the platform's address changes, a request
-/// in flight is repeated at the new address: reporting an end twice is harmless.
+/// Sends notices for ever. The queue is bounded by what the journal holds. When the platform's address changes, a
+/// request in flight is repeated at the new address: reporting an end twice is harmless.
 pub async fn send(
     mut addr: watch::Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<Notice>,
--- a/crates/sender/src/placement/endpoint_list.rs
+++ b/crates/sender/src/placement/endpoint_list.rs
@@ -1,18 +1,19 @@
-//! Requests to read the complete endpoint list again. A sender keeps only the part that it owns, so that it must read the
-//! list again when it gains shards.
+//! Requests to read the complete endpoint list again. A sender keeps only the part that it owns, so that it must read
+//! the list again when it gains shards.
 
 use embershore_placement::ShardId;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use tokio::sync::watch;
 
-/// The requested and the completed readings of the complete list. Requests are numbered from 1; a reading that began after
-/// request n satisfies all up to n.
+/// The requested and the completed readings of the complete list. Requests are numbered from 1; a reading that began
+/// after request n satisfies all up to n.
 #[derive(Debug)]
 pub struct ListRereads {
     requested: watch::Sender<u64>,
     mark_read: Cell<u64>,
-    /// Owned shards whose endpoints are not known, with the request that they wait for. Bounded by the number of shards.
+    /// Owned shards whose endpoints are not known, with the request that they wait for. Bounded by the number of
+    /// shards.
     unread: RefCell<HashMap<ShardId, u64>>,
     /// The version of the last listing applied.
     last_version: Cell<u64>,
@@ -92,7 +93,7 @@
     use super::*;
 
     #[test]
-    fn a_shard_waits_for_a_reading_that_began_after_it_was_gained() {
+    fn a_shard_waits_for_a_reading_that_began_after_its_request() {
         let list = ListRereads::default();
         list.request([ShardId(1)]);
         let begun_at = list.requested();
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -41,8 +41,8 @@
         Rc::new(Forwarder { placement, pool })
     }
 
-    /// Starts forwarding a message that was read at `read_at`, and sends the outcome to `reply`. If the receiver of `reply`
-    /// is dropped, the connection is closed, and an owner that has not accepted the message yet withdraws it.
+    /// Starts forwarding a message that was read at `read_at`, and sends the outcome to `reply`. If the receiver of
+    /// `reply` is dropped, the connection is closed, and an owner that has not accepted the message yet withdraws it.
     pub fn start(
         self: &Rc<Self>,
         put: Put,
--- a/crates/sender/src/placement/member_list.rs
+++ b/crates/sender/src/placement/member_list.rs
@@ -140,8 +140,8 @@
     Ok(body.to_bytes())
 }
 
-/// Applies a response. A new table is built on another thread than the sender's, since it takes the time of many rounds.
-/// Until it is complete the current table and its lease stay in force.
+/// Applies a response. A new table is built on another thread than the sender's, since it takes the time of many
+/// rounds. Until it is complete the current table and its lease stay in force.
 async fn apply_answer(placement: &Placement, polled_at: Micros, text: Bytes) -> Result<Heard, ListError> {
     placement.reading.set(true);
     let before = placement.ownership.borrow().clone();
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -111,8 +111,8 @@
     }
 
     /// Fixes the number of owners among which the dispatcher shares a destination's limit, until the process ends: the
-    /// largest number of replicas that may still be in effect, by the list in force, or else by the last run, or else the
-    /// largest number that a list can have.
+    /// largest number of replicas that may still be in effect, by the list in force, or else by the last run, or else
+    /// the largest number that a list can have.
     pub fn fix_sharers(&self) -> u32 {
         let known = self.ownership.borrow().remembered(clock::now()).or_else(|| self.saved.get());
         let replicas = known.map_or(MAX_REPLICAS, |remembered| remembered.replicas);
--- a/crates/sender/src/placement/saved_state.rs
+++ b/crates/sender/src/placement/saved_state.rs
@@ -1,5 +1,5 @@
-//! The member list's state that is saved in the state folder. With it a restarted owner does not have to wait like a new
-//! one, and does not take a larger share of a limit than its last run had.
+//! The member list's state that is saved in the state folder. With it a restarted owner does not have to wait like a
+//! new one, and does not take a larger share of a limit than its last run had.
 
 use embershore_placement::Remembered;
 use std::cell::RefCell;
@@ -17,7 +17,8 @@
 }
 
 impl SavedState {
-    /// Reads the file of an earlier run. A file that can't be read counts as missing: the sender then waits as a new owner.
+    /// Reads the file of an earlier run. A file that can't be read counts as missing: the sender then waits as a new
+    /// owner.
     pub fn open(folder: &Path) -> SavedState {
         let read = std::fs::read(folder.join(FILE)).ok();
         let remembered = read.and_then(|text| serde_json::from_slice(&text).ok());
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -1,8 +1,8 @@
 //! The schedule of polls to discovery: computes the pauses, without I/O.
 //!
-//! One sender that polls at its start and again after 100 ms does no harm. A hundred senders released together do where a
-//! poll costs discovery work: discovery takes seconds to answer one poll of each, answers those that waited longer with
-//! an error, and all of them retry at once. So each sender waits for a random part of the polling interval in the
+//! One sender that polls at its start and again after 100 ms does no harm. A hundred senders released together do where
+//! a poll costs discovery work: discovery takes seconds to answer one poll of each, answers those that waited longer
+//! with an error, and all of them retry at once. So each sender waits for a random part of the polling interval in the
 //! settings, and retries after a random part of a growing one.
 
 use std::time::Duration;
@@ -10,11 +10,11 @@
 /// The first and the longest pause after a failure, where a poll costs discovery nothing.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Time within which a stalled watch is reopened, even where a poll costs discovery work: the changes that it misses must
-/// be heeded soon.
+/// Time within which a stalled watch is reopened, even where a poll costs discovery work: the changes that it misses
+/// must be heeded soon.
 const STALL_REOPEN_WITHIN: Duration = Duration::from_secs(1);
-/// Upper bound of a failed poll and the pause after it together, whatever the settings allow. Changes must be heeded 6 s
-/// after discovery can be reached again, and the next poll and its response take time as well.
+/// Upper bound of a failed poll and the pause after it together, whatever the settings allow. Changes must be heeded 6
+/// s after discovery can be reached again, and the next poll and its response take time as well.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(4500);
 /// Pause after a list that was too long, much of which is sent in vain each time. Short enough for a shorter list to be
 /// read within the 6 s after which its changes must be heeded.
@@ -37,8 +37,8 @@
 }
 
 impl PollSchedule {
-    /// `interval` is the polling interval of the settings; None where discovery sends changes unasked. The seed makes the
-    /// pauses differ between senders.
+    /// `interval` is the polling interval of the settings; None where discovery sends changes unasked. The seed makes
+    /// the pauses differ between senders.
     pub fn new(interval: Option<Duration>, seed: u64) -> Self {
         let interval = interval.filter(|e| !e.is_zero());
         // Mixes the seed's bits: neighbouring seeds would give similar first numbers.
@@ -126,7 +126,7 @@
     }
 
     #[test]
-    fn a_hundred_first_questions_spread_over_the_span() {
+    fn the_first_polls_of_a_hundred_senders_spread_over_the_interval() {
         let mut waits: Vec<_> = hundred_schedules().map(|mut a| a.spread_delay()).collect();
         waits.sort();
         assert!(waits[99] <= INTERVAL.mul_f64(FIRST_POLL_SPREAD), "{waits:?}");
@@ -139,7 +139,7 @@
     }
 
     #[test]
-    fn failures_grow_the_pause_up_to_the_span_and_never_in_step() {
+    fn failures_grow_the_pause_up_to_the_interval_and_senders_differ() {
         for (n, mut schedule) in hundred_schedules().enumerate() {
             let waits: Vec<_> = (0..5).map(|_| schedule.after_failure(NO_TIME)).collect();
             // Doubled up to the interval, and bounded by the time allowed between two polls.
@@ -157,7 +157,7 @@
     }
 
     #[test]
-    fn the_longer_a_question_hung_the_sooner_comes_the_next() {
+    fn the_longer_a_failed_poll_took_the_shorter_the_pause() {
         for took in [0, 600, 3000, 4000, 4600].map(Duration::from_millis) {
             for mut schedule in hundred_schedules() {
                 for _ in 0..5 {
@@ -169,7 +169,7 @@
     }
 
     #[test]
-    fn where_asking_costs_nothing_the_first_question_goes_at_once() {
+    fn where_polls_cost_nothing_the_first_is_sent_at_once() {
         let mut schedule = PollSchedule::new(None, 7);
         assert_eq!(schedule.spread_delay(), Duration::ZERO);
         let waits: Vec<_> = (0..8).map(|_| schedule.after_failure(NO_TIME)).collect();
--- a/crates/sender/src/rehearse.rs
+++ b/crates/sender/src/rehearse.rs
@@ -31,8 +31,9 @@
 
 /// Rehearses a scenario without any outside receiver.
 ///
-/// Runs real daemon processes among stand-in receivers, a directory and clients on loopback. Everything that these see is
-/// recorded, and judged by the six rules and the service metric. Without a subcommand the built-in evening rush is run.
+/// Runs real daemon processes among stand-in receivers, a directory and clients on loopback. Everything that these see
+/// is recorded, and judged by the six rules and the service metric. Without a subcommand the built-in evening rush is
+/// run.
 #[derive(Args)]
 #[command(after_help = EXAMPLES, args_conflicts_with_subcommands = true)]
 pub struct Arguments {
@@ -75,8 +76,8 @@
     Run {
         /// The scenario: a file or a shipped name.
         scenario: String,
-        /// Run against a sender that is started by other means; to be given once for each of the scenario's senders. Their
-        /// configurations are written to the evidence folder.
+        /// Run against a sender that is started by other means; to be given once for each of the scenario's senders.
+        /// Their configurations are written to the evidence folder.
         #[arg(long, value_name = "ADDRESS")]
         sender: Vec<SocketAddr>,
         #[command(flatten)]
@@ -321,7 +322,8 @@
     let rate = planned.len() as f64 / (parameters.length as f64 / 1e6);
     if json {
         let summary = serde_json::json!({
-            "scenario": parameters.scenario, "about": scenario.about, "seed": parameters.seed, "seconds": parameters.length as f64 / 1e6,
+            "scenario": parameters.scenario, "about": scenario.about, "seed": parameters.seed,
+            "seconds": parameters.length as f64 / 1e6,
             "messages": planned.len(), "rate": rate, "receivers": scenario.receivers.len(), "endpoints": endpoints,
             "events": scenario.events.len(), "senders": parameters.senders,
         });
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -114,14 +114,17 @@
 pub struct SharedStatus(Rc<watch::Sender<ProcessStatus>>);
 
 impl SharedStatus {
+    /// Creates the status of a process that is starting.
     pub fn new() -> Self {
         SharedStatus(Rc::new(watch::Sender::new(ProcessStatus::default())))
     }
 
+    /// Returns the current status.
     pub fn get(&self) -> ProcessStatus {
         *self.0.borrow()
     }
 
+    /// Returns a receiver that is notified of changes.
     pub fn subscribe(&self) -> watch::Receiver<ProcessStatus> {
         self.0.subscribe()
     }
@@ -205,7 +208,7 @@
     }
 
     #[test]
-    fn only_a_stop_can_not_be_undone() {
+    fn a_stop_can_not_be_undone() {
         let now = Instant::now();
         let (_, stopping) = apply_changes(&[Change::Started, Change::LameDuck(true), Change::Stop]);
         assert_eq!(stopping.after(Change::LameDuck(false), now), Err(TooLate));
