--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -20,9 +20,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// A watch without a complete listing for this long is dead, even if single bytes arrive: discovery sends one every 2
-/// s. A change that a silent watch misses must be heeded 6 s after the silence began. The limit leaves time for a poll
-/// that hangs and a further one that is answered.
+/// A watch without a complete listing for this long is dead, even if single bytes arrive: discovery sends a listing
+/// every 2 s. A change that a silent watch misses must be heeded 6 s after the silence began. The limit leaves time for
+/// a poll that hangs and a further one that is answered.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Timeout for a response's head, which comes at once unless discovery is down. When discovery returns, a drain that it
 /// reports must be heeded at once, so no poll may hang for longer than that leaves.
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -13,8 +13,8 @@
 /// Time within which a stalled watch is reopened, even where a poll costs discovery work: the changes that it misses
 /// must be heeded soon.
 const STALL_REOPEN_WITHIN: Duration = Duration::from_secs(1);
-/// Upper bound of a failed poll and the pause after it together, whatever the settings allow. Changes must be heeded 6
-/// s after discovery can be reached again, and the next poll and its response take time as well.
+/// Upper bound of a failed poll and the pause after it together, whatever the settings allow. Changes must be heeded
+/// 6 s after discovery can be reached again, and the next poll and its response take time as well.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(4500);
 /// Pause after a list that was too long, much of which is sent in vain each time. Short enough for a shorter list to be
 /// read within the 6 s after which its changes must be heeded.
