--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -1,13 +1,13 @@
-//! The list of endpoints: how it is learnt.
+//! The discovery client: obtains the endpoint listing and follows its changes.
 
-use crate::asking::Asking;
 use crate::connection::Connection;
-use crate::figures::Figures;
-use crate::fleet::Fleet;
+use crate::endpoint_table::EndpointTable;
 use crate::input::Input;
 use crate::list_limit::{self, ListLimit, TooLong};
+use crate::metrics::Metrics;
 use crate::placement::Placement;
 use crate::placement::reader::ListReader;
+use crate::poll_schedule::PollSchedule;
 use bytes::Bytes;
 use embershore_protocol::listing::{Listing, ListingError, endpoints_started};
 use http_body_util::{BodyExt, Full};
@@ -20,161 +20,165 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// The watch says something whole every 2 s; when it has not for this long it is dead, also where it trickles. What it
-/// misses counts as told 6 s after it fell silent: by then a further question may have hung, and the next been answered.
-const SILENCE: Duration = Duration::from_secs(3);
-/// An answer begins at once unless discovery is down. What it has to tell at its return counts at once: no question may
-/// hang for longer than the least time in which a drain has to be heeded leaves.
-const ANSWER_TIME: Duration = Duration::from_millis(600);
-/// Where asking costs it work, a question may stand in line that long before its answer says whether it succeeded.
-const ANSWER_TIME_DEAR: Duration = Duration::from_secs(4);
-/// A list of which a part is kept may be long; it has been read by then.
-const KEPT_LIST_TIME: Duration = Duration::from_secs(60);
+/// A watch without a complete listing for this long is dead, even if single bytes arrive: discovery sends a listing
+/// every 2 s. A change that a silent watch misses must be heeded 6 s after the silence began. The limit leaves time for
+/// a poll that hangs and a further one that is answered.
+const STALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout for a response's head, which comes at once unless discovery is down. When discovery returns, a drain that it
+/// reports must be heeded at once, so no poll may hang for longer than that leaves.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
+/// The same where polls cost discovery work: a poll may be queued that long before discovery answers.
+const COSTLY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time for reading a listing of which only the owned part is kept; the listing may be long.
+const FILTERED_LIST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Follows the list for ever. The fleet is changed as soon as a line is read, so that a drain stops calls that
-/// have not begun; the driver is told of it in order. When discovery's address changes, the new one is asked at
-/// once, and for the whole list: it may not know the version that the old one last told.
+/// Follows the listing for ever. The endpoint table is updated as soon as a line is read, so that a drain stops calls
+/// that have not begun; the driver receives the changes in order. When discovery's address changes, the new one is
+/// polled at once, and for the complete listing: it may not know the version that the old one last sent.
 ///
-/// `index` is the version of the list in hand, if there is one.
+/// `index` is the version of the known listing, if there is one.
 pub async fn follow(
     mut addr: watch::Receiver<SocketAddr>,
     mut index: Option<u64>,
-    mut asking: Asking,
-    news: News,
+    mut schedule: PollSchedule,
+    sink: ListingSink,
 ) {
-    let mut pause = if index.is_some() { asking.together() } else { Duration::ZERO };
-    // The version that this address told last: what a list that is too long leaves in force.
+    let mut pause = if index.is_some() { schedule.spread_delay() } else { Duration::ZERO };
+    // The last version from this address, which stays in force after a listing that is too long.
     let mut in_force = index;
     loop {
         let (at, before) = (*addr.borrow_and_update(), index);
-        let dear = asking.is_dear();
-        let spread = news.placement.as_ref().map_or(Duration::ZERO, |_| asking.together());
+        let costly = schedule.is_costly();
+        let spread = sink.placement.as_ref().map_or(Duration::ZERO, |_| schedule.spread_delay());
         let work = async {
             tokio::time::sleep(pause).await;
             let (begun, mut opened) = (Instant::now(), false);
-            let ended = watch(at, &mut index, &mut in_force, dear, &mut opened, &news, spread).await;
-            if matches!(ended, Ok(Ended::ListWanted)) {
-                return End::ListWanted;
+            let ended = watch(at, &mut index, &mut in_force, costly, &mut opened, &sink, spread).await;
+            if matches!(ended, Ok(WatchStop::RereadRequested)) {
+                return WatchEnd::RereadRequested;
             }
-            let silent = ended.as_ref().is_err_and(|e| opened && e.kind() == io::ErrorKind::TimedOut);
+            let timed_out = ended.as_ref().is_err_and(|e| opened && e.kind() == io::ErrorKind::TimedOut);
             let rejected = ended.as_ref().err().and_then(list_limit::too_long);
             let broken = ended.is_err();
             match (rejected, ended) {
-                (Some(too_long), _) => news.reject(too_long),
-                (None, Err(e)) => eprintln!("discovery: {e}"),
+                (Some(too_long), _) => sink.reject(too_long),
+                (None, Err(e)) => {
+                    eprintln!("discovery: following the endpoint list at {at} failed, retrying: {e}")
+                }
                 (None, Ok(_)) => {}
             }
-            // A watch that fails may bring a line first that tells nothing. A question that hung, or made the version
-            // be forgotten, was of no use.
+            // A failing watch may still send one line without a change, which does not make it useful. Nor was a poll
+            // useful that hung, or after which the version was dropped.
             let (took, advanced) = (begun.elapsed(), index.is_some() && index != before);
-            let well = opened && (advanced || took > SILENCE);
+            let useful = opened && (advanced || took > STALL_TIMEOUT);
             if rejected.is_some() {
-                // Where the whole list is too long, what has changed since the last good one may not be, and the
-                // other way round.
+                // If the complete listing is too long, the changes since the last accepted one may be short enough, and
+                // the other way round. The next poll tries the other.
                 index = if before.is_some() { None } else { in_force };
-                End::Rejected(took)
-            } else if silent {
-                End::Silent
-            } else if well && broken {
-                End::Broken
-            } else if well {
-                End::Well
+                WatchEnd::Rejected(took)
+            } else if timed_out {
+                WatchEnd::Stalled
+            } else if useful && broken {
+                WatchEnd::Broken
+            } else if useful {
+                WatchEnd::Closed
             } else {
-                End::Failed(took)
+                WatchEnd::Failed(took)
             }
         };
         tokio::select! {
             biased;
-            // The other end of the channel lasts as long as the process.
+            // The sending half of the channel lives as long as the process.
             _ = addr.changed() => {
                 (index, in_force, pause) = (None, None, Duration::ZERO);
-                asking.heard();
+                schedule.reset();
             }
             end = work => pause = match end {
-                End::Silent => asking.silent(),
-                End::Broken => asking.broken(),
-                End::Well => asking.ended(),
-                End::Failed(took) => asking.failed(took),
-                End::Rejected(took) => asking.rejected(took),
-                End::ListWanted => Duration::ZERO,
+                WatchEnd::Stalled => schedule.after_stall(),
+                WatchEnd::Broken => schedule.after_break(),
+                WatchEnd::Closed => schedule.after_end(),
+                WatchEnd::Failed(took) => schedule.after_failure(took),
+                WatchEnd::Rejected(took) => schedule.after_rejection(took),
+                WatchEnd::RereadRequested => Duration::ZERO,
             },
         }
     }
 }
 
-/// How a watch, or the attempt at one, has ended.
-enum End {
-    /// It was open and fell silent.
-    Silent,
-    /// It was of use, and its connection broke.
+/// How a watch, or the attempt to open one, has ended.
+enum WatchEnd {
+    /// It was open and received nothing complete within the stall timeout.
+    Stalled,
+    /// It was useful, and its connection broke.
     Broken,
-    /// It was of use, and discovery ended it.
-    Well,
-    /// It came to nothing, this long after it was begun.
+    /// It was useful, and discovery ended it.
+    Closed,
+    /// It failed, this long after it was begun.
     Failed(Duration),
-    /// It brought a list that is too long.
+    /// It received a listing that is too long, this long after it was begun.
     Rejected(Duration),
-    /// The whole list is asked for again, of which another part is kept from now on.
-    ListWanted,
+    /// The complete listing has to be read again, since this sender owns other destinations now.
+    RereadRequested,
 }
 
-/// Where a watch ended that did not fail.
-enum Ended {
-    /// With its connection.
+/// Why a watch ended without an error.
+enum WatchStop {
+    /// Discovery closed the connection.
     Connection,
-    /// Where the whole list was wanted.
-    ListWanted,
+    /// The complete listing has to be read again.
+    RereadRequested,
 }
 
-/// Where what discovery tells goes.
-pub struct News {
-    pub fleet: Rc<RefCell<Fleet>>,
+/// Receives the listings, and decides which part of them is kept.
+pub struct ListingSink {
+    pub endpoints: Rc<RefCell<EndpointTable>>,
     pub driver: mpsc::Sender<Input>,
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     pub limit: ListLimit,
-    /// Which part of a list is kept, where it is not all of it.
+    /// Present if only the destinations that this sender owns are kept.
     pub placement: Option<Rc<Placement>>,
 }
 
-impl News {
-    /// Changes the fleet and tells the driver. The place comes first: a new address may end the wait for it, and the fleet
-    /// must not know what the driver has not been told.
-    async fn tell(&self, listing: Listing) -> io::Result<()> {
-        let place = self.driver.reserve().await.map_err(io::Error::other)?;
-        let entries = self.fleet.borrow_mut().apply(&listing);
-        place.send(Input::Members { index: listing.index, whole: listing.snapshot, entries });
-        list_limit::accept(&self.figures);
+impl ListingSink {
+    /// Applies a listing to the endpoint table and sends the changes to the driver. The channel's slot is reserved
+    /// first: a change of discovery's address may cancel that wait, and the table must not be ahead of the driver.
+    async fn apply(&self, listing: Listing) -> io::Result<()> {
+        let slot = self.driver.reserve().await.map_err(io::Error::other)?;
+        let entries = self.endpoints.borrow_mut().apply(&listing);
+        slot.send(Input::EndpointsListed { index: listing.index, full: listing.snapshot, entries });
+        list_limit::accept(&self.metrics);
         if let Some(placement) = &self.placement {
-            placement.endpoint_list.set_version(listing.index);
+            placement.endpoint_list.set_last_version(listing.index);
         }
         Ok(())
     }
 
     fn reject(&self, too_long: TooLong) {
-        let in_force = self.fleet.borrow().listed() > 0;
-        list_limit::reject(&self.figures, too_long, in_force);
+        let in_force = self.endpoints.borrow().listed() > 0;
+        list_limit::reject(&self.metrics, too_long, in_force);
     }
 
-    /// The number of the last reading of the whole list that was asked for.
-    fn wanted(&self) -> u64 {
-        self.placement.as_ref().map_or(0, |placement| placement.endpoint_list.wanted())
+    /// Returns the number of the last requested reading of the complete listing.
+    fn requested(&self) -> u64 {
+        self.placement.as_ref().map_or(0, |placement| placement.endpoint_list.requested())
     }
 
-    fn is_wanted(&self) -> bool {
-        self.placement.as_ref().is_some_and(|placement| placement.endpoint_list.is_wanted())
+    fn is_requested(&self) -> bool {
+        self.placement.as_ref().is_some_and(|placement| placement.endpoint_list.is_requested())
     }
 
-    fn done(&self, wanted: u64) {
+    fn mark_read(&self, requested: u64) {
         if let Some(placement) = &self.placement {
-            placement.endpoint_list.done(wanted);
+            placement.endpoint_list.mark_read(requested);
         }
     }
 
-    /// Waits until the whole list is to be read again; `spread` keeps many senders that gain at once from asking at once.
-    async fn until_wanted(&self, spread: Duration) {
+    /// Waits until the complete listing is to be read again. The delay `spread` keeps many senders that gain shards at
+    /// the same time from polling at once.
+    async fn until_requested(&self, spread: Duration) {
         match &self.placement {
             Some(placement) => {
-                placement.endpoint_list.until_wanted().await;
+                placement.endpoint_list.until_requested().await;
                 tokio::time::sleep(spread).await;
             }
             None => std::future::pending().await,
@@ -182,162 +186,179 @@
     }
 }
 
-/// Lists of endpoints as they are told.
-struct Lines {
+/// A response with one or more listings, read as it arrives.
+struct ListStream {
     connection: Connection,
     body: Incoming,
     listings: ListReader,
     limit: ListLimit,
-    /// Since when nothing whole has come.
-    since: Instant,
+    /// When the last complete listing arrived, or progress that counts as such.
+    last_progress: Instant,
 }
 
-impl Lines {
-    async fn ask(mut connection: Connection, path: &str, dear: bool, news: &News) -> io::Result<Lines> {
+impl ListStream {
+    /// Sends the request and checks the response's status.
+    async fn open(
+        mut connection: Connection,
+        path: &str,
+        costly: bool,
+        sink: &ListingSink,
+    ) -> io::Result<ListStream> {
         let addr = connection.addr().to_string();
         let request = Request::get(path).header("host", addr).body(Full::new(Bytes::new()));
         let answer = connection.send(request.map_err(io::Error::other)?);
-        let patience = if dear { ANSWER_TIME_DEAR } else { ANSWER_TIME };
-        let response =
-            tokio::time::timeout(patience, answer).await.map_err(silent)?.map_err(io::Error::other)?;
+        let response_timeout = if costly { COSTLY_RESPONSE_TIMEOUT } else { RESPONSE_TIMEOUT };
+        let response = tokio::time::timeout(response_timeout, answer)
+            .await
+            .map_err(timed_out)?
+            .map_err(io::Error::other)?;
         let status = response.status();
         if status != 200 {
             let busy = status.is_server_error() || status == 429;
             let kind = if busy { io::ErrorKind::ResourceBusy } else { io::ErrorKind::Other };
-            return Err(io::Error::new(kind, format!("status {status}")));
+            return Err(io::Error::new(kind, format!("{path}: response status {status}, expected 200")));
         }
-        let (body, listings) = (response.into_body(), ListReader::new(news.placement.as_ref()));
-        Ok(Lines { connection, body, listings, limit: news.limit, since: Instant::now() })
+        let (body, listings) = (response.into_body(), ListReader::new(sink.placement.as_ref()));
+        Ok(ListStream { connection, body, listings, limit: sink.limit, last_progress: Instant::now() })
     }
 
-    /// Reads on; nothing at the end.
+    /// Reads the next part of the body; None at its end.
     async fn read(&mut self) -> io::Result<Option<Bytes>> {
-        let until = (self.since + SILENCE).into();
+        let until = (self.last_progress + STALL_TIMEOUT).into();
         let frame = self.connection.drive(self.body.frame());
-        let Some(frame) = tokio::time::timeout_at(until, frame).await.map_err(silent)? else {
+        let Some(frame) = tokio::time::timeout_at(until, frame).await.map_err(timed_out)? else {
             return Ok(None);
         };
         Ok(Some(frame.map_err(io::Error::other)?.into_data().unwrap_or_default()))
     }
 
-    /// All of it as one list.
-    async fn whole(self) -> io::Result<Listing> {
+    /// Reads the body to its end as one listing.
+    async fn read_complete(self) -> io::Result<Listing> {
         match self.listings {
-            ListReader::All(_) => self.whole_text().await,
-            ListReader::Kept(..) => {
-                let kept = tokio::time::timeout(KEPT_LIST_TIME, self.whole_kept());
-                kept.await.map_err(silent)?
+            ListReader::All(_) => self.read_text().await,
+            ListReader::Filtered(..) => {
+                let kept = tokio::time::timeout(FILTERED_LIST_TIMEOUT, self.read_filtered());
+                kept.await.map_err(timed_out)?
             }
         }
     }
 
-    /// The part of one list that is kept, however long all of it is. It may take longer than what comes at once, as long as
-    /// more of it comes.
-    async fn whole_kept(mut self) -> io::Result<Listing> {
-        let mut whole = None;
+    /// Reads one listing and keeps the owned part, however long the rest is. The stall timeout applies to each part of
+    /// the body, not to the whole.
+    async fn read_filtered(mut self) -> io::Result<Listing> {
+        let mut listing = None;
         loop {
-            while let Some(list) = self.listings.next_listing().map_err(flawed)? {
-                if whole.replace(list).is_some() {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "two lists where one is due"));
+            while let Some(list) = self.listings.next_listing().map_err(invalid_data)? {
+                if listing.replace(list).is_some() {
+                    return Err(io::Error::new(
+                        io::ErrorKind::InvalidData,
+                        "two listings in a response for one",
+                    ));
                 }
             }
-            self.limit.check(self.listings.held(), || self.listings.endpoints_started())?;
+            self.limit.check(self.listings.buffered_bytes(), || self.listings.endpoints_started())?;
             let Some(bytes) = self.read().await? else { break };
-            self.since = Instant::now();
+            self.last_progress = Instant::now();
             self.listings.extend(&bytes);
         }
-        whole
-            .ok_or_else(|| io::Error::new(io::ErrorKind::UnexpectedEof, "the list ended before it was whole"))
+        listing.ok_or_else(|| {
+            io::Error::new(io::ErrorKind::UnexpectedEof, "the response ended before the listing was complete")
+        })
     }
 
-    async fn whole_text(mut self) -> io::Result<Listing> {
+    async fn read_text(mut self) -> io::Result<Listing> {
         let mut text = Vec::new();
         while let Some(bytes) = self.read().await? {
             text.extend_from_slice(&bytes);
             self.limit.check(text.len(), || endpoints_started(&text))?;
         }
-        Listing::read(&text).map_err(flawed)
+        Listing::read(&text).map_err(invalid_data)
     }
 
     async fn next(&mut self) -> io::Result<Option<Listing>> {
         loop {
-            let whole = self.listings.next_listing();
-            if let Some(list) = whole.map_err(flawed)? {
-                self.since = Instant::now();
+            let listing = self.listings.next_listing();
+            if let Some(list) = listing.map_err(invalid_data)? {
+                self.last_progress = Instant::now();
                 return Ok(Some(list));
             }
             if !self.listings.is_partial() {
-                self.since = Instant::now();
+                self.last_progress = Instant::now();
             }
-            self.limit.check(self.listings.held(), || self.listings.endpoints_started())?;
+            self.limit.check(self.listings.buffered_bytes(), || self.listings.endpoints_started())?;
             let Some(bytes) = self.read().await? else { return Ok(None) };
             self.listings.extend(&bytes);
         }
     }
 }
 
-fn flawed(flaw: ListingError) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, flaw)
+fn invalid_data(error: ListingError) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, error)
 }
 
-fn silent<E>(_: E) -> io::Error {
-    io::Error::new(io::ErrorKind::TimedOut, "silent")
+fn timed_out<E>(_: E) -> io::Error {
+    io::Error::new(io::ErrorKind::TimedOut, "no response or no complete listing in time")
 }
 
-/// Takes the whole list, unless its version `index` is known, and then its changes until the connection ends.
+/// Reads the complete listing, unless a version `index` is known, and then the changes until the connection ends.
 async fn watch(
     addr: SocketAddr,
     index: &mut Option<u64>,
     in_force: &mut Option<u64>,
-    dear: bool,
+    costly: bool,
     opened: &mut bool,
-    news: &News,
+    sink: &ListingSink,
     spread: Duration,
-) -> io::Result<Ended> {
-    let open = async || tokio::time::timeout(ANSWER_TIME, Connection::open(addr)).await.map_err(silent)?;
-    let since = match index.filter(|_| !news.is_wanted()) {
+) -> io::Result<WatchStop> {
+    let open =
+        async || tokio::time::timeout(RESPONSE_TIMEOUT, Connection::open(addr)).await.map_err(timed_out)?;
+    let since = match index.filter(|_| !sink.is_requested()) {
         Some(since) => since,
         None => {
-            let wanted = news.wanted();
-            let list = Lines::ask(open().await?, "/v1/servers", dear, news).await?.whole().await?;
+            let requested = sink.requested();
+            let list =
+                ListStream::open(open().await?, "/v1/servers", costly, sink).await?.read_complete().await?;
             let since = list.index;
-            news.tell(Listing { snapshot: true, ..list }).await?;
-            news.done(wanted);
+            sink.apply(Listing { snapshot: true, ..list }).await?;
+            sink.mark_read(requested);
             (*index, *in_force) = (Some(since), Some(since));
             since
         }
     };
     let path = format!("/v1/servers?follow=1&since={since}");
-    let mut lines = match Lines::ask(open().await?, &path, dear, news).await {
-        Ok(lines) => lines,
+    let mut stream = match ListStream::open(open().await?, &path, costly, sink).await {
+        Ok(stream) => stream,
         Err(e) => {
-            // A version that it does not know must not be asked for again and again. Turned away, it has not
-            // looked at the version, and the whole list would cost it more.
-            let looked =
-                e.kind() != io::ErrorKind::ResourceBusy && !(dear && e.kind() == io::ErrorKind::TimedOut);
-            *index = index.filter(|_| !looked);
+            // A version that discovery does not know must not be requested again and again. If it rejected the request
+            // for lack of time it has not checked the version, and the complete listing would cost it more.
+            let version_checked =
+                e.kind() != io::ErrorKind::ResourceBusy && !(costly && e.kind() == io::ErrorKind::TimedOut);
+            *index = index.filter(|_| !version_checked);
             return Err(e);
         }
     };
     *opened = true;
-    // The same for one after which it says nothing, unless it may only have had no time for it.
-    *index = index.filter(|_| dear);
+    // The same for a version after which discovery sends nothing, unless it may be short of time.
+    *index = index.filter(|_| costly);
     let mut known = since;
-    let mut list_wanted = std::pin::pin!(news.until_wanted(spread));
+    let mut reread_requested = std::pin::pin!(sink.until_requested(spread));
     loop {
         let next = tokio::select! {
             biased;
-            next = lines.next() => next,
-            () = &mut list_wanted => return Ok(Ended::ListWanted),
+            next = stream.next() => next,
+            () = &mut reread_requested => return Ok(WatchStop::RereadRequested),
         };
         let next = next.inspect_err(|e| *index = index.filter(|_| e.kind() != io::ErrorKind::InvalidData));
-        let Some(list) = next? else { return Ok(Ended::Connection) };
+        let Some(list) = next? else { return Ok(WatchStop::Connection) };
         if list.index < known && !list.snapshot {
             *index = None;
-            return Err(io::Error::other(format!("version {known} was asked for, {} told", list.index)));
+            return Err(io::Error::other(format!(
+                "changes to version {known} were requested, version {} was sent",
+                list.index
+            )));
         }
         known = list.index;
-        news.tell(list).await?;
+        sink.apply(list).await?;
         (*index, *in_force) = (Some(known), Some(known));
     }
 }
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -1,33 +1,34 @@
-//! The core: feeds the dispatcher with what happens, in rounds, and carries out what it decides. How it starts is in
-//! `start`, how one process replaces another in `replace`.
+//! The driver: passes events to the decision module (the dispatcher) in rounds and executes the actions that it
+//! returns. `start` holds the start from a journal or a predecessor, `handover` the replacement of one process by
+//! another, `recovered` the count of messages that a restart recovered unattempted.
 
+mod handover;
 mod recovered;
-mod replace;
 mod start;
 
-pub use replace::Handing;
-pub use start::Known;
+pub use handover::HandoverContext;
+pub use start::InitialList;
 
-use crate::calls::{Calls, Item, Lane, Order};
+use crate::calls::{CallItem, CallSpec, Calls, Lane};
+use crate::class_table::ClassTable;
 use crate::clients::Shared;
 use crate::clock::Clock;
-use crate::figures::{Ending, Figures};
-use crate::fleet::{Endpoint, Fleet};
-use crate::input::{Ended, Input, Notice};
+use crate::endpoint_table::{Endpoint, EndpointTable};
+use crate::input::{CallEnd, Input, Notice};
 use crate::journal::{Accepted, Journal, Receiver};
+use crate::metrics::{MessageEnd, Metrics};
 use crate::placement::Placement;
-use crate::rows::Rows;
-use crate::standing::{Change, Standings};
+use crate::status::{Change, SharedStatus};
 use embershore_handover::Frame;
 use embershore_protocol::notice::End;
 use embershore_protocol::resp::{Put, Reply};
 use embershore_protocol::settings::Names;
+use handover::{Predecessor, next_takeover_request};
 use heronroute::{
     Action, DestId, Dispatcher, Effect, EndpointEntry, EndpointId, Event, KindSettings, Micros, MsgId,
     Outcome, Settings, Status,
 };
 use recovered::RecoveredMessages;
-use replace::{Former, next_of};
 use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -35,177 +36,187 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// After SIGTERM: the process stays for this long at the least, also with nothing to do, ...
-const STAY_LEAST: Micros = 900_000;
-/// ... calls have this long to end ...
-const CALLS_END_AFTER: Micros = 3_300_000;
-/// ... and the process this long, before it is killed.
-const EXIT_AFTER: Micros = 3_500_000;
-const RETIRE_EVERY: Micros = 500_000;
-/// What time a message has left is known only in the round that it comes into: see [`Driver::bring_up_to_date`].
-const AS_OF_THE_ROUND: Micros = 0;
-/// What a client is told of a destination that is in no list.
+/// After SIGTERM the process stays for at least this long, even if it has nothing to do.
+const MIN_STAY_US: Micros = 900_000;
+/// Time from SIGTERM until all calls must have ended.
+const CALL_DEADLINE_US: Micros = 3_300_000;
+/// Time from SIGTERM until the process exits whatever is left: it is killed soon after.
+const EXIT_DEADLINE_US: Micros = 3_500_000;
+/// Interval of closing expired idle connections; also the longest time between two rounds.
+const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
+/// Placeholder for a message's remaining time, which [`Driver::set_time_left`] fills in when the round begins.
+const SET_IN_ROUND: Micros = 0;
+/// Error reply for a destination that is in no listing.
 const UNKNOWN_DESTINATION: &str = "unknown destination";
 
-/// What a message needs while it is held, beside its journal entry.
+/// State of a message that has not ended, in addition to its journal entry.
 #[derive(Default)]
-struct Live {
+struct PendingMessage {
     attempts: u32,
     call: Option<u64>,
-    /// The rules under which it was taken on.
+    /// Row of the class table with the rules under which the message was accepted.
     row: usize,
 }
 
-/// A client that waits to hear whether its message is taken on.
-struct Newcomer {
+/// A submitted message whose client has no reply yet.
+struct UnansweredPut {
     put: Put,
-    /// When its time is up.
     deadline: Micros,
     reply: oneshot::Sender<Reply>,
 }
 
-/// The parts that a driver is made of.
+/// The parts from which [`Driver::new`] builds a driver.
 pub struct Parts {
     pub clock: Clock,
     pub seed: u64,
-    /// How long to wait for discovery's word where a list was given with the configuration.
+    /// How long to wait for discovery's listing before the one in the configuration is used.
     pub list_wait: Duration,
     pub settings: Settings,
     pub names: Names,
     pub journal: Journal,
-    pub fleet: Rc<RefCell<Fleet>>,
+    pub endpoints: Rc<RefCell<EndpointTable>>,
     pub calls: Calls,
     pub notices: mpsc::UnboundedSender<Notice>,
     pub inputs: mpsc::Sender<Input>,
-    pub standings: Standings,
-    pub figures: Rc<Figures>,
+    pub status: SharedStatus,
+    pub metrics: Rc<Metrics>,
     pub shared: Shared,
-    pub handing: Option<Handing>,
-    /// Where other senders own some of the destinations.
+    pub handover: Option<HandoverContext>,
+    /// Present if placement is on: other senders then own some of the destinations.
     pub placement: Option<Rc<Placement>>,
 }
 
+/// Owns the dispatcher, the pending messages and the journal, and runs the rounds.
 pub struct Driver {
     clock: Clock,
     dispatcher: Dispatcher,
     names: Names,
     kinds: Vec<KindSettings>,
-    /// The classes' rules; a row is a class's index in the module.
-    rows: Rows,
+    /// The classes' rules; a row number is the class index that the dispatcher knows.
+    class_table: ClassTable,
     quantum: Micros,
     list_wait: Duration,
     max_open: usize,
-    /// When a client is to come again that finds no room: as the module tells those that it refuses.
-    come_again_ms: u64,
+    /// Retry time in the reply to a client that finds no room; the same as in the dispatcher's refusals.
+    retry_after_ms: u64,
     journal: Rc<RefCell<Journal>>,
-    fleet: Rc<RefCell<Fleet>>,
+    endpoints: Rc<RefCell<EndpointTable>>,
     calls: Rc<Calls>,
     notices: mpsc::UnboundedSender<Notice>,
     inputs: mpsc::Sender<Input>,
-    standings: Standings,
-    figures: Rc<Figures>,
+    status: SharedStatus,
+    metrics: Rc<Metrics>,
     shared: Shared,
-    handing: Option<Handing>,
+    handover: Option<HandoverContext>,
     placement: Option<Rc<Placement>>,
-    former: Option<Former>,
+    predecessor: Option<Predecessor>,
     events: Vec<Event>,
-    newcomers: BTreeMap<MsgId, Newcomer>,
-    live: HashMap<MsgId, Live>,
+    unanswered_puts: BTreeMap<MsgId, UnansweredPut>,
+    pending: HashMap<MsgId, PendingMessage>,
     recovered: RecoveredMessages,
+    /// The pending messages by request id.
     by_request: HashMap<String, MsgId>,
-    out: HashMap<u64, Option<oneshot::Sender<()>>>,
+    /// The calls in flight, each with the channel that cancels it.
+    calls_in_flight: HashMap<u64, Option<oneshot::Sender<()>>>,
     next_call: u64,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
-    unconfirmed: usize,
+    unconfirmed_notices: usize,
+    /// When SIGTERM came.
     stopping: Option<Micros>,
 }
 
 impl Driver {
+    /// Builds a driver.
+    ///
+    /// # Errors
+    /// The dispatcher rejects the settings.
     pub fn new(parts: Parts) -> Result<Self, heronroute::SettingsError> {
-        let Parts { clock, seed, list_wait, settings, names, journal, fleet, calls, notices, inputs, .. } =
-            parts;
-        let Parts { standings, figures, shared, handing, placement, .. } = parts;
-        figures.name_classes(&names.classes);
+        let Parts {
+            clock, seed, list_wait, settings, names, journal, endpoints, calls, notices, inputs, ..
+        } = parts;
+        let Parts { status, metrics, shared, handover, placement, .. } = parts;
+        metrics.register_classes(&names.classes);
         let (kinds, quantum, max_open) =
             (settings.kinds.clone(), settings.quantum, settings.max_open as usize);
-        let rows = Rows::new(names.classes.iter().cloned().zip(settings.classes.iter().cloned()));
-        let come_again_ms = (settings.max_retry_after / 2000).max(0) as u64;
+        let class_table =
+            ClassTable::new(names.classes.iter().cloned().zip(settings.classes.iter().cloned()));
+        let retry_after_ms = (settings.max_retry_after / 2000).max(0) as u64;
         Ok(Driver {
             clock,
-            rows,
+            class_table,
             dispatcher: Dispatcher::new(clock.now(), seed, settings)?,
             names,
             kinds,
             quantum,
             list_wait,
             max_open,
-            come_again_ms,
+            retry_after_ms,
             journal: Rc::new(RefCell::new(journal)),
-            fleet,
+            endpoints,
             calls: Rc::new(calls),
             notices,
             inputs,
-            standings,
-            figures,
+            status,
+            metrics,
             shared,
-            handing,
+            handover,
             placement,
-            former: None,
+            predecessor: None,
             events: Vec::new(),
-            newcomers: BTreeMap::new(),
-            live: HashMap::new(),
+            unanswered_puts: BTreeMap::new(),
+            pending: HashMap::new(),
             recovered: RecoveredMessages::default(),
             by_request: HashMap::new(),
-            out: HashMap::new(),
+            calls_in_flight: HashMap::new(),
             next_call: 0,
             timers: BinaryHeap::new(),
-            unconfirmed: 0,
+            unconfirmed_notices: 0,
             stopping: None,
         })
     }
 
-    /// Runs until the sender has been told to stop and has done so.
-    pub async fn run(mut self, mut inbox: mpsc::Receiver<Input>, known: Known) {
+    /// Runs until the sender has received the stop signal and has stopped, or until a successor has taken over.
+    pub async fn run(mut self, mut inbox: mpsc::Receiver<Input>, known: InitialList) {
         let Some(early) = self.wait_for_list(&mut inbox, known).await else { return };
         self.restore();
-        early.into_iter().for_each(|input| self.take(input));
+        early.into_iter().for_each(|input| self.handle_input(input));
         self.round();
-        _ = self.standings.change(Change::Started);
-        let mut last = self.clock.now();
-        let mut retire = last;
+        _ = self.status.change(Change::Started);
+        let mut last_round = self.clock.now();
+        let mut last_sweep = last_round;
         loop {
             let timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
-            let pending = if self.events.is_empty() { Micros::MAX } else { last };
-            // A round at most once a quantum; also while nothing happens, for what goes by the clock alone.
-            let wake = timer.min(pending).max(last + self.quantum);
-            let wake = wake.min(last + RETIRE_EVERY).min(self.next_phase(last));
+            let pending_events = if self.events.is_empty() { Micros::MAX } else { last_round };
+            // At most one round per quantum; also one while no event comes, for what depends on the clock alone.
+            let wake = timer.min(pending_events).max(last_round + self.quantum);
+            let wake = wake.min(last_round + IDLE_SWEEP_INTERVAL_US).min(self.next_exit_check(last_round));
             tokio::select! {
                 biased;
                 input = inbox.recv() => {
                     let Some(input) = input else { return };
-                    self.take(input);
+                    self.handle_input(input);
                     while let Ok(input) = inbox.try_recv() {
-                        self.take(input);
+                        self.handle_input(input);
                     }
-                    if self.clock.now() < last + self.quantum {
+                    if self.clock.now() < last_round + self.quantum {
                         continue;
                     }
                 }
-                Some((owner, link)) = next_of(&mut self.handing) => {
+                Some((owner, link)) = next_takeover_request(&mut self.handover) => {
                     if let Some(link) = self.hand_over(owner, link).await {
-                        return self.retire(inbox, link).await;
+                        return self.forward_until_idle(inbox, link).await;
                     }
                     continue;
                 }
                 _ = tokio::time::sleep_until(self.clock.instant(wake)) => {}
             }
-            last = self.clock.now();
+            last_round = self.clock.now();
             self.round();
-            if last - retire >= RETIRE_EVERY {
-                retire = last;
-                self.calls.retire();
+            if last_round - last_sweep >= IDLE_SWEEP_INTERVAL_US {
+                last_sweep = last_round;
+                self.calls.close_expired();
             }
-            if self.stopped(last) {
+            if self.can_exit(last_round) {
                 if self.recovered.any() {
                     eprintln!("{}", self.recovered);
                 }
@@ -214,124 +225,131 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    /// Queues an input as an event for the next round, and updates what does not wait for it.
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Put(put, reply) => self.put(put, reply),
-            Input::Members { index, whole, entries } => self.members(index, whole, entries),
-            Input::Ended(call, ended) => self.ended(call, ended),
+            Input::Put(put, reply) => self.handle_put(put, reply),
+            Input::EndpointsListed { index, full, entries } => self.handle_listing(index, full, entries),
+            Input::CallEnded(call, call_end) => self.handle_call_end(call, call_end),
             Input::Probed(endpoint, outcome, report) => {
                 self.events.push(Event::Probed { endpoint, outcome, report });
             }
-            Input::Noticed(ids) => {
-                self.unconfirmed = self.unconfirmed.saturating_sub(ids.len());
-                self.note(|j| j.noticed(ids));
+            Input::NoticesConfirmed(ids) => {
+                self.unconfirmed_notices = self.unconfirmed_notices.saturating_sub(ids.len());
+                self.write_journal(|j| j.record_notices_confirmed(ids));
             }
-            Input::Retuned(classes) => {
-                self.figures.name_classes(classes.iter().map(|(name, _)| name));
+            Input::ClassesReloaded(classes) => {
+                self.metrics.register_classes(classes.iter().map(|(name, _)| name));
                 if let Some(placement) = &self.placement {
-                    placement.take_classes(classes.iter().map(|(name, class)| (name, class)));
+                    placement.update_classes(classes.iter().map(|(name, class)| (name, class)));
                 }
-                self.rows.retune(classes, self.clock.now());
-                self.events.push(Event::ClassesChanged(self.rows.classes()));
+                self.class_table.reload(classes, self.clock.now());
+                self.events.push(Event::ClassesChanged(self.class_table.classes()));
             }
-            Input::Former(frame) => self.hear(frame),
-            Input::FormerGone => self.former_gone(),
+            Input::PredecessorFrame(frame) => self.handle_predecessor_frame(frame),
+            Input::PredecessorGone => self.handle_predecessor_gone(),
             Input::Stop => {
                 let now = self.clock.now();
                 self.stopping.get_or_insert(now);
-                self.events.push(Event::Stopping { at: now + CALLS_END_AFTER });
+                self.events.push(Event::Stopping { at: now + CALL_DEADLINE_US });
             }
         }
     }
 
-    fn members(&mut self, index: u64, whole: bool, entries: Vec<EndpointEntry>) {
-        let fleet = self.fleet.borrow();
-        let line = |e: &EndpointEntry| Some((fleet.get(e.endpoint)?.name.clone(), e.status == Status::Up));
+    fn handle_listing(&mut self, index: u64, full: bool, entries: Vec<EndpointEntry>) {
+        let endpoints = self.endpoints.borrow();
+        let line =
+            |e: &EndpointEntry| Some((endpoints.get(e.endpoint)?.name.clone(), e.status == Status::Up));
         let lines: Vec<_> = entries.iter().filter_map(line).collect();
-        drop(fleet);
-        self.note(|j| j.keep_listed(index, &lines));
-        self.events.push(Event::Listing { complete: whole, entries });
+        drop(endpoints);
+        self.write_journal(|j| j.record_endpoints_listed(index, &lines));
+        self.events.push(Event::Listing { complete: full, entries });
     }
 
-    /// What cannot be written may be done twice after a restart, or told twice; it is not undone.
-    fn note(&mut self, write: impl FnOnce(&mut Journal) -> std::io::Result<()>) {
+    /// Writes to the journal. A failed write is logged and nothing is undone: after a restart the attempt or the
+    /// notice may be repeated.
+    fn write_journal(&mut self, write: impl FnOnce(&mut Journal) -> std::io::Result<()>) {
         if let Err(e) = write(&mut self.journal.borrow_mut()) {
-            eprintln!("journal: {e}");
+            eprintln!("journal: write failed, a restart may repeat an attempt or a notice: {e}");
         }
     }
 
-    fn put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
+    /// Queues a new message as an event, or rejects it at once.
+    fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
-            // The same message on a second connection. One that is not written down yet is not taken on yet,
-            // and may never be: a client that hears so would not come again.
+            // The same message on a second connection. Until it is in the journal it may still be rejected, so it
+            // must not be reported as accepted: the client would not send it again.
             let written = self.journal.borrow().get(id.0).is_some();
             _ = reply.send(if written { Reply::Accepted } else { Reply::Busy { retry_after_ms: 0 } });
             return;
         }
-        if self.live.len() >= self.max_open || self.standings.get().refuses(std::time::Instant::now()) {
-            self.figures.count(&put.class, Ending::Refused);
-            _ = reply.send(Reply::Busy { retry_after_ms: self.come_again_ms });
+        if self.pending.len() >= self.max_open
+            || self.status.get().refuses_messages(std::time::Instant::now())
+        {
+            self.metrics.count(&put.class, MessageEnd::Refused);
+            _ = reply.send(Reply::Busy { retry_after_ms: self.retry_after_ms });
             return;
         }
-        if let Some(after_ms) = self.placement.as_ref().and_then(|placement| placement.refuses(&put)) {
-            self.figures.count(&put.class, Ending::Refused);
-            _ = reply.send(Reply::Busy { retry_after_ms: after_ms });
+        let retry_after_ms = self.placement.as_ref().and_then(|placement| placement.retry_after_ms(&put));
+        if let Some(retry_after_ms) = retry_after_ms {
+            self.metrics.count(&put.class, MessageEnd::Refused);
+            _ = reply.send(Reply::Busy { retry_after_ms });
             return;
         }
-        let class = match self.row_for(&put) {
+        let class = match self.rules_for(&put) {
             Ok(row) => row,
-            Err(why) if why == UNKNOWN_DESTINATION && self.awaits_endpoints() => {
-                self.figures.count(&put.class, Ending::Refused);
-                _ = reply.send(Reply::Busy { retry_after_ms: self.come_again_ms });
+            Err(reason) if reason == UNKNOWN_DESTINATION && self.awaits_endpoints() => {
+                self.metrics.count(&put.class, MessageEnd::Refused);
+                _ = reply.send(Reply::Busy { retry_after_ms: self.retry_after_ms });
                 return;
             }
-            Err(why) => {
-                self.figures.count(&put.class, Ending::Wrong);
-                _ = reply.send(Reply::Invalid(why.into()));
+            Err(reason) => {
+                self.metrics.count(&put.class, MessageEnd::Wrong);
+                _ = reply.send(Reply::Invalid(reason.into()));
                 return;
             }
         };
-        let id = MsgId(self.journal.borrow_mut().number());
+        let id = MsgId(self.journal.borrow_mut().allocate_number());
         self.events.push(Event::Message {
             id,
             class,
             tenant: index(&self.names.tenants, &put.tenant),
             key: Some(put.order_key.clone()),
             dest: DestId(put.dest),
-            time_left: AS_OF_THE_ROUND,
+            time_left: SET_IN_ROUND,
             resubmitted: put.resubmitted,
         });
         self.by_request.insert(put.request_id.clone(), id);
-        self.rows.enter(class);
-        self.live.insert(id, Live { row: class, ..Live::default() });
-        self.hold_destination(id, put.dest);
+        self.class_table.add_message(class);
+        self.pending.insert(id, PendingMessage { row: class, ..PendingMessage::default() });
+        self.retain_destination(id, put.dest);
         let deadline = self.clock.now() + put.time_left;
-        self.newcomers.insert(id, Newcomer { put, deadline, reply });
+        self.unanswered_puts.insert(id, UnansweredPut { put, deadline, reply });
     }
 
-    /// A destination that is not in the list of endpoints may only not have been read yet.
+    /// Whether an unknown destination may be one whose part of the endpoint listing has not been read yet.
     fn awaits_endpoints(&self) -> bool {
         self.placement.as_ref().is_some_and(|placement| placement.awaits_endpoints())
     }
 
-    /// The destination is kept for as long as the message is held, whoever owns it.
-    fn hold_destination(&self, id: MsgId, dest: i64) {
+    /// Keeps the destination's endpoints in the table until the message ends, whichever sender owns the destination.
+    fn retain_destination(&self, id: MsgId, dest: i64) {
         if let Some(placement) = &self.placement {
-            placement.hold(id, dest);
+            placement.add_pending(id, dest);
         }
     }
 
-    /// The rules for this message, or why no sender could take it on.
-    fn row_for(&self, put: &Put) -> Result<usize, &'static str> {
-        let row = self.rows.newest(&put.class, self.clock.now()).ok_or("unknown class")?;
-        let class = self.rows.get(row).ok_or("unknown class")?;
+    /// Returns the class table's row for a new message, or why no sender can accept the message.
+    fn rules_for(&self, put: &Put) -> Result<usize, &'static str> {
+        let row = self.class_table.current_row(&put.class, self.clock.now()).ok_or("unknown class")?;
+        let class = self.class_table.settings(row).ok_or("unknown class")?;
         let tenants = &self.names.tenants;
         if !tenants.is_empty() && !tenants.contains(&put.tenant) {
             Err("unknown tenant")
         } else if put.time_left > class.deadline + 1000 {
-            // The time is told in whole milliseconds.
+            // Clients send the time in whole milliseconds, so it may be up to 1 ms over.
             Err("field 'd' is more than the class's time")
-        } else if !self.fleet.borrow().knows(DestId(put.dest)) {
+        } else if !self.endpoints.borrow().knows(DestId(put.dest)) {
             Err(UNKNOWN_DESTINATION)
         } else if class.effect == Effect::Keyed && put.idempotency_key.is_none() {
             Err("field 'k' is missing in a keyed class")
@@ -340,36 +358,41 @@
         }
     }
 
-    fn ended(&mut self, call: u64, ended: Ended) {
-        self.out.remove(&call);
-        let Ended { endpoint, fates, elapsed, wait, report } = ended;
-        for fate in fates {
-            let (id, outcome, last) = (fate.id, fate.outcome, fate.closes_message);
-            self.tell_called(id);
-            if let Some(live) = self.live.get_mut(&id) {
-                live.call = None;
+    /// Closes the messages that a call has ended, records the other attempts' ends, and queues the outcomes.
+    fn handle_call_end(&mut self, call: u64, call_end: CallEnd) {
+        self.calls_in_flight.remove(&call);
+        let CallEnd { endpoint, outcomes, elapsed, wait, report } = call_end;
+        for attempt_outcome in outcomes {
+            let (id, outcome, closes_message) =
+                (attempt_outcome.id, attempt_outcome.outcome, attempt_outcome.closes_message);
+            self.record_first_call(id);
+            if let Some(pending) = self.pending.get_mut(&id) {
+                pending.call = None;
                 let deadline = self.journal.borrow().get(id.0).map(|e| e.accepted.deadline);
-                if last && outcome == Outcome::Done && deadline.is_some_and(|at| at < self.clock.now()) {
-                    // Delivered out of its time, which may count for nothing: its client is owed word all the same.
-                    self.end(id, End::Failed);
-                } else if last {
+                if closes_message
+                    && outcome == Outcome::Done
+                    && deadline.is_some_and(|at| at < self.clock.now())
+                {
+                    // Delivered after its deadline, which may not count as delivered: the client gets a notice.
+                    self.end_undelivered(id, End::Failed);
+                } else if closes_message {
                     if outcome == Outcome::Done
                         && let Some(entry) = self.journal.borrow().get(id.0)
                     {
-                        self.figures.count(&entry.accepted.class, Ending::Delivered);
+                        self.metrics.count(&entry.accepted.class, MessageEnd::Delivered);
                     }
-                    self.forget(id);
+                    self.close_message(id);
                 } else {
-                    self.note(|j| j.settled(id.0, !outcome.never_ran()));
+                    self.write_journal(|j| j.record_attempt_settled(id.0, !outcome.never_ran()));
                 }
             }
-            let attempt = fate.attempt;
+            let attempt = attempt_outcome.attempt;
             self.events.push(Event::Outcome {
                 id,
                 attempt,
                 endpoint,
                 outcome,
-                closes_message: last,
+                closes_message,
                 elapsed,
                 wait,
                 report,
@@ -377,40 +400,41 @@
         }
     }
 
-    /// The message is held no more. False if it was not.
-    fn drop_live(&mut self, id: MsgId) -> bool {
-        let live = self.live.remove(&id);
+    /// Removes a message from the pending ones. Returns false if it was not pending.
+    fn remove_pending(&mut self, id: MsgId) -> bool {
+        let pending = self.pending.remove(&id);
         if let Some(placement) = &self.placement {
-            placement.release(id);
+            placement.remove_pending(id);
         }
-        if let Some(live) = &live {
-            self.rows.leave(live.row);
+        if let Some(pending) = &pending {
+            self.class_table.remove_message(pending.row);
         }
-        self.tell_called(id);
-        // The module ends a message up to two quanta early.
-        if self.recovered.over(id, self.clock.now(), 2 * self.quantum) {
+        self.record_first_call(id);
+        // The dispatcher ends a message up to two quanta before its deadline.
+        if self.recovered.record_end(id, self.clock.now(), 2 * self.quantum) {
             eprintln!("{}", self.recovered);
         }
-        live.is_some()
+        pending.is_some()
     }
 
-    /// A message that a restart recovered is attempted once a call of it has begun.
-    fn tell_called(&mut self, id: MsgId) {
+    /// Counts a recovered message as attempted if a call with it has begun since the start.
+    fn record_first_call(&mut self, id: MsgId) {
         let begun = self.journal.borrow().get(id.0).map_or(0, |entry| entry.progress.attempts);
-        if self.recovered.call(id, begun) {
+        if self.recovered.record_calls(id, begun) {
             eprintln!("{}", self.recovered);
         }
     }
 
-    /// Nothing more is owed for the message.
-    fn forget(&mut self, id: MsgId) {
-        self.drop_live(id);
+    /// Closes a message that needs no notice.
+    fn close_message(&mut self, id: MsgId) {
+        self.remove_pending(id);
         if let Some(entry) = self.journal.borrow().get(id.0) {
             self.by_request.remove(&entry.accepted.request_id);
         }
-        self.note(|j| j.ended(id.0, End::Closed));
+        self.write_journal(|j| j.record_message_ended(id.0, End::Closed));
     }
 
+    /// Runs one round of the dispatcher with the queued events and executes its actions.
     fn round(&mut self) {
         let now = self.clock.now();
         while let Some(Reverse((_, token))) = self.timers.peek().copied().filter(|t| t.0.0 <= now) {
@@ -418,37 +442,37 @@
             self.events.push(Event::Timer { token });
         }
         let mut events = std::mem::take(&mut self.events);
-        self.bring_up_to_date(now, &mut events);
+        self.set_time_left(now, &mut events);
         let mut actions = Vec::new();
         self.dispatcher.round(now, &events, &mut actions);
-        self.welcome(&events, &actions);
-        self.carry_out(actions);
-        self.keep_health();
-        self.figures.outstanding.set(self.live.len() - self.newcomers.len());
+        self.answer_puts(&events, &actions);
+        self.execute_actions(actions);
+        self.persist_health();
+        self.metrics.outstanding.set(self.pending.len() - self.unanswered_puts.len());
     }
 
-    /// Gives each message what time it has left as of the round, which may come a quantum after it was read, or later at a
-    /// start that has much to read. With what it had when it was read the module would end it too late, and an answer
-    /// that came then would count for nothing.
-    fn bring_up_to_date(&self, now: Micros, events: &mut [Event]) {
+    /// Sets each new message's remaining time as of this round, which may come a quantum after the message was read,
+    /// or later at a start that has much to read. With the time as of reading, the dispatcher would end the message
+    /// too late, and an answer that came then would not count.
+    fn set_time_left(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
         for event in events {
             let (Event::Message { id, time_left, .. } | Event::MessageRestored { id, time_left, .. }) = event
             else {
                 continue;
             };
-            let new = self.newcomers.get(id).map(|n| n.deadline);
+            let new = self.unanswered_puts.get(id).map(|n| n.deadline);
             if let Some(deadline) = new.or_else(|| Some(journal.get(id.0)?.accepted.deadline)) {
                 *time_left = deadline - now;
             }
         }
     }
 
-    /// Answers the clients whose messages this round has seen: those refused at once hear it, the others'
-    /// messages are written down first.
-    fn welcome(&mut self, events: &[Event], actions: &[Action]) {
+    /// Replies to the clients whose messages entered this round. A refusal is sent at once; an acceptance is sent after
+    /// the message has been written to the journal.
+    fn answer_puts(&mut self, events: &[Event], actions: &[Action]) {
         let mut answers: BTreeMap<MsgId, Reply> = BTreeMap::new();
-        if self.newcomers.is_empty() {
+        if self.unanswered_puts.is_empty() {
             return;
         }
         for action in actions {
@@ -462,12 +486,14 @@
         }
         for event in events {
             let Event::Message { id, .. } = event else { continue };
-            let Some(Newcomer { put, deadline, reply }) = self.newcomers.remove(id) else { continue };
+            let Some(UnansweredPut { put, deadline, reply }) = self.unanswered_puts.remove(id) else {
+                continue;
+            };
             if let Some(answer) = answers.get(id) {
                 let busy = matches!(answer, Reply::Busy { .. });
-                self.figures.count(&put.class, if busy { Ending::Refused } else { Ending::Wrong });
+                self.metrics.count(&put.class, if busy { MessageEnd::Refused } else { MessageEnd::Wrong });
                 self.by_request.remove(&put.request_id);
-                self.drop_live(*id);
+                self.remove_pending(*id);
                 _ = reply.send(answer.clone());
                 continue;
             }
@@ -481,29 +507,31 @@
                 deadline,
                 body: put.body,
             };
-            let row = self.live.get(id).and_then(|live| self.rows.get(live.row));
+            let row = self.pending.get(id).and_then(|pending| self.class_table.settings(pending.row));
             let Some(rules) = row else { continue };
-            let taken = self.journal.borrow_mut().accept(id.0, accepted, rules);
-            let answer = match taken {
+            let recorded = self.journal.borrow_mut().accept(id.0, accepted, rules);
+            let answer = match recorded {
                 Ok(()) => Reply::Accepted,
                 Err(e) => {
-                    eprintln!("journal: {e}");
+                    eprintln!(
+                        "journal: recording message '{request_id}' failed, client told to retry in 1 s: {e}"
+                    );
                     Reply::Busy { retry_after_ms: 1000 }
                 }
             };
-            let taken = answer == Reply::Accepted;
-            if reply.send(answer).is_err() || !taken {
-                // Its client has gone without an answer, or is told to come again.
-                self.figures.count(&class, Ending::Refused);
-                self.note(|j| j.ended(id.0, End::Closed));
+            let accepted = answer == Reply::Accepted;
+            if reply.send(answer).is_err() || !accepted {
+                // The client has gone before the reply, or the reply asks it to retry later.
+                self.metrics.count(&class, MessageEnd::Refused);
+                self.write_journal(|j| j.record_message_ended(id.0, End::Closed));
                 self.by_request.remove(&request_id);
-                self.drop_live(*id);
+                self.remove_pending(*id);
                 self.events.push(Event::MessageAbandoned { id: *id });
             }
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute_actions(&mut self, actions: Vec<Action>) {
         let mut sends: BTreeMap<u64, (EndpointId, Vec<(MsgId, Micros)>)> = BTreeMap::new();
         for action in actions {
             match action {
@@ -511,23 +539,28 @@
                     sends.entry(call).or_insert((endpoint, Vec::new())).1.push((id, timeout));
                 }
                 Action::Cancel { id, .. } => {
-                    let call = self.live.get(&id).and_then(|l| l.call);
-                    if let Some(cancel) = call.and_then(|c| self.out.get_mut(&c)).and_then(Option::take) {
+                    let call = self.pending.get(&id).and_then(|l| l.call);
+                    if let Some(cancel) =
+                        call.and_then(|c| self.calls_in_flight.get_mut(&c)).and_then(Option::take)
+                    {
                         _ = cancel.send(());
-                    } else if let (Some(former), Some(call)) = (&self.former, call)
-                        && former.out.values().any(|(c, _)| *c == call)
+                    } else if let (Some(predecessor), Some(call)) = (&self.predecessor, call)
+                        && predecessor.attempts_in_flight.values().any(|(c, _)| *c == call)
                     {
-                        _ = former.say.send(Frame::Cancel { call });
+                        _ = predecessor.send.send(Frame::Cancel { call });
                     }
                 }
                 Action::Refuse { id, retry_after } => {
-                    self.end(id, End::Returned { retry_after_ms: (retry_after / 1000).max(0) as u64 });
+                    self.end_undelivered(
+                        id,
+                        End::Returned { retry_after_ms: (retry_after / 1000).max(0) as u64 },
+                    );
                 }
-                Action::Fail { id } => self.end(id, End::Failed),
+                Action::Fail { id } => self.end_undelivered(id, End::Failed),
                 Action::Timer { at, token } => self.timers.push(Reverse((at, token))),
                 Action::Probe { endpoint } => self.probe(endpoint),
                 Action::CloseIdle { endpoint } => self.calls.close(endpoint),
-                // Senders share nothing here.
+                // This daemon's senders do not exchange peer notes.
                 Action::Broadcast { .. } => {}
             }
         }
@@ -536,67 +569,69 @@
         }
     }
 
-    /// The message is over but for the notice. A newcomer's client has heard it already.
-    fn end(&mut self, id: MsgId, end: End) {
-        if !self.drop_live(id) {
+    /// Ends an undelivered message and queues its notice. Does nothing if the message was already answered with a
+    /// refusal.
+    fn end_undelivered(&mut self, id: MsgId, end: End) {
+        if !self.remove_pending(id) {
             return;
         }
         let journal = self.journal.borrow();
         let Some(request_id) = journal.get(id.0).map(|e| {
-            self.figures.count(&e.accepted.class, Ending::of(end));
+            self.metrics.count(&e.accepted.class, MessageEnd::of(end));
             e.accepted.request_id.clone()
         }) else {
             return;
         };
         drop(journal);
-        self.note(|j| j.ended(id.0, end));
+        self.write_journal(|j| j.record_message_ended(id.0, end));
         self.by_request.remove(&request_id);
-        self.unconfirmed += 1;
+        self.unconfirmed_notices += 1;
         _ = self.notices.send(Notice { id: id.0, request_id, end });
     }
 
-    /// The message was not sent after all.
-    fn unsent(&mut self, id: MsgId, attempt: u32, endpoint: EndpointId, last: bool) {
+    /// Reports to the dispatcher that an attempt was not sent.
+    fn report_skipped(&mut self, id: MsgId, attempt: u32, endpoint: EndpointId, closes_message: bool) {
         let (outcome, elapsed, wait, report) = (Outcome::Skipped, 0, 0, None);
         self.events.push(Event::Outcome {
             id,
             attempt,
             endpoint,
             outcome,
-            closes_message: last,
+            closes_message,
             elapsed,
             wait,
             report,
         });
     }
 
+    /// Starts a call with these messages, as a task of its own.
     fn send(&mut self, endpoint: EndpointId, sends: Vec<(MsgId, Micros)>) {
-        let target = self.fleet.borrow().get(endpoint).cloned();
+        let target = self.endpoints.borrow().get(endpoint).cloned();
         let target = target.and_then(|t| t.addr.map(|addr| (t, addr)));
         let call = self.next_call;
         self.next_call += 1;
-        let (mut items, mut longest, mut last_moment) = (Vec::new(), 0, Micros::MAX);
+        let (mut items, mut longest, mut key_window_end) = (Vec::new(), 0, Micros::MAX);
         for (id, timeout) in sends {
-            let Some(live) = self.live.get_mut(&id) else {
-                // Its client left in this very round.
-                self.unsent(id, 0, endpoint, true);
+            let Some(pending) = self.pending.get_mut(&id) else {
+                // The message was withdrawn in this round: its client left before the reply.
+                self.report_skipped(id, 0, endpoint, true);
                 continue;
             };
-            let attempt = live.attempts;
-            live.attempts += 1;
+            let attempt = pending.attempts;
+            pending.attempts += 1;
             let journal = self.journal.clone();
             let journal = journal.borrow();
             let Some(entry) = journal.get(id.0).filter(|_| target.is_some()) else {
-                self.unsent(id, attempt, endpoint, false);
+                self.report_skipped(id, attempt, endpoint, false);
                 continue;
             };
-            live.call = Some(call);
-            let class = self.rows.get(live.row).filter(|c| c.effect == Effect::Keyed);
-            if let (Some(class), Some((_, first))) = (class, entry.progress.unknown()) {
-                last_moment = last_moment.min(first + class.window);
+            pending.call = Some(call);
+            let class = self.class_table.settings(pending.row).filter(|c| c.effect == Effect::Keyed);
+            if let (Some(class), Some((_, first))) = (class, entry.progress.first_possible_run()) {
+                key_window_end = key_window_end.min(first + class.window);
             }
             longest = longest.max(timeout);
-            items.push(Item {
+            items.push(CallItem {
                 id,
                 attempt,
                 request_id: entry.accepted.request_id.clone(),
@@ -608,47 +643,48 @@
         let lane = self.lane(endpoint, &target);
         let batch = items.len() > 1;
         let timeout = Duration::from_micros(longest.max(1) as u64);
-        let order = Order { endpoint, addr, lane, items, batch, timeout };
+        let spec = CallSpec { endpoint, addr, lane, items, batch, timeout };
         let (cancel, cancelled) = oneshot::channel();
-        self.out.insert(call, Some(cancel));
+        self.calls_in_flight.insert(call, Some(cancel));
         let (calls, journal, inputs, clock) =
             (self.calls.clone(), self.journal.clone(), self.inputs.clone(), self.clock);
         tokio::task::spawn_local(async move {
             let begin = || {
-                // A connection that is slow to come up must not carry a repeat past the time for which the
-                // destination remembers its key.
-                if clock.now() >= last_moment {
+                // A repeat must not go out after the key window, in which the destination recognises the key, even
+                // if the connection took long to open.
+                if clock.now() >= key_window_end {
                     return Vec::new();
                 }
-                // Nor a message past its end, which its client may have been told while it came up.
+                // Nor a message that ended while the connection was opening: its client may have the notice.
                 let open =
                     |id: &MsgId| journal.borrow().get(id.0).is_some_and(|entry| entry.progress.end.is_none());
-                let wanted: Vec<MsgId> = order.items.iter().map(|i| i.id).filter(open).collect();
+                let wanted: Vec<MsgId> = spec.items.iter().map(|i| i.id).filter(open).collect();
                 if wanted.is_empty() {
                     return wanted;
                 }
                 let ids = wanted.iter().map(|id| id.0).collect();
-                match journal.borrow_mut().started(ids, &target.name, clock.now()) {
+                match journal.borrow_mut().record_attempts_started(ids, &target.name, clock.now()) {
                     Ok(()) => wanted,
                     Err(e) => {
-                        eprintln!("journal: {e}");
+                        eprintln!("journal: recording a call to '{}' failed, not sent: {e}", target.name);
                         Vec::new()
                     }
                 }
             };
-            let ended = calls.call(&order, begin, cancelled).await;
-            _ = inputs.send(Input::Ended(call, ended)).await;
+            let call_end = calls.call(&spec, begin, cancelled).await;
+            _ = inputs.send(Input::CallEnded(call, call_end)).await;
         });
     }
 
-    /// What a wait binds that an endpoint tells.
+    /// Returns the lane to which a wait applies that this endpoint advertises.
     fn lane(&self, id: EndpointId, endpoint: &Endpoint) -> Lane {
-        let apart = self.kinds.get(endpoint.kind).is_some_and(|kind| kind.separate_routes);
-        if apart { Lane::Route(id) } else { Lane::Whole(endpoint.dest) }
+        let separate_routes = self.kinds.get(endpoint.kind).is_some_and(|kind| kind.separate_routes);
+        if separate_routes { Lane::Route(id) } else { Lane::Whole(endpoint.dest) }
     }
 
+    /// Starts a probe, as a task of its own.
     fn probe(&mut self, endpoint: EndpointId) {
-        let addr = self.fleet.borrow().get(endpoint).and_then(|e| e.addr.filter(|_| e.ready));
+        let addr = self.endpoints.borrow().get(endpoint).and_then(|e| e.addr.filter(|_| e.ready));
         let Some(addr) = addr else {
             self.events.push(Event::Probed { endpoint, outcome: Outcome::Skipped, report: None });
             return;
@@ -660,40 +696,44 @@
         });
     }
 
-    fn keep_health(&mut self) {
-        let fleet = self.fleet.borrow();
+    /// Records the changes in the health of endpoints and receivers in the journal.
+    fn persist_health(&mut self) {
+        let endpoints = self.endpoints.borrow();
         let (mut health, mut avoided) = (BTreeMap::new(), 0);
         for (id, h) in self.dispatcher.endpoint_health() {
-            let Some(endpoint) = fleet.get(id) else { continue };
+            let Some(endpoint) = endpoints.get(id) else { continue };
             avoided += usize::from(h.unhealthy && endpoint.listed());
             health.insert(endpoint.name.clone(), h);
         }
-        self.figures.ejected.set(avoided);
+        self.metrics.ejected.set(avoided);
         let receivers = self.dispatcher.receiver_health().filter_map(|(dest, route, health)| {
             let receiver = match route {
-                Some(id) => Receiver::Route(dest.0, fleet.get(id)?.name.clone()),
+                Some(id) => Receiver::Route(dest.0, endpoints.get(id)?.name.clone()),
                 None => Receiver::Destination(dest.0),
             };
             Some((receiver, health))
         });
         let mut journal = self.journal.borrow_mut();
-        let kept = journal.keep_health(&health).and_then(|()| journal.keep_receivers(&receivers.collect()));
-        if let Err(e) = kept {
-            eprintln!("journal: {e}");
+        let recorded = journal
+            .record_endpoint_health(&health)
+            .and_then(|()| journal.record_receiver_health(&receivers.collect()));
+        if let Err(e) = recorded {
+            eprintln!("journal: recording the health of endpoints and receivers failed: {e}");
         }
     }
 
-    /// Guards against a process that is killed because it saw its time to exit only at its next round.
-    fn next_phase(&self, last: Micros) -> Micros {
-        let phases = self.stopping.into_iter().flat_map(|t| [t + STAY_LEAST, t + EXIT_AFTER]);
-        phases.filter(|at| *at > last).min().unwrap_or(Micros::MAX)
+    /// Returns the next time at which [`Driver::can_exit`] may change by the clock alone. Without it the process could
+    /// notice its exit time only at its next round, and be killed before.
+    fn next_exit_check(&self, last_round: Micros) -> Micros {
+        let phases = self.stopping.into_iter().flat_map(|t| [t + MIN_STAY_US, t + EXIT_DEADLINE_US]);
+        phases.filter(|at| *at > last_round).min().unwrap_or(Micros::MAX)
     }
 
-    /// After SIGTERM: tells when all is done that can be.
-    fn stopped(&self, now: Micros) -> bool {
+    /// Whether the process may exit: after SIGTERM, once no message or notice is open, or at the exit deadline.
+    fn can_exit(&self, now: Micros) -> bool {
         let Some(since) = self.stopping.map(|t| now - t) else { return false };
-        let done = self.live.is_empty() && self.unconfirmed == 0 && since > STAY_LEAST;
-        done || since >= EXIT_AFTER
+        let done = self.pending.is_empty() && self.unconfirmed_notices == 0 && since > MIN_STAY_US;
+        done || since >= EXIT_DEADLINE_US
     }
 }
 
--- /dev/null
+++ b/crates/sender/src/driver/handover.rs
@@ -0,0 +1,235 @@
+//! The driver's part in replacing one process by another: it handles the frames of its predecessor, hands its state to
+//! a successor, and afterwards passes on what still arrives.
+
+use super::{Driver, EXIT_DEADLINE_US};
+use crate::calls::Lane;
+use crate::handover::{BackgroundLink, Link, Lock};
+use crate::input::{CallEnd, Input, MessageOutcome};
+use crate::status::{Change, Phase};
+use embershore_handover::{Frame, Owner, OwnerAction, OwnerEvent, State};
+use embershore_protocol::resp::Reply;
+use heronroute::{DestId, EndpointId, InFlightCall, MsgId, Outcome};
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+
+/// Rounds that a sender runs before it hands over, to process its queued events: each round may leave some to the next.
+const MAX_FINAL_ROUNDS: usize = 8;
+/// Time for sending the last outcomes to the successor before exiting.
+const FINAL_SEND_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval at which a replaced sender checks whether it has anything left to do.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The lock on the journal and the links to the processes before and after this one.
+pub struct HandoverContext {
+    pub lock: Lock,
+    /// The state that the predecessor has handed over, and the link to it.
+    pub predecessor: Option<(Box<State>, Link)>,
+    /// Successors that ask for the journal.
+    pub takeover_requests: mpsc::Receiver<(Owner, Link)>,
+}
+
+/// The process that this one has replaced, while it still has calls or clients.
+pub(super) struct Predecessor {
+    pub(super) send: mpsc::UnboundedSender<Frame>,
+    /// Its attempts in flight, each with the number of its call and the endpoint.
+    pub(super) attempts_in_flight: BTreeMap<(MsgId, u32), (u64, EndpointId)>,
+}
+
+impl Driver {
+    /// Passes the predecessor's frames to the driver until the predecessor ends.
+    pub(super) fn follow_predecessor(
+        &self,
+        link: Link,
+        inherited_calls: &[InFlightCall],
+        call_of_message: &HashMap<MsgId, u64>,
+    ) -> Predecessor {
+        let BackgroundLink { send, mut frames, .. } = link.run_in_background();
+        let inputs = self.inputs.clone();
+        tokio::task::spawn_local(async move {
+            while let Some(frame) = frames.recv().await {
+                _ = inputs.send(Input::PredecessorFrame(frame)).await;
+            }
+            _ = inputs.send(Input::PredecessorGone).await;
+        });
+        self.shared.two_processes.set(true);
+        let attempts =
+            inherited_calls.iter().flat_map(|call| call.messages().map(|attempt| (attempt, call.endpoint())));
+        let number = |id: MsgId| call_of_message.get(&id).copied().unwrap_or(u64::MAX);
+        let attempts_in_flight = attempts.map(|(attempt, endpoint)| (attempt, (number(attempt.0), endpoint)));
+        Predecessor { send, attempts_in_flight: attempts_in_flight.collect() }
+    }
+
+    /// Handles a put or an outcome that the predecessor passes on.
+    pub(super) fn handle_predecessor_frame(&mut self, frame: Frame) {
+        let Some(predecessor) = &mut self.predecessor else { return };
+        match frame {
+            Frame::Put { number, put } => {
+                let (reply, answer) = oneshot::channel();
+                let send = predecessor.send.clone();
+                tokio::task::spawn_local(async move {
+                    let reply = answer.await.unwrap_or(Reply::Busy { retry_after_ms: 0 });
+                    _ = send.send(Frame::Reply { number, reply });
+                });
+                self.handle_put(put, reply);
+            }
+            Frame::Ended { call, outcomes, elapsed, wait, report } => {
+                let removed =
+                    outcomes.iter().map(|o| predecessor.attempts_in_flight.remove(&(o.id, o.attempt)));
+                let endpoint = removed.flatten().map(|(_, endpoint)| endpoint).last();
+                // Calls of this process whose connections are still opening must respect the wait too.
+                let (endpoints, journal) = (self.endpoints.borrow(), self.journal.borrow());
+                let listed = endpoint.and_then(|id| Some(self.lane(id, endpoints.get(id)?)));
+                let dest = || Some(journal.get(outcomes.first()?.id.0)?.accepted.dest);
+                if let Some(lane) = listed.or_else(|| Some(Lane::Whole(DestId(dest()?)))) {
+                    self.calls.record_wait(lane, wait);
+                }
+                drop((endpoints, journal));
+                self.handle_call_end(
+                    call,
+                    CallEnd { endpoint: EndpointId(u32::MAX), outcomes, elapsed, wait, report },
+                );
+            }
+            _ => {}
+        }
+    }
+
+    /// Ends the predecessor's attempts in flight when it has exited: those that had begun may have run.
+    pub(super) fn handle_predecessor_gone(&mut self) {
+        self.shared.two_processes.set(false);
+        let Some(predecessor) = self.predecessor.take() else { return };
+        let journal = self.journal.borrow();
+        // An attempt that had not begun when the journal was handed over could not begin after that.
+        let begun = |id: MsgId| journal.get(id.0).is_none_or(|entry| entry.progress.in_flight.is_some());
+        let message_outcome = |(id, attempt)| {
+            let outcome = if begun(id) { Outcome::Cancelled } else { Outcome::Skipped };
+            MessageOutcome { id, attempt, outcome, closes_message: false }
+        };
+        let outcomes: Vec<MessageOutcome> =
+            predecessor.attempts_in_flight.into_keys().map(message_outcome).collect();
+        drop(journal);
+        if !outcomes.is_empty() {
+            eprintln!("handover: the previous process exited with {} attempts in flight", outcomes.len());
+            let endpoint = EndpointId(u32::MAX);
+            self.handle_call_end(u64::MAX, CallEnd { endpoint, outcomes, elapsed: 0, wait: 0, report: None });
+        }
+    }
+
+    /// Hands the journal to a successor that asks for it. Returns the link to it once it has the journal; None if it
+    /// failed to take over and this process serves on.
+    pub(super) async fn hand_over(&mut self, mut owner: Owner, mut link: Link) -> Option<Link> {
+        for _ in 0..MAX_FINAL_ROUNDS {
+            self.round();
+            if self.events.is_empty() {
+                break;
+            }
+        }
+        let state = Frame::State(Box::new(self.handover_state()));
+        let lock = &self.handover.as_ref()?.lock;
+        // With the journal closed, calls whose connections are still opening can't begin: none goes out unrecorded.
+        self.journal.borrow_mut().set_closed(true);
+        let released = lock.release();
+        let mut step = owner.on(OwnerEvent::Released);
+        if released.is_err() || link.send(&state).await.is_err() {
+            step = owner.on(OwnerEvent::Disconnected);
+        }
+        loop {
+            match step {
+                OwnerAction::Retire => return Some(link),
+                OwnerAction::KeepServing => {
+                    eprintln!("handover: the new process did not take over; this process continues to serve");
+                    self.journal.borrow_mut().set_closed(false);
+                    return None;
+                }
+                OwnerAction::Reclaim => {
+                    let reclaimed = lock.try_acquire().unwrap_or(false);
+                    step = owner.on(OwnerEvent::Reclaimed(reclaimed));
+                    if !reclaimed {
+                        // The lock's holder writes the journal. After a stop signal nothing is left to do here.
+                        if self.status.get().phase() == Phase::Stopping {
+                            return Some(link);
+                        }
+                        tokio::time::sleep(POLL_INTERVAL).await;
+                    }
+                }
+                _ => {
+                    step = owner.on(link.receive_soon().await.event());
+                }
+            }
+        }
+    }
+
+    /// Returns the state that the successor needs beside the journal.
+    pub(super) fn handover_state(&self) -> State {
+        let (inherited, in_flight) = self.dispatcher.handover_state();
+        let endpoints = self.endpoints.borrow();
+        let numbers = inherited.endpoints().chain(in_flight.iter().map(InFlightCall::endpoint));
+        State {
+            next_message: self.journal.borrow().next_number(),
+            next_call: self.next_call,
+            lame_duck: self.status.get().phase() == Phase::LameDuck,
+            attempts: self.pending.iter().map(|(id, pending)| (*id, pending.attempts)).collect(),
+            names: numbers.filter_map(|id| Some((id, endpoints.get(id)?.name.clone()))).collect(),
+            calls: self.pending.iter().filter_map(|(id, pending)| Some((*id, pending.call?))).collect(),
+            inherited,
+            in_flight,
+        }
+    }
+
+    /// Runs after a successor has taken over: passes on puts, replies and outcomes, and returns with the last call and
+    /// the last client, or at the exit deadline.
+    pub(super) async fn forward_until_idle(mut self, mut inbox: mpsc::Receiver<Input>, link: Link) {
+        _ = self.status.change(Change::HandedOver);
+        self.calls.close_all();
+        self.metrics.outstanding.set(0);
+        let BackgroundLink { send, mut frames, task } = link.run_in_background();
+        let (mut awaiting_reply, mut number, mut linked) =
+            (HashMap::<u64, oneshot::Sender<Reply>>::new(), 0, true);
+        loop {
+            tokio::select! {
+                biased;
+                frame = frames.recv(), if linked => match frame {
+                    Some(Frame::Reply { number, reply }) => {
+                        _ = awaiting_reply.remove(&number).map(|answer| answer.send(reply));
+                    }
+                    Some(Frame::Cancel { call }) => {
+                        _ = self.calls_in_flight.get_mut(&call).and_then(Option::take).map(|cancel| cancel.send(()));
+                    }
+                    Some(_) => {}
+                    // Dropping the reply channels makes the clients' replies "busy, retry".
+                    None => (linked, awaiting_reply) = (false, HashMap::new()),
+                },
+                Some(input) = inbox.recv() => match input {
+                    Input::Put(put, answer) => {
+                        number += 1;
+                        if linked && send.send(Frame::Put { number, put }).is_ok() {
+                            awaiting_reply.insert(number, answer);
+                        }
+                    }
+                    Input::CallEnded(call, CallEnd { outcomes, elapsed, wait, report, .. }) => {
+                        self.calls_in_flight.remove(&call);
+                        _ = send.send(Frame::Ended { call, outcomes, elapsed, wait, report });
+                    }
+                    Input::Stop => _ = self.stopping.get_or_insert(self.clock.now()),
+                    _ => {}
+                },
+                _ = tokio::time::sleep(POLL_INTERVAL) => {}
+            }
+            let idle = self.calls_in_flight.is_empty() && self.shared.open_connections() == 0;
+            let late = self.stopping.is_some_and(|at| self.clock.now() - at >= EXIT_DEADLINE_US);
+            if idle || late {
+                break;
+            }
+        }
+        drop(send);
+        _ = tokio::time::timeout(FINAL_SEND_TIMEOUT, task).await;
+    }
+}
+
+/// Waits for the next successor that asks for the journal; for ever where handover is not set up.
+pub(super) async fn next_takeover_request(handover: &mut Option<HandoverContext>) -> Option<(Owner, Link)> {
+    match handover {
+        Some(handover) => handover.takeover_requests.recv().await,
+        None => std::future::pending().await,
+    }
+}
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -1,7 +1,7 @@
-//! One process replaced by another: the lock on the journal's folder, and the link between the two.
-//! `embershore-handover` says what follows from what.
+//! I/O for replacing one process by another: the lock on the journal's folder and the link between the two processes.
+//! The protocol's state machines are in the crate `embershore-handover`.
 
-use crate::standing::{Change, Phase, Standings};
+use crate::status::{Change, Phase, SharedStatus};
 use embershore_handover::{
     Decoder, Frame, Owner, OwnerAction, OwnerEvent, State, Successor, SuccessorAction, SuccessorEvent, encode,
 };
@@ -15,35 +15,36 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// A word of the other process that is waited for comes within this. The owner finishes what it has in hand and writes
-/// the state; the newcomer takes the lock.
-pub const WORD_TIME: Duration = Duration::from_millis(1000);
-/// Between two looks at who has the lock.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// A newcomer that has not got the journal by then is ready all the same: the platform then ends the owner, which
-/// does not answer, and the lock is free. Until then clients wait at the door.
-const OWNER_PATIENCE: Duration = Duration::from_millis(4500);
+/// Time for an expected frame of the other process. In it the owner processes its queued events and writes the state,
+/// or the newcomer acquires the lock.
+pub const FRAME_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Interval of the attempts to acquire a lock.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after which a newcomer without the journal reports ready all the same. The platform then ends the unresponsive
+/// owner, which frees the lock. Until then clients' connections wait to be accepted.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(4500);
 const READ_AHEAD: usize = 16 * 1024;
 
-/// The lock by which one process owns the journal. It ends with its process at the latest.
+/// The file lock by which one process owns the journal. The process's end releases it.
 pub struct Lock {
     file: File,
-    /// Who asks for the lock holds this one: the owner gives the lock free to one newcomer, and another that came at that
-    /// very moment must not have it without the state.
+    /// Locked by the newcomer that asks for the lock: when the owner releases the lock for one newcomer, another that
+    /// starts at that moment must not acquire it without the state.
     turn: File,
     folder: Folder,
 }
 
-/// The folder that lasts, by a path short enough for a socket's name.
+/// The state folder, by a path short enough for a Unix socket's name.
 pub struct Folder {
     _open: File,
     path: PathBuf,
 }
 
 impl Folder {
+    /// Opens the folder and keeps it open, for its path in `/proc`.
     pub fn open(path: &Path) -> io::Result<Self> {
         let open = File::open(path)?;
-        // A socket's name holds some hundred bytes, the folder's may be longer.
+        // A Unix socket's name is limited to some hundred bytes; the folder's path may be longer.
         let path = PathBuf::from(format!("/proc/self/fd/{}", open.as_raw_fd()));
         Ok(Folder { _open: open, path })
     }
@@ -62,15 +63,15 @@
         Ok(Lock { file, turn, folder })
     }
 
-    /// Whether the lock is this process's now.
-    pub fn take(&self) -> io::Result<bool> {
-        taken(&self.file)
+    /// Tries to acquire the lock; returns whether this process holds it now.
+    pub fn try_acquire(&self) -> io::Result<bool> {
+        try_lock(&self.file)
     }
 
-    /// Waits until no other newcomer asks. What is got here ends with the process or [`Lock::end_turn`].
-    async fn wait_turn(&self) -> io::Result<()> {
-        while !taken(&self.turn)? {
-            tokio::time::sleep(LOOK_EVERY).await;
+    /// Waits until no other newcomer is asking. The turn ends with the process or [`Lock::end_turn`].
+    async fn wait_for_turn(&self) -> io::Result<()> {
+        while !try_lock(&self.turn)? {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -79,13 +80,13 @@
         self.turn.unlock()
     }
 
-    /// Gives it free.
-    pub fn free(&self) -> io::Result<()> {
+    /// Releases the lock.
+    pub fn release(&self) -> io::Result<()> {
         self.file.unlock()
     }
 
-    /// The socket at which newcomers ask. Only the lock's holder makes it, in the place of one that an earlier process
-    /// left.
+    /// Creates the socket at which newcomers ask, replacing one that an earlier process left. Only the lock's holder
+    /// may call it.
     pub fn listen(&self) -> io::Result<UnixListener> {
         let path = self.folder.socket();
         match std::fs::remove_file(&path) {
@@ -95,7 +96,7 @@
     }
 }
 
-fn taken(file: &File) -> io::Result<bool> {
+fn try_lock(file: &File) -> io::Result<bool> {
     match file.try_lock() {
         Ok(()) => Ok(true),
         Err(TryLockError::WouldBlock) => Ok(false),
@@ -103,22 +104,22 @@
     }
 }
 
-/// What is heard of the other process within the time for which it is waited.
-pub enum Word {
-    Said(Frame),
+/// What was received from the other process within [`FRAME_TIMEOUT`].
+pub enum Received {
+    Frame(Frame),
     /// Nothing yet.
-    Late,
-    /// The link has ended, or can't be read on.
-    Gone,
+    Timeout,
+    /// The link has ended, or its data is invalid.
+    Closed,
 }
 
-impl Word {
-    /// What it is to an owner.
+impl Received {
+    /// Returns the event for the owner's state machine.
     pub fn event(&self) -> OwnerEvent<'_> {
         match self {
-            Word::Said(frame) => OwnerEvent::Received(frame),
-            Word::Late => OwnerEvent::TimedOut,
-            Word::Gone => OwnerEvent::Disconnected,
+            Received::Frame(frame) => OwnerEvent::Received(frame),
+            Received::Timeout => OwnerEvent::TimedOut,
+            Received::Closed => OwnerEvent::Disconnected,
         }
     }
 }
@@ -129,14 +130,14 @@
     decoder: Decoder,
 }
 
-/// A link that is read and written in the background. Unbounded both ways: what is told are the messages of clients, which
-/// their places bound, and the ends of calls, which the slots do.
-pub struct Carried {
-    pub say: mpsc::UnboundedSender<Frame>,
-    /// What the other side says; ends with the link.
+/// A link that a task reads and writes. The channels are unbounded, but what they carry is not: clients' messages are
+/// limited by the connections, the ends of calls by the slots.
+pub struct BackgroundLink {
+    pub send: mpsc::UnboundedSender<Frame>,
+    /// The frames received; ends with the link.
     pub frames: mpsc::UnboundedReceiver<Frame>,
-    /// Ends once all is said, after `say` has been dropped.
-    pub carrying: JoinHandle<()>,
+    /// Ends once all frames are written, after `send` has been dropped.
+    pub task: JoinHandle<()>,
 }
 
 impl Link {
@@ -144,14 +145,14 @@
         Link { stream, decoder: Decoder::default() }
     }
 
-    pub async fn say(&mut self, frame: &Frame) -> io::Result<()> {
+    /// Writes a frame, within [`FRAME_TIMEOUT`].
+    pub async fn send(&mut self, frame: &Frame) -> io::Result<()> {
         let bytes = encode(frame).map_err(io::Error::other)?;
-        tokio::time::timeout(WORD_TIME, self.stream.write_all(&bytes)).await?
+        tokio::time::timeout(FRAME_TIMEOUT, self.stream.write_all(&bytes)).await?
     }
 
-    /// The next frame, for as long as it takes; nothing once the other side has ended. Nothing is lost if it is not
-    /// waited for to the end.
-    pub async fn hear(&mut self) -> io::Result<Option<Frame>> {
+    /// Waits for the next frame; None once the other side has closed the link. Cancellation loses no data.
+    pub async fn receive(&mut self) -> io::Result<Option<Frame>> {
         loop {
             if let Some(frame) = self.decoder.decode().map_err(io::Error::other)? {
                 return Ok(Some(frame));
@@ -163,35 +164,39 @@
         }
     }
 
-    /// The next frame, if it comes in time.
-    pub async fn hear_soon(&mut self) -> Word {
-        match tokio::time::timeout(WORD_TIME, self.hear()).await {
-            Ok(Ok(frame)) => frame.map_or(Word::Gone, Word::Said),
+    /// Waits for the next frame up to [`FRAME_TIMEOUT`].
+    pub async fn receive_soon(&mut self) -> Received {
+        match tokio::time::timeout(FRAME_TIMEOUT, self.receive()).await {
+            Ok(Ok(frame)) => frame.map_or(Received::Closed, Received::Frame),
             Ok(Err(e)) => {
-                eprintln!("handover: {e}");
-                Word::Gone
+                eprintln!("handover: the link to the other process failed: {e}");
+                Received::Closed
             }
-            Err(_) => Word::Late,
+            Err(_) => Received::Timeout,
         }
     }
 
-    /// Has frames go both ways by themselves, until either side ends.
-    pub fn carry(self) -> Carried {
-        let ((say, to_say), (heard, frames)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
-        Carried { say, frames, carrying: tokio::task::spawn_local(self.run(to_say, heard)) }
+    /// Starts a task that reads and writes frames until either side closes.
+    pub fn run_in_background(self) -> BackgroundLink {
+        let ((send, outgoing), (received, frames)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
+        BackgroundLink { send, frames, task: tokio::task::spawn_local(self.run(outgoing, received)) }
     }
 
-    async fn run(mut self, mut to_say: mpsc::UnboundedReceiver<Frame>, heard: mpsc::UnboundedSender<Frame>) {
+    async fn run(
+        mut self,
+        mut outgoing: mpsc::UnboundedReceiver<Frame>,
+        received: mpsc::UnboundedSender<Frame>,
+    ) {
         loop {
             tokio::select! {
                 biased;
-                frame = to_say.recv() => match frame {
-                    Some(frame) if self.say(&frame).await.is_ok() => {}
+                frame = outgoing.recv() => match frame {
+                    Some(frame) if self.send(&frame).await.is_ok() => {}
                     _ => return,
                 },
-                frame = self.hear() => match frame {
+                frame = self.receive() => match frame {
                     Ok(Some(frame)) => {
-                        if heard.send(frame).is_err() {
+                        if received.send(frame).is_err() {
                             return;
                         }
                     }
@@ -202,36 +207,39 @@
     }
 }
 
-/// Lets newcomers in, one after the other, and tells the driver of each that asks for the journal. Ends with the
-/// channel, once this process owns nothing any more.
-pub async fn await_newcomers(listener: UnixListener, asked: mpsc::Sender<(Owner, Link)>) {
+/// Accepts newcomers one at a time and passes each that asks for the journal to the driver. Ends when the driver has
+/// dropped its end of the channel, after it has handed the journal over.
+pub async fn accept_takeovers(listener: UnixListener, requests: mpsc::Sender<(Owner, Link)>) {
     loop {
         let mut link = match listener.accept().await {
             Ok((stream, _)) => Link::new(stream),
             Err(e) => {
-                eprintln!("handover: accept: {e}");
-                tokio::time::sleep(LOOK_EVERY).await;
+                eprintln!("handover: accepting a connection failed, retrying in {POLL_INTERVAL:?}: {e}");
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
         };
         let mut owner = Owner::default();
         loop {
-            let then = owner.on(link.hear_soon().await.event());
-            match then {
+            let step = owner.on(link.receive_soon().await.event());
+            match step {
                 OwnerAction::SendHello => {
                     let hello = Frame::Hello { version: embershore_handover::VERSION };
-                    if link.say(&hello).await.is_err() {
+                    if link.send(&hello).await.is_err() {
                         break;
                     }
                 }
                 OwnerAction::Release => {
-                    if asked.send((owner, link)).await.is_err() {
+                    if requests.send((owner, link)).await.is_err() {
                         return;
                     }
                     break;
                 }
                 _ => {
-                    eprintln!("handover: a newcomer has not asked as this version does, or has gone");
+                    eprintln!(
+                        "handover: a new process left, or uses another protocol version than {}",
+                        embershore_handover::VERSION
+                    );
                     break;
                 }
             }
@@ -239,87 +247,92 @@
     }
 }
 
-/// What a newcomer has got: the lock, and where the process before it lives, its state and the link to it.
-pub struct Taken {
+/// The lock that a newcomer has acquired, with the predecessor's state and the link to it if it still runs.
+pub struct Acquired {
     pub lock: Lock,
-    pub former: Option<(Box<State>, Link)>,
+    pub predecessor: Option<(Box<State>, Link)>,
 }
 
-/// Waits until this process owns the journal; nothing if it is told to end before.
-pub async fn take_over(folder: &Path, standings: &Standings) -> io::Result<Option<Taken>> {
+/// Waits until this process owns the journal; None if it receives the stop signal before.
+pub async fn take_over(folder: &Path, status: &SharedStatus) -> io::Result<Option<Acquired>> {
     let lock = Lock::new(Folder::open(folder)?)?;
-    let mut follow = standings.follow();
+    let mut follow = status.subscribe();
     let work = async {
-        let patience = async {
-            tokio::time::sleep(OWNER_PATIENCE).await;
-            eprintln!("handover: the process before this one does not answer; ready for when it has ended");
-            _ = standings.change(Change::Standby);
+        let owner_timeout = async {
+            tokio::time::sleep(OWNER_TIMEOUT).await;
+            eprintln!(
+                "handover: the previous process did not hand over within {OWNER_TIMEOUT:?}; ready to start once it \
+                 has ended"
+            );
+            _ = status.change(Change::Standby);
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            former = async {
-                lock.wait_turn().await?;
-                let former = become_owner(&lock).await?;
-                lock.end_turn().map(|()| former)
-            } => former,
-            () = patience => Ok(None),
+            predecessor = async {
+                lock.wait_for_turn().await?;
+                let predecessor = become_owner(&lock).await?;
+                lock.end_turn().map(|()| predecessor)
+            } => predecessor,
+            () = owner_timeout => Ok(None),
         }
     };
-    let former = tokio::select! {
-        former = work => former?,
+    let predecessor = tokio::select! {
+        predecessor = work => predecessor?,
         _ = follow.wait_for(|s| s.phase() == Phase::Stopping) => return Ok(None),
     };
-    Ok(Some(Taken { lock, former }))
+    Ok(Some(Acquired { lock, predecessor }))
 }
 
 async fn become_owner(lock: &Lock) -> io::Result<Option<(Box<State>, Link)>> {
-    let (mut newcomer, mut link, mut told) = (Successor::default(), None::<Link>, None);
-    let mut then = newcomer.on(SuccessorEvent::LockTried(lock.take()?));
+    let (mut newcomer, mut link, mut received_state) = (Successor::default(), None::<Link>, None);
+    let mut step = newcomer.on(SuccessorEvent::LockTried(lock.try_acquire()?));
     loop {
-        then = match then {
+        step = match step {
             SuccessorAction::Start => return Ok(None),
             SuccessorAction::Resume => {
-                let (Some(mut link), Some(state)) = (link.take(), told.take()) else { return Ok(None) };
-                // If it is not heard, the owner finds the lock taken.
-                _ = link.say(&Frame::Taken).await;
+                let (Some(mut link), Some(state)) = (link.take(), received_state.take()) else {
+                    return Ok(None);
+                };
+                // If this frame is lost, the owner still finds the lock taken.
+                _ = link.send(&Frame::Taken).await;
                 return Ok(Some((state, link)));
             }
-            SuccessorAction::TryLock => newcomer.on(SuccessorEvent::LockTried(lock.take()?)),
+            SuccessorAction::TryLock => newcomer.on(SuccessorEvent::LockTried(lock.try_acquire()?)),
             SuccessorAction::RetryLater => {
-                (link, told) = (None, None);
-                tokio::time::sleep(LOOK_EVERY).await;
-                newcomer.on(SuccessorEvent::LockTried(lock.take()?))
+                (link, received_state) = (None, None);
+                tokio::time::sleep(POLL_INTERVAL).await;
+                newcomer.on(SuccessorEvent::LockTried(lock.try_acquire()?))
             }
             SuccessorAction::Connect => {
                 link = UnixStream::connect(lock.folder.socket()).await.ok().map(Link::new);
                 let hello = Frame::Hello { version: embershore_handover::VERSION };
-                said(&mut newcomer, &mut link, &hello).await
+                send_or_lost(&mut newcomer, &mut link, &hello).await
             }
-            SuccessorAction::RequestJournal => said(&mut newcomer, &mut link, &Frame::Take).await,
+            SuccessorAction::RequestJournal => send_or_lost(&mut newcomer, &mut link, &Frame::Take).await,
             SuccessorAction::Wait => {
                 let frame = match &mut link {
-                    Some(link) => match link.hear_soon().await {
-                        Word::Said(frame) => Some(frame),
-                        Word::Late | Word::Gone => None,
+                    Some(link) => match link.receive_soon().await {
+                        Received::Frame(frame) => Some(frame),
+                        Received::Timeout | Received::Closed => None,
                     },
                     None => None,
                 };
-                let then =
+                let step =
                     newcomer.on(frame.as_ref().map_or(SuccessorEvent::OwnerLost, SuccessorEvent::Received));
                 if let Some(Frame::State(state)) = frame {
-                    told = Some(state);
+                    received_state = Some(state);
                 }
-                then
+                step
             }
         };
     }
 }
 
-/// Says something to the owner; what follows if it can't be said.
-async fn said(newcomer: &mut Successor, link: &mut Option<Link>, frame: &Frame) -> SuccessorAction {
-    let well = match link {
-        Some(link) => link.say(frame).await.is_ok(),
+/// Sends a frame to the owner and returns the next step: to wait for the response, or what follows if sending failed.
+async fn send_or_lost(newcomer: &mut Successor, link: &mut Option<Link>, frame: &Frame) -> SuccessorAction {
+    let sent = match link {
+        Some(link) => link.send(frame).await.is_ok(),
         None => false,
     };
-    if well { SuccessorAction::Wait } else { newcomer.on(SuccessorEvent::OwnerLost) }
+    if sent { SuccessorAction::Wait } else { newcomer.on(SuccessorEvent::OwnerLost) }
 }
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -1,4 +1,4 @@
-//! What the parts of the sender tell each other.
+//! The inputs that the daemon's parts send to the driver, and the notices that it sends out.
 
 use embershore_handover::Frame;
 use embershore_protocol::notice::End;
@@ -6,40 +6,42 @@
 use heronroute::{ClassSettings, EndpointEntry, EndpointId, LoadReport, Micros, Outcome};
 use tokio::sync::oneshot;
 
-/// What can happen to a sender.
+/// An input to the driver.
 #[derive(Debug)]
 pub enum Input {
+    /// A client's message, and the channel for the reply.
     Put(Put, oneshot::Sender<Reply>),
-    Members {
-        index: u64,
-        whole: bool,
-        entries: Vec<EndpointEntry>,
-    },
-    Ended(u64, Ended),
+    /// A listing from discovery: complete, or the changes since the last one.
+    EndpointsListed { index: u64, full: bool, entries: Vec<EndpointEntry> },
+    /// The end of the call with this number.
+    CallEnded(u64, CallEnd),
+    /// The outcome of a probe.
     Probed(EndpointId, Outcome, Option<LoadReport>),
-    Noticed(Vec<u64>),
-    /// The classes of a configuration that has been read again.
-    Retuned(Vec<(String, ClassSettings)>),
-    /// What the process that this one replaces has to say.
-    Former(Frame),
-    /// It has ended.
-    FormerGone,
+    /// The platform has confirmed the notices of these messages.
+    NoticesConfirmed(Vec<u64>),
+    /// The classes of a reloaded configuration.
+    ClassesReloaded(Vec<(String, ClassSettings)>),
+    /// A frame from the predecessor.
+    PredecessorFrame(Frame),
+    /// The predecessor has exited.
+    PredecessorGone,
+    /// SIGTERM.
     Stop,
 }
 
 pub use embershore_handover::MessageOutcome;
 
-/// How a call ended.
+/// The end of a call, with each message's outcome.
 #[derive(Debug)]
-pub struct Ended {
+pub struct CallEnd {
     pub endpoint: EndpointId,
-    pub fates: Vec<MessageOutcome>,
+    pub outcomes: Vec<MessageOutcome>,
     pub elapsed: Micros,
     pub wait: Micros,
     pub report: Option<LoadReport>,
 }
 
-/// An end that the platform is owed.
+/// An undelivered message's end, to be reported to the platform.
 #[derive(Debug)]
 pub struct Notice {
     pub id: u64,
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -1,8 +1,8 @@
-//! What outlasts the process: every message taken on and not yet over, what has been tried with it, the
-//! notices still owed, and which endpoints and receivers were failing or refusing calls.
+//! The journal: every accepted message that has not ended, its attempts, the notices not yet confirmed, and the
+//! health of endpoints and receivers. It survives the process.
 //!
-//! An append-only file of records, each `length (u32 LE), CRC-32 of the payload (u32 LE), payload`, the
-//! payload a [`Record`] in postcard's form. The same records rebuild the same [`Journal`] at the next start.
+//! An append-only file of records, each `length (u32 LE), CRC-32 of the payload (u32 LE), payload`, the payload a
+//! [`Record`] encoded by postcard. Replaying the records at the next start rebuilds the same [`Journal`].
 
 use bytes::Bytes;
 use embershore_protocol::notice::End;
@@ -13,20 +13,20 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-const HEADER: usize = 8;
-/// A record holds one message of 64 KiB at most; anything longer is damage.
-const LONGEST: usize = 1 << 20;
-/// Below this size a journal is left as it is.
-const COMPACT_FROM: u64 = 256 * 1024;
-/// Part of the limit that new messages leave free for what becomes of the ones taken on.
-const RESERVE: f64 = 0.1;
+const HEADER_BYTES: usize = 8;
+/// A longer record counts as damaged: a record holds one message of at most 64 KiB.
+const MAX_RECORD_BYTES: usize = 1 << 20;
+/// A journal below this size is not compacted, unless space runs out.
+const MIN_COMPACT_BYTES: u64 = 256 * 1024;
+/// Share of the size limit that new messages leave free, for the progress records of the accepted ones.
+const OUTCOME_RESERVE: f64 = 0.1;
 
-/// Bytes that a record of rules takes, at the most.
-const RULES_MOST: u64 = 96;
-/// Endpoints that are remembered as draining or gone.
-const BARRED_MOST: usize = 500;
+/// Upper bound of a rules record.
+const MAX_RULES_BYTES: u64 = 96;
+/// Number of draining or gone endpoints that are recorded.
+const MAX_NOT_READY: usize = 500;
 
-/// A message as it was handed in. Times are wall-clock microseconds.
+/// A message as the client submitted it. Times are wall-clock microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
     pub request_id: String,
@@ -38,14 +38,14 @@
     pub body: Bytes,
 }
 
-/// A class's rules under which messages were taken on, in a form that does not change with the module's types.
+/// The class rules under which messages were accepted, encoded independently of the dispatcher's types.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
     aim: Micros,
     deadline: Micros,
-    /// 0 free, 1 guarded, 2 single-shot.
+    /// 0 safe, 1 keyed, 2 unsafe.
     effect: u8,
-    /// 0 all endpoints, 1 a zone's, 2 one.
+    /// Deduplication scope: 0 all endpoints, 1 one zone, 2 one endpoint.
     group: u8,
     window: Micros,
     ordered: bool,
@@ -79,7 +79,7 @@
         let effect = match rules.effect {
             0 => Effect::Safe,
             1 => Effect::Keyed,
-            // What a later version may write is taken for what allows least.
+            // Values that a later version may write are read as the most restrictive one.
             _ => Effect::Unsafe,
         };
         let group = match rules.group {
@@ -101,45 +101,45 @@
     }
 }
 
-/// An attempt: to which endpoint and when.
-pub type Try = (String, Micros);
+/// An attempt: the endpoint's name and the time.
+pub type Attempt = (String, Micros);
 
-/// What has become of a message.
+/// The progress of a message.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
     pub attempts: u32,
-    /// The attempt with no outcome yet.
-    pub out: Option<Try>,
+    /// The attempt that has no outcome yet.
+    pub in_flight: Option<Attempt>,
     /// The first attempt that may have run.
-    pub may_have_run: Option<Try>,
-    /// Its end, while the platform has not confirmed the notice.
+    pub may_have_run: Option<Attempt>,
+    /// The message's end, until the platform has confirmed the notice.
     pub end: Option<End>,
 }
 
 impl Progress {
-    /// The first attempt that may have run; one that is out may.
-    pub fn unknown(&self) -> Option<&Try> {
-        self.may_have_run.as_ref().or(self.out.as_ref())
+    /// Returns the first attempt that may have run, which includes the one in flight.
+    pub fn first_possible_run(&self) -> Option<&Attempt> {
+        self.may_have_run.as_ref().or(self.in_flight.as_ref())
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Ailment {
+struct EndpointCondition {
     bad_since: Option<Micros>,
     trouble: bool,
     warm_since: Option<Micros>,
 }
 
-/// A receiver as a whole: a destination by its number, or an endpoint by its name where routes are apart.
+/// A receiver: a destination by number, or one route of it by endpoint name where routes are separate.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Receiver {
     Destination(i64),
     Route(i64, String),
 }
 
-/// [`ReceiverHealth`] in a form that does not change with the module's types.
+/// [`ReceiverHealth`] encoded independently of the dispatcher's types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Condition {
+struct ReceiverCondition {
     bad_since: Option<Micros>,
     down: bool,
     warm_since: Option<Micros>,
@@ -148,7 +148,7 @@
     share: Option<u32>,
 }
 
-impl From<ReceiverHealth> for Condition {
+impl From<ReceiverHealth> for ReceiverCondition {
     fn from(health: ReceiverHealth) -> Self {
         let ReceiverHealth {
             failing_since: bad_since,
@@ -158,13 +158,13 @@
             budget_milli_per_s: budget,
             traffic_milli_per_s: share,
         } = health;
-        Condition { bad_since, down, warm_since, wait_until, budget, share }
+        ReceiverCondition { bad_since, down, warm_since, wait_until, budget, share }
     }
 }
 
-impl From<Condition> for ReceiverHealth {
-    fn from(condition: Condition) -> Self {
-        let Condition { bad_since, down, warm_since, wait_until, budget, share } = condition;
+impl From<ReceiverCondition> for ReceiverHealth {
+    fn from(condition: ReceiverCondition) -> Self {
+        let ReceiverCondition { bad_since, down, warm_since, wait_until, budget, share } = condition;
         ReceiverHealth {
             failing_since: bad_since,
             down,
@@ -179,31 +179,32 @@
 #[derive(Debug, Serialize, Deserialize)]
 enum Record {
     Message(u64, Accepted, Progress),
-    Started(Vec<u64>, Try),
-    Settled(u64, bool),
+    AttemptStarted(Vec<u64>, Attempt),
+    AttemptSettled(u64, bool),
     Ended(u64, End),
-    Noticed(Vec<u64>),
-    Health(String, Option<Ailment>),
-    Listed(String, Option<u64>),
-    /// Rules and their number, before the first message under them.
+    NoticesConfirmed(Vec<u64>),
+    EndpointHealth(String, Option<EndpointCondition>),
+    EndpointListed(String, Option<u64>),
+    /// Rules and their number; precedes the first message under them.
     Rules(u32, Rules),
-    /// As `Message`, under the rules of that number.
-    Held(u32, u64, Accepted, Progress),
-    Receiver(Receiver, Option<Condition>),
-    /// From here on receivers are kept: one that has no record was well.
-    ReceiversKept,
+    /// Like `Message`, with the number of its rules.
+    MessageUnderRules(u32, u64, Accepted, Progress),
+    ReceiverHealth(Receiver, Option<ReceiverCondition>),
+    /// From this record on receivers' health is recorded: a receiver without a record was healthy.
+    ReceiversRecorded,
 }
 
+/// A message in the journal.
 #[derive(Debug)]
 pub struct Entry {
     pub accepted: Accepted,
     pub progress: Progress,
-    /// The number of its rules; none in a journal from before there were any.
+    /// The number of its rules; None for a message from a journal version without rules records.
     rules: Option<u32>,
     size: u64,
 }
 
-/// The journal and the table of messages that it keeps.
+/// The journal file and the state that its records describe.
 #[derive(Debug)]
 pub struct Journal {
     path: PathBuf,
@@ -211,42 +212,44 @@
     len: u64,
     limit: u64,
     entries: BTreeMap<u64, Entry>,
-    health: BTreeMap<String, Ailment>,
-    receivers: BTreeMap<Receiver, Condition>,
-    /// A receiver without a record was well; a journal of an earlier version does not tell.
-    receivers_kept: bool,
-    /// Endpoints told to be draining or gone, with the version of the list that told it.
-    barred: BTreeMap<String, u64>,
-    /// Rules by number. Those without messages go when the journal is compacted.
+    health: BTreeMap<String, EndpointCondition>,
+    receivers: BTreeMap<Receiver, ReceiverCondition>,
+    /// Whether the journal records receivers' health; earlier versions did not. If so, one without a record was
+    /// healthy.
+    receivers_recorded: bool,
+    /// Endpoints listed as draining or gone, with the version of that listing.
+    not_ready: BTreeMap<String, u64>,
+    /// Rules by number. Compaction drops those without messages.
     rules: BTreeMap<u32, Rules>,
-    live: u64,
-    next: u64,
-    /// Another process writes to it.
+    live_bytes: u64,
+    next_number: u64,
+    /// Set while another process owns the journal: nothing is written.
     closed: bool,
 }
 
 fn encode(record: &Record) -> io::Result<Vec<u8>> {
-    let mut frame = postcard::to_extend(record, vec![0; HEADER]).map_err(io::Error::other)?;
-    let payload = &frame[HEADER..];
+    let mut frame = postcard::to_extend(record, vec![0; HEADER_BYTES]).map_err(io::Error::other)?;
+    let payload = &frame[HEADER_BYTES..];
     let (len, sum) = (payload.len() as u32, crc32fast::hash(payload));
     frame[..4].copy_from_slice(&len.to_le_bytes());
-    frame[4..HEADER].copy_from_slice(&sum.to_le_bytes());
+    frame[4..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
     Ok(frame)
 }
 
-/// The first record of `bytes` and its length, unless it is torn or damaged.
+/// Decodes the first record of `bytes` and returns it with its length; None if it is truncated or damaged.
 fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
     let word = |at: usize| bytes.get(at..at + 4)?.try_into().ok().map(u32::from_le_bytes);
     let (len, sum) = (word(0)? as usize, word(4)?);
-    let payload = bytes.get(HEADER..HEADER.checked_add(len)?)?;
-    if len > LONGEST || crc32fast::hash(payload) != sum {
+    let payload = bytes.get(HEADER_BYTES..HEADER_BYTES.checked_add(len)?)?;
+    if len > MAX_RECORD_BYTES || crc32fast::hash(payload) != sum {
         return None;
     }
-    Some((postcard::from_bytes(payload).ok()?, HEADER + len))
+    Some((postcard::from_bytes(payload).ok()?, HEADER_BYTES + len))
 }
 
 impl Journal {
-    /// Opens the journal in `folder` and replays it. A torn tail, as a killed process leaves, is cut off.
+    /// Opens the journal in `folder` and replays it. A truncated last record, as a killed process may leave, is cut
+    /// off.
     pub fn open(folder: &Path, limit: u64) -> io::Result<Journal> {
         let path = folder.join("journal");
         match fs::remove_file(path.with_extension("new")) {
@@ -256,7 +259,7 @@
         let mut file = OpenOptions::new().read(true).append(true).create(true).open(&path)?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)?;
-        let (len, live, next, closed) = (0, 0, 1, false);
+        let (len, live_bytes, next_number, closed) = (0, 0, 1, false);
         let mut journal = Journal {
             path,
             file,
@@ -265,11 +268,11 @@
             entries: BTreeMap::new(),
             health: BTreeMap::new(),
             receivers: BTreeMap::new(),
-            receivers_kept: false,
-            barred: BTreeMap::new(),
+            receivers_recorded: false,
+            not_ready: BTreeMap::new(),
             rules: BTreeMap::new(),
-            live,
-            next,
+            live_bytes,
+            next_number,
             closed,
         };
         let mut at = 0;
@@ -278,90 +281,98 @@
             journal.apply(record, size as u64);
         }
         if at < bytes.len() {
-            eprintln!("journal: cutting off {} bytes that are no whole record", bytes.len() - at);
+            eprintln!(
+                "journal: discarding {} bytes of an incomplete or damaged record at offset {at}",
+                bytes.len() - at
+            );
             journal.file.set_len(at as u64)?;
         }
         journal.len = at as u64;
         Ok(journal)
     }
 
+    /// Applies a record to the state in memory.
     fn apply(&mut self, record: Record, size: u64) {
         match record {
             Record::Message(id, accepted, progress) => self.insert(id, accepted, progress, None, size),
-            Record::Held(rules, id, accepted, progress) => {
+            Record::MessageUnderRules(rules, id, accepted, progress) => {
                 self.insert(id, accepted, progress, Some(rules), size);
             }
             Record::Rules(number, rules) => _ = self.rules.insert(number, rules),
-            Record::Started(ids, attempt) => {
+            Record::AttemptStarted(ids, attempt) => {
                 for id in ids {
                     let Some(p) = self.entries.get_mut(&id).map(|e| &mut e.progress) else { continue };
                     p.attempts += 1;
-                    p.out = Some(attempt.clone());
+                    p.in_flight = Some(attempt.clone());
                 }
             }
-            Record::Settled(id, may_have_run) => {
+            Record::AttemptSettled(id, may_have_run) => {
                 if let Some(p) = self.entries.get_mut(&id).map(|e| &mut e.progress) {
-                    let out = p.out.take().filter(|_| may_have_run);
-                    p.may_have_run = p.may_have_run.take().or(out);
+                    let in_flight = p.in_flight.take().filter(|_| may_have_run);
+                    p.may_have_run = p.may_have_run.take().or(in_flight);
                 }
             }
-            Record::Ended(id, End::Closed) => self.drop_entry(id),
+            Record::Ended(id, End::Closed) => self.remove_entry(id),
             Record::Ended(id, end) => {
                 if let Some(e) = self.entries.get_mut(&id) {
                     e.progress.end = Some(end);
                     let body = std::mem::take(&mut e.accepted.body).len() as u64;
                     e.size = e.size.saturating_sub(body);
-                    self.live = self.live.saturating_sub(body);
+                    self.live_bytes = self.live_bytes.saturating_sub(body);
                 }
             }
-            Record::Noticed(ids) => ids.into_iter().for_each(|id| self.drop_entry(id)),
-            Record::Health(name, Some(a)) => _ = self.health.insert(name, a),
-            Record::Health(name, None) => _ = self.health.remove(&name),
-            Record::Receiver(receiver, Some(c)) => _ = self.receivers.insert(receiver, c),
-            Record::Receiver(receiver, None) => _ = self.receivers.remove(&receiver),
-            Record::ReceiversKept => self.receivers_kept = true,
-            Record::Listed(name, Some(index)) => _ = self.barred.insert(name, index),
-            Record::Listed(name, None) => _ = self.barred.remove(&name),
+            Record::NoticesConfirmed(ids) => ids.into_iter().for_each(|id| self.remove_entry(id)),
+            Record::EndpointHealth(name, Some(a)) => _ = self.health.insert(name, a),
+            Record::EndpointHealth(name, None) => _ = self.health.remove(&name),
+            Record::ReceiverHealth(receiver, Some(c)) => _ = self.receivers.insert(receiver, c),
+            Record::ReceiverHealth(receiver, None) => _ = self.receivers.remove(&receiver),
+            Record::ReceiversRecorded => self.receivers_recorded = true,
+            Record::EndpointListed(name, Some(index)) => _ = self.not_ready.insert(name, index),
+            Record::EndpointListed(name, None) => _ = self.not_ready.remove(&name),
         }
     }
 
     fn insert(&mut self, id: u64, accepted: Accepted, progress: Progress, rules: Option<u32>, size: u64) {
-        self.next = self.next.max(id + 1);
-        self.drop_entry(id);
-        self.live += size;
+        self.next_number = self.next_number.max(id + 1);
+        self.remove_entry(id);
+        self.live_bytes += size;
         self.entries.insert(id, Entry { accepted, progress, rules, size });
     }
 
-    fn drop_entry(&mut self, id: u64) {
+    fn remove_entry(&mut self, id: u64) {
         if let Some(e) = self.entries.remove(&id) {
-            self.live = self.live.saturating_sub(e.size);
+            self.live_bytes = self.live_bytes.saturating_sub(e.size);
         }
     }
 
-    /// What a compacted journal would take: tries and ailments are small, so a flat allowance will do.
-    fn compacted(&self) -> u64 {
-        let names = self.health.len() + self.barred.len() + self.receivers.len() + 1;
-        self.live + 160 * self.entries.len() as u64 + 96 * (names + self.rules.len()) as u64
+    /// Estimates the compacted journal's size, with a flat allowance for attempts and health records, which are small.
+    fn compacted_len(&self) -> u64 {
+        let names = self.health.len() + self.not_ready.len() + self.receivers.len() + 1;
+        self.live_bytes + 160 * self.entries.len() as u64 + 96 * (names + self.rules.len()) as u64
     }
 
-    /// Guards the disk limit: old and new file together stay under it, whenever the journal is compacted.
+    /// Appends a record if the old and the new file together stay below the size limit at any later compaction.
     fn append(&mut self, record: Record, reserve: u64) -> io::Result<()> {
         let frame = encode(&record)?;
         self.make_room(frame.len() as u64, reserve)?;
         self.write(frame, record)
     }
 
-    /// Compacts the journal where that is due or needed.
+    /// Compacts the journal if that is due or needed, and fails if `size` more bytes do not fit.
     fn make_room(&mut self, size: u64, reserve: u64) -> io::Result<()> {
         if self.closed {
-            return Err(io::Error::other("another process has the journal"));
+            return Err(io::Error::other("another process owns the journal"));
         }
-        let fits = |j: &Journal| j.len + j.compacted() + 2 * size + 2048 <= j.limit - reserve;
-        if self.len > COMPACT_FROM.min(self.limit / 4) && self.len > 2 * self.compacted() || !fits(self) {
+        let fits = |j: &Journal| j.len + j.compacted_len() + 2 * size + 2048 <= j.limit - reserve;
+        if self.len > MIN_COMPACT_BYTES.min(self.limit / 4) && self.len > 2 * self.compacted_len()
+            || !fits(self)
+        {
             self.compact()?;
         }
         if !fits(self) {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal is full"));
+            let text =
+                format!("the journal is full: {} bytes, limits.disk_mb allows {}", self.len, self.limit);
+            return Err(io::Error::new(io::ErrorKind::StorageFull, text));
         }
         Ok(())
     }
@@ -369,7 +380,7 @@
     fn write(&mut self, frame: Vec<u8>, record: Record) -> io::Result<()> {
         let size = frame.len() as u64;
         if let Err(e) = self.file.write_all(&frame) {
-            // A record written in part would hide all that follow it.
+            // A partly written record would make all records after it unreadable.
             self.file.set_len(self.len)?;
             return Err(e);
         }
@@ -378,13 +389,13 @@
         Ok(())
     }
 
-    /// Writes what still matters to a new file and puts it in the old one's place.
+    /// Writes the current state to a new file and renames it over the old one.
     fn compact(&mut self) -> io::Result<()> {
-        if self.len + self.compacted() > self.limit {
+        if self.len + self.compacted_len() > self.limit {
             return Ok(());
         }
         let path = self.path.with_extension("new");
-        let mut bytes = Vec::with_capacity(self.compacted() as usize);
+        let mut bytes = Vec::with_capacity(self.compacted_len() as usize);
         let used: BTreeSet<u32> = self.entries.values().filter_map(|e| e.rules).collect();
         for (number, rules) in self.rules.iter().filter(|(number, _)| used.contains(number)) {
             bytes.extend_from_slice(&encode(&Record::Rules(*number, rules.clone()))?);
@@ -392,22 +403,22 @@
         for (id, e) in &self.entries {
             let (accepted, progress) = (e.accepted.clone(), e.progress.clone());
             let frame = encode(&match e.rules {
-                Some(rules) => Record::Held(rules, *id, accepted, progress),
+                Some(rules) => Record::MessageUnderRules(rules, *id, accepted, progress),
                 None => Record::Message(*id, accepted, progress),
             })?;
             bytes.extend_from_slice(&frame);
         }
-        for (name, ailment) in &self.health {
-            bytes.extend_from_slice(&encode(&Record::Health(name.clone(), Some(*ailment)))?);
+        for (name, condition) in &self.health {
+            bytes.extend_from_slice(&encode(&Record::EndpointHealth(name.clone(), Some(*condition)))?);
         }
         for (receiver, condition) in &self.receivers {
-            bytes.extend_from_slice(&encode(&Record::Receiver(receiver.clone(), Some(*condition)))?);
+            bytes.extend_from_slice(&encode(&Record::ReceiverHealth(receiver.clone(), Some(*condition)))?);
         }
-        if self.receivers_kept {
-            bytes.extend_from_slice(&encode(&Record::ReceiversKept)?);
+        if self.receivers_recorded {
+            bytes.extend_from_slice(&encode(&Record::ReceiversRecorded)?);
         }
-        for (name, index) in &self.barred {
-            bytes.extend_from_slice(&encode(&Record::Listed(name.clone(), Some(*index)))?);
+        for (name, index) in &self.not_ready {
+            bytes.extend_from_slice(&encode(&Record::EndpointListed(name.clone(), Some(*index)))?);
         }
         if self.len + bytes.len() as u64 > self.limit {
             return Ok(());
@@ -423,16 +434,16 @@
         Ok(())
     }
 
-    /// Takes a message on under these rules. On an error nothing has been taken on.
+    /// Records a message accepted under these rules. After an error the message has not been accepted.
     pub fn accept(&mut self, id: u64, accepted: Accepted, class: &ClassSettings) -> io::Result<()> {
-        let reserve = (self.limit as f64 * RESERVE) as u64;
+        let reserve = (self.limit as f64 * OUTCOME_RESERVE) as u64;
         let rules = Rules::from(class);
         let known = self.rules.iter().find(|(_, r)| **r == rules).map(|(number, _)| *number);
         let number = known.unwrap_or_else(|| self.rules.keys().next_back().map_or(0, |last| last + 1));
-        let message = Record::Held(number, id, accepted, Progress::default());
+        let message = Record::MessageUnderRules(number, id, accepted, Progress::default());
         let frame = encode(&message)?;
-        // Room is made first: a compaction drops rules without messages.
-        self.make_room(frame.len() as u64 + RULES_MOST, reserve)?;
+        // Room is made before the rules are written, since a compaction drops rules without messages.
+        self.make_room(frame.len() as u64 + MAX_RULES_BYTES, reserve)?;
         if !self.rules.contains_key(&number) {
             let rules = Record::Rules(number, rules);
             self.write(encode(&rules)?, rules)?;
@@ -440,113 +451,117 @@
         self.write(frame, message)
     }
 
-    /// The rules under which a message was taken on.
+    /// Returns the rules under which a message was accepted.
     pub fn rules(&self, entry: &Entry) -> Option<ClassSettings> {
         self.rules.get(&entry.rules?).map(ClassSettings::from)
     }
 
-    /// A number that no message in the journal has, nor any that this process has been given.
-    pub fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next - 1
+    /// Returns a new message number.
+    pub fn allocate_number(&mut self) -> u64 {
+        self.next_number += 1;
+        self.next_number - 1
     }
 
-    /// Numbers below this have been given by the process before this one.
-    pub fn number_from(&mut self, next: u64) {
-        self.next = self.next.max(next);
+    /// Skips the numbers below `next`, which the predecessor has given.
+    pub fn reserve_numbers_below(&mut self, next: u64) {
+        self.next_number = self.next_number.max(next);
     }
 
-    /// The number that comes next.
+    /// Returns the number that the next message will get.
     pub fn next_number(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
-    /// While it is another process's, nothing is written.
-    pub fn close(&mut self, closed: bool) {
+    /// Closes or opens the journal for writing: closed while another process owns it.
+    pub fn set_closed(&mut self, closed: bool) {
         self.closed = closed;
     }
 
-    /// A call with these messages is about to be written.
-    pub fn started(&mut self, ids: Vec<u64>, endpoint: &str, at: Micros) -> io::Result<()> {
-        self.append(Record::Started(ids, (endpoint.to_string(), at)), 0)
+    /// Records an attempt for each message of a call, before the call's first byte is written.
+    pub fn record_attempts_started(&mut self, ids: Vec<u64>, endpoint: &str, at: Micros) -> io::Result<()> {
+        self.append(Record::AttemptStarted(ids, (endpoint.to_string(), at)), 0)
     }
 
-    /// The attempt that was out has ended.
-    pub fn settled(&mut self, id: u64, may_have_run: bool) -> io::Result<()> {
-        if self.entries.get(&id).is_none_or(|e| e.progress.out.is_none()) {
+    /// Records the end of the attempt in flight.
+    pub fn record_attempt_settled(&mut self, id: u64, may_have_run: bool) -> io::Result<()> {
+        if self.entries.get(&id).is_none_or(|e| e.progress.in_flight.is_none()) {
             return Ok(());
         }
-        self.append(Record::Settled(id, may_have_run), 0)
+        self.append(Record::AttemptSettled(id, may_have_run), 0)
     }
 
-    pub fn ended(&mut self, id: u64, end: End) -> io::Result<()> {
+    /// Records a message's end. [`End::Closed`] removes it; after any other end its notice is still to be confirmed.
+    pub fn record_message_ended(&mut self, id: u64, end: End) -> io::Result<()> {
         if self.entries.contains_key(&id) { self.append(Record::Ended(id, end), 0) } else { Ok(()) }
     }
 
-    /// The platform has confirmed these ends.
-    pub fn noticed(&mut self, ids: Vec<u64>) -> io::Result<()> {
-        self.append(Record::Noticed(ids), 0)
+    /// Records that the platform has confirmed the notices of these messages.
+    pub fn record_notices_confirmed(&mut self, ids: Vec<u64>) -> io::Result<()> {
+        self.append(Record::NoticesConfirmed(ids), 0)
     }
 
-    /// Keeps what has changed in the health of the endpoints.
-    pub fn keep_health(&mut self, now: &BTreeMap<String, EndpointHealth>) -> io::Result<()> {
-        let gone = self.health.keys().filter(|n| !now.contains_key(*n)).map(|n| (n.clone(), None));
-        let ailing = now.iter().map(|(name, h)| {
+    /// Records the changes in the endpoints' health.
+    pub fn record_endpoint_health(&mut self, now: &BTreeMap<String, EndpointHealth>) -> io::Result<()> {
+        let recovered = self.health.keys().filter(|n| !now.contains_key(*n)).map(|n| (n.clone(), None));
+        let unhealthy = now.iter().map(|(name, h)| {
             let (bad_since, trouble, warm_since) = (h.failing_since, h.unhealthy, h.warming_since);
-            (name.clone(), Some(Ailment { bad_since, trouble, warm_since }))
+            (name.clone(), Some(EndpointCondition { bad_since, trouble, warm_since }))
         });
-        let news: Vec<_> = gone.chain(ailing.filter(|(n, a)| self.health.get(n) != a.as_ref())).collect();
-        for (name, ailment) in news {
-            self.append(Record::Health(name, ailment), 0)?;
+        let changes: Vec<_> =
+            recovered.chain(unhealthy.filter(|(n, a)| self.health.get(n) != a.as_ref())).collect();
+        for (name, condition) in changes {
+            self.append(Record::EndpointHealth(name, condition), 0)?;
         }
         Ok(())
     }
 
-    /// Keeps what has changed in the health of receivers. From then on one without a record is known to be well.
-    pub fn keep_receivers(&mut self, now: &BTreeMap<Receiver, ReceiverHealth>) -> io::Result<()> {
-        let well = self.receivers.keys().filter(|r| !now.contains_key(*r)).map(|r| (r.clone(), None));
-        let ailing = now.iter().map(|(receiver, health)| (receiver.clone(), Some(Condition::from(*health))));
-        let changed = ailing.filter(|(receiver, c)| self.receivers.get(receiver) != c.as_ref());
-        let news: Vec<_> = well.chain(changed).collect();
-        for (receiver, condition) in news {
-            self.append(Record::Receiver(receiver, condition), 0)?;
+    /// Records the changes in the receivers' health. From then on a receiver without a record is known to be healthy.
+    pub fn record_receiver_health(&mut self, now: &BTreeMap<Receiver, ReceiverHealth>) -> io::Result<()> {
+        let recovered = self.receivers.keys().filter(|r| !now.contains_key(*r)).map(|r| (r.clone(), None));
+        let unhealthy =
+            now.iter().map(|(receiver, health)| (receiver.clone(), Some(ReceiverCondition::from(*health))));
+        let changed = unhealthy.filter(|(receiver, c)| self.receivers.get(receiver) != c.as_ref());
+        let changes: Vec<_> = recovered.chain(changed).collect();
+        for (receiver, condition) in changes {
+            self.append(Record::ReceiverHealth(receiver, condition), 0)?;
         }
-        if !self.receivers_kept && !self.closed {
-            self.append(Record::ReceiversKept, 0)?;
+        if !self.receivers_recorded && !self.closed {
+            self.append(Record::ReceiversRecorded, 0)?;
         }
         Ok(())
     }
 
-    /// Keeps which endpoints are told to be draining or gone. A restarted sender is given a list that may be
-    /// older, and must not send to them although discovery says nothing.
-    pub fn keep_listed(&mut self, index: u64, lines: &[(String, bool)]) -> io::Result<()> {
-        let mut news: Vec<(String, Option<u64>)> = Vec::new();
+    /// Records which endpoints are listed as draining or gone. A restarted sender may be given an older list, and must
+    /// not send to them while discovery does not answer.
+    pub fn record_endpoints_listed(&mut self, index: u64, lines: &[(String, bool)]) -> io::Result<()> {
+        let mut changes: Vec<(String, Option<u64>)> = Vec::new();
         for (name, ready) in lines {
-            match self.barred.get(name) {
-                None if !ready => news.push((name.clone(), Some(index))),
-                Some(_) if *ready => news.push((name.clone(), None)),
+            match self.not_ready.get(name) {
+                None if !ready => changes.push((name.clone(), Some(index))),
+                Some(_) if *ready => changes.push((name.clone(), None)),
                 _ => {}
             }
         }
-        // Those that are long gone are in no list that this sender may be given.
-        let surplus = self.barred.len().saturating_sub(BARRED_MOST);
-        let mut by_age: Vec<(u64, String)> = self.barred.iter().map(|(n, i)| (*i, n.clone())).collect();
+        // The oldest entries are dropped: endpoints gone for long are in no list that this sender may be given.
+        let surplus = self.not_ready.len().saturating_sub(MAX_NOT_READY);
+        let mut by_age: Vec<(u64, String)> = self.not_ready.iter().map(|(n, i)| (*i, n.clone())).collect();
         by_age.sort();
-        news.extend(by_age.into_iter().take(surplus).map(|(_, name)| (name, None)));
-        for (name, index) in news {
-            self.append(Record::Listed(name, index), 0)?;
+        changes.extend(by_age.into_iter().take(surplus).map(|(_, name)| (name, None)));
+        for (name, index) in changes {
+            self.append(Record::EndpointListed(name, index), 0)?;
         }
         Ok(())
     }
 
-    /// Whether the endpoint was told to be draining or gone by a later list than this one.
-    pub fn barred_since(&self, name: &str, index: u64) -> bool {
-        self.barred.get(name).is_some_and(|told| *told > index)
+    /// Whether a later listing than `index` lists the endpoint as draining or gone.
+    pub fn not_ready_since(&self, name: &str, index: u64) -> bool {
+        self.not_ready.get(name).is_some_and(|version| *version > index)
     }
 
+    /// Returns the endpoints' recorded health, by name.
     pub fn health(&self) -> impl Iterator<Item = (&str, EndpointHealth)> {
         self.health.iter().map(|(name, a)| {
-            let Ailment { bad_since, trouble, warm_since } = *a;
+            let EndpointCondition { bad_since, trouble, warm_since } = *a;
             (
                 name.as_str(),
                 EndpointHealth { failing_since: bad_since, unhealthy: trouble, warming_since: warm_since },
@@ -554,20 +569,22 @@
         })
     }
 
-    /// What is known of receivers as a whole.
+    /// Returns the receivers' recorded health.
     pub fn receivers(&self) -> impl Iterator<Item = (&Receiver, ReceiverHealth)> {
         self.receivers.iter().map(|(receiver, condition)| (receiver, ReceiverHealth::from(*condition)))
     }
 
-    /// Whether a receiver without a record was well. A journal of an earlier version does not tell.
-    pub fn keeps_receivers(&self) -> bool {
-        self.receivers_kept
+    /// Whether receivers' health is recorded, so that one without a record was healthy. Earlier versions did not.
+    pub fn has_receiver_records(&self) -> bool {
+        self.receivers_recorded
     }
 
+    /// Returns a message's entry.
     pub fn get(&self, id: u64) -> Option<&Entry> {
         self.entries.get(&id)
     }
 
+    /// Returns all entries, by number.
     pub fn entries(&self) -> impl Iterator<Item = (u64, &Entry)> {
         self.entries.iter().map(|(id, e)| (*id, e))
     }
@@ -596,39 +613,39 @@
     }
 
     #[test]
-    fn what_is_known_of_receivers_outlasts_the_process_and_a_compaction() {
+    fn receiver_health_survives_a_restart_and_a_compaction() {
         let folder = tempfile::tempdir().unwrap();
         let refused =
             ReceiverHealth { budget_milli_per_s: Some(96), wait_until: Some(7), ..ReceiverHealth::default() };
         let down = ReceiverHealth { failing_since: Some(3), down: true, ..ReceiverHealth::default() };
         let route = Receiver::Route(2, "r2-1".into());
-        let ailing = BTreeMap::from([(Receiver::Destination(1), refused), (route.clone(), down)]);
+        let unhealthy = BTreeMap::from([(Receiver::Destination(1), refused), (route.clone(), down)]);
         let mut journal = reopen(folder.path());
-        journal.keep_receivers(&ailing).unwrap();
-        let kept =
+        journal.record_receiver_health(&unhealthy).unwrap();
+        let recorded =
             |journal: &Journal| journal.receivers().map(|(r, h)| (r.clone(), h)).collect::<BTreeMap<_, _>>();
-        assert_eq!(kept(&reopen(folder.path())), ailing);
+        assert_eq!(recorded(&reopen(folder.path())), unhealthy);
         journal.compact().unwrap();
         let mut journal = reopen(folder.path());
-        assert_eq!(kept(&journal), ailing);
-        assert!(journal.keeps_receivers());
+        assert_eq!(recorded(&journal), unhealthy);
+        assert!(journal.has_receiver_records());
         let length = journal.len;
-        journal.keep_receivers(&ailing).unwrap();
+        journal.record_receiver_health(&unhealthy).unwrap();
         assert_eq!(journal.len, length, "nothing changed, so nothing is written");
-        journal.keep_receivers(&BTreeMap::from([(route.clone(), down)])).unwrap();
-        assert_eq!(kept(&reopen(folder.path())), BTreeMap::from([(route, down)]));
+        journal.record_receiver_health(&BTreeMap::from([(route.clone(), down)])).unwrap();
+        assert_eq!(recorded(&reopen(folder.path())), BTreeMap::from([(route, down)]));
     }
 
     #[test]
-    fn a_journal_of_an_earlier_version_does_not_tell_how_receivers_were() {
+    fn a_journal_of_an_earlier_version_has_no_receiver_health() {
         let folder = tempfile::tempdir().unwrap();
         let mut journal = reopen(folder.path());
         journal.accept(1, accepted(5), &ClassSettings::default()).unwrap();
         drop(journal);
         let mut journal = reopen(folder.path());
-        assert!(!journal.keeps_receivers() && journal.entries().count() == 1);
-        journal.keep_receivers(&BTreeMap::new()).unwrap();
+        assert!(!journal.has_receiver_records() && journal.entries().count() == 1);
+        journal.record_receiver_health(&BTreeMap::new()).unwrap();
         let journal = reopen(folder.path());
-        assert!(journal.keeps_receivers() && journal.entries().count() == 1);
+        assert!(journal.has_receiver_records() && journal.entries().count() == 1);
     }
 }
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -1,35 +1,35 @@
 //! # embershore
 //!
-//! The sender and its command line. [`daemon::run`] is the sender as the platform starts it; [`cli`] reads the
-//! arguments of everything else that the one binary does.
+//! The sender and its command line. [`daemon::run`] runs the sender as the platform starts it; [`cli`] parses the
+//! arguments and runs the other subcommands of the binary.
 
 #![warn(missing_docs)]
 #![deny(unsafe_code)]
 
-mod asking;
 mod calls;
 mod check;
+mod class_table;
 pub mod cli;
 mod clients;
 mod clock;
 mod connection;
-#[cfg(test)]
-mod crossings;
 pub mod daemon;
 mod discovery;
 mod driver;
-mod figures;
-mod fleet;
+mod endpoint_table;
 mod handover;
-mod inherited;
+mod inherited_socket;
 mod input;
+#[cfg(test)]
+mod interleavings;
 mod journal;
 mod list_limit;
 mod matrix;
+mod metrics;
 mod mgmt;
 mod notices;
 mod placement;
+mod poll_schedule;
 mod rehearse;
-mod retune;
-mod rows;
-mod standing;
+mod reload_check;
+mod status;
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -1,7 +1,7 @@
-//! Passes a message on to an owner: what `embershore_placement::Forwarding` decides, over kept connections.
+//! Forwards messages to other owners over reused connections, by the decisions of `embershore_placement::Forwarding`.
 
-use super::figures::{ForwardedCounters, count};
-use super::pool::{Place, Pool};
+use super::metrics::{ForwardedCounters, count};
+use super::pool::{Pool, Reservation};
 use super::{Forwarded, Placement, clock};
 use bytes::BytesMut;
 use embershore_placement::{ClientReply, ForwardOutcome, Forwarding, Step};
@@ -17,32 +17,32 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-/// A client waits 400 ms for its answer; what is left over is for the way there and back.
-const BUDGET: Micros = 300_000;
+/// Time for forwarding a message. The client waits 400 ms for its reply; the rest is for the client's network path.
+const FORWARD_BUDGET_US: Micros = 300_000;
 
-/// Passes messages on.
+/// Forwards messages to other owners.
 pub struct Forwarder {
     placement: Rc<Placement>,
     pool: Rc<Pool>,
 }
 
-/// How long one owner has.
-struct Patience {
-    /// The first byte is written by then.
+/// The deadlines of an attempt at one owner.
+struct Deadlines {
+    /// For writing the first byte.
     begin_by: Instant,
-    /// The answer has come by then.
+    /// For the reply.
     answer_by: Instant,
 }
 
 impl Forwarder {
-    /// Passes on by what `placement` knows.
+    /// Creates a forwarder with an empty connection pool.
     pub fn new(placement: Rc<Placement>) -> Rc<Self> {
         let pool = Pool::new(placement.options.max_owner_connections);
         Rc::new(Forwarder { placement, pool })
     }
 
-    /// Passes a message on that was read at `read_at`, and tells `reply` what became of it. When nobody waits for that any
-    /// more the connection is dropped, and an owner that has not taken the message on yet withdraws it.
+    /// Starts forwarding a message that was read at `read_at`, and sends the outcome to `reply`. If the receiver of
+    /// `reply` is dropped, the connection is closed, and an owner that has not accepted the message yet withdraws it.
     pub fn start(
         self: &Rc<Self>,
         put: Put,
@@ -51,7 +51,7 @@
         mut reply: oneshot::Sender<Reply>,
     ) {
         let forwarder = self.clone();
-        // Tasks are bounded by the messages that may be unanswered.
+        // The limit of unanswered messages bounds the number of tasks.
         tokio::task::spawn_local(async move {
             tokio::select! {
                 biased;
@@ -65,7 +65,7 @@
     }
 
     async fn forward(&self, put: &Put, to: Forwarded, read_at: Micros) -> ClientReply {
-        let mut forwarding = Forwarding::new(to.effect, to.candidates, read_at, BUDGET);
+        let mut forwarding = Forwarding::new(to.effect, to.candidates, read_at, FORWARD_BUDGET_US);
         let mut step = forwarding.start(clock::now());
         loop {
             match step {
@@ -73,7 +73,7 @@
                 Step::Send { to, write_timeout, answer_timeout } => {
                     let outcome = match self.placement.address_of(to) {
                         Some(owner) => {
-                            self.send(owner, put, read_at, patience_from_now(write_timeout, answer_timeout))
+                            self.send(owner, put, read_at, deadlines_from_now(write_timeout, answer_timeout))
                                 .await
                         }
                         None => ForwardOutcome::NotSent,
@@ -93,27 +93,27 @@
         owner: SocketAddr,
         put: &Put,
         read_at: Micros,
-        patience: Patience,
+        deadlines: Deadlines,
     ) -> ForwardOutcome {
-        let begun = timeout_at(patience.begin_by, self.begin(owner, put, read_at)).await;
-        let Ok(Ok(mut exchange)) = begun else { return ForwardOutcome::NotSent };
-        let answered = timeout_at(patience.answer_by, exchange.finish()).await;
-        let Ok(Ok(reply)) = answered else { return ForwardOutcome::Unknown };
+        let started = timeout_at(deadlines.begin_by, self.begin(owner, put, read_at)).await;
+        let Ok(Ok(mut exchange)) = started else { return ForwardOutcome::NotSent };
+        let finished = timeout_at(deadlines.answer_by, exchange.finish()).await;
+        let Ok(Ok(reply)) = finished else { return ForwardOutcome::Unknown };
         exchange.keep();
         outcome_of(reply)
     }
 
-    /// Connects and writes the first bytes. Given up before it is done, it has written none.
+    /// Connects and writes the first bytes. If it is cancelled, nothing has been written.
     async fn begin(&self, owner: SocketAddr, put: &Put, read_at: Micros) -> io::Result<Exchange> {
-        let mut place = self.pool.place(owner).await;
-        let mut stream = place.connect().await?;
+        let mut reservation = self.pool.reserve(owner).await;
+        let mut stream = reservation.connect().await?;
         let passed = clock::now() - read_at;
         let command = encode_put(&Put { time_left: put.time_left - passed, ..put.clone() });
         let written = stream.write(&command).await?;
         if written == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
-        Ok(Exchange { place, stream, command, written, answer: BytesMut::new() })
+        Ok(Exchange { reservation, stream, command, written, answer: BytesMut::new() })
     }
 
     fn counters(&self) -> &ForwardedCounters {
@@ -132,7 +132,7 @@
 
 /// A message of which at least one byte has been written.
 struct Exchange {
-    place: Place,
+    reservation: Reservation,
     stream: TcpStream,
     command: Vec<u8>,
     written: usize,
@@ -140,7 +140,7 @@
 }
 
 impl Exchange {
-    /// Writes the rest, and reads the answer.
+    /// Writes the rest and reads the reply.
     async fn finish(&mut self) -> io::Result<Reply> {
         self.stream.write_all(&self.command[self.written..]).await?;
         while !self.answer.ends_with(b"\r\n") {
@@ -152,15 +152,15 @@
         decode_reply(line).ok_or_else(|| io::ErrorKind::InvalidData.into())
     }
 
-    /// Keeps the connection for the next message.
+    /// Returns the connection to the pool.
     fn keep(self) {
-        self.place.keep(self.stream);
+        self.reservation.put_back(self.stream);
     }
 }
 
-fn patience_from_now(begin_within: Micros, patience: Micros) -> Patience {
+fn deadlines_from_now(begin_within: Micros, patience: Micros) -> Deadlines {
     let now = Instant::now();
-    Patience { begin_by: now + span(begin_within), answer_by: now + span(patience) }
+    Deadlines { begin_by: now + span(begin_within), answer_by: now + span(patience) }
 }
 
 fn span(micros: Micros) -> Duration {
--- /dev/null
+++ b/crates/sender/src/placement/member_list.rs
@@ -0,0 +1,173 @@
+//! Follows the member list: polls a control agent at regular intervals. Each valid response renews the lease.
+
+use super::metrics::count;
+use super::{Placement, clock};
+use crate::connection::Connection;
+use crate::endpoint_table::EndpointTable;
+use crate::input::Input;
+use bytes::Bytes;
+use embershore_placement::{AgentAnswer, EpochUpdate, ListError, Ownership};
+use heronroute::Micros;
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::Request;
+use std::cell::RefCell;
+use std::error::Error;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::{Instant, sleep_until, timeout};
+
+/// Limit of a response: a list with the largest number of seats and 250 bytes for each.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// Minimum of the response timeout; otherwise it is the poll interval.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval of removing endpoints of destinations that are no longer kept.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
+
+/// The client of the control agents, with the parts that it updates.
+pub struct MemberListFollower {
+    pub placement: Rc<Placement>,
+    pub endpoints: Rc<RefCell<EndpointTable>>,
+    pub inputs: mpsc::Sender<Input>,
+}
+
+impl MemberListFollower {
+    /// Follows the member list for ever.
+    pub async fn run(self) {
+        let every = micros(self.placement.options.poll_interval);
+        let mut agents = ControlAgents::new(&self.placement);
+        let mut drop_at = Instant::now() + CLEANUP_INTERVAL;
+        loop {
+            let next = Instant::now() + every;
+            agents.poll_in_turn(&self.placement).await;
+            self.placement.save_for_restart();
+            if Instant::now() >= drop_at {
+                self.drop_endpoints().await;
+                drop_at = Instant::now() + CLEANUP_INTERVAL;
+            }
+            sleep_until(next).await;
+        }
+    }
+
+    /// Removes endpoints of destinations that are no longer kept.
+    async fn drop_endpoints(&self) {
+        // The channel's slot is reserved first: the table must not be ahead of the driver.
+        let Ok(slot) = self.inputs.reserve().await else { return };
+        let retain = |dest| self.placement.retains(dest);
+        let entries = self.endpoints.borrow_mut().retain_destinations(retain);
+        if !entries.is_empty() {
+            let index = self.placement.endpoint_list.last_version();
+            slot.send(Input::EndpointsListed { index, full: false, entries });
+        }
+    }
+}
+
+/// The control agents, polled in turn.
+struct ControlAgents {
+    addresses: Vec<SocketAddr>,
+    /// Index of the agent that answered last.
+    current: usize,
+    /// Whether to request the complete list next, since the last changes were for another epoch.
+    full: bool,
+    response_timeout: Duration,
+    /// The last failure that was logged; a repeated one is logged once.
+    last_logged: Option<String>,
+}
+
+impl ControlAgents {
+    fn new(placement: &Placement) -> Self {
+        let response_timeout = micros(placement.options.poll_interval).max(MIN_RESPONSE_TIMEOUT);
+        let addresses = placement.options.control_agents.clone();
+        ControlAgents { addresses, current: 0, full: false, response_timeout, last_logged: None }
+    }
+
+    /// Polls the agent that answered last, then the others until one gives a valid response.
+    async fn poll_in_turn(&mut self, placement: &Placement) {
+        for _ in 0..self.addresses.len() {
+            match self.poll(placement).await {
+                Ok(update) => return self.log_success(&update),
+                Err(e) => self.log_failure(&*e),
+            }
+            self.current = (self.current + 1) % self.addresses.len();
+        }
+    }
+
+    async fn poll(&mut self, placement: &Placement) -> Result<EpochUpdate, Box<dyn Error>> {
+        let known = placement.epoch().filter(|_| !self.full);
+        let polled_at = clock::now();
+        let fetch = fetch(self.addresses[self.current], known.unwrap_or(0));
+        let text = timeout(self.response_timeout, fetch).await.map_err(|_| "no response in time")??;
+        let update = apply_answer(placement, polled_at, text).await.inspect_err(|_| {
+            count(&placement.counters.lists_refused);
+        });
+        self.full = matches!(update, Err(ListError::SinceMismatch { .. }));
+        Ok(update?)
+    }
+
+    fn log_success(&mut self, update: &EpochUpdate) {
+        if self.last_logged.take().is_some() {
+            eprintln!("placement: a control agent answers again, epoch {}", update.epoch);
+        }
+        if update.changed {
+            let (gained, lost) = (update.gained.len(), update.lost.len());
+            eprintln!("placement: epoch {} is in force, {gained} shards gained, {lost} lost", update.epoch);
+        }
+    }
+
+    fn log_failure(&mut self, error: &dyn Error) {
+        let line = format!("placement: control agent {}: {error}", self.addresses[self.current]);
+        if self.last_logged.as_ref() != Some(&line) {
+            eprintln!("{line}; the member list in force stays");
+            self.last_logged = Some(line);
+        }
+    }
+}
+
+/// Requests the changes since an epoch from one agent; since 0, the complete list.
+async fn fetch(agent: SocketAddr, since: u64) -> Result<Bytes, Box<dyn Error>> {
+    let mut connection = Connection::open(agent).await?;
+    let request = Request::get(format!("/v1/members?since={since}"))
+        .header("host", agent.to_string())
+        .header("connection", "close")
+        .body(Full::new(Bytes::new()))?;
+    let response = connection.send(request).await?;
+    if response.status() != 200 {
+        return Err(format!("response status {}, expected 200", response.status()).into());
+    }
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect();
+    let body = connection.drive(body).await.map_err(|e| -> Box<dyn Error> { e })?;
+    Ok(body.to_bytes())
+}
+
+/// Applies a response. A new table is built on another thread than the sender's, since it takes the time of many
+/// rounds. Until it is complete the current table and its lease stay in force.
+async fn apply_answer(
+    placement: &Placement,
+    polled_at: Micros,
+    text: Bytes,
+) -> Result<EpochUpdate, ListError> {
+    placement.reading.set(true);
+    let before = placement.ownership.borrow().clone();
+    let read = tokio::task::spawn_blocking(move || process_answer(before, polled_at, &text)).await;
+    placement.reading.set(false);
+    let (after, update) =
+        read.unwrap_or_else(|e| Err(ListError::Malformed { reason: format!("processing it failed: {e}") }))?;
+    placement.put_in_force(after, &update);
+    Ok(update)
+}
+
+/// Parses a response and returns the view that results from it, with what changed.
+fn process_answer(
+    mut ownership: Ownership,
+    polled_at: Micros,
+    text: &[u8],
+) -> Result<(Ownership, EpochUpdate), ListError> {
+    let answer = AgentAnswer::parse_json(text)?;
+    let update = ownership.apply_answer(polled_at, clock::now(), answer)?;
+    Ok((ownership, update))
+}
+
+fn micros(span: Micros) -> Duration {
+    Duration::from_micros(u64::try_from(span).unwrap_or(0))
+}
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -1,18 +1,18 @@
-//! Placement in the daemon: this sender owns some destinations, and passes on what is for others'. Off without the
-//! section `[placement]` of the operator's options; then nothing of this module exists.
+//! Placement in the daemon: this sender owns some destinations, and forwards messages for those of other owners. Off
+//! without the section `[placement]` of the operator's options; then no object of this module is created.
 //!
-//! [`Placement`] is what the daemon's parts share: whose a message is, what is kept of the list of endpoints, and the
-//! figures. `follow` keeps it up to date, `forward` passes messages on. The decisions are `embershore_placement`'s.
+//! The daemon's parts share a [`Placement`]: it decides who owns a message, which endpoints are kept, and holds the
+//! metrics. `member_list` keeps it up to date, `forward` forwards messages. The rules are in `embershore_placement`.
 
 pub mod clock;
 mod endpoint_list;
-pub mod figures;
-pub mod follow;
 pub mod forward;
-mod held;
-mod memory;
+pub mod member_list;
+pub mod metrics;
+mod pending;
 mod pool;
 pub mod reader;
+mod saved_state;
 
 use embershore_placement::options::PlacementOptions;
 use embershore_placement::{
@@ -21,183 +21,185 @@
 };
 use embershore_protocol::listing::Listing;
 use embershore_protocol::resp::Put;
-use endpoint_list::EndpointList;
-use figures::{Counters, PlacementFigures};
-use held::HeldMessages;
+use endpoint_list::ListRereads;
 use heronroute::{ClassSettings, Effect, Micros, MsgId, Settings};
-use memory::Memory;
+use metrics::{Counters, PlacementMetrics};
+use pending::PendingMessages;
+use saved_state::SavedState;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A message's time is told in whole milliseconds, and may be over its class's by one.
+/// Clients send a message's time in whole milliseconds, which may exceed the class's deadline by one.
 const DEADLINE_ROUNDING: Micros = 1_000;
-/// A client is told to come again after this at most, however long a destination is on hold: other owners may have it.
-const HOLD_WAIT_MOST_MS: u64 = 1_000;
+/// Longest retry time sent to a client, however long a destination is on hold: another owner may accept the message.
+const MAX_HOLD_WAIT_MS: u64 = 1_000;
 
-/// What the routing of a message depends on in its class.
+/// The properties of a class on which the routing of its messages depends.
 #[derive(Clone, Copy, Debug)]
 struct ClassRule {
     effect: Effect,
     ordered: bool,
 }
 
-/// Where a client's message goes.
+/// The route of a client's message.
 #[derive(Debug)]
-pub enum Destination {
+pub enum Routing {
     /// To this sender's own driver, which may refuse it.
-    Here,
+    Local,
     /// To one of these owners, the preferred one first.
     Forward(Forwarded),
-    /// Nobody is known to own it.
-    Nowhere,
+    /// No owner is known; the client is to retry.
+    Unowned,
 }
 
-/// A message that others own.
+/// The owners of a message that this sender does not own.
 #[derive(Debug)]
 pub struct Forwarded {
     /// The owners, the preferred one first.
     pub candidates: Vec<SeatId>,
-    /// Its class's effect.
+    /// The effect of the message's class.
     pub effect: Effect,
 }
 
-/// What the daemon's parts share while placement is on.
+/// The state of placement, shared by the daemon's parts.
 pub struct Placement {
     pub options: PlacementOptions,
     ownership: RefCell<Ownership>,
-    /// Classes by name. One that a new configuration drops keeps its rule: clients hear of it later.
+    /// Classes by name. One that a reload drops stays: clients may be notified of the new configuration later.
     classes: RefCell<HashMap<String, ClassRule>>,
-    held: RefCell<HeldMessages>,
-    pub endpoint_list: EndpointList,
+    pending: RefCell<PendingMessages>,
+    pub endpoint_list: ListRereads,
     pub counters: Counters,
-    memory: Memory,
+    saved: SavedState,
     owned_shards: Cell<usize>,
-    /// An answer of a control agent has come and is being read.
+    /// Whether a control agent's response is being processed.
     reading: Cell<bool>,
-    /// Owners among which the module shares a destination's limit.
+    /// Number of owners among which the dispatcher shares a destination's limit.
     sharers: Cell<u32>,
 }
 
 impl Placement {
-    /// A sender that has heard nothing yet.
+    /// Creates the state of a sender without a member list.
     pub fn new(options: PlacementOptions, class_names: &[String], settings: &Settings, state: &Path) -> Self {
-        let memory = Memory::open(state);
+        let saved = SavedState::open(state);
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         let delivered_within = longest_deadline + DEADLINE_ROUNDING + settings.order_settle;
         let ownership = Ownership::new(&*options.name, options.lease, delivered_within)
             .with_agent_lag(options.agent_lag)
-            .with_persisted(memory.get());
+            .with_persisted(saved.get());
         let placement = Placement {
             options,
             ownership: RefCell::new(ownership),
             classes: RefCell::default(),
-            held: RefCell::default(),
-            endpoint_list: EndpointList::default(),
+            pending: RefCell::default(),
+            endpoint_list: ListRereads::default(),
             counters: Counters::default(),
-            memory,
+            saved,
             owned_shards: Cell::new(0),
             reading: Cell::new(false),
             sharers: Cell::new(MAX_REPLICAS as u32),
         };
-        placement.take_classes(class_names.iter().zip(&settings.classes));
+        placement.update_classes(class_names.iter().zip(&settings.classes));
         placement
     }
 
-    /// Takes over the classes of a configuration.
-    pub fn take_classes<'a>(&self, classes: impl Iterator<Item = (&'a String, &'a ClassSettings)>) {
+    /// Adds or updates the classes of a configuration.
+    pub fn update_classes<'a>(&self, classes: impl Iterator<Item = (&'a String, &'a ClassSettings)>) {
         let rule = |class: &ClassSettings| ClassRule { effect: class.effect, ordered: class.ordered };
         self.classes.borrow_mut().extend(classes.map(|(name, class)| (name.clone(), rule(class))));
     }
 
-    /// Settles among how many owners the module shares a destination's limit: the most replicas that may still be acted upon,
-    /// by the list in force or else by the last run, or that a list can name. It holds until the process ends.
-    pub fn settle_sharers(&self) -> u32 {
-        let known = self.ownership.borrow().persisted_state(clock::now()).or_else(|| self.memory.get());
-        let replicas = known.map_or(MAX_REPLICAS, |remembered| remembered.replicas);
+    /// Fixes the number of owners among which the dispatcher shares a destination's limit, until the process ends: the
+    /// largest number of replicas that may still be in effect, by the list in force, or else by the last run, or else
+    /// the largest number that a list can have.
+    pub fn fix_sharers(&self) -> u32 {
+        let known = self.ownership.borrow().persisted_state(clock::now()).or_else(|| self.saved.get());
+        let replicas = known.map_or(MAX_REPLICAS, |state| state.replicas);
         let sharers = u32::try_from(replicas).unwrap_or(u32::MAX).max(1);
         self.sharers.set(sharers);
         sharers
     }
 
-    /// The epoch in force.
+    /// Returns the epoch in force.
     pub fn epoch(&self) -> Option<u64> {
         self.ownership.borrow().epoch()
     }
 
-    /// Whether an answer of a control agent has come and is being read.
+    /// Whether a control agent's response is being processed.
     pub fn is_reading(&self) -> bool {
         self.reading.get()
     }
 
-    /// Puts a view in force that was made of the one in force.
-    fn put_in_force(&self, ownership: Ownership, heard: &EpochUpdate) {
-        // Before anything is done under the new list.
-        self.write_down(&ownership);
+    /// Puts a new view in force, which was derived from the current one.
+    fn put_in_force(&self, ownership: Ownership, update: &EpochUpdate) {
+        // Saved before anything is done under the new list.
+        self.save(&ownership);
         let before = self.ownership.replace(ownership);
-        self.owned_shards.set(self.owned_shards.get() + heard.gained.len() - heard.lost.len());
-        self.endpoint_list.forget(&heard.lost);
-        if !heard.gained.is_empty() || wide_of(&before) != wide_of(&self.ownership.borrow()) {
-            self.endpoint_list.want(heard.gained.iter().copied());
+        self.owned_shards.set(self.owned_shards.get() + update.gained.len() - update.lost.len());
+        self.endpoint_list.drop_shards(&update.lost);
+        if !update.gained.is_empty() || wide_of(&before) != wide_of(&self.ownership.borrow()) {
+            self.endpoint_list.request(update.gained.iter().copied());
         }
     }
 
-    /// Writes down what the next start has to know.
-    fn remember(&self) {
-        self.write_down(&self.ownership.borrow());
+    /// Saves the state for the next start.
+    fn save_for_restart(&self) {
+        self.save(&self.ownership.borrow());
     }
 
-    fn write_down(&self, ownership: &Ownership) {
-        let Some(remembered) = ownership.persisted_state(clock::now()) else { return };
-        if let Err(e) = self.memory.keep(remembered) {
+    fn save(&self, ownership: &Ownership) {
+        let Some(state) = ownership.persisted_state(clock::now()) else { return };
+        if let Err(e) = self.saved.save(state) {
             eprintln!(
-                "placement: the state folder can't be written: {e}; after a restart this sender waits as a new owner"
+                "placement: writing placement.json to the state folder failed: {e}; after a restart this sender waits \
+                 as a new owner"
             );
         }
     }
 
-    /// Where a client's message goes. One of an unknown class stays here: this sender says so itself.
-    pub fn route(&self, put: &Put) -> Destination {
-        let Some(rule) = self.rule_of(put) else { return Destination::Here };
+    /// Returns the route of a client's message. One of an unknown class stays here, and the driver rejects it.
+    pub fn route(&self, put: &Put) -> Routing {
+        let Some(rule) = self.rule_of(put) else { return Routing::Local };
         let route = self.ownership.borrow().route(clock::now(), &request_of(put, rule));
         match route {
-            Route::Local => Destination::Here,
-            Route::Forward(candidates) => Destination::Forward(Forwarded { candidates, effect: rule.effect }),
-            Route::Unknown => Destination::Nowhere,
+            Route::Local => Routing::Local,
+            Route::Forward(candidates) => Routing::Forward(Forwarded { candidates, effect: rule.effect }),
+            Route::Unknown => Routing::Unowned,
         }
     }
 
-    /// Why this sender's driver must not take a message on now: after how many milliseconds to come again.
-    pub fn refuses(&self, put: &Put) -> Option<u64> {
+    /// Returns the retry time in milliseconds if this sender must not accept the message now: it does not own the
+    /// destination, its lease has expired, the destination is on hold, or its endpoints are not known yet.
+    pub fn retry_after_ms(&self, put: &Put) -> Option<u64> {
         let rule = self.rule_of(put)?;
         let (ownership, now) = (self.ownership.borrow(), clock::now());
         match ownership.admission(now, &request_of(put, rule)) {
             Admission::Accepted
-                if self.shares_enough(&ownership) && self.endpoints_known(&ownership, put.dest) =>
+                if self.limit_shares_suffice(&ownership) && self.endpoints_known(&ownership, put.dest) =>
             {
                 None
             }
             Admission::OnHold(until) => {
                 let left_ms = u64::try_from((until - now) / 1000).unwrap_or(0);
-                Some(left_ms.clamp(DEFAULT_WAIT_MS, HOLD_WAIT_MOST_MS))
+                Some(left_ms.clamp(DEFAULT_WAIT_MS, MAX_HOLD_WAIT_MS))
             }
             Admission::Accepted | Admission::NotOwner | Admission::LeaseExpired => Some(DEFAULT_WAIT_MS),
         }
     }
 
-    /// Whether a destination that is not in the list of endpoints may only not have been read yet.
+    /// Whether an unknown destination may be one whose part of the endpoint list has not been read yet.
     pub fn awaits_endpoints(&self) -> bool {
-        self.endpoint_list.is_wanted()
+        self.endpoint_list.is_requested()
     }
 
-    /// Whether this sender keeps the destination from the list of endpoints.
-    pub fn keeps(&self, dest: i64) -> bool {
-        self.ownership.borrow().needs_destination(dest) || self.held.borrow().contains(dest)
+    /// Whether this sender keeps the destination's endpoints.
+    pub fn retains(&self, dest: i64) -> bool {
+        self.ownership.borrow().needs_destination(dest) || self.pending.borrow().contains(dest)
     }
 
-    /// Told limits of wide destinations are shared by more owners than the module reckons with: it is told this sender's part
-    /// of them.
+    /// Scales the advertised limits of wide destinations, which more owners share than the dispatcher assumes.
     pub fn scale_limits(&self, listing: &mut Listing) {
         let (ownership, now) = (self.ownership.borrow(), clock::now());
         for line in &mut listing.endpoints {
@@ -207,43 +209,43 @@
         }
     }
 
-    /// A message is held from now on; its destination is kept.
-    pub fn hold(&self, id: MsgId, dest: i64) {
-        self.held.borrow_mut().insert(id, dest);
+    /// Notes an open message, whose destination is retained until it ends.
+    pub fn add_pending(&self, id: MsgId, dest: i64) {
+        self.pending.borrow_mut().insert(id, dest);
     }
 
-    /// It is held no more.
-    pub fn release(&self, id: MsgId) {
-        self.held.borrow_mut().remove(id);
+    /// Notes the end of a message.
+    pub fn remove_pending(&self, id: MsgId) {
+        self.pending.borrow_mut().remove(id);
     }
 
-    /// Asks for the list of endpoints where messages are held whose destinations it was not kept for.
-    pub fn want_held_destinations(&self) {
+    /// Requests the complete endpoint list if there are open messages for destinations that were not kept from it.
+    pub fn request_pending_destinations(&self) {
         let ownership = self.ownership.borrow();
-        if self.held.borrow().destinations().any(|dest| !ownership.needs_destination(dest)) {
-            self.endpoint_list.want([]);
+        if self.pending.borrow().destinations().any(|dest| !ownership.needs_destination(dest)) {
+            self.endpoint_list.request([]);
         }
     }
 
-    /// Where a member takes forwarded messages.
+    /// Returns the address at which a member accepts forwarded messages.
     fn address_of(&self, seat: SeatId) -> Option<SocketAddr> {
         let ownership = self.ownership.borrow();
         Some(ownership.list()?.member(seat)?.address())
     }
 
-    /// What is told at the operators' door.
-    pub fn figures(&self) -> PlacementFigures {
+    /// Returns the metrics of placement.
+    pub fn metrics(&self) -> PlacementMetrics {
         let (ownership, now) = (self.ownership.borrow(), clock::now());
         let left_ms =
             |until: Option<Micros>| until.map_or(0, |until| u64::try_from((until - now) / 1000).unwrap_or(0));
-        PlacementFigures {
+        PlacementMetrics {
             epoch: ownership.epoch(),
             lease_left_ms: left_ms(ownership.lease().expires_at()),
             owned_shards: self.owned_shards.get(),
             unread_shards: self.endpoint_list.unread(),
             on_hold_ms: left_ms(ownership.holds_end(now)),
             lists_refused: self.counters.lists_refused.get(),
-            forwarded: self.counters.forwarded.tell(),
+            forwarded: self.counters.forwarded.snapshot(),
             taken_for_others: self.counters.taken_for_others.get(),
         }
     }
@@ -252,9 +254,9 @@
         self.classes.borrow().get(&put.class).copied()
     }
 
-    /// Whether the module shares limits among as many owners as there are: a list with more replicas than at this process's
-    /// start needs a restart.
-    fn shares_enough(&self, ownership: &Ownership) -> bool {
+    /// Whether the dispatcher shares limits among at least as many owners as the list has replicas. A list with more
+    /// replicas than at this process's start needs a restart.
+    fn limit_shares_suffice(&self, ownership: &Ownership) -> bool {
         ownership.list().is_some_and(|list| list.replicas() <= self.sharers.get() as usize)
     }
 
--- /dev/null
+++ b/crates/sender/src/placement/saved_state.rs
@@ -0,0 +1,47 @@
+//! The member list's state that is saved in the state folder. With it a restarted owner does not have to wait like a
+//! new one, and does not take a larger share of a limit than its last run had.
+
+use embershore_placement::PersistedPlacement;
+use std::cell::RefCell;
+use std::io;
+use std::path::{Path, PathBuf};
+
+const FILE: &str = "placement.json";
+const NEXT_FILE: &str = "placement.json.next";
+
+/// The file and its content.
+#[derive(Debug)]
+pub struct SavedState {
+    folder: PathBuf,
+    written: RefCell<Option<PersistedPlacement>>,
+}
+
+impl SavedState {
+    /// Reads the file of an earlier run. A file that can't be read counts as missing: the sender then waits as a new
+    /// owner.
+    pub fn open(folder: &Path) -> SavedState {
+        let read = std::fs::read(folder.join(FILE)).ok();
+        let state = read.and_then(|text| serde_json::from_slice(&text).ok());
+        SavedState { folder: folder.into(), written: RefCell::new(state) }
+    }
+
+    /// Returns the state that an earlier run left or this one has written.
+    pub fn get(&self) -> Option<PersistedPlacement> {
+        self.written.borrow().clone()
+    }
+
+    /// Writes the state, unless it is unchanged.
+    ///
+    /// # Errors
+    /// The folder can't be written; the file then keeps its old content.
+    pub fn save(&self, state: PersistedPlacement) -> io::Result<()> {
+        if self.written.borrow().as_ref() == Some(&state) {
+            return Ok(());
+        }
+        let next = self.folder.join(NEXT_FILE);
+        std::fs::write(&next, serde_json::to_vec(&state)?)?;
+        std::fs::rename(next, self.folder.join(FILE))?;
+        self.written.replace(Some(state));
+        Ok(())
+    }
+}
