--- a/src/logic.rs
+++ b/src/logic.rs
@@ -49,7 +49,7 @@
 /// The same, with few senders, for an endpoint that answers with errors: it may answer part of the calls
 /// well. Many senders would all still send at half pace when it returns.
 const MAX_ERROR_SHARE: f64 = 0.7;
-/// Share of calls that failed and may have run, above which unsafe messages keep off an endpoint.
+/// Share of calls that failed and may have run, above which an endpoint gets no unsafe messages.
 const MAX_AMBIGUOUS_SHARE: f64 = 0.2;
 /// Time constant of that share's decay while no call updates it.
 const AMBIGUOUS_MEMORY_US: f64 = 8e6;
@@ -113,7 +113,7 @@
 const BURST_S: f64 = 0.4;
 /// Pause after a refusal that asked for no wait.
 const REFUSAL_PAUSE_US: Micros = 250_000;
-/// For so long after a refused connection no connection to that kind is kept idle.
+/// Time after a refused connection during which no connection to that kind is kept idle.
 const CONNECTIONS_SCARCE_US: Micros = 20_000_000;
 /// A connection that is busy for this share of the time is kept nevertheless ...
 const MIN_KEPT_UTILIZATION: f64 = 0.3;
@@ -131,7 +131,7 @@
 const NEW_ENDPOINT_SURCHARGE: f64 = 1.0;
 /// Calls within the idle time of connections that justify a further connection.
 const MIN_CALLS_PER_CONNECTION: f64 = 2.0;
-/// For so long a refusal is a sign that a limit is short.
+/// Time during which a refusal counts as a sign that a limit is short.
 pub(crate) const REFUSAL_MEMORY_US: Micros = 20_000_000;
 /// Once messages are late, rank goes by the worth that is lost within this wait ...
 const LATE_HORIZON_US: f64 = 1.5e6;
@@ -1099,7 +1099,7 @@
         }
     }
 
-    /// Returns the slots in a share of all, at least one.
+    /// Returns the number of slots in a share of all, at least one.
     fn slots_in(&self, share: f64) -> u32 {
         ((self.settings.slots as f64 * share) as u32).max(1)
     }
@@ -1293,8 +1293,8 @@
         class.worth * share
     }
 
-    /// Returns what a destination would send next. If there is nothing, it is not looked at again until that
-    /// can have changed.
+    /// Returns what a destination would send next. If there is nothing, the destination is not ready again
+    /// until that may have changed.
     fn choose(&mut self, dest: DestId) -> Option<Choice> {
         self.refresh(dest);
         let (candidates, mut recheck) = self.candidates(dest);
@@ -1408,9 +1408,9 @@
     }
 
     /// Sends one call with this message and, where the kind batches, with other pending messages that may
-    /// share it. Beyond the usual timeout a call lasts no longer than the least time left of its messages: an
-    /// answer after one has ended may hold for none of them, and holds for none if that one comes first. So
-    /// the message with the most time left comes first.
+    /// share it. The call lasts for the usual timeout or the shortest time left of its messages, whichever is
+    /// longer. An answer that arrives after one of the messages has ended may be valid for none of them, and
+    /// is valid for none if that message comes first; so the message with the most time left comes first.
     fn send(&mut self, choice: Choice, out: &mut Vec<Action>) {
         let (now, Choice { id, endpoint: endpoint_id, excludes_unsafe, .. }) = (self.now, choice);
         let endpoint = &self.endpoints[&endpoint_id];
@@ -1511,9 +1511,9 @@
     fn ambiguous_share(&self, now: Micros) -> f64 {
         self.ambiguous_share * (-((now - self.ambiguous_share_at) as f64) / AMBIGUOUS_MEMORY_US).exp()
     }
-    /// Returns until when unsafe messages keep off. Guards against losing unsafe messages one by one: an
-    /// endpoint that fails part of its calls answers the others, and looks healthy after each success.
-    /// Repeatable messages test it in the meantime.
+    /// Returns until when the endpoint gets no unsafe messages. Guards against losing unsafe messages one by
+    /// one: an endpoint that fails part of its calls answers the others, and looks healthy after each
+    /// success. Repeatable messages test it in the meantime.
     fn no_unsafe_until(&self) -> Micros {
         let decay_us = (self.ambiguous_share / MAX_AMBIGUOUS_SHARE).max(1.0).ln() * AMBIGUOUS_MEMORY_US;
         if decay_us > 0.0 { self.ambiguous_share_at + decay_us as Micros + 1 } else { Micros::MIN }
