--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// A watch without a complete listing for this long is dead, even if single bytes arrive: discovery sends a listing
+/// A watch on which nothing complete arrives for this long is dead, even if single bytes do: discovery sends something
 /// every 2 s. A change that a silent watch misses must be heeded 6 s after the silence began. The limit leaves time for
 /// a poll that hangs and a further one that is answered.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -192,7 +192,7 @@
     body: Incoming,
     listings: ListReader,
     limit: ListLimit,
-    /// When the last complete listing arrived, or progress that counts as such.
+    /// When the stream last was between two listings: nothing incomplete was pending.
     last_progress: Instant,
 }
 
