--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,16 +1,17 @@
-//! Measures the slopes behind `docs/CAPACITY.md`: real daemon processes where they fit on one machine, hollow senders (the
-//! real deciding code with its real messages, without clients and endpoints) where they do not.
+//! Measures the slopes behind `docs/CAPACITY.md` (how costs grow with size): with real daemon processes where they fit on
+//! one machine, otherwise with hollow, that is simulated, senders, which run the real decision code and its messages without
+//! clients and endpoints.
 //!
-//! Each subcommand prints its inputs, its figures with their spread and how each stands to its budget, and fails with the
-//! budget's name when a figure crosses it.
+//! Each subcommand prints its inputs and its metrics with their spread and budget, and fails with the name of every budget
+//! that a metric exceeds.
 
 #![forbid(unsafe_code)]
 
 mod budget;
-mod hollow_fleet;
-mod hollow_module;
 mod process;
 mod report;
+mod simulated_fleet;
+mod simulated_module;
 mod skew;
 mod slopes;
 mod spread;
@@ -28,19 +29,19 @@
 #[derive(Parser)]
 #[command(name = "embershore-scale", version)]
 struct Arguments {
-    /// Sizes that take seconds in all, as CI runs them.
+    /// Use small sizes that take a few seconds in all, as CI does.
     #[arg(long, global = true)]
     small: bool,
-    /// One JSON object a slope in place of text.
+    /// Print one JSON object per slope instead of text.
     #[arg(long, global = true)]
     json: bool,
-    /// The daemon's binary; the release build of this workspace unless told otherwise.
+    /// Path of the daemon's binary [default: the release build of this workspace].
     #[arg(long, global = true)]
     binary: Option<PathBuf>,
-    /// Another limit for a budget, as NAME=LIMIT in the budget's unit (bytes, seconds, cores or a ratio).
+    /// Override a budget's limit, in the budget's unit (bytes, seconds, cores or a ratio).
     #[arg(long, global = true, value_name = "NAME=LIMIT")]
     budget: Vec<String>,
-    /// Seed of everything random.
+    /// Seed of all random numbers.
     #[arg(long, global = true, default_value_t = 1)]
     seed: u64,
     #[command(subcommand)]
@@ -49,27 +50,27 @@
 
 #[derive(Clone, Copy, Subcommand)]
 enum Slope {
-    /// Memory and time to ready of a real daemon by the length of its list.
+    /// Memory and time to readiness of a real daemon by the length of its list.
     ListMemory,
-    /// Processor time of a real daemon for each message by the length of its list.
+    /// Processor time per message of a real daemon by the length of its list.
     MessageCpu,
-    /// Idle rounds of the decision module by the length of its list.
+    /// Processor time of the decision module's idle rounds by the length of its list.
     ModuleRound,
-    /// Memory, journal and restart of a real daemon by the messages held.
+    /// Memory, journal size and restart time of a real daemon by the number of queued messages.
     Held,
     /// Datagrams and bytes of the membership gossip by the number of members.
     Membership,
-    /// The placement's table: times, size, evenness, movement.
+    /// Times, size, evenness and movement of the placement table.
     Placement,
-    /// 15,000 hollow senders: what each owns, its load, and what it is told of changes.
+    /// Owned destinations, load and control traffic of each of 15,000 hollow (simulated) senders.
     Fleet,
-    /// Reading the whole list as a stream.
+    /// Time and memory to read the full list as a stream.
     ListStream,
-    /// A hollow result against real processes.
+    /// Cost of a message in a hollow (simulated) sender against real processes.
     HollowCheck,
-    /// What hollow senders own against what real processes keep.
+    /// Destinations owned by hollow (simulated) senders against those kept by real processes.
     OwnersCheck,
-    /// Each of them in turn.
+    /// All slopes in turn.
     All,
 }
 
@@ -99,7 +100,7 @@
             Slope::ListStream => slopes::list_stream::run(setup),
             Slope::HollowCheck => slopes::hollow_check::run(setup),
             Slope::OwnersCheck => slopes::owners_check::run(setup),
-            Slope::All => anyhow::bail!("'all' is no slope of its own"),
+            Slope::All => anyhow::bail!("'all' is not a single slope"),
         }
     }
 }
@@ -117,7 +118,7 @@
     Ok(())
 }
 
-/// Measures what was asked for; whether every figure is within its budget.
+/// Measures and prints the chosen slopes. Reports whether every metric is within its budget.
 fn measure(arguments: &Arguments) -> Result<bool> {
     let setup = Setup {
         small: arguments.small,
@@ -131,8 +132,8 @@
     for slope in slopes {
         let report = slope.measure(&setup)?;
         print(&report, arguments.json).context("the report can't be written")?;
-        for (budget, figure) in report.crossed() {
-            eprintln!("budget {budget} crossed: {}: {figure}", report.slope);
+        for (budget, metric) in report.crossed() {
+            eprintln!("budget {budget} crossed: {}: {metric}", report.slope);
             within = false;
         }
     }
--- a/crates/scale/src/process/client.rs
+++ b/crates/scale/src/process/client.rs
@@ -1,4 +1,4 @@
-//! Clients that hand messages in over RESP2.
+//! Clients that put messages over RESP2, and a client of the management interface.
 
 use anyhow::{Context, Result};
 use bytes::BytesMut;
@@ -8,27 +8,27 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, MissedTickBehavior, timeout};
 
-/// An answer has come by then, or the measurement is void.
-const ANSWER_TIME: Duration = Duration::from_secs(5);
-/// The body of every message, as in the slopes measured before.
+/// Time limit for an answer; the measurement fails without one.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Body of every message; changing its length makes results incomparable with earlier ones.
 const BODY: [u8; 200] = [b'm'; 200];
-/// Messages that one connection has open at once; the daemon works on so many together.
+/// Unanswered messages per connection; the daemon processes this many at a time.
 pub const PIPELINE: usize = 64;
-/// Connections that share a paced load.
+/// Number of connections that share a paced load.
 const CONNECTIONS: usize = 8;
 
-/// How the messages of a load were answered.
+/// Numbers of messages by the daemon's reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Handed {
-    /// With `+OK`.
-    pub taken: u64,
-    /// With anything else.
+pub struct PutCounts {
+    /// Messages answered with `+OK`.
+    pub accepted: u64,
+    /// Messages answered with anything else.
     pub refused: u64,
 }
 
-impl Handed {
-    fn add(&mut self, other: Handed) {
-        self.taken += other.taken;
+impl PutCounts {
+    fn add(&mut self, other: PutCounts) {
+        self.accepted += other.accepted;
         self.refused += other.refused;
     }
 }
@@ -44,18 +44,18 @@
     /// Connects; the ids of its messages begin with `prefix`.
     ///
     /// # Errors
-    /// When nobody listens there.
+    /// Fails if nothing listens at the address.
     pub async fn connect(address: SocketAddr, prefix: impl Into<String>) -> Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(Client { stream: BufReader::new(stream), prefix: prefix.into(), next: 0 })
     }
 
-    /// Hands in one message for each destination, all at once, and reads all answers. `time_left` is in milliseconds.
+    /// Puts one message for each destination in a single write and reads all answers. `time_left` is in milliseconds.
     ///
     /// # Errors
-    /// When the connection ends or an answer does not come in time.
-    pub async fn put(&mut self, class: &str, time_left: u64, destinations: &[usize]) -> Result<Handed> {
+    /// Fails if the connection ends or an answer does not come in time.
+    pub async fn put(&mut self, class: &str, time_left: u64, destinations: &[usize]) -> Result<PutCounts> {
         let mut commands = BytesMut::new();
         for destination in destinations {
             self.next += 1;
@@ -66,17 +66,19 @@
         }
         self.stream.write_all(&commands).await?;
         self.stream.flush().await?;
-        let mut handed = Handed::default();
+        let mut counts = PutCounts::default();
         for _ in destinations {
             let mut line = String::new();
-            timeout(ANSWER_TIME, self.stream.read_line(&mut line)).await.context("no answer in time")??;
+            timeout(ANSWER_TIMEOUT, self.stream.read_line(&mut line))
+                .await
+                .with_context(|| format!("no answer to a message within {ANSWER_TIMEOUT:?}"))??;
             match line.as_str() {
-                "+OK\r\n" => handed.taken += 1,
-                "" => anyhow::bail!("the daemon ended a client's connection"),
-                _ => handed.refused += 1,
+                "+OK\r\n" => counts.accepted += 1,
+                "" => anyhow::bail!("the daemon closed a client's connection before answering all messages"),
+                _ => counts.refused += 1,
             }
         }
-        Ok(handed)
+        Ok(counts)
     }
 }
 
@@ -89,50 +91,50 @@
     }
 }
 
-/// Offers messages for `span` at `rate` a second over several connections, to the destinations `0..destinations` in turn.
+/// Offers `rate` messages per second for `span` over several connections, to the destinations `0..destinations` in turn.
 ///
 /// # Errors
-/// When a connection ends or an answer does not come in time.
+/// Fails if a connection ends or an answer does not come in time.
 pub async fn offer(
     address: SocketAddr,
     prefix: &str,
     rate: f64,
     span: Duration,
     destinations: usize,
-) -> Result<Handed> {
+) -> Result<PutCounts> {
     let mut tasks = tokio::task::JoinSet::new();
     let period = Duration::from_secs_f64(CONNECTIONS as f64 / rate);
     for connection in 0..CONNECTIONS {
         let mut client = Client::connect(address, format!("{prefix}-{connection}")).await?;
         let first = Instant::now() + period.mul_f64(connection as f64 / CONNECTIONS as f64);
         tasks.spawn(async move {
-            let (mut handed, mut ticks) = (Handed::default(), tokio::time::interval_at(first, period));
+            let (mut counts, mut ticks) = (PutCounts::default(), tokio::time::interval_at(first, period));
             ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
             let count = (span.as_secs_f64() / period.as_secs_f64()) as usize;
             for n in 0..count {
                 ticks.tick().await;
                 let destination = (n * CONNECTIONS + connection) % destinations;
-                handed.add(client.put("free", 20_000, &[destination]).await?);
+                counts.add(client.put("free", 20_000, &[destination]).await?);
             }
-            anyhow::Ok(handed)
+            anyhow::Ok(counts)
         });
     }
-    let mut handed = Handed::default();
+    let mut counts = PutCounts::default();
     while let Some(part) = tasks.join_next().await {
-        handed.add(part??);
+        counts.add(part??);
     }
-    Ok(handed)
+    Ok(counts)
 }
 
-/// Makes one call at the operators' door: its status and what it says, or nothing where nobody answers.
-pub async fn ask(door: SocketAddr, path: &str) -> Option<(u16, String)> {
+/// Requests a path of the management interface. Returns the status and body, or nothing without a valid answer in time.
+pub async fn get(management_address: SocketAddr, path: &str) -> Option<(u16, String)> {
     let call = async {
-        let mut stream = TcpStream::connect(door).await.ok()?;
+        let mut stream = TcpStream::connect(management_address).await.ok()?;
         stream.write_all(format!("GET {path} HTTP/1.1\r\nhost: door\r\n\r\n").as_bytes()).await.ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.ok()?;
         let status = answer.split(' ').nth(1)?.parse().ok()?;
         Some((status, answer.split_once("\r\n\r\n")?.1.to_string()))
     };
-    timeout(ANSWER_TIME, call).await.ok()?
+    timeout(ANSWER_TIMEOUT, call).await.ok()?
 }
--- a/crates/scale/src/process/control.rs
+++ b/crates/scale/src/process/control.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the control agent beside a sender: one member list, which never changes.
+//! A stand-in for a sender's control agent, with one member list that never changes.
 
 use super::http::request_line;
 use anyhow::Result;
@@ -10,38 +10,38 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// The stand-in; it serves until it is dropped.
+/// A running stand-in; it serves until it is dropped.
 pub struct ControlAgent {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     serving: JoinHandle<()>,
 }
 
-/// Its two answers.
+/// The two possible answers.
 struct Answers {
-    /// The question of a sender that has this list.
-    known: String,
+    /// Part of the request line of a sender that has the current list.
+    known_epoch: String,
     unchanged: Bytes,
-    whole: Bytes,
+    full_list: Bytes,
 }
 
 impl ControlAgent {
-    /// Serves this list.
+    /// Starts to serve this list.
     ///
     /// # Errors
-    /// When no port is free.
+    /// Fails if no port is free.
     pub async fn start(list: &MemberList) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let unchanged = Changes { epoch: list.epoch(), since: list.epoch(), changes: Vec::new() };
         let answers = std::sync::Arc::new(Answers {
-            known: format!("since={} ", list.epoch()),
+            known_epoch: format!("since={} ", list.epoch()),
             unchanged: unchanged.to_json().into(),
-            whole: list.to_json().into(),
+            full_list: list.to_json().into(),
         });
         let serving = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // Bounded by the senders that are started: each has one question open.
+                // Bounded by the number of started senders: each has one open request.
                 tokio::spawn(serve(stream, answers.clone()));
             }
         });
@@ -58,7 +58,7 @@
 async fn serve(stream: TcpStream, answers: std::sync::Arc<Answers>) -> io::Result<()> {
     let mut stream = BufReader::new(stream);
     while let Some(line) = request_line(&mut stream).await? {
-        let body = if line.contains(&answers.known) { &answers.unchanged } else { &answers.whole };
+        let body = if line.contains(&answers.known_epoch) { &answers.unchanged } else { &answers.full_list };
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
         stream.write_all(head.as_bytes()).await?;
         stream.write_all(body).await?;
--- a/crates/scale/src/process/daemon.rs
+++ b/crates/scale/src/process/daemon.rs
@@ -1,6 +1,6 @@
-//! One real `embershore` process.
+//! A real `embershore` process.
 
-use super::client::ask;
+use super::client::get;
 use super::usage;
 use anyhow::{Context, Result, bail};
 use serde_json::{Value, json};
@@ -12,45 +12,45 @@
 use tokio::net::TcpSocket;
 use tokio::process::{Child, Command};
 
-/// How often readiness is asked for while waiting for it.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
-/// A message's time in the class `kept`, in milliseconds: ten hours, so that none ends during a measurement.
-pub const KEPT_MS: u64 = 36_000_000;
+/// Interval at which readiness is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Time limit of messages of the class `kept`: ten hours, so that none expires during a measurement.
+pub const KEPT_CLASS_TTL_MS: u64 = 36_000_000;
 
-/// What of the configuration differs between measurements.
+/// The part of the configuration that differs between measurements.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Messages held at most.
+    /// Maximum number of open messages.
     pub max_open: u64,
-    /// Memory, in MB.
+    /// Memory limit, in MB.
     pub memory_mb: u64,
-    /// Journal, in MB.
+    /// Journal limit, in MB.
     pub disk_mb: u64,
-    /// Its place among other senders, if it has one.
-    pub member: Option<Membership>,
+    /// The section `[placement]`, for one sender among several.
+    pub placement: Option<PlacementOptions>,
 }
 
-/// A sender's place among others: the section `[placement]` of its options.
+/// The section `[placement]` of a sender's options.
 #[derive(Clone, Debug)]
-pub struct Membership {
-    /// Its name in the member list.
+pub struct PlacementOptions {
+    /// The sender's name in the member list.
     pub name: String,
-    /// Where it takes forwarded requests.
+    /// Address on which it accepts forwarded requests.
     pub listen: SocketAddr,
-    /// Who tells the member list.
+    /// Address of the control agent.
     pub control: SocketAddr,
 }
 
-impl Membership {
+impl PlacementOptions {
     fn to_toml(&self) -> String {
-        let Membership { name, listen, control } = self;
+        let PlacementOptions { name, listen, control } = self;
         format!("[placement]\nname = \"{name}\"\nlisten = \"{listen}\"\ncontrol = [\"{control}\"]\n")
     }
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Options { max_open: 10_000, memory_mb: 192, disk_mb: 64, member: None }
+        Options { max_open: 10_000, memory_mb: 192, disk_mb: 64, placement: None }
     }
 }
 
@@ -66,33 +66,33 @@
         "Limits": {"Cancel": true, "ConnectTimeoutUs": 1_500_000, "IdleCloseUs": 5_000_000, "MaxAttempts": 6,
                    "MaxOpen": options.max_open, "MaxRetryAfterUs": 2_000_000, "Probes": true,
                    "SecondCopies": false, "StreamsPerConn": 1},
-        "Profiles": [class("free", 20_000), class("kept", KEPT_MS)],
+        "Profiles": [class("free", 20_000), class("kept", KEPT_CLASS_TTL_MS)],
         "Rules": {"DrainGraceUs": 1_000_000, "FallMultiple": 2.0, "FallUs": 2_000_000, "ColdFrom": 0.2,
                   "WarmUpUs": 10_000_000},
         "Shapes": ["one"], "Weights": "nominal"
     })
 }
 
-/// A process and its folder. It is killed when this is dropped.
+/// A daemon process with its state directory. The process is killed when this is dropped.
 pub struct Daemon {
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     binary: PathBuf,
-    door: SocketAddr,
+    management_address: SocketAddr,
     folder: tempfile::TempDir,
     child: Child,
 }
 
-/// Addresses that were handed out.
-static ADDRESSES: AtomicU16 = AtomicU16::new(1);
+/// Number of the next free address.
+static NEXT_ADDRESS: AtomicU16 = AtomicU16::new(1);
 
-/// An address that nobody else is given: no other process listens on, or connects from, its IP address.
+/// Returns an address with an IP address that no other process listens on or connects from.
 ///
 /// # Errors
-/// When the system has no port there.
+/// Fails if no port is free there.
 pub fn free_address() -> Result<SocketAddr> {
     let [.., low] = std::process::id().to_be_bytes();
-    let [third, fourth] = ADDRESSES.fetch_add(1, Ordering::Relaxed).to_be_bytes();
+    let [third, fourth] = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed).to_be_bytes();
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(([127, low | 0x80, third, fourth], 0).into())?;
@@ -100,117 +100,128 @@
 }
 
 impl Daemon {
-    /// Starts one that follows discovery there.
+    /// Starts a daemon that polls this discovery address.
     ///
     /// # Errors
-    /// When its folder can't be written or the binary can't be started.
+    /// Fails if its directory can't be written or the binary can't be started.
     pub fn start(binary: &Path, discovery: SocketAddr, options: &Options) -> Result<Self> {
-        let (address, door) = (free_address()?, free_address()?);
+        let (address, management_address) = (free_address()?, free_address()?);
         let folder = tempfile::tempdir()?;
         std::fs::create_dir(folder.path().join("state"))?;
         let config = json!({
             "name": "n0", "listen": address.to_string(), "discovery": discovery.to_string(),
-            "mgmt": door.to_string(), "seed": "8c1f30d27a5be964",
+            "mgmt": management_address.to_string(), "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": options.memory_mb, "sockets": 1024, "disk_mb": options.disk_mb},
             "known": {"index": 0, "snapshot": true, "endpoints": []}, "settings": settings(options),
         });
         std::fs::write(folder.path().join("config.json"), config.to_string())?;
-        let section = options.member.as_ref().map(Membership::to_toml).unwrap_or_default();
+        let section = options.placement.as_ref().map(PlacementOptions::to_toml).unwrap_or_default();
         std::fs::write(folder.path().join("options.toml"), section)?;
         let child = spawn(binary, folder.path())?;
-        Ok(Daemon { address, binary: binary.into(), door, folder, child })
+        Ok(Daemon { address, binary: binary.into(), management_address, folder, child })
     }
 
     fn pid(&self) -> Result<u32> {
-        self.child.id().context("the daemon has ended")
+        self.child.id().context("the daemon has exited")
     }
 
-    /// Waits until it serves and has so many endpoints; how long that took.
+    /// Waits until the daemon is ready and has this many endpoints. Returns how long that took.
     ///
     /// # Errors
-    /// When it ends, or is not ready by then.
-    pub async fn ready(&mut self, endpoints: usize, patience: Duration) -> Result<Duration> {
-        let begun = Instant::now();
+    /// Fails if the daemon exits or is not ready within the time limit.
+    pub async fn wait_ready(&mut self, endpoints: usize, time_limit: Duration) -> Result<Duration> {
+        let started = Instant::now();
         loop {
-            if let Some((200, _)) = ask(self.door, "/_ready").await
+            if let Some((200, _)) = get(self.management_address, "/_ready").await
                 && self.variable("discovered").await == Some(endpoints as u64)
             {
-                return Ok(begun.elapsed());
+                return Ok(started.elapsed());
             }
             if let Some(status) = self.child.try_wait()? {
-                bail!("the daemon ended with {status}: {}", self.log());
+                bail!(
+                    "the daemon exited with {status} before it was ready; last log line: {}",
+                    self.last_log_line()
+                );
             }
-            if begun.elapsed() > patience {
-                bail!("the daemon was not ready after {patience:?}: {}", self.log());
+            if started.elapsed() > time_limit {
+                bail!(
+                    "the daemon was not ready with {endpoints} endpoints after {time_limit:?}; last log line: {}",
+                    self.last_log_line()
+                );
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until it has read the endpoints of all that it owns; how many these are.
+    /// Waits until the daemon has read the endpoints of all shards that it owns. Returns the number of endpoints.
     ///
     /// # Errors
-    /// When it has not by then.
-    pub async fn placed(&self, patience: Duration) -> Result<u64> {
-        let begun = Instant::now();
+    /// Fails if that does not happen within the time limit.
+    pub async fn wait_until_owned_read(&self, time_limit: Duration) -> Result<u64> {
+        let started = Instant::now();
         loop {
             let variables = self.variables().await.unwrap_or_default();
             let placement = &variables["placement"];
             let has_shards = placement["owned_shards"].as_u64().is_some_and(|count| count > 0);
             if has_shards && placement["unread_shards"] == 0 {
-                return variables["discovered"].as_u64().context("the door tells no 'discovered'");
+                return variables["discovered"]
+                    .as_u64()
+                    .context("the management interface does not report 'discovered'");
             }
-            if begun.elapsed() > patience {
-                bail!("the daemon had not read what it owns after {patience:?}: {}", self.log());
+            if started.elapsed() > time_limit {
+                bail!(
+                    "the daemon had not read the endpoints of its shards after {time_limit:?}; last log line: {}",
+                    self.last_log_line()
+                );
             }
-            tokio::time::sleep(LOOK_EVERY * 10).await;
+            tokio::time::sleep(POLL_INTERVAL * 10).await;
         }
     }
 
     async fn variables(&self) -> Option<Value> {
-        let (_, text) = ask(self.door, "/_vars").await?;
+        let (_, text) = get(self.management_address, "/_vars").await?;
         serde_json::from_str(&text).ok()
     }
 
-    /// A number that the operators' door tells.
+    /// Returns a number from `/_vars`.
     pub async fn variable(&self, name: &str) -> Option<u64> {
         self.variables().await?.get(name)?.as_u64()
     }
 
-    /// Resident memory, in bytes.
+    /// Returns the resident memory in bytes.
     ///
     /// # Errors
-    /// When the process has ended.
+    /// Fails if the process has exited.
     pub fn resident_bytes(&self) -> Result<f64> {
         usage::resident_bytes(self.pid()?)
     }
 
-    /// Processor time since its start, in seconds.
+    /// Returns the processor time since the start of the process, in seconds.
     ///
     /// # Errors
-    /// When the process has ended.
+    /// Fails if the process has exited.
     pub fn cpu_seconds(&self) -> Result<f64> {
         usage::cpu_seconds(self.pid()?)
     }
 
-    /// Bytes of its journal.
+    /// Returns the size of the journal in bytes.
     ///
     /// # Errors
-    /// When it has none.
+    /// Fails if there is no journal.
     pub fn journal_bytes(&self) -> Result<f64> {
         Ok(std::fs::metadata(self.folder.path().join("state/journal"))?.len() as f64)
     }
 
-    /// What it has logged last.
-    pub fn log(&self) -> String {
+    /// Returns the last line of the daemon's log.
+    pub fn last_log_line(&self) -> String {
         let text = std::fs::read_to_string(self.folder.path().join("log")).unwrap_or_default();
-        text.lines().last().unwrap_or("nothing in its log").to_string()
+        text.lines().last().unwrap_or("(the log is empty)").to_string()
     }
 
-    /// Kills it and starts it anew on the same folder.
+    /// Kills the process and starts a new one on the same directory.
     ///
     /// # Errors
-    /// When it can't be killed or started.
+    /// Fails if the process can't be killed or started.
     pub async fn restart(&mut self) -> Result<()> {
         self.child.kill().await?;
         self.child = spawn(&self.binary, self.folder.path())?;
@@ -229,5 +240,7 @@
         .stderr(log)
         .kill_on_drop(true)
         .spawn()
-        .with_context(|| format!("{} can't be started; give a built daemon by --binary", binary.display()))
+        .with_context(|| {
+            format!("{} can't be started; build the daemon or give its path by --binary", binary.display())
+        })
 }
--- a/crates/scale/src/process/directory.rs
+++ b/crates/scale/src/process/directory.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: discovery's list, which never changes, and the ear for notices.
+//! A stand-in for the platform: discovery with a list that never changes, and a receiver of notices.
 
 use super::http::request_line;
 use anyhow::Result;
@@ -10,23 +10,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// How often a watch says that it lives.
+/// Interval of the heartbeats of a watch.
 const HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// One endpoint for each of so many destinations, all at one address.
+/// A list of one endpoint for each destination, all at one address.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoints {
-    /// Destinations, numbered from 0.
+    /// Number of destinations; they are numbered from 0.
     pub count: usize,
-    /// Where their endpoints are.
+    /// Address of all endpoints.
     pub address: SocketAddr,
 }
 
 impl Endpoints {
-    /// The whole list as discovery tells it.
+    /// Returns the full list as discovery sends it.
     ///
     /// # Errors
-    /// None in practice: the list can always be written.
+    /// Never fails in practice: the list can always be encoded.
     pub fn to_json(self) -> Result<Vec<u8>> {
         let address = self.address.to_string();
         let line = |n: usize| {
@@ -38,27 +38,27 @@
     }
 }
 
-/// The stand-in; it serves until it is dropped.
+/// A running stand-in; it serves until it is dropped.
 pub struct Directory {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Bytes of its whole list.
+    /// Length of its list in bytes.
     pub list_bytes: usize,
     serving: JoinHandle<()>,
 }
 
 impl Directory {
-    /// Serves this list.
+    /// Starts to serve this list.
     ///
     /// # Errors
-    /// When no port is free.
+    /// Fails if no port is free.
     pub async fn start(list: Vec<u8>) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (address, list) = (listener.local_addr()?, Bytes::from(list));
         let list_bytes = list.len();
         let serving = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // Bounded by the daemon's own connections: its question, its watch and its notices.
+                // Bounded by the daemon's own connections: its poll, its watch and its notices.
                 tokio::spawn(serve(stream, list.clone()));
             }
         });
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// A watch in which nothing changes.
+/// Serves a watch without changes.
 async fn watch(mut stream: BufReader<TcpStream>) -> io::Result<()> {
     stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await?;
     chunk(&mut stream, "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n").await?;
--- a/crates/scale/src/process/http.rs
+++ b/crates/scale/src/process/http.rs
@@ -1,12 +1,12 @@
-//! The little of HTTP/1.1 that the stand-ins need.
+//! The part of HTTP/1.1 that the stand-ins need.
 
 use std::io;
 use tokio::io::{AsyncBufRead, AsyncBufReadExt, AsyncReadExt};
 
-/// Longest body that is read: a call of ten messages is far shorter.
-const BODY_MOST: usize = 1 << 20;
+/// Longest accepted body; a call of ten messages is far shorter.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Reads one request and its body; its first line, or nothing at the connection's end.
+/// Reads one request with its body. Returns its first line, or nothing at the end of the connection.
 pub async fn request_line(reader: &mut (impl AsyncBufRead + Unpin)) -> io::Result<Option<String>> {
     let mut first = String::new();
     if reader.read_line(&mut first).await? == 0 {
@@ -21,8 +21,10 @@
             length = value.trim().parse().unwrap_or(0);
         }
     }
-    if length > BODY_MOST {
-        return Err(io::Error::other("a body is too long for this stand-in"));
+    if length > MAX_BODY_BYTES {
+        return Err(io::Error::other(format!(
+            "request body of {length} bytes, at most {MAX_BODY_BYTES} are accepted"
+        )));
     }
     reader.read_exact(&mut vec![0; length]).await?;
     Ok(Some(first))
--- a/crates/scale/src/process/mod.rs
+++ b/crates/scale/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Real `embershore` processes between stand-ins on loopback: the directory, receivers and clients.
+//! Real `embershore` processes on loopback, with stand-ins for the directory, control agent, receivers and clients.
 
 mod client;
 mod control;
@@ -8,20 +8,20 @@
 mod receiver;
 mod usage;
 
-pub use client::{Client, Handed, PIPELINE, offer};
+pub use client::{Client, PIPELINE, PutCounts, offer};
 pub use control::ControlAgent;
-pub use daemon::{Daemon, KEPT_MS, Membership, Options, free_address};
+pub use daemon::{Daemon, KEPT_CLASS_TTL_MS, Options, PlacementOptions, free_address};
 pub use directory::{Directory, Endpoints};
-pub use receiver::{Receiver, Refusing};
+pub use receiver::{Receiver, RefusingAddress};
 pub use usage::resident_bytes;
 
 use anyhow::Result;
 use std::future::Future;
 
-/// Runs a measurement and its stand-ins on this thread.
+/// Runs a measurement with its stand-ins on the current thread.
 ///
 /// # Errors
-/// That of the measurement.
+/// Returns the error of the measurement.
 pub fn on_this_thread<T>(work: impl Future<Output = Result<T>>) -> Result<T> {
     tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(work)
 }
--- a/crates/scale/src/process/receiver.rs
+++ b/crates/scale/src/process/receiver.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for receivers: one that takes everything, and one that is down.
+//! Stand-ins for receivers: one that accepts every call, and one that refuses connections.
 
 use super::http::request_line;
 use anyhow::Result;
@@ -8,24 +8,24 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Answers each call with 200; it serves until it is dropped.
+/// A receiver that answers every call with 200; it serves until it is dropped.
 pub struct Receiver {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     serving: JoinHandle<()>,
 }
 
 impl Receiver {
-    /// Begins to listen.
+    /// Starts the receiver.
     ///
     /// # Errors
-    /// When no port is free.
+    /// Fails if no port is free.
     pub async fn start() -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let serving = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // Bounded by the daemon's own descriptors for endpoints.
+                // Bounded by the daemon's limit on sockets.
                 tokio::spawn(serve(stream));
             }
         });
@@ -49,21 +49,21 @@
     Ok(())
 }
 
-/// An address at which each connection is refused: bound, so that no one else is given it, and not listened on.
-pub struct Refusing {
-    /// The address.
+/// An address that refuses connections: it is bound, so that no other process gets it, and nothing listens on it.
+pub struct RefusingAddress {
+    /// The refusing address.
     pub address: SocketAddr,
     _socket: TcpSocket,
 }
 
-impl Refusing {
-    /// Takes an address.
+impl RefusingAddress {
+    /// Reserves an address.
     ///
     /// # Errors
-    /// When no port is free.
+    /// Fails if no port is free.
     pub fn new() -> Result<Self> {
         let socket = TcpSocket::new_v4()?;
         socket.bind(([127, 0, 0, 1], 0).into())?;
-        Ok(Refusing { address: socket.local_addr()?, _socket: socket })
+        Ok(RefusingAddress { address: socket.local_addr()?, _socket: socket })
     }
 }
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -1,4 +1,4 @@
-//! What a slope reports: its inputs, its figures with their spread, and how each stands to its budget.
+//! The report of a slope: its inputs, and its metrics with their spread and budget.
 
 use crate::budget::{Budget, Overrides};
 use crate::slopes::Setup;
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The unit of a figure.
+/// The unit of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unit {
     /// Bytes.
     Bytes,
-    /// Bytes a second.
+    /// Bytes per second.
     BytesPerSecond,
     /// Seconds.
     Seconds,
@@ -21,9 +21,9 @@
     Cores,
     /// A plain count.
     Count,
-    /// Events a second.
+    /// Events per second.
     PerSecond,
-    /// One quantity by another.
+    /// Quotient of two quantities of the same unit.
     Ratio,
 }
 
@@ -63,83 +63,85 @@
     }
 }
 
-/// How a figure stands to its budget.
+/// Whether a metric is within its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// Within it.
+    /// The median is at most the budget's limit.
     Within,
-    /// Over it: the command fails.
+    /// The median exceeds the limit: the command fails.
     Over,
 }
 
-/// One measured figure.
+/// One measured metric.
 #[derive(Clone, Debug, Serialize)]
-pub struct Figure {
+pub struct Metric {
     /// What was measured.
     pub name: String,
-    /// In which unit.
+    /// Unit of the values.
     pub unit: Unit,
-    /// Its spread over the repeated measurements.
+    /// Spread of the repeated measurements.
     pub spread: Spread,
-    /// What it may be at the most, judged by its median.
+    /// Upper bound of the median.
     pub budget: Option<Budget>,
-    /// How it stands to that.
+    /// Whether the median is within the budget.
     pub verdict: Option<Verdict>,
 }
 
-/// Everything that one slope has measured.
+/// All measurements of one slope.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The subcommand.
+    /// Name of the subcommand.
     pub slope: &'static str,
-    /// What the figures were measured with.
+    /// Parameters of the measurement.
     pub inputs: BTreeMap<&'static str, String>,
-    /// The figures.
-    pub figures: Vec<Figure>,
-    /// What a reader has to know beside the figures.
+    /// The measured metrics.
+    #[serde(rename = "figures")]
+    pub metrics: Vec<Metric>,
+    /// Notes that a reader of the metrics needs.
     pub remarks: Vec<String>,
     #[serde(skip)]
     overrides: Overrides,
-    /// Times may be so many times their budget.
+    /// Factor by which budgets of times are widened.
     #[serde(skip)]
     time_margin: f64,
 }
 
-/// At the small sizes the code is not optimised and the machine is busy with other tests: there a time only catches a fault.
+/// Factor for the small sizes: their code is not optimised and the machine is busy with other tests, so a time can only
+/// reveal a gross fault.
 const SMALL_TIME_MARGIN: f64 = 30.0;
 
 impl Report {
-    /// One without a figure yet.
+    /// Creates an empty report.
     pub fn new(slope: &'static str, setup: &Setup) -> Self {
         Report {
             slope,
             inputs: BTreeMap::new(),
-            figures: Vec::new(),
+            metrics: Vec::new(),
             remarks: Vec::new(),
             overrides: setup.overrides.clone(),
             time_margin: if setup.small { SMALL_TIME_MARGIN } else { 1.0 },
         }
     }
 
-    /// Notes an input.
+    /// Records a parameter of the measurement.
     pub fn input(&mut self, name: &'static str, value: impl fmt::Display) {
         self.inputs.insert(name, value.to_string());
     }
 
-    /// Adds a figure that has no budget.
-    pub fn figure(&mut self, name: impl Into<String>, unit: Unit, spread: Spread) {
-        self.figures.push(Figure { name: name.into(), unit, spread, budget: None, verdict: None });
+    /// Adds a metric without a budget.
+    pub fn metric(&mut self, name: impl Into<String>, unit: Unit, spread: Spread) {
+        self.metrics.push(Metric { name: name.into(), unit, spread, budget: None, verdict: None });
     }
 
-    /// Adds a figure whose median must be within the budget.
-    pub fn bounded(&mut self, name: impl Into<String>, unit: Unit, spread: Spread, budget: Budget) {
+    /// Adds a metric whose median must be within the budget.
+    pub fn bounded_metric(&mut self, name: impl Into<String>, unit: Unit, spread: Spread, budget: Budget) {
         let margin = if unit.is_time() { self.time_margin } else { 1.0 };
         let budget = self.overrides.applied(Budget { limit: budget.limit * margin, ..budget });
-        // A figure that is no number is no figure within its budget.
+        // A median that is not a number counts as over the budget.
         let within = spread.median <= budget.limit;
         let verdict = Some(if within { Verdict::Within } else { Verdict::Over });
-        self.figures.push(Figure { name: name.into(), unit, spread, budget: Some(budget), verdict });
+        self.metrics.push(Metric { name: name.into(), unit, spread, budget: Some(budget), verdict });
     }
 
     /// Adds a remark.
@@ -147,9 +149,9 @@
         self.remarks.push(text.into());
     }
 
-    /// The budgets that a figure crossed, with the figures' names.
+    /// Returns the name of each exceeded budget with the name of the metric.
     pub fn crossed(&self) -> impl Iterator<Item = (&'static str, &str)> {
-        let over = self.figures.iter().filter(|f| f.verdict == Some(Verdict::Over));
+        let over = self.metrics.iter().filter(|f| f.verdict == Some(Verdict::Over));
         over.filter_map(|f| Some((f.budget?.name, f.name.as_str())))
     }
 }
@@ -160,8 +162,8 @@
         for (name, value) in &self.inputs {
             writeln!(f, "   input  {name}: {value}")?;
         }
-        for figure in &self.figures {
-            writeln!(f, "   {figure}")?;
+        for metric in &self.metrics {
+            writeln!(f, "   {metric}")?;
         }
         for remark in &self.remarks {
             writeln!(f, "   remark {remark}")?;
@@ -170,7 +172,7 @@
     }
 }
 
-impl fmt::Display for Figure {
+impl fmt::Display for Metric {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let show = |value: f64| self.unit.show(value);
         let Spread { samples, min, median, p99, max } = self.spread;
--- a/crates/scale/src/hollow_fleet.rs
+++ b/crates/scale/src/simulated_fleet.rs
@@ -1,4 +1,4 @@
-//! Member lists of hollow fleets: the real lists and tables, for senders that are not there.
+//! Member lists of simulated fleets: real lists and tables for senders that are not running.
 
 use crate::target::{RACK, REPLICAS, ZONES_BY_REGION};
 use anyhow::Result;
@@ -6,22 +6,22 @@
 use embershore_placement::{Change, Changes, MemberList, SCHEME, SeatId, Table, shard};
 
 /// The port that every member's address has.
-const PORT: u16 = 7001;
+const MEMBER_PORT: u16 = 7001;
 
-/// Where the zones are: the region of each zone, and its number there.
+/// Returns the region of each zone and the zone's number in it.
 fn zones() -> Vec<(usize, u32)> {
     let zones = ZONES_BY_REGION.iter().enumerate();
     zones.flat_map(|(region, &count)| (0..count).map(move |zone| (region, zone))).collect()
 }
 
-/// The member that fills a seat, in its first life or a later one.
-pub fn member(seat: usize, life: usize) -> MemberForm {
+/// Returns the member that fills a seat in this incarnation, counted from 0.
+pub fn member(seat: usize, incarnation: usize) -> MemberForm {
     let [_, high, middle, low] = (seat as u32 + 1).to_be_bytes();
-    let address = format!("127.{}.{middle}.{low}:{PORT}", usize::from(high) + life);
-    MemberForm { name: format!("sender-{seat:05}-{life}"), address }
+    let address = format!("127.{}.{middle}.{low}:{MEMBER_PORT}", usize::from(high) + incarnation);
+    MemberForm { name: format!("sender-{seat:05}-{incarnation}"), address }
 }
 
-/// One seat of the fleet: zones in turn, racks filled one after another within each.
+/// Returns one seat of the fleet. Seats alternate between zones, and fill one rack after another within each.
 pub fn seat(number: usize) -> SeatForm {
     let zones = zones();
     let (region, zone) = zones[number % zones.len()];
@@ -35,7 +35,7 @@
     }
 }
 
-/// The whole fleet's list, every seat filled.
+/// Returns the member list of a fleet with every seat filled, in its wire form.
 pub fn list_form(senders: usize) -> ListForm {
     let region =
         |(number, zones): (usize, &u32)| RegionForm { name: format!("region-{number}"), share: *zones };
@@ -50,44 +50,44 @@
     }
 }
 
-/// The same, checked.
+/// Returns the validated member list of a fleet with every seat filled.
 ///
 /// # Errors
-/// When there are too few senders for each region to have all replicas.
+/// Fails if there are too few senders for each region to have all replicas.
 pub fn list(senders: usize) -> Result<MemberList> {
     Ok(MemberList::from_form(list_form(senders))?)
 }
 
-/// These seats' members are gone.
+/// Returns the changes that vacate these seats.
 pub fn vacated(list: &MemberList, seats: impl IntoIterator<Item = usize>) -> Changes {
     let change = |seat: usize| Change::Vacate { seat: SeatId(seat as u16) };
     following(list, seats.into_iter().map(change).collect())
 }
 
-/// These seats are filled, by members of that life.
-pub fn filled(list: &MemberList, seats: impl IntoIterator<Item = usize>, life: usize) -> Changes {
-    let change = |seat: usize| Change::Fill { seat: SeatId(seat as u16), member: member(seat, life) };
+/// Returns the changes that fill these seats with members of this incarnation.
+pub fn filled(list: &MemberList, seats: impl IntoIterator<Item = usize>, incarnation: usize) -> Changes {
+    let change = |seat: usize| Change::Fill { seat: SeatId(seat as u16), member: member(seat, incarnation) };
     following(list, seats.into_iter().map(change).collect())
 }
 
-/// Changes that lead to the next epoch.
+/// Returns these changes as those from the list's epoch to the next.
 pub fn following(list: &MemberList, changes: Vec<Change>) -> Changes {
     Changes { epoch: list.epoch() + 1, since: list.epoch(), changes }
 }
 
-/// The seats of the first rack.
+/// Returns the seats of the first rack.
 pub fn first_rack(senders: usize) -> Vec<usize> {
     let zones = zones().len();
     (0..senders).filter(|seat| seat % zones == 0 && seat / zones < RACK as usize).collect()
 }
 
-/// The seats of the first zone.
+/// Returns the seats of the first zone.
 pub fn first_zone(senders: usize) -> Vec<usize> {
     let zones = zones().len();
     (0..senders).filter(|seat| seat % zones == 0).collect()
 }
 
-/// What each hollow sender keeps of the list: by seat, the destinations that it owns, of those numbered from 0.
+/// Returns by seat the destinations that each simulated sender owns, of those numbered from 0.
 pub fn owned_destinations(table: &Table, seats: usize, destinations: u64) -> Vec<Vec<u32>> {
     let mut owned = vec![Vec::new(); seats];
     for destination in 0..destinations {
--- a/crates/scale/src/hollow_module.rs
+++ b/crates/scale/src/simulated_module.rs
@@ -1,4 +1,4 @@
-//! The decision module without a process around it: no sockets, no journal, simulated time.
+//! The decision module in simulated time, without a process, sockets or a journal.
 
 use crate::spread::thread_cpu_time;
 use anyhow::Result;
@@ -11,8 +11,8 @@
 /// Simulated time between two rounds, as in the daemon's settings.
 pub const QUANTUM: Micros = 5_000;
 /// Simulated time that a call takes.
-const CALL_TIME: Micros = 1_000;
-/// The time that a message may take; all are delivered long before.
+const CALL_DURATION: Micros = 1_000;
+/// Time until a message's deadline; all messages are delivered long before.
 const TIME_LEFT: Micros = 20_000_000;
 
 /// A module with one endpoint for each destination.
@@ -25,10 +25,10 @@
 }
 
 impl Module {
-    /// One that has been told of so many destinations.
+    /// Creates a module with a list of this many destinations.
     ///
     /// # Errors
-    /// When the module refuses its settings.
+    /// Fails if the module rejects its settings.
     pub fn new(destinations: usize, seed: u64) -> Result<Self> {
         let mut dispatcher = Dispatcher::new(0, seed, settings())?;
         let entries = (0..destinations).map(entry).collect();
@@ -36,41 +36,41 @@
         Ok(Module { dispatcher, now: 0, next_message: 0, events: Vec::new(), actions: Vec::new() })
     }
 
-    /// So many rounds in which nothing happens; the processor's time for all of them.
+    /// Runs this many rounds without events and returns their processor time.
     ///
     /// # Errors
-    /// Where the system does not tell a thread's time.
+    /// Fails if the system does not provide a thread's processor time.
     pub fn idle_rounds(&mut self, count: u32) -> Result<Duration> {
-        let begun = thread_cpu_time()?;
+        let started = thread_cpu_time()?;
         for _ in 0..count {
             self.now += QUANTUM;
-            self.decide();
+            self.run_round();
         }
-        Ok(thread_cpu_time()? - begun)
+        Ok(thread_cpu_time()? - started)
     }
 
-    /// One round in which these destinations get a message each and the last round's calls have ended; the processor's
-    /// time for it.
+    /// Runs one round with a message for each of these destinations and the outcomes of the previous round's calls, and
+    /// returns its processor time.
     ///
     /// # Errors
-    /// Where the system does not tell a thread's time.
+    /// Fails if the system does not provide a thread's processor time.
     pub fn round(&mut self, destinations: &[i64]) -> Result<Duration> {
         self.now += QUANTUM;
         for destination in destinations {
             self.next_message += 1;
             self.events.push(message(self.next_message, *destination));
         }
-        let begun = thread_cpu_time()?;
-        self.decide();
-        let used = thread_cpu_time()? - begun;
+        let started = thread_cpu_time()?;
+        self.run_round();
+        let used = thread_cpu_time()? - started;
         self.events.clear();
-        self.events.extend(self.actions.drain(..).filter_map(delivered));
+        self.events.extend(self.actions.drain(..).filter_map(delivery));
         Ok(used)
     }
 
-    fn decide(&mut self) {
+    fn run_round(&mut self) {
         self.dispatcher.round(self.now, &self.events, &mut self.actions);
-        // The daemon looks at every endpoint's health after each round.
+        // The daemon reads every endpoint's health after each round.
         std::hint::black_box(self.dispatcher.endpoint_health().count());
     }
 }
@@ -114,8 +114,8 @@
     Event::Message { id, class: 0, tenant: 0, key: None, dest, time_left: TIME_LEFT, resubmitted: false }
 }
 
-/// The end of a call that was begun; every call is the first attempt, and delivers.
-fn delivered(action: Action) -> Option<Event> {
+/// Returns the outcome of a started call: every call is a first attempt and delivers its message.
+fn delivery(action: Action) -> Option<Event> {
     let Action::Send { id, endpoint, .. } = action else { return None };
     let (attempt, outcome) = (0, Outcome::Done);
     Some(Event::Outcome {
@@ -124,7 +124,7 @@
         endpoint,
         outcome,
         closes_message: true,
-        elapsed: CALL_TIME,
+        elapsed: CALL_DURATION,
         wait: 0,
         report: None,
     })
--- a/crates/scale/src/skew.rs
+++ b/crates/scale/src/skew.rs
@@ -1,21 +1,22 @@
-//! Uneven load: how many messages a second each destination gets, by Zipf's law.
+//! Uneven load: messages per second of each destination by Zipf's law.
 
 use crate::target::MESSAGES_PER_SECOND;
 
-/// Messages a second of the destination of each rank, the busiest first: proportional to `rank^-exponent`, and all
-/// together [`MESSAGES_PER_SECOND`] at the full number of destinations, in proportion at fewer.
+/// Returns the messages per second of each destination, the busiest first: proportional to `rank^-exponent` and `total`
+/// in sum.
 pub fn zipf_rates(destinations: u64, exponent: f64, total: f64) -> Vec<f64> {
     let weights: Vec<f64> = (1..=destinations).map(|rank| (rank as f64).powf(-exponent)).collect();
     let sum: f64 = weights.iter().sum();
     weights.into_iter().map(|weight| weight / sum * total).collect()
 }
 
-/// The load of a fleet of so many senders, where each takes as much as at the full size.
+/// Returns the messages per second of a fleet of this many senders, at the load per sender of the full fleet.
 pub fn total_for(senders: usize) -> f64 {
     MESSAGES_PER_SECOND * senders as f64 / f64::from(crate::target::SENDERS)
 }
 
-/// In how many parts a destination is split so that none gets more than `part_most` messages a second.
-pub fn width(rate: f64, part_most: f64, width_most: u16) -> u16 {
-    (rate / part_most).ceil().clamp(1.0, f64::from(width_most)) as u16
+/// Returns the number of parts, at most `max_width`, into which a destination is split so that none gets more than
+/// `max_part_rate` messages per second.
+pub fn width(rate: f64, max_part_rate: f64, max_width: u16) -> u16 {
+    (rate / max_part_rate).ceil().clamp(1.0, f64::from(max_width)) as u16
 }
--- a/crates/scale/src/slopes/fleet.rs
+++ b/crates/scale/src/slopes/fleet.rs
@@ -1,10 +1,10 @@
-//! A whole fleet of hollow senders, each with the destinations that it owns: how many these are, what load they bring,
-//! and what each sender has to be told of changes.
+//! A fleet of simulated senders: the number of destinations that each owns, their load, and the traffic that informs each
+//! sender of changes.
 
 use super::Setup;
 use crate::budget::SENDER_TRAFFIC;
-use crate::hollow_fleet::{filled, first_rack, first_zone, following, list, owned_destinations, vacated};
 use crate::report::{Report, Unit};
+use crate::simulated_fleet::{filled, first_rack, first_zone, following, list, owned_destinations, vacated};
 use crate::skew::{total_for, width, zipf_rates};
 use crate::spread::{Spread, thread_cpu_time};
 use crate::target::{
@@ -20,29 +20,29 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Instant;
 
-/// Skews of Zipf's law that are tried.
+/// Exponents of Zipf's law that are measured.
 const EXPONENTS: [f64; 3] = [0.8, 1.0, 1.15];
-/// A destination is spread until no part of it has more than this many messages a second.
-const PART_MOST: f64 = 100.0;
-/// A sender asks its control agent this often, in seconds, unless told otherwise (a quarter of a lease of 10 s).
-const ASK_EVERY: f64 = 2.5;
-/// Heads of a question and of its answer over HTTP/1.1, assumed.
-const HEADS_BYTES: f64 = 300.0;
-/// A change is to be in force everywhere within this many seconds.
-const CHANGE_SECONDS: f64 = 18.0;
-const DAY: f64 = 86_400.0;
-const HOUR: f64 = 3_600.0;
-/// How long a roll of all senders takes, assumed.
-const ROLL: f64 = 6.0 * HOUR;
+/// A destination is split until no part of it has more messages per second than this.
+const MAX_PART_RATE: f64 = 100.0;
+/// Default interval, in seconds, at which a sender polls its control agent: a quarter of the lease of 10 s.
+const POLL_INTERVAL_S: f64 = 2.5;
+/// Assumed length of the HTTP/1.1 heads of a poll and its answer.
+const HTTP_HEAD_BYTES: f64 = 300.0;
+/// Seconds within which a change must be in force at every sender.
+const CHANGE_S: f64 = 18.0;
+const DAY_S: f64 = 86_400.0;
+const HOUR_S: f64 = 3_600.0;
+/// Assumed duration of a rolling restart of all senders.
+const ROLLING_RESTART_S: f64 = 6.0 * HOUR_S;
 
-/// The load of a fleet, by destination.
+/// The load of a fleet.
 struct Load {
-    /// Messages a second, by destination.
+    /// Messages per second, by destination.
     rates: Vec<f64>,
 }
 
 impl Load {
-    /// By Zipf's law, the ranks given to destinations at random.
+    /// Distributes the load by Zipf's law, with random ranks of the destinations.
     fn new(destinations: u64, senders: usize, exponent: f64, seed: u64) -> Self {
         let mut rates = zipf_rates(destinations, exponent, total_for(senders));
         rates.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
@@ -53,17 +53,17 @@
         self.rates.iter().copied().fold(0.0, f64::max)
     }
 
-    /// In how many parts each destination is spread, where that is more than one.
+    /// Returns the width of each destination that is split into more than one part.
     fn wide(&self) -> Vec<WideForm> {
-        let rates = self.rates.iter().enumerate().filter(|(_, rate)| **rate > PART_MOST);
+        let rates = self.rates.iter().enumerate().filter(|(_, rate)| **rate > MAX_PART_RATE);
         let form = |(dest, rate): (usize, &f64)| WideForm {
             dest: dest as i64,
-            width: u64::from(width(*rate, PART_MOST, MAX_WIDTH)),
+            width: u64::from(width(*rate, MAX_PART_RATE, MAX_WIDTH)),
         };
         rates.map(form).collect()
     }
 
-    /// Messages a second of each seat, where replicas and parts share a destination's evenly.
+    /// Returns the messages per second of each seat, where the parts and replicas of a destination share its load evenly.
     fn by_seat(&self, table: &Table, list: &MemberList) -> Vec<f64> {
         let mut load = vec![0.0; list.seat_count()];
         for (destination, rate) in self.rates.iter().enumerate() {
@@ -78,7 +78,7 @@
     }
 }
 
-fn load_figures(
+fn report_load(
     report: &mut Report,
     setup: &Setup,
     list: &MemberList,
@@ -88,25 +88,25 @@
     for exponent in EXPONENTS {
         let load = Load::new(destinations, list.seat_count(), exponent, setup.seed);
         let name = format!("skew {exponent}");
-        report.figure(format!("{name}: largest destination"), Unit::PerSecond, Spread::exact(load.largest()));
+        report.metric(format!("{name}: largest destination"), Unit::PerSecond, Spread::exact(load.largest()));
         let plain = Spread::of(&load.by_seat(table, list));
-        report.figure(format!("{name}: a sender's messages, none wide"), Unit::PerSecond, plain);
+        report.metric(format!("{name}: a sender's messages, none wide"), Unit::PerSecond, plain);
         let wide = load.wide();
         let (count, parts) = (wide.len() as f64, wide.iter().map(|w| w.width as f64).sum::<f64>());
         let widened = following(list, wide.into_iter().map(Change::SetWidth).collect());
-        report.figure(format!("{name}: wide destinations"), Unit::Count, Spread::exact(count));
-        report.figure(format!("{name}: their parts"), Unit::Count, Spread::exact(parts));
-        let told = widened.to_json().len() as f64;
-        report.figure(format!("{name}: bytes to tell them"), Unit::Bytes, Spread::exact(told));
+        report.metric(format!("{name}: wide destinations"), Unit::Count, Spread::exact(count));
+        report.metric(format!("{name}: their parts"), Unit::Count, Spread::exact(parts));
+        let json_length = widened.to_json().len() as f64;
+        report.metric(format!("{name}: bytes to tell them"), Unit::Bytes, Spread::exact(json_length));
         let spread =
             if count > 0.0 { Spread::of(&load.by_seat(table, &list.apply(&widened)?)) } else { plain };
-        report.figure(format!("{name}: a sender's messages, wide"), Unit::PerSecond, spread);
+        report.metric(format!("{name}: a sender's messages, wide"), Unit::PerSecond, spread);
     }
     Ok(())
 }
 
-/// What each sender is told of one event, and over what time.
-struct Told {
+/// The control traffic to each sender for one event, and the time over which it is sent.
+struct EventTraffic {
     name: &'static str,
     bytes: f64,
     seconds: f64,
@@ -116,9 +116,9 @@
     changes.to_json().len() as f64
 }
 
-/// One listed endpoint's line, as discovery tells it: what a change of configuration is taken to be.
-fn line_bytes() -> Result<f64> {
-    let line = ListedEndpoint {
+/// Returns the length of one endpoint's list entry, which stands for a configuration change.
+fn entry_bytes() -> Result<f64> {
+    let entry = ListedEndpoint {
         name: "endpoint-1234567".into(),
         address: "127.0.0.1:7000".into(),
         zone: "zone-1-2".into(),
@@ -127,89 +127,98 @@
         status: "Ready".into(),
         weight: Some(100.0),
     };
-    Ok(serde_json::to_vec(&line)?.len() as f64)
+    Ok(serde_json::to_vec(&entry)?.len() as f64)
 }
 
-fn events(list: &MemberList) -> Result<Vec<Told>> {
+fn events(list: &MemberList) -> Result<Vec<EventTraffic>> {
     let senders = list.seat_count();
-    let gone = json_bytes(&vacated(list, [senders / 2]));
-    let back = json_bytes(&filled(list, [senders / 2], 1));
+    let vacate_bytes = json_bytes(&vacated(list, [senders / 2]));
+    let fill_bytes = json_bytes(&filled(list, [senders / 2], 1));
     let (rack, zone) = (first_rack(senders), first_zone(senders));
     let without_zone = list.apply(&vacated(list, zone.clone()))?;
     let per_day = f64::from(LOST_PER_DAY + REPLACED_PER_DAY) * senders as f64 / f64::from(SENDERS);
-    let line = line_bytes()?;
+    let entry = entry_bytes()?;
     Ok(vec![
-        Told { name: "nothing new", bytes: 0.0, seconds: ASK_EVERY },
-        Told { name: "a day's churn", bytes: per_day * (gone + back), seconds: DAY },
-        Told {
+        EventTraffic { name: "nothing new", bytes: 0.0, seconds: POLL_INTERVAL_S },
+        EventTraffic { name: "a day's churn", bytes: per_day * (vacate_bytes + fill_bytes), seconds: DAY_S },
+        EventTraffic {
             name: "a day's configuration, told to all",
-            bytes: f64::from(CHANGES_PER_DAY) * line,
-            seconds: DAY,
+            bytes: f64::from(CHANGES_PER_DAY) * entry,
+            seconds: DAY_S,
         },
-        Told {
+        EventTraffic {
             name: "all of it in one hour, told to all",
-            bytes: f64::from(CHANGES_PER_DAY) * line,
-            seconds: HOUR,
+            bytes: f64::from(CHANGES_PER_DAY) * entry,
+            seconds: HOUR_S,
         },
-        Told {
+        EventTraffic {
             name: "all of it in one hour, told to owners",
-            bytes: f64::from(CHANGES_PER_DAY) * line * f64::from(REPLICAS) / senders as f64,
-            seconds: HOUR,
+            bytes: f64::from(CHANGES_PER_DAY) * entry * f64::from(REPLICAS) / senders as f64,
+            seconds: HOUR_S,
         },
-        Told { name: "a rack lost", bytes: json_bytes(&vacated(list, rack)), seconds: CHANGE_SECONDS },
-        Told {
+        EventTraffic { name: "a rack lost", bytes: json_bytes(&vacated(list, rack)), seconds: CHANGE_S },
+        EventTraffic {
             name: "a zone lost",
             bytes: json_bytes(&vacated(list, zone.clone())),
-            seconds: CHANGE_SECONDS,
+            seconds: CHANGE_S,
         },
-        Told {
+        EventTraffic {
             name: "a zone back, each member told as it is ready over 60 s",
             bytes: json_bytes(&filled(&without_zone, zone, 1)),
             seconds: 60.0,
         },
-        Told { name: "a roll of all senders in 6 h", bytes: senders as f64 * (gone + back), seconds: ROLL },
+        EventTraffic {
+            name: "a roll of all senders in 6 h",
+            bytes: senders as f64 * (vacate_bytes + fill_bytes),
+            seconds: ROLLING_RESTART_S,
+        },
     ])
 }
 
-/// How long a control agent takes to write one answer, with a zone lost in it.
+/// Measures the time that a control agent needs to encode an answer with the loss of a zone.
 fn answer_times(list: &MemberList, repeats: usize) -> Vec<f64> {
     let changes = vacated(list, first_zone(list.seat_count()));
     let time = |_| {
-        let begun = Instant::now();
+        let started = Instant::now();
         std::hint::black_box(changes.to_json());
-        begun.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     };
     (0..repeats).map(time).collect()
 }
 
-fn traffic_figures(report: &mut Report, list: &MemberList) -> Result<()> {
+fn report_traffic(report: &mut Report, list: &MemberList) -> Result<()> {
     let nothing_new = following(list, Vec::new());
     let answers = Spread::of(&answer_times(list, 20));
-    report.figure("a zone lost: the control agent writes one answer", Unit::Seconds, answers);
-    let asking = (HEADS_BYTES + json_bytes(&nothing_new)) / ASK_EVERY;
+    report.metric("a zone lost: the control agent writes one answer", Unit::Seconds, answers);
+    let poll_rate = (HTTP_HEAD_BYTES + json_bytes(&nothing_new)) / POLL_INTERVAL_S;
     for event in events(list)? {
-        report.figure(format!("{}: bytes", event.name), Unit::Bytes, Spread::exact(event.bytes));
-        let rate = Spread::exact(asking + event.bytes / event.seconds);
-        report.bounded(format!("{}: to each sender", event.name), Unit::BytesPerSecond, rate, SENDER_TRAFFIC);
+        report.metric(format!("{}: bytes", event.name), Unit::Bytes, Spread::exact(event.bytes));
+        let rate = Spread::exact(poll_rate + event.bytes / event.seconds);
+        report.bounded_metric(
+            format!("{}: to each sender", event.name),
+            Unit::BytesPerSecond,
+            rate,
+            SENDER_TRAFFIC,
+        );
     }
     Ok(())
 }
 
-/// How long one sender takes for an answer of its control agent, in its real decoding.
+/// Measures the time that one sender needs to decode and apply an answer of its control agent.
 fn apply_time(list: &MemberList, table: &Table, text: &[u8]) -> Result<f64> {
     let mut table = table.clone();
-    let begun = thread_cpu_time()?;
+    let started = thread_cpu_time()?;
     if let AgentAnswer::Changes(changes) = AgentAnswer::parse_json(text)? {
         let next = list.apply(&changes)?;
         table.apply(&next, &changes);
         std::hint::black_box(next);
     }
-    let elapsed = thread_cpu_time()? - begun;
+    let elapsed = thread_cpu_time()? - started;
     std::hint::black_box(table);
     Ok(elapsed.as_secs_f64())
 }
 
-fn apply_figures(report: &mut Report, setup: &Setup, list: &MemberList, table: &Table) -> Result<()> {
+fn report_apply_times(report: &mut Report, setup: &Setup, list: &MemberList, table: &Table) -> Result<()> {
     let (senders, samples) = (list.seat_count(), if setup.small { 5 } else { 100 });
     let events = [
         ("one member lost", vec![senders / 2]),
@@ -220,9 +229,9 @@
         let text = vacated(list, seats).to_json();
         let times = (0..samples).map(|_| apply_time(list, table, &text)).collect::<Result<Vec<_>>>()?;
         let spread = Spread::of(&times);
-        report.figure(format!("{name}: one sender takes it over"), Unit::Seconds, spread);
+        report.metric(format!("{name}: one sender takes it over"), Unit::Seconds, spread);
         let all = Spread::exact(spread.median * senders as f64);
-        report.figure(
+        report.metric(
             format!("{name}: all senders one after another, from {samples} samples"),
             Unit::Seconds,
             all,
@@ -231,10 +240,10 @@
     Ok(())
 }
 
-/// Measures it.
+/// Runs the measurement.
 ///
 /// # Errors
-/// When a list or a change is refused.
+/// Fails if a list or a change is invalid.
 pub fn run(setup: &Setup) -> Result<Report> {
     let senders = if setup.small { 500 } else { SENDERS as usize };
     let destinations = if setup.small { 100_000 } else { DESTINATIONS };
@@ -242,16 +251,19 @@
     report.input("hollow senders", senders);
     report.input("destinations", destinations);
     report.input("messages a second", format!("{SENDER_MESSAGES_PER_SECOND:.0} a sender in the mean"));
-    report.input("parts of wide destinations", format!("{PART_MOST} messages a second at most"));
-    report.input("a sender asks", format!("every {ASK_EVERY} s; {HEADS_BYTES} bytes of heads assumed"));
+    report.input("parts of wide destinations", format!("{MAX_PART_RATE} messages a second at most"));
+    report.input(
+        "a sender asks",
+        format!("every {POLL_INTERVAL_S} s; {HTTP_HEAD_BYTES} bytes of heads assumed"),
+    );
     report.input("a change of configuration", "one endpoint's line, assumed");
     let list = list(senders)?;
     let table = Table::build(&list);
     let owned = owned_destinations(&table, senders, destinations);
     let counts: Vec<f64> = owned.iter().map(|owned| owned.len() as f64).collect();
-    report.figure("destinations of a sender", Unit::Count, Spread::of(&counts));
-    load_figures(&mut report, setup, &list, &table, destinations)?;
-    traffic_figures(&mut report, &list)?;
-    apply_figures(&mut report, setup, &list, &table)?;
+    report.metric("destinations of a sender", Unit::Count, Spread::of(&counts));
+    report_load(&mut report, setup, &list, &table, destinations)?;
+    report_traffic(&mut report, &list)?;
+    report_apply_times(&mut report, setup, &list, &table)?;
     Ok(report)
 }
--- a/crates/scale/src/slopes/list_stream.rs
+++ b/crates/scale/src/slopes/list_stream.rs
@@ -1,4 +1,4 @@
-//! Reading a list of all destinations as a stream, keeping only those that one sender owns.
+//! Reading the list of all destinations as a stream and keeping only the entries that one sender owns.
 
 use super::Setup;
 use crate::budget::{CHANGE_TIME, SENDER_MEMORY};
@@ -9,12 +9,12 @@
 use embershore_protocol::listing_stream::FilteredListingReader;
 use std::io::{Read, Write};
 
-/// One line in so many is the sender's own: each destination has two owners.
-const OWNED_OF: u64 = SENDERS as u64 / 2;
-/// Bytes that are read at a time.
-const PIECE: usize = 16 * 1024;
+/// One entry in this many is the sender's own: each destination has two owners.
+const DESTINATIONS_PER_OWNED: u64 = SENDERS as u64 / 2;
+/// Number of bytes read at a time.
+const READ_BYTES: usize = 16 * 1024;
 
-/// Writes the whole list as discovery tells it.
+/// Writes the full list as discovery sends it.
 fn write_list(file: &mut impl Write, count: u64) -> Result<()> {
     write!(file, "{{\"index\":1,\"snapshot\":true,\"endpoints\":[")?;
     for number in 0..count {
@@ -28,43 +28,44 @@
     Ok(writeln!(file, "]}}")?)
 }
 
-/// What the reader kept.
-struct Kept {
+/// Result of reading the list once.
+struct ReadResult {
     count: usize,
-    /// The most that the reader held at a time, by its own account.
-    held_most: usize,
+    /// Largest number of bytes that the reader buffered, as reported by itself.
+    max_buffered: usize,
     seconds: f64,
 }
 
-/// Reads it in pieces as they come from a socket, with the daemon's own reader.
-fn read_owned(mut source: impl Read) -> Result<Kept> {
-    let keeps = |destination: i64| destination.unsigned_abs().is_multiple_of(OWNED_OF);
-    let begun = thread_cpu_time()?;
-    let (mut reader, mut piece, mut held_most) = (FilteredListingReader::default(), vec![0; PIECE], 0);
+/// Reads the list with the daemon's reader, in pieces as from a socket.
+fn read_owned(mut source: impl Read) -> Result<ReadResult> {
+    let owns = |destination: i64| destination.unsigned_abs().is_multiple_of(DESTINATIONS_PER_OWNED);
+    let started = thread_cpu_time()?;
+    let (mut reader, mut buffer, mut max_buffered) =
+        (FilteredListingReader::default(), vec![0; READ_BYTES], 0);
     loop {
-        let length = source.read(&mut piece)?;
-        ensure!(length > 0, "the list ended before its end");
-        reader.extend(&piece[..length]);
-        let whole = reader.next_listing(&keeps)?;
-        held_most = held_most.max(reader.buffered_bytes());
-        if let Some(listing) = whole {
-            let seconds = (thread_cpu_time()? - begun).as_secs_f64();
-            return Ok(Kept { count: listing.endpoints.len(), held_most, seconds });
+        let length = source.read(&mut buffer)?;
+        ensure!(length > 0, "the list is truncated: the file ended before the listing was complete");
+        reader.extend(&buffer[..length]);
+        let listing = reader.next_listing(&owns)?;
+        max_buffered = max_buffered.max(reader.buffered_bytes());
+        if let Some(listing) = listing {
+            let seconds = (thread_cpu_time()? - started).as_secs_f64();
+            return Ok(ReadResult { count: listing.endpoints.len(), max_buffered, seconds });
         }
     }
 }
 
-/// Resident growth of this process, in bytes, at its peak.
+/// Returns the peak resident memory of this process in bytes.
 fn peak_bytes() -> Result<f64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or("0 kB");
     Ok(line.trim().trim_end_matches(" kB").parse::<f64>()? * 1024.0)
 }
 
-/// Measures it.
+/// Runs the measurement.
 ///
 /// # Errors
-/// When the list can't be written to a file or read back.
+/// Fails if the list can't be written to a file or read back.
 pub fn run(setup: &Setup) -> Result<Report> {
     let count = if setup.small { 50_000 } else { DESTINATIONS };
     let repeats = if setup.small { 1 } else { 3 };
@@ -75,20 +76,24 @@
     write_list(&mut std::io::BufWriter::new(&mut file), count)?;
     let list_bytes = file.metadata()?.len() as f64;
     let before = peak_bytes()?;
-    let (mut times, mut kept, mut held_most) = (Vec::new(), 0, 0);
+    let (mut times, mut owned, mut max_buffered) = (Vec::new(), 0, 0);
     for _ in 0..repeats {
         std::io::Seek::rewind(&mut file)?;
-        let part = read_owned(&file)?;
-        times.push(part.seconds);
-        (kept, held_most) = (part.count, held_most.max(part.held_most));
+        let result = read_owned(&file)?;
+        times.push(result.seconds);
+        (owned, max_buffered) = (result.count, max_buffered.max(result.max_buffered));
     }
-    ensure!(kept as u64 == count.div_ceil(OWNED_OF), "{kept} of {count} kept");
-    report.figure("list's text", Unit::Bytes, Spread::exact(list_bytes));
-    report.figure("kept", Unit::Count, Spread::exact(kept as f64));
-    report.bounded("processor time to read it", Unit::Seconds, Spread::of(&times), CHANGE_TIME);
-    let grown = Spread::exact(peak_bytes()? - before);
-    report.bounded("memory to read it, peak", Unit::Bytes, grown, SENDER_MEMORY);
-    report.figure("held by the reader, most", Unit::Bytes, Spread::exact(held_most as f64));
+    ensure!(
+        owned as u64 == count.div_ceil(DESTINATIONS_PER_OWNED),
+        "the reader kept {owned} of {count} entries, expected {}",
+        count.div_ceil(DESTINATIONS_PER_OWNED)
+    );
+    report.metric("list's text", Unit::Bytes, Spread::exact(list_bytes));
+    report.metric("kept", Unit::Count, Spread::exact(owned as f64));
+    report.bounded_metric("processor time to read it", Unit::Seconds, Spread::of(&times), CHANGE_TIME);
+    let growth = Spread::exact(peak_bytes()? - before);
+    report.bounded_metric("memory to read it, peak", Unit::Bytes, growth, SENDER_MEMORY);
+    report.metric("held by the reader, most", Unit::Bytes, Spread::exact(max_buffered as f64));
     report.remark("one sender in 7,500 keeps a destination: two owners each");
     Ok(report)
 }
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -1,4 +1,4 @@
-//! Datagrams and bytes of the membership gossip: the deciding half of `embershore-peer` with its real encoding, over a
+//! Datagrams and bytes of the membership gossip: the protocol logic of `embershore-peer` with its real encoding over a
 //! simulated network.
 
 use super::Setup;
@@ -12,23 +12,23 @@
 use std::net::SocketAddr;
 
 const SECOND: Micros = 1_000_000;
-/// How often every member is looked at.
+/// Simulated time between two steps of the members.
 const STEP: Micros = 10_000;
-/// Longest way of a datagram.
-const DELAY: Micros = 5_000;
-/// All members' datagrams go to this port.
+/// Longest delay of a datagram.
+const MAX_DELAY: Micros = 5_000;
+/// Port of every member.
 const PORT: u16 = 7100;
 
 const REPEATS: u64 = 3;
-/// From so many members on one run takes minutes.
-const LARGE: usize = 500;
+/// Number of members from which one run takes minutes and is not repeated.
+const SINGLE_RUN_FROM: usize = 500;
 
-/// The fleet and its network, in simulated time.
+/// The members and their network in simulated time.
 struct Network {
     now: Micros,
     members: Vec<Peers>,
     random: ChaCha8Rng,
-    wire: BTreeMap<(Micros, u64), (usize, Vec<u8>)>,
+    in_transit: BTreeMap<(Micros, u64), (usize, Vec<u8>)>,
     datagrams: u64,
     bytes: u64,
 }
@@ -37,7 +37,7 @@
     ([127, 0, (number >> 8) as u8, number as u8], PORT).into()
 }
 
-/// The member whose address this is.
+/// Returns the number of the member with this address.
 fn number(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else { return None };
     let [_, _, high, low] = address.ip().octets();
@@ -62,22 +62,22 @@
         };
         let mut start = |n| Peers::new(member(n), fleet.clone(), Times::default(), random.random(), 0);
         let members = (0..size).map(&mut start).collect::<Result<Vec<_>, _>>()?;
-        let (wire, datagrams, bytes) = (BTreeMap::new(), 0, 0);
-        Ok(Network { now: 0, members, random, wire, datagrams, bytes })
+        let (in_transit, datagrams, bytes) = (BTreeMap::new(), 0, 0);
+        Ok(Network { now: 0, members, random, in_transit, datagrams, bytes })
     }
 
-    fn pass(&mut self, span: Micros) -> Result<()> {
+    fn advance(&mut self, span: Micros) -> Result<()> {
         let end = self.now + span;
         while self.now < end {
             self.now += STEP;
             self.deliver();
-            self.look()?;
+            self.run_members()?;
         }
         Ok(())
     }
 
     fn deliver(&mut self) {
-        while let Some(first) = self.wire.first_entry().filter(|entry| entry.key().0 <= self.now) {
+        while let Some(first) = self.in_transit.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let (to, datagram) = first.remove();
             if let Some(member) = self.members.get_mut(to) {
                 member.receive(self.now, &datagram);
@@ -85,7 +85,7 @@
         }
     }
 
-    fn look(&mut self) -> Result<()> {
+    fn run_members(&mut self) -> Result<()> {
         for member in &mut self.members {
             if member.next_tick() <= self.now {
                 member.tick(self.now);
@@ -93,27 +93,28 @@
             while let Some((to, datagram)) = member.next_datagram() {
                 self.datagrams += 1;
                 self.bytes += datagram.len() as u64;
-                let at = self.now + 1 + self.random.random_range(0..DELAY);
-                let to = number(to).context("a datagram to a strange address")?;
-                self.wire.insert((at, self.datagrams), (to, datagram.to_vec()));
+                let at = self.now + 1 + self.random.random_range(0..MAX_DELAY);
+                let to =
+                    number(to).with_context(|| format!("datagram to {to}, which is no member's address"))?;
+                self.in_transit.insert((at, self.datagrams), (to, datagram.to_vec()));
             }
         }
         Ok(())
     }
 
-    /// Datagrams and bytes a second from each member over the next `seconds`.
+    /// Runs the next `seconds` and returns the datagrams and bytes per second that each member sent.
     fn rates(&mut self, seconds: i64) -> Result<(f64, f64)> {
         let before = (self.datagrams, self.bytes);
-        self.pass(seconds * SECOND)?;
+        self.advance(seconds * SECOND)?;
         let each = self.members.len() as f64 * seconds as f64;
         Ok(((self.datagrams - before.0) as f64 / each, (self.bytes - before.1) as f64 / each))
     }
 }
 
-/// Measures it.
+/// Runs the measurement.
 ///
 /// # Errors
-/// When the fleet's list is refused.
+/// Fails if the member list is invalid.
 pub fn run(setup: &Setup) -> Result<Report> {
     let sizes: &[usize] = if setup.small { &[12, 40] } else { &[12, 100, 300, MAX_MEMBERS] };
     let (settle, span) = if setup.small { (20, 5) } else { (60, 20) };
@@ -123,24 +124,24 @@
         "simulated",
         format!("10 to {} s and {settle} to {} s after all started", 10 + span, settle + span),
     );
-    report.input("repeats", format!("{REPEATS}; 1 from {LARGE} members on"));
+    report.input("repeats", format!("{REPEATS}; 1 from {SINGLE_RUN_FROM} members on"));
     for &size in sizes {
         let (mut starting, mut steady) = (Vec::new(), Vec::new());
-        for repeat in 0..if size < LARGE { REPEATS } else { 1 } {
+        for repeat in 0..if size < SINGLE_RUN_FROM { REPEATS } else { 1 } {
             let mut network = Network::new(size, setup.seed + repeat)?;
-            network.pass(10 * SECOND)?;
+            network.advance(10 * SECOND)?;
             starting.push(network.rates(span)?);
             let rest = settle * SECOND - network.now;
-            network.pass(rest.max(0))?;
+            network.advance(rest.max(0))?;
             steady.push(network.rates(span)?);
         }
         for (when, rates) in [("after a start", starting), ("steady", steady)] {
             let datagrams: Vec<f64> = rates.iter().map(|r| r.0).collect();
             let bytes: Vec<f64> = rates.iter().map(|r| r.1).collect();
-            report.figure(format!("datagrams at {size}, {when}"), Unit::PerSecond, Spread::of(&datagrams));
-            report.figure(format!("bytes at {size}, {when}"), Unit::BytesPerSecond, Spread::of(&bytes));
+            report.metric(format!("datagrams at {size}, {when}"), Unit::PerSecond, Spread::of(&datagrams));
+            report.metric(format!("bytes at {size}, {when}"), Unit::BytesPerSecond, Spread::of(&bytes));
         }
     }
-    report.remark(format!("a list of more than {MAX_MEMBERS} members is refused"));
+    report.remark(format!("a list of more than {MAX_MEMBERS} members is rejected"));
     Ok(report)
 }
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -14,15 +14,15 @@
 use crate::budget::Overrides;
 use std::path::PathBuf;
 
-/// What holds for every slope.
+/// Options common to all slopes.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Sizes that take seconds in all, without budgets on times.
+    /// Use sizes that take seconds in all, with wide margins on budgets of times.
     pub small: bool,
-    /// The daemon's binary.
+    /// Path of the daemon's binary.
     pub binary: PathBuf,
-    /// Budgets that the command line has changed.
+    /// Budgets that the command line overrides.
     pub overrides: Overrides,
-    /// Seed of everything random.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
--- a/crates/scale/src/slopes/module_round.rs
+++ b/crates/scale/src/slopes/module_round.rs
@@ -1,25 +1,25 @@
-//! Idle rounds of the decision module, without a process around it.
+//! Processor time of the decision module's idle rounds, without a process around it.
 
 use super::Setup;
 use crate::budget::{BUSIEST_OWNER, SENDER_CPU};
-use crate::hollow_module::Module;
 use crate::report::{Report, Unit};
+use crate::simulated_module::Module;
 use crate::spread::{Line, Spread, Times};
 use crate::target::SENDER_DESTINATIONS;
 use anyhow::Result;
 use std::time::{Duration, Instant};
 
-/// Rounds of the daemon at most in a second: one a quantum of 5 ms.
+/// Highest number of rounds per second in the daemon: one each quantum of 5 ms.
 const ROUNDS_PER_SECOND: f64 = 200.0;
-/// Rounds whose time is taken together: one is short for the clock.
+/// Rounds that are timed together: a single one is too short for the clock.
 const BATCH: u32 = 20;
-/// A size is measured no longer than this.
-const TIME_MOST: Duration = Duration::from_secs(10);
+/// Time after which the measurement of one size ends.
+const MAX_MEASURING_TIME: Duration = Duration::from_secs(10);
 
-/// Measures it.
+/// Runs the measurement.
 ///
 /// # Errors
-/// When the module refuses its settings.
+/// Fails if the module rejects its settings.
 pub fn run(setup: &Setup) -> Result<Report> {
     let owned = (SENDER_DESTINATIONS * BUSIEST_OWNER.limit) as usize;
     let sizes: &[usize] =
@@ -27,27 +27,35 @@
     let batches = if setup.small { 25 } else { 200 };
     let mut report = Report::new("module-round", setup);
     report.input("destinations", format!("{sizes:?}, one endpoint each"));
-    report.input("rounds", format!("{batches} times {BATCH}, {TIME_MOST:?} at the most; processor time"));
+    report.input(
+        "rounds",
+        format!("{batches} times {BATCH}, {MAX_MEASURING_TIME:?} at the most; processor time"),
+    );
     let mut points = Vec::new();
     for &count in sizes {
         let mut module = Module::new(count, setup.seed)?;
         let mut times = Times::new()?;
-        let begun = Instant::now();
+        let started = Instant::now();
         for _ in 0..batches {
             times.record(module.idle_rounds(BATCH)?);
-            if begun.elapsed() > TIME_MOST {
+            if started.elapsed() > MAX_MEASURING_TIME {
                 break;
             }
         }
         let spread = times.seconds().scaled(1.0 / f64::from(BATCH));
         points.push((count as f64, spread.median));
-        report.figure(format!("idle round at {count}"), Unit::Seconds, spread);
+        report.metric(format!("idle round at {count}"), Unit::Seconds, spread);
         if count == owned {
             let cores = spread.scaled(ROUNDS_PER_SECOND);
-            report.bounded("idle rounds of a busiest owner, one a quantum", Unit::Cores, cores, SENDER_CPU);
+            report.bounded_metric(
+                "idle rounds of a busiest owner, one a quantum",
+                Unit::Cores,
+                cores,
+                SENDER_CPU,
+            );
         }
     }
     let line = Line::through(&points);
-    report.figure("idle round for each destination", Unit::Seconds, Spread::exact(line.slope));
+    report.metric("idle round for each destination", Unit::Seconds, Spread::exact(line.slope));
     Ok(report)
 }
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -1,13 +1,13 @@
-//! The placement's table: times, size, evenness and movement, by the real `embershore-placement`.
+//! Times, size, evenness and movement of the placement table, with the real `embershore-placement`.
 
 use super::Setup;
 use crate::budget::{
     BUSIEST_OWNER, Budget, MOVED_BETWEEN_OTHERS, MOVEMENT, SENDER_MEMORY, SHARDS_WITHOUT_OWNER, TABLE_BUILD,
     TABLE_BYTES, TABLE_CHANGE, TABLE_LOOKUP, ZONE_LOST,
 };
-use crate::hollow_fleet::{filled, first_rack, first_zone, following, list, list_form, seat, vacated};
 use crate::process::resident_bytes;
 use crate::report::{Report, Unit};
+use crate::simulated_fleet::{filled, first_rack, first_zone, following, list, list_form, seat, vacated};
 use crate::spread::{Spread, Times, thread_cpu_time};
 use crate::target::{DESTINATIONS, SENDERS};
 use anyhow::Result;
@@ -19,19 +19,19 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Lookups whose time is taken together: one is too short for the clock.
+/// Lookups that are timed together: a single one is too short for the clock.
 const LOOKUPS: usize = 1_000;
-/// Lists held at once to measure the memory of one.
+/// Lists in memory at once when the memory of one is measured.
 const COPIES: usize = 8;
 
-/// Owned shards, and destinations, of each seat.
-struct Owned {
+/// Numbers of shards and destinations that each seat owns.
+struct OwnedCounts {
     shards: Vec<u32>,
     destinations: Vec<u32>,
 }
 
-fn owned(table: &Table, seats: usize, destinations: u64) -> Owned {
-    let mut owned = Owned { shards: vec![0; seats], destinations: vec![0; seats] };
+fn count_owned(table: &Table, seats: usize, destinations: u64) -> OwnedCounts {
+    let mut owned = OwnedCounts { shards: vec![0; seats], destinations: vec![0; seats] };
     for number in 0..SHARDS {
         table.owners(ShardId(number)).iter().for_each(|seat| owned.shards[seat.index()] += 1);
     }
@@ -42,24 +42,24 @@
     owned
 }
 
-/// The busiest filled seat by the mean of its own region's filled seats; the largest of all regions.
+/// Returns the load of the busiest filled seat over the mean of its region's filled seats, the largest of all regions.
 fn busiest_by_region(list: &MemberList, counts: &[u32]) -> f64 {
     let mut regions: HashMap<u16, (f64, f64, f64)> = HashMap::new();
     for seat in list.seat_ids().filter(|seat| list.member(*seat).is_some()) {
         let count = f64::from(counts[seat.index()]);
-        let (sum, seats, most) = regions.entry(list.region(seat).0).or_default();
-        (*sum, *seats, *most) = (*sum + count, *seats + 1.0, most.max(count));
+        let (sum, seats, largest) = regions.entry(list.region(seat).0).or_default();
+        (*sum, *seats, *largest) = (*sum + count, *seats + 1.0, largest.max(count));
     }
-    regions.values().map(|(sum, seats, most)| most / (sum / seats)).fold(0.0, f64::max)
+    regions.values().map(|(sum, seats, largest)| largest / (sum / seats)).fold(0.0, f64::max)
 }
 
 fn busiest(counts: &[u32]) -> f64 {
-    let most = counts.iter().copied().max().unwrap_or(0);
-    f64::from(most) * counts.len() as f64 / counts.iter().map(|c| f64::from(*c)).sum::<f64>()
+    let largest = counts.iter().copied().max().unwrap_or(0);
+    f64::from(largest) * counts.len() as f64 / counts.iter().map(|c| f64::from(*c)).sum::<f64>()
 }
 
-/// The busiest seat's part of the load while new owners hold back, by the mean of all seats before: each shard is
-/// shared by those of its owners that it had before.
+/// Returns the load of the busiest seat during the hold of new owners, over the mean of all seats before: each shard is
+/// shared by those of its owners that had it before.
 fn busiest_during_hold(before: &Table, after: &Table, seats: usize) -> f64 {
     let mut load = vec![0.0; seats];
     for number in 0..SHARDS {
@@ -71,7 +71,7 @@
     load.into_iter().fold(0.0, f64::max) * seats as f64 / f64::from(SHARDS)
 }
 
-/// The busiest seat where destinations have numbers at random in place of dense ones.
+/// Returns the load of the busiest seat where destinations have random instead of consecutive numbers.
 fn busiest_sparse(placement: &Placement, destinations: u64, seed: u64) -> f64 {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut counts = vec![0; placement.list.seat_count()];
@@ -82,30 +82,30 @@
     busiest_by_region(&placement.list, &counts)
 }
 
-/// What moved between two tables.
+/// Positions that moved between two tables.
 #[derive(Default)]
-struct Moved {
-    /// Positions that a seat gained.
+struct Movement {
+    /// Positions gained by any seat.
     gained: usize,
-    /// Those of them that neither came from nor went to the seats that changed.
+    /// Gained positions that moved neither from nor to the changed seats.
     between_others: usize,
 }
 
-fn moved(before: &Table, after: &Table, changed: &[SeatId]) -> Moved {
-    let mut moved = Moved::default();
+fn find_movement(before: &Table, after: &Table, changed: &[SeatId]) -> Movement {
+    let mut movement = Movement::default();
     for number in 0..SHARDS {
         let (old, new) = (before.owners(ShardId(number)), after.owners(ShardId(number)));
         let gained: Vec<&SeatId> = new.iter().filter(|seat| !old.contains(seat)).collect();
         let is_changed = |seat: &&SeatId| changed.contains(seat);
         let to_changed = gained.iter().filter(|seat| is_changed(seat)).count();
         let from_changed = old.iter().filter(|seat| !new.contains(seat)).filter(is_changed).count();
-        moved.gained += gained.len();
-        moved.between_others += gained.len().saturating_sub(to_changed + from_changed);
+        movement.gained += gained.len();
+        movement.between_others += gained.len().saturating_sub(to_changed + from_changed);
     }
-    moved
+    movement
 }
 
-/// The list and the table of one epoch.
+/// The member list and the table of one epoch.
 struct Placement {
     list: MemberList,
     table: Table,
@@ -122,24 +122,24 @@
 
 fn build_times(list: &MemberList, repeats: usize) -> Result<Vec<f64>> {
     let time = |_| {
-        let begun = thread_cpu_time()?;
+        let started = thread_cpu_time()?;
         black_box(Table::build(list));
-        Ok((thread_cpu_time()? - begun).as_secs_f64())
+        Ok((thread_cpu_time()? - started).as_secs_f64())
     };
     (0..repeats).map(time).collect()
 }
 
-/// The table's part and the whole of taking over a change that is given as JSON.
+/// Measures the application of a change in JSON: the processor time of the table's part and of all of it.
 fn change_times(placement: &Placement, text: &[u8]) -> Result<(f64, f64)> {
     let mut table = placement.table.clone();
-    let begun = thread_cpu_time()?;
+    let started = thread_cpu_time()?;
     let changes = Changes::parse_json(text)?;
     let list = placement.list.apply(&changes)?;
     let listed = thread_cpu_time()?;
     table.apply(&list, &changes);
     let ended = thread_cpu_time()?;
     black_box((list, table));
-    Ok(((ended - listed).as_secs_f64(), (ended - begun).as_secs_f64()))
+    Ok(((ended - listed).as_secs_f64(), (ended - started).as_secs_f64()))
 }
 
 fn lookup_times(table: &Table, seed: u64, batches: usize) -> Result<Spread> {
@@ -147,46 +147,46 @@
     for _ in 0..batches {
         let destinations: Vec<i64> =
             (0..LOOKUPS).map(|_| random.random_range(0..DESTINATIONS as i64)).collect();
-        let begun = Instant::now();
+        let started = Instant::now();
         for destination in &destinations {
             black_box(table.owners(shard(*destination)));
         }
-        times.record(begun.elapsed());
+        times.record(started.elapsed());
     }
     Ok(times.seconds().scaled(1.0 / LOOKUPS as f64))
 }
 
-/// Resident bytes of one list, once read.
+/// Measures the resident bytes of one parsed list.
 fn list_memory(text: &[u8]) -> Result<f64> {
     let before = resident_bytes(std::process::id())?;
     let lists = (0..COPIES).map(|_| MemberList::parse_json(text)).collect::<Result<Vec<_>, _>>()?;
-    let grown = resident_bytes(std::process::id())? - before;
+    let growth = resident_bytes(std::process::id())? - before;
     drop(black_box(lists));
-    Ok(grown / COPIES as f64)
+    Ok(growth / COPIES as f64)
 }
 
 fn parse_times(text: &[u8], repeats: usize) -> Result<Vec<f64>> {
     let time = |_| {
-        let begun = Instant::now();
+        let started = Instant::now();
         black_box(MemberList::parse_json(text)?);
-        Ok(begun.elapsed().as_secs_f64())
+        Ok(started.elapsed().as_secs_f64())
     };
     (0..repeats).map(time).collect()
 }
 
-fn time_figures(report: &mut Report, setup: &Setup, placement: &Placement, form: &ListForm) -> Result<()> {
+fn report_times(report: &mut Report, setup: &Setup, placement: &Placement, form: &ListForm) -> Result<()> {
     let repeats = if setup.small { 3 } else { 15 };
     let text = serde_json::to_vec(form)?;
     let memory = list_memory(&text)?;
     let table_bytes = placement.table.memory_bytes() as f64;
-    report.figure("list as JSON", Unit::Bytes, Spread::exact(text.len() as f64));
-    report.figure("list in memory", Unit::Bytes, Spread::exact(memory));
-    report.bounded("table in memory", Unit::Bytes, Spread::exact(table_bytes), TABLE_BYTES);
+    report.metric("list as JSON", Unit::Bytes, Spread::exact(text.len() as f64));
+    report.metric("list in memory", Unit::Bytes, Spread::exact(memory));
+    report.bounded_metric("table in memory", Unit::Bytes, Spread::exact(table_bytes), TABLE_BYTES);
     let both = Spread::exact(2.0 * (memory + table_bytes));
-    report.bounded("two epochs' lists and tables", Unit::Bytes, both, SENDER_MEMORY);
-    report.figure("list read from JSON", Unit::Seconds, Spread::of(&parse_times(&text, repeats)?));
+    report.bounded_metric("two epochs' lists and tables", Unit::Bytes, both, SENDER_MEMORY);
+    report.metric("list read from JSON", Unit::Seconds, Spread::of(&parse_times(&text, repeats)?));
     let builds = build_times(&placement.list, repeats)?;
-    report.bounded("table built", Unit::Seconds, Spread::of(&builds), TABLE_BUILD);
+    report.bounded_metric("table built", Unit::Seconds, Spread::of(&builds), TABLE_BUILD);
     let senders = placement.list.seat_count();
     let events: [(&str, Changes); 3] = [
         ("one member lost", vacated(&placement.list, [senders / 2])),
@@ -195,44 +195,55 @@
     ];
     for (name, changes) in events {
         let text = changes.to_json();
-        let (mut table, mut whole) = (Vec::new(), Vec::new());
+        let (mut table, mut total) = (Vec::new(), Vec::new());
         for _ in 0..repeats {
             let (table_part, all) = change_times(placement, &text)?;
             table.push(table_part);
-            whole.push(all);
+            total.push(all);
         }
-        // A zone is 1,364 changes at once.
+        // A zone is 1,364 changes at once, to which the budget of a single change does not apply.
         if changes.changes.len() == 1 {
-            report.bounded(format!("{name}: table"), Unit::Seconds, Spread::of(&table), TABLE_CHANGE);
+            report.bounded_metric(format!("{name}: table"), Unit::Seconds, Spread::of(&table), TABLE_CHANGE);
         } else {
-            report.figure(format!("{name}: table"), Unit::Seconds, Spread::of(&table));
+            report.metric(format!("{name}: table"), Unit::Seconds, Spread::of(&table));
         }
-        report.figure(format!("{name}: decoding, list and table"), Unit::Seconds, Spread::of(&whole));
+        report.metric(format!("{name}: decoding, list and table"), Unit::Seconds, Spread::of(&total));
     }
     let lookups = lookup_times(&placement.table, setup.seed, if setup.small { 20 } else { 1_000 })?;
-    report.bounded("one lookup", Unit::Seconds, lookups, TABLE_LOOKUP);
+    report.bounded_metric("one lookup", Unit::Seconds, lookups, TABLE_LOOKUP);
     Ok(())
 }
 
-fn evenness(report: &mut Report, when: &str, placement: &Placement, destinations: u64, budget: Budget) {
-    let owned = owned(&placement.table, placement.list.seat_count(), destinations);
+fn measure_evenness(
+    report: &mut Report,
+    when: &str,
+    placement: &Placement,
+    destinations: u64,
+    budget: Budget,
+) {
+    let owned = count_owned(&placement.table, placement.list.seat_count(), destinations);
     let by_shards = busiest_by_region(&placement.list, &owned.shards);
     let by_destinations = busiest_by_region(&placement.list, &owned.destinations);
-    report.bounded(format!("{when}: busiest by shards"), Unit::Ratio, Spread::exact(by_shards), budget);
-    report.bounded(
+    report.bounded_metric(
+        format!("{when}: busiest by shards"),
+        Unit::Ratio,
+        Spread::exact(by_shards),
+        budget,
+    );
+    report.bounded_metric(
         format!("{when}: busiest by destinations"),
         Unit::Ratio,
         Spread::exact(by_destinations),
         budget,
     );
     let global = busiest(&owned.destinations);
-    report.figure(
+    report.metric(
         format!("{when}: busiest by destinations, by the mean of all seats"),
         Unit::Ratio,
         Spread::exact(global),
     );
     let orphans = (0..SHARDS).filter(|number| placement.table.owners(ShardId(*number)).is_empty()).count();
-    report.bounded(
+    report.bounded_metric(
         format!("{when}: shards without an owner"),
         Unit::Count,
         Spread::exact(orphans as f64),
@@ -240,8 +251,8 @@
     );
 }
 
-/// Loses some members one by one and appends some seats, and looks at what each moves.
-fn movement(report: &mut Report, setup: &Setup, placement: &Placement) -> Result<()> {
+/// Removes members and appends seats one by one and measures what each change moves.
+fn measure_movement(report: &mut Report, setup: &Setup, placement: &Placement) -> Result<()> {
     let mut random = ChaCha8Rng::seed_from_u64(setup.seed);
     let (senders, samples) = (placement.list.seat_count(), if setup.small { 3 } else { 20 });
     let (mut lost, mut added, mut between) = (Vec::new(), Vec::new(), 0);
@@ -249,10 +260,10 @@
         let gone = SeatId(random.random_range(0..senders) as u16);
         let after = placement.changed(&vacated(&placement.list, [gone.index()]))?;
         let share = placement.table.shards_of(gone).count();
-        let gone_moved = moved(&placement.table, &after.table, &[gone]);
+        let gone_moved = find_movement(&placement.table, &after.table, &[gone]);
         lost.push(gone_moved.gained as f64 / share as f64);
         let back = after.changed(&filled(&after.list, [gone.index()], 1))?;
-        let back_moved = moved(&after.table, &back.table, &[gone]);
+        let back_moved = find_movement(&after.table, &back.table, &[gone]);
         between += gone_moved.between_others + back_moved.between_others;
     }
     for extra in 0..samples {
@@ -261,21 +272,21 @@
         let after = placement.changed(&append)?;
         let new = SeatId(senders as u16);
         let share = after.table.shards_of(new).count();
-        let new_moved = moved(&placement.table, &after.table, &[new]);
+        let new_moved = find_movement(&placement.table, &after.table, &[new]);
         added.push(new_moved.gained as f64 / share as f64);
         between += new_moved.between_others;
     }
-    report.bounded("a member lost moves, by its share", Unit::Ratio, Spread::of(&lost), MOVEMENT);
-    report.bounded("a seat added moves, by its share", Unit::Ratio, Spread::of(&added), MOVEMENT);
+    report.bounded_metric("a member lost moves, by its share", Unit::Ratio, Spread::of(&lost), MOVEMENT);
+    report.bounded_metric("a seat added moves, by its share", Unit::Ratio, Spread::of(&added), MOVEMENT);
     let between = Spread::exact(between as f64);
-    report.bounded("moved between others", Unit::Count, between, MOVED_BETWEEN_OTHERS);
+    report.bounded_metric("moved between others", Unit::Count, between, MOVED_BETWEEN_OTHERS);
     Ok(())
 }
 
-/// Measures it.
+/// Runs the measurement.
 ///
 /// # Errors
-/// When a list or a change is refused.
+/// Fails if a list or a change is invalid.
 pub fn run(setup: &Setup) -> Result<Report> {
     let senders = if setup.small { 500 } else { SENDERS as usize };
     let destinations = if setup.small { 100_000 } else { DESTINATIONS };
@@ -284,21 +295,21 @@
     report.input("destinations", format!("{destinations}, numbered from 0"));
     let list = list(senders)?;
     let placement = Placement { table: Table::build(&list), list };
-    time_figures(&mut report, setup, &placement, &list_form(senders))?;
-    evenness(&mut report, "all there", &placement, destinations, BUSIEST_OWNER);
+    report_times(&mut report, setup, &placement, &list_form(senders))?;
+    measure_evenness(&mut report, "all there", &placement, destinations, BUSIEST_OWNER);
     let sparse = busiest_sparse(&placement, destinations, setup.seed);
-    report.figure(
+    report.metric(
         "all there, numbers at random: busiest by destinations",
         Unit::Ratio,
         Spread::exact(sparse),
     );
-    movement(&mut report, setup, &placement)?;
+    measure_movement(&mut report, setup, &placement)?;
     let rack = placement.changed(&vacated(&placement.list, first_rack(senders)))?;
-    evenness(&mut report, "a rack lost", &rack, destinations, ZONE_LOST);
+    measure_evenness(&mut report, "a rack lost", &rack, destinations, ZONE_LOST);
     let zone = placement.changed(&vacated(&placement.list, first_zone(senders)))?;
-    evenness(&mut report, "a zone lost", &zone, destinations, ZONE_LOST);
+    measure_evenness(&mut report, "a zone lost", &zone, destinations, ZONE_LOST);
     let during = busiest_during_hold(&placement.table, &zone.table, senders);
-    report.figure(
+    report.metric(
         "a zone lost, while new owners hold back: busiest, by the mean before",
         Unit::Ratio,
         Spread::exact(during),
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -1,16 +1,16 @@
-//! The small size of every slope, and what happens when a figure crosses its budget.
+//! Every slope at its small size, and the exit code and message for an exceeded budget.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// The daemon that `cargo test --workspace` has built beside this test: `target/PROFILE/embershore`.
+/// Returns the path of the daemon built by `cargo test --workspace`, `target/PROFILE/embershore`.
 fn daemon() -> PathBuf {
     let test = std::env::current_exe().expect("a test knows its own path");
     let profile = test.ancestors().nth(2).expect("a test lies in target/PROFILE/deps");
     let daemon = profile.join("embershore");
     assert!(
         daemon.exists(),
-        "{} is missing: build it by `cargo build --bin embershore`, or test the whole workspace",
+        "{} is missing: build it with `cargo build --bin embershore` or test the whole workspace",
         daemon.display()
     );
     daemon
