--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,8 +1,8 @@
-//! Chores of the developers.
+//! Developer tasks.
 //!
-//! `cargo run -p xtask -- guards` takes each guard of `scripts/guards.toml` out of a copy of the sources, one at a
-//! time, and looks whether the test or scenario that the file names misses it. It takes long, so it is run by hand,
-//! and its last result is kept in `docs/design/guards.md`.
+//! `cargo run -p xtask -- guards` removes each guard of `scripts/guards.toml` from a copy of the sources, one at a time,
+//! and checks that the test or scenario named there fails. This takes long, so it is run by hand; `docs/design/guards.md`
+//! contains the last result.
 
 use anyhow::{Context, Result, bail, ensure};
 use clap::{Parser, Subcommand};
@@ -12,8 +12,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode, Output};
 
-/// What of the sources is copied; all else is no part of a build.
-const PARTS: [&str; 9] = [
+/// Paths that are copied; a build needs nothing else.
+const COPIED_PATHS: [&str; 9] = [
     "Cargo.toml",
     "Cargo.lock",
     "src",
@@ -24,79 +24,79 @@
     "deploy",
     "README.md",
 ];
-/// Failing tests that the table names for a guard; the rest are counted.
-const NAMED_MOST: usize = 3;
+/// Number of failing tests that the table names for a guard; the others are counted.
+const MAX_NAMED_TESTS: usize = 3;
 
 #[derive(Parser)]
-#[command(about = "Chores of the developers")]
+#[command(about = "Developer tasks")]
 struct Arguments {
     #[command(subcommand)]
-    chore: Chore,
+    task: Task,
 }
 
 #[derive(Subcommand)]
-enum Chore {
-    /// Take guards out one at a time, and see which test or scenario misses each.
+enum Task {
+    /// Remove guards from a copy of the sources, one at a time, and check that a test or scenario fails.
     ///
-    /// Exit codes: 0 each guard was missed, 1 some was not, 2 something is wrong with the list or the sources.
+    /// Exit codes: 0 every removal was detected, 1 some was not, 2 the list is invalid or a command failed.
     Guards {
-        /// Only those whose name contains this.
+        /// Only check guards whose name contains this text.
         #[arg(long, default_value = "")]
         only: String,
-        /// Write the table here.
+        /// Write the table to this file instead of standard output.
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
-        /// The list of guards.
+        /// File with the list of guards.
         #[arg(long, default_value = "scripts/guards.toml")]
         list: PathBuf,
     },
 }
 
-/// The list of guards.
+/// The file with the list of guards.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct List {
     guard: Vec<Guard>,
 }
 
-/// A guard, how it is taken out, and what is to miss it.
+/// A guard in the sources, the edit that removes it, and the check that must fail without it.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Guard {
     name: String,
-    /// The rule that it guards, 1 to 6.
+    /// Number of the rule that it enforces, 1 to 6.
     rule: u8,
-    #[serde(default = "logic")]
+    #[serde(default = "default_file")]
     file: String,
-    /// What stands in the source, exactly once.
+    /// Text that occurs exactly once in the file.
     find: String,
     replace: String,
-    /// Arguments of `cargo test` that are to fail.
+    /// Arguments of a `cargo test` that must fail without the guard.
     #[serde(default)]
     test: Vec<String>,
-    /// A shipped scenario that is to break the rule.
+    /// A shipped scenario that must break the rule without the guard.
     #[serde(default)]
     scenario: Option<String>,
 }
 
-fn logic() -> String {
+fn default_file() -> String {
     "src/logic.rs".into()
 }
 
-/// What became of a guard that was taken out.
-enum Seen {
-    /// It was missed by these.
-    Missed(Vec<String>),
-    /// By nothing.
-    Unmissed,
-    /// It does not even build.
-    NoBuild,
-    /// The rig was late: play it again on a machine with more time.
+/// Result of the removal of a guard.
+enum Outcome {
+    /// These tests, or this scenario, failed.
+    Detected(Vec<String>),
+    /// Everything passed.
+    Undetected,
+    /// The sources do not build without the guard.
+    BuildFailed,
+    /// The rehearsal was void because its rig was late; repeat it on a less busy machine.
     Void,
 }
 
 fn main() -> ExitCode {
-    let Arguments { chore: Chore::Guards { only, out, list } } = Arguments::parse();
+    let Arguments { task: Task::Guards { only, out, list } } = Arguments::parse();
     match guards(&only, out.as_deref(), &list) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
@@ -109,87 +109,96 @@
 
 fn guards(only: &str, out: Option<&Path>, list: &Path) -> Result<bool> {
     let root = std::env::current_dir()?;
-    ensure!(root.join("src/logic.rs").is_file(), "start it from the repository's root");
-    let text = std::fs::read_to_string(list).with_context(|| list.display().to_string())?;
-    let list: List = toml::from_str(&text).with_context(|| list.display().to_string())?;
-    for g in &list.guard {
-        check(&root, g).with_context(|| format!("guard '{}'", g.name))?;
+    ensure!(
+        root.join("src/logic.rs").is_file(),
+        "src/logic.rs not found; run this in the root of the repository"
+    );
+    let text = std::fs::read_to_string(list).with_context(|| format!("{} can't be read", list.display()))?;
+    let list: List = toml::from_str(&text).with_context(|| format!("{} is invalid", list.display()))?;
+    for guard in &list.guard {
+        check(&root, guard).with_context(|| format!("guard '{}'", guard.name))?;
     }
     let work = root.join("target/guards");
     let chosen: Vec<&Guard> = list.guard.iter().filter(|g| g.name.contains(only)).collect();
-    let mut seen: Vec<(&Guard, Seen)> = Vec::new();
+    let mut results: Vec<(&Guard, Outcome)> = Vec::new();
     for (n, guard) in chosen.iter().enumerate() {
         eprint!("{:>3} of {}  rule {}  {} ... ", n + 1, chosen.len(), guard.rule, guard.name);
-        let found = without(&root, &work, guard).with_context(|| format!("guard '{}'", guard.name))?;
-        eprintln!("{}", words(&found));
-        seen.push((guard, found));
+        let outcome = remove_guard(&root, &work, guard).with_context(|| format!("guard '{}'", guard.name))?;
+        eprintln!("{}", describe(&outcome));
+        results.push((guard, outcome));
     }
-    let table = table(&seen);
+    let table = table(&results);
     match out {
-        Some(path) => std::fs::write(path, table).with_context(|| path.display().to_string())?,
+        Some(path) => {
+            std::fs::write(path, table).with_context(|| format!("{} can't be written", path.display()))?
+        }
         None => print!("{table}"),
     }
-    Ok(seen.iter().all(|(_, s)| matches!(s, Seen::Missed(_))))
+    Ok(results.iter().all(|(_, outcome)| matches!(outcome, Outcome::Detected(_))))
 }
 
-/// A guard whose place can't be found, or that nothing is to miss, is a mistake of the list.
+/// Checks an entry of the list: its rule, that it names one check, and that its text occurs exactly once.
 fn check(root: &Path, guard: &Guard) -> Result<()> {
-    ensure!((1..=6).contains(&guard.rule), "the rules are 1 to 6");
-    ensure!(guard.test.is_empty() == guard.scenario.is_some(), "give it either 'test' or 'scenario'");
-    let text = std::fs::read_to_string(root.join(&guard.file)).with_context(|| guard.file.clone())?;
+    ensure!((1..=6).contains(&guard.rule), "rule {} does not exist; the rules are 1 to 6", guard.rule);
+    ensure!(
+        guard.test.is_empty() == guard.scenario.is_some(),
+        "the entry must have either 'test' or 'scenario'"
+    );
+    let text = std::fs::read_to_string(root.join(&guard.file))
+        .with_context(|| format!("{} can't be read", guard.file))?;
     match text.matches(&guard.find).count() {
         1 => Ok(()),
-        n => bail!("'find' stands {n} times in {}; it must stand there once", guard.file),
+        n => bail!("'find' occurs {n} times in {}; it must occur exactly once", guard.file),
     }
 }
 
-fn without(root: &Path, work: &Path, guard: &Guard) -> Result<Seen> {
+fn remove_guard(root: &Path, work: &Path, guard: &Guard) -> Result<Outcome> {
     std::fs::create_dir_all(work)?;
-    for part in PARTS {
-        copy(&root.join(part), &work.join(part)).with_context(|| part.to_string())?;
+    for part in COPIED_PATHS {
+        sync(&root.join(part), &work.join(part)).with_context(|| format!("{part} can't be copied"))?;
     }
-    // The sources may have changed since the start.
+    // The sources may have changed since the first check.
     check(work, guard)?;
     let path = work.join(&guard.file);
     let text = std::fs::read_to_string(&path)?;
     std::fs::write(&path, text.replacen(&guard.find, &guard.replace, 1))?;
     match &guard.scenario {
-        Some(scenario) => by_scenario(work, guard.rule, scenario),
-        None => by_test(work, &guard.test),
+        Some(scenario) => run_scenario(work, guard.rule, scenario),
+        None => run_tests(work, &guard.test),
     }
 }
 
 fn cargo(work: &Path) -> Command {
     let mut cargo = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
-    // What is left out leaves things unused; that is no finding. Builds are many: they need not be the best.
+    // Removed guards leave unused items, so warnings are off. There are many builds, so they are optimised less.
     cargo.current_dir(work).env("RUSTFLAGS", "-Awarnings").env("CARGO_TARGET_DIR", work.join("target"));
     cargo.env("CARGO_PROFILE_RELEASE_LTO", "off").env("CARGO_PROFILE_RELEASE_CODEGEN_UNITS", "16");
     cargo
 }
 
-fn by_test(work: &Path, test: &[String]) -> Result<Seen> {
+fn run_tests(work: &Path, test: &[String]) -> Result<Outcome> {
     let mut build = cargo(work);
     build.arg("test").arg("--locked").arg("--no-run").args(test.iter().take_while(|a| *a != "--"));
     if !build.output()?.status.success() {
-        return Ok(Seen::NoBuild);
+        return Ok(Outcome::BuildFailed);
     }
     let run = cargo(work).arg("test").arg("--locked").arg("--no-fail-fast").args(test).output()?;
     if run.status.success() {
-        return Ok(Seen::Unmissed);
+        return Ok(Outcome::Undetected);
     }
     let text = String::from_utf8_lossy(&run.stdout);
     let failed = text.lines().filter_map(|l| l.strip_prefix("test ")?.strip_suffix(" ... FAILED"));
     let mut failed: Vec<String> = failed.map(Into::into).collect();
-    ensure!(!failed.is_empty(), "the tests ended without a verdict: {}", last_lines(&run));
+    ensure!(!failed.is_empty(), "cargo test failed without naming a failed test: {}", last_lines(&run));
     failed.sort();
     failed.dedup();
-    Ok(Seen::Missed(failed))
+    Ok(Outcome::Detected(failed))
 }
 
-fn by_scenario(work: &Path, rule: u8, scenario: &str) -> Result<Seen> {
+fn run_scenario(work: &Path, rule: u8, scenario: &str) -> Result<Outcome> {
     let build = cargo(work).args(["build", "--locked", "--release", "--bin", "embershore"]).output()?;
     if !build.status.success() {
-        return Ok(Seen::NoBuild);
+        return Ok(Outcome::BuildFailed);
     }
     let evidence = work.join("evidence");
     _ = std::fs::remove_dir_all(&evidence);
@@ -199,11 +208,15 @@
         .output()?;
     let report: serde_json::Value = serde_json::from_slice(&run.stdout).with_context(|| last_lines(&run))?;
     if !report["void"].is_null() {
-        return Ok(Seen::Void);
+        return Ok(Outcome::Void);
     }
     let ruling = &report["rules"][usize::from(rule) - 1];
     let broken = ruling["broken"].as_u64().unwrap_or(0);
-    Ok(if broken > 0 { Seen::Missed(vec![format!("{scenario}: {broken} offences")]) } else { Seen::Unmissed })
+    Ok(if broken > 0 {
+        Outcome::Detected(vec![format!("{scenario}: {broken} offences")])
+    } else {
+        Outcome::Undetected
+    })
 }
 
 fn last_lines(run: &Output) -> String {
@@ -212,8 +225,8 @@
     lines[lines.len().saturating_sub(5)..].join("; ")
 }
 
-/// Copies what differs, so that an unchanged file is not built again.
-fn copy(from: &Path, to: &Path) -> Result<()> {
+/// Copies files that differ and deletes those that no longer exist, so that unchanged files are not built again.
+fn sync(from: &Path, to: &Path) -> Result<()> {
     if from.is_dir() {
         std::fs::create_dir_all(to)?;
         let mut names = BTreeMap::new();
@@ -221,7 +234,6 @@
             let entry = entry?;
             names.insert(entry.file_name(), entry.path());
         }
-        // What was removed from the sources goes from the copy too.
         for entry in std::fs::read_dir(to)? {
             let entry = entry?;
             if !names.contains_key(&entry.file_name()) {
@@ -229,7 +241,7 @@
                 if path.is_dir() { std::fs::remove_dir_all(path)? } else { std::fs::remove_file(path)? }
             }
         }
-        return names.iter().try_for_each(|(name, path)| copy(path, &to.join(name)));
+        return names.iter().try_for_each(|(name, path)| sync(path, &to.join(name)));
     }
     let bytes = std::fs::read(from)?;
     if std::fs::read(to).ok().as_ref() != Some(&bytes) {
@@ -238,27 +250,27 @@
     Ok(())
 }
 
-fn words(seen: &Seen) -> String {
-    match seen {
-        Seen::Missed(by) => {
-            let more = by.len().saturating_sub(NAMED_MOST);
-            let more = if more > 0 { format!(" and {more} more") } else { String::new() };
-            format!("{}{more}", by[..by.len().min(NAMED_MOST)].join(", "))
+fn describe(outcome: &Outcome) -> String {
+    match outcome {
+        Outcome::Detected(by) => {
+            let others = by.len().saturating_sub(MAX_NAMED_TESTS);
+            let others = if others > 0 { format!(" and {others} more") } else { String::new() };
+            format!("{}{others}", by[..by.len().min(MAX_NAMED_TESTS)].join(", "))
         }
-        Seen::Unmissed => "NOTHING misses it".into(),
-        Seen::NoBuild => "it does not build without".into(),
-        Seen::Void => "the run was void".into(),
+        Outcome::Undetected => "NOTHING detects it".into(),
+        Outcome::BuildFailed => "the sources do not build without it".into(),
+        Outcome::Void => "the rehearsal was void".into(),
     }
 }
 
-fn table(seen: &[(&Guard, Seen)]) -> String {
+fn table(results: &[(&Guard, Outcome)]) -> String {
     let mut out = String::new();
     // Writing to a string can't fail.
-    _ = writeln!(out, "| rule | taken out | missed by |\n| --- | --- | --- |");
-    let mut sorted: Vec<_> = seen.iter().collect();
+    _ = writeln!(out, "| rule | removed guard | detected by |\n| --- | --- | --- |");
+    let mut sorted: Vec<_> = results.iter().collect();
     sorted.sort_by_key(|(g, _)| g.rule);
-    for (guard, seen) in sorted {
-        _ = writeln!(out, "| {} | {} | {} |", guard.rule, guard.name, words(seen).replace('_', "\\_"));
+    for (guard, outcome) in sorted {
+        _ = writeln!(out, "| {} | {} | {} |", guard.rule, guard.name, describe(outcome).replace('_', "\\_"));
     }
     out
 }
--- a/crates/xtask/tests/guards.rs
+++ b/crates/xtask/tests/guards.rs
@@ -1,17 +1,17 @@
-//! The list of guards fits the sources: each guard's text stands in its file exactly once, so that taking it out takes
-//! out that guard and nothing else.
+//! Checks that the list of guards matches the sources: the text of each guard occurs exactly once in its file, so that
+//! the edit removes that guard and nothing else.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// No guard's name contains this: the list is checked, and no guard is taken out.
+/// Text that no guard's name contains: the list is checked, and no guard is removed.
 const NO_GUARD: &str = "(the name of no guard)";
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Checks a list as `xtask guards` does before it takes anything out. What it complains of, if of anything.
+/// Runs the check of the list that `xtask guards` does first. Returns its error output if it fails.
 fn check(list: &Path) -> Result<(), String> {
     let output = Command::new(env!("CARGO_BIN_EXE_xtask"))
         .current_dir(repository())
@@ -22,7 +22,7 @@
     if output.status.success() { Ok(()) } else { Err(String::from_utf8(output.stderr).unwrap()) }
 }
 
-/// A list with one guard.
+/// Checks a list with one guard.
 fn check_one(name: &str, file: &str, find: &str) -> Result<(), String> {
     let list = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
     let text = format!(
@@ -38,12 +38,12 @@
 }
 
 #[test]
-fn a_guard_that_is_gone_or_doubled_or_in_no_file_is_told() {
-    assert_eq!(check_one("well", "src/logic.rs", "impl Dispatcher {"), Ok(()));
-    let gone = check_one("gone", "src/logic.rs", "no such line stands there").unwrap_err();
-    assert!(gone.contains("guard 'gone': 'find' stands 0 times in src/logic.rs"), "{gone}");
-    let doubled = check_one("doubled", "src/logic.rs", ") -> bool {").unwrap_err();
-    assert!(doubled.contains("guard 'doubled': 'find' stands "), "{doubled}");
-    let nowhere = check_one("nowhere", "src/no_such_file.rs", "fn ").unwrap_err();
-    assert!(nowhere.contains("src/no_such_file.rs"), "{nowhere}");
+fn a_guard_whose_text_is_missing_or_repeated_or_whose_file_is_missing_is_reported() {
+    assert_eq!(check_one("valid", "src/logic.rs", "impl Dispatcher {"), Ok(()));
+    let missing = check_one("missing", "src/logic.rs", "no such line stands there").unwrap_err();
+    assert!(missing.contains("guard 'missing': 'find' occurs 0 times in src/logic.rs"), "{missing}");
+    let repeated = check_one("repeated", "src/logic.rs", ") -> bool {").unwrap_err();
+    assert!(repeated.contains("guard 'repeated': 'find' occurs "), "{repeated}");
+    let no_file = check_one("no-file", "src/no_such_file.rs", "fn ").unwrap_err();
+    assert!(no_file.contains("src/no_such_file.rs"), "{no_file}");
 }
