--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,9 +1,9 @@
-//! Measures the slopes behind `docs/CAPACITY.md` (how costs grow with size): with real daemon processes where they fit on
-//! one machine, otherwise with hollow, that is simulated, senders, which run the real decision code and its messages without
-//! clients and endpoints.
+//! Measures the slopes behind `docs/CAPACITY.md` (how costs grow with size): with real daemon processes where they
+//! fit on one machine, otherwise with hollow, that is simulated, senders, which run the real decision code and its
+//! messages without clients and endpoints.
 //!
-//! Each subcommand prints its inputs and its metrics with their spread and budget, and fails with the name of every budget
-//! that a metric exceeds.
+//! Each subcommand prints its inputs and its metrics with their spread and budget, and fails with the name of every
+//! budget that a metric exceeds.
 
 #![forbid(unsafe_code)]
 
--- a/crates/scale/src/process/client.rs
+++ b/crates/scale/src/process/client.rs
@@ -91,7 +91,8 @@
     }
 }
 
-/// Offers `rate` messages per second for `span` over several connections, to the destinations `0..destinations` in turn.
+/// Offers `rate` messages per second for `span` over several connections, to the destinations `0..destinations` in
+/// turn.
 ///
 /// # Errors
 /// Fails if a connection ends or an answer does not come in time.
--- a/crates/scale/src/slopes/fleet.rs
+++ b/crates/scale/src/slopes/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of simulated senders: the number of destinations that each owns, their load, and the traffic that informs each
-//! sender of changes.
+//! A fleet of simulated senders: the number of destinations that each owns, their load, and the traffic that informs
+//! each sender of changes.
 
 use super::Setup;
 use crate::budget::SENDER_TRAFFIC;
@@ -63,7 +63,8 @@
         rates.map(form).collect()
     }
 
-    /// Returns the messages per second of each seat, where the parts and replicas of a destination share its load evenly.
+    /// Returns the messages per second of each seat, where the parts and replicas of a destination share its load
+    /// evenly.
     fn by_seat(&self, table: &Table, list: &MemberList) -> Vec<f64> {
         let mut load = vec![0.0; list.seat_count()];
         for (destination, rate) in self.rates.iter().enumerate() {
@@ -89,8 +90,8 @@
         let load = Load::new(destinations, list.seat_count(), exponent, setup.seed);
         let name = format!("skew {exponent}");
         report.metric(format!("{name}: largest destination"), Unit::PerSecond, Spread::exact(load.largest()));
-        let plain = Spread::of(&load.by_seat(table, list));
-        report.metric(format!("{name}: a sender's messages, none wide"), Unit::PerSecond, plain);
+        let unsplit = Spread::of(&load.by_seat(table, list));
+        report.metric(format!("{name}: a sender's messages, none wide"), Unit::PerSecond, unsplit);
         let wide = load.wide();
         let (count, parts) = (wide.len() as f64, wide.iter().map(|w| w.width as f64).sum::<f64>());
         let widened = following(list, wide.into_iter().map(Change::SetWidth).collect());
@@ -99,7 +100,7 @@
         let json_length = widened.to_json().len() as f64;
         report.metric(format!("{name}: bytes to tell them"), Unit::Bytes, Spread::exact(json_length));
         let spread =
-            if count > 0.0 { Spread::of(&load.by_seat(table, &list.apply(&widened)?)) } else { plain };
+            if count > 0.0 { Spread::of(&load.by_seat(table, &list.apply(&widened)?)) } else { unsplit };
         report.metric(format!("{name}: a sender's messages, wide"), Unit::PerSecond, spread);
     }
     Ok(())
--- a/crates/scale/src/slopes/held.rs
+++ b/crates/scale/src/slopes/held.rs
@@ -21,7 +21,7 @@
 
 /// Measurements of one daemon.
 struct Sample {
-    held: f64,
+    queued: f64,
     resident: f64,
     journal: f64,
     restart: f64,
@@ -57,11 +57,11 @@
     let (resident, journal) = (daemon.resident_bytes()?, daemon.journal_bytes()?);
     fill(&daemon, count).await?;
     tokio::time::sleep(SETTLE_TIME).await;
-    let held = daemon.variable("outstanding").await.unwrap_or(0) as f64;
+    let queued = daemon.variable("outstanding").await.unwrap_or(0) as f64;
     let (resident, journal) = (daemon.resident_bytes()? - resident, daemon.journal_bytes()? - journal);
     daemon.restart().await?;
     let restart = daemon.wait_ready(DESTINATIONS, READY_TIMEOUT).await?.as_secs_f64();
-    Ok(Sample { held, resident, journal, restart })
+    Ok(Sample { queued, resident, journal, restart })
 }
 
 /// Runs the measurement.
@@ -93,8 +93,9 @@
         );
         samples.append(&mut size_samples);
     }
-    let line =
-        |of: fn(&Sample) -> f64| Line::through(&samples.iter().map(|s| (s.held, of(s))).collect::<Vec<_>>());
+    let line = |of: fn(&Sample) -> f64| {
+        Line::through(&samples.iter().map(|s| (s.queued, of(s))).collect::<Vec<_>>())
+    };
     let (resident, journal, restart) = (line(|s| s.resident), line(|s| s.journal), line(|s| s.restart));
     report.bounded_metric("resident for each held", Unit::Bytes, Spread::exact(resident.slope), HELD_BYTES);
     report.bounded_metric("journal for each held", Unit::Bytes, Spread::exact(journal.slope), HELD_JOURNAL);
--- a/crates/scale/src/slopes/message_cpu.rs
+++ b/crates/scale/src/slopes/message_cpu.rs
@@ -11,8 +11,8 @@
 
 /// Messages offered per second.
 pub const MESSAGE_RATE: f64 = 300.0;
-/// Number of destinations that get messages if more are listed. Separates the cost of a listed idle destination from that
-/// of a connection.
+/// Number of destinations that get messages if more are listed. Separates the cost of a listed idle destination from
+/// that of a connection.
 pub const ACTIVE_DESTINATIONS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// The load that opens the connections before the measurement takes the measured span divided by this.
--- a/crates/scale/src/slopes/owners_check.rs
+++ b/crates/scale/src/slopes/owners_check.rs
@@ -32,7 +32,7 @@
 
 /// Measurements of the real processes.
 struct ProcessResults {
-    kept: Vec<f64>,
+    destinations: Vec<f64>,
     resident: Vec<f64>,
     cpu: Vec<f64>,
     seconds: f64,
@@ -54,14 +54,14 @@
         let options = Options { placement: Some(placement), ..Options::default() };
         daemons.push(Daemon::start(&setup.binary, directory.address, &options)?);
     }
-    let mut kept = Vec::new();
+    let mut destinations = Vec::new();
     for daemon in &daemons {
-        kept.push(daemon.wait_until_owned_read(READY_TIMEOUT).await? as f64);
+        destinations.push(daemon.wait_until_owned_read(READY_TIMEOUT).await? as f64);
     }
     let seconds = started.elapsed().as_secs_f64();
     let resident = daemons.iter().map(Daemon::resident_bytes).collect::<Result<_>>()?;
     let cpu = daemons.iter().map(Daemon::cpu_seconds).collect::<Result<_>>()?;
-    Ok(ProcessResults { kept, resident, cpu, seconds })
+    Ok(ProcessResults { destinations, resident, cpu, seconds })
 }
 
 /// Runs the measurement.
@@ -81,9 +81,9 @@
         let owned = owned_destinations(&Table::build(&list), size, DESTINATIONS as u64);
         let simulated: Vec<f64> = owned.iter().map(|owned| owned.len() as f64).collect();
         let deviation =
-            real.kept.iter().zip(&simulated).map(|(real, simulated)| (simulated / real - 1.0).abs());
+            real.destinations.iter().zip(&simulated).map(|(real, simulated)| (simulated / real - 1.0).abs());
         let deviation = Spread::exact(deviation.fold(0.0, f64::max));
-        report.metric(format!("{size} real: destinations kept"), Unit::Count, Spread::of(&real.kept));
+        report.metric(format!("{size} real: destinations kept"), Unit::Count, Spread::of(&real.destinations));
         report.metric(format!("{size} hollow: destinations kept"), Unit::Count, Spread::of(&simulated));
         report.bounded_metric(
             format!("{size}: apart by at the most"),
@@ -92,7 +92,8 @@
             SIMULATED_AGAINST_REAL,
         );
         report.metric(format!("{size} real: resident"), Unit::Bytes, Spread::of(&real.resident));
-        // All processes build their tables at once on one machine, so the budget applies to a sender's own processor time.
+        // All processes build their tables at once on one machine, so the budget applies to a sender's own processor
+        // time.
         let all = Spread::exact(real.seconds);
         report.metric(format!("{size} real: until all have read what they own"), Unit::Seconds, all);
         let name = format!("{size} real: processor time of each until then");
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -6,7 +6,7 @@
 /// Returns the path of the daemon built by `cargo test --workspace`, `target/PROFILE/embershore`.
 fn daemon() -> PathBuf {
     let test = std::env::current_exe().expect("a test knows its own path");
-    let profile = test.ancestors().nth(2).expect("a test lies in target/PROFILE/deps");
+    let profile = test.ancestors().nth(2).expect("the test is in target/PROFILE/deps");
     let daemon = profile.join("embershore");
     assert!(
         daemon.exists(),
@@ -23,11 +23,12 @@
 
 fn small(slope: &str) -> Vec<serde_json::Value> {
     let daemon = daemon();
-    let output = scale(&[slope, "--small", "--json", "--binary", daemon.to_str().expect("a plain path")]);
+    let output =
+        scale(&[slope, "--small", "--json", "--binary", daemon.to_str().expect("the path is UTF-8")]);
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{slope}: {errors}");
-    let text = String::from_utf8(output.stdout).expect("reports are text");
-    text.lines().map(|line| serde_json::from_str(line).expect("each report is an object")).collect()
+    let text = String::from_utf8(output.stdout).expect("reports are UTF-8");
+    text.lines().map(|line| serde_json::from_str(line).expect("each report is a JSON object")).collect()
 }
 
 #[test]
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,8 +1,8 @@
 //! Developer tasks.
 //!
-//! `cargo run -p xtask -- guards` removes each guard of `scripts/guards.toml` from a copy of the sources, one at a time,
-//! and checks that the test or scenario named there fails. This takes long, so it is run by hand; `docs/design/guards.md`
-//! contains the last result.
+//! `cargo run -p xtask -- guards` removes each guard of `scripts/guards.toml` from a copy of the sources, one at a
+//! time, and checks that the test or scenario named there fails. This takes long, so it is run by hand;
+//! `docs/design/guards.md` contains the last result.
 
 use anyhow::{Context, Result, bail, ensure};
 use clap::{Parser, Subcommand};
--- a/tests/common/even.rs
+++ b/tests/common/even.rs
@@ -26,8 +26,8 @@
     /// Number of senders that each sender assumes.
     pub assumed_senders: u32,
     pub endpoints: usize,
-    /// Number of endpoints in the first zone, the rest being in the second; endpoints alternate if it is not set. Senders
-    /// alternate between both zones.
+    /// Number of endpoints in the first zone, the rest being in the second; endpoints alternate if it is not set.
+    /// Senders alternate between both zones.
     pub first_zone: Option<usize>,
     /// Index of the receiver's kind, and its limit in calls per second.
     pub kind: usize,
@@ -40,7 +40,8 @@
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
     /// Number of endpoints, from the first, that limit their connections, and the limit of each.
     pub connection_cap: Option<(usize, usize)>,
-    /// Number of endpoints that join, when they are listed, and by how much later a third of the senders receive the list.
+    /// Number of endpoints that join, when they are listed, and by how much later a third of the senders receive the
+    /// list.
     pub joining: Option<(usize, Micros, Micros)>,
     /// Every n-th sender is restarted at this time without any state.
     pub restart: Option<(usize, Micros)>,
--- a/tests/common/herd.rs
+++ b/tests/common/herd.rs
@@ -108,8 +108,8 @@
     /// Highest load as a share of the load that overloads the receiver, and how long after the return it came.
     pub peak: f64,
     pub peak_at: Micros,
-    /// The first overload by the strict bound: where the fall window's budget at that moment is N calls, N + 2 sqrt(N) + 2
-    /// are allowed, which leaves room for chance.
+    /// The first overload by the strict bound, which leaves room for chance: where the fall window's budget at that
+    /// moment is N calls, N + 2 sqrt(N) + 2 are allowed.
     pub overload: Option<Overload>,
     /// The first overload by the wide bound, which allows N + 3 sqrt(N) + 3 calls where N is below 30.
     pub overload_by_wide_bound: Option<Overload>,
@@ -246,10 +246,10 @@
                 let receivers: Vec<_> = dispatchers[i].receiver_health().collect();
                 dispatchers[i] = Dispatcher::new(now, rng.0 ^ i as u64, self.settings()).unwrap();
                 inbox[i] = vec![self.listing(now)];
-                let held = open.keys().filter(|(sender, _)| *sender == i).count();
-                results
-                    .trace
-                    .push(format!("{now} sender {i} starts with {held} messages and restored health {health:?} {receivers:?}"));
+                let queued = open.keys().filter(|(sender, _)| *sender == i).count();
+                results.trace.push(format!(
+                    "{now} sender {i} starts with {queued} messages, health {health:?} {receivers:?}"
+                ));
                 let health = health.into_iter().filter(|_| self.persisted == Persisted::All);
                 inbox[i].extend(
                     health.map(|(endpoint, health)| Event::EndpointHealthRestored { endpoint, health }),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -195,7 +195,8 @@
         self.round(&[event])
     }
 
-    /// Offers `count` messages, one each `gap`, with ids from `first`, and answers every call with success after 100 ms.
+    /// Offers `count` messages, one each `gap`, with ids from `first`, and answers every call with success after 100
+    /// ms.
     pub fn serve_steadily(&mut self, first: u64, count: u64, class: usize, dest: i64, gap: Micros) {
         for i in 0..count {
             self.round(&[message(first + i, class, dest)]);
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -42,7 +42,11 @@
         sender.round(&[message(i, UNSAFE, 1)]);
         sender.advance(50 * MS);
     }
-    assert!(sender.in_flight_at(|e| e == 1) <= 6, "{} of 12 slots are held", sender.in_flight_at(|e| e == 1));
+    assert!(
+        sender.in_flight_at(|e| e == 1) <= 6,
+        "{} of 12 slots are in use",
+        sender.in_flight_at(|e| e == 1)
+    );
     let other = fill(&mut sender, 500, 3, UNSAFE, 2);
     assert_eq!(other.len(), 3, "the healthy destination is served at once");
 }
@@ -87,7 +91,7 @@
 fn refusals_lower_the_budget_and_it_grows_back() {
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
     sender.serve_steadily(10_000, 100, SAFE, 1, 50 * MS);
-    // Twenty calls a second meet a limit of five for ten seconds.
+    // Twenty calls per second are offered to a limit of five per second for ten seconds.
     let (mut full, mut id) = (Vec::new(), 0u64);
     let mut served_in = [0u32; 200];
     for step in 0..400usize {
@@ -149,8 +153,16 @@
         sender.now - start
     };
     // A call counts as stalled after 0.4 s at the earliest.
-    assert!((800 * MS..1000 * MS).contains(&waited(SAFE)), "{}", waited(SAFE));
-    assert!((1200 * MS..1400 * MS).contains(&waited(UNSAFE)), "{}", waited(UNSAFE));
+    assert!(
+        (800 * MS..1000 * MS).contains(&waited(SAFE)),
+        "cancelled after {} us, expected 0.8 to 1 s",
+        waited(SAFE)
+    );
+    assert!(
+        (1200 * MS..1400 * MS).contains(&waited(UNSAFE)),
+        "cancelled after {} us, expected 1.2 to 1.4 s",
+        waited(UNSAFE)
+    );
 }
 
 #[test]
@@ -182,7 +194,11 @@
         }
         sender.now - start
     };
-    assert!((1200 * MS..1400 * MS).contains(&cancelled_after(true)), "{}", cancelled_after(true));
+    assert!(
+        (1200 * MS..1400 * MS).contains(&cancelled_after(true)),
+        "cancelled after {} us, expected 1.2 to 1.4 s",
+        cancelled_after(true)
+    );
     assert!(cancelled_after(false) >= 5 * S, "a hung endpoint's calls may still be answered");
 }
 
@@ -295,8 +311,8 @@
 
 #[test]
 fn unsafe_messages_wait_where_calls_that_may_have_run_just_failed() {
-    // Guards against endpoints that fail part of their calls: they counted as healthy after each success, and each failed
-    // two or three unsafe messages before it was avoided.
+    // Guards against endpoints that fail part of their calls: they counted as healthy after each success, and each
+    // failed two or three unsafe messages before it was avoided.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 2, 0)]);
     for dest in [1, 2] {
         sender.serve_steadily(1000 * dest as u64, 30, SAFE, dest, 100 * MS);
@@ -326,7 +342,10 @@
     sender.round(&[Event::MessageAbandoned { id: MsgId(50) }]);
     sender.finish(&sent[0], Outcome::Error);
     let other = fill(&mut sender, 51, 1, UNSAFE, 2);
-    assert!(other.len() == 1 && other[0].endpoint != sent[0].endpoint, "{other:?}");
+    assert!(
+        other.len() == 1 && other[0].endpoint != sent[0].endpoint,
+        "the unsafe message was not sent to the other endpoint: {other:?}"
+    );
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
     let sent = fill(&mut sender, 1, 1, UNSAFE, 1);
@@ -352,17 +371,18 @@
     sender.round(&ends);
     let ids = |sent: Vec<Attempt>| sent.iter().map(|attempt| attempt.id).collect::<Vec<_>>();
     let next = ids(sender.round(&both(11)));
-    assert!(!next.contains(&12), "{next:?}");
+    assert!(!next.contains(&12), "messages {next:?} were sent, the unsafe message 12 among them");
 }
 
 #[test]
 fn an_endpoint_that_answers_part_of_its_calls_stays_in_use() {
-    // Two errors in a row are likely where half of the calls fail, and repeatable messages still profit from the endpoint.
+    // Two errors in a row are likely where half of the calls fail, and repeatable messages still profit from the
+    // endpoint.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
-    for (i, goes) in [true, true, true, true, false].into_iter().enumerate() {
+    for (i, is_sent) in [true, true, true, true, false].into_iter().enumerate() {
         let sent = fill(&mut sender, i as u64, 1, SAFE, 1);
-        assert_eq!(sent.len() == 1, goes, "after {i} errors in a row");
+        assert_eq!(sent.len() == 1, is_sent, "whether a message is sent after {i} errors in a row");
         for attempt in sent {
             sender.now += 50 * MS;
             sender.round(&[Event::MessageAbandoned { id: MsgId(attempt.id) }]);
@@ -383,16 +403,16 @@
             for attempt in sender.in_flight.clone() {
                 sender.finish(&attempt, outcome);
             }
-            for p in std::mem::take(&mut sender.probes) {
-                sender.round(&[Event::Probed { endpoint: EndpointId(p), outcome, report: None }]);
+            for probed in std::mem::take(&mut sender.probes) {
+                sender.round(&[Event::Probed { endpoint: EndpointId(probed), outcome, report: None }]);
             }
         }
         // After the recovery, each message is sent at once once the warm-up and three seconds have passed.
         for i in 0..200u64 {
             sender.round(&[message(5000 + i, SAFE, 1)]);
             sender.advance(100 * MS);
-            for p in std::mem::take(&mut sender.probes) {
-                let (endpoint, outcome) = (EndpointId(p), Outcome::Done);
+            for probed in std::mem::take(&mut sender.probes) {
+                let (endpoint, outcome) = (EndpointId(probed), Outcome::Done);
                 sender.round(&[Event::Probed { endpoint, outcome, report: None }]);
             }
             for attempt in sender.in_flight.clone() {
@@ -423,7 +443,8 @@
     assert_eq!(permits_after(50 * MS), 2);
 }
 
-/// Returns one of this many senders after an endpoint of kind 0 has refused its connection and another has accepted one.
+/// Returns one of this many senders after an endpoint of kind 0 has refused its connection and another has accepted
+/// one.
 fn refused_a_connection(senders: u32) -> TestSender {
     let mut sender =
         TestSender::new(Settings { senders, ..settings() }, vec![entry(1, 1, 0), entry(2, 2, 0)]);
@@ -443,8 +464,8 @@
 
 #[test]
 fn idle_connections_are_closed_where_many_senders_share_few() {
-    // Guards against connection tables filled by idle connections: with hundreds of senders that kept one each, most calls
-    // were refused.
+    // Guards against connection tables filled by idle connections: with hundreds of senders that kept one each, most
+    // calls were refused.
     assert!(
         refused_a_connection(200).closed_idle.contains(&2),
         "no idle connection is kept for a kind that refused one"
@@ -453,27 +474,27 @@
 }
 
 /// Counts the calls that a sender with one queued message makes in ten seconds of an outage.
-fn contacts_in_an_outage(senders: u32) -> usize {
+fn calls_in_an_outage(senders: u32) -> usize {
     let mut sender = TestSender::new(Settings { senders, ..settings() }, vec![entry(1, 1, 0)]);
     sender.advance(60 * S);
     sender.round(&[message(0, SAFE, 1)]);
-    let (mut contacts, end) = (0, sender.now + 10 * S);
+    let (mut calls, end) = (0, sender.now + 10 * S);
     while sender.now < end {
         for attempt in sender.in_flight.clone() {
-            contacts += 1;
+            calls += 1;
             sender.now += MS;
             sender.finish(&attempt, Outcome::ConnectFailed);
         }
         sender.advance(10 * MS);
     }
-    contacts
+    calls
 }
 
 #[test]
 fn the_more_senders_share_a_destination_the_less_often_each_tries_it_in_an_outage() {
     // Guards against trials whose rate grows with the number of senders: at one each two seconds from each of a hundred
     // senders, they overloaded a receiver that returned cold.
-    let (few, many) = (contacts_in_an_outage(2), contacts_in_an_outage(200));
+    let (few, many) = (calls_in_an_outage(2), calls_in_an_outage(200));
     assert!(few >= 5 && many <= 4, "{few} calls with two senders, {many} with two hundred");
 }
 
@@ -497,8 +518,8 @@
 
 #[test]
 fn failures_far_apart_start_a_paced_return_from_the_first_of_them() {
-    // Guards against outages that a sender with rare messages overlooks: two failures shortly before a success did not count
-    // as an outage, and hundreds of such senders overloaded the destination on its return.
+    // Guards against outages that a sender with rare messages overlooks: two failures shortly before a success did
+    // not count as an outage, and hundreds of such senders overloaded the destination on its return.
     let set = Settings { senders: 200, ..settings() };
     let mut sender = TestSender::new(set, vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 10, SAFE, 1, 3 * S);
@@ -567,7 +588,7 @@
         fill(&mut sender, 2, 1, UNSAFE, 1).is_empty(),
         "a second stalled call in a row makes the endpoint unhealthy"
     );
-    assert!(!sender.probes.is_empty(), "it is probed");
+    assert!(!sender.probes.is_empty(), "the endpoint is probed");
 }
 
 #[test]
--- a/tests/even.rs
+++ b/tests/even.rs
@@ -18,7 +18,8 @@
     (1..=3).map(|seed| result(&Simulation { seed, ..simulation.clone() }.run())).sum::<f64>() / 3.0
 }
 
-/// Returns the index of dispersion of the calls, and the busiest and idlest endpoint over the mean, in the steady state.
+/// Returns the index of dispersion of the calls, and the busiest and idlest endpoint over the mean, in the steady
+/// state.
 fn steady(simulation: &Simulation) -> (f64, f64, f64) {
     let seeds = simulation.seed..simulation.seed + 3;
     let all: Vec<_> =
@@ -31,7 +32,7 @@
     let (variance, busiest, idlest) = steady(simulation);
     assert!(
         variance < max_variance && busiest < 1.65 && idlest > 0.45,
-        "{name}: {variance:.2}, {busiest:.2}, {idlest:.2}"
+        "{name}: variance {variance:.2} (below {max_variance}), busiest {busiest:.2} (below 1.65), idlest {idlest:.2} (above 0.45)"
     );
 }
 
@@ -48,7 +49,7 @@
             // Without reuse it would be one connection for each message.
             assert!(
                 on_time_share > 0.97 && connections < 0.75,
-                "{n} senders, kind {kind}: {on_time_share:.3}, {connections:.3}"
+                "{n} senders, kind {kind}: {on_time_share:.3} in time, {connections:.3} connections per message"
             );
         }
     }
@@ -58,14 +59,18 @@
 fn few_calls_over_many_endpoints() {
     // Each sender has one message in five seconds.
     let (variance, _, idlest) = steady(&Simulation { endpoints: 30, demand: 20.0, ..fleet_of(100) });
-    assert!(variance < 4.0 && idlest >= 0.0, "{variance:.2}, {idlest:.2}");
+    assert!(variance < 4.0 && idlest >= 0.0, "variance {variance:.2}, idlest {idlest:.2}");
     assert_even("two endpoints", &Simulation { endpoints: 2, ..fleet_of(100) }, 3.0);
 }
 
 #[test]
 fn order_and_numbers_of_the_list_change_nothing() {
-    let (plain, mixed) = (steady(&fleet_of(100)), steady(&Simulation { shuffled: true, ..fleet_of(100) }));
-    assert!((plain.0 / mixed.0).ln().abs() < 0.6, "{plain:?}, {mixed:?}");
+    let (same_order, other_orders) =
+        (steady(&fleet_of(100)), steady(&Simulation { shuffled: true, ..fleet_of(100) }));
+    assert!(
+        (same_order.0 / other_orders.0).ln().abs() < 0.6,
+        "same order {same_order:?}, other orders {other_orders:?}"
+    );
     assert_even("in other orders", &Simulation { shuffled: true, ..fleet_of(100) }, 5.0);
 }
 
@@ -86,12 +91,13 @@
         kind in 0usize..2,
         numbers in (0u32..1 << 30, 1u32..1 << 20),
     ) {
-        let plain = Simulation { seed: seed.into(), kind, endpoints, ..fleet_of(senders) };
-        let other = Simulation { numbers, shuffled: true, ..plain.clone() };
-        let [plain, other] = [plain, other].map(|simulation| steady(&simulation));
+        let same_order = Simulation { seed: seed.into(), kind, endpoints, ..fleet_of(senders) };
+        let other_orders = Simulation { numbers, shuffled: true, ..same_order.clone() };
+        let [same_order, other_orders] = [same_order, other_orders].map(|simulation| steady(&simulation));
         // An endpoint gets 17 calls or more in 10 s: seeds alone make this much difference.
-        prop_assert!(plain.0 < 6.0 && other.0 < 6.0, "{plain:?}, {other:?}");
-        prop_assert!((plain.0 / other.0).ln().abs() < 1.4, "{plain:?}, {other:?}");
+        let message = format!("same order {same_order:?}, other orders {other_orders:?}");
+        prop_assert!(same_order.0 < 6.0 && other_orders.0 < 6.0, "{message}");
+        prop_assert!((same_order.0 / other_orders.0).ln().abs() < 1.4, "{message}");
     }
 }
 
@@ -113,7 +119,7 @@
         })
         .collect();
     let counts: Vec<f64> = (1..=8).map(|n| firsts.iter().filter(|f| **f == n).count() as f64).collect();
-    assert!(model::dispersion(&counts).0 < 2.5, "{counts:?}");
+    assert!(model::dispersion(&counts).0 < 2.5, "first calls by endpoint: {counts:?}");
 }
 
 #[test]
@@ -126,8 +132,11 @@
         })
     };
     let (first, middle, full) = (part(20, 22), part(22, 30), part(34, 60));
-    assert!(first < 0.12 && (0.05..0.42).contains(&middle), "{first:.2}, {middle:.2}");
-    assert!((0.42..0.58).contains(&full), "{full:.2}");
+    assert!(
+        first < 0.12 && (0.05..0.42).contains(&middle),
+        "share of the new endpoints: {first:.2} at 0 to 2 s, {middle:.2} at 2 to 10 s"
+    );
+    assert!((0.42..0.58).contains(&full), "share of the new endpoints: {full:.2} from 14 s on");
 }
 
 #[test]
@@ -139,7 +148,10 @@
                 model::dispersion(&Simulation { seed, ..simulation.clone() }.run().counts(20 * S, 25 * S)).1
             })
             .collect();
-        assert!(all.iter().all(|busiest| *busiest < 1.9), "one of {every}: {all:.2?}");
+        assert!(
+            all.iter().all(|busiest| *busiest < 1.9),
+            "one of {every} senders restarted: busiest endpoint over the mean {all:.2?}"
+        );
     }
 }
 
@@ -148,20 +160,25 @@
     for n in [3, 12] {
         let simulation =
             Simulation { faults: vec![(1, Fault::Slow(4.0), 10 * S, 40 * S)], end: 100 * S, ..fleet_of(n) };
-        let (slow, well) = (mean_load_share(&simulation, 20, 40), mean_load_share(&simulation, 70, 100));
-        assert!((0.1..0.75).contains(&slow), "{n} senders: {slow:.2}");
-        assert!(well > 0.65, "{n} senders: {well:.2}");
+        let (slow, recovered) = (mean_load_share(&simulation, 20, 40), mean_load_share(&simulation, 70, 100));
+        assert!((0.1..0.75).contains(&slow), "{n} senders: load share {slow:.2} while slow");
+        assert!(recovered > 0.65, "{n} senders: load share {recovered:.2} after its recovery");
     }
 }
 
 #[test]
 fn the_known_latency_of_a_rarely_used_endpoint_decays() {
-    // A minute and a half of slow answers must not count for as long: without the decay the shares here were 0.46 and 0.19.
+    // A minute and a half of slow answers must not count for as long: without the decay the shares here were 0.46 and
+    // 0.19.
     for n in [6, 30] {
         let simulation =
             Simulation { faults: vec![(1, Fault::Slow(8.0), 10 * S, 100 * S)], end: 160 * S, ..fleet_of(n) };
-        let (slow, well) = (mean_load_share(&simulation, 70, 100), mean_load_share(&simulation, 130, 160));
-        assert!(slow < 0.5 && well > 0.75, "{n} senders: {slow:.2}, {well:.2}");
+        let (slow, recovered) =
+            (mean_load_share(&simulation, 70, 100), mean_load_share(&simulation, 130, 160));
+        assert!(
+            slow < 0.5 && recovered > 0.75,
+            "{n} senders: load share {slow:.2} while slow, {recovered:.2} after its recovery"
+        );
     }
 }
 
@@ -169,8 +186,11 @@
 fn a_stopped_endpoint_regains_its_load_share() {
     for n in [3, 30, 100] {
         let simulation = Simulation { faults: vec![(1, Fault::Stopped, 15 * S, 25 * S)], ..fleet_of(n) };
-        let (then, after) = (mean_load_share(&simulation, 20, 25), mean_load_share(&simulation, 30, 60));
-        assert!(then < 0.9 && (0.45..1.5).contains(&after), "{n} senders: {then:.2}, {after:.2}");
+        let (stopped, after) = (mean_load_share(&simulation, 20, 25), mean_load_share(&simulation, 30, 60));
+        assert!(
+            stopped < 0.9 && (0.45..1.5).contains(&after),
+            "{n} senders: load share {stopped:.2} while stopped, {after:.2} afterwards"
+        );
     }
 }
 
@@ -180,7 +200,7 @@
         for fault in [Fault::RefusesConnections, Fault::Errors] {
             let simulation = Simulation { faults: vec![(1, fault, 10 * S, 60 * S)], ..fleet_of(n) };
             let part = mean_load_share(&simulation, 30, 60);
-            assert!(part < 0.85, "{fault:?}, {n} senders: {part:.2}");
+            assert!(part < 0.85, "{fault:?}, {n} senders: load share {part:.2}");
         }
     }
     let capped = Simulation { connection_cap: Some((4, 8)), ..fleet_of(100) };
@@ -194,7 +214,7 @@
         let simulation = Simulation { kind, ..fleet_of(100) };
         // Half of all traffic comes from one sender, which prefers its own zone.
         let (_, busiest, idlest) = steady(&Simulation { skew: 99.0, ..simulation.clone() });
-        assert!(busiest < 1.9 && idlest > 0.25, "kind {kind}: {busiest:.2}, {idlest:.2}");
+        assert!(busiest < 1.9 && idlest > 0.25, "kind {kind}: busiest {busiest:.2}, idlest {idlest:.2}");
         for assumed_senders in [33, 300] {
             assert_even(
                 &format!("kind {kind}, {assumed_senders} assumed"),
@@ -204,7 +224,7 @@
             assert!(
                 mean(&Simulation { assumed_senders, ..simulation.clone() }, Results::on_time_share)
                     > if assumed_senders > 100 { 0.7 } else { 0.985 },
-                "kind {kind}, {assumed_senders} assumed"
+                "kind {kind}, {assumed_senders} assumed: too few messages in time"
             );
         }
     }
@@ -214,7 +234,7 @@
 fn the_only_endpoint_of_a_zone_is_not_overloaded() {
     let simulation = Simulation { first_zone: Some(1), ..fleet_of(100) };
     let (one, rest) = (mean(&simulation, |s| s.load_share(0, 20 * S, 60 * S)), steady(&simulation).2);
-    assert!(one < 2.2 && rest > 0.4, "{one:.2}, {rest:.2}");
+    assert!(one < 2.2 && rest > 0.4, "load share {one:.2} of the only endpoint, idlest endpoint {rest:.2}");
 }
 
 #[test]
--- a/tests/handed.rs
+++ b/tests/handed.rs
@@ -1,11 +1,12 @@
-//! A handover between two dispatchers: inherited state stays in force, and inherited calls are counted and not repeated.
+//! A handover between two dispatchers: inherited state stays in force, and inherited calls are counted and not
+//! repeated.
 
 mod common;
 use common::*;
 use heronroute::*;
 
-/// Hands the first sender's state, these messages (id, class, attempts) and the calls in flight over to a new one. Returns
-/// the new sender and the attempts that it starts at once.
+/// Hands the first sender's state, these messages (id, class, attempts) and the calls in flight over to a new one.
+/// Returns the new sender and the attempts that it starts at once.
 fn successor(
     first: &TestSender,
     entries: Vec<EndpointEntry>,
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -41,14 +41,17 @@
                 &format!("{outage:?}, {n} senders"),
                 &ReturnCase { outage, ..with_senders(n) },
             );
-            // The load of two senders that saw nothing of the outage is random: of 40 seeds three exceed MAX_PEAK and none
-            // breaks the rule. Therefore the mean over more seeds gets a lower bound.
+            // The load of two senders that saw nothing of the outage is random: of 40 seeds three exceed MAX_PEAK and
+            // none breaks the rule. Therefore the mean over more seeds gets a lower bound.
             let case = ReturnCase { outage, unaware_senders: 2, ..with_senders(n) };
             let peaks: Vec<f64> =
                 (1..=8).map(|seed| ReturnCase { seed, ..case.clone() }.run().peak).collect();
             let mean = peaks.iter().sum::<f64>() / peaks.len() as f64;
-            let held = (0.15..=MAX_MEAN_PEAK).contains(&mean) && peaks.iter().all(|p| *p < 1.0);
-            assert!(held, "{outage:?}, {n} senders, two unaware: {peaks:.2?}");
+            let within_bounds = (0.15..=MAX_MEAN_PEAK).contains(&mean) && peaks.iter().all(|p| *p < 1.0);
+            assert!(
+                within_bounds,
+                "{outage:?}, {n} senders, two unaware: mean peak {mean:.2} of {peaks:.2?}"
+            );
         }
     }
 }
@@ -184,11 +187,11 @@
     }
 }
 
-/// Guards against restarted senders that lose the receiver's budget. A rejection without a wait reduces the budget and
-/// leaves all endpoints healthy; when only endpoint health was persisted, thirty processes restarted 1 s after the return
-/// sent everything they had queued: 43 calls at once where 15.1 are allowed (seed 101; 16 senders had no restored health,
-/// eight knew one unhealthy endpoint of two). The budget is persisted and resumes at a random fraction of a call, so that
-/// the senders do not make their next call at the same moment.
+/// Guards against restarted senders that lose the receiver's budget. A rejection without a wait reduces the budget
+/// and leaves all endpoints healthy; when only endpoint health was persisted, thirty processes restarted 1 s after
+/// the return sent everything they had queued: 43 calls at once where 15.1 are allowed (seed 101; 16 senders had no
+/// restored health, eight knew one unhealthy endpoint of two). The budget is persisted and resumes at a random
+/// fraction of a call, so that the senders do not make their next call at the same moment.
 #[test]
 fn restarted_after_rejections_that_reported_no_wait() {
     assert_within_cold_capacity(
@@ -211,11 +214,12 @@
 }
 
 /// Guards against trials that keep a fixed time when an outage becomes known. An unanswered call marks its endpoint
-/// unhealthy and sets a first trial 0.2 s later, which suits one slow call. In an outage of the whole receiver that trial
-/// came due with the sender's next message or as its call timed out, and 20 and 30 processes overloaded a receiver of four
-/// calls per second without a restart: 11 calls where 10.9 are allowed (also 30 senders, 2 per second, seed 110). Trials
-/// at twice the gap hardly helped: 128 in place of 133 runs of the silent grid were overloaded. Once an outage is known,
-/// such trials are moved to a random time that depends on the sender's share of the traffic.
+/// unhealthy and sets a first trial 0.2 s later, which suits one slow call. In an outage of the whole receiver that
+/// trial came due with the sender's next message or as its call timed out, and 20 and 30 processes overloaded a
+/// receiver of four calls per second without a restart: 11 calls where 10.9 are allowed (also 30 senders, 2 per
+/// second, seed 110). Trials at twice the gap hardly helped: 128 in place of 133 runs of the silent grid were
+/// overloaded. Once an outage is known, such trials are moved to a random time that depends on the sender's share of
+/// the traffic.
 #[test]
 fn a_receiver_of_four_calls_a_second_after_a_silent_outage() {
     for n in [20, 30] {
--- a/tests/kept.rs
+++ b/tests/kept.rs
@@ -45,8 +45,8 @@
     sender
 }
 
-/// Starts the next process of a sender at `SENT_AT` with the previous one's health records and new messages. Asserts that it
-/// sends none of them at once.
+/// Starts the next process of a sender at `SENT_AT` with the previous one's health records and new messages. Asserts
+/// that it sends none of them at once.
 fn next_process(previous: &Dispatcher, messages: u64) -> Dispatcher {
     let mut sender = Dispatcher::new(SENT_AT, 2, settings()).unwrap();
     let mut events = vec![listed()];
@@ -104,8 +104,8 @@
     assert_eq!((sender.endpoint_health().count(), sender.receiver_health().count()), (0, 0));
 }
 
-/// Counts the calls that a sender with twenty messages makes within 3 s of its start at `SENT_AT` if every probe succeeds
-/// and no call is answered.
+/// Counts the calls that a sender with twenty messages makes within 3 s of its start at `SENT_AT` if every probe
+/// succeeds and no call is answered.
 fn calls_before_an_answer(health: ReceiverHealth) -> usize {
     let mut sender = Dispatcher::new(SENT_AT, 3, settings()).unwrap();
     let restored = Event::ReceiverHealthRestored { dest: DestId(1), route: None, health };
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -81,7 +81,7 @@
             let kinds = [Done, Done, Done, Done, Error, Busy, TimedOut, ConnectFailed, Reset, Skipped];
             let outcome = kinds[rng.next(10) as usize];
             let state = messages.get_mut(&id).expect("known");
-            let (endpoint, sent) = state.in_flight.remove(&attempt).expect("out");
+            let (endpoint, sent) = state.in_flight.remove(&attempt).expect("the attempt is in flight");
             let wait = if outcome == Busy && rng.next(2) == 0 { 300 * MS } else { 0 };
             if wait > 0 {
                 let until = waits.entry(wait_key(endpoint)).or_insert(0);
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -96,7 +96,12 @@
         sender.serve_steadily(1, 20, SAFE, 1, 20 * MS);
         sender.send_times.len()
     };
-    assert!(2 * calls(true) < calls(false), "{} of {}", calls(true), calls(false));
+    assert!(
+        2 * calls(true) < calls(false),
+        "{} calls with restored health, {} without",
+        calls(true),
+        calls(false)
+    );
 }
 
 #[test]
@@ -112,7 +117,8 @@
 
 #[test]
 fn restored_endpoint_health_does_not_keep_a_new_permit_pool_at_its_initial_size() {
-    // Guards against a permit pool that stayed at one permit where one of two endpoints was unhealthy before the restart.
+    // Guards against a permit pool that stayed at one permit where one of two endpoints was unhealthy before the
+    // restart.
     let mut sender = sender_after_10_s(vec![entry(1, 1, 0), entry(2, 1, 0)]);
     let health =
         EndpointHealth { failing_since: Some(sender.now - 5 * S), unhealthy: true, warming_since: None };
@@ -176,8 +182,8 @@
     }
 }
 
-/// Restores this many messages without an attempt and offers new ones at the same time; every call succeeds after 100 ms.
-/// Returns the restored messages that got no call.
+/// Restores this many messages without an attempt and offers new ones at the same time; every call succeeds after 100
+/// ms. Returns the restored messages that got no call.
 fn messages_without_a_call(restored_count: u64, new_per_second: u64) -> Vec<u64> {
     let time_left_of = |i: u64| 8 * S + (i as Micros * 37 * MS) % (8 * S);
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 1, 0), entry(3, 2, 0)]);
@@ -229,8 +235,8 @@
     assert_eq!(sender.refused, [200], "the new message is refused in place of a restored one");
 }
 
-/// Guards against restored messages that wait behind new ones with more worth to lose until their time is up, as happened
-/// at a receiver that accepts few calls.
+/// Guards against restored messages that wait behind new ones with more worth to lose until their time is up, as
+/// happened at a receiver that accepts few calls.
 #[test]
 fn restored_messages_without_an_attempt_go_before_new_ones() {
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -1,9 +1,9 @@
-//! Restarts of all senders around the return of a small receiver, over a grid of outages, numbers of senders, capacities
-//! and restart times.
+//! Restarts of all senders around the return of a small receiver, over a grid of outages, numbers of senders,
+//! capacities and restart times.
 //!
 //! Guards against restarted senders that lose what their previous process knew of the receiver: all of them then send
-//! their queues at once and overload a receiver that has just returned. Each run of the tests checks a part of the grid;
-//! `the_whole_grid` prints how many runs of the whole grid overload the receiver.
+//! their queues at once and overload a receiver that has just returned. Each run of the tests checks a part of the
+//! grid; `the_whole_grid` prints how many runs of the whole grid overload the receiver.
 
 mod common;
 #[path = "common/herd.rs"]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -169,8 +169,8 @@
         }
         let probes = std::mem::take(&mut sender.probes);
         let outcome = if up { Outcome::Done } else { Outcome::ConnectFailed };
-        for p in probes {
-            sender.round(&[Event::Probed { endpoint: EndpointId(p), outcome, report: None }]);
+        for probed in probes {
+            sender.round(&[Event::Probed { endpoint: EndpointId(probed), outcome, report: None }]);
         }
     }
     let back = back.expect("the destination came back");
@@ -189,8 +189,8 @@
     assert!(sender.calls_between(back + 11 * S, back + 13 * S) > 15, "the warm-up ends");
 }
 
-/// A reported wait stays in force when all endpoints of its destination leave the list and return, even if it is longer than
-/// the time for which state of unlisted endpoints is retained.
+/// A reported wait stays in force when all endpoints of its destination leave the list and return, even if it is
+/// longer than the time for which state of unlisted endpoints is retained.
 #[test]
 fn a_wait_outlives_its_endpoints_listing() {
     for kind in [0, 2] {
@@ -213,8 +213,9 @@
     }
 }
 
-/// Sends a message each half second to destination 1, whose endpoints refuse connections as `refuses` (time, endpoint)
-/// returns, then to the healthy destination 2 of the same kind. Returns how often that second phase closed idle connections.
+/// Sends a message each half second to destination 1, whose endpoints refuse connections as `refuses` (time,
+/// endpoint) returns, then to the healthy destination 2 of the same kind. Returns how often that second phase closed
+/// idle connections.
 fn closes_after(refuses: impl Fn(Micros, u32) -> bool) -> usize {
     let set = Settings { senders: 12, ..settings() };
     let mut sender = TestSender::new(set, vec![entry(1, 1, 0), entry(2, 1, 0), entry(3, 2, 0)]);
@@ -232,10 +233,10 @@
                 sender.finish(&attempt, Outcome::Done);
             }
         }
-        for p in std::mem::take(&mut sender.probes) {
-            let refused = refuses(i as Micros * 10 * MS, p);
+        for probed in std::mem::take(&mut sender.probes) {
+            let refused = refuses(i as Micros * 10 * MS, probed);
             let outcome = if refused { Outcome::ConnectFailed } else { Outcome::Done };
-            sender.round(&[Event::Probed { endpoint: EndpointId(p), outcome, report: None }]);
+            sender.round(&[Event::Probed { endpoint: EndpointId(probed), outcome, report: None }]);
         }
     }
     sender.closed_idle.clear();
@@ -255,8 +256,9 @@
     );
 }
 
-/// Guards against rejections that reinforce themselves by longer waits: a sender with twenty times an equal share of the
-/// limit, in batches of ten, of which every fifth is rejected by a full queue, may still send enough calls for its load.
+/// Guards against rejections that reinforce themselves by longer waits: a sender with twenty times an equal share of
+/// the limit, in batches of ten, of which every fifth is rejected by a full queue, may still send enough calls for
+/// its load.
 #[test]
 fn rejections_do_not_keep_a_busy_sender_from_filling_its_calls() {
     let mut sender = TestSender::new(
@@ -277,21 +279,21 @@
                 if attempt.sent == at && calls % 5 == 0 {
                     ends.push(sender.outcome(&attempt, Outcome::Busy, 0));
                 } else if sender.now - attempt.sent >= 300 * MS {
-                    let came = attempt.id as Micros * 80 * MS;
-                    waits.push((came, sender.now - came));
+                    let arrived = attempt.id as Micros * 80 * MS;
+                    waits.push((arrived, sender.now - arrived));
                     ends.push(sender.outcome(&attempt, Outcome::Done, 0));
                 }
             }
             sender.round(&ends);
         }
     }
-    let late = waits.iter().filter(|(came, took)| *came > 20 * S && *took > 2 * S).count();
-    let all = waits.iter().filter(|(came, _)| *came > 20 * S).count();
+    let late = waits.iter().filter(|(arrived, took)| *arrived > 20 * S && *took > 2 * S).count();
+    let all = waits.iter().filter(|(arrived, _)| *arrived > 20 * S).count();
     assert!(all > 200 && late * 10 < all, "{late} of {all} messages took more than 2 s");
 }
 
-/// Alternates rejected calls on new connections with calls on a kept connection that end with the given outcome. Reports
-/// whether one of 300 senders closes its idle connection afterwards.
+/// Alternates rejected calls on new connections with calls on a kept connection that end with the given outcome.
+/// Reports whether one of 300 senders closes its idle connection afterwards.
 fn closes_idle_connection(on_kept_connection: Outcome) -> bool {
     let set = Settings { senders: 300, idle_close: 60 * S, ..settings() };
     let entries = (1..=6).map(|i| entry(i, i64::from(i), 0)).chain([entry(50, 50, 0)]);
@@ -314,9 +316,9 @@
     !sender.closed_idle.is_empty()
 }
 
-/// Guards against idle connections that fill the tables of endpoints which hold few: a full table answers 503, as a rate
-/// limit does, and closes the connection. With 300 senders, 90% of the calls on new connections were rejected and 10% of
-/// those on kept ones, and a third of the worth was served.
+/// Guards against idle connections that fill the tables of endpoints which hold few: a full table answers 503, as a
+/// rate limit does, and closes the connection. With 300 senders, 90% of the calls on new connections were rejected
+/// and 10% of those on kept ones, and a third of the worth was served.
 #[test]
 fn idle_connections_are_closed_where_only_new_ones_are_refused() {
     assert!(closes_idle_connection(Outcome::Done), "only calls on new connections are rejected");
@@ -355,14 +357,14 @@
     let mut sender = TestSender::new(Settings { max_open: 1, ..settings() }, vec![]);
     assert!(
         sender.round(&[message(1, SAFE, 1)]).is_empty() && sender.refused.is_empty(),
-        "it waits for its receiver"
+        "the message waits for its receiver"
     );
     let listed = Event::Listing { complete: true, entries: vec![entry(1, 1, 0)] };
     assert_eq!(sender.round(&[listed]).len(), 1);
 }
 
-/// Guards against reordering as the platform sees it: the next message of a key reached its endpoint before the platform
-/// had received the end of the one before it.
+/// Guards against reordering as the platform sees it: the next message of a key reached its endpoint before the
+/// platform had received the end of the one before it.
 #[test]
 fn the_next_message_of_a_key_waits_until_the_end_before_it_is_reported() {
     let mut sender = TestSender::new(settings(), vec![]);
