--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -20,7 +20,7 @@
 #[test]
 fn a_sender_with_a_list_serves_before_it_asks() {
     let endpoint = Endpoint::new(|_| status(200));
-    let known = line("s-1", endpoint.addr, "one", 3, "Ready");
+    let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![known.clone()]);
     // The first question comes within four fifths of the span, at a time that the seed sets: 500 s are enough for it
     // not to come here.
@@ -29,23 +29,25 @@
     client.ping();
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    assert!(platform.paths().is_empty(), "{:?}", platform.paths());
+    assert!(platform.request_lines().is_empty(), "{:?}", platform.request_lines());
 }
 
 #[test]
 fn a_question_turned_away_is_asked_again_from_the_same_version() {
     let (endpoint, fresh) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
-    let known = line("s-1", endpoint.addr, "one", 3, "Ready");
+    let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![known.clone()]);
-    platform.turn_away(3);
+    platform.reject_next_polls(3);
     let sender = Sender::with(&platform, |c| asked(c, 100, &known));
-    wait_until("the watch", || platform.paths().len() == 4);
-    let paths = platform.paths();
+    wait_until("the watch", || platform.request_lines().len() == 4);
+    let paths = platform.request_lines();
     assert!(paths.iter().all(|p| p.contains("follow=1&since=7")), "{paths:?}");
     // And it is followed from then on.
-    let lines =
-        vec![line("s-1", endpoint.addr, "one", 3, "Gone"), line("s-2", fresh.addr, "one", 3, "Ready")];
-    sender.hears(|| platform.tell(false, lines.clone()), "s-1");
+    let lines = vec![
+        listed_endpoint("s-1", endpoint.addr, "one", 3, "Gone"),
+        listed_endpoint("s-2", fresh.addr, "one", 3, "Ready"),
+    ];
+    sender.wait_drain_recorded(|| platform.publish(false, lines.clone()), "s-1");
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     fresh.wait_sent("a1");
 }
@@ -53,12 +55,12 @@
 #[test]
 fn where_changes_come_unasked_the_list_is_asked_for_at_once() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     // The span means nothing there.
     let sender = Sender::with(&platform, |c| c["settings"]["Rules"]["AskEveryUs"] = 500_000_000_u64.into());
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    wait_until("the watch", || platform.paths().len() == 2);
+    wait_until("the watch", || platform.request_lines().len() == 2);
 }
 
 /// What counts as told by then is what discovery had, and could be asked for, for so long, whatever calls failed before.
@@ -94,32 +96,32 @@
     let failed = last_failure.clone();
     let script = move |request: &Request, _: usize, stream: &mut TcpStream| {
         if !request.line.contains("/v1/servers") {
-            return answer(stream, 204, "");
+            return write_answer(stream, 204, "");
         }
         let mut failed = failed.lock().unwrap();
         if failed.0 < failures && !matches!(fate, Fate::Refused) {
             *failed = (failed.0 + 1, Instant::now());
             return match fate {
-                Fate::TurnedAway => answer(stream, 503, ""),
+                Fate::TurnedAway => write_answer(stream, 503, ""),
                 Fate::HalfAnswered => {
-                    begin(stream);
-                    piece(stream, "{\"index\": 8, \"snap");
+                    begin_chunked(stream);
+                    write_chunk(stream, "{\"index\": 8, \"snap");
                 }
                 Fate::Closed => _ = stream.shutdown(Shutdown::Both),
                 Fate::Hangs | Fate::Refused => {}
             };
         }
-        let lines = [line("s-1", addr, "one", 3, "Terminating")];
+        let lines = [listed_endpoint("s-1", addr, "one", 3, "Terminating")];
         let list = json!({"index": 8, "snapshot": true, "endpoints": lines}).to_string();
         if request.line.contains("follow") {
-            begin(stream);
-            piece(stream, &format!("{list}\n"));
+            begin_chunked(stream);
+            write_chunk(stream, &format!("{list}\n"));
         } else {
-            answer(stream, 200, &list);
+            write_answer(stream, 200, &list);
         }
     };
-    let known = line("s-1", addr, "one", 3, "Ready");
-    let (platform, down) = (Platform::new(Vec::new()), Refusing::new());
+    let known = listed_endpoint("s-1", addr, "one", 3, "Ready");
+    let (platform, down) = (Platform::new(Vec::new()), RefusingAddress::new());
     let configure = |c: &mut Value| {
         asked(c, SPAN_MS, &known);
         if !dear {
@@ -135,13 +137,13 @@
     if matches!(fate, Fate::Refused) {
         sleep(Duration::from_secs(if dear { 14 } else { 2 }));
     }
-    let _discovery = Scripted::at(down.listen(), script);
+    let _discovery = ScriptedPlatform::at(down.listen(), script);
     let mut reachable = Instant::now();
     if !matches!(fate, Fate::Refused) {
         wait_until("the last failure", || last_failure.lock().unwrap().0 == failures);
         reachable = last_failure.lock().unwrap().1;
     }
-    wait_until("the drain", || sender.journal_holds("s-1"));
+    wait_until("the drain", || sender.journal_contains("s-1"));
     reachable.elapsed()
 }
 
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -17,7 +17,7 @@
 
 fn one() -> (Endpoint, Platform, Sender) {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     sender.client().ping();
     (endpoint, platform, sender)
@@ -37,7 +37,7 @@
 
     // With one from before, though it may be old, it starts after a while.
     let endpoint = Endpoint::new(|_| status(200));
-    let known = line("s-1", endpoint.addr, "one", 3, "Ready");
+    let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let sender = Sender::with(&platform, |c| {
         c["discovery"] = quiet.clone().into();
         c["known"]["endpoints"] = vec![known.clone()].into();
@@ -67,7 +67,7 @@
     endpoint.wait_sent("a1");
     endpoint.wait_sent("a3");
     assert_eq!(endpoint.requests().iter().find(|r| r.ids() == ["a1"]).unwrap().body, b"x\r\n*1\r\n");
-    assert_eq!(endpoint.times("a2"), 0);
+    assert_eq!(endpoint.call_count("a2"), 0);
 }
 
 #[test]
@@ -129,7 +129,7 @@
     assert_eq!(client.put("a1", "c=pay,d=28000,dest=3"), "+OK");
     endpoint.wait_sent("a1");
     // Where all endpoints have just gone the destination is known still.
-    sender.hears(|| platform.tell(true, vec![]), "s-1");
+    sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     assert_eq!(client.put("a2", PAY), "+OK");
     assert_eq!(endpoint.sent(), ["a1"]);
 }
@@ -181,7 +181,7 @@
 #[test]
 fn real_clients_are_served_among_thousands_of_idle_and_half_written_connections() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let mut sender = Sender::with(&platform, |c| {
         c["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": 24, "sockets": 192, "disk_mb": 3});
     });
@@ -254,7 +254,7 @@
 #[test]
 fn long_commands_take_turns_in_little_memory() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     // An eighth of it is room for seven long commands.
     let sender = Sender::with(&platform, |c| c["limits"]["memory_mb"] = 8.into());
     let mut client = sender.client();
@@ -276,7 +276,7 @@
 #[test]
 fn no_more_messages_are_held_than_the_limit() {
     let (_endpoint, platform, sender) = one();
-    sender.hears(|| platform.tell(true, vec![]), "s-1");
+    sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     let mut client = sender.client();
     let answers: Vec<String> =
         (0..60).map(|n| client.put(&format!("a{n}"), "c=pay,d=28000,dest=3")).collect();
@@ -293,7 +293,7 @@
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
     let (quiet, known) =
-        (silent.local_addr().unwrap().to_string(), line("s-1", endpoint.addr, "one", 3, "Ready"));
+        (silent.local_addr().unwrap().to_string(), listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready"));
     let sender = Sender::with(&platform, |c| {
         c["discovery"] = quiet.clone().into();
         c["known"]["endpoints"] = vec![known.clone()].into();
@@ -305,20 +305,20 @@
     let mut client = sender.client();
     assert_eq!(client.put("a2", SYNC), "+OK");
     endpoint.wait_sent("a2");
-    assert_eq!(endpoint.times("a1"), 0);
+    assert_eq!(endpoint.call_count("a1"), 0);
 }
 
 #[test]
 fn the_same_message_on_a_second_connection_is_taken_once() {
     let (endpoint, platform, sender) = one();
-    sender.hears(|| platform.tell(true, vec![]), "s-1");
+    sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     assert_eq!(sender.client().put("a1", PAY), "+OK");
-    platform.tell(true, vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     endpoint.wait_sent("a1");
     assert_eq!(sender.client().put("a2", PAY), "+OK");
     endpoint.wait_sent("a2");
-    assert_eq!(endpoint.times("a1"), 1);
+    assert_eq!(endpoint.call_count("a1"), 1);
 }
 
 #[test]
@@ -328,7 +328,7 @@
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
     let quiet = silent.local_addr().unwrap().to_string();
-    let known = line("s-1", endpoint.addr, "one", 3, "Ready");
+    let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let sender = Sender::with(&platform, |c| {
         c["discovery"] = quiet.clone().into();
         c["known"]["endpoints"] = vec![known.clone()].into();
@@ -351,14 +351,16 @@
         status(200)
     });
     let new = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", old.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", old.addr, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     let mut client = sender.client();
     assert_eq!(client.put("a1", PAY), "+OK");
-    wait_until("the attempt in the journal", || sender.journal_holds("s-1"));
-    let (drains, comes) =
-        (line("s-1", old.addr, "one", 3, "Terminating"), line("s-2", new.addr, "one", 3, "Ready"));
-    sender.hears(|| platform.tell(false, vec![comes.clone(), drains.clone()]), "s-1");
+    wait_until("the attempt in the journal", || sender.journal_contains("s-1"));
+    let (drains, comes) = (
+        listed_endpoint("s-1", old.addr, "one", 3, "Terminating"),
+        listed_endpoint("s-2", new.addr, "one", 3, "Ready"),
+    );
+    sender.wait_drain_recorded(|| platform.publish(false, vec![comes.clone(), drains.clone()]), "s-1");
     for id in ["a2", "a3"] {
         assert_eq!(client.put(id, PAY), "+OK");
         new.wait_sent(id);
@@ -366,7 +368,10 @@
     gate.open();
     old.wait_sent("a1");
     // Gone by a full list that lacks it.
-    sender.hears(|| platform.tell(true, vec![line("s-1", old.addr, "one", 3, "Ready")]), "s-2");
+    sender.wait_drain_recorded(
+        || platform.publish(true, vec![listed_endpoint("s-1", old.addr, "one", 3, "Ready")]),
+        "s-2",
+    );
     assert_eq!(client.put("a4", PAY), "+OK");
     old.wait_sent("a4");
     assert_eq!((old.sent(), new.sent()), (vec!["a1".into(), "a4".into()], vec!["a2".into(), "a3".into()]));
@@ -375,40 +380,43 @@
 
 #[test]
 fn a_drain_that_is_learnt_while_a_connection_comes_up_stops_the_call() {
-    let mut old = Crammed::new();
+    let mut old = FullBacklogEndpoint::new();
     let new = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", old.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", old.addr, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     let mut client = sender.client();
     assert_eq!(client.put("a1", PAY), "+OK");
     std::thread::sleep(Duration::from_millis(100));
-    platform.tell(
+    platform.publish(
         false,
-        vec![line("s-1", old.addr, "one", 3, "Terminating"), line("s-2", new.addr, "one", 3, "Ready")],
+        vec![
+            listed_endpoint("s-1", old.addr, "one", 3, "Terminating"),
+            listed_endpoint("s-2", new.addr, "one", 3, "Ready"),
+        ],
     );
     std::thread::sleep(Duration::from_millis(100));
     let start = Instant::now();
-    while start.elapsed() < Duration::from_secs(10) && new.times("a1") == 0 {
-        old.serve();
+    while start.elapsed() < Duration::from_secs(10) && new.call_count("a1") == 0 {
+        old.accept_and_read();
         std::thread::sleep(Duration::from_millis(1));
     }
-    assert_eq!(new.times("a1"), 1, "sent to the other endpoint instead");
+    assert_eq!(new.call_count("a1"), 1, "sent to the other endpoint instead");
     assert_eq!(old.calls, Vec::<String>::new(), "{} fillers", old.fillers.len());
 }
 
 #[test]
 fn a_message_that_ends_while_its_calls_connection_comes_up_is_left_out() {
     // Two share a call; one's time is up before the connection to the endpoint is.
-    let mut endpoint = Crammed::new();
+    let mut endpoint = FullBacklogEndpoint::new();
     let platform = Platform::new(vec![placeholder(3)]);
     let sender = Sender::start(&platform);
     let mut client = sender.client();
     assert_eq!(client.put("short", "c=pay,d=600,dest=3"), "+OK");
     assert_eq!(client.put("long", "c=pay,d=15000,dest=3"), "+OK");
-    platform.tell(false, vec![line("s-1", endpoint.addr, "many", 3, "Ready")]);
-    wait_until("the short one's end", || platform.state_of("short").is_some());
+    platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "many", 3, "Ready")]);
+    wait_until("the short one's end", || platform.notice_state("short").is_some());
     wait_until("the call", || {
-        endpoint.serve();
+        endpoint.accept_and_read();
         endpoint.calls.concat().contains("long")
     });
     let (calls, fillers) = (&endpoint.calls, endpoint.fillers.len());
@@ -419,13 +427,14 @@
 fn a_watch_that_breaks_is_resumed_from_the_last_index() {
     let (_endpoint, platform, sender) = one();
     let other = Endpoint::new(|_| status(200));
-    let watches = || platform.paths().into_iter().filter(|p| p.contains("follow=1")).collect::<Vec<_>>();
+    let watches =
+        || platform.request_lines().into_iter().filter(|p| p.contains("follow=1")).collect::<Vec<_>>();
     wait_until("the first watch", || watches().len() == 1);
-    platform.tell(false, vec![]);
+    platform.publish(false, vec![]);
     platform.drop_watches();
-    platform.tell(false, vec![line("s-9", other.addr, "one", 9, "Ready")]);
+    platform.publish(false, vec![listed_endpoint("s-9", other.addr, "one", 9, "Ready")]);
     wait_until("the watch again", || watches().len() >= 2);
-    assert!(watches()[1].contains("since=8"), "{:?}", platform.paths());
+    assert!(watches()[1].contains("since=8"), "{:?}", platform.request_lines());
     wait_until("the destination to be known", || sender.client().put("a1", "c=pay,d=15000,dest=9") == "+OK");
     other.wait_sent("a1");
 }
@@ -448,32 +457,35 @@
 #[test]
 fn idle_clients_that_fill_the_descriptors_do_not_keep_discovery_out_at_its_return() {
     let (gone, fresh) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
-    let known = line("s-1", gone.addr, "one", 3, "Ready");
-    let (platform, down) = (Platform::new(Vec::new()), Refusing::new());
+    let known = listed_endpoint("s-1", gone.addr, "one", 3, "Ready");
+    let (platform, down) = (Platform::new(Vec::new()), RefusingAddress::new());
     let mut sender = Sender::with(&platform, |c| {
         c["limits"]["sockets"] = 96.into();
         c["known"] = serde_json::json!({"index": 7, "snapshot": true, "endpoints": [known]});
         c["discovery"] = down.addr.to_string().into();
     });
     sender.kill();
-    sender.files = Some(96);
+    sender.max_files = Some(96);
     sender.spawn();
     sender.client().ping();
     let over = Arc::new(AtomicBool::new(false));
     let crowd = idle_crowd(sender.addr, 400, over.clone());
     thread::sleep(Duration::from_secs(3));
-    let lines = [line("s-1", gone.addr, "one", 3, "Terminating"), line("s-2", fresh.addr, "one", 3, "Ready")];
+    let lines = [
+        listed_endpoint("s-1", gone.addr, "one", 3, "Terminating"),
+        listed_endpoint("s-2", fresh.addr, "one", 3, "Ready"),
+    ];
     let list = serde_json::json!({"index": 8, "snapshot": true, "endpoints": lines}).to_string();
     let returned = Instant::now();
-    let discovery = Scripted::at(down.listen(), move |request, _, stream| match &*request.line {
+    let discovery = ScriptedPlatform::at(down.listen(), move |request, _, stream| match &*request.line {
         l if l.contains("follow") => {
-            begin(stream);
-            piece(stream, &format!("{list}\n"));
+            begin_chunked(stream);
+            write_chunk(stream, &format!("{list}\n"));
         }
-        l if l.contains("/v1/servers") => answer(stream, 200, &list),
-        _ => answer(stream, 204, ""),
+        l if l.contains("/v1/servers") => write_answer(stream, 200, &list),
+        _ => write_answer(stream, 204, ""),
     });
-    wait_until("the drain", || sender.journal_holds("s-1"));
+    wait_until("the drain", || sender.journal_contains("s-1"));
     assert!(returned.elapsed() < Duration::from_secs(6), "{:?}", returned.elapsed());
     for n in 0..10 {
         let id = format!("a{n}");
@@ -484,5 +496,5 @@
     over.store(true, Ordering::SeqCst);
     crowd.join().unwrap();
     assert!(sender.is_running() && gone.sent().is_empty());
-    assert!(!discovery.times("watch").is_empty());
+    assert!(!discovery.request_times("watch").is_empty());
 }
--- a/crates/sender/tests/common/mod.rs
+++ b/crates/sender/tests/common/mod.rs
@@ -13,13 +13,13 @@
 use std::time::{Duration, Instant};
 
 /// Longer than anything here should take on a busy machine.
-pub const LIMIT: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until `ready` holds; fails the test if it never does.
 pub fn wait_until(what: &str, mut ready: impl FnMut() -> bool) {
     let start = Instant::now();
     while !ready() {
-        assert!(start.elapsed() < LIMIT, "waited in vain for: {what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "waited in vain for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -72,7 +72,7 @@
 
 /// What an endpoint does with a request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum StubResponse {
     /// Answers with a status, header lines and a body.
     Answer(u16, Vec<(&'static str, String)>, String),
     /// Writes these bytes and keeps the connection.
@@ -80,14 +80,14 @@
     /// Says nothing and keeps the connection.
     Silence,
     /// Closes the connection without an answer.
-    Break,
+    Close,
 }
 
-pub fn status(code: u16) -> Act {
-    Act::Answer(code, Vec::new(), String::new())
+pub fn status(code: u16) -> StubResponse {
+    StubResponse::Answer(code, Vec::new(), String::new())
 }
 
-type Script = Box<dyn Fn(&Request) -> Act + Send + Sync>;
+type Script = Box<dyn Fn(&Request) -> StubResponse + Send + Sync>;
 
 /// An endpoint that acts by a script and keeps what it was sent.
 pub struct Endpoint {
@@ -98,7 +98,7 @@
 }
 
 impl Endpoint {
-    pub fn new(script: impl Fn(&Request) -> Act + Send + Sync + 'static) -> Self {
+    pub fn new(script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let requests: Arc<Mutex<Vec<Request>>> = Arc::default();
@@ -117,7 +117,7 @@
                         let act = script.lock().unwrap()(&request);
                         requests.lock().unwrap().push(request);
                         match act {
-                            Act::Answer(code, headers, body) => {
+                            StubResponse::Answer(code, headers, body) => {
                                 let mut text =
                                     format!("HTTP/1.1 {code} X\r\ncontent-length: {}\r\n", body.len());
                                 for (name, value) in headers {
@@ -128,13 +128,13 @@
                                     break;
                                 }
                             }
-                            Act::Raw(text) => {
+                            StubResponse::Raw(text) => {
                                 if stream.write_all(text.as_bytes()).is_err() {
                                     break;
                                 }
                             }
-                            Act::Silence => {}
-                            Act::Break => break,
+                            StubResponse::Silence => {}
+                            StubResponse::Close => break,
                         }
                     }
                     _ = stream.shutdown(Shutdown::Both);
@@ -145,7 +145,7 @@
         endpoint
     }
 
-    pub fn act(&self, script: impl Fn(&Request) -> Act + Send + Sync + 'static) {
+    pub fn set_script(&self, script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) {
         *self.script.lock().unwrap() = Box::new(script);
     }
 
@@ -158,48 +158,48 @@
         self.requests().iter().flat_map(Request::ids).collect()
     }
 
-    pub fn times(&self, id: &str) -> usize {
+    pub fn call_count(&self, id: &str) -> usize {
         self.sent().iter().filter(|s| *s == id).count()
     }
 
     pub fn wait_sent(&self, id: &str) {
-        wait_until(&format!("a call with {id}"), || self.times(id) > 0);
+        wait_until(&format!("a call with {id}"), || self.call_count(id) > 0);
     }
 
     /// Connections that have ended.
-    pub fn closed(&self) -> Vec<usize> {
+    pub fn closed_connections(&self) -> Vec<usize> {
         self.closed.lock().unwrap().clone()
     }
 }
 
 /// An endpoint that makes a destination known and takes nothing.
 pub fn placeholder(group: i64) -> Value {
-    line(&format!("away-{group}"), "127.0.0.1:9".parse().unwrap(), "one", group, "Terminating")
+    listed_endpoint(&format!("away-{group}"), "127.0.0.1:9".parse().unwrap(), "one", group, "Terminating")
 }
 
 /// A line of discovery.
-pub fn line(name: &str, addr: SocketAddr, kind: &str, group: i64, status: &str) -> Value {
+pub fn listed_endpoint(name: &str, addr: SocketAddr, kind: &str, group: i64, status: &str) -> Value {
     json!({"name": name, "address": addr.to_string(), "zone": "a", "type": kind, "group": group,
            "status": status, "weight": 100.0, "since_ms": 0})
 }
 
-struct Watchers {
+struct DiscoveryState {
     streams: Vec<TcpStream>,
     log: Vec<(u64, Value)>,
-    whole: Vec<Value>,
-    paths: Vec<String>,
+    full_list: Vec<Value>,
+    request_lines: Vec<String>,
     index: u64,
-    whole_at: u64,
+    full_list_index: u64,
     /// Questions that are answered with 503.
-    turned_away: usize,
+    polls_to_reject: usize,
 }
 
 /// Discovery and the platform's ear for notices.
 pub struct Platform {
     pub addr: SocketAddr,
-    watchers: Arc<Mutex<Watchers>>,
+    watchers: Arc<Mutex<DiscoveryState>>,
     notices: Arc<Mutex<Vec<Value>>>,
-    deaf: Arc<Mutex<bool>>,
+    reject_notices: Arc<Mutex<bool>>,
     /// Connections that are open.
     open: Arc<AtomicUsize>,
 }
@@ -208,28 +208,29 @@
     pub fn new(endpoints: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let watchers = Watchers {
+        let watchers = DiscoveryState {
             streams: Vec::new(),
             log: Vec::new(),
-            whole: endpoints,
-            paths: Vec::new(),
+            full_list: endpoints,
+            request_lines: Vec::new(),
             index: 7,
-            whole_at: 0,
-            turned_away: 0,
+            full_list_index: 0,
+            polls_to_reject: 0,
         };
         let platform = Platform {
             addr,
             watchers: Arc::new(Mutex::new(watchers)),
             notices: Arc::default(),
-            deaf: Arc::default(),
+            reject_notices: Arc::default(),
             open: Arc::default(),
         };
-        let (watchers, notices, deaf) =
-            (platform.watchers.clone(), platform.notices.clone(), platform.deaf.clone());
+        let (watchers, notices, reject_notices) =
+            (platform.watchers.clone(), platform.notices.clone(), platform.reject_notices.clone());
         let open = platform.open.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (watchers, notices, deaf) = (watchers.clone(), notices.clone(), deaf.clone());
+                let (watchers, notices, reject_notices) =
+                    (watchers.clone(), notices.clone(), reject_notices.clone());
                 let mut stream = stream.unwrap();
                 open.fetch_add(1, Ordering::SeqCst);
                 let open = open.clone();
@@ -237,26 +238,26 @@
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Some(request) = read_request(&mut reader, 0) {
                         if request.line.starts_with("POST /reports") {
-                            let deaf = *deaf.lock().unwrap();
-                            if !deaf {
+                            let reject_notices = *reject_notices.lock().unwrap();
+                            if !reject_notices {
                                 let text = String::from_utf8(request.body).unwrap();
                                 let lines = text.lines().map(|l| serde_json::from_str(l).unwrap());
                                 notices.lock().unwrap().extend(lines);
                             }
-                            let code = if deaf { 500 } else { 204 };
+                            let code = if reject_notices { 500 } else { 204 };
                             let text = format!("HTTP/1.1 {code} X\r\ncontent-length: 0\r\n\r\n");
                             _ = stream.write_all(text.as_bytes());
                             continue;
                         }
-                        let mut w = watchers.lock().unwrap();
-                        w.paths.push(request.line.clone());
-                        if w.turned_away > 0 {
-                            w.turned_away -= 1;
+                        let mut discovery = watchers.lock().unwrap();
+                        discovery.request_lines.push(request.line.clone());
+                        if discovery.polls_to_reject > 0 {
+                            discovery.polls_to_reject -= 1;
                             _ = stream.write_all(b"HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n");
                             continue;
                         }
                         if !request.line.contains("follow") {
-                            let list = json!({"index": w.index, "snapshot": true, "endpoints": w.whole});
+                            let list = json!({"index": discovery.index, "snapshot": true, "endpoints": discovery.full_list});
                             let list = list.to_string();
                             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", list.len());
                             _ = stream.write_all((head + &list).as_bytes());
@@ -268,20 +269,20 @@
                             .split("since=")
                             .nth(1)
                             .and_then(|s| s.split(' ').next()?.parse().ok());
-                        let missed: Vec<Value> = w
+                        let changes_since: Vec<Value> = discovery
                             .log
                             .iter()
                             .filter(|(i, _)| since.is_some_and(|s| *i > s))
                             .map(|(_, l)| l.clone())
                             .collect();
                         // A whole list is no change: a watch from before it gets it again.
-                        let first = if since.is_some_and(|s| s > 0 && s >= w.whole_at) {
-                            json!({"index": w.index, "snapshot": false, "endpoints": missed})
+                        let first = if since.is_some_and(|s| s > 0 && s >= discovery.full_list_index) {
+                            json!({"index": discovery.index, "snapshot": false, "endpoints": changes_since})
                         } else {
-                            json!({"index": w.index, "snapshot": true, "endpoints": w.whole})
+                            json!({"index": discovery.index, "snapshot": true, "endpoints": discovery.full_list})
                         };
-                        chunk(&mut stream, &first);
-                        w.streams.push(stream.try_clone().unwrap());
+                        write_list(&mut stream, &first);
+                        discovery.streams.push(stream.try_clone().unwrap());
                     }
                     open.fetch_sub(1, Ordering::SeqCst);
                 });
@@ -291,17 +292,17 @@
     }
 
     /// Tells a change, as a whole list or as changed lines.
-    pub fn tell(&self, snapshot: bool, endpoints: Vec<Value>) {
-        let mut w = self.watchers.lock().unwrap();
-        w.index += 1;
-        let index = w.index;
+    pub fn publish(&self, snapshot: bool, endpoints: Vec<Value>) {
+        let mut discovery = self.watchers.lock().unwrap();
+        discovery.index += 1;
+        let index = discovery.index;
         if snapshot {
-            w.whole = endpoints.clone();
-            w.whole_at = index;
+            discovery.full_list = endpoints.clone();
+            discovery.full_list_index = index;
         }
-        w.log.extend(endpoints.iter().map(|l| (index, l.clone())));
-        let news = json!({"index": index, "snapshot": snapshot, "endpoints": endpoints});
-        w.streams.iter_mut().for_each(|s| chunk(s, &news));
+        discovery.log.extend(endpoints.iter().map(|l| (index, l.clone())));
+        let update = json!({"index": index, "snapshot": snapshot, "endpoints": endpoints});
+        discovery.streams.iter_mut().for_each(|s| write_list(s, &update));
     }
 
     /// Ends all watches.
@@ -312,8 +313,8 @@
     }
 
     /// Answers the next questions for the list with 503.
-    pub fn turn_away(&self, questions: usize) {
-        self.watchers.lock().unwrap().turned_away = questions;
+    pub fn reject_next_polls(&self, questions: usize) {
+        self.watchers.lock().unwrap().polls_to_reject = questions;
     }
 
     /// Sets the version of the list, as told next.
@@ -321,8 +322,8 @@
         self.watchers.lock().unwrap().index = index;
     }
 
-    pub fn paths(&self) -> Vec<String> {
-        self.watchers.lock().unwrap().paths.clone()
+    pub fn request_lines(&self) -> Vec<String> {
+        self.watchers.lock().unwrap().request_lines.clone()
     }
 
     pub fn notices(&self) -> Vec<Value> {
@@ -331,7 +332,7 @@
 
     /// Waits until all that a killed process had said has been heard. What it wrote may still lie unread, on a
     /// connection that may not even be accepted: they are accepted in order, one of our own last.
-    pub fn hear_out(&self) {
+    pub fn wait_connections_closed(&self) {
         let mut last = TcpStream::connect(self.addr).unwrap();
         last.write_all(b"GET /v1/servers HTTP/1.1\r\n\r\n").unwrap();
         last.read_exact(&mut [0]).unwrap();
@@ -340,30 +341,30 @@
     }
 
     /// While deaf it answers notices with an error.
-    pub fn set_deaf(&self, deaf: bool) {
-        *self.deaf.lock().unwrap() = deaf;
+    pub fn set_reject_notices(&self, reject_notices: bool) {
+        *self.reject_notices.lock().unwrap() = reject_notices;
     }
 
-    pub fn state_of(&self, id: &str) -> Option<String> {
+    pub fn notice_state(&self, id: &str) -> Option<String> {
         let notices = self.notices();
         let notice = notices.iter().find(|n| n["id"] == id)?;
         Some(notice["state"].as_str()?.to_string())
     }
 
-    pub fn wait_state(&self, id: &str, state: &str) {
-        wait_until(&format!("a notice for {id}"), || self.state_of(id).is_some());
-        assert_eq!(self.state_of(id).as_deref(), Some(state), "{id}");
+    pub fn wait_notice(&self, id: &str, state: &str) {
+        wait_until(&format!("a notice for {id}"), || self.notice_state(id).is_some());
+        assert_eq!(self.notice_state(id).as_deref(), Some(state), "{id}");
     }
 }
 
 /// A platform that answers as its script does: what is asked, how many questions of the same path came before, and
 /// where to answer. Whatever the script does not write is not said.
-pub struct Scripted {
+pub struct ScriptedPlatform {
     pub addr: SocketAddr,
-    asked: Arc<Mutex<Vec<(Instant, String)>>>,
+    requests: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
-impl Scripted {
+impl ScriptedPlatform {
     pub fn new(script: impl Fn(&Request, usize, &mut TcpStream) + Send + Sync + 'static) -> Self {
         Self::at(TcpListener::bind("127.0.0.1:0").unwrap(), script)
     }
@@ -374,8 +375,8 @@
         script: impl Fn(&Request, usize, &mut TcpStream) + Send + Sync + 'static,
     ) -> Self {
         let addr = listener.local_addr().unwrap();
-        let asked: Arc<Mutex<Vec<(Instant, String)>>> = Arc::default();
-        let (log, script) = (asked.clone(), Arc::new(script));
+        let requests: Arc<Mutex<Vec<(Instant, String)>>> = Arc::default();
+        let (log, script) = (requests.clone(), Arc::new(script));
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let (log, script, mut stream) = (log.clone(), script.clone(), stream.unwrap());
@@ -395,33 +396,33 @@
                 });
             }
         });
-        Scripted { addr, asked }
+        ScriptedPlatform { addr, requests }
     }
 
     /// When the questions of this path came, or those for a watch.
-    pub fn times(&self, path: &str) -> Vec<Instant> {
-        let asked = self.asked.lock().unwrap();
-        asked.iter().filter(|(_, p)| p == path).map(|(at, _)| *at).collect()
+    pub fn request_times(&self, path: &str) -> Vec<Instant> {
+        let requests = self.requests.lock().unwrap();
+        requests.iter().filter(|(_, p)| p == path).map(|(at, _)| *at).collect()
     }
 }
 
 /// Writes an answer that is whole.
-pub fn answer(stream: &mut TcpStream, code: u16, body: &str) {
+pub fn write_answer(stream: &mut TcpStream, code: u16, body: &str) {
     let text = format!("HTTP/1.1 {code} X\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     _ = stream.write_all(text.as_bytes());
 }
 
 /// Begins an answer that comes in pieces.
-pub fn begin(stream: &mut TcpStream) {
+pub fn begin_chunked(stream: &mut TcpStream) {
     _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
 }
 
 /// Writes a piece of an answer. False once nobody reads it.
-pub fn piece(stream: &mut TcpStream, text: &str) -> bool {
+pub fn write_chunk(stream: &mut TcpStream, text: &str) -> bool {
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).is_ok()
 }
 
-fn chunk(stream: &mut TcpStream, value: &Value) {
+fn write_list(stream: &mut TcpStream, value: &Value) {
     let text = format!("{value}\n");
     _ = stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
 }
@@ -469,10 +470,10 @@
 pub struct Sender {
     pub addr: SocketAddr,
     /// Where the operators' door is, of a sender that has one.
-    pub door: SocketAddr,
+    pub mgmt: SocketAddr,
     pub folder: tempfile::TempDir,
     /// Descriptors that the system lets its next process have, if they are bounded.
-    pub files: Option<usize>,
+    pub max_files: Option<usize>,
     child: Option<Child>,
 }
 
@@ -481,7 +482,7 @@
 /// An address that keeps its port between a sender's processes: bound but not listening, since a child that another
 /// test is starting may hold a copy of it for a moment, which would take connections in the sender's place and
 /// keep it from listening.
-fn reserved(own: Ipv4Addr) -> SocketAddr {
+fn reserve_address(own: Ipv4Addr) -> SocketAddr {
     let port = tokio::net::TcpSocket::new_v4().unwrap();
     port.set_reuseaddr(true).unwrap();
     port.bind((own, 0).into()).unwrap();
@@ -499,41 +500,41 @@
         static SENDERS: AtomicU8 = AtomicU8::new(1);
         let [.., high, low] = std::process::id().to_be_bytes();
         let own = Ipv4Addr::new(127, high | 0x80, low, SENDERS.fetch_add(1, Ordering::Relaxed));
-        let (addr, door) = (reserved(own), reserved(own));
+        let (addr, mgmt) = (reserve_address(own), reserve_address(own));
         let folder = tempfile::tempdir().unwrap();
         std::fs::create_dir(folder.path().join("state")).unwrap();
         let mut config = config(addr, platform, 256);
         change(&mut config);
         std::fs::write(folder.path().join("config.json"), config.to_string()).unwrap();
-        let mut sender = Sender { addr, door, folder, files: None, child: None };
+        let mut sender = Sender { addr, mgmt, folder, max_files: None, child: None };
         sender.spawn();
         sender
     }
 
     /// Starts one with a door for operators.
-    pub fn with_door(platform: &Platform) -> Self {
+    pub fn with_mgmt(platform: &Platform) -> Self {
         let mut sender = Self::start(platform);
         sender.kill();
-        let door = sender.door.to_string();
-        sender.change(|c| c["mgmt"] = door.clone().into());
+        let mgmt = sender.mgmt.to_string();
+        sender.change_config(|c| c["mgmt"] = mgmt.clone().into());
         sender.spawn();
         sender
     }
 
     /// Makes a call at the operators' door: its status and what it says.
-    pub fn ask(&self, call: &str) -> (u16, String) {
-        ask(self.door, call).unwrap()
+    pub fn mgmt_request(&self, call: &str) -> (u16, String) {
+        mgmt_request(self.mgmt, call).unwrap()
     }
 
     /// The figures that the operators' door tells.
-    pub fn figures(&self) -> Value {
-        let (status, text) = self.ask("GET /_vars");
+    pub fn metrics(&self) -> Value {
+        let (status, text) = self.mgmt_request("GET /_vars");
         assert_eq!(status, 200);
         serde_json::from_str(&text).unwrap()
     }
 
     /// Alters the configuration for the next start.
-    pub fn change(&self, change: impl Fn(&mut Value)) {
+    pub fn change_config(&self, change: impl Fn(&mut Value)) {
         let path = self.folder.path().join("config.json");
         let mut config = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
         change(&mut config);
@@ -548,7 +549,7 @@
     /// Starts its process, and does not wait until it listens.
     pub fn launch(&mut self) {
         let log = std::fs::File::create(self.log_file()).unwrap();
-        let mut command = match self.files {
+        let mut command = match self.max_files {
             // The shell's limit goes over to what it becomes.
             Some(files) => {
                 let mut shell = Command::new("sh");
@@ -598,17 +599,17 @@
 
     fn journal_count(&self, text: &str) -> usize {
         let bytes = std::fs::read(self.journal()).unwrap_or_default();
-        bytes.windows(text.len()).filter(|w| *w == text.as_bytes()).count()
+        bytes.windows(text.len()).filter(|discovery| *discovery == text.as_bytes()).count()
     }
 
-    pub fn journal_holds(&self, text: &str) -> bool {
+    pub fn journal_contains(&self, text: &str) -> bool {
         self.journal_count(text) > 0
     }
 
     /// Waits until the sender has heard that the endpoint drains or goes, as its journal shows.
-    pub fn hears(&self, tell: impl Fn(), endpoint: &str) {
+    pub fn wait_drain_recorded(&self, trigger: impl Fn(), endpoint: &str) {
         let before = self.journal_count(endpoint);
-        tell();
+        trigger();
         wait_until(&format!("word of {endpoint}"), || self.journal_count(endpoint) > before);
     }
 
@@ -619,7 +620,7 @@
     /// Hands a message in on a connection of its own; nothing if that ends without an answer.
     pub fn try_put(&self, id: &str, fields: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.addr).ok()?;
-        stream.set_read_timeout(Some(LIMIT)).ok()?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
         stream.write_all(&put(id, &format!("{fields},t=acme"), b"hello")).ok()?;
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).ok()?;
@@ -639,7 +640,7 @@
     }
 
     /// SIGHUP.
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         self.signal("-HUP");
     }
 
@@ -676,9 +677,9 @@
 }
 
 /// Makes a call at an operators' door, if there is one.
-pub fn ask(door: SocketAddr, call: &str) -> Option<(u16, String)> {
-    let mut stream = TcpStream::connect(door).ok()?;
-    stream.set_read_timeout(Some(LIMIT)).unwrap();
+pub fn mgmt_request(mgmt: SocketAddr, call: &str) -> Option<(u16, String)> {
+    let mut stream = TcpStream::connect(mgmt).ok()?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(format!("{call} HTTP/1.1\r\nhost: door\r\n\r\n").as_bytes()).ok()?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).ok()?;
@@ -709,7 +710,7 @@
 impl Client {
     pub fn new(addr: SocketAddr) -> Self {
         let stream = TcpStream::connect(addr).unwrap();
-        stream.set_read_timeout(Some(LIMIT)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let reader = BufReader::new(stream.try_clone().unwrap());
         Client { stream, reader }
     }
@@ -737,7 +738,7 @@
     }
 }
 
-pub fn size_of(folder: &Path) -> u64 {
+pub fn folder_size(folder: &Path) -> u64 {
     std::fs::read_dir(folder)
         .unwrap()
         .filter_map(|f| Some(f.ok()?.metadata().ok()?.len().div_ceil(512) * 512))
@@ -760,56 +761,56 @@
 
     pub fn wait(&self) {
         let guard = self.0.0.lock().unwrap();
-        _ = self.0.1.wait_timeout_while(guard, LIMIT, |open| !*open).unwrap();
+        _ = self.0.1.wait_timeout_while(guard, TEST_TIMEOUT, |open| !*open).unwrap();
     }
 }
 
 /// An address at which each connection is refused: bound, so that no one else is given it, and not listened on.
-pub struct Refusing {
+pub struct RefusingAddress {
     pub addr: SocketAddr,
     socket: tokio::net::TcpSocket,
 }
 
-impl Refusing {
+impl RefusingAddress {
     pub fn new() -> Self {
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-        Refusing { addr: socket.local_addr().unwrap(), socket }
+        RefusingAddress { addr: socket.local_addr().unwrap(), socket }
     }
 
     /// Connections come up from now on.
     pub fn listen(self) -> TcpListener {
-        listening(self.socket, 64)
+        listen_with_backlog(self.socket, 64)
     }
 }
 
 /// An endpoint whose backlog is full: a connection to it comes up only once others are taken off.
-pub struct Crammed {
+pub struct FullBacklogEndpoint {
     listener: TcpListener,
     pub addr: SocketAddr,
     pub fillers: Vec<TcpStream>,
-    taken: Vec<TcpStream>,
+    accepted: Vec<TcpStream>,
     /// What came on the connections that were taken off.
     pub calls: Vec<String>,
 }
 
-impl Crammed {
+impl FullBacklogEndpoint {
     pub fn new() -> Self {
-        let listener = backlog_of_none();
+        let listener = listen_without_backlog();
         let addr = listener.local_addr().unwrap();
         let filler = |_| TcpStream::connect_timeout(&addr, Duration::from_millis(100)).ok();
         let fillers = (0..8).filter_map(filler).collect();
         listener.set_nonblocking(true).unwrap();
-        Crammed { listener, addr, fillers, taken: Vec::new(), calls: Vec::new() }
+        FullBacklogEndpoint { listener, addr, fillers, accepted: Vec::new(), calls: Vec::new() }
     }
 
     /// Takes a connection off, if one has come, and reads what there is.
-    pub fn serve(&mut self) {
+    pub fn accept_and_read(&mut self) {
         if let Ok((stream, _)) = self.listener.accept() {
             stream.set_nonblocking(true).unwrap();
-            self.taken.push(stream);
+            self.accepted.push(stream);
         }
-        for stream in &mut self.taken {
+        for stream in &mut self.accepted {
             let mut buf = [0; 2048];
             if let Ok(n @ 1..) = stream.read(&mut buf) {
                 self.calls.push(String::from_utf8_lossy(&buf[..n]).into_owned());
@@ -818,13 +819,13 @@
     }
 }
 
-fn backlog_of_none() -> TcpListener {
+fn listen_without_backlog() -> TcpListener {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    listening(socket, 0)
+    listen_with_backlog(socket, 0)
 }
 
-fn listening(socket: tokio::net::TcpSocket, backlog: u32) -> TcpListener {
+fn listen_with_backlog(socket: tokio::net::TcpSocket, backlog: u32) -> TcpListener {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let _entered = runtime.enter();
     let listener = socket.listen(backlog).unwrap().into_std().unwrap();
--- a/crates/sender/tests/common/placement/clients.rs
+++ b/crates/sender/tests/common/placement/clients.rs
@@ -18,11 +18,11 @@
 use tokio::sync::mpsc;
 
 /// How long a client waits for an answer.
-pub const PATIENCE: Duration = Duration::from_millis(400);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 /// The first wait after a refusal that tells none; each further one is twice as long.
-const WAIT_FIRST: Duration = Duration::from_millis(150);
+const FIRST_RETRY_WAIT: Duration = Duration::from_millis(150);
 /// Doublings of that wait at most.
-const DOUBLINGS_MOST: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 const BODY: &[u8] = b"hello";
 
 /// A message over all the times that it is handed in.
@@ -36,27 +36,27 @@
     /// The sender that it is handed in at first.
     pub entry: usize,
     deadline: Micros,
-    times: u32,
+    resubmissions: u32,
 }
 
 /// What a client read.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Heard {
+struct ClientReply {
     answered: Answered,
     after_ms: Option<u64>,
 }
 
-impl Heard {
-    fn only(answered: Answered) -> Self {
-        Heard { answered, after_ms: None }
+impl ClientReply {
+    fn without_wait(answered: Answered) -> Self {
+        ClientReply { answered, after_ms: None }
     }
 
-    fn of(line: &str) -> Self {
+    fn parse(line: &str) -> Self {
         match line.trim_end() {
-            "+OK" => Heard::only(Answered::Taken),
+            "+OK" => ClientReply::without_wait(Answered::Taken),
             line => match line.strip_prefix("-BUSY") {
-                Some(rest) => Heard { answered: Answered::Busy, after_ms: rest.trim().parse().ok() },
-                None => Heard::only(Answered::Failed),
+                Some(rest) => ClientReply { answered: Answered::Busy, after_ms: rest.trim().parse().ok() },
+                None => ClientReply::without_wait(Answered::Failed),
             },
         }
     }
@@ -71,10 +71,10 @@
     /// Connections without an open request, by sender.
     idle: RefCell<Vec<Vec<Connection>>>,
     /// Taken messages that a notice may still hand back.
-    taken: RefCell<HashMap<String, Message>>,
+    accepted: RefCell<HashMap<String, Message>>,
     /// Messages that are being handed in, or wait to be.
-    busy: Cell<usize>,
-    handed_in: Cell<usize>,
+    in_progress: Cell<usize>,
+    put_count: Cell<usize>,
 }
 
 /// What is handed in.
@@ -115,32 +115,32 @@
         returned: mpsc::UnboundedReceiver<Returned>,
     ) -> Rc<Self> {
         let idle = RefCell::new((0..fleet.deployment.processes()).map(|_| Vec::new()).collect());
-        let (taken, busy, handed_in) = (RefCell::default(), Cell::new(0), Cell::new(0));
-        let clients = Rc::new(Clients { ledger, fleet, idle, taken, busy, handed_in });
-        tokio::task::spawn_local(clients.clone().hear_returns(returned));
+        let (accepted, in_progress, put_count) = (RefCell::default(), Cell::new(0), Cell::new(0));
+        let clients = Rc::new(Clients { ledger, fleet, idle, accepted, in_progress, put_count });
+        tokio::task::spawn_local(clients.clone().resubmit_returned(returned));
         clients
     }
 
     /// Hands in a load while `during` lasts; each message at its time, however late other answers are.
-    pub async fn play(self: &Rc<Self>, load: &Load, during: impl Future<Output = ()>) {
+    pub async fn run_load(self: &Rc<Self>, load: &Load, during: impl Future<Output = ()>) {
         tokio::select! {
             () = during => {}
-            () = self.hand_in_all(load) => {}
+            () = self.submit_load(load) => {}
         }
     }
 
-    async fn hand_in_all(self: &Rc<Self>, load: &Load) {
-        let begun = tokio::time::Instant::now();
+    async fn submit_load(self: &Rc<Self>, load: &Load) {
+        let started = tokio::time::Instant::now();
         let gap = Duration::from_secs(1) / load.rate;
         for n in 0.. {
-            tokio::time::sleep_until(begun + gap * n as u32).await;
+            tokio::time::sleep_until(started + gap * n as u32).await;
             let class = load.classes[n % load.classes.len()];
             let turn = n / load.classes.len();
-            let reach = match class {
+            let destination_count = match class {
                 FLOW => load.destinations.len().min(ORDERED_DESTINATIONS),
                 _ => load.destinations.len(),
             };
-            let destination = load.destinations[turn * DESTINATION_STRIDE % reach];
+            let destination = load.destinations[turn * DESTINATION_STRIDE % destination_count];
             let entry = load.entries[n * ENTRY_STRIDE % load.entries.len()];
             self.send(class, destination, entry);
         }
@@ -150,28 +150,36 @@
     pub fn send(self: &Rc<Self>, class: usize, destination: i64, entry: usize) -> String {
         let message = self.new_message(class, destination, entry);
         let id = message.origin.clone();
-        self.busy.set(self.busy.get() + 1);
-        tokio::task::spawn_local(self.clone().hand_in(message));
+        self.in_progress.set(self.in_progress.get() + 1);
+        tokio::task::spawn_local(self.clone().submit(message));
         id
     }
 
     fn new_message(&self, class: usize, destination: i64, entry: usize) -> Message {
-        let number = self.handed_in.get();
-        self.handed_in.set(number + 1);
+        let number = self.put_count.get();
+        self.put_count.set(number + 1);
         let order_key = (class == FLOW).then(|| format!("{destination:016x}"));
         let deadline = self.ledger.now() + DEADLINE;
-        Message { origin: format!("m{number:05}"), class, destination, order_key, entry, deadline, times: 0 }
+        Message {
+            origin: format!("m{number:05}"),
+            class,
+            destination,
+            order_key,
+            entry,
+            deadline,
+            resubmissions: 0,
+        }
     }
 
     /// Waits until nothing is being handed in and what was taken has ended or run out of time.
-    pub async fn settle(&self) {
-        super::until("the clients' last answers", || self.busy.get() == 0).await;
+    pub async fn wait_all_ended(&self) {
+        super::wait_until("the clients' last answers", || self.in_progress.get() == 0).await;
         // A notice falls due 0.3 s after its message's time.
         let latest = self.ledger.now() + DEADLINE + 1_000_000;
         while self.ledger.now() < latest && !self.all_ended() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        super::until("the clients' last answers", || self.busy.get() == 0).await;
+        super::wait_until("the clients' last answers", || self.in_progress.get() == 0).await;
     }
 
     /// Each taken message has an answer of its receiver's or a notice.
@@ -180,35 +188,35 @@
     }
 
     /// A message that was handed back after it had been taken on comes again too.
-    async fn hear_returns(self: Rc<Self>, mut returned: mpsc::UnboundedReceiver<Returned>) {
+    async fn resubmit_returned(self: Rc<Self>, mut returned: mpsc::UnboundedReceiver<Returned>) {
         while let Some(Returned { id, after_ms }) = returned.recv().await {
-            let Some(message) = self.taken.borrow_mut().remove(&id) else { continue };
-            self.busy.set(self.busy.get() + 1);
-            tokio::task::spawn_local(self.clone().come_again(message, after_ms));
+            let Some(message) = self.accepted.borrow_mut().remove(&id) else { continue };
+            self.in_progress.set(self.in_progress.get() + 1);
+            tokio::task::spawn_local(self.clone().resubmit(message, after_ms));
         }
     }
 
-    async fn hand_in(self: Rc<Self>, message: Message) {
-        let id = match message.times {
+    async fn submit(self: Rc<Self>, message: Message) {
+        let id = match message.resubmissions {
             0 => message.origin.clone(),
-            times => format!("{}-{times}", message.origin),
+            resubmissions => format!("{}-{resubmissions}", message.origin),
         };
         if message.deadline - self.ledger.now() < 1000 {
-            self.busy.set(self.busy.get() - 1);
+            self.in_progress.set(self.in_progress.get() - 1);
             return;
         }
         // After no answer at one sender a client turns to another.
-        let entry = self.fleet.open_entry(message.entry + message.times as usize);
+        let entry = self.fleet.entry_for(message.entry + message.resubmissions as usize);
         let request = self.offer(&message, &id, entry);
-        let Heard { answered, after_ms } = self.ask(entry, &request).await;
-        self.ledger.note(Event::Reply { id: id.clone(), answered, after_ms });
+        let ClientReply { answered, after_ms } = self.request_answer(entry, &request).await;
+        self.ledger.record(Event::Reply { id: id.clone(), answered, after_ms });
         match answered {
             Answered::Taken => {
-                self.taken.borrow_mut().insert(id, message);
-                self.busy.set(self.busy.get() - 1);
+                self.accepted.borrow_mut().insert(id, message);
+                self.in_progress.set(self.in_progress.get() - 1);
             }
-            Answered::Failed | Answered::Left => self.busy.set(self.busy.get() - 1),
-            _ => Box::pin(self.come_again(message, after_ms)).await,
+            Answered::Failed | Answered::Left => self.in_progress.set(self.in_progress.get() - 1),
+            _ => Box::pin(self.resubmit(message, after_ms)).await,
         }
     }
 
@@ -217,13 +225,14 @@
         let message = self.new_message(class, destination, member);
         let id = message.origin.clone();
         let request = self.offer(&message, &id, member);
-        let asked = async {
-            let connection = open(self.fleet.relay(member).addr).await.ok()?;
+        let exchange = async {
+            let connection = connect(self.fleet.relay(member).addr).await.ok()?;
             self.exchange(connection, &request).await
         };
-        let heard = tokio::time::timeout(PATIENCE, asked).await.ok().flatten();
-        let Heard { answered, after_ms } = heard.map_or(Heard::only(Answered::Silence), |(heard, _)| heard);
-        self.ledger.note(Event::Reply { id, answered, after_ms });
+        let reply = tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.ok().flatten();
+        let ClientReply { answered, after_ms } =
+            reply.map_or(ClientReply::without_wait(Answered::Silence), |(reply, _)| reply);
+        self.ledger.record(Event::Reply { id, answered, after_ms });
         answered
     }
 
@@ -234,14 +243,14 @@
         let key = (class.effect == Effect::Keyed).then(|| format!("k-{}", message.origin));
         let mut fields = format!("c={},t={TENANT},d={left},dest={}", class.name, message.destination);
         key.iter().for_each(|key| fields += &format!(",k={key}"));
-        if message.times > 0 {
+        if message.resubmissions > 0 {
             fields += ",r=1";
         }
-        self.ledger.note(Event::Offer {
+        self.ledger.record(Event::Offer {
             sender,
             id: id.into(),
             origin: message.origin.clone(),
-            again: message.times,
+            again: message.resubmissions,
             class: message.class,
             tenant: 0,
             receiver: message.destination,
@@ -255,48 +264,53 @@
     }
 
     /// Hands a message in once more after the wait that was told, or one of its own.
-    async fn come_again(self: Rc<Self>, mut message: Message, after_ms: Option<u64>) {
-        let own = WAIT_FIRST * (1 << message.times.min(DOUBLINGS_MOST));
+    async fn resubmit(self: Rc<Self>, mut message: Message, after_ms: Option<u64>) {
+        let own = FIRST_RETRY_WAIT * (1 << message.resubmissions.min(MAX_DOUBLINGS));
         tokio::time::sleep(after_ms.map_or(own, Duration::from_millis)).await;
-        message.times += 1;
-        self.hand_in(message).await;
+        message.resubmissions += 1;
+        self.submit(message).await;
     }
 
-    async fn ask(&self, entry: usize, request: &[u8]) -> Heard {
-        let until = tokio::time::Instant::now() + PATIENCE;
-        let asked = tokio::time::timeout_at(until, self.ask_patiently(entry, request)).await;
-        asked.unwrap_or(Heard::only(Answered::Silence))
+    async fn request_answer(&self, entry: usize, request: &[u8]) -> ClientReply {
+        let until = tokio::time::Instant::now() + ANSWER_TIMEOUT;
+        let exchange =
+            tokio::time::timeout_at(until, self.request_on_idle_or_new_connection(entry, request)).await;
+        exchange.unwrap_or(ClientReply::without_wait(Answered::Silence))
     }
 
-    async fn ask_patiently(&self, entry: usize, request: &[u8]) -> Heard {
-        let kept = self.idle.borrow_mut()[entry].pop();
-        if let Some(connection) = kept
-            && let Some((heard, connection)) = self.exchange(connection, request).await
+    async fn request_on_idle_or_new_connection(&self, entry: usize, request: &[u8]) -> ClientReply {
+        let idle = self.idle.borrow_mut()[entry].pop();
+        if let Some(connection) = idle
+            && let Some((reply, connection)) = self.exchange(connection, request).await
         {
             self.idle.borrow_mut()[entry].push(connection);
-            return heard;
+            return reply;
         }
         // Closed between requests: the client sends it once more on a new connection.
-        let Ok(connection) = open(self.fleet.addr(entry)).await else {
-            return Heard::only(Answered::Unreachable);
+        let Ok(connection) = connect(self.fleet.addr(entry)).await else {
+            return ClientReply::without_wait(Answered::Unreachable);
         };
-        let Some((heard, connection)) = self.exchange(connection, request).await else {
-            return Heard::only(Answered::Closed);
+        let Some((reply, connection)) = self.exchange(connection, request).await else {
+            return ClientReply::without_wait(Answered::Closed);
         };
         self.idle.borrow_mut()[entry].push(connection);
-        heard
+        reply
     }
 
     /// Writes a request and reads its answer; nothing if the connection ended without one.
-    async fn exchange(&self, mut connection: Connection, request: &[u8]) -> Option<(Heard, Connection)> {
+    async fn exchange(
+        &self,
+        mut connection: Connection,
+        request: &[u8],
+    ) -> Option<(ClientReply, Connection)> {
         connection.get_mut().write_all(request).await.ok()?;
         let mut line = String::new();
         connection.read_line(&mut line).await.ok().filter(|count| *count > 0)?;
-        Some((Heard::of(&line), connection))
+        Some((ClientReply::parse(&line), connection))
     }
 }
 
-async fn open(addr: SocketAddr) -> std::io::Result<Connection> {
+async fn connect(addr: SocketAddr) -> std::io::Result<Connection> {
     let stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
     Ok(BufReader::new(stream))
--- a/crates/sender/tests/common/placement/control.rs
+++ b/crates/sender/tests/common/placement/control.rs
@@ -15,7 +15,7 @@
     list: Value,
     /// What changed since the one before it.
     changes: Vec<Value>,
-    decided: Instant,
+    in_force_since: Instant,
 }
 
 /// How one agent serves.
@@ -26,9 +26,9 @@
     /// It takes questions and answers none.
     silent: Cell<bool>,
     /// What it answers in place of the truth.
-    instead: RefCell<Option<Value>>,
+    override_with: RefCell<Option<Value>>,
     /// Questions that came.
-    asked: Cell<u64>,
+    requests: Cell<u64>,
 }
 
 /// All control agents.
@@ -52,8 +52,8 @@
     }
 
     /// Decides the first list.
-    pub fn begin(&self, list: Value) {
-        let epoch = Epoch { list, changes: Vec::new(), decided: Instant::now() };
+    pub fn set_first_list(&self, list: Value) {
+        let epoch = Epoch { list, changes: Vec::new(), in_force_since: Instant::now() };
         *self.epochs.borrow_mut() = vec![epoch];
     }
 
@@ -65,7 +65,7 @@
         let number = list["epoch"].as_u64().unwrap() + 1;
         list["epoch"] = number.into();
         list["first"] = false.into();
-        epochs.push(Epoch { list, changes, decided: Instant::now() });
+        epochs.push(Epoch { list, changes, in_force_since: Instant::now() });
         number
     }
 
@@ -75,23 +75,23 @@
     }
 
     /// Lets an agent tell epochs so much later.
-    pub fn delay(&self, agent: usize, by: Duration) {
+    pub fn set_delay(&self, agent: usize, by: Duration) {
         self.agents.borrow()[agent].delay.set(by);
     }
 
     /// Lets an agent fall silent, or answer again.
-    pub fn silence(&self, agent: usize, silent: bool) {
+    pub fn set_silent(&self, agent: usize, silent: bool) {
         self.agents.borrow()[agent].silent.set(silent);
     }
 
     /// Lets an agent answer this, whatever it is asked; with nothing, the truth again.
-    pub fn answer_instead(&self, agent: usize, answer: Option<Value>) {
-        *self.agents.borrow()[agent].instead.borrow_mut() = answer;
+    pub fn override_answer(&self, agent: usize, answer: Option<Value>) {
+        *self.agents.borrow()[agent].override_with.borrow_mut() = answer;
     }
 
     /// Questions that an agent was asked.
-    pub fn asked(&self, agent: usize) -> u64 {
-        self.agents.borrow()[agent].asked.get()
+    pub fn requests(&self, agent: usize) -> u64 {
+        self.agents.borrow()[agent].requests.get()
     }
 
     async fn answer(
@@ -102,27 +102,27 @@
         if request.uri().path() != "/v1/members" {
             return http::empty(404);
         }
-        agent.asked.set(agent.asked.get() + 1);
+        agent.requests.set(agent.requests.get() + 1);
         if agent.silent.get() {
             // Longer than any scenario: the question is never answered.
             std::future::pending::<()>().await;
         }
         let since = http::query_number(&request, "since");
-        let instead = agent.instead.borrow().clone();
-        let answer = instead.unwrap_or_else(|| self.news(agent.delay.get(), since));
-        http::whole(200, answer.to_string())
+        let override_with = agent.override_with.borrow().clone();
+        let answer = override_with.unwrap_or_else(|| self.answer_since(agent.delay.get(), since));
+        http::with_body(200, answer.to_string())
     }
 
     /// What an agent with this delay tells one that knows the epoch `since`.
-    fn news(&self, delay: Duration, since: Option<u64>) -> Value {
+    fn answer_since(&self, delay: Duration, since: Option<u64>) -> Value {
         let epochs = self.epochs.borrow();
-        let told = epochs.iter().rposition(|e| e.decided.elapsed() >= delay).unwrap_or(0);
+        let latest = epochs.iter().rposition(|e| e.in_force_since.elapsed() >= delay).unwrap_or(0);
         let number = |at: usize| epochs[at].list["epoch"].as_u64().unwrap();
-        let known = (0..=told).find(|at| Some(number(*at)) == since);
-        let Some(known) = known else { return epochs[told].list.clone() };
+        let known = (0..=latest).find(|at| Some(number(*at)) == since);
+        let Some(known) = known else { return epochs[latest].list.clone() };
         let changes: Vec<Value> =
-            epochs[known + 1..=told].iter().flat_map(|e| e.changes.iter().cloned()).collect();
-        json!({"epoch": number(told), "since": number(known), "changes": changes})
+            epochs[known + 1..=latest].iter().flat_map(|e| e.changes.iter().cloned()).collect();
+        json!({"epoch": number(latest), "since": number(known), "changes": changes})
     }
 }
 
--- a/crates/sender/tests/common/placement/deployment.rs
+++ b/crates/sender/tests/common/placement/deployment.rs
@@ -15,7 +15,7 @@
 const ORDER_SETTLE: Micros = 300_000;
 /// How long calls to a draining endpoint may still begin.
 const DRAIN_GRACE: Micros = 1_000_000;
-const ATTEMPTS_MOST: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 const SLOTS: u32 = 40;
 
 /// What differs between scenarios.
@@ -32,7 +32,7 @@
     /// For how long an answer of the control agent lets a sender take messages on as an owner.
     pub lease: Duration,
     /// How often a sender asks its control agent.
-    pub ask_every: Duration,
+    pub poll_interval: Duration,
     /// How much later than others a control agent may tell an epoch.
     pub agent_lag: Duration,
     /// Messages that a sender may hold.
@@ -47,7 +47,7 @@
             destinations: 300,
             replicas: 2,
             lease: Duration::from_secs(2),
-            ask_every: Duration::from_millis(250),
+            poll_interval: Duration::from_millis(250),
             agent_lag: Duration::ZERO,
             max_open: 400,
         }
@@ -82,7 +82,7 @@
             "Customers": [{"Name": TENANT, "QuotaRps": 100_000.0}],
             "FamilyInfo": {"BatchByKind": [1], "KindApart": [false], "Late": "line", "Workers": SLOTS},
             "Limits": {"Cancel": true, "ConnectTimeoutUs": 1_000_000, "IdleCloseUs": 5_000_000,
-                       "MaxAttempts": ATTEMPTS_MOST, "MaxOpen": self.max_open, "MaxRetryAfterUs": 2_000_000,
+                       "MaxAttempts": MAX_ATTEMPTS, "MaxOpen": self.max_open, "MaxRetryAfterUs": 2_000_000,
                        "Probes": false, "SecondCopies": false, "StreamsPerConn": 1},
             "Profiles": classes().iter().map(profile).collect::<Vec<_>>(),
             "Rules": {"DrainGraceUs": DRAIN_GRACE, "FallMultiple": 2.0, "FallUs": 2_000_000,
@@ -116,7 +116,7 @@
                 drain_grace: DRAIN_GRACE,
                 fall_multiple: 2.0,
                 fall_window: 2_000_000,
-                max_attempts: ATTEMPTS_MOST,
+                max_attempts: MAX_ATTEMPTS,
                 second_copies: false,
                 batch_weight: 1.0,
             },
--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -22,7 +22,7 @@
 /// How often a watch with no news says that it lives.
 const HEARTBEAT: Duration = Duration::from_millis(500);
 /// Pieces of a watch that wait to be written.
-const PIECES_MOST: usize = 16;
+const MAX_QUEUED_CHUNKS: usize = 16;
 
 /// Endpoints of the first list, and those that replace them.
 pub const GENERATIONS: usize = 2;
@@ -32,7 +32,7 @@
 struct Entry {
     destination: i64,
     generation: usize,
-    standing: Standing,
+    status: Standing,
     index: u64,
 }
 
@@ -71,11 +71,11 @@
     /// queue is bounded by what the clients hand in.
     pub fn new(ledger: Rc<Ledger>, destinations: i64) -> (Rc<Self>, mpsc::UnboundedReceiver<Returned>) {
         let entry =
-            |destination| Entry { destination, generation: 0, standing: Standing::Ready, index: FIRST_INDEX };
+            |destination| Entry { destination, generation: 0, status: Standing::Ready, index: FIRST_INDEX };
         let entries: Vec<Entry> = (1..=destinations).map(entry).collect();
         for e in &entries {
             let endpoint = endpoint_name(e.destination, e.generation);
-            ledger.note(Event::Endpoint { endpoint, receiver: e.destination, zone: "a".into() });
+            ledger.record(Event::Endpoint { endpoint, receiver: e.destination, zone: "a".into() });
         }
         let (returned, queue) = mpsc::unbounded_channel();
         let (index, entries) = (watch::Sender::new(FIRST_INDEX), RefCell::new(entries));
@@ -93,13 +93,13 @@
         let index = self.index.borrow().to_owned() + 1;
         let mut entries = self.entries.borrow_mut();
         let old = entries.iter_mut().find(|e| e.destination == destination).unwrap();
-        (old.standing, old.index) = (Standing::Terminating, index);
+        (old.status, old.index) = (Standing::Terminating, index);
         let generation = old.generation + 1;
         assert!(generation < GENERATIONS, "an endpoint is replaced once");
-        entries.push(Entry { destination, generation, standing: Standing::Ready, index });
+        entries.push(Entry { destination, generation, status: Standing::Ready, index });
         drop(entries);
         let endpoint = endpoint_name(destination, generation);
-        self.ledger.note(Event::Endpoint { endpoint, receiver: destination, zone: "a".into() });
+        self.ledger.record(Event::Endpoint { endpoint, receiver: destination, zone: "a".into() });
         self.index.send_replace(index);
     }
 
@@ -116,11 +116,11 @@
             return http::empty(404);
         }
         if !request.uri().query().unwrap_or_default().contains("follow") {
-            return http::whole(200, self.tell(sender, addresses, None).to_string());
+            return http::with_body(200, self.listing(sender, addresses, None).to_string());
         }
         let since = http::query_number(&request, "since").filter(|s| *s >= FIRST_INDEX);
-        let (pieces, body) = Channel::new(PIECES_MOST);
-        tokio::task::spawn_local(self.follow(sender, addresses, since, pieces));
+        let (chunks, body) = Channel::new(MAX_QUEUED_CHUNKS);
+        tokio::task::spawn_local(self.follow(sender, addresses, since, chunks));
         Response::new(body.boxed())
     }
 
@@ -136,7 +136,7 @@
         loop {
             let index = *changed.borrow_and_update();
             let text = if first || known != Some(index) {
-                format!("{}\n", self.tell(sender, addresses, known))
+                format!("{}\n", self.listing(sender, addresses, known))
             } else {
                 "\n".to_string()
             };
@@ -149,27 +149,29 @@
     }
 
     /// The list for one sender: whole, or what changed since a version.
-    fn tell(&self, sender: usize, addresses: Addresses, since: Option<u64>) -> Value {
+    fn listing(&self, sender: usize, addresses: Addresses, since: Option<u64>) -> Value {
         let (entries, index) = (self.entries.borrow(), *self.index.borrow());
-        let news: Vec<&Entry> = entries.iter().filter(|e| since.is_none_or(|s| e.index > s)).collect();
-        let lines = news.iter().map(|e| (endpoint_name(e.destination, e.generation), e.standing)).collect();
-        self.ledger.note(Event::Told { sender, index, whole: since.is_none(), lines });
+        let changed_entries: Vec<&Entry> =
+            entries.iter().filter(|e| since.is_none_or(|s| e.index > s)).collect();
+        let reported =
+            changed_entries.iter().map(|e| (endpoint_name(e.destination, e.generation), e.status)).collect();
+        self.ledger.record(Event::Told { sender, index, whole: since.is_none(), lines: reported });
         let line = |e: &&Entry| {
             let addr = addresses[e.generation];
             let name = endpoint_name(e.destination, e.generation);
-            crate::common::line(&name, addr, "one", e.destination, status(e.standing))
+            crate::common::listed_endpoint(&name, addr, "one", e.destination, status_name(e.status))
         };
-        let endpoints: Vec<Value> = news.iter().map(line).collect();
+        let endpoints: Vec<Value> = changed_entries.iter().map(line).collect();
         json!({"index": index, "snapshot": since.is_none(), "endpoints": endpoints})
     }
 
     async fn take_notices(&self, sender: usize, request: Request<Incoming>) -> Response<Body> {
         let Some(body) = http::read_body(request).await else { return http::empty(400) };
-        let lines = body.split(|b| *b == b'\n').filter(|line| !line.is_empty());
-        let notices: Result<Vec<Notice>, _> = lines.map(serde_json::from_slice).collect();
+        let reported = body.split(|b| *b == b'\n').filter(|line| !line.is_empty());
+        let notices: Result<Vec<Notice>, _> = reported.map(serde_json::from_slice).collect();
         let Ok(notices) = notices else { return http::empty(400) };
         for Notice { id, state, after_ms } in notices {
-            self.ledger.note(Event::Notice { sender, id: id.clone(), state, after_ms });
+            self.ledger.record(Event::Notice { sender, id: id.clone(), state, after_ms });
             if state == Ended::Returned {
                 _ = self.returned.send(Returned { id, after_ms });
             }
@@ -178,8 +180,8 @@
     }
 }
 
-fn status(standing: Standing) -> &'static str {
-    match standing {
+fn status_name(status: Standing) -> &'static str {
+    match status {
         Standing::Ready => "Ready",
         Standing::Terminating => "Terminating",
         Standing::Gone => "Gone",
--- a/crates/sender/tests/common/placement/fleet.rs
+++ b/crates/sender/tests/common/placement/fleet.rs
@@ -23,18 +23,18 @@
 /// Kept connections from one sender to all others at most.
 const OWNER_CONNECTIONS: usize = 32;
 /// How long a door has for one answer, before it is asked once more.
-const DOOR_PATIENCE: Duration = Duration::from_secs(5);
+const MGMT_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often processes that end by themselves are looked for.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// How often the rig looks whether it stands still itself, and how often it says so.
-const BEAT: Duration = Duration::from_millis(5);
-const BEATS_TOLD: u32 = 100;
+const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+const CHECKS_PER_RECORD: u32 = 100;
 
 /// The addresses at which a process listens. They are its own over its restarts, on a loopback address that no one else
 /// is given a port on.
 struct Addresses {
     clients: SocketAddr,
-    door: SocketAddr,
+    mgmt: SocketAddr,
     forward: SocketAddr,
 }
 
@@ -46,9 +46,9 @@
         let last = PROCESSES.fetch_add(1, Ordering::Relaxed) % 254 + 1;
         let own = Ipv4Addr::new(127, high | 0x80, low, last);
         // All are open at once, so that they are different ports.
-        let [clients, door, forward] = [(); 3].map(|()| std::net::TcpListener::bind((own, 0)).unwrap());
-        let [clients, door, forward] = [clients, door, forward].map(|l| l.local_addr().unwrap());
-        Addresses { clients, door, forward }
+        let [clients, mgmt, forward] = [(); 3].map(|()| std::net::TcpListener::bind((own, 0)).unwrap());
+        let [clients, mgmt, forward] = [clients, mgmt, forward].map(|l| l.local_addr().unwrap());
+        Addresses { clients, mgmt, forward }
     }
 }
 
@@ -60,7 +60,7 @@
     relay: Rc<Relay>,
     child: RefCell<Option<Child>>,
     /// Clients are not sent to it.
-    closed: Cell<bool>,
+    excluded: Cell<bool>,
 }
 
 /// All senders.
@@ -72,7 +72,7 @@
 }
 
 /// A scenario's fleet and its stand-ins.
-pub struct Stage {
+pub struct Rig {
     pub ledger: Rc<Ledger>,
     pub control: Rc<Control>,
     pub directory: Rc<Directory>,
@@ -81,28 +81,28 @@
     pub clients: Rc<Clients>,
 }
 
-impl Stage {
+impl Rig {
     /// Starts the stand-ins and all processes, and waits until they are ready.
-    pub async fn start(deployment: Deployment) -> Stage {
-        Stage::start_with(deployment, true).await
+    pub async fn start(deployment: Deployment) -> Rig {
+        Rig::start_with(deployment, true).await
     }
 
     /// The same with processes whose operators have not switched placement on.
-    pub async fn start_without_placement(deployment: Deployment) -> Stage {
-        Stage::start_with(deployment, false).await
+    pub async fn start_without_placement(deployment: Deployment) -> Rig {
+        Rig::start_with(deployment, false).await
     }
 
-    async fn start_with(deployment: Deployment, placed: bool) -> Stage {
-        let stage = Stage::prepare(deployment, placed).await;
-        (0..stage.fleet.processes.len()).for_each(|index| stage.fleet.spawn(index));
-        for index in 0..stage.fleet.processes.len() {
-            stage.fleet.wait_ready(index).await;
+    async fn start_with(deployment: Deployment, with_placement: bool) -> Rig {
+        let rig = Rig::prepare(deployment, with_placement).await;
+        (0..rig.fleet.processes.len()).for_each(|index| rig.fleet.spawn(index));
+        for index in 0..rig.fleet.processes.len() {
+            rig.fleet.wait_ready(index).await;
         }
-        stage
+        rig
     }
 
     /// Starts the stand-ins and writes the processes' files.
-    async fn prepare(deployment: Deployment, placed: bool) -> Stage {
+    async fn prepare(deployment: Deployment, with_placement: bool) -> Rig {
         let ledger = Rc::new(Ledger::new());
         let (directory, returned) = Directory::new(ledger.clone(), deployment.destinations);
         let (control, receivers) = (Control::new(), Receivers::new(ledger.clone()));
@@ -114,20 +114,20 @@
             let files = Files { deployment: &deployment, index, folder: folder.path().join(name(index)) };
             files.write_config(addresses.clients, discovery);
             let agent = control.listen().await;
-            if placed {
+            if with_placement {
                 files.write_options(addresses.forward, agent);
             }
             let relay = Relay::start(addresses.forward).await;
-            let (child, closed) = (RefCell::default(), Cell::new(false));
-            processes.push(Process { index, folder: files.folder, addresses, relay, child, closed });
+            let (child, excluded) = (RefCell::default(), Cell::new(false));
+            processes.push(Process { index, folder: files.folder, addresses, relay, child, excluded });
         }
         let addresses: Vec<String> = processes.iter().map(|p| p.relay.addr.to_string()).collect();
-        control.begin(deployment.first_list(&addresses));
+        control.set_first_list(deployment.first_list(&addresses));
         let fleet = Rc::new(Fleet { deployment, ledger: ledger.clone(), folder, processes });
         tokio::task::spawn_local(watch_exits(fleet.clone()));
-        tokio::task::spawn_local(beat(ledger.clone()));
+        tokio::task::spawn_local(record_lag(ledger.clone()));
         let clients = Clients::new(ledger.clone(), fleet.clone(), returned);
-        Stage { ledger, control, directory, receivers, fleet, clients }
+        Rig { ledger, control, directory, receivers, fleet, clients }
     }
 }
 
@@ -152,13 +152,13 @@
     }
 
     fn write_options(&self, listen: SocketAddr, control: SocketAddr) {
-        let Deployment { lease, ask_every, agent_lag, .. } = self.deployment;
+        let Deployment { lease, poll_interval, agent_lag, .. } = self.deployment;
         let text = format!(
             "[placement]\nname = \"{}\"\nlisten = \"{listen}\"\ncontrol = [\"{control}\"]\nlease = \"{}ms\"\n\
              ask_every = \"{}ms\"\nowner_connections = {OWNER_CONNECTIONS}\nagent_lag = \"{}ms\"\n",
             name(self.index),
             lease.as_millis(),
-            ask_every.as_millis(),
+            poll_interval.as_millis(),
             agent_lag.as_millis(),
         );
         std::fs::write(self.folder.join("options.toml"), text).unwrap();
@@ -193,15 +193,15 @@
     }
 
     /// The sender at which a client of this one is let in.
-    pub fn open_entry(&self, wanted: usize) -> usize {
+    pub fn entry_for(&self, wanted: usize) -> usize {
         let count = self.processes.len();
         let mut candidates = (0..count).map(|n| (wanted + n) % count);
-        candidates.find(|n| !self.processes[*n].closed.get()).unwrap_or(wanted % count)
+        candidates.find(|n| !self.processes[*n].excluded.get()).unwrap_or(wanted % count)
     }
 
     /// Whether clients are let in at a sender.
-    pub fn let_clients_in(&self, index: usize, open: bool) {
-        self.processes[index].closed.set(!open);
+    pub fn set_accepts_clients(&self, index: usize, open: bool) {
+        self.processes[index].excluded.set(!open);
     }
 
     /// Starts a process on what its folder holds.
@@ -216,7 +216,7 @@
         command
             .env("LB_CONFIG", process.folder.join("config.json"))
             .env("LB_STATE", process.folder.join("state"))
-            .env("LB_MGMT", process.addresses.door.to_string())
+            .env("LB_MGMT", process.addresses.mgmt.to_string())
             .stdin(Stdio::null())
             .stderr(log);
         *process.child.borrow_mut() = Some(command.spawn().unwrap());
@@ -224,54 +224,54 @@
 
     /// Waits until a process answers its clients, and knows its member list and the endpoints of what it owns.
     pub async fn wait_ready(&self, index: usize) {
-        let begun = tokio::time::Instant::now();
-        while !self.answers(index).await {
-            assert!(begun.elapsed() < crate::common::LIMIT, "not ready: {}", self.log(index));
+        let started = tokio::time::Instant::now();
+        while !self.answers_ping(index).await {
+            assert!(started.elapsed() < crate::common::TEST_TIMEOUT, "not ready: {}", self.log(index));
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        self.ledger.note(Event::Ready { sender: index });
-        while !self.is_placed(index).await {
-            assert!(begun.elapsed() < crate::common::LIMIT, "no member list: {}", self.log(index));
+        self.ledger.record(Event::Ready { sender: index });
+        while !self.has_placement(index).await {
+            assert!(started.elapsed() < crate::common::TEST_TIMEOUT, "no member list: {}", self.log(index));
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    async fn is_placed(&self, index: usize) -> bool {
-        let figures = self.figures(index).await;
-        let placement = &figures["placement"];
+    async fn has_placement(&self, index: usize) -> bool {
+        let metrics = self.metrics(index).await;
+        let placement = &metrics["placement"];
         placement.is_null() || placement["epoch"].is_u64() && placement["unread_shards"] == 0
     }
 
-    async fn answers(&self, index: usize) -> bool {
-        let asked = async {
+    async fn answers_ping(&self, index: usize) -> bool {
+        let request = async {
             let mut stream = TcpStream::connect(self.addr(index)).await.ok()?;
             stream.write_all(&crate::common::resp(&[b"PING"])).await.ok()?;
             let mut answer = [0; 7];
             stream.read_exact(&mut answer).await.ok()?;
             (&answer == b"+PONG\r\n").then_some(())
         };
-        tokio::time::timeout(Duration::from_secs(2), asked).await.is_ok_and(|a| a.is_some())
+        tokio::time::timeout(Duration::from_secs(2), request).await.is_ok_and(|a| a.is_some())
     }
 
     /// SIGKILL; waits until the process has ended.
     pub fn kill(&self, index: usize) {
-        self.ledger.note(Event::Signal { sender: index, signal: Signal::Kill });
+        self.ledger.record(Event::Signal { sender: index, signal: Signal::Kill });
         let mut child = self.processes[index].child.take().unwrap();
         child.kill().unwrap();
         let how = child.wait().unwrap().to_string();
-        self.ledger.note(Event::Exited { sender: index, planned: true, how });
+        self.ledger.record(Event::Exited { sender: index, planned: true, how });
     }
 
     /// SIGSTOP.
     pub fn stop(&self, index: usize) {
-        self.ledger.note(Event::Signal { sender: index, signal: Signal::Stop });
+        self.ledger.record(Event::Signal { sender: index, signal: Signal::Stop });
         self.signal(index, "-STOP");
     }
 
     /// SIGCONT.
-    pub fn go_on(&self, index: usize) {
+    pub fn resume(&self, index: usize) {
         self.signal(index, "-CONT");
-        self.ledger.note(Event::Signal { sender: index, signal: Signal::Cont });
+        self.ledger.record(Event::Signal { sender: index, signal: Signal::Cont });
     }
 
     fn signal(&self, index: usize, signal: &str) {
@@ -279,19 +279,19 @@
     }
 
     /// The figures that a sender tells its operators, as soon as it does.
-    pub async fn figures(&self, index: usize) -> Value {
-        let begun = tokio::time::Instant::now();
+    pub async fn metrics(&self, index: usize) -> Value {
+        let started = tokio::time::Instant::now();
         loop {
-            let asked = tokio::time::timeout(DOOR_PATIENCE, self.ask_for_figures(index));
-            if let Some(figures) = asked.await.ok().flatten() {
-                return figures;
+            let request = tokio::time::timeout(MGMT_TIMEOUT, self.ask_for_figures(index));
+            if let Some(metrics) = request.await.ok().flatten() {
+                return metrics;
             }
-            assert!(begun.elapsed() < crate::common::LIMIT, "no figures: {}", self.log(index));
+            assert!(started.elapsed() < crate::common::TEST_TIMEOUT, "no figures: {}", self.log(index));
         }
     }
 
     async fn ask_for_figures(&self, index: usize) -> Option<Value> {
-        let mut stream = TcpStream::connect(self.processes[index].addresses.door).await.ok()?;
+        let mut stream = TcpStream::connect(self.processes[index].addresses.mgmt).await.ok()?;
         stream.write_all(b"GET /_vars HTTP/1.1\r\nhost: door\r\n\r\n").await.ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.ok()?;
@@ -328,22 +328,22 @@
             if process.is(|child| matches!(child.try_wait(), Ok(Some(_)))) {
                 let how = format!("it ended by itself; {}", fleet.log(process.index));
                 *process.child.borrow_mut() = None;
-                fleet.ledger.note(Event::Exited { sender: process.index, planned: false, how });
+                fleet.ledger.record(Event::Exited { sender: process.index, planned: false, how });
             }
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(EXIT_CHECK_INTERVAL).await;
     }
 }
 
 /// Takes down how late the stand-ins' own timers are.
-async fn beat(ledger: Rc<Ledger>) {
+async fn record_lag(ledger: Rc<Ledger>) {
     loop {
         let mut max_us = 0;
-        for _ in 0..BEATS_TOLD {
-            let due = tokio::time::Instant::now() + BEAT;
+        for _ in 0..CHECKS_PER_RECORD {
+            let due = tokio::time::Instant::now() + LAG_CHECK_INTERVAL;
             tokio::time::sleep_until(due).await;
             max_us = max_us.max(due.elapsed().as_micros() as i64);
         }
-        ledger.note(Event::Lag { max_us });
+        ledger.record(Event::Lag { max_us });
     }
 }
--- a/crates/sender/tests/common/placement/http.rs
+++ b/crates/sender/tests/common/placement/http.rs
@@ -40,7 +40,7 @@
 }
 
 /// An answer with a body.
-pub fn whole(status: u16, body: impl Into<Bytes>) -> Response<Body> {
+pub fn with_body(status: u16, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Full::new(body.into()).boxed());
     *response.status_mut() = status.try_into().unwrap();
     response
@@ -48,7 +48,7 @@
 
 /// An answer without a body.
 pub fn empty(status: u16) -> Response<Body> {
-    whole(status, Bytes::new())
+    with_body(status, Bytes::new())
 }
 
 /// The number that a query names.
--- a/crates/sender/tests/common/placement/ledger.rs
+++ b/crates/sender/tests/common/placement/ledger.rs
@@ -8,7 +8,7 @@
 
 /// The records of one scenario, and what the stand-ins must know of a message by its id.
 pub struct Ledger {
-    begun: Instant,
+    started: Instant,
     records: RefCell<Vec<Record>>,
     calls: Cell<u64>,
     destinations: RefCell<HashMap<String, i64>>,
@@ -17,7 +17,7 @@
 impl Ledger {
     pub fn new() -> Self {
         Ledger {
-            begun: Instant::now(),
+            started: Instant::now(),
             records: RefCell::default(),
             calls: Cell::new(0),
             destinations: RefCell::default(),
@@ -26,11 +26,11 @@
 
     /// Microseconds since the scenario began.
     pub fn now(&self) -> Micros {
-        self.begun.elapsed().as_micros() as Micros
+        self.started.elapsed().as_micros() as Micros
     }
 
     /// Takes down what is seen now.
-    pub fn note(&self, event: Event) {
+    pub fn record(&self, event: Event) {
         if let Event::Offer { id, receiver, .. } = &event {
             self.destinations.borrow_mut().insert(id.clone(), *receiver);
         }
--- a/crates/sender/tests/common/placement/mod.rs
+++ b/crates/sender/tests/common/placement/mod.rs
@@ -26,22 +26,22 @@
 static ONE_FLEET: std::sync::Mutex<()> = std::sync::Mutex::new(());
 
 /// No scenario takes longer, waiting for the end of each message included.
-const SCENARIO_MOST: Duration = Duration::from_secs(60);
+const MAX_SCENARIO_TIME: Duration = Duration::from_secs(60);
 
 /// Runs a scenario on a thread of its own runtime, after all others.
 pub fn run(scenario: impl Future<Output = ()>) {
-    let _alone = ONE_FLEET.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let _lock = ONE_FLEET.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let bounded = async { tokio::time::timeout(SCENARIO_MOST, scenario).await };
-    let ended = LocalSet::new().block_on(&runtime, bounded);
-    assert!(ended.is_ok(), "the scenario did not end within {SCENARIO_MOST:?}");
+    let bounded = async { tokio::time::timeout(MAX_SCENARIO_TIME, scenario).await };
+    let result = LocalSet::new().block_on(&runtime, bounded);
+    assert!(result.is_ok(), "the scenario did not end within {MAX_SCENARIO_TIME:?}");
 }
 
 /// Waits until `ready` holds, while the stand-ins go on; fails the test if it never does.
-pub async fn until(what: &str, mut ready: impl FnMut() -> bool) {
-    let begun = tokio::time::Instant::now();
+pub async fn wait_until(what: &str, mut ready: impl FnMut() -> bool) {
+    let started = tokio::time::Instant::now();
     while !ready() {
-        assert!(begun.elapsed() < crate::common::LIMIT, "waited in vain for: {what}");
+        assert!(started.elapsed() < crate::common::TEST_TIMEOUT, "waited in vain for: {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/sender/tests/common/placement/receivers.rs
+++ b/crates/sender/tests/common/placement/receivers.rs
@@ -16,18 +16,18 @@
 use std::time::Duration;
 
 /// How long a receiver takes where it was not told otherwise.
-const USUAL: Duration = Duration::from_millis(5);
+const DEFAULT_DELAY: Duration = Duration::from_millis(5);
 
 /// What a receiver does with calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Conduct {
     /// Carries each out and says so.
     #[default]
-    Well,
+    Normal,
     /// The same, but so much slower.
     Slow(Duration),
     /// Carries each out and answers 500.
-    FailAfter,
+    RunThenFail,
     /// Turns each away with 503 before it carries it out.
     Refuse,
     /// Turns the next call away and tells the sender to wait; is well again after it.
@@ -38,7 +38,7 @@
 pub struct Receivers {
     ledger: Rc<Ledger>,
     conduct: RefCell<HashMap<i64, Conduct>>,
-    usual: Cell<Duration>,
+    default_delay: Cell<Duration>,
     /// When each idempotency key took effect.
     keys: RefCell<HashMap<String, Micros>>,
 }
@@ -54,14 +54,14 @@
     fn answer(&mut self, status: u16, wait: Duration) {
         self.answered = true;
         let wait_ms = wait.as_millis() as u32;
-        self.ledger.note(Event::Answer { call: self.call, status, wait_ms, states: None });
+        self.ledger.record(Event::Answer { call: self.call, status, wait_ms, states: None });
     }
 }
 
 impl Drop for OpenCall<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.ledger.note(Event::Broke { call: self.call, by: By::Sender });
+            self.ledger.record(Event::Broke { call: self.call, by: By::Sender });
         }
     }
 }
@@ -69,7 +69,7 @@
 impl Receivers {
     pub fn new(ledger: Rc<Ledger>) -> Rc<Self> {
         let (conduct, keys) = (RefCell::default(), RefCell::default());
-        Rc::new(Receivers { ledger, conduct, usual: Cell::new(USUAL), keys })
+        Rc::new(Receivers { ledger, conduct, default_delay: Cell::new(DEFAULT_DELAY), keys })
     }
 
     /// Opens the addresses at which one sender reaches the endpoints.
@@ -83,13 +83,13 @@
     }
 
     /// Tells the receiver of a destination what to do from now on.
-    pub fn conduct(&self, destination: i64, conduct: Conduct) {
+    pub fn set_conduct(&self, destination: i64, conduct: Conduct) {
         self.conduct.borrow_mut().insert(destination, conduct);
     }
 
     /// How long all others take from now on.
-    pub fn take_usually(&self, time: Duration) {
-        self.usual.set(time);
+    pub fn set_default_delay(&self, time: Duration) {
+        self.default_delay.set(time);
     }
 
     async fn take(
@@ -111,7 +111,7 @@
         let endpoint = endpoint_name(destination, generation);
         let items = vec![Item { id: id.clone(), key: key.clone() }];
         let (fresh, batch) = (false, false);
-        self.ledger.note(Event::Call { call, sender, endpoint, first, fresh, batch, items });
+        self.ledger.record(Event::Call { call, sender, endpoint, first, fresh, batch, items });
         let mut open = OpenCall { ledger: &self.ledger, call, answered: false };
         let conduct = self.conduct.borrow().get(&destination).copied().unwrap_or_default();
         match conduct {
@@ -120,19 +120,19 @@
                 return http::empty(503);
             }
             Conduct::WaitOnce(wait) => {
-                self.conduct(destination, Conduct::Well);
+                self.set_conduct(destination, Conduct::Normal);
                 open.answer(429, wait);
                 let mut response = http::empty(429);
-                let told = wait.as_millis().to_string().parse().unwrap();
-                response.headers_mut().insert("x-retry-in-ms", told);
+                let wait_ms = wait.as_millis().to_string().parse().unwrap();
+                response.headers_mut().insert("x-retry-in-ms", wait_ms);
                 return response;
             }
             Conduct::Slow(time) => tokio::time::sleep(time).await,
-            Conduct::Well | Conduct::FailAfter => tokio::time::sleep(self.usual.get()).await,
+            Conduct::Normal | Conduct::RunThenFail => tokio::time::sleep(self.default_delay.get()).await,
         }
         let dropped = key.is_some_and(|key| !self.is_new(key));
-        self.ledger.note(Event::Ran { call, id, dropped });
-        let status = if conduct == Conduct::FailAfter { 500 } else { 200 };
+        self.ledger.record(Event::Ran { call, id, dropped });
+        let status = if conduct == Conduct::RunThenFail { 500 } else { 200 };
         open.answer(status, Duration::ZERO);
         http::empty(status)
     }
--- a/crates/sender/tests/common/placement/relay.rs
+++ b/crates/sender/tests/common/placement/relay.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 
 /// After a cut the owner's side stays open for this long: its answer comes, and no one hears it.
-const OWNER_SIDE_KEPT: Duration = Duration::from_secs(1);
+const OWNER_SIDE_LINGER: Duration = Duration::from_secs(1);
 
 /// What a relay does with what passes.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -84,9 +84,9 @@
     /// Passes requests on until the forwarder has gone or is cut off.
     async fn pass_requests(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, cut: &Notify) {
         let mut unparsed = BytesMut::new();
-        let mut piece = [0; 16 * 1024];
+        let mut buffer = [0; 16 * 1024];
         loop {
-            let Ok(count @ 1..) = from.read(&mut piece).await else { return };
+            let Ok(count @ 1..) = from.read(&mut buffer).await else { return };
             match self.mode.get() {
                 Mode::CutBefore => {
                     cut.notify_one();
@@ -95,17 +95,17 @@
                 Mode::Delay(time) => tokio::time::sleep(time).await,
                 Mode::Pass | Mode::CutAfterRequest => {}
             }
-            if to.write_all(&piece[..count]).await.is_err() {
+            if to.write_all(&buffer[..count]).await.is_err() {
                 return;
             }
-            unparsed.extend_from_slice(&piece[..count]);
-            let requests = whole_requests(&mut unparsed);
+            unparsed.extend_from_slice(&buffer[..count]);
+            let requests = take_puts(&mut unparsed);
             self.passed.set(self.passed.get() + requests);
             if requests > 0 && self.mode.get() == Mode::CutAfterRequest {
                 self.cut.set(self.cut.get() + requests);
                 cut.notify_one();
                 drop(from);
-                tokio::time::sleep(OWNER_SIDE_KEPT).await;
+                tokio::time::sleep(OWNER_SIDE_LINGER).await;
                 return;
             }
         }
@@ -113,7 +113,7 @@
 }
 
 /// Takes the whole commands off; how many of them hand a message in.
-fn whole_requests(unparsed: &mut BytesMut) -> usize {
+fn take_puts(unparsed: &mut BytesMut) -> usize {
     let mut requests = 0;
     while let Ok(Some(args)) = resp::decode_command(unparsed) {
         requests += usize::from(args.first().is_some_and(|name| &name[..] == b"MSG.PUT"));
@@ -130,5 +130,5 @@
     }
     // What the owner still says is read, so that its side ends in order.
     let rest = async { while matches!(from.read(&mut [0; 1024]).await, Ok(1..)) {} };
-    _ = tokio::time::timeout(OWNER_SIDE_KEPT, rest).await;
+    _ = tokio::time::timeout(OWNER_SIDE_LINGER, rest).await;
 }
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -23,7 +23,7 @@
 /// How the clients' hand-ins were answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
-    pub taken: usize,
+    pub accepted: usize,
     pub busy: usize,
     pub failed: usize,
     /// No answer in time, no connection, or one that ended.
@@ -32,7 +32,7 @@
 
 impl Findings {
     /// Judges what the ledger holds.
-    pub fn of(scenario: &str, deployment: &Deployment, ledger: &Ledger) -> Findings {
+    pub fn from_ledger(scenario: &str, deployment: &Deployment, ledger: &Ledger) -> Findings {
         let parameters = Box::new(deployment.parameters(scenario));
         let mut records = vec![Record { t: 0, event: Event::Run { format: FORMAT, parameters } }];
         records.extend(ledger.records());
@@ -49,7 +49,7 @@
     ///
     /// # Panics
     /// Tells the offences.
-    pub fn assert_kept(&self, tested: &[Rule]) {
+    pub fn assert_rules_kept(&self, tested: &[Rule]) {
         println!("{:?}; void: {:?}", self.answers(), self.judgement.void);
         let rulings = self.judgement.rules.iter().chain([&self.fleet_order]);
         rulings
@@ -88,8 +88,8 @@
 
     /// Messages that were promised, and neither delivered nor ended by a notice.
     pub fn unended(&self) -> Vec<String> {
-        let owed = self.table.messages.iter().filter(|m| m.taken().is_some());
-        let open = owed.filter(|m| m.notices.is_empty() && self.table.delivered(m).is_none());
+        let accepted = self.table.messages.iter().filter(|m| m.taken().is_some());
+        let open = accepted.filter(|m| m.notices.is_empty() && self.table.delivered(m).is_none());
         open.map(|m| m.id.clone()).collect()
     }
 
@@ -127,7 +127,7 @@
         let mut answers = Answers::default();
         for message in &self.table.messages {
             match message.reply.map(|(_, answered)| answered) {
-                Some(Answered::Taken) => answers.taken += 1,
+                Some(Answered::Taken) => answers.accepted += 1,
                 Some(Answered::Busy) => answers.busy += 1,
                 Some(Answered::Failed) => answers.failed += 1,
                 _ => answers.none += 1,
@@ -158,7 +158,7 @@
 
     fn delivered_origins(&self) -> BTreeSet<&str> {
         let is_delivered =
-            |m: &&Message| self.table.attempts(m).any(|(_, _, fate)| fate == Attempt::Delivered);
+            |m: &&Message| self.table.attempts(m).any(|(_, _, outcome)| outcome == Attempt::Delivered);
         self.table.messages.iter().filter(is_delivered).map(|m| m.origin.as_str()).collect()
     }
 
@@ -209,20 +209,20 @@
 /// and not the sender at which the client handed it in.
 fn attribute_to_owners(records: &mut [Record]) {
     let mut owners: HashMap<String, usize> = HashMap::new();
-    let mut taken: BTreeSet<String> = BTreeSet::new();
+    let mut accepted: BTreeSet<String> = BTreeSet::new();
     for record in records.iter() {
         match &record.event {
             Event::Call { sender, items, .. } => {
                 items.iter().for_each(|item| _ = owners.entry(item.id.clone()).or_insert(*sender));
             }
             Event::Notice { sender, id, .. } => _ = owners.entry(id.clone()).or_insert(*sender),
-            Event::Reply { id, answered: Answered::Taken, .. } => _ = taken.insert(id.clone()),
+            Event::Reply { id, answered: Answered::Taken, .. } => _ = accepted.insert(id.clone()),
             _ => {}
         }
     }
     for record in records {
         if let Event::Offer { sender, id, .. } = &mut record.event
-            && taken.contains(id)
+            && accepted.contains(id)
             && let Some(owner) = owners.get(id)
         {
             *sender = *owner;
--- a/crates/sender/tests/common/placement/wrong_lists.rs
+++ b/crates/sender/tests/common/placement/wrong_lists.rs
@@ -3,46 +3,46 @@
 use serde_json::{Value, json};
 
 /// Lists that a sender must refuse, each by itself, where the list in force has this form.
-pub fn wrong_lists(list: &Value) -> Vec<(&'static str, Value)> {
-    let wrong = |change: &dyn Fn(&mut Value)| {
-        let mut wrong = list.clone();
-        change(&mut wrong);
-        wrong
+pub fn invalid_lists(list: &Value) -> Vec<(&'static str, Value)> {
+    let altered = |change: &dyn Fn(&mut Value)| {
+        let mut altered = list.clone();
+        change(&mut altered);
+        altered
     };
     vec![
-        ("older epoch", wrong(&|l| l["epoch"] = 1.into())),
-        ("different under the same epoch", wrong(&|l| l["seats"][0]["member"] = Value::Null)),
+        ("older epoch", altered(&|l| l["epoch"] = 1.into())),
+        ("different under the same epoch", altered(&|l| l["seats"][0]["member"] = Value::Null)),
         (
             "a name twice",
-            wrong(&|l| {
+            altered(&|l| {
                 l["epoch"] = 9.into();
                 l["seats"][1]["member"]["name"] = l["seats"][0]["member"]["name"].clone();
             }),
         ),
         (
             "no zone",
-            wrong(&|l| {
+            altered(&|l| {
                 l["epoch"] = 9.into();
                 l["seats"][1]["zone"] = "".into();
             }),
         ),
         (
             "weight 0",
-            wrong(&|l| {
+            altered(&|l| {
                 l["epoch"] = 9.into();
                 l["seats"][1]["weight"] = 0.0.into();
             }),
         ),
         (
             "unknown scheme",
-            wrong(&|l| {
+            altered(&|l| {
                 l["epoch"] = 9.into();
                 l["scheme"] = 77.into();
             }),
         ),
         (
             "fewer members than replicas",
-            wrong(&|l| {
+            altered(&|l| {
                 l["epoch"] = 9.into();
                 l["seats"].as_array_mut().unwrap().truncate(1);
             }),
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -17,18 +17,18 @@
 /// only questions for a watch, with the number of those before it, and the endpoint's line with its status.
 fn watching(
     script: impl Fn(usize, &dyn Fn(u64, &str) -> serde_json::Value, &mut TcpStream) + Send + Sync + 'static,
-) -> (Endpoint, Scripted, Platform, Sender) {
+) -> (Endpoint, ScriptedPlatform, Platform, Sender) {
     let endpoint = Endpoint::new(|_| status(200));
     let addr = endpoint.addr;
-    let list = move |index: u64, state: &str| json!({"index": index, "snapshot": false, "endpoints": [line("s-1", addr, "one", 3, state)]});
-    let scripted = Scripted::new(move |request, before, stream| match &*request.line {
+    let list = move |index: u64, state: &str| json!({"index": index, "snapshot": false, "endpoints": [listed_endpoint("s-1", addr, "one", 3, state)]});
+    let scripted = ScriptedPlatform::new(move |request, before, stream| match &*request.line {
         l if l.contains("follow") => script(before, &list, stream),
         l if l.contains("/v1/servers") => {
             let mut whole = list(7, "Ready");
             whole["snapshot"] = true.into();
-            answer(stream, 200, &whole.to_string());
+            write_answer(stream, 200, &whole.to_string());
         }
-        _ => answer(stream, 204, ""),
+        _ => write_answer(stream, 204, ""),
     });
     // Its notices go to the script as well: this one only lends its address at the start.
     let platform = Platform::new(Vec::new());
@@ -40,24 +40,24 @@
 fn heard_after(first: impl Fn(&mut TcpStream) + Send + Sync + 'static, hang: usize) -> Duration {
     let (_endpoint, scripted, _platform, sender) = watching(move |before, list, stream| {
         if before == 0 {
-            begin(stream);
+            begin_chunked(stream);
             first(stream);
         } else if before > hang {
-            begin(stream);
-            piece(stream, &format!("{}\n", list(8, "Terminating")));
+            begin_chunked(stream);
+            write_chunk(stream, &format!("{}\n", list(8, "Terminating")));
         }
     });
-    wait_until("the drain", || sender.journal_holds("s-1"));
-    scripted.times("watch")[0].elapsed()
+    wait_until("the drain", || sender.journal_contains("s-1"));
+    scripted.request_times("watch")[0].elapsed()
 }
 
 #[test]
 fn what_a_silent_watch_misses_is_heard_in_time() {
     let after_the_head = heard_after(|_| {}, 0);
     assert!(after_the_head < TOLD - Duration::from_secs(1), "{after_the_head:?}");
-    let after_an_empty_line = heard_after(|stream| _ = piece(stream, "\n"), 0);
+    let after_an_empty_line = heard_after(|stream| _ = write_chunk(stream, "\n"), 0);
     assert!(after_an_empty_line < TOLD - Duration::from_secs(1), "{after_an_empty_line:?}");
-    let within_a_line = heard_after(|stream| _ = piece(stream, "{\"index\": 8, \"snap"), 0);
+    let within_a_line = heard_after(|stream| _ = write_chunk(stream, "{\"index\": 8, \"snap"), 0);
     assert!(within_a_line < TOLD - Duration::from_secs(1), "{within_a_line:?}");
 }
 
@@ -70,9 +70,9 @@
 #[test]
 fn bytes_that_never_end_a_line_are_no_sign_of_life() {
     let trickle = |stream: &mut TcpStream| {
-        piece(stream, "{");
+        write_chunk(stream, "{");
         // Until the sender has gone.
-        while piece(stream, " ") {
+        while write_chunk(stream, " ") {
             sleep(Duration::from_millis(200));
         }
     };
@@ -83,31 +83,33 @@
 #[test]
 fn a_change_is_heard_though_it_comes_indented_and_cut_within_its_lines() {
     let (endpoint, scripted, _platform, sender) = watching(|_, list, stream| {
-        begin(stream);
+        begin_chunked(stream);
         let pretty = serde_json::to_string_pretty(&list(8, "Terminating")).unwrap();
         for bytes in pretty.as_bytes().chunks(7) {
-            piece(stream, std::str::from_utf8(bytes).unwrap());
+            write_chunk(stream, std::str::from_utf8(bytes).unwrap());
         }
-        piece(stream, "\n\n");
+        write_chunk(stream, "\n\n");
     });
-    wait_until("the drain", || sender.journal_holds("s-1"));
-    assert_eq!(scripted.times("watch").len(), 1, "the watch goes on");
+    wait_until("the drain", || sender.journal_contains("s-1"));
+    assert_eq!(scripted.request_times("watch").len(), 1, "the watch goes on");
     let mut client = sender.client();
     client.ping();
     assert_eq!(client.put("a1", SYNC), "+OK");
     sleep(Duration::from_millis(100));
-    assert_eq!(endpoint.times("a1"), 0);
+    assert_eq!(endpoint.call_count("a1"), 0);
 }
 
 /// A sender that has nowhere to deliver to, ready; its notices are answered by a script, which sees how many posts came
 /// before.
-fn noticing(reports: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static) -> (Scripted, Platform, Sender) {
-    let scripted = Scripted::new(move |request, before, stream| match &*request.line {
+fn noticing(
+    reports: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
+) -> (ScriptedPlatform, Platform, Sender) {
+    let scripted = ScriptedPlatform::new(move |request, before, stream| match &*request.line {
         l if l.contains("/reports") => reports(before, stream),
-        l if l.contains("follow") => begin(stream),
+        l if l.contains("follow") => begin_chunked(stream),
         _ => {
             let lines = [placeholder(3)];
-            answer(stream, 200, &json!({"index": 7, "snapshot": true, "endpoints": lines}).to_string());
+            write_answer(stream, 200, &json!({"index": 7, "snapshot": true, "endpoints": lines}).to_string());
         }
     });
     let platform = Platform::new(Vec::new());
@@ -120,13 +122,13 @@
 fn a_notice_that_is_not_answered_is_told_again_while_it_still_counts() {
     let (scripted, _platform, sender) = noticing(|before, stream| {
         if before > 0 {
-            answer(stream, 204, "");
+            write_answer(stream, 204, "");
         }
     });
     let mut client = sender.client();
     assert_eq!(client.put("a1", "c=sync,d=300,dest=3"), "+OK");
-    wait_until("a second post", || scripted.times("/reports").len() > 1);
-    let posts = scripted.times("/reports");
+    wait_until("a second post", || scripted.request_times("/reports").len() > 1);
+    let posts = scripted.request_times("/reports");
     // The first has 0.1 s. It had a whole one, and the notice came long after it was due.
     assert!(posts[1] - posts[0] < Duration::from_millis(600), "{:?}", posts[1] - posts[0]);
 }
@@ -134,7 +136,7 @@
 #[test]
 fn a_client_that_has_ended_its_sending_gets_an_answer_to_each_request() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     sender.client().ping();
     for round in 0..20 {
@@ -151,7 +153,7 @@
                 "+OK" => endpoint.wait_sent(id),
                 "-BUSY" => {
                     // Withdrawn: it is taken on as new when it comes again.
-                    assert_eq!(endpoint.times(id), 0, "{id}");
+                    assert_eq!(endpoint.call_count(id), 0, "{id}");
                     wait_until("its second coming", || sender.client().put(id, SYNC) == "+OK");
                 }
                 other => panic!("{id}: '{other}'"),
@@ -165,8 +167,8 @@
 }
 
 /// A platform that never answers what it is asked.
-fn mute() -> Scripted {
-    Scripted::new(|_, _, _| {})
+fn mute() -> ScriptedPlatform {
+    ScriptedPlatform::new(|_, _, _| {})
 }
 
 #[test]
@@ -177,33 +179,33 @@
     sender.kill();
     let before = std::fs::read(sender.journal()).unwrap();
     let silent = mute();
-    sender.change(|c| c["discovery"] = silent.addr.to_string().into());
+    sender.change_config(|c| c["discovery"] = silent.addr.to_string().into());
     sender.spawn();
     let mut client = sender.client();
     client.write(&put("a2", &format!("{SYNC},t=acme"), b"hello"));
-    wait_until("it to ask for the list", || !silent.times("/v1/servers").is_empty());
+    wait_until("it to ask for the list", || !silent.request_times("/v1/servers").is_empty());
     sender.terminate();
     assert!(sender.wait_exit().success());
     assert_eq!(client.read(), "-BUSY");
     assert_eq!(std::fs::read(sender.journal()).unwrap(), before);
     let endpoint = Endpoint::new(|_| status(200));
-    platform.tell(true, vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
-    sender.change(|c| c["discovery"] = platform.addr.to_string().into());
+    platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
+    sender.change_config(|c| c["discovery"] = platform.addr.to_string().into());
     sender.spawn();
     endpoint.wait_sent("a1");
-    assert_eq!(endpoint.times("a2"), 0);
+    assert_eq!(endpoint.call_count("a2"), 0);
 }
 
 #[test]
 fn a_second_sigterm_and_a_sighup_within_a_stop_change_nothing_of_its_times() {
-    let endpoint = Endpoint::new(|_| Act::Silence);
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let endpoint = Endpoint::new(|_| StubResponse::Silence);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let mut sender = Sender::start(&platform);
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     sender.terminate();
     let begun = Instant::now();
-    for signal in [Sender::terminate, Sender::hang_up, Sender::terminate] {
+    for signal in [Sender::terminate, Sender::send_sighup, Sender::terminate] {
         sleep(Duration::from_millis(700));
         signal(&sender);
     }
@@ -222,7 +224,7 @@
     assert_eq!(sender.client().put("a2", SYNC), "+OK");
     sender.kill();
     let endpoint = Endpoint::new(|_| status(200));
-    platform.tell(true, vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     sender.spawn();
     ["a1", "a2"].iter().for_each(|id| endpoint.wait_sent(id));
 }
@@ -232,27 +234,30 @@
     let gate = Gate::default();
     let (half, released) = (gate.clone(), gate.clone());
     let (endpoint, scripted, _platform, sender) = watching(move |_, list, stream| {
-        begin(stream);
+        begin_chunked(stream);
         let text = format!("{}\n", list(41, "Ready"));
         let (head, tail) = text.split_at(text.len() / 2);
-        piece(stream, head);
+        write_chunk(stream, head);
         half.wait();
-        piece(stream, tail);
-        while piece(stream, &format!("{}\n", list(42, "Ready"))) {
+        write_chunk(stream, tail);
+        while write_chunk(stream, &format!("{}\n", list(42, "Ready"))) {
             sleep(Duration::from_millis(5));
         }
     });
     let mut client = sender.client();
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    wait_until("the watch", || scripted.times("watch").len() == 1);
+    wait_until("the watch", || scripted.request_times("watch").len() == 1);
     // The new one counts its versions otherwise, and knows of a drain.
     let (other, addr) = (Endpoint::new(|_| status(200)), endpoint.addr);
-    let lines = [line("s-1", addr, "one", 3, "Terminating"), line("s-2", other.addr, "one", 3, "Ready")];
+    let lines = [
+        listed_endpoint("s-1", addr, "one", 3, "Terminating"),
+        listed_endpoint("s-2", other.addr, "one", 3, "Ready"),
+    ];
     let successor = Platform::new(lines.to_vec());
     successor.set_index(3);
-    sender.change(|c| c["discovery"] = successor.addr.to_string().into());
-    sender.hears(|| sender.hang_up(), "s-1");
+    sender.change_config(|c| c["discovery"] = successor.addr.to_string().into());
+    sender.wait_drain_recorded(|| sender.send_sighup(), "s-1");
     released.open();
     sleep(Duration::from_millis(100));
     for n in 0..8 {
@@ -261,14 +266,20 @@
     }
     assert_eq!(endpoint.sent(), ["a1"]);
     // Changes of the new one are heard by its own count.
-    sender.hears(|| successor.tell(false, vec![line("s-2", other.addr, "one", 3, "Gone")]), "s-2");
+    sender.wait_drain_recorded(
+        || successor.publish(false, vec![listed_endpoint("s-2", other.addr, "one", 3, "Gone")]),
+        "s-2",
+    );
 }
 
 #[test]
 fn connections_do_not_follow_a_name_to_another_address() {
     let (one, two) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
     let both = |first: &Endpoint, second: &Endpoint| {
-        vec![line("s-1", first.addr, "one", 3, "Ready"), line("s-2", second.addr, "one", 4, "Ready")]
+        vec![
+            listed_endpoint("s-1", first.addr, "one", 3, "Ready"),
+            listed_endpoint("s-2", second.addr, "one", 4, "Ready"),
+        ]
     };
     let platform = Platform::new(both(&one, &two));
     let sender = Sender::start(&platform);
@@ -280,8 +291,8 @@
     two.wait_sent("a4");
     // Each name is now at the other's address, and both have a connection that is kept. A third one tells when it is known.
     let mut swapped = both(&two, &one);
-    swapped.push(line("s-3", one.addr, "one", 5, "Terminating"));
-    sender.hears(|| platform.tell(true, swapped.clone()), "s-3");
+    swapped.push(listed_endpoint("s-3", one.addr, "one", 5, "Terminating"));
+    sender.wait_drain_recorded(|| platform.publish(true, swapped.clone()), "s-3");
     for n in 0..4 {
         assert_eq!(client.put(&format!("b3{n}"), &dest(3)), "+OK");
         two.wait_sent(&format!("b3{n}"));
@@ -290,10 +301,13 @@
     }
     // Gone, and listed again as one that has started anew at a third place.
     let three = Endpoint::new(|_| status(200));
-    sender.hears(|| platform.tell(false, vec![line("s-1", two.addr, "one", 3, "Gone")]), "s-1");
-    let mut back = line("s-1", three.addr, "one", 3, "Ready");
+    sender.wait_drain_recorded(
+        || platform.publish(false, vec![listed_endpoint("s-1", two.addr, "one", 3, "Gone")]),
+        "s-1",
+    );
+    let mut back = listed_endpoint("s-1", three.addr, "one", 3, "Ready");
     back["since_ms"] = 1_700_000_000_000_u64.into();
-    platform.tell(false, vec![back]);
+    platform.publish(false, vec![back]);
     assert_eq!(client.put("c3", &dest(3)), "+OK");
     three.wait_sent("c3");
 }
@@ -301,18 +315,18 @@
 #[test]
 fn a_confirmation_that_comes_with_the_connections_end_is_one() {
     let (scripted, _platform, sender) = noticing(|_, stream| {
-        answer(stream, 204, "");
+        write_answer(stream, 204, "");
         _ = stream.shutdown(Shutdown::Both);
     });
     let mut client = sender.client();
     for n in 0..6 {
         let begun = Instant::now();
         assert_eq!(client.put(&format!("a{n}"), "c=sync,d=100,dest=3"), "+OK");
-        wait_until("its notice", || scripted.times("/reports").len() > n);
+        wait_until("its notice", || scripted.request_times("/reports").len() > n);
         assert!(begun.elapsed() < Duration::from_millis(350), "{n}: {:?}", begun.elapsed());
     }
     sleep(Duration::from_millis(100));
-    assert_eq!(scripted.times("/reports").len(), 6, "each was confirmed by its first answer");
+    assert_eq!(scripted.request_times("/reports").len(), 6, "each was confirmed by its first answer");
 }
 
 #[test]
@@ -326,24 +340,24 @@
         let list = move |index: u64, whole: bool, lines: Vec<serde_json::Value>| {
             json!({"index": index, "snapshot": whole, "endpoints": lines}).to_string()
         };
-        let state = move |state: &str| line("s-1", endpoint.addr, "one", 3, state);
-        let scripted = Scripted::new(move |request, before, stream| {
+        let state = move |state: &str| listed_endpoint("s-1", endpoint.addr, "one", 3, state);
+        let scripted = ScriptedPlatform::new(move |request, before, stream| {
             if !request.line.contains("follow") {
                 // Asked again, it says nothing.
                 if before == 0 {
-                    answer(stream, 200, &list(7, true, vec![state("Ready")]));
+                    write_answer(stream, 200, &list(7, true, vec![state("Ready")]));
                 }
             } else if before == 0 {
-                begin(stream);
-                piece(stream, &format!("{}\n", list(8, false, vec![state("Terminating")])));
+                begin_chunked(stream);
+                write_chunk(stream, &format!("{}\n", list(8, false, vec![state("Terminating")])));
                 let twice = format!("{0},{0}", state("Ready"));
-                piece(stream, &format!("{}\n", wrong.replace("TWICE", &twice)));
+                write_chunk(stream, &format!("{}\n", wrong.replace("TWICE", &twice)));
             }
         });
         let platform = Platform::new(Vec::new());
         let sender = Sender::with(&platform, |c| c["discovery"] = scripted.addr.to_string().into());
-        wait_until("the drain", || sender.journal_holds("s-1"));
-        wait_until("the whole list to be asked for", || scripted.times("/v1/servers").len() > 1);
+        wait_until("the drain", || sender.journal_contains("s-1"));
+        wait_until("the whole list to be asked for", || scripted.request_times("/v1/servers").len() > 1);
         let mut client = sender.client();
         assert_eq!(client.put("a1", SYNC), "+OK");
         sleep(Duration::from_millis(100));
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -61,7 +61,7 @@
         owner
     }
 
-    fn act(&self, conduct: Conduct) {
+    fn set_script(&self, conduct: Conduct) {
         *self.conduct.lock().unwrap() = conduct;
     }
 
@@ -118,7 +118,7 @@
 }
 
 /// A sender with placement on, and what stands around it.
-struct Stage {
+struct Rig {
     sender: Sender,
     forward: SocketAddr,
     owners: [ScriptedOwner; 2],
@@ -127,13 +127,14 @@
     _platform: Platform,
 }
 
-impl Stage {
+impl Rig {
     fn start() -> Self {
         let receiver = Endpoint::new(|_| status(200));
-        let lines = DESTINATIONS.map(|dest| line(&format!("e{dest}"), receiver.addr, "one", dest, "Ready"));
+        let lines = DESTINATIONS
+            .map(|dest| listed_endpoint(&format!("e{dest}"), receiver.addr, "one", dest, "Ready"));
         let platform = Platform::new(lines.collect());
         let owners = [ScriptedOwner::new(), ScriptedOwner::new()];
-        let mut sender = Sender::with_door(&platform);
+        let mut sender = Sender::with_mgmt(&platform);
         sender.kill();
         // An address of the sender's own, on which no one else is given a port.
         let forward = SocketAddr::new(sender.addr.ip(), sender.addr.port() ^ 1);
@@ -146,13 +147,13 @@
         std::fs::write(sender.folder.path().join("options.toml"), options).unwrap();
         sender.spawn();
         sender.client().ping();
-        let stage = Stage { sender, forward, owners, control, receiver, _platform: platform };
-        wait_until("an epoch", || stage.figures()["epoch"] == 1 && stage.figures()["unread_shards"] == 0);
-        stage
+        let rig = Rig { sender, forward, owners, control, receiver, _platform: platform };
+        wait_until("an epoch", || rig.metrics()["epoch"] == 1 && rig.metrics()["unread_shards"] == 0);
+        rig
     }
 
-    fn figures(&self) -> Value {
-        self.sender.figures()["placement"].clone()
+    fn metrics(&self) -> Value {
+        self.sender.metrics()["placement"].clone()
     }
 
     /// Hands a message in; the answer, within the time that a client has.
@@ -164,8 +165,8 @@
         answer
     }
 
-    fn act(&self, conduct: Conduct) {
-        self.owners.iter().for_each(|owner| owner.act(conduct));
+    fn set_script(&self, conduct: Conduct) {
+        self.owners.iter().for_each(|owner| owner.set_script(conduct));
     }
 
     /// How many owners saw a message.
@@ -174,61 +175,61 @@
     }
 }
 
-fn status_with(body: &str) -> Act {
-    Act::Answer(200, Vec::new(), body.to_string())
+fn status_with(body: &str) -> StubResponse {
+    StubResponse::Answer(200, Vec::new(), body.to_string())
 }
 
 #[test]
 fn an_owned_destination_is_served_here_and_another_is_passed_on_once() {
-    let stage = Stage::start();
+    let rig = Rig::start();
     let own = destinations(true);
-    assert_eq!(stage.sender.figures()["discovered"], own.len(), "no more of the list is kept");
-    assert_eq!(stage.put("own", PAY, own[0]), "+OK");
-    stage.receiver.wait_sent("own");
+    assert_eq!(rig.sender.metrics()["discovered"], own.len(), "no more of the list is kept");
+    assert_eq!(rig.put("own", PAY, own[0]), "+OK");
+    rig.receiver.wait_sent("own");
     let others = destinations(false);
     for (n, dest) in others.iter().enumerate() {
-        assert_eq!(stage.put(&format!("other-{n}"), PUSH, *dest), "+OK");
-        assert_eq!(stage.seen_by(&format!("other-{n}")), 1);
+        assert_eq!(rig.put(&format!("other-{n}"), PUSH, *dest), "+OK");
+        assert_eq!(rig.seen_by(&format!("other-{n}")), 1);
     }
-    assert_eq!(stage.seen_by("own"), 0);
-    let connections: usize = stage.owners.iter().map(|owner| *owner.connections.lock().unwrap()).sum();
+    assert_eq!(rig.seen_by("own"), 0);
+    let connections: usize = rig.owners.iter().map(|owner| *owner.connections.lock().unwrap()).sum();
     assert!(connections < others.len(), "connections are kept: {connections} for {}", others.len());
-    let put = stage.owners.iter().flat_map(ScriptedOwner::put).next().unwrap();
+    let put = rig.owners.iter().flat_map(ScriptedOwner::put).next().unwrap();
     assert_eq!((put.class.as_str(), put.tenant.as_str(), &put.body[..]), ("push", "acme", &b"hello"[..]));
     assert_eq!(put.idempotency_key.as_deref(), Some("5c0f6e1a2b3d4c59"));
     assert!((14_600_000..=15_000_000).contains(&put.time_left), "{}", put.time_left);
-    let figures = stage.figures();
+    let metrics = rig.metrics();
     assert_eq!(
-        (&figures["forwarded"]["taken"], &figures["forwarded"]["unknown"]),
+        (&metrics["forwarded"]["taken"], &metrics["forwarded"]["unknown"]),
         (&others.len().into(), &0.into())
     );
     // What comes in at the forward address is served or refused, and goes no further.
-    let mut member = Client::new(stage.forward);
+    let mut member = Client::new(rig.forward);
     assert_eq!(member.put("for-own", &format!("{SYNC},dest={}", own[1])), "+OK");
     let refused = member.put("for-other", &format!("{SYNC},dest={}", others[0]));
     assert!(refused.starts_with("-BUSY"), "{refused}");
-    assert_eq!(stage.seen_by("for-other"), 0);
-    assert_eq!(stage.figures()["taken_for_others"], 1);
+    assert_eq!(rig.seen_by("for-other"), 0);
+    assert_eq!(rig.metrics()["taken_for_others"], 1);
 }
 
 #[test]
 fn each_answer_of_an_owner_has_its_own() {
-    let stage = Stage::start();
+    let rig = Rig::start();
     let dest = destinations(false)[0];
-    stage.act(Conduct::Answer("-BUSY 700"));
-    assert_eq!(stage.put("full", PAY, dest), "-BUSY 700");
-    assert_eq!(stage.seen_by("full"), 2, "surely not taken: the next one is asked");
-    stage.owners[0].act(Conduct::Answer("-BUSY 90"));
-    assert_eq!(stage.put("least", PAY, dest), "-BUSY 90");
-    stage.act(Conduct::Answer("-ERR unknown destination"));
-    assert_eq!(stage.put("wrong", SYNC, dest), "-ERR unknown destination");
-    assert_eq!(stage.seen_by("wrong"), 1, "final");
-    stage.owners[0].act(Conduct::Answer("-BUSY"));
-    stage.owners[1].act(Conduct::Answer("+OK"));
+    rig.set_script(Conduct::Answer("-BUSY 700"));
+    assert_eq!(rig.put("full", PAY, dest), "-BUSY 700");
+    assert_eq!(rig.seen_by("full"), 2, "surely not taken: the next one is asked");
+    rig.owners[0].set_script(Conduct::Answer("-BUSY 90"));
+    assert_eq!(rig.put("least", PAY, dest), "-BUSY 90");
+    rig.set_script(Conduct::Answer("-ERR unknown destination"));
+    assert_eq!(rig.put("wrong", SYNC, dest), "-ERR unknown destination");
+    assert_eq!(rig.seen_by("wrong"), 1, "final");
+    rig.owners[0].set_script(Conduct::Answer("-BUSY"));
+    rig.owners[1].set_script(Conduct::Answer("+OK"));
     for n in 0..4 {
-        assert_eq!(stage.put(&format!("either-{n}"), PAY, dest), "+OK");
+        assert_eq!(rig.put(&format!("either-{n}"), PAY, dest), "+OK");
     }
-    let forwarded = &stage.figures()["forwarded"];
+    let forwarded = &rig.metrics()["forwarded"];
     assert_eq!(
         (&forwarded["taken"], &forwarded["busy"], &forwarded["failed"]),
         (&4.into(), &2.into(), &1.into())
@@ -237,68 +238,68 @@
 
 #[test]
 fn without_an_answer_only_a_message_that_may_be_repeated_goes_to_a_second_owner() {
-    let stage = Stage::start();
+    let rig = Rig::start();
     let dest = destinations(false)[0];
     for (n, conduct) in [Conduct::Cut, Conduct::Silent, Conduct::Answer("$nonsense")].into_iter().enumerate()
     {
-        stage.act(conduct);
+        rig.set_script(conduct);
         for (class, fields) in [("push", PUSH), ("pay", PAY)] {
             let id = format!("{class}-{n}");
-            assert_eq!(stage.put(&id, fields, dest), "-ERR the message failed", "{conduct:?}");
-            assert_eq!(stage.seen_by(&id), 1, "{conduct:?}: one owner may have taken it");
+            assert_eq!(rig.put(&id, fields, dest), "-ERR the message failed", "{conduct:?}");
+            assert_eq!(rig.seen_by(&id), 1, "{conduct:?}: one owner may have taken it");
         }
         let id = format!("sync-{n}");
-        let answer = stage.put(&id, SYNC, dest);
+        let answer = rig.put(&id, SYNC, dest);
         assert!(answer.starts_with("-BUSY"), "{conduct:?}: {answer}");
-        assert_eq!(stage.seen_by(&id), 2, "{conduct:?}");
+        assert_eq!(rig.seen_by(&id), 2, "{conduct:?}");
     }
-    assert!(stage.figures()["forwarded"]["unknown"].as_u64() >= Some(12), "{}", stage.figures());
+    assert!(rig.metrics()["forwarded"]["unknown"].as_u64() >= Some(12), "{}", rig.metrics());
     // One of them still serves.
-    stage.owners[0].act(Conduct::Answer("+OK"));
+    rig.owners[0].set_script(Conduct::Answer("+OK"));
     for n in 0..4 {
-        assert_eq!(stage.put(&format!("again-{n}"), SYNC, dest), "+OK");
+        assert_eq!(rig.put(&format!("again-{n}"), SYNC, dest), "+OK");
     }
 }
 
 #[test]
 fn without_a_lease_nothing_new_is_taken_on_and_others_are_still_reached() {
-    let stage = Stage::start();
-    stage.control.act(|_| Act::Silence);
-    wait_until("the lease to expire", || stage.figures()["lease_left_ms"] == 0);
+    let rig = Rig::start();
+    rig.control.set_script(|_| StubResponse::Silence);
+    wait_until("the lease to expire", || rig.metrics()["lease_left_ms"] == 0);
     let (own, other) = (destinations(true)[0], destinations(false)[0]);
-    assert_eq!(stage.put("other", PAY, other), "+OK");
+    assert_eq!(rig.put("other", PAY, other), "+OK");
     // The other owner of it is asked, and has a lease of its own.
-    assert_eq!(stage.put("own", PAY, own), "+OK");
-    assert_eq!(stage.seen_by("own"), 1);
-    let refused = Client::new(stage.forward).put("forwarded", &format!("{PAY},dest={own}"));
+    assert_eq!(rig.put("own", PAY, own), "+OK");
+    assert_eq!(rig.seen_by("own"), 1);
+    let refused = Client::new(rig.forward).put("forwarded", &format!("{PAY},dest={own}"));
     assert!(refused.starts_with("-BUSY"), "{refused}");
-    let (control, before) = (&stage.control, stage.figures());
+    let (control, before) = (&rig.control, rig.metrics());
     assert_eq!((&before["lists_refused"], &before["epoch"]), (&0.into(), &1.into()));
-    control.act(|_| status_with(r#"{"epoch":1,"since":1,"changes":[]}"#));
-    wait_until("a lease", || stage.figures()["lease_left_ms"] != 0);
-    let taken = Client::new(stage.forward).put("afterwards", &format!("{PAY},dest={own}"));
+    control.set_script(|_| status_with(r#"{"epoch":1,"since":1,"changes":[]}"#));
+    wait_until("a lease", || rig.metrics()["lease_left_ms"] != 0);
+    let taken = Client::new(rig.forward).put("afterwards", &format!("{PAY},dest={own}"));
     assert_eq!(taken, "+OK", "no hold after an outage of control");
 }
 
 #[test]
 fn a_list_that_is_refused_leaves_the_last_one_in_force() {
-    let stage = Stage::start();
-    let other = stage.owners[0].addr;
-    let changed = member_list([stage.forward, other, SocketAddr::from(([127, 0, 0, 1], 9))]).to_string();
-    stage.control.act(move |_| status_with(&changed));
-    wait_until("a refusal", || stage.figures()["lists_refused"].as_u64() > Some(0));
-    wait_until("the lease to expire", || stage.figures()["lease_left_ms"] == 0);
-    assert_eq!(stage.figures()["epoch"], 1);
-    assert_eq!(stage.put("passed-on", PAY, destinations(false)[0]), "+OK");
+    let rig = Rig::start();
+    let other = rig.owners[0].addr;
+    let changed = member_list([rig.forward, other, SocketAddr::from(([127, 0, 0, 1], 9))]).to_string();
+    rig.control.set_script(move |_| status_with(&changed));
+    wait_until("a refusal", || rig.metrics()["lists_refused"].as_u64() > Some(0));
+    wait_until("the lease to expire", || rig.metrics()["lease_left_ms"] == 0);
+    assert_eq!(rig.metrics()["epoch"], 1);
+    assert_eq!(rig.put("passed-on", PAY, destinations(false)[0]), "+OK");
 }
 
 #[test]
 fn without_the_section_there_is_no_word_of_placement() {
     let receiver = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("e1", receiver.addr, "one", 1, "Ready")]);
-    let sender = Sender::with_door(&platform);
+    let platform = Platform::new(vec![listed_endpoint("e1", receiver.addr, "one", 1, "Ready")]);
+    let sender = Sender::with_mgmt(&platform);
     sender.client().ping();
-    assert_eq!(sender.figures().get("placement"), None);
+    assert_eq!(sender.metrics().get("placement"), None);
     assert_eq!(sender.client().put("m", &format!("{PAY},dest=1")), "+OK");
     assert!(!sender.state().join("placement.json").exists());
 }
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -54,7 +54,7 @@
     }
 
     fn ready(&self, n: usize) -> bool {
-        ask(self.running[n].1, "GET /_ready").is_some_and(|(status, _)| status == 200)
+        mgmt_request(self.running[n].1, "GET /_ready").is_some_and(|(status, _)| status == 200)
     }
 
     fn wait_ready(&self, n: usize) {
@@ -88,9 +88,9 @@
     }
 }
 
-fn one(script: impl Fn(&Request) -> Act + Send + Sync + 'static) -> (Endpoint, Platform, Held) {
+fn one(script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) -> (Endpoint, Platform, Held) {
     let endpoint = Endpoint::new(script);
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let mut held = Held::new(&platform);
     held.start();
     held.wait_ready(0);
@@ -111,11 +111,11 @@
     // The first one closes its clients' connections and ends by itself; all else goes on.
     assert_eq!(client.read(), "");
     assert!(held.wait_exit(0).success());
-    platform.tell(false, vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     endpoint.wait_sent("a1");
     assert_eq!(held.client().put("a2", PAY), "+OK");
     endpoint.wait_sent("a2");
-    assert_eq!((endpoint.times("a1"), endpoint.times("a2")), (1, 1));
+    assert_eq!((endpoint.call_count("a1"), endpoint.call_count("a2")), (1, 1));
     assert!(platform.notices().is_empty());
 }
 
@@ -136,27 +136,27 @@
     held.wait_ready(1);
     // The message is held by the second process, and is not sent by it.
     let door = held.running[1].1;
-    wait_until("the message", || ask(door, "GET /_vars").unwrap().1.contains("\"outstanding\":1"));
+    wait_until("the message", || mgmt_request(door, "GET /_vars").unwrap().1.contains("\"outstanding\":1"));
     assert!(held.running[0].0.try_wait().unwrap().is_none(), "it has a call out");
     gate.open();
-    wait_until("its end", || ask(door, "GET /_vars").unwrap().1.contains("\"outstanding\":0"));
-    assert!(ask(door, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1"));
+    wait_until("its end", || mgmt_request(door, "GET /_vars").unwrap().1.contains("\"outstanding\":0"));
+    assert!(mgmt_request(door, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1"));
     assert!(held.wait_exit(0).success());
-    assert_eq!(endpoint.times("a1"), 1);
+    assert_eq!(endpoint.call_count("a1"), 1);
     assert!(platform.notices().is_empty());
 }
 
 #[test]
 fn a_process_that_dies_with_a_call_out_leaves_it_open_whether_it_ran() {
     let (endpoint, platform, mut held) =
-        one(|r| if r.ids()[0].starts_with('a') { Act::Silence } else { status(200) });
+        one(|r| if r.ids()[0].starts_with('a') { StubResponse::Silence } else { status(200) });
     assert_eq!(held.client().put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
     held.start();
     held.wait_ready(1);
     held.signal(0, "-KILL");
-    platform.wait_state("a1", "failed");
-    assert_eq!(endpoint.times("a1"), 1);
+    platform.wait_notice("a1", "failed");
+    assert_eq!(endpoint.call_count("a1"), 1);
     assert_eq!(held.client().put("b1", SYNC), "+OK");
     endpoint.wait_sent("b1");
 }
@@ -167,7 +167,7 @@
     let (endpoint, _platform, mut held) = one(move |_| {
         let first = !told.swap(true, Ordering::SeqCst);
         let wait = vec![("x-retry-in-ms", "2500".to_string())];
-        if first { Act::Answer(429, wait, String::new()) } else { status(200) }
+        if first { StubResponse::Answer(429, wait, String::new()) } else { status(200) }
     });
     assert_eq!(held.client().put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
@@ -177,7 +177,7 @@
     held.wait_ready(1);
     assert!(held.wait_exit(0).success());
     assert_eq!(held.client().put("a2", SYNC), "+OK");
-    wait_until("both", || endpoint.times("a1") == 2 && endpoint.times("a2") == 1);
+    wait_until("both", || endpoint.call_count("a1") == 2 && endpoint.call_count("a2") == 1);
     assert!(since.elapsed() >= Duration::from_millis(2400), "{:?}", since.elapsed());
 }
 
@@ -187,23 +187,23 @@
     let waits = gate.clone();
     let (endpoint, platform, mut held) = one(move |_| {
         waits.wait();
-        Act::Answer(429, vec![("x-retry-in-ms", "2500".to_string())], String::new())
+        StubResponse::Answer(429, vec![("x-retry-in-ms", "2500".to_string())], String::new())
     });
     assert_eq!(held.client().put("a1", PAY), "+OK");
     wait_until("the call", || std::fs::read(held.folder.path().join("state/journal")).unwrap().len() > 100);
     held.start();
     held.wait_ready(1);
-    let mut other = Crammed::new();
-    platform.tell(false, vec![line("s-1", endpoint.addr, "one", 3, "Terminating")]);
-    platform.tell(false, vec![line("s-2", other.addr, "one", 3, "Ready")]);
+    let mut other = FullBacklogEndpoint::new();
+    platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Terminating")]);
+    platform.publish(false, vec![listed_endpoint("s-2", other.addr, "one", 3, "Ready")]);
     wait_until("a client", || held.client().put("b1", SYNC) == "+OK");
     // Its connection is on its way. The first process ends once it has passed on what its call was told.
     thread::sleep(Duration::from_millis(150));
     let told = Instant::now();
     gate.open();
     assert!(held.wait_exit(0).success());
-    while other.calls.is_empty() && told.elapsed() < LIMIT {
-        other.serve();
+    while other.calls.is_empty() && told.elapsed() < TEST_TIMEOUT {
+        other.accept_and_read();
         thread::sleep(Duration::from_millis(1));
     }
     assert!(!other.calls.is_empty() && told.elapsed() >= Duration::from_millis(2400), "{:?}", told.elapsed());
@@ -211,8 +211,8 @@
 
 #[test]
 fn what_had_not_begun_in_a_process_that_dies_has_not_run() {
-    let mut crammed = Crammed::new();
-    let platform = Platform::new(vec![line("s-1", crammed.addr, "one", 3, "Ready")]);
+    let mut full_backlog = FullBacklogEndpoint::new();
+    let platform = Platform::new(vec![listed_endpoint("s-1", full_backlog.addr, "one", 3, "Ready")]);
     let mut held = Held::new(&platform);
     held.start();
     held.wait_ready(0);
@@ -222,8 +222,8 @@
     held.wait_ready(1);
     held.signal(0, "-KILL");
     wait_until("the call", || {
-        crammed.serve();
-        crammed.calls.concat().contains("a1")
+        full_backlog.accept_and_read();
+        full_backlog.calls.concat().contains("a1")
     });
     assert!(platform.notices().is_empty(), "{:?}", platform.notices());
 }
@@ -266,7 +266,9 @@
     assert_eq!(held.client().put("a1", PAY), "+OK");
     // Its outcome has been read by then: stopped before that, it would have to count as one that may have run.
     let door = held.running[0].1;
-    wait_until("its outcome", || ask(door, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1"));
+    wait_until("its outcome", || {
+        mgmt_request(door, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1")
+    });
     held.signal(0, "-STOP");
     let before = std::fs::read(held.folder.path().join("state/journal")).unwrap();
     let started = Instant::now();
@@ -278,7 +280,7 @@
     held.signal(0, "-KILL");
     wait_until("the second to serve", || held.client().put("a2", PAY) == "+OK");
     endpoint.wait_sent("a2");
-    assert_eq!(endpoint.times("a1"), 1);
+    assert_eq!(endpoint.call_count("a1"), 1);
     assert!(platform.notices().is_empty());
 }
 
@@ -315,7 +317,7 @@
 #[test]
 fn the_next_process_goes_by_discoverys_word_and_not_by_an_older_list() {
     let (old, new) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
-    let first = line("s-1", old.addr, "one", 3, "Ready");
+    let first = listed_endpoint("s-1", old.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![first.clone()]);
     let mut held = Held::new(&platform);
     // The list that each process is given with its configuration is the one from before.
@@ -325,8 +327,13 @@
     std::fs::write(&path, config.to_string()).unwrap();
     held.start();
     held.wait_ready(0);
-    platform
-        .tell(false, vec![line("s-2", new.addr, "one", 3, "Ready"), line("s-1", old.addr, "one", 3, "Gone")]);
+    platform.publish(
+        false,
+        vec![
+            listed_endpoint("s-2", new.addr, "one", 3, "Ready"),
+            listed_endpoint("s-1", old.addr, "one", 3, "Gone"),
+        ],
+    );
     for n in 1..4 {
         held.start();
         held.wait_ready(n);
@@ -403,7 +410,7 @@
     // Each is delivered, or handed back for want of room, and none both.
     wait_until("the end of each", || {
         let sent: HashSet<String> = endpoint.sent().into_iter().collect();
-        taken.iter().all(|id| sent.contains(id) ^ (platform.state_of(id).as_deref() == Some("returned")))
+        taken.iter().all(|id| sent.contains(id) ^ (platform.notice_state(id).as_deref() == Some("returned")))
     });
     let sent = endpoint.sent();
     assert_eq!(sent.len(), sent.iter().collect::<HashSet<_>>().len(), "nothing twice");
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -19,33 +19,37 @@
 /// A list of one endpoint of destination 3, and of so many more.
 fn listing(index: u64, endpoint: &Endpoint, more: usize) -> Value {
     let elsewhere = "127.0.0.1:9".parse().unwrap();
-    let more = (0..more).map(|n| line(&format!("m-{n:06}"), elsewhere, "one", 4, "Ready"));
-    let lines: Vec<Value> = [line("s-1", endpoint.addr, "one", 3, "Ready")].into_iter().chain(more).collect();
+    let more = (0..more).map(|n| listed_endpoint(&format!("m-{n:06}"), elsewhere, "one", 4, "Ready"));
+    let lines: Vec<Value> =
+        [listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")].into_iter().chain(more).collect();
     json!({"index": index, "snapshot": true, "endpoints": lines})
 }
 
 /// Discovery that answers with the whole list that it has, and follows it by a script.
-fn discovery(whole: &Value, watch: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static) -> Scripted {
+fn discovery(
+    whole: &Value,
+    watch: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
+) -> ScriptedPlatform {
     let whole = Arc::new(whole.to_string());
-    Scripted::new(move |request, before, stream| match &*request.line {
+    ScriptedPlatform::new(move |request, before, stream| match &*request.line {
         l if l.contains("follow") => watch(before, stream),
-        l if l.contains("/v1/servers") => answer(stream, 200, &whole),
-        _ => answer(stream, 204, ""),
+        l if l.contains("/v1/servers") => write_answer(stream, 200, &whole),
+        _ => write_answer(stream, 204, ""),
     })
 }
 
 /// Starts a sender of that discovery, with a door.
-fn sender(discovery: &Scripted, known: &Value) -> Sender {
+fn sender(discovery: &ScriptedPlatform, known: &Value) -> Sender {
     // It only lends its address: what is asked and told goes by the script.
     let platform = Platform::new(Vec::new());
-    let mut sender = Sender::with_door(&platform);
+    let mut sender = Sender::with_mgmt(&platform);
     sender.kill();
-    sender.change(|c| {
+    sender.change_config(|c| {
         c["discovery"] = discovery.addr.to_string().into();
         c["known"] = known.clone();
     });
     sender.spawn();
-    wait_until("the door", || ask(sender.door, "GET /_ready").is_some());
+    wait_until("the door", || mgmt_request(sender.mgmt, "GET /_ready").is_some());
     sender
 }
 
@@ -70,13 +74,13 @@
     assert_eq!(count(&log, what), 1, "{log}");
     let line = log.lines().find(|l| l.contains(what)).unwrap();
     assert!(line.contains(&format!("allows {LIMIT_BYTES} bytes")) && line.contains(stays), "{line}");
-    let figures = sender.figures();
-    assert_eq!(figures["list_bound_bytes"], LIMIT_BYTES);
-    for bytes in [figures["list_bytes"].as_u64().unwrap(), number(line, "bytes")] {
-        assert!((LIMIT_BYTES + 1..2 * LIMIT_BYTES).contains(&bytes), "{figures}: {line}");
+    let metrics = sender.metrics();
+    assert_eq!(metrics["list_bound_bytes"], LIMIT_BYTES);
+    for bytes in [metrics["list_bytes"].as_u64().unwrap(), number(line, "bytes")] {
+        assert!((LIMIT_BYTES + 1..2 * LIMIT_BYTES).contains(&bytes), "{metrics}: {line}");
     }
-    for endpoints in [figures["list_endpoints"].as_u64().unwrap(), number(line, "endpoints")] {
-        assert!((LIMIT_BYTES / 200..=TOO_MANY as u64 + 1).contains(&endpoints), "{figures}: {line}");
+    for endpoints in [metrics["list_endpoints"].as_u64().unwrap(), number(line, "endpoints")] {
+        assert!((LIMIT_BYTES / 200..=TOO_MANY as u64 + 1).contains(&endpoints), "{metrics}: {line}");
     }
 }
 
@@ -85,16 +89,16 @@
     let endpoint = Endpoint::new(|_| status(200));
     let discovery = discovery(&listing(7, &endpoint, TOO_MANY), |_, _| {});
     let sender = sender(&discovery, &nothing_known());
-    wait_until("the list to be turned down", || sender.figures()["list_rejected"].as_u64() > Some(0));
+    wait_until("the list to be turned down", || sender.metrics()["list_rejected"].as_u64() > Some(0));
     sleep(A_WHILE);
     is_told(&sender, "discovery's list is too long", "no list is in force: not ready");
-    let (status, text) = sender.ask("GET /_ready");
+    let (status, text) = sender.mgmt_request("GET /_ready");
     assert_eq!(status, 503);
     assert!(text.starts_with("starting: no list of endpoints: discovery's list is too long: "), "{text}");
     // It is asked for again, and not in a tight loop.
-    let asked = discovery.times("/v1/servers").len();
+    let asked = discovery.request_times("/v1/servers").len();
     assert!((2..=7).contains(&asked), "{asked} times");
-    assert_eq!(sender.figures()["discovered"], 0);
+    assert_eq!(sender.metrics()["discovered"], 0);
 }
 
 #[test]
@@ -102,22 +106,25 @@
     let endpoint = Endpoint::new(|_| status(200));
     let discovery = discovery(&listing(9, &endpoint, TOO_MANY), |_, stream| {
         // It knows no older version, and tells all of the list.
-        begin(stream);
-        piece(stream, "{\"index\": 9, \"snapshot\": true, \"endpoints\": [");
-        let lines = line("m-000000", "127.0.0.1:9".parse().unwrap(), "one", 4, "Ready").to_string() + ", ";
-        while piece(stream, &lines.repeat(1000)) {}
+        begin_chunked(stream);
+        write_chunk(stream, "{\"index\": 9, \"snapshot\": true, \"endpoints\": [");
+        let lines =
+            listed_endpoint("m-000000", "127.0.0.1:9".parse().unwrap(), "one", 4, "Ready").to_string() + ", ";
+        while write_chunk(stream, &lines.repeat(1000)) {}
     });
     let sender = sender(&discovery, &listing(7, &endpoint, 0));
-    wait_until("the list to be turned down", || sender.figures()["list_rejected"].as_u64() > Some(0));
-    wait_until("the known list to be in force", || sender.ask("GET /_ready") == (200, "ready\n".into()));
+    wait_until("the list to be turned down", || sender.metrics()["list_rejected"].as_u64() > Some(0));
+    wait_until("the known list to be in force", || {
+        sender.mgmt_request("GET /_ready") == (200, "ready\n".into())
+    });
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     sleep(A_WHILE);
     is_told(&sender, "discovery's list is too long", "the last good list stays");
     assert_eq!(sender.client().put("a2", SYNC), "+OK");
     endpoint.wait_sent("a2");
-    assert_eq!(sender.figures()["discovered"], 1);
-    let asked = discovery.times("watch").len() + discovery.times("/v1/servers").len();
+    assert_eq!(sender.metrics()["discovered"], 1);
+    let asked = discovery.request_times("watch").len() + discovery.request_times("/v1/servers").len();
     assert!((2..=8).contains(&asked), "{asked} times");
 }
 
@@ -127,21 +134,21 @@
     let short = listing(9, &endpoint, 0);
     let gate = Gate::default();
     let (held, whole) = (gate.clone(), short.to_string());
-    let discovery = Scripted::new(move |request, _, stream| match &*request.line {
-        l if l.contains("follow") => begin(stream),
+    let discovery = ScriptedPlatform::new(move |request, _, stream| match &*request.line {
+        l if l.contains("follow") => begin_chunked(stream),
         _ => {
             held.wait();
-            answer(stream, 200, &whole);
+            write_answer(stream, 200, &whole);
         }
     });
     let sender = sender(&discovery, &listing(7, &endpoint, TOO_MANY));
-    assert_eq!(sender.figures()["list_rejected"], 1);
+    assert_eq!(sender.metrics()["list_rejected"], 1);
     is_told(&sender, "the list known in the configuration is too long", "no list is in force: not ready");
-    let (status, text) = sender.ask("GET /_ready");
+    let (status, text) = sender.mgmt_request("GET /_ready");
     assert_eq!(status, 503);
     assert!(text.contains("the list known in the configuration is too long"), "{text}");
     gate.open();
-    wait_until("discovery's list", || sender.ask("GET /_ready").0 == 200);
+    wait_until("discovery's list", || sender.mgmt_request("GET /_ready").0 == 200);
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     assert!(sender.log().contains("within its limit again"), "{}", sender.log());
@@ -155,31 +162,31 @@
     let last = listing(9, &fresh, 0).to_string();
     let (is_long, is_short) = (long.clone(), short.clone());
     let whole = first.to_string();
-    let discovery = Scripted::new(move |request, before, stream| match (&*request.line, before) {
+    let discovery = ScriptedPlatform::new(move |request, before, stream| match (&*request.line, before) {
         (l, 0) if l.contains("follow") => {
-            begin(stream);
+            begin_chunked(stream);
             is_long.wait();
-            piece(stream, &format!("{too_long}\n"));
+            write_chunk(stream, &format!("{too_long}\n"));
         }
         (l, _) if l.contains("follow") => {
-            begin(stream);
-            piece(stream, &format!("{}\n", if is_short.is_open() { &last } else { &too_long }));
+            begin_chunked(stream);
+            write_chunk(stream, &format!("{}\n", if is_short.is_open() { &last } else { &too_long }));
         }
-        (l, 0) if l.contains("/v1/servers") => answer(stream, 200, &whole),
+        (l, 0) if l.contains("/v1/servers") => write_answer(stream, 200, &whole),
         (l, _) if l.contains("/v1/servers") => {
-            answer(stream, 200, if is_short.is_open() { &last } else { &too_long });
+            write_answer(stream, 200, if is_short.is_open() { &last } else { &too_long });
         }
-        _ => answer(stream, 204, ""),
+        _ => write_answer(stream, 204, ""),
     });
     let sender = sender(&discovery, &nothing_known());
     sender.client().ping();
     long.open();
-    wait_until("the list to be turned down", || sender.figures()["list_rejected"].as_u64() > Some(1));
+    wait_until("the list to be turned down", || sender.metrics()["list_rejected"].as_u64() > Some(1));
     is_told(&sender, "discovery's list is too long", "the last good list stays");
-    assert_eq!(sender.ask("GET /_ready"), (200, "ready\n".into()));
+    assert_eq!(sender.mgmt_request("GET /_ready"), (200, "ready\n".into()));
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    assert_eq!(sender.figures()["discovered"], 1);
+    assert_eq!(sender.metrics()["discovered"], 1);
     // What a shorter list tells counts as told 6 s after discovery has it.
     short.open();
     let opened = std::time::Instant::now();
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -12,10 +12,10 @@
 const PAY: &str = "c=pay,d=15000,dest=3";
 const PUSH: &str = "c=push,d=15000,dest=3,k=5c0f6e1a2b3d4c59";
 
-fn one(script: impl Fn(&Request) -> Act + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
+fn one(script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
     let endpoint = Endpoint::new(script);
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
-    let sender = Sender::with_door(&platform);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let sender = Sender::with_mgmt(&platform);
     sender.client().ping();
     (endpoint, platform, sender)
 }
@@ -23,12 +23,12 @@
 #[test]
 fn calls_that_are_not_known_or_made_wrongly_are_turned_away() {
     let (_endpoint, _platform, sender) = one(|_| status(200));
-    assert_eq!(sender.ask("GET /_ready"), (200, "ready\n".into()));
-    assert_eq!(sender.ask("GET /elsewhere").0, 404);
-    assert_eq!(sender.ask("POST /_ready").0, 405);
-    assert_eq!(sender.ask("GET /_lameduck/on").0, 405);
-    assert_eq!(sender.ask("what is this").0, 400);
-    assert_eq!(sender.ask("GET /_ready").0, 200);
+    assert_eq!(sender.mgmt_request("GET /_ready"), (200, "ready\n".into()));
+    assert_eq!(sender.mgmt_request("GET /elsewhere").0, 404);
+    assert_eq!(sender.mgmt_request("POST /_ready").0, 405);
+    assert_eq!(sender.mgmt_request("GET /_lameduck/on").0, 405);
+    assert_eq!(sender.mgmt_request("what is this").0, 400);
+    assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let platform = Platform::new(vec![placeholder(3)]);
     let sender = Sender::start(&platform);
     sender.client().ping();
-    assert!(TcpStream::connect(sender.door).is_err());
+    assert!(TcpStream::connect(sender.mgmt).is_err());
 }
 
 #[test]
@@ -45,17 +45,17 @@
     // More of them than the door lets in at once, twice over.
     let mut standing = Vec::new();
     for n in 0..60 {
-        let mut stream = TcpStream::connect(sender.door).unwrap();
+        let mut stream = TcpStream::connect(sender.mgmt).unwrap();
         if n % 2 == 0 {
             stream.write_all(b"GET /_rea").unwrap();
         }
         standing.push(stream);
         let asked = Instant::now();
-        assert_eq!(sender.ask("GET /_ready").0, 200);
+        assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
         assert!(asked.elapsed() < Duration::from_secs(1));
     }
     // The one that came first gave way.
-    standing[1].set_read_timeout(Some(LIMIT)).unwrap();
+    standing[1].set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert_eq!(standing[1].read(&mut [0; 64]).unwrap_or(0), 0);
 }
 
@@ -71,7 +71,7 @@
         .collect();
     for _ in 0..20 {
         let asked = Instant::now();
-        assert_eq!(sender.ask("GET /_ready").0, 200);
+        assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
         assert!(asked.elapsed() < Duration::from_secs(1));
     }
     drop(crowd);
@@ -96,7 +96,7 @@
                     _ = stream.write_all(b"*5\r\n$7\r\nMSG.");
                 }
                 let asked = Instant::now();
-                assert_eq!(sender.ask("GET /_ready").0, 200);
+                assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
                 asked.elapsed()
             })
             .collect();
@@ -109,10 +109,10 @@
 fn the_figures_are_what_clients_and_endpoints_have_counted() {
     let (endpoint, platform, mut sender) = one(|request| match request.ids()[0].as_bytes()[0] {
         b'g' => status(200),
-        b's' => Act::Silence,
+        b's' => StubResponse::Silence,
         _ => status(500),
     });
-    let before = sender.figures();
+    let before = sender.metrics();
     let none = json!({"pay": 0, "push": 0, "sync": 0});
     assert_eq!((&before["succeeded"], &before["declined"], &before["aborted"]), (&none, &none, &none));
     assert_eq!((&before["discovered"], &before["ejected"]), (&json!(1), &json!(0)));
@@ -124,12 +124,12 @@
     assert_eq!(client.put("g9", PUSH), "+OK");
     endpoint.wait_sent("g9");
     assert_eq!(client.put("f1", PAY), "+OK");
-    platform.wait_state("f1", "failed");
+    platform.wait_notice("f1", "failed");
     assert!(client.put("w1", "c=sync,d=15000,dest=77").starts_with("-ERR"));
     assert!(client.put("w2", "c=nobody,d=15000,dest=3").starts_with("-ERR"));
     assert_eq!(client.put("s1", PAY), "+OK");
     endpoint.wait_sent("s1");
-    let told = sender.figures();
+    let told = sender.metrics();
     assert_eq!(told["succeeded"], json!({"pay": 5, "push": 1, "sync": 0}));
     assert_eq!(told["aborted"], json!({"pay": 1, "push": 0, "sync": 1}));
     assert_eq!(told["declined"], none);
@@ -137,8 +137,8 @@
     // Each process counts from nought; what an earlier one took and this one ends counts here.
     sender.kill();
     sender.spawn();
-    platform.wait_state("s1", "failed");
-    let told = sender.figures();
+    platform.wait_notice("s1", "failed");
+    let told = sender.metrics();
     assert_eq!((&told["aborted"]["pay"], &told["succeeded"]["pay"]), (&json!(1), &json!(0)));
     assert_eq!((&told["forwards"], &told["outstanding"]), (&json!(0), &json!(0)));
 }
@@ -147,19 +147,19 @@
 fn each_message_of_a_call_of_several_counts_as_written() {
     let endpoint = Endpoint::new(|request| {
         let states = request.ids().into_iter().map(|id| json!({"id": id, "state": "ok"}));
-        Act::Answer(200, Vec::new(), json!(states.collect::<Vec<_>>()).to_string())
+        StubResponse::Answer(200, Vec::new(), json!(states.collect::<Vec<_>>()).to_string())
     });
     let platform = Platform::new(vec![placeholder(3)]);
-    let sender = Sender::with_door(&platform);
+    let sender = Sender::with_mgmt(&platform);
     let mut client = sender.client();
     client.ping();
     for n in 0..6 {
         assert_eq!(client.put(&format!("a{n}"), SYNC), "+OK");
     }
-    assert_eq!(sender.figures()["outstanding"], 6);
-    platform.tell(false, vec![line("s-1", endpoint.addr, "many", 3, "Ready")]);
-    wait_until("all of them", || sender.figures()["outstanding"] == 0);
-    let told = sender.figures();
+    assert_eq!(sender.metrics()["outstanding"], 6);
+    platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "many", 3, "Ready")]);
+    wait_until("all of them", || sender.metrics()["outstanding"] == 0);
+    let told = sender.metrics();
     assert_eq!((&told["succeeded"]["sync"], &told["forwards"]), (&json!(6), &json!(6)));
     assert!(endpoint.requests().len() < 6, "some of them share a call");
 }
@@ -167,27 +167,27 @@
 #[test]
 fn a_file_at_sighup_is_counted_as_taken_or_turned_down() {
     let (_endpoint, _platform, sender) = one(|_| status(200));
-    sender.hang_up();
-    wait_until("the file to be taken", || sender.figures()["sighup_applied"] == 1);
+    sender.send_sighup();
+    wait_until("the file to be taken", || sender.metrics()["sighup_applied"] == 1);
     std::fs::write(sender.folder.path().join("config.json"), "{").unwrap();
-    sender.hang_up();
-    wait_until("the file to be turned down", || sender.figures()["sighup_rejected"] == 1);
-    assert_eq!(sender.figures()["sighup_applied"], 1);
+    sender.send_sighup();
+    wait_until("the file to be turned down", || sender.metrics()["sighup_rejected"] == 1);
+    assert_eq!(sender.metrics()["sighup_applied"], 1);
 }
 
 #[test]
 fn an_end_that_an_earlier_process_could_not_tell_counts_where_it_is_told() {
     let (endpoint, platform, mut sender) = one(|_| status(500));
-    platform.set_deaf(true);
+    platform.set_reject_notices(true);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
-    wait_until("the end", || sender.figures()["aborted"]["pay"] == 1);
+    wait_until("the end", || sender.metrics()["aborted"]["pay"] == 1);
     sender.kill();
-    platform.hear_out();
-    platform.set_deaf(false);
+    platform.wait_connections_closed();
+    platform.set_reject_notices(false);
     sender.spawn();
-    platform.wait_state("a1", "failed");
-    assert_eq!(sender.figures()["aborted"]["pay"], 1);
+    platform.wait_notice("a1", "failed");
+    assert_eq!(sender.metrics()["aborted"]["pay"], 1);
 }
 
 /// The answer to `PING` on a new connection.
@@ -202,8 +202,8 @@
     let (endpoint, _platform, sender) = one(|_| status(200));
     let (mut idle, mut busy) = (sender.client(), sender.client());
     idle.ping();
-    assert_eq!(sender.ask("POST /_lameduck/on").0, 200);
-    assert_eq!(sender.ask("GET /_ready").0, 503);
+    assert_eq!(sender.mgmt_request("POST /_lameduck/on").0, 200);
+    assert_eq!(sender.mgmt_request("GET /_ready").0, 503);
     assert!(pinged(&sender).starts_with("-ERR"));
     // What crosses the answer is served, on connections that are there and on new ones.
     assert_eq!(busy.put("a1", SYNC), "+OK");
@@ -219,8 +219,8 @@
     assert_eq!(late.read(), "");
     // Whoever comes much later is told to come again.
     wait_until("refusals", || sender.client().put("b1", SYNC).starts_with("-BUSY"));
-    assert_eq!(sender.ask("POST /_lameduck/off").0, 200);
-    assert_eq!(sender.ask("GET /_ready").0, 200);
+    assert_eq!(sender.mgmt_request("POST /_lameduck/off").0, 200);
+    assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
     assert_eq!(pinged(&sender), "+PONG");
     assert_eq!(sender.client().put("a3", SYNC), "+OK");
     ["a1", "a2", "a3"].iter().for_each(|id| endpoint.wait_sent(id));
@@ -232,9 +232,9 @@
     let mut client = sender.client();
     client.ping();
     for call in ["on", "on", "off", "off", "on", "off"] {
-        assert_eq!(sender.ask(&format!("POST /_lameduck/{call}")).0, 200);
+        assert_eq!(sender.mgmt_request(&format!("POST /_lameduck/{call}")).0, 200);
         let ready = call == "off";
-        assert_eq!(sender.ask("GET /_ready").0 == 200, ready);
+        assert_eq!(sender.mgmt_request("GET /_ready").0 == 200, ready);
         assert_eq!(pinged(&sender) == "+PONG", ready);
     }
     // The connection from before was never to be closed for good.
@@ -251,7 +251,7 @@
     let mut client = sender.client();
     let command = put("a1", &format!("{SYNC},t=acme"), b"hello");
     let (head, rest) = command.split_at(40);
-    assert_eq!(sender.ask("POST /_lameduck/on").0, 200);
+    assert_eq!(sender.mgmt_request("POST /_lameduck/on").0, 200);
     client.write(head);
     std::thread::sleep(Duration::from_millis(600));
     client.write(rest);
@@ -262,13 +262,13 @@
 
 #[test]
 fn a_sender_that_was_told_to_end_is_not_let_out_of_it() {
-    let (endpoint, _platform, mut sender) = one(|_| Act::Silence);
+    let (endpoint, _platform, mut sender) = one(|_| StubResponse::Silence);
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    assert_eq!(sender.ask("POST /_lameduck/on").0, 200);
+    assert_eq!(sender.mgmt_request("POST /_lameduck/on").0, 200);
     sender.terminate();
-    wait_until("the stop", || sender.ask("GET /_ready") == (503, "stopping\n".into()));
-    assert_eq!(sender.ask("POST /_lameduck/off").0, 409);
-    assert_eq!(sender.ask("POST /_lameduck/on").0, 200);
+    wait_until("the stop", || sender.mgmt_request("GET /_ready") == (503, "stopping\n".into()));
+    assert_eq!(sender.mgmt_request("POST /_lameduck/off").0, 409);
+    assert_eq!(sender.mgmt_request("POST /_lameduck/on").0, 200);
     assert!(sender.wait_exit().success());
 }
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -10,16 +10,17 @@
 const PUSH: &str = "c=push,d=20000,dest=3,k=5c0f6e1a2b3d4c59";
 const PAY: &str = "c=pay,d=20000,dest=3";
 
-fn one(script: impl Fn(&Request) -> Act + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
+fn one(script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
     let endpoint = Endpoint::new(script);
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready"), placeholder(9)]);
+    let platform =
+        Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready"), placeholder(9)]);
     let sender = Sender::start(&platform);
     sender.client().ping();
     (endpoint, platform, sender)
 }
 
 /// An endpoint that acts so at a message's first call and delivers from then on.
-fn first(act: Act) -> (Endpoint, Platform, Sender) {
+fn first(act: StubResponse) -> (Endpoint, Platform, Sender) {
     let seen = std::sync::atomic::AtomicBool::new(false);
     one(move |r| {
         let message = r.line.starts_with("POST");
@@ -53,19 +54,19 @@
         let (endpoint, platform, sender) = first(status(500));
         assert_eq!(sender.client().put("a1", fields), "+OK");
         match notice {
-            Some(state) => platform.wait_state("a1", state),
-            None => wait_until("the second call", || endpoint.times("a1") == 2),
+            Some(state) => platform.wait_notice("a1", state),
+            None => wait_until("the second call", || endpoint.call_count("a1") == 2),
         }
-        assert_eq!(endpoint.times("a1"), times, "{fields}");
+        assert_eq!(endpoint.call_count("a1"), times, "{fields}");
     }
 }
 
 #[test]
 fn a_reset_may_have_run() {
-    let (endpoint, platform, sender) = first(Act::Break);
+    let (endpoint, platform, sender) = first(StubResponse::Close);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
-    platform.wait_state("a1", "failed");
-    assert_eq!(endpoint.times("a1"), 1);
+    platform.wait_notice("a1", "failed");
+    assert_eq!(endpoint.call_count("a1"), 1);
 }
 
 #[test]
@@ -73,23 +74,23 @@
     for code in [429, 503] {
         let (endpoint, platform, sender) = first(status(code));
         assert_eq!(sender.client().put("a1", PAY), "+OK");
-        wait_until("the second call", || endpoint.times("a1") == 2);
+        wait_until("the second call", || endpoint.call_count("a1") == 2);
         assert_eq!(platform.notices(), Vec::<Value>::new());
     }
-    let no_slot = Act::Answer(503, vec![("X-No-Slot", "1".into())], String::new());
+    let no_slot = StubResponse::Answer(503, vec![("X-No-Slot", "1".into())], String::new());
     let (endpoint, _platform, sender) = first(no_slot);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
-    wait_until("the second call", || endpoint.times("a1") == 2);
+    wait_until("the second call", || endpoint.call_count("a1") == 2);
 }
 
 #[test]
 fn a_refused_connection_never_ran() {
     // An address at which nothing listens.
     let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let platform = Platform::new(vec![line("s-1", dead, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", dead, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     assert_eq!(sender.client().put("a1", "c=pay,d=1500,dest=3"), "+OK");
-    platform.wait_state("a1", "returned");
+    platform.wait_notice("a1", "returned");
     let after = platform.notices()[0]["after_ms"].as_u64();
     assert!(after.is_some_and(|ms| ms > 0), "the client is told when to come again");
 }
@@ -101,34 +102,36 @@
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     assert_eq!(client.put("a2", "c=pay,d=400,dest=9"), "+OK");
-    platform.wait_state("a2", "returned");
-    assert_eq!((endpoint.times("a1"), platform.state_of("a1")), (1, None));
+    platform.wait_notice("a2", "returned");
+    assert_eq!((endpoint.call_count("a1"), platform.notice_state("a1")), (1, None));
 }
 
 #[test]
 fn silence_ends_the_call_by_closing_its_connection_before_the_next_try() {
-    let (endpoint, _platform, sender) = first(Act::Silence);
+    let (endpoint, _platform, sender) = first(StubResponse::Silence);
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
-    wait_until("the second call", || endpoint.times("a1") == 2);
+    wait_until("the second call", || endpoint.call_count("a1") == 2);
     let calls: Vec<_> = endpoint.requests().into_iter().filter(|r| r.line.starts_with("POST")).collect();
     assert_ne!(calls[0].connection, calls[1].connection);
-    wait_until("the first connection to end", || endpoint.closed().contains(&calls[0].connection));
+    wait_until("the first connection to end", || {
+        endpoint.closed_connections().contains(&calls[0].connection)
+    });
 }
 
 #[test]
 fn an_unsafe_message_is_failed_at_its_deadline_when_nothing_came_back() {
-    let (endpoint, platform, sender) = one(|_| Act::Silence);
+    let (endpoint, platform, sender) = one(|_| StubResponse::Silence);
     let start = Instant::now();
     assert_eq!(sender.client().put("a1", "c=pay,d=900,dest=3"), "+OK");
-    platform.wait_state("a1", "failed");
+    platform.wait_notice("a1", "failed");
     assert!(start.elapsed() >= Duration::from_millis(850));
-    assert_eq!(endpoint.times("a1"), 1);
+    assert_eq!(endpoint.call_count("a1"), 1);
 }
 
 #[test]
 fn a_wait_holds_back_all_messages_of_the_destination() {
     let (endpoint, _platform, sender) =
-        first(Act::Answer(429, vec![("X-Retry-In-Ms", "700".into())], String::new()));
+        first(StubResponse::Answer(429, vec![("X-Retry-In-Ms", "700".into())], String::new()));
     let mut client = sender.client();
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
@@ -137,7 +140,7 @@
     assert_eq!(client.put("a2", PAY), "+OK");
     assert_eq!(client.put("a3", PUSH), "+OK");
     wait_until("all three", || {
-        ["a2", "a3"].iter().all(|id| endpoint.times(id) == 1) && endpoint.times("a1") == 2
+        ["a2", "a3"].iter().all(|id| endpoint.call_count(id) == 1) && endpoint.call_count("a1") == 2
     });
     let requests = endpoint.requests();
     for later in &requests[1..] {
@@ -147,15 +150,17 @@
 
 /// An endpoint of the batching kind. Its first call, of `w0`, is told to wait, so that what is handed in
 /// meanwhile goes in one call.
-fn batching(answer: impl Fn(&Request) -> Act + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
+fn batching(
+    answer: impl Fn(&Request) -> StubResponse + Send + Sync + 'static,
+) -> (Endpoint, Platform, Sender) {
     let waited = std::sync::atomic::AtomicBool::new(false);
     let endpoint = Endpoint::new(move |r| {
         if waited.swap(true, std::sync::atomic::Ordering::SeqCst) {
             return answer(r);
         }
-        Act::Answer(429, vec![("X-Retry-In-Ms", "900".into())], String::new())
+        StubResponse::Answer(429, vec![("X-Retry-In-Ms", "900".into())], String::new())
     });
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "many", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "many", 3, "Ready")]);
     let sender = Sender::start(&platform);
     sender.client().ping();
     (endpoint, platform, sender)
@@ -183,28 +188,29 @@
             .iter()
             .map(|id| json!({"id": id, "state": states.iter().find(|s| s.0 == id).map_or("ok", |s| s.1)}))
             .collect();
-        Act::Answer(200, vec![], Value::from(ends).to_string())
+        StubResponse::Answer(200, vec![], Value::from(ends).to_string())
     });
     hand_in_together(&endpoint, &sender, &states.map(|(id, _)| (id, PAY)));
     // b2 may have run and is unsafe; b3 and b5 never ran.
-    platform.wait_state("b2", "failed");
-    wait_until("b3 to go again", || endpoint.times("b3") == 2);
+    platform.wait_notice("b2", "failed");
+    wait_until("b3 to go again", || endpoint.call_count("b3") == 2);
     let first = endpoint.requests().into_iter().find(Request::is_batch).unwrap();
     assert_eq!(first.ids().len(), 6);
     assert!(first.line.starts_with("POST /v1/messages:batch "));
     let items: Vec<Value> = serde_json::from_slice(&first.body).unwrap();
     assert!(items.iter().all(|i| i["body"] == "aGVsbG8="));
-    assert_eq!(["b1", "b2", "b4"].map(|id| endpoint.times(id)), [1, 1, 1]);
-    assert_eq!(["b1", "b4"].map(|id| platform.state_of(id)), [None, None]);
+    assert_eq!(["b1", "b2", "b4"].map(|id| endpoint.call_count(id)), [1, 1, 1]);
+    assert_eq!(["b1", "b4"].map(|id| platform.notice_state(id)), [None, None]);
 }
 
 #[test]
 fn a_batch_that_is_cut_short_may_have_run() {
-    let (endpoint, platform, sender) = batching(|r| if r.is_batch() { Act::Break } else { status(200) });
+    let (endpoint, platform, sender) =
+        batching(|r| if r.is_batch() { StubResponse::Close } else { status(200) });
     hand_in_together(&endpoint, &sender, &[("b1", PAY), ("b2", PAY), ("b3", SYNC)]);
-    platform.wait_state("b1", "failed");
-    platform.wait_state("b2", "failed");
-    assert_eq!(["b1", "b2"].map(|id| endpoint.times(id)), [1, 1]);
+    platform.wait_notice("b1", "failed");
+    platform.wait_notice("b2", "failed");
+    assert_eq!(["b1", "b2"].map(|id| endpoint.call_count(id)), [1, 1]);
 }
 
 #[test]
@@ -214,7 +220,7 @@
             return status(200);
         }
         let ends: Vec<Value> = r.ids().iter().map(|id| json!({"id": id, "state": "ok"})).collect();
-        Act::Answer(200, vec![("X-Retry-In-Ms", "600".into())], Value::from(ends).to_string())
+        StubResponse::Answer(200, vec![("X-Retry-In-Ms", "600".into())], Value::from(ends).to_string())
     });
     hand_in_together(&endpoint, &sender, &[("b1", SYNC), ("b2", SYNC)]);
     endpoint.wait_sent("b2");
@@ -228,22 +234,23 @@
 
 #[test]
 fn a_call_is_given_up_when_the_first_of_its_messages_runs_out_of_time() {
-    let (endpoint, platform, sender) = batching(|r| if r.is_batch() { Act::Silence } else { status(200) });
+    let (endpoint, platform, sender) =
+        batching(|r| if r.is_batch() { StubResponse::Silence } else { status(200) });
     // The sender learns how long an answer takes.
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
-    wait_until("a1 to go again", || endpoint.times("a1") == 2);
+    wait_until("a1 to go again", || endpoint.call_count("a1") == 2);
     let waited = std::sync::atomic::AtomicBool::new(false);
-    endpoint.act(move |r| {
+    endpoint.set_script(move |r| {
         if waited.swap(true, std::sync::atomic::Ordering::SeqCst) {
-            return if r.is_batch() { Act::Silence } else { status(200) };
+            return if r.is_batch() { StubResponse::Silence } else { status(200) };
         }
-        Act::Answer(429, vec![("X-Retry-In-Ms", "900".into())], String::new())
+        StubResponse::Answer(429, vec![("X-Retry-In-Ms", "900".into())], String::new())
     });
     let start = Instant::now();
     hand_in_together(&endpoint, &sender, &[("b1", "c=pay,d=4500,dest=3"), ("b2", PAY), ("b3", PAY)]);
-    platform.wait_state("b1", "failed");
+    platform.wait_notice("b1", "failed");
     // The others may have run too, and are not waited for in a call that is over.
-    platform.wait_state("b2", "failed");
+    platform.wait_notice("b2", "failed");
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
     let call = endpoint.requests().into_iter().find(Request::is_batch).unwrap();
     assert!(call.ids().contains(&"b1".to_string()) && call.ids().contains(&"b2".to_string()));
@@ -254,8 +261,8 @@
 /// Far less than a call's whole time, far more than what an answer that has begun is given.
 const SOON: Duration = Duration::from_secs(6);
 
-fn raw(text: &str) -> Act {
-    Act::Raw(text.to_string())
+fn raw(text: &str) -> StubResponse {
+    StubResponse::Raw(text.to_string())
 }
 
 #[test]
@@ -279,7 +286,7 @@
         std::thread::sleep(Duration::from_millis(500));
         assert_eq!(client.put("a3", PAY), "+OK");
         endpoint.wait_sent("a3");
-        assert_eq!((endpoint.times("a1"), platform.state_of("a1")), (1, None), "{rest:?}");
+        assert_eq!((endpoint.call_count("a1"), platform.notice_state("a1")), (1, None), "{rest:?}");
     }
 }
 
@@ -295,18 +302,18 @@
         let (endpoint, platform, sender) = first(raw(text));
         let (mut client, start) = (sender.client(), Instant::now());
         assert_eq!(client.put("a1", PAY), "+OK");
-        platform.wait_state("a1", "failed");
+        platform.wait_notice("a1", "failed");
         assert_eq!(client.put("a2", SYNC), "+OK");
         endpoint.wait_sent("a2");
         assert!(start.elapsed() < SOON, "{text:?}: {:?}", start.elapsed());
-        assert_eq!(endpoint.times("a1"), 1);
+        assert_eq!(endpoint.call_count("a1"), 1);
     }
 }
 
 #[test]
 fn a_delivered_messages_slot_is_free_soon_although_its_body_stalls() {
     let endpoint = Endpoint::new(|_| raw("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nx"));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let sender = Sender::with(&platform, |c| c["settings"]["FamilyInfo"]["Workers"] = 1.into());
     let (mut client, start) = (sender.client(), Instant::now());
     for id in ["a1", "a2", "a3"] {
@@ -323,7 +330,7 @@
     let turned_away = "HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n";
     let (endpoint, platform, sender) = first(raw(&format!("{ahead}{turned_away}")));
     assert_eq!(sender.client().put("a1", PAY), "+OK");
-    wait_until("the second call", || endpoint.times("a1") == 2);
+    wait_until("the second call", || endpoint.call_count("a1") == 2);
     assert!(platform.notices().is_empty());
 
     // A second copy that delivers nothing: the next message is answered 500 and fails.
@@ -338,7 +345,7 @@
     endpoint.wait_sent("a1");
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(client.put("a2", PAY), "+OK");
-    platform.wait_state("a2", "failed");
+    platform.wait_notice("a2", "failed");
     let connections: Vec<usize> = endpoint.requests().iter().map(|r| r.connection).collect();
     assert_eq!(connections, [0, 1]);
 }
@@ -349,7 +356,7 @@
     let seen = std::sync::Mutex::new(std::collections::HashSet::new());
     let (endpoint, platform, sender) = one(move |r| {
         let fresh = seen.lock().unwrap().insert(r.connection);
-        if fresh { status(200) } else { Act::Break }
+        if fresh { status(200) } else { StubResponse::Close }
     });
     let mut client = sender.client();
     for n in 0..5 {
