--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -10,12 +10,12 @@
 use embershore_rehearsal::span::Micros;
 use placement::clients::Load;
 use placement::deployment::{Deployment, FLOW, PAY, PUSH, SYNC, name, seat};
-use placement::fleet::Stage;
+use placement::fleet::Rig;
 use placement::owners::Owners;
 use placement::receivers::Conduct;
 use placement::relay::Mode;
 use placement::verdict::Findings;
-use placement::wrong_lists::wrong_lists;
+use placement::wrong_lists::invalid_lists;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -30,29 +30,29 @@
 /// What every scenario puts to the test.
 const ALWAYS: [Rule; 2] = [Rule::NoMessageLost, Rule::OrderKept];
 
-fn judge(scenario: &str, stage: &Stage) -> Findings {
-    Findings::of(scenario, &stage.fleet.deployment, &stage.ledger)
+fn judge(scenario: &str, rig: &Rig) -> Findings {
+    Findings::from_ledger(scenario, &rig.fleet.deployment, &rig.ledger)
 }
 
 /// Hands in a load of all classes at all members while `faults` happen and for a while after them, and waits for the end
 /// of each message.
-async fn play(stage: &Stage, seconds_after: u64, faults: impl Future<Output = ()>) {
-    let load = Load::of(&stage.fleet, RATE);
+async fn play(rig: &Rig, seconds_after: u64, faults: impl Future<Output = ()>) {
+    let load = Load::of(&rig.fleet, RATE);
     let during = async {
         faults.await;
         sleep(Duration::from_secs(seconds_after)).await;
     };
-    stage.clients.play(&load, during).await;
-    stage.clients.settle().await;
+    rig.clients.run_load(&load, during).await;
+    rig.clients.wait_all_ended().await;
 }
 
 /// Waits until a sender calls receivers for what was handed in from `since` on.
-async fn until_it_calls(stage: &Stage, sender: usize, since: Micros) {
+async fn until_it_calls(rig: &Rig, sender: usize, since: Micros) {
     let is_such_a_call = |r: &Record| {
         r.t >= since && matches!(r.event, Event::Call { sender: caller, .. } if caller == sender)
     };
     let what = format!("calls of {}", name(sender));
-    placement::until(&what, || stage.ledger.records().iter().any(is_such_a_call)).await;
+    placement::wait_until(&what, || rig.ledger.records().iter().any(is_such_a_call)).await;
 }
 
 fn micros(time: Duration) -> Micros {
@@ -72,11 +72,11 @@
 }
 
 /// Attempts to forward of which the senders do not know the outcome. A message fails for no other reason.
-async fn unknown_outcomes(stage: &Stage) -> usize {
+async fn unknown_outcomes(rig: &Rig) -> usize {
     let mut unknown = 0;
-    for index in 0..stage.fleet.deployment.processes() {
-        let figures = stage.fleet.figures(index).await;
-        unknown += figures["placement"]["forwarded"]["unknown"].as_u64().unwrap() as usize;
+    for index in 0..rig.fleet.deployment.processes() {
+        let metrics = rig.fleet.metrics(index).await;
+        unknown += metrics["placement"]["forwarded"]["unknown"].as_u64().unwrap() as usize;
     }
     unknown
 }
@@ -93,32 +93,37 @@
 #[test]
 fn in_calm_every_request_reaches_an_owner_in_one_pass() {
     placement::run(async {
-        let stage = Stage::start(Deployment::default()).await;
-        stage.receivers.conduct(WAITING, Conduct::WaitOnce(Duration::from_millis(400)));
-        play(&stage, 3, async {
+        let rig = Rig::start(Deployment::default()).await;
+        rig.receivers.set_conduct(WAITING, Conduct::WaitOnce(Duration::from_millis(400)));
+        play(&rig, 3, async {
             sleep(Duration::from_secs(1)).await;
-            (1..=20).for_each(|destination| stage.directory.replace(destination));
+            (1..=20).for_each(|destination| rig.directory.replace(destination));
         })
         .await;
-        let findings = judge("calm", &stage);
-        findings.assert_kept(&[Rule::NoMessageLost, Rule::OrderKept, Rule::DrainsKept, Rule::WaitsHeeded]);
+        let findings = judge("calm", &rig);
+        findings.assert_rules_kept(&[
+            Rule::NoMessageLost,
+            Rule::OrderKept,
+            Rule::DrainsKept,
+            Rule::WaitsHeeded,
+        ]);
         let answers = findings.answers();
         // On a busy machine an owner or a sender may not answer in time; nothing else may go wrong.
-        assert!(answers.failed <= unknown_outcomes(&stage).await, "{answers:?}");
+        assert!(answers.failed <= unknown_outcomes(&rig).await, "{answers:?}");
         let unanswered = answers.failed + answers.none;
-        assert!(findings.is_void() || unanswered * 20 <= answers.taken, "{answers:?}");
+        assert!(findings.is_void() || unanswered * 20 <= answers.accepted, "{answers:?}");
         // Only a receiver that told its sender to wait is tried so seldom that a message's time may be up before.
         let mut undelivered = findings.undelivered();
         undelivered.remove(&WAITING);
         assert!(undelivered.values().flatten().count() <= unanswered, "{undelivered:?}");
-        assert_only_owners_call(&findings, &[stage.control.list()]);
+        assert_only_owners_call(&findings, &[rig.control.list()]);
         // One pass: no request goes over more forward connections than it was handed in at a sender's own clients'
         // address, and a refusal sends it to one more.
-        let forwarded = findings.forwarded(&stage.ledger);
+        let forwarded = findings.forwarded(&rig.ledger);
         assert!(forwarded * 2 > findings.origins(), "{forwarded} forwarded");
-        let members = stage.fleet.deployment.members;
-        let passed: usize = (0..members).map(|index| stage.fleet.relay(index).passed()).sum();
-        let hand_ins = answers.taken + answers.busy;
+        let members = rig.fleet.deployment.members;
+        let passed: usize = (0..members).map(|index| rig.fleet.relay(index).passed()).sum();
+        let hand_ins = answers.accepted + answers.busy;
         assert!(passed <= hand_ins + answers.busy, "{passed} passes of {hand_ins} hand-ins");
     });
 }
@@ -126,34 +131,34 @@
 #[test]
 fn what_comes_in_at_the_forward_address_is_served_or_refused_and_never_forwarded() {
     placement::run(async {
-        let stage = Stage::start(Deployment::default()).await;
-        let owners = Owners::of(&stage.control.list());
+        let rig = Rig::start(Deployment::default()).await;
+        let owners = Owners::of(&rig.control.list());
         for destination in 1..=40 {
             let owned_by = owners.owners(destination);
-            let member = destination as usize % stage.fleet.deployment.members;
-            let before: usize = (0..12).map(|index| stage.fleet.relay(index).passed()).sum();
-            let answer = stage.clients.forward(PAY, destination, member).await;
-            let after: usize = (0..12).map(|index| stage.fleet.relay(index).passed()).sum();
+            let member = destination as usize % rig.fleet.deployment.members;
+            let before: usize = (0..12).map(|index| rig.fleet.relay(index).passed()).sum();
+            let answer = rig.clients.forward(PAY, destination, member).await;
+            let after: usize = (0..12).map(|index| rig.fleet.relay(index).passed()).sum();
             assert_eq!(after - before, 1, "only this request passed");
             let expected = if owned_by.contains(&member) { Answered::Taken } else { Answered::Busy };
             assert_eq!(answer, expected, "{destination} at {member}, owned by {owned_by:?}");
         }
-        stage.clients.settle().await;
-        let findings = judge("forward address", &stage);
-        findings.assert_kept(&[]);
-        assert_only_owners_call(&findings, &[stage.control.list()]);
+        rig.clients.wait_all_ended().await;
+        let findings = judge("forward address", &rig);
+        findings.assert_rules_kept(&[]);
+        assert_only_owners_call(&findings, &[rig.control.list()]);
     });
 }
 
 #[test]
 fn owners_that_are_killed_and_started_again_lose_nothing() {
     placement::run(async {
-        let stage = Stage::start(Deployment::default()).await;
-        let fleet = &stage.fleet;
-        begin_second_epoch(&stage).await;
-        (21..=23).for_each(|destination| stage.receivers.conduct(destination, Conduct::FailAfter));
-        (24..=25).for_each(|destination| stage.receivers.conduct(destination, Conduct::Refuse));
-        play(&stage, 1, async {
+        let rig = Rig::start(Deployment::default()).await;
+        let fleet = &rig.fleet;
+        begin_second_epoch(&rig).await;
+        (21..=23).for_each(|destination| rig.receivers.set_conduct(destination, Conduct::RunThenFail));
+        (24..=25).for_each(|destination| rig.receivers.set_conduct(destination, Conduct::Refuse));
+        play(&rig, 1, async {
             for (first, second) in [(0, 4), (7, 11)] {
                 sleep(Duration::from_millis(800)).await;
                 fleet.kill(first);
@@ -164,16 +169,16 @@
                 fleet.wait_ready(first).await;
                 fleet.wait_ready(second).await;
                 // Their folders say what they owned: they take messages on again without a hold.
-                let back = stage.ledger.now();
-                until_it_calls(&stage, first, back).await;
-                until_it_calls(&stage, second, back).await;
-                assert!(stage.ledger.now() < back + micros(fleet.deployment.hold()), "without a hold");
+                let back = rig.ledger.now();
+                until_it_calls(&rig, first, back).await;
+                until_it_calls(&rig, second, back).await;
+                assert!(rig.ledger.now() < back + micros(fleet.deployment.hold()), "without a hold");
             }
         })
         .await;
-        let findings = judge("owners killed", &stage);
-        findings.assert_kept(&[Rule::NoMessageLost, Rule::OrderKept, Rule::NoEffectTwice]);
-        assert_only_owners_call(&findings, &[stage.control.list()]);
+        let findings = judge("owners killed", &rig);
+        findings.assert_rules_kept(&[Rule::NoMessageLost, Rule::OrderKept, Rule::NoEffectTwice]);
+        assert_only_owners_call(&findings, &[rig.control.list()]);
         assert_delivered(&findings, 8);
     });
 }
@@ -181,19 +186,19 @@
 #[test]
 fn an_owner_that_comes_back_with_an_empty_folder_waits_until_the_one_before_it_must_be_done() {
     placement::run(async {
-        let stage = Stage::start(Deployment::default()).await;
-        let fleet = &stage.fleet;
-        begin_second_epoch(&stage).await;
+        let rig = Rig::start(Deployment::default()).await;
+        let fleet = &rig.fleet;
+        begin_second_epoch(&rig).await;
         fleet.kill(5);
         std::fs::remove_dir_all(fleet.state(5)).unwrap();
         std::fs::create_dir(fleet.state(5)).unwrap();
-        let started = stage.ledger.now();
+        let started = rig.ledger.now();
         fleet.spawn(5);
         fleet.wait_ready(5).await;
-        play(&stage, 1, until_it_calls(&stage, 5, started)).await;
-        let findings = judge("an empty folder", &stage);
-        findings.assert_kept(&ALWAYS);
-        assert_only_owners_call(&findings, &[stage.control.list()]);
+        play(&rig, 1, until_it_calls(&rig, 5, started)).await;
+        let findings = judge("an empty folder", &rig);
+        findings.assert_rules_kept(&ALWAYS);
+        assert_only_owners_call(&findings, &[rig.control.list()]);
         assert_delivered(&findings, 9);
         let first = findings.table.calls.values().find(|call| call.sender == 5).unwrap();
         let hold = micros(fleet.deployment.hold());
@@ -208,21 +213,21 @@
 #[test]
 fn an_owner_that_was_stopped_for_longer_than_the_lease_does_no_harm() {
     placement::run(async {
-        let stage = Stage::start(Deployment::default()).await;
-        let fleet = &stage.fleet;
+        let rig = Rig::start(Deployment::default()).await;
+        let fleet = &rig.fleet;
         let longer = fleet.deployment.lease + Duration::from_millis(1500);
-        play(&stage, 2, async {
+        play(&rig, 2, async {
             sleep(Duration::from_secs(1)).await;
             fleet.stop(2);
             fleet.stop(6);
             sleep(longer).await;
-            fleet.go_on(2);
-            fleet.go_on(6);
+            fleet.resume(2);
+            fleet.resume(6);
         })
         .await;
-        let findings = judge("owners stopped", &stage);
-        findings.assert_kept(&ALWAYS);
-        assert_only_owners_call(&findings, &[stage.control.list()]);
+        let findings = judge("owners stopped", &rig);
+        findings.assert_rules_kept(&ALWAYS);
+        assert_only_owners_call(&findings, &[rig.control.list()]);
         assert_delivered(&findings, 7);
     });
 }
@@ -234,11 +239,11 @@
 }
 
 /// A member fills a seat that is added, and the seat of another becomes vacant.
-fn add_and_remove(stage: &Stage, added: usize, removed: usize) -> Changed {
-    let changed = Changed { at: stage.ledger.now(), before: stage.control.list() };
-    let append = json!({"append": seat(added, &stage.fleet.address(added))});
+fn add_and_remove(rig: &Rig, added: usize, removed: usize) -> Changed {
+    let changed = Changed { at: rig.ledger.now(), before: rig.control.list() };
+    let append = json!({"append": seat(added, &rig.fleet.address(added))});
     let vacate = json!({"seat": removed, "member": null});
-    stage.control.change(vec![append, vacate]);
+    rig.control.change(vec![append, vacate]);
     changed
 }
 
@@ -246,26 +251,26 @@
 fn a_member_added_and_one_removed_under_load() {
     placement::run(async {
         let deployment = Deployment { spares: 1, ..Deployment::default() };
-        let stage = Stage::start(deployment).await;
+        let rig = Rig::start(deployment).await;
         let (added, removed) = (12, 3);
         let mut changed = None;
-        play(&stage, 1, async {
+        play(&rig, 1, async {
             sleep(Duration::from_secs(1)).await;
-            changed = Some(add_and_remove(&stage, added, removed));
-            until_it_calls(&stage, added, 0).await;
+            changed = Some(add_and_remove(&rig, added, removed));
+            until_it_calls(&rig, added, 0).await;
         })
         .await;
         let Changed { at, before } = changed.unwrap();
-        let findings = judge("a member added and one removed", &stage);
-        findings.assert_kept(&ALWAYS);
-        assert_only_owners_call(&findings, &[before, stage.control.list()]);
+        let findings = judge("a member added and one removed", &rig);
+        findings.assert_rules_kept(&ALWAYS);
+        assert_only_owners_call(&findings, &[before, rig.control.list()]);
         assert_delivered(&findings, 9);
         // The new member takes nothing on before those that owned its shards are done with what they took on.
         let first = findings.table.calls.values().find(|call| call.sender == added).unwrap();
-        let hold = micros(stage.fleet.deployment.hold());
+        let hold = micros(rig.fleet.deployment.hold());
         assert!(first.t >= at + hold, "on hold for {hold} us, and called after {} us", first.t - at);
         // The one that is removed has heard so, or its lease has expired.
-        let lease = micros(stage.fleet.deployment.lease);
+        let lease = micros(rig.fleet.deployment.lease);
         let offered = |id: &String| findings.table.message(id).unwrap().offered;
         let calls = findings.table.calls.values().filter(|call| call.sender == removed);
         let late = calls.flat_map(|call| &call.ids).find(|id| offered(id) > at + lease);
@@ -278,27 +283,27 @@
     placement::run(async {
         let agent_lag = Duration::from_millis(5500);
         let deployment = Deployment { spares: 1, agent_lag, ..Deployment::default() };
-        let stage = Stage::start(deployment).await;
-        (0..4).for_each(|agent| stage.control.delay(agent, agent_lag));
+        let rig = Rig::start(deployment).await;
+        (0..4).for_each(|agent| rig.control.set_delay(agent, agent_lag));
         let (added, removed) = (12, 1);
         let mut changes = Vec::new();
-        play(&stage, 1, async {
+        play(&rig, 1, async {
             sleep(Duration::from_secs(1)).await;
             // One that hears late is removed, then one that hears at once.
-            changes.push(add_and_remove(&stage, added, removed).before);
+            changes.push(add_and_remove(&rig, added, removed).before);
             sleep(Duration::from_millis(800)).await;
-            changes.push(stage.control.list());
-            stage.control.change(vec![json!({"seat": 8, "member": null})]);
+            changes.push(rig.control.list());
+            rig.control.change(vec![json!({"seat": 8, "member": null})]);
             sleep(Duration::from_millis(800)).await;
-            changes.push(stage.control.list());
-            let back = json!({"seat": 8, "member": seat(8, &stage.fleet.address(8))["member"]});
-            stage.control.change(vec![back]);
-            until_it_calls(&stage, added, 0).await;
+            changes.push(rig.control.list());
+            let back = json!({"seat": 8, "member": seat(8, &rig.fleet.address(8))["member"]});
+            rig.control.change(vec![back]);
+            until_it_calls(&rig, added, 0).await;
         })
         .await;
-        let findings = judge("epochs told late", &stage);
-        findings.assert_kept(&ALWAYS);
-        changes.push(stage.control.list());
+        let findings = judge("epochs told late", &rig);
+        findings.assert_rules_kept(&ALWAYS);
+        changes.push(rig.control.list());
         assert_only_owners_call(&findings, &changes);
         assert_delivered(&findings, 8);
         // The one that hears late that it is removed is done before the new owner begins.
@@ -311,9 +316,9 @@
 #[test]
 fn a_forwarding_connection_cut_after_the_requests_last_byte_makes_no_second_owner() {
     placement::run(async {
-        let stage = Stage::start(Deployment::default()).await;
-        let relays = || (0..6).map(|index| stage.fleet.relay(index));
-        play(&stage, 1, async {
+        let rig = Rig::start(Deployment::default()).await;
+        let relays = || (0..6).map(|index| rig.fleet.relay(index));
+        play(&rig, 1, async {
             sleep(Duration::from_millis(500)).await;
             for mode in [
                 Mode::CutAfterRequest,
@@ -329,9 +334,9 @@
         .await;
         let cut: usize = relays().map(|relay| relay.cut()).sum();
         assert!(cut >= 20, "{cut} requests cut after their last byte");
-        let findings = judge("forwarding connections cut", &stage);
-        findings.assert_kept(&ALWAYS);
-        assert_only_owners_call(&findings, &[stage.control.list()]);
+        let findings = judge("forwarding connections cut", &rig);
+        findings.assert_rules_kept(&ALWAYS);
+        assert_only_owners_call(&findings, &[rig.control.list()]);
         assert!(findings.answers().failed > 0, "what may have been taken on is no refusal");
         assert_delivered(&findings, 7);
     });
@@ -340,20 +345,20 @@
 #[test]
 fn one_request_cut_after_its_last_byte_ends_by_its_effect() {
     placement::run(async {
-        let stage = Stage::start(Deployment::default()).await;
-        let owners = Owners::of(&stage.control.list());
-        (0..12).for_each(|index| stage.fleet.relay(index).set(Mode::CutAfterRequest));
+        let rig = Rig::start(Deployment::default()).await;
+        let owners = Owners::of(&rig.control.list());
+        (0..12).for_each(|index| rig.fleet.relay(index).set(Mode::CutAfterRequest));
         let mut handed_in = Vec::new();
         for (n, class) in [PAY, PUSH, SYNC, FLOW].into_iter().cycle().take(40).enumerate() {
             let destination = 1 + n as i64;
             let owned_by = owners.owners(destination);
             // At a sender that has to forward.
             let entry = (0..12).map(|index| (index + n) % 12).find(|index| !owned_by.contains(index));
-            handed_in.push((class, stage.clients.send(class, destination, entry.unwrap())));
+            handed_in.push((class, rig.clients.send(class, destination, entry.unwrap())));
         }
-        stage.clients.settle().await;
-        let findings = judge("each request cut", &stage);
-        findings.assert_kept(&[]);
+        rig.clients.wait_all_ended().await;
+        let findings = judge("each request cut", &rig);
+        findings.assert_rules_kept(&[]);
         for (class, id) in handed_in {
             let message = findings.table.message(&id).unwrap();
             let callers: BTreeSet<usize> =
@@ -374,42 +379,42 @@
 fn owners_that_are_full_refuse_and_lose_nothing() {
     placement::run(async {
         let deployment = Deployment { max_open: 10, ..Deployment::default() };
-        let stage = Stage::start(deployment).await;
-        stage.receivers.take_usually(Duration::from_millis(1200));
-        play(&stage, 5, async {}).await;
-        let findings = judge("owners full", &stage);
-        findings.assert_kept(&ALWAYS);
-        assert_only_owners_call(&findings, &[stage.control.list()]);
+        let rig = Rig::start(deployment).await;
+        rig.receivers.set_default_delay(Duration::from_millis(1200));
+        play(&rig, 5, async {}).await;
+        let findings = judge("owners full", &rig);
+        findings.assert_rules_kept(&ALWAYS);
+        assert_only_owners_call(&findings, &[rig.control.list()]);
         let answers = findings.answers();
-        assert!(answers.busy > 0 && answers.taken > 100, "{answers:?}");
+        assert!(answers.busy > 0 && answers.accepted > 100, "{answers:?}");
         // Full is a refusal. On a busy machine an owner may not answer in time, which is something else.
-        assert!(answers.failed <= unknown_outcomes(&stage).await, "{answers:?}");
+        assert!(answers.failed <= unknown_outcomes(&rig).await, "{answers:?}");
     });
 }
 
 #[test]
 fn with_all_control_agents_silent_nothing_new_is_taken_on_and_what_was_is_finished() {
     placement::run(async {
-        let stage = Stage::start(Deployment::default()).await;
-        let lease = stage.fleet.deployment.lease;
-        let members = stage.fleet.deployment.members;
-        let silence = |silent| (0..members).for_each(|agent| stage.control.silence(agent, silent));
+        let rig = Rig::start(Deployment::default()).await;
+        let lease = rig.fleet.deployment.lease;
+        let members = rig.fleet.deployment.members;
+        let silence = |silent| (0..members).for_each(|agent| rig.control.set_silent(agent, silent));
         let (mut silent_at, mut again_at) = (0, 0);
-        play(&stage, 2, async {
+        play(&rig, 2, async {
             sleep(Duration::from_secs(1)).await;
             // No answer that is written from now on was asked for later.
             silence(true);
-            silent_at = stage.ledger.now();
+            silent_at = rig.ledger.now();
             sleep(lease + Duration::from_millis(1500)).await;
-            again_at = stage.ledger.now();
+            again_at = rig.ledger.now();
             silence(false);
             for sender in 0..members {
-                until_it_calls(&stage, sender, again_at).await;
+                until_it_calls(&rig, sender, again_at).await;
             }
         })
         .await;
-        let findings = judge("control silent", &stage);
-        findings.assert_kept(&ALWAYS);
+        let findings = judge("control silent", &rig);
+        findings.assert_rules_kept(&ALWAYS);
         let expired = silent_at + micros(lease);
         let offers = findings.table.messages.iter().filter(|m| m.offered > expired && m.offered < again_at);
         let during: Vec<_> = offers.filter(|m| m.reply.is_some_and(|(t, _)| t < again_at)).collect();
@@ -424,70 +429,70 @@
 #[test]
 fn lists_that_are_wrong_are_refused_and_the_last_good_one_stays() {
     placement::run(async {
-        let stage = Stage::start(Deployment { spares: 1, ..Deployment::default() }).await;
+        let rig = Rig::start(Deployment { spares: 1, ..Deployment::default() }).await;
         // Epoch 2 is in force, so that an older one exists.
-        stage.control.change(vec![json!({"append": seat(12, &stage.fleet.address(12))})]);
+        rig.control.change(vec![json!({"append": seat(12, &rig.fleet.address(12))})]);
         for index in 0..13 {
-            until_epoch(&stage, index, 2).await;
+            until_epoch(&rig, index, 2).await;
         }
-        let list = stage.control.list();
-        let wrong = wrong_lists(&list);
-        play(&stage, 1, async {
+        let list = rig.control.list();
+        let wrong = invalid_lists(&list);
+        play(&rig, 1, async {
             sleep(Duration::from_millis(500)).await;
             for (agent, (_, answer)) in wrong.iter().enumerate() {
-                stage.control.answer_instead(agent, Some(answer.clone()));
+                rig.control.override_answer(agent, Some(answer.clone()));
             }
             for (index, (what, _)) in wrong.iter().enumerate() {
-                until_refused(&stage, index, what).await;
+                until_refused(&rig, index, what).await;
             }
-            (0..wrong.len()).for_each(|agent| stage.control.answer_instead(agent, None));
+            (0..wrong.len()).for_each(|agent| rig.control.override_answer(agent, None));
         })
         .await;
-        let findings = judge("wrong lists", &stage);
-        findings.assert_kept(&ALWAYS);
+        let findings = judge("wrong lists", &rig);
+        findings.assert_rules_kept(&ALWAYS);
         assert_only_owners_call(&findings, &[list]);
         assert_delivered(&findings, 9);
         for index in 0..13 {
-            assert_eq!(stage.fleet.figures(index).await["placement"]["epoch"], 2, "{}", name(index));
+            assert_eq!(rig.fleet.metrics(index).await["placement"]["epoch"], 2, "{}", name(index));
         }
         // A good list that comes after a wrong one is taken over.
-        stage.control.change(vec![json!({"seat": 12, "member": null})]);
+        rig.control.change(vec![json!({"seat": 12, "member": null})]);
         for index in 0..13 {
-            until_epoch(&stage, index, 3).await;
+            until_epoch(&rig, index, 3).await;
         }
     });
 }
 
 /// From here on the fleet is no new one, in which nothing was before; all owners are the same.
-async fn begin_second_epoch(stage: &Stage) {
+async fn begin_second_epoch(rig: &Rig) {
     let not_played_with = 1_000_000;
-    stage.control.change(vec![json!({"wide": {"dest": not_played_with, "width": 2}})]);
-    for index in 0..stage.fleet.deployment.processes() {
-        until_epoch(stage, index, 2).await;
+    rig.control.change(vec![json!({"wide": {"dest": not_played_with, "width": 2}})]);
+    for index in 0..rig.fleet.deployment.processes() {
+        until_epoch(rig, index, 2).await;
     }
     // A sender remembers the epoch once nothing is on hold in it, and control has answered after that.
-    for index in 0..stage.fleet.deployment.processes() {
-        while stage.fleet.figures(index).await["placement"]["on_hold_ms"] != 0 {
+    for index in 0..rig.fleet.deployment.processes() {
+        while rig.fleet.metrics(index).await["placement"]["on_hold_ms"] != 0 {
             sleep(Duration::from_millis(50)).await;
         }
     }
-    sleep(stage.fleet.deployment.lease).await;
+    sleep(rig.fleet.deployment.lease).await;
 }
 
 /// Waits until a sender's figures name an epoch.
-async fn until_epoch(stage: &Stage, index: usize, epoch: u64) {
+async fn until_epoch(rig: &Rig, index: usize, epoch: u64) {
     let begun = tokio::time::Instant::now();
-    while stage.fleet.figures(index).await["placement"]["epoch"] != epoch {
-        assert!(begun.elapsed() < common::LIMIT, "no epoch {epoch}: {}", stage.fleet.log(index));
+    while rig.fleet.metrics(index).await["placement"]["epoch"] != epoch {
+        assert!(begun.elapsed() < common::TEST_TIMEOUT, "no epoch {epoch}: {}", rig.fleet.log(index));
         sleep(Duration::from_millis(20)).await;
     }
 }
 
 /// Waits until a sender's figures count a refused list.
-async fn until_refused(stage: &Stage, index: usize, what: &str) {
+async fn until_refused(rig: &Rig, index: usize, what: &str) {
     let begun = tokio::time::Instant::now();
-    while stage.fleet.figures(index).await["placement"]["lists_refused"].as_u64().unwrap_or(0) == 0 {
-        assert!(begun.elapsed() < common::LIMIT, "{what} was not refused: {}", stage.fleet.log(index));
+    while rig.fleet.metrics(index).await["placement"]["lists_refused"].as_u64().unwrap_or(0) == 0 {
+        assert!(begun.elapsed() < common::TEST_TIMEOUT, "{what} was not refused: {}", rig.fleet.log(index));
         sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/sender/tests/placement_standins.rs
+++ b/crates/sender/tests/placement_standins.rs
@@ -5,19 +5,19 @@
 #[path = "common/placement/mod.rs"]
 mod placement;
 
-use common::LIMIT;
+use common::TEST_TIMEOUT;
 use embershore_placement::{Changes, MemberList};
 use embershore_rehearsal::history::{Answered, By, Ended, Event, Item, Signal};
 use embershore_rehearsal::judge::{Rule, Verdict};
 use placement::clients::Load;
 use placement::control::Control;
 use placement::deployment::{Deployment, FLOW, PAY, PUSH, SYNC, seat};
-use placement::fleet::Stage;
+use placement::fleet::Rig;
 use placement::ledger::Ledger;
 use placement::owners::Owners;
 use placement::relay::{Mode, Relay};
 use placement::verdict::Findings;
-use placement::wrong_lists::wrong_lists;
+use placement::wrong_lists::invalid_lists;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -44,14 +44,14 @@
         let (prompt, late) = (control.listen().await, control.listen().await);
         let deployment = Deployment { members: 3, ..Deployment::default() };
         let addresses: Vec<String> = (1..=3).map(|n| format!("127.0.0.1:{n}")).collect();
-        control.begin(deployment.first_list(&addresses));
+        control.set_first_list(deployment.first_list(&addresses));
         let whole = get(prompt, "/v1/members").await;
         assert_eq!((&whole["epoch"], &whole["first"]), (&json!(1), &json!(true)));
         assert_eq!(whole["seats"].as_array().unwrap().len(), 3);
         let nothing = json!({"epoch": 1, "since": 1, "changes": []});
         assert_eq!(get(prompt, "/v1/members?since=1").await, nothing);
 
-        control.delay(1, LIMIT);
+        control.set_delay(1, TEST_TIMEOUT);
         let (vacated, added) =
             (json!({"seat": 0, "member": null}), json!({"append": seat(3, "127.0.0.1:4")}));
         assert_eq!(control.change(vec![vacated.clone()]), 2);
@@ -66,9 +66,9 @@
         assert_eq!(whole["seats"][0]["member"], Value::Null);
         assert_eq!(whole["seats"][3]["member"]["name"], "n3");
 
-        control.answer_instead(0, Some(json!({"epoch": 0})));
+        control.override_answer(0, Some(json!({"epoch": 0})));
         assert_eq!(get(prompt, "/v1/members?since=3").await["epoch"], 0);
-        control.silence(0, true);
+        control.set_silent(0, true);
         let asked = tokio::time::timeout(Duration::from_millis(200), get(prompt, "/v1/members"));
         assert!(asked.await.is_err());
     });
@@ -79,7 +79,7 @@
     let deployment = Deployment::default();
     let addresses: Vec<String> = (1..=12).map(|n| format!("127.0.0.1:{n}")).collect();
     let control = Control::new();
-    control.begin(deployment.first_list(&addresses));
+    control.set_first_list(deployment.first_list(&addresses));
     let first = MemberList::parse_json(control.list().to_string().as_bytes()).unwrap();
     let owners = Owners::of(&control.list());
     for destination in 1..=deployment.destinations {
@@ -92,7 +92,7 @@
     let applied = first.apply(&Changes::parse_json(told.as_bytes()).unwrap()).unwrap();
     let whole = MemberList::parse_json(control.list().to_string().as_bytes()).unwrap();
     assert_eq!(applied.digest(), whole.digest(), "whole and by changes it is the same list");
-    for (what, list) in wrong_lists(&control.list()) {
+    for (what, list) in invalid_lists(&control.list()) {
         let read = MemberList::parse_json(list.to_string().as_bytes());
         let taken = read.and_then(|next| whole.check_successor(&next));
         assert!(taken.is_err(), "{what}: {taken:?}");
@@ -155,8 +155,8 @@
 }
 
 /// Takes down that a message is handed in and answered.
-fn hand_in(ledger: &Ledger, id: &str, class: usize, answered: Answered) {
-    ledger.note(Event::Offer {
+fn record_put(ledger: &Ledger, id: &str, class: usize, answered: Answered) {
+    ledger.record(Event::Offer {
         sender: 0,
         id: id.into(),
         origin: id.into(),
@@ -169,46 +169,46 @@
         left: 1_000_000,
         due: ledger.now(),
     });
-    ledger.note(Event::Reply { id: id.into(), answered, after_ms: None });
+    ledger.record(Event::Reply { id: id.into(), answered, after_ms: None });
 }
 
 /// Takes down that a sender delivers a message.
-fn deliver(ledger: &Ledger, id: &str, sender: usize) {
+fn record_delivery(ledger: &Ledger, id: &str, sender: usize) {
     let (call, items) = (ledger.next_call(), vec![Item { id: id.into(), key: None }]);
     let (first, fresh, batch) = (ledger.now(), false, false);
-    ledger.note(Event::Call { call, sender, endpoint: "d1-0".into(), first, fresh, batch, items });
-    ledger.note(Event::Ran { call, id: id.into(), dropped: false });
-    ledger.note(Event::Answer { call, status: 200, wait_ms: 0, states: None });
+    ledger.record(Event::Call { call, sender, endpoint: "d1-0".into(), first, fresh, batch, items });
+    ledger.record(Event::Ran { call, id: id.into(), dropped: false });
+    ledger.record(Event::Answer { call, status: 200, wait_ms: 0, states: None });
 }
 
 fn judged(ledger: &Ledger) -> Findings {
-    Findings::of("made up", &Deployment::default(), ledger)
+    Findings::from_ledger("made up", &Deployment::default(), ledger)
 }
 
 #[test]
 fn the_verdict_finds_second_owners_double_effects_and_what_has_no_end() {
     let ledger = Ledger::new();
-    ledger.note(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
-    hand_in(&ledger, "kept", PAY, Answered::Taken);
-    deliver(&ledger, "kept", 3);
-    hand_in(&ledger, "ended", PAY, Answered::Taken);
-    ledger.note(Event::Notice { sender: 2, id: "ended".into(), state: Ended::Failed, after_ms: None });
-    hand_in(&ledger, "refused", PAY, Answered::Busy);
+    ledger.record(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
+    record_put(&ledger, "kept", PAY, Answered::Taken);
+    record_delivery(&ledger, "kept", 3);
+    record_put(&ledger, "ended", PAY, Answered::Taken);
+    ledger.record(Event::Notice { sender: 2, id: "ended".into(), state: Ended::Failed, after_ms: None });
+    record_put(&ledger, "refused", PAY, Answered::Busy);
     let good = judged(&ledger);
-    good.assert_kept(&[Rule::NoMessageLost]);
+    good.assert_rules_kept(&[Rule::NoMessageLost]);
     assert_eq!((good.origins(), good.delivered(), good.forwarded(&ledger)), (3, 1, 1));
     assert_eq!(good.answers().busy, 1);
 
-    hand_in(&ledger, "safe", SYNC, Answered::Taken);
-    (4..6).for_each(|sender| deliver(&ledger, "safe", sender));
-    hand_in(&ledger, "twice", PUSH, Answered::Failed);
-    (1..3).for_each(|sender| deliver(&ledger, "twice", sender));
-    hand_in(&ledger, "open", PAY, Answered::Taken);
+    record_put(&ledger, "safe", SYNC, Answered::Taken);
+    (4..6).for_each(|sender| record_delivery(&ledger, "safe", sender));
+    record_put(&ledger, "twice", PUSH, Answered::Failed);
+    (1..3).for_each(|sender| record_delivery(&ledger, "twice", sender));
+    record_put(&ledger, "open", PAY, Answered::Taken);
     let call = ledger.next_call();
     let items = vec![Item { id: "open".into(), key: None }];
     let (endpoint, first) = ("d1-0".into(), ledger.now());
-    ledger.note(Event::Call { call, sender: 5, endpoint, first, fresh: false, batch: false, items });
-    ledger.note(Event::Broke { call, by: By::Sender });
+    ledger.record(Event::Call { call, sender: 5, endpoint, first, fresh: false, batch: false, items });
+    ledger.record(Event::Broke { call, by: By::Sender });
     let bad = judged(&ledger);
     assert_eq!(bad.second_owners(), ["twice"]);
     assert_eq!(bad.double_effects(), ["twice"]);
@@ -220,32 +220,32 @@
 #[test]
 fn the_kits_judge_holds_the_owner_to_what_it_took_on_and_not_the_entry() {
     let ledger = Ledger::new();
-    ledger.note(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
-    hand_in(&ledger, "a", PAY, Answered::Taken);
+    ledger.record(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
+    record_put(&ledger, "a", PAY, Answered::Taken);
     // The entry dies; its owner has still to see the message to its end.
-    ledger.note(Event::Signal { sender: 0, signal: Signal::Kill });
-    deliver(&ledger, "a", 7);
+    ledger.record(Event::Signal { sender: 0, signal: Signal::Kill });
+    record_delivery(&ledger, "a", 7);
     let message = judged(&ledger).table.message("a").unwrap().clone();
     assert_eq!(message.sender, 7);
     // One that was not promised stays with the sender at which it was handed in.
-    hand_in(&ledger, "b", PAY, Answered::Silence);
-    deliver(&ledger, "b", 7);
+    record_put(&ledger, "b", PAY, Answered::Silence);
+    record_delivery(&ledger, "b", 7);
     assert_eq!(judged(&ledger).table.message("b").unwrap().sender, 0);
 }
 
 #[test]
 fn a_key_that_two_owners_serve_at_once_is_out_of_order() {
     let ledger = Ledger::new();
-    ledger.note(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
-    let hand_in_of_key = |id: &str| {
-        hand_in(&ledger, id, FLOW, Answered::Taken);
+    ledger.record(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
+    let record_keyed_put = |id: &str| {
+        record_put(&ledger, id, FLOW, Answered::Taken);
         // The judge goes by times, and two records may have the same.
         std::thread::sleep(Duration::from_millis(1));
     };
-    hand_in_of_key("a");
-    hand_in_of_key("b");
-    deliver(&ledger, "b", 2);
-    deliver(&ledger, "a", 1);
+    record_keyed_put("a");
+    record_keyed_put("b");
+    record_delivery(&ledger, "b", 2);
+    record_delivery(&ledger, "a", 1);
     let findings = judged(&ledger);
     assert_eq!(findings.judgement.ruling(Rule::OrderKept).unwrap().verdict, Verdict::Untested);
     assert_eq!(findings.fleet_order.verdict, Verdict::Broken);
@@ -255,19 +255,25 @@
 fn clients_receivers_and_directory_work_with_a_sender_as_it_is() {
     placement::run(async {
         let deployment = Deployment { members: 1, destinations: 100, ..Deployment::default() };
-        let stage = Stage::start_without_placement(deployment).await;
-        let load = Load::of(&stage.fleet, 80);
-        stage.receivers.conduct(WAITING, placement::receivers::Conduct::WaitOnce(Duration::from_millis(300)));
-        let directory = stage.directory.clone();
+        let rig = Rig::start_without_placement(deployment).await;
+        let load = Load::of(&rig.fleet, 80);
+        rig.receivers
+            .set_conduct(WAITING, placement::receivers::Conduct::WaitOnce(Duration::from_millis(300)));
+        let directory = rig.directory.clone();
         let drains = async {
             tokio::time::sleep(Duration::from_millis(500)).await;
             (1..=5).for_each(|destination| directory.replace(destination));
             tokio::time::sleep(Duration::from_millis(1500)).await;
         };
-        stage.clients.play(&load, drains).await;
-        stage.clients.settle().await;
-        let findings = Findings::of("one sender", &stage.fleet.deployment, &stage.ledger);
-        findings.assert_kept(&[Rule::NoMessageLost, Rule::DrainsKept, Rule::OrderKept, Rule::WaitsHeeded]);
+        rig.clients.run_load(&load, drains).await;
+        rig.clients.wait_all_ended().await;
+        let findings = Findings::from_ledger("one sender", &rig.fleet.deployment, &rig.ledger);
+        findings.assert_rules_kept(&[
+            Rule::NoMessageLost,
+            Rule::DrainsKept,
+            Rule::OrderKept,
+            Rule::WaitsHeeded,
+        ]);
         // Only a receiver that told its sender to wait is tried so seldom that a message's time may be up before.
         let mut undelivered = findings.undelivered();
         undelivered.remove(&WAITING);
--- a/crates/sender/tests/reload.rs
+++ b/crates/sender/tests/reload.rs
@@ -10,28 +10,31 @@
 #[test]
 fn sighup_moves_discovery_and_notices_to_the_new_address() {
     let (old, new) = (Endpoint::new(|_| status(500)), Endpoint::new(|_| status(500)));
-    let first = Platform::new(vec![line("s-1", old.addr, "one", 3, "Ready")]);
+    let first = Platform::new(vec![listed_endpoint("s-1", old.addr, "one", 3, "Ready")]);
     let mut sender = Sender::start(&first);
     let mut client = sender.client();
     client.ping();
     // The new one counts its versions anew, and its list lacks the old endpoint.
-    let second = Platform::new(vec![line("s-2", new.addr, "one", 3, "Ready")]);
+    let second = Platform::new(vec![listed_endpoint("s-2", new.addr, "one", 3, "Ready")]);
     second.set_index(2);
-    sender.hears(
+    sender.wait_drain_recorded(
         || {
-            sender.change(|c| c["discovery"] = second.addr.to_string().into());
-            sender.hang_up();
+            sender.change_config(|c| c["discovery"] = second.addr.to_string().into());
+            sender.send_sighup();
         },
         "s-1",
     );
     assert_eq!(client.put("a1", PAY), "+OK");
-    second.wait_state("a1", "failed");
-    assert_eq!((old.times("a1"), new.times("a1")), (0, 1));
+    second.wait_notice("a1", "failed");
+    assert_eq!((old.call_count("a1"), new.call_count("a1")), (0, 1));
     assert!(first.notices().is_empty());
     // Changes are followed there too.
     let third = Endpoint::new(|_| status(200));
-    let lines = vec![line("s-2", new.addr, "one", 3, "Gone"), line("s-3", third.addr, "one", 3, "Ready")];
-    sender.hears(|| second.tell(false, lines.clone()), "s-2");
+    let lines = vec![
+        listed_endpoint("s-2", new.addr, "one", 3, "Gone"),
+        listed_endpoint("s-3", third.addr, "one", 3, "Ready"),
+    ];
+    sender.wait_drain_recorded(|| second.publish(false, lines.clone()), "s-2");
     assert_eq!(client.put("a2", SYNC), "+OK");
     third.wait_sent("a2");
     assert!(sender.is_running());
@@ -40,54 +43,54 @@
 #[test]
 fn a_notice_in_work_is_repeated_at_the_new_address() {
     let endpoint = Endpoint::new(|_| status(500));
-    let listed = vec![line("s-1", endpoint.addr, "one", 3, "Ready")];
+    let listed = vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")];
     let (first, second) = (Platform::new(listed.clone()), Platform::new(listed));
-    first.set_deaf(true);
+    first.set_reject_notices(true);
     let sender = Sender::start(&first);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
-    sender.change(|c| c["discovery"] = second.addr.to_string().into());
-    sender.hang_up();
-    second.wait_state("a1", "failed");
+    sender.change_config(|c| c["discovery"] = second.addr.to_string().into());
+    sender.send_sighup();
+    second.wait_notice("a1", "failed");
 }
 
 #[test]
 fn a_configuration_that_is_missing_or_wrong_changes_nothing() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let mut sender = Sender::start(&platform);
     let mut client = sender.client();
     client.ping();
-    wait_until("the watch", || platform.paths().len() == 2);
+    wait_until("the watch", || platform.request_lines().len() == 2);
     let path = sender.folder.path().join("config.json");
     for (n, text) in [None, Some("{"), Some("{\"discovery\": 5}")].into_iter().enumerate() {
         match text {
             None => std::fs::remove_file(&path).unwrap(),
             Some(text) => std::fs::write(&path, text).unwrap(),
         }
-        sender.hang_up();
+        sender.send_sighup();
         let id = format!("a{n}");
         assert_eq!(client.put(&id, SYNC), "+OK");
         endpoint.wait_sent(&id);
     }
     std::thread::sleep(Duration::from_millis(100));
     assert!(sender.is_running());
-    assert_eq!(platform.paths().len(), 2, "one list and one watch: {:?}", platform.paths());
+    assert_eq!(platform.request_lines().len(), 2, "one list and one watch: {:?}", platform.request_lines());
 }
 
 /// Alters a class of the configuration, or the list of them.
 fn retune(sender: &Sender, change: impl Fn(&mut Vec<serde_json::Value>)) {
-    sender.change(|c| change(c["settings"]["Profiles"].as_array_mut().unwrap()));
-    let before = sender.figures()["sighup_applied"].as_u64();
-    sender.hang_up();
-    wait_until("the file to be taken", || sender.figures()["sighup_applied"].as_u64() > before);
+    sender.change_config(|c| change(c["settings"]["Profiles"].as_array_mut().unwrap()));
+    let before = sender.metrics()["sighup_applied"].as_u64();
+    sender.send_sighup();
+    wait_until("the file to be taken", || sender.metrics()["sighup_applied"].as_u64() > before);
 }
 
 #[test]
 fn classes_come_with_their_own_rules_and_go_after_a_while() {
     let endpoint = Endpoint::new(|r| if r.ids()[0].starts_with('f') { status(500) } else { status(200) });
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
-    let sender = Sender::with_door(&platform);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let sender = Sender::with_mgmt(&platform);
     let mut client = sender.client();
     client.ping();
     assert!(client.put("a0", "c=wire,d=1000,dest=3").starts_with("-ERR"));
@@ -98,14 +101,14 @@
         classes[1] = wire;
     });
     assert_eq!(client.put("f1", "c=wire,d=1000,dest=3"), "+OK");
-    platform.wait_state("f1", "failed");
-    assert_eq!(endpoint.times("f1"), 1);
+    platform.wait_notice("f1", "failed");
+    assert_eq!(endpoint.call_count("f1"), 1);
     // Its clients have not heard that the other is gone.
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     // A message counts as succeeded once its answer has come, which is after it was sent.
     wait_until("both ends to be counted", || {
-        let told = sender.figures();
+        let told = sender.metrics();
         (&told["aborted"]["wire"], &told["succeeded"]["sync"]) == (&1.into(), &1.into())
     });
     let mut late = String::new();
@@ -114,15 +117,15 @@
         late.starts_with("-ERR")
     });
     assert_eq!(late, "-ERR unknown class");
-    assert!(sender.figures()["succeeded"]["sync"].is_u64(), "its count stays");
+    assert!(sender.metrics()["succeeded"]["sync"].is_u64(), "its count stays");
 }
 
 #[test]
 fn open_messages_keep_the_rules_under_which_they_came_also_after_a_kill() {
     // Each call breaks off: what may be repeated goes again, what may not fails.
-    let (safe, once) = (Endpoint::new(|_| Act::Break), Endpoint::new(|_| Act::Break));
+    let (safe, once) = (Endpoint::new(|_| StubResponse::Close), Endpoint::new(|_| StubResponse::Close));
     let platform = Platform::new(vec![placeholder(3), placeholder(4)]);
-    let mut sender = Sender::with_door(&platform);
+    let mut sender = Sender::with_mgmt(&platform);
     let mut client = sender.client();
     client.ping();
     assert_eq!(client.put("safe", SYNC), "+OK");
@@ -133,40 +136,43 @@
         classes.push(sync);
     });
     assert_eq!(client.put("unsafe", "c=sync,d=15000,dest=4"), "+OK");
-    assert_eq!(sender.figures()["outstanding"], 2);
+    assert_eq!(sender.metrics()["outstanding"], 2);
     sender.kill();
-    let lines = vec![line("s-1", safe.addr, "one", 3, "Ready"), line("s-2", once.addr, "one", 4, "Ready")];
-    platform.tell(true, lines);
+    let lines = vec![
+        listed_endpoint("s-1", safe.addr, "one", 3, "Ready"),
+        listed_endpoint("s-2", once.addr, "one", 4, "Ready"),
+    ];
+    platform.publish(true, lines);
     sender.spawn();
-    platform.wait_state("unsafe", "failed");
-    wait_until("the repeat of the one that is safe", || safe.times("safe") > 1);
-    assert_eq!(once.times("unsafe"), 1);
+    platform.wait_notice("unsafe", "failed");
+    wait_until("the repeat of the one that is safe", || safe.call_count("safe") > 1);
+    assert_eq!(once.call_count("unsafe"), 1);
 }
 
 #[test]
 fn fewer_attempts_hold_for_messages_that_come_later() {
     let endpoint = Endpoint::new(|_| status(503));
     let platform = Platform::new(vec![placeholder(3)]);
-    let sender = Sender::with_door(&platform);
+    let sender = Sender::with_mgmt(&platform);
     let mut client = sender.client();
     client.ping();
     assert_eq!(client.put("six", SYNC), "+OK");
-    sender.change(|c| c["settings"]["Limits"]["MaxAttempts"] = 2.into());
+    sender.change_config(|c| c["settings"]["Limits"]["MaxAttempts"] = 2.into());
     retune(&sender, |_| {});
     assert_eq!(client.put("two", SYNC), "+OK");
-    platform.tell(false, vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
-    platform.wait_state("two", "returned");
-    platform.wait_state("six", "returned");
-    assert_eq!(endpoint.times("two"), 2);
-    assert!(endpoint.times("six") > 2, "{}", endpoint.times("six"));
+    platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
+    platform.wait_notice("two", "returned");
+    platform.wait_notice("six", "returned");
+    assert_eq!(endpoint.call_count("two"), 2);
+    assert!(endpoint.call_count("six") > 2, "{}", endpoint.call_count("six"));
 }
 
 #[test]
 fn nothing_is_taken_from_a_file_with_a_flaw() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let nowhere = Platform::new(vec![placeholder(9)]);
-    let sender = Sender::with_door(&platform);
+    let sender = Sender::with_mgmt(&platform);
     let mut client = sender.client();
     client.ping();
     let path = sender.folder.path().join("config.json");
@@ -180,7 +186,7 @@
         |c| c["settings"]["Rules"] = serde_json::Value::Null,
     ];
     for n in 0..20 {
-        sender.change(|c| {
+        sender.change_config(|c| {
             c["discovery"] = nowhere.addr.to_string().into();
             let mut more = c["settings"]["Profiles"][1].clone();
             more["Name"] = "more".into();
@@ -192,9 +198,9 @@
             let text = std::fs::read_to_string(&path).unwrap();
             std::fs::write(&path, &text[..text.len() / 2]).unwrap();
         }
-        let before = sender.figures()["sighup_rejected"].as_u64();
-        sender.hang_up();
-        wait_until("the file to be turned down", || sender.figures()["sighup_rejected"].as_u64() > before);
+        let before = sender.metrics()["sighup_rejected"].as_u64();
+        sender.send_sighup();
+        wait_until("the file to be turned down", || sender.metrics()["sighup_rejected"].as_u64() > before);
         std::fs::write(&path, &good).unwrap();
     }
     // On a busy machine all that takes more than the 2 s after which a connection that rests is closed.
@@ -203,6 +209,6 @@
     assert!(told.starts_with("-ERR"), "{told}");
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    assert!(nowhere.paths().is_empty(), "discovery has not moved");
-    assert_eq!(sender.figures()["sighup_applied"], 0);
+    assert!(nowhere.request_lines().is_empty(), "discovery has not moved");
+    assert_eq!(sender.metrics()["sighup_applied"], 0);
 }
--- a/crates/sender/tests/restart.rs
+++ b/crates/sender/tests/restart.rs
@@ -9,9 +9,9 @@
 const PUSH: &str = "c=push,d=20000,dest=3,k=5c0f6e1a2b3d4c59";
 const PAY: &str = "c=pay,d=25000,dest=3";
 
-fn one(script: impl Fn(&Request) -> Act + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
+fn one(script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
     let endpoint = Endpoint::new(script);
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     sender.client().ping();
     (endpoint, platform, sender)
@@ -21,13 +21,14 @@
 fn a_message_that_was_never_sent_is_delivered_after_a_kill() {
     let endpoint = Endpoint::new(|_| status(200));
     // No endpoint of its destination is listed until the sender has been killed.
-    let platform = Platform::new(vec![line("s-0", endpoint.addr, "one", 1, "Ready"), placeholder(3)]);
+    let platform =
+        Platform::new(vec![listed_endpoint("s-0", endpoint.addr, "one", 1, "Ready"), placeholder(3)]);
     let mut sender = Sender::start(&platform);
     for (id, fields) in [("a1", SYNC), ("a2", PUSH), ("a3", PAY)] {
         assert_eq!(sender.client().put(id, fields), "+OK");
     }
     sender.kill();
-    platform.tell(true, vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     sender.spawn();
     ["a1", "a2", "a3"].iter().for_each(|id| endpoint.wait_sent(id));
     assert!(platform.notices().is_empty());
@@ -38,33 +39,33 @@
 
 #[test]
 fn a_call_that_was_out_at_a_kill_may_have_run() {
-    let (endpoint, platform, mut sender) = one(|_| Act::Silence);
+    let (endpoint, platform, mut sender) = one(|_| StubResponse::Silence);
     let mut client = sender.client();
     for (id, fields) in [("a1", PAY), ("a2", SYNC), ("a3", PUSH)] {
         assert_eq!(client.put(id, fields), "+OK");
         endpoint.wait_sent(id);
     }
     sender.kill();
-    endpoint.act(|_| status(200));
+    endpoint.set_script(|_| status(200));
     sender.spawn();
-    platform.wait_state("a1", "failed");
-    wait_until("the repeatable ones", || endpoint.times("a2") == 2 && endpoint.times("a3") == 2);
-    assert_eq!(endpoint.times("a1"), 1);
+    platform.wait_notice("a1", "failed");
+    wait_until("the repeatable ones", || endpoint.call_count("a2") == 2 && endpoint.call_count("a3") == 2);
+    assert_eq!(endpoint.call_count("a1"), 1);
 }
 
 #[test]
 fn a_keyed_message_goes_again_only_inside_its_window_since_the_first_send() {
-    let (endpoint, platform, mut sender) = one(|_| Act::Silence);
+    let (endpoint, platform, mut sender) = one(|_| StubResponse::Silence);
     assert_eq!(sender.client().put("a1", PUSH), "+OK");
     endpoint.wait_sent("a1");
     let sent = Instant::now();
     sender.kill();
-    endpoint.act(|_| status(200));
+    endpoint.set_script(|_| status(200));
     // The class's window is 3 s; it runs on while the sender is down.
     wait_until("the window's end", || sent.elapsed() > Duration::from_millis(3100));
     sender.spawn();
-    wait_until("its end", || platform.state_of("a1").is_some());
-    assert_eq!(endpoint.times("a1"), 1);
+    wait_until("its end", || platform.notice_state("a1").is_some());
+    assert_eq!(endpoint.call_count("a1"), 1);
 }
 
 #[test]
@@ -94,36 +95,37 @@
     endpoint.wait_sent("a1");
     std::thread::sleep(Duration::from_millis(100));
     sender.kill();
-    let before = endpoint.times("a1");
+    let before = endpoint.call_count("a1");
     sender.spawn();
     // A restored message counts as demand: one refusal must not leave its destination with no budget.
-    wait_until("two attempts more", || endpoint.times("a1") >= before + 2);
-    platform.wait_state("a1", "returned");
-    assert!(endpoint.times("a1") <= 6, "{} attempts", endpoint.times("a1"));
+    wait_until("two attempts more", || endpoint.call_count("a1") >= before + 2);
+    platform.wait_notice("a1", "returned");
+    assert!(endpoint.call_count("a1") <= 6, "{} attempts", endpoint.call_count("a1"));
     assert!(accepted.elapsed() < Duration::from_millis(15_000));
 }
 
 #[test]
 fn an_end_is_told_until_it_is_confirmed_also_after_a_kill() {
     let (_endpoint, platform, mut sender) = one(|_| status(500));
-    platform.set_deaf(true);
+    platform.set_reject_notices(true);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     // The end stands in the journal once it has been decided.
     wait_until("the end in the journal", || {
-        sender.journal_holds("a1") && std::fs::metadata(sender.journal()).is_ok_and(|m| m.len() > 0)
+        sender.journal_contains("a1") && std::fs::metadata(sender.journal()).is_ok_and(|m| m.len() > 0)
     });
     std::thread::sleep(Duration::from_millis(200));
     sender.kill();
-    platform.hear_out();
-    platform.set_deaf(false);
+    platform.wait_connections_closed();
+    platform.set_reject_notices(false);
     sender.spawn();
-    platform.wait_state("a1", "failed");
+    platform.wait_notice("a1", "failed");
 }
 
 #[test]
 fn a_torn_tail_is_cut_off_and_what_stands_before_it_is_kept() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-0", endpoint.addr, "one", 1, "Ready"), placeholder(3)]);
+    let platform =
+        Platform::new(vec![listed_endpoint("s-0", endpoint.addr, "one", 1, "Ready"), placeholder(3)]);
     let mut sender = Sender::start(&platform);
     let mut client = sender.client();
     assert_eq!(client.put("a1", PAY), "+OK");
@@ -132,24 +134,25 @@
     sender.kill();
     let file = std::fs::OpenOptions::new().write(true).open(sender.journal()).unwrap();
     file.set_len(whole + 11).unwrap();
-    platform.tell(true, vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     sender.spawn();
     endpoint.wait_sent("a1");
     // What is written after the cut is read at the start after.
-    assert_eq!(endpoint.times("a2"), 0);
-    sender.hears(|| platform.tell(true, vec![]), "s-1");
+    assert_eq!(endpoint.call_count("a2"), 0);
+    sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     assert_eq!(sender.client().put("a3", PAY), "+OK");
     sender.kill();
-    platform.tell(true, vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     sender.spawn();
     endpoint.wait_sent("a3");
-    assert_eq!(endpoint.times("a1"), 1);
+    assert_eq!(endpoint.call_count("a1"), 1);
 }
 
 #[test]
 fn damage_at_the_end_is_found_by_the_checksum() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-0", endpoint.addr, "one", 1, "Ready"), placeholder(3)]);
+    let platform =
+        Platform::new(vec![listed_endpoint("s-0", endpoint.addr, "one", 1, "Ready"), placeholder(3)]);
     let mut sender = Sender::start(&platform);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     sender.kill();
@@ -158,7 +161,7 @@
     *torn.last_mut().unwrap() ^= 0x40;
     bytes.extend_from_slice(&torn);
     std::fs::File::create(sender.journal()).unwrap().write_all(&bytes).unwrap();
-    platform.tell(true, vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     sender.spawn();
     endpoint.wait_sent("a1");
 }
@@ -166,7 +169,8 @@
 #[test]
 fn the_folder_stays_under_its_limit_and_a_full_one_refuses() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-0", endpoint.addr, "one", 3, "Ready"), placeholder(4)]);
+    let platform =
+        Platform::new(vec![listed_endpoint("s-0", endpoint.addr, "one", 3, "Ready"), placeholder(4)]);
     let mut sender = Sender::with(&platform, |c| c["limits"]["disk_mb"] = 0.5.into());
     let mut client = sender.client();
     let body = vec![7; 20_000];
@@ -175,7 +179,7 @@
         client.write(&put(&format!("p{n}"), "c=sync,d=20000,dest=3,t=acme", &body));
         assert_eq!(client.read(), "+OK");
         endpoint.wait_sent(&format!("p{n}"));
-        assert!(size_of(&sender.state()) <= 500_000);
+        assert!(folder_size(&sender.state()) <= 500_000);
     }
     // With nowhere to go, messages stay, and what there is no room for is refused.
     let mut taken = Vec::new();
@@ -189,11 +193,11 @@
                 refused += 1;
             }
         }
-        assert!(size_of(&sender.state()) <= 500_000);
+        assert!(folder_size(&sender.state()) <= 500_000);
     }
     assert!(!taken.is_empty() && refused > 0, "{} taken, {refused} refused", taken.len());
     sender.kill();
-    platform.tell(true, vec![line("s-1", endpoint.addr, "one", 4, "Ready")]);
+    platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 4, "Ready")]);
     sender.spawn();
     taken.iter().for_each(|id| endpoint.wait_sent(id));
     assert_eq!(endpoint.sent().iter().filter(|id| id.starts_with('q')).count(), taken.len());
@@ -210,7 +214,7 @@
     std::thread::sleep(Duration::from_millis(100));
     sender.kill();
     let before = endpoint.requests().len();
-    endpoint.act(|_| Act::Silence);
+    endpoint.set_script(|_| StubResponse::Silence);
     sender.spawn();
     sender.client().ping();
     wait_until("a trial", || endpoint.requests().len() > before);
@@ -240,22 +244,22 @@
     let status = sender.wait_exit();
     assert!(status.success());
     assert!(start.elapsed() < Duration::from_millis(3700), "{:?}", start.elapsed());
-    assert_eq!(endpoint.times("a1"), 1);
+    assert_eq!(endpoint.call_count("a1"), 1);
     // What was delivered is over; the rest is owed by the next start.
     sender.spawn();
     endpoint.wait_sent("a2");
     sender.client().ping();
-    assert_eq!((endpoint.times("a1"), platform.state_of("a1")), (1, None));
+    assert_eq!((endpoint.call_count("a1"), platform.notice_state("a1")), (1, None));
 }
 
 /// The stub keeps a request only after its gate: that the journal names the endpoint shows that it was sent.
 fn endpoint_has_connection(_endpoint: &Endpoint, sender: &Sender) {
-    wait_until("the attempt in the journal", || sender.journal_holds("s-1"));
+    wait_until("the attempt in the journal", || sender.journal_contains("s-1"));
 }
 
 #[test]
 fn sigterm_with_a_hung_call_ends_in_time_and_the_call_may_have_run() {
-    let (endpoint, platform, mut sender) = one(|_| Act::Silence);
+    let (endpoint, platform, mut sender) = one(|_| StubResponse::Silence);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
     sender.terminate();
@@ -263,24 +267,30 @@
     assert!(sender.wait_exit().success());
     assert!(start.elapsed() < Duration::from_millis(3700), "{:?}", start.elapsed());
     sender.spawn();
-    platform.wait_state("a1", "failed");
-    assert_eq!(endpoint.times("a1"), 1);
+    platform.wait_notice("a1", "failed");
+    assert_eq!(endpoint.call_count("a1"), 1);
 }
 
 #[test]
 fn a_drain_learnt_before_a_restart_holds_though_the_list_given_then_is_older() {
     let (old, new) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
-    let listed = [line("s-1", old.addr, "one", 3, "Ready"), line("s-2", new.addr, "one", 3, "Ready")];
+    let listed = [
+        listed_endpoint("s-1", old.addr, "one", 3, "Ready"),
+        listed_endpoint("s-2", new.addr, "one", 3, "Ready"),
+    ];
     let platform = Platform::new(listed.to_vec());
     let mut sender = Sender::with(&platform, |c| {
         c["known"] = serde_json::json!({"index": 7, "snapshot": true, "endpoints": listed});
     });
     sender.client().ping();
-    sender.hears(|| platform.tell(false, vec![line("s-1", old.addr, "one", 3, "Terminating")]), "s-1");
+    sender.wait_drain_recorded(
+        || platform.publish(false, vec![listed_endpoint("s-1", old.addr, "one", 3, "Terminating")]),
+        "s-1",
+    );
     sender.kill();
     // Discovery is silent from now on.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    sender.change(|c| c["discovery"] = silent.local_addr().unwrap().to_string().into());
+    sender.change_config(|c| c["discovery"] = silent.local_addr().unwrap().to_string().into());
     sender.spawn();
     let mut client = sender.client();
     for n in 0..6 {
@@ -321,12 +331,12 @@
     let journal = full_journal(&platform);
     assert!(journal.len() > 1_000_000, "{} bytes", journal.len());
     // Discovery refuses connections, or takes them and says nothing, or is there.
-    let (refusing, silent) = (Refusing::new(), Scripted::new(|_, _, _| {}));
+    let (refusing, silent) = (RefusingAddress::new(), ScriptedPlatform::new(|_, _, _| {}));
     for discovery in [refusing.addr, silent.addr, platform.addr] {
-        let mut senders: Vec<Sender> = (0..10).map(|_| Sender::with_door(&platform)).collect();
+        let mut senders: Vec<Sender> = (0..10).map(|_| Sender::with_mgmt(&platform)).collect();
         for sender in &mut senders {
             sender.kill();
-            sender.change(|c| {
+            sender.change_config(|c| {
                 many_open(c);
                 c["discovery"] = discovery.to_string().into();
                 c["known"] = serde_json::json!({"index": 7, "snapshot": true, "endpoints": [placeholder(3)]});
@@ -338,7 +348,8 @@
         let mut ready: Vec<Option<Duration>> = vec![None; senders.len()];
         while ready.contains(&None) && begun.elapsed() < READY {
             for (sender, ready) in senders.iter().zip(&mut ready) {
-                let now = || ask(sender.door, "GET /_ready").is_some_and(|(status, _)| status == 200);
+                let now =
+                    || mgmt_request(sender.mgmt, "GET /_ready").is_some_and(|(status, _)| status == 200);
                 if ready.is_none() && now() {
                     *ready = Some(begun.elapsed());
                 }
@@ -352,8 +363,8 @@
 /// A keyed message whose first call had no answer when its sender was killed, `down` after that call, in a sender whose
 /// window for repeats is 1 s: how long after the first call the others came.
 fn repeats_in_a_window_of_a_second(down: Duration) -> Vec<Duration> {
-    let endpoint = Endpoint::new(|_| Act::Silence);
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let endpoint = Endpoint::new(|_| StubResponse::Silence);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let mut sender = Sender::with(&platform, |c| c["settings"]["Profiles"][0]["WindowUs"] = 1_000_000.into());
     assert_eq!(sender.client().put("a1", PUSH), "+OK");
     endpoint.wait_sent("a1");
@@ -363,7 +374,7 @@
     sender.spawn();
     // It is told as failed, or its calls are silent until the window is over.
     std::thread::sleep(Duration::from_millis(1600));
-    platform.wait_state("a1", "failed");
+    platform.wait_notice("a1", "failed");
     endpoint.requests()[1..].iter().map(|request| request.at - first).collect()
 }
 
--- a/crates/sender/tests/settings.rs
+++ b/crates/sender/tests/settings.rs
@@ -12,9 +12,9 @@
 
 /// What the fields are set to in turn; nothing takes them out.
 fn wrongs() -> Vec<Option<Value>> {
-    let figures = [json!(0), json!(-1), json!(u32::MAX), json!(i64::MAX), json!(-1e300), json!(1e300)];
+    let metrics = [json!(0), json!(-1), json!(u32::MAX), json!(i64::MAX), json!(-1e300), json!(1e300)];
     let others = [Value::Null, json!("x"), json!([]), json!({}), json!(true)];
-    [None].into_iter().chain(figures.into_iter().chain(others).map(Some)).collect()
+    [None].into_iter().chain(metrics.into_iter().chain(others).map(Some)).collect()
 }
 
 /// The paths of all fields in a value, those of a list's first entry among them.
@@ -90,12 +90,12 @@
 #[test]
 fn a_field_that_is_missing_or_out_of_bounds_is_served_or_named() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     // The port is taken from a listener that has gone; each sender has an address of its own.
     let port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port();
     let address = |n: usize| SocketAddr::from((Ipv4Addr::new(127, 77, (n >> 8) as u8, n as u8), port));
     let mut whole = config(address(0), &platform, 256);
-    whole["known"]["endpoints"] = json!([line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    whole["known"]["endpoints"] = json!([listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let mut fields = Vec::new();
     paths(&whole, "", &mut fields);
     let cases: Vec<(String, Option<Value>)> =
@@ -127,7 +127,7 @@
 #[test]
 fn what_is_null_stands_for_its_default() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let sender = Sender::with(&platform, |c| {
         c["settings"]["Limits"]["ConnectTimeoutUs"] = Value::Null;
         c["settings"]["Limits"]["Probes"] = Value::Null;
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -34,7 +34,7 @@
 }
 
 fn listed(group: i64, addr: SocketAddr) -> Value {
-    line(&format!("s-{group}"), addr, "one", group, "Ready")
+    listed_endpoint(&format!("s-{group}"), addr, "one", group, "Ready")
 }
 
 /// Milliseconds after `begun` at which a message's end was told, by when the stub has it.
@@ -57,7 +57,7 @@
     for count in [1, 2, 10, TAKEN_MOST - 1, TAKEN_MOST] {
         let endpoints: Vec<Endpoint> = (0..3).map(|_| Endpoint::new(|_| status(200))).collect();
         let (platform, mut sender, _) = killed_with(count, 3, 15_000);
-        platform.tell(true, (3..).zip(&endpoints).map(|(group, e)| listed(group, e.addr)).collect());
+        platform.publish(true, (3..).zip(&endpoints).map(|(group, e)| listed(group, e.addr)).collect());
         sender.spawn();
         (0..count).for_each(|n| endpoints[n % 3].wait_sent(&id(n)));
         assert!(platform.notices().is_empty(), "{count}: {:?}", platform.notices());
@@ -73,7 +73,7 @@
     });
     let well = Endpoint::new(|_| status(200));
     let (platform, mut sender, _) = killed_with(20, 2, 15_000);
-    platform.tell(true, vec![listed(3, slow.addr), listed(4, well.addr)]);
+    platform.publish(true, vec![listed(3, slow.addr), listed(4, well.addr)]);
     sender.spawn();
     let mut client = sender.client();
     client.ping();
@@ -93,10 +93,10 @@
 fn what_a_receiver_refuses_has_been_called() {
     let endpoint = Endpoint::new(|_| status(503));
     let (platform, mut sender, begun) = killed_with(12, 1, 9_000);
-    platform.tell(true, vec![listed(3, endpoint.addr)]);
+    platform.publish(true, vec![listed(3, endpoint.addr)]);
     sender.spawn();
     let ends = told(&platform, 12, begun);
-    let uncalled: Vec<_> = ends.iter().filter(|(id, _)| endpoint.times(id) == 0).collect();
+    let uncalled: Vec<_> = ends.iter().filter(|(id, _)| endpoint.call_count(id) == 0).collect();
     // One in trouble is asked by single trials, a second apart in the end: some of twelve in nine seconds may find no turn,
     // and end when their time does.
     assert!(uncalled.len() < 6, "{uncalled:?}");
@@ -105,23 +105,23 @@
 
 #[test]
 fn what_cannot_reach_its_receiver_waits_until_its_time_and_is_called_once_it_can() {
-    let refusing = Refusing::new();
+    let refusing = RefusingAddress::new();
     let addr = refusing.addr;
     let (platform, mut sender, begun) = killed_with(4, 1, 9_000);
     // Three tries would be over within a second.
-    sender.change(|c| c["settings"]["Limits"]["MaxAttempts"] = 3.into());
-    platform.tell(true, vec![listed(3, addr)]);
+    sender.change_config(|c| c["settings"]["Limits"]["MaxAttempts"] = 3.into());
+    platform.publish(true, vec![listed(3, addr)]);
     sender.spawn();
     let ends = told(&platform, 4, begun);
     assert!(ends.iter().all(|(_, at)| *at >= Duration::from_millis(8_900)), "{ends:?}");
 
     let (platform, mut sender, _) = killed_with(4, 1, 15_000);
-    sender.change(|c| c["settings"]["Limits"]["MaxAttempts"] = 3.into());
-    platform.tell(true, vec![listed(3, addr)]);
+    sender.change_config(|c| c["settings"]["Limits"]["MaxAttempts"] = 3.into());
+    platform.publish(true, vec![listed(3, addr)]);
     sender.spawn();
     sleep(Duration::from_secs(4));
     let endpoint = Endpoint::new(|_| status(200));
-    platform.tell(false, vec![listed(3, endpoint.addr)]);
+    platform.publish(false, vec![listed(3, endpoint.addr)]);
     (0..4).for_each(|n| endpoint.wait_sent(&id(n)));
     assert!(platform.notices().is_empty(), "{:?}", platform.notices());
 }
@@ -136,17 +136,17 @@
         sleep(Duration::from_millis(wait));
         sender.kill();
     }
-    platform.tell(true, vec![listed(3, endpoint.addr)]);
+    platform.publish(true, vec![listed(3, endpoint.addr)]);
     sender.spawn();
     sleep(Duration::from_millis(30));
     sender.kill();
     sender.spawn();
     // What the last kill met under way may have run, and an unsafe one of those fails.
     wait_until("each one's end", || {
-        let called = |n: &usize| endpoint.times(&id(*n)) > 0 || platform.state_of(&id(*n)).is_some();
+        let called = |n: &usize| endpoint.call_count(&id(*n)) > 0 || platform.notice_state(&id(*n)).is_some();
         (0..TAKEN_MOST).all(|n| called(&n))
     });
-    let given_up: Vec<_> = (0..TAKEN_MOST).filter(|n| endpoint.times(&id(*n)) == 0).collect();
+    let given_up: Vec<_> = (0..TAKEN_MOST).filter(|n| endpoint.call_count(&id(*n)) == 0).collect();
     let unsafe_only = given_up.iter().all(|n| n % 3 == 2);
     assert!(unsafe_only && given_up.len() <= 2, "{given_up:?}");
 }
@@ -156,7 +156,7 @@
     let endpoint = Endpoint::new(|_| status(200));
     let (platform, mut sender, _) = killed_with(5, 1, 600);
     sleep(Duration::from_millis(700));
-    platform.tell(true, vec![listed(3, endpoint.addr)]);
+    platform.publish(true, vec![listed(3, endpoint.addr)]);
     sender.spawn();
     let begun = Instant::now();
     let ends = told(&platform, 5, begun);
