--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -1,4 +1,5 @@
-//! Discovery that costs work to ask: when it is asked, and what is asked again.
+//! Polling of a discovery whose requests are expensive (`"Discovery": "ask"`). Guards against polling at the start or too
+//! often, and against pauses after failed requests that delay a drain beyond the time allowed.
 
 mod common;
 use common::*;
@@ -10,10 +11,10 @@
 
 const SYNC: &str = "c=sync,d=15000,dest=3";
 
-/// Discovery tells only those that ask, at most once in so many milliseconds; a list is given with the start.
-fn asked(config: &mut Value, every_ms: u64, known: &Value) {
+/// Configures a discovery that is polled at most once in `interval_ms`, and a list known at the start.
+fn poll_settings(config: &mut Value, interval_ms: u64, known: &Value) {
     config["settings"]["Discovery"] = "ask".into();
-    config["settings"]["Rules"]["AskEveryUs"] = (every_ms * 1000).into();
+    config["settings"]["Rules"]["AskEveryUs"] = (interval_ms * 1000).into();
     config["known"] = json!({"index": 7, "snapshot": true, "endpoints": [known]});
 }
 
@@ -22,9 +23,9 @@
     let endpoint = Endpoint::new(|_| status(200));
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![known.clone()]);
-    // The first question comes within four fifths of the span, at a time that the seed sets: 500 s are enough for it
-    // not to come here.
-    let sender = Sender::with(&platform, |c| asked(c, 500_000, &known));
+    // The first poll comes within four fifths of the interval, at a time that the seed determines: with 500 s it does not
+    // come during this test.
+    let sender = Sender::with(&platform, |c| poll_settings(c, 500_000, &known));
     let mut client = sender.client();
     client.ping();
     assert_eq!(client.put("a1", SYNC), "+OK");
@@ -38,11 +39,11 @@
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![known.clone()]);
     platform.reject_next_polls(3);
-    let sender = Sender::with(&platform, |c| asked(c, 100, &known));
+    let sender = Sender::with(&platform, |c| poll_settings(c, 100, &known));
     wait_until("the watch", || platform.request_lines().len() == 4);
     let paths = platform.request_lines();
     assert!(paths.iter().all(|p| p.contains("follow=1&since=7")), "{paths:?}");
-    // And it is followed from then on.
+    // The watch is followed from then on.
     let lines = vec![
         listed_endpoint("s-1", endpoint.addr, "one", 3, "Gone"),
         listed_endpoint("s-2", fresh.addr, "one", 3, "Ready"),
@@ -56,40 +57,40 @@
 fn where_changes_come_unasked_the_list_is_asked_for_at_once() {
     let endpoint = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
-    // The span means nothing there.
+    // The poll interval does not apply to this discovery.
     let sender = Sender::with(&platform, |c| c["settings"]["Rules"]["AskEveryUs"] = 500_000_000_u64.into());
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     wait_until("the watch", || platform.request_lines().len() == 2);
 }
 
-/// What counts as told by then is what discovery had, and could be asked for, for so long, whatever calls failed before.
-const TOLD: Duration = Duration::from_secs(6);
-/// A span for asking whose pauses after failures would grow beyond that.
-const SPAN_MS: u64 = 12_000;
-/// Sets the random parts of the pauses.
+/// Within this the sender must know a change after discovery has it and can be reached, whichever requests failed before.
+const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
+/// A poll interval with which the pauses after failures would grow beyond that.
+const POLL_INTERVAL_MS: u64 = 12_000;
+/// Seed of the random parts of the pauses.
 const SEED: &str = "8c1f30d27a5be964";
 
-/// What becomes of a question to a discovery that is not well.
+/// How a request to a failing discovery fails.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    /// Its connection is refused.
+enum Failure {
+    /// The connection is refused.
     Refused,
-    /// No answer comes.
-    Hangs,
+    /// The request is not answered.
+    NoAnswer,
     /// The connection is closed without an answer.
     Closed,
-    /// An answer begins and does not go on.
-    HalfAnswered,
-    /// 503.
-    TurnedAway,
+    /// An answer starts and stalls.
+    PartialAnswer,
+    /// The answer is 503.
+    Rejected,
 }
 
-/// How long a sender takes to hear of a drain, counted from the moment in which discovery knows it and can be asked:
-/// after the last of its questions that came to nothing. With a list in hand it asks for changes, else for all of it.
-fn heard_after(fate: Fate, dear: bool, with_list: bool) -> Duration {
-    // The pauses have grown by then.
-    let failures = if dear { 2 } else { 4 };
+/// Returns how long a sender takes to learn of a drain, from the moment at which discovery knows it and can be reached,
+/// which is the last failed request. With a known list the sender requests changes, otherwise the full list.
+fn drain_delay(failure: Failure, polled: bool, with_list: bool) -> Duration {
+    // After this many failures the pauses have grown.
+    let failures = if polled { 2 } else { 4 };
     let endpoint = Endpoint::new(|_| status(200));
     let addr = endpoint.addr;
     let last_failure: Arc<Mutex<(usize, Instant)>> = Arc::new(Mutex::new((0, Instant::now())));
@@ -99,16 +100,16 @@
             return write_answer(stream, 204, "");
         }
         let mut failed = failed.lock().unwrap();
-        if failed.0 < failures && !matches!(fate, Fate::Refused) {
+        if failed.0 < failures && !matches!(failure, Failure::Refused) {
             *failed = (failed.0 + 1, Instant::now());
-            return match fate {
-                Fate::TurnedAway => write_answer(stream, 503, ""),
-                Fate::HalfAnswered => {
+            return match failure {
+                Failure::Rejected => write_answer(stream, 503, ""),
+                Failure::PartialAnswer => {
                     begin_chunked(stream);
                     write_chunk(stream, "{\"index\": 8, \"snap");
                 }
-                Fate::Closed => _ = stream.shutdown(Shutdown::Both),
-                Fate::Hangs | Fate::Refused => {}
+                Failure::Closed => _ = stream.shutdown(Shutdown::Both),
+                Failure::NoAnswer | Failure::Refused => {}
             };
         }
         let lines = [listed_endpoint("s-1", addr, "one", 3, "Terminating")];
@@ -123,8 +124,8 @@
     let known = listed_endpoint("s-1", addr, "one", 3, "Ready");
     let (platform, down) = (Platform::new(Vec::new()), RefusingAddress::new());
     let configure = |c: &mut Value| {
-        asked(c, SPAN_MS, &known);
-        if !dear {
+        poll_settings(c, POLL_INTERVAL_MS, &known);
+        if !polled {
             c["settings"]["Discovery"] = Value::Null;
         }
         if !with_list {
@@ -134,12 +135,12 @@
         c["discovery"] = down.addr.to_string().into();
     };
     let sender = Sender::with(&platform, configure);
-    if matches!(fate, Fate::Refused) {
-        sleep(Duration::from_secs(if dear { 14 } else { 2 }));
+    if matches!(failure, Failure::Refused) {
+        sleep(Duration::from_secs(if polled { 14 } else { 2 }));
     }
     let _discovery = ScriptedPlatform::at(down.listen(), script);
     let mut reachable = Instant::now();
-    if !matches!(fate, Fate::Refused) {
+    if !matches!(failure, Failure::Refused) {
         wait_until("the last failure", || last_failure.lock().unwrap().0 == failures);
         reachable = last_failure.lock().unwrap().1;
     }
@@ -147,34 +148,37 @@
     reachable.elapsed()
 }
 
-fn heard_in_time(fate: Fate) {
-    for (dear, with_list) in [(true, true), (true, false), (false, true), (false, false)] {
-        let heard = heard_after(fate, dear, with_list);
-        assert!(heard < TOLD, "{fate:?}, asking costs: {dear}, with a list: {with_list}: {heard:?}");
+fn assert_drain_known_in_time(failure: Failure) {
+    for (polled, with_list) in [(true, true), (true, false), (false, true), (false, false)] {
+        let delay = drain_delay(failure, polled, with_list);
+        assert!(
+            delay < MAX_DISCOVERY_DELAY,
+            "{failure:?}, polled: {polled}, with a list: {with_list}: the drain was known after {delay:?}"
+        );
     }
 }
 
 #[test]
 fn what_discovery_knows_is_heard_in_time_after_connections_that_were_refused() {
-    heard_in_time(Fate::Refused);
+    assert_drain_known_in_time(Failure::Refused);
 }
 
 #[test]
 fn what_discovery_knows_is_heard_in_time_after_calls_that_hung() {
-    heard_in_time(Fate::Hangs);
+    assert_drain_known_in_time(Failure::NoAnswer);
 }
 
 #[test]
 fn what_discovery_knows_is_heard_in_time_after_calls_that_were_closed() {
-    heard_in_time(Fate::Closed);
+    assert_drain_known_in_time(Failure::Closed);
 }
 
 #[test]
 fn what_discovery_knows_is_heard_in_time_after_calls_that_were_half_answered() {
-    heard_in_time(Fate::HalfAnswered);
+    assert_drain_known_in_time(Failure::PartialAnswer);
 }
 
 #[test]
 fn what_discovery_knows_is_heard_in_time_after_calls_that_were_turned_away() {
-    heard_in_time(Fate::TurnedAway);
+    assert_drain_known_in_time(Failure::Rejected);
 }
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -1,4 +1,5 @@
-//! The clients' side, and what discovery's list does to calls.
+//! The client interface, and the effect of discovery's list on calls. Guards against malformed, idle or excessive clients
+//! that harm others, messages that are accepted twice or not at all, and calls to draining endpoints.
 
 mod common;
 use common::*;
@@ -12,10 +13,10 @@
 const SYNC: &str = "c=sync,d=15000,dest=3";
 const PAY: &str = "c=pay,d=15000,dest=3";
 
-/// Time for what is to happen within 3 s of connecting, on a busy machine too.
-const SOON: Duration = Duration::from_secs(8);
+/// Time limit, with room for a busy machine, of what must happen within 3 s after a client connects.
+const MAX_CLOSE_DELAY: Duration = Duration::from_secs(8);
 
-fn one() -> (Endpoint, Platform, Sender) {
+fn sender_with_endpoint() -> (Endpoint, Platform, Sender) {
     let endpoint = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
@@ -25,7 +26,7 @@
 
 #[test]
 fn ping_is_answered_only_once_the_list_is_known() {
-    // Discovery that takes connections and says nothing, and no list from before.
+    // Discovery accepts connections without answering, and there is no known list.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
     let quiet = silent.local_addr().unwrap().to_string();
@@ -33,9 +34,9 @@
     let mut client = sender.client();
     client.write(&resp(&[b"PING"]));
     client.stream.set_read_timeout(Some(Duration::from_millis(1500))).unwrap();
-    assert!(client.stream.read(&mut [0; 8]).is_err(), "answered without a list");
+    assert!(client.stream.read(&mut [0; 8]).is_err(), "PING was answered although no list is known");
 
-    // With one from before, though it may be old, it starts after a while.
+    // With a known list, which may be old, the sender becomes ready after a while.
     let endpoint = Endpoint::new(|_| status(200));
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let sender = Sender::with(&platform, |c| {
@@ -50,7 +51,7 @@
 
 #[test]
 fn split_and_pipelined_requests_are_answered_in_order() {
-    let (endpoint, _platform, sender) = one();
+    let (endpoint, _platform, sender) = sender_with_endpoint();
     let mut client = sender.client();
     client.stream.set_nodelay(true).unwrap();
     let mut bytes = put("a1", "c=sync,d=15000,dest=3,t=acme", b"x\r\n*1\r\n");
@@ -72,7 +73,7 @@
 
 #[test]
 fn bad_input_gets_an_error_and_harms_nobody() {
-    let (endpoint, _platform, mut sender) = one();
+    let (endpoint, _platform, mut sender) = sender_with_endpoint();
     let long = "1".repeat(40);
     let lines: Vec<Vec<u8>> = vec![
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
@@ -87,7 +88,7 @@
         let mut client = sender.client();
         client.write(&bytes);
         assert!(client.read().starts_with("-ERR"), "{bytes:?}");
-        assert_eq!(client.read(), "", "the connection ends");
+        assert_eq!(client.read(), "", "the connection must end after the error");
     }
     let mut client = sender.client();
     for fields in
@@ -110,7 +111,7 @@
 
 #[test]
 fn what_no_sender_could_take_on_is_an_error() {
-    let (endpoint, platform, sender) = one();
+    let (endpoint, platform, sender) = sender_with_endpoint();
     let mut client = sender.client();
     for fields in [
         "c=none,d=15000,dest=3",
@@ -128,7 +129,7 @@
     assert!(client.read().starts_with("-ERR"));
     assert_eq!(client.put("a1", "c=pay,d=28000,dest=3"), "+OK");
     endpoint.wait_sent("a1");
-    // Where all endpoints have just gone the destination is known still.
+    // A destination whose endpoints are all gone is still known.
     sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     assert_eq!(client.put("a2", PAY), "+OK");
     assert_eq!(endpoint.sent(), ["a1"]);
@@ -136,7 +137,7 @@
 
 #[test]
 fn connections_that_say_nothing_of_use_are_closed() {
-    let (_endpoint, _platform, sender) = one();
+    let (_endpoint, _platform, sender) = sender_with_endpoint();
     let start = Instant::now();
     let half = put("a1", SYNC, b"hello");
     let mut clients: Vec<Client> = (0..3).map(|_| sender.client()).collect();
@@ -145,9 +146,9 @@
     for mut client in clients {
         let answer = client.read();
         assert!(answer.is_empty() || answer.starts_with("-ERR"), "{answer}");
-        assert!(start.elapsed() < SOON, "{:?}", start.elapsed());
+        assert!(start.elapsed() < MAX_CLOSE_DELAY, "{:?}", start.elapsed());
     }
-    // One that goes on asking is kept.
+    // A connection with regular requests is kept open.
     let mut client = sender.client();
     while start.elapsed() < Duration::from_secs(4) {
         client.ping();
@@ -157,7 +158,7 @@
 
 #[test]
 fn a_command_that_keeps_coming_is_served_however_long_it_takes() {
-    let (endpoint, _platform, sender) = one();
+    let (endpoint, _platform, sender) = sender_with_endpoint();
     let command = put("slow", &format!("{SYNC},t=acme"), b"hello");
     let (mut slow, mut halves) = (sender.client(), sender.client());
     let other = put("halves", &format!("{SYNC},t=acme"), b"hello");
@@ -166,7 +167,7 @@
     for (n, byte) in command.iter().enumerate() {
         slow.write(&[*byte]);
         std::thread::sleep(Duration::from_millis(30));
-        // The rest of the second one comes after two seconds of silence.
+        // The rest of the second command comes after two seconds of silence.
         if n == command.len() * 2 / 3 {
             wait_until("two seconds", || start.elapsed() > Duration::from_millis(2050));
             halves.write(&other[30..]);
@@ -194,7 +195,7 @@
             0 => {}
             1 => one.write(half),
             _ => {
-                // Its connection may have been taken for that of a later one already.
+                // The sender may have closed this connection already to make room for a later one.
                 one.write(&resp(&[b"PING"]));
             }
         }
@@ -218,20 +219,20 @@
             sender.spawn();
         }
     }
-    assert!(closed <= 3, "{closed} of 30 were closed unserved");
-    assert!(sender.memory_kb() < 24_000, "{} KB", sender.memory_kb());
+    assert!(closed <= 3, "{closed} of 30 connections were closed without a reply, expected at most 3");
+    assert!(sender.memory_kb() < 24_000, "{} KB resident, expected less than 24,000", sender.memory_kb());
 }
 
 #[test]
 fn silent_connections_do_not_keep_out_others() {
-    let (endpoint, _platform, sender) = one();
-    let mut usual = sender.client();
-    usual.ping();
-    // 256 descriptors leave 85 places.
+    let (endpoint, _platform, sender) = sender_with_endpoint();
+    let mut active = sender.client();
+    active.ping();
+    // 256 descriptors leave room for 85 clients.
     let silent: Vec<Client> = (0..200).map(|_| sender.client()).collect();
     let mut late = sender.client();
     assert_eq!(late.put("a1", SYNC), "+OK");
-    assert_eq!(usual.put("a2", SYNC), "+OK", "one that has asked something is kept");
+    assert_eq!(active.put("a2", SYNC), "+OK", "a connection that has sent a request must be kept open");
     endpoint.wait_sent("a1");
     endpoint.wait_sent("a2");
     drop(silent);
@@ -239,11 +240,11 @@
 
 #[test]
 fn an_error_is_not_overtaken_by_a_reset_while_its_client_writes_on() {
-    let (_endpoint, _platform, sender) = one();
+    let (_endpoint, _platform, sender) = sender_with_endpoint();
     for _ in 0..5 {
         let mut client = sender.client();
         client.write(b"*5\r\n$7\r\nMSG.PUT\r\n$60000000\r\nxxx");
-        // The error has come; what is written now meets a connection that is being ended.
+        // The error has arrived; the following bytes reach a connection that is being closed.
         client.stream.peek(&mut [0; 1]).unwrap();
         (0..10).for_each(|_| client.write(&[b'x'; 10_000]));
         assert!(client.read().starts_with("-ERR"));
@@ -255,18 +256,18 @@
 fn long_commands_take_turns_in_little_memory() {
     let endpoint = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
-    // An eighth of it is room for seven long commands.
+    // An eighth of the memory is room for seven long commands.
     let sender = Sender::with(&platform, |c| c["limits"]["memory_mb"] = 8.into());
     let mut client = sender.client();
     client.ping();
     let before = sender.memory_kb();
     let long = resp(&[b"MSG.PUT", &[7; 60_000], &[7; 60_000]]);
     let mut clients: Vec<Client> = (0..60).map(|_| sender.client()).collect();
-    // All but the end of each: those without room wait, and are let in when others have been ended.
+    // All but the last byte of each command: those without room wait, and are read once others are done.
     clients.iter_mut().for_each(|c| c.write(&long[..long.len() - 1]));
     (0..50).for_each(|_| client.ping());
     let grown = sender.memory_kb().saturating_sub(before);
-    assert!(grown < 4_000, "{grown} KB");
+    assert!(grown < 4_000, "the memory grew by {grown} KB, expected less than 4,000");
     drop(clients);
     client.write(&put("a1", "c=sync,d=15000,dest=3,t=acme", &[7; 60_000]));
     assert_eq!(client.read(), "+OK");
@@ -275,20 +276,20 @@
 
 #[test]
 fn no_more_messages_are_held_than_the_limit() {
-    let (_endpoint, platform, sender) = one();
+    let (_endpoint, platform, sender) = sender_with_endpoint();
     sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     let mut client = sender.client();
     let answers: Vec<String> =
         (0..60).map(|n| client.put(&format!("a{n}"), "c=pay,d=28000,dest=3")).collect();
     let taken = answers.iter().filter(|a| *a == "+OK").count();
-    assert!(taken <= 40, "{taken} taken");
+    assert!(taken <= 40, "{taken} messages accepted, expected at most 40");
     assert_eq!(platform.notices().len(), 0);
     assert!(answers.iter().any(|a| a.starts_with("-BUSY")), "{answers:?}");
 }
 
 #[test]
 fn a_client_that_leaves_before_its_answer_withdraws_its_message() {
-    // Without a list no answer is given yet: the client has gone by the time there is one.
+    // Without a list the reply is delayed: the client has closed its connection before it.
     let endpoint = Endpoint::new(|_| status(200));
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
@@ -310,7 +311,7 @@
 
 #[test]
 fn the_same_message_on_a_second_connection_is_taken_once() {
-    let (endpoint, platform, sender) = one();
+    let (endpoint, platform, sender) = sender_with_endpoint();
     sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     assert_eq!(sender.client().put("a1", PAY), "+OK");
@@ -323,7 +324,7 @@
 
 #[test]
 fn a_second_copy_is_not_called_taken_before_the_first_is_written_down() {
-    // Before the list is known nothing is taken on yet; one journal record of this size does not fit.
+    // Before the list is known nothing is accepted; a journal record of this size does not fit.
     let endpoint = Endpoint::new(|_| status(200));
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
@@ -367,7 +368,7 @@
     }
     gate.open();
     old.wait_sent("a1");
-    // Gone by a full list that lacks it.
+    // The full list lacks `s-2`, so that endpoint is gone.
     sender.wait_drain_recorded(
         || platform.publish(true, vec![listed_endpoint("s-1", old.addr, "one", 3, "Ready")]),
         "s-2",
@@ -400,13 +401,13 @@
         old.accept_and_read();
         std::thread::sleep(Duration::from_millis(1));
     }
-    assert_eq!(new.call_count("a1"), 1, "sent to the other endpoint instead");
+    assert_eq!(new.call_count("a1"), 1, "the message must be sent to the other endpoint instead");
     assert_eq!(old.calls, Vec::<String>::new(), "{} fillers", old.fillers.len());
 }
 
 #[test]
 fn a_message_that_ends_while_its_calls_connection_comes_up_is_left_out() {
-    // Two share a call; one's time is up before the connection to the endpoint is.
+    // Two messages share a call; one reaches its deadline before the connection is established.
     let mut endpoint = FullBacklogEndpoint::new();
     let platform = Platform::new(vec![placeholder(3)]);
     let sender = Sender::start(&platform);
@@ -425,7 +426,7 @@
 
 #[test]
 fn a_watch_that_breaks_is_resumed_from_the_last_index() {
-    let (_endpoint, platform, sender) = one();
+    let (_endpoint, platform, sender) = sender_with_endpoint();
     let other = Endpoint::new(|_| status(200));
     let watches =
         || platform.request_lines().into_iter().filter(|p| p.contains("follow=1")).collect::<Vec<_>>();
@@ -439,7 +440,7 @@
     other.wait_sent("a1");
 }
 
-/// Connections that say nothing, so many at a time: each that the sender ends comes again.
+/// Keeps `size` idle connections open, replacing them one after another, until `until` is set.
 fn idle_crowd(addr: std::net::SocketAddr, size: usize, until: Arc<AtomicBool>) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         let mut crowd: Vec<Option<TcpStream>> = (0..size).map(|_| None).collect();
@@ -447,7 +448,7 @@
             if until.load(Ordering::SeqCst) {
                 return;
             }
-            // The one before it is closed only once there is another.
+            // The old connection is closed only after the new one is open.
             crowd[place] = TcpStream::connect(addr).ok();
             thread::sleep(Duration::from_millis(if place % 8 == 0 { 4 } else { 0 }));
         }
@@ -489,7 +490,7 @@
     assert!(returned.elapsed() < Duration::from_secs(6), "{:?}", returned.elapsed());
     for n in 0..10 {
         let id = format!("a{n}");
-        // A new connection may be shut unread among so many: its client comes again.
+        // Among so many a new connection may be closed unread: its client tries again.
         wait_until("an answer", || sender.try_put(&id, "c=sync,d=15000,dest=3").as_deref() == Some("+OK"));
         fresh.wait_sent(&id);
     }
--- a/crates/sender/tests/common/mod.rs
+++ b/crates/sender/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Stub peers on loopback sockets, and the sender's own process between them.
+//! Stub endpoints and a stub platform on loopback sockets, and real sender processes that run between them.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -12,25 +12,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here should take on a busy machine.
+/// Time limit of each wait; longer than any awaited step takes on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until `ready` holds; fails the test if it never does.
+/// Polls `ready` until it holds.
+///
+/// # Panics
+/// If it does not hold within [`TEST_TIMEOUT`].
 pub fn wait_until(what: &str, mut ready: impl FnMut() -> bool) {
     let start = Instant::now();
     while !ready() {
-        assert!(start.elapsed() < TEST_TIMEOUT, "waited in vain for: {what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "timed out after {TEST_TIMEOUT:?} waiting for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// An HTTP request as a stub read it.
+/// An HTTP request that a stub received.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Which of the stub's connections it came on.
+    /// Number of the stub's connection that carried it, from 0 in order of acceptance.
     pub connection: usize,
     pub at: Instant,
 }
@@ -44,7 +47,7 @@
         self.line.contains("/v1/messages:batch")
     }
 
-    /// The ids of the messages in it.
+    /// Returns the ids of the messages that it carries.
     pub fn ids(&self) -> Vec<String> {
         if self.is_batch() {
             let items: Vec<Value> = serde_json::from_slice(&self.body).unwrap();
@@ -70,14 +73,14 @@
     Some(Request { line: line.trim_end().to_string(), headers, body, connection, at: Instant::now() })
 }
 
-/// What an endpoint does with a request.
+/// How a stub endpoint responds to a request.
 #[derive(Clone, Debug)]
 pub enum StubResponse {
-    /// Answers with a status, header lines and a body.
+    /// Sends an answer with this status, these headers and this body.
     Answer(u16, Vec<(&'static str, String)>, String),
-    /// Writes these bytes and keeps the connection.
+    /// Writes these bytes and keeps the connection open.
     Raw(String),
-    /// Says nothing and keeps the connection.
+    /// Sends nothing and keeps the connection open.
     Silence,
     /// Closes the connection without an answer.
     Close,
@@ -89,7 +92,7 @@
 
 type Script = Box<dyn Fn(&Request) -> StubResponse + Send + Sync>;
 
-/// An endpoint that acts by a script and keeps what it was sent.
+/// A stub endpoint that responds by a script and records the requests that it received.
 pub struct Endpoint {
     pub addr: SocketAddr,
     requests: Arc<Mutex<Vec<Request>>>,
@@ -153,7 +156,7 @@
         self.requests.lock().unwrap().clone()
     }
 
-    /// Messages that were sent, in order, each as often as it was.
+    /// Returns the ids of the received messages in order of arrival, once for each call.
     pub fn sent(&self) -> Vec<String> {
         self.requests().iter().flat_map(Request::ids).collect()
     }
@@ -166,41 +169,41 @@
         wait_until(&format!("a call with {id}"), || self.call_count(id) > 0);
     }
 
-    /// Connections that have ended.
+    /// Returns the numbers of the connections that have ended.
     pub fn closed_connections(&self) -> Vec<usize> {
         self.closed.lock().unwrap().clone()
     }
 }
 
-/// An endpoint that makes a destination known and takes nothing.
+/// A listing entry that makes a destination known but accepts no calls, because the endpoint is draining.
 pub fn placeholder(group: i64) -> Value {
     listed_endpoint(&format!("away-{group}"), "127.0.0.1:9".parse().unwrap(), "one", group, "Terminating")
 }
 
-/// A line of discovery.
+/// An endpoint's entry in a listing.
 pub fn listed_endpoint(name: &str, addr: SocketAddr, kind: &str, group: i64, status: &str) -> Value {
     json!({"name": name, "address": addr.to_string(), "zone": "a", "type": kind, "group": group,
            "status": status, "weight": 100.0, "since_ms": 0})
 }
 
 struct DiscoveryState {
-    streams: Vec<TcpStream>,
-    log: Vec<(u64, Value)>,
+    watches: Vec<TcpStream>,
+    changes: Vec<(u64, Value)>,
     full_list: Vec<Value>,
     request_lines: Vec<String>,
     index: u64,
     full_list_index: u64,
-    /// Questions that are answered with 503.
+    /// How many further list requests are answered with 503.
     polls_to_reject: usize,
 }
 
-/// Discovery and the platform's ear for notices.
+/// A stub of the platform: serves discovery's listings and receives notices.
 pub struct Platform {
     pub addr: SocketAddr,
-    watchers: Arc<Mutex<DiscoveryState>>,
+    discovery: Arc<Mutex<DiscoveryState>>,
     notices: Arc<Mutex<Vec<Value>>>,
     reject_notices: Arc<Mutex<bool>>,
-    /// Connections that are open.
+    /// Number of open connections.
     open: Arc<AtomicUsize>,
 }
 
@@ -208,9 +211,9 @@
     pub fn new(endpoints: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let watchers = DiscoveryState {
-            streams: Vec::new(),
-            log: Vec::new(),
+        let state = DiscoveryState {
+            watches: Vec::new(),
+            changes: Vec::new(),
             full_list: endpoints,
             request_lines: Vec::new(),
             index: 7,
@@ -219,18 +222,18 @@
         };
         let platform = Platform {
             addr,
-            watchers: Arc::new(Mutex::new(watchers)),
+            discovery: Arc::new(Mutex::new(state)),
             notices: Arc::default(),
             reject_notices: Arc::default(),
             open: Arc::default(),
         };
-        let (watchers, notices, reject_notices) =
-            (platform.watchers.clone(), platform.notices.clone(), platform.reject_notices.clone());
+        let (discovery, notices, reject_notices) =
+            (platform.discovery.clone(), platform.notices.clone(), platform.reject_notices.clone());
         let open = platform.open.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (watchers, notices, reject_notices) =
-                    (watchers.clone(), notices.clone(), reject_notices.clone());
+                let (discovery, notices, reject_notices) =
+                    (discovery.clone(), notices.clone(), reject_notices.clone());
                 let mut stream = stream.unwrap();
                 open.fetch_add(1, Ordering::SeqCst);
                 let open = open.clone();
@@ -249,7 +252,7 @@
                             _ = stream.write_all(text.as_bytes());
                             continue;
                         }
-                        let mut discovery = watchers.lock().unwrap();
+                        let mut discovery = discovery.lock().unwrap();
                         discovery.request_lines.push(request.line.clone());
                         if discovery.polls_to_reject > 0 {
                             discovery.polls_to_reject -= 1;
@@ -270,19 +273,19 @@
                             .nth(1)
                             .and_then(|s| s.split(' ').next()?.parse().ok());
                         let changes_since: Vec<Value> = discovery
-                            .log
+                            .changes
                             .iter()
                             .filter(|(i, _)| since.is_some_and(|s| *i > s))
                             .map(|(_, l)| l.clone())
                             .collect();
-                        // A whole list is no change: a watch from before it gets it again.
+                        // A full list is not in the log of changes: a watch from an earlier index gets the full list again.
                         let first = if since.is_some_and(|s| s > 0 && s >= discovery.full_list_index) {
                             json!({"index": discovery.index, "snapshot": false, "endpoints": changes_since})
                         } else {
                             json!({"index": discovery.index, "snapshot": true, "endpoints": discovery.full_list})
                         };
                         write_list(&mut stream, &first);
-                        discovery.streams.push(stream.try_clone().unwrap());
+                        discovery.watches.push(stream.try_clone().unwrap());
                     }
                     open.fetch_sub(1, Ordering::SeqCst);
                 });
@@ -291,56 +294,56 @@
         platform
     }
 
-    /// Tells a change, as a whole list or as changed lines.
+    /// Publishes a full list (`snapshot`) or changed entries to all watches.
     pub fn publish(&self, snapshot: bool, endpoints: Vec<Value>) {
-        let mut discovery = self.watchers.lock().unwrap();
+        let mut discovery = self.discovery.lock().unwrap();
         discovery.index += 1;
         let index = discovery.index;
         if snapshot {
             discovery.full_list = endpoints.clone();
             discovery.full_list_index = index;
         }
-        discovery.log.extend(endpoints.iter().map(|l| (index, l.clone())));
+        discovery.changes.extend(endpoints.iter().map(|l| (index, l.clone())));
         let update = json!({"index": index, "snapshot": snapshot, "endpoints": endpoints});
-        discovery.streams.iter_mut().for_each(|s| write_list(s, &update));
+        discovery.watches.iter_mut().for_each(|s| write_list(s, &update));
     }
 
-    /// Ends all watches.
+    /// Closes all watches.
     pub fn drop_watches(&self) {
-        for s in self.watchers.lock().unwrap().streams.drain(..) {
+        for s in self.discovery.lock().unwrap().watches.drain(..) {
             _ = s.shutdown(Shutdown::Both);
         }
     }
 
-    /// Answers the next questions for the list with 503.
-    pub fn reject_next_polls(&self, questions: usize) {
-        self.watchers.lock().unwrap().polls_to_reject = questions;
+    /// Answers the next `count` list requests with 503.
+    pub fn reject_next_polls(&self, count: usize) {
+        self.discovery.lock().unwrap().polls_to_reject = count;
     }
 
-    /// Sets the version of the list, as told next.
+    /// Sets the index of the list that is sent from now on.
     pub fn set_index(&self, index: u64) {
-        self.watchers.lock().unwrap().index = index;
+        self.discovery.lock().unwrap().index = index;
     }
 
     pub fn request_lines(&self) -> Vec<String> {
-        self.watchers.lock().unwrap().request_lines.clone()
+        self.discovery.lock().unwrap().request_lines.clone()
     }
 
     pub fn notices(&self) -> Vec<Value> {
         self.notices.lock().unwrap().clone()
     }
 
-    /// Waits until all that a killed process had said has been heard. What it wrote may still lie unread, on a
-    /// connection that may not even be accepted: they are accepted in order, one of our own last.
+    /// Waits until everything that a killed process had written is read. Its last bytes may still be unread, on a
+    /// connection that is not yet accepted. Connections are accepted in order, so one opened here comes last.
     pub fn wait_connections_closed(&self) {
         let mut last = TcpStream::connect(self.addr).unwrap();
         last.write_all(b"GET /v1/servers HTTP/1.1\r\n\r\n").unwrap();
         last.read_exact(&mut [0]).unwrap();
         drop(last);
-        wait_until("the last word of a process", || self.open.load(Ordering::SeqCst) == 0);
+        wait_until("the connections of a killed process to close", || self.open.load(Ordering::SeqCst) == 0);
     }
 
-    /// While deaf it answers notices with an error.
+    /// Sets whether notices are answered with 500 and not recorded.
     pub fn set_reject_notices(&self, reject_notices: bool) {
         *self.reject_notices.lock().unwrap() = reject_notices;
     }
@@ -357,8 +360,8 @@
     }
 }
 
-/// A platform that answers as its script does: what is asked, how many questions of the same path came before, and
-/// where to answer. Whatever the script does not write is not said.
+/// A stub platform whose script writes each answer itself. The script receives the request, the number of earlier
+/// requests for the same path, and the connection; nothing else is written.
 pub struct ScriptedPlatform {
     pub addr: SocketAddr,
     requests: Arc<Mutex<Vec<(Instant, String)>>>,
@@ -369,7 +372,7 @@
         Self::at(TcpListener::bind("127.0.0.1:0").unwrap(), script)
     }
 
-    /// Answers at this address.
+    /// Starts one on a listener that is already bound.
     pub fn at(
         listener: TcpListener,
         script: impl Fn(&Request, usize, &mut TcpStream) + Send + Sync + 'static,
@@ -399,25 +402,25 @@
         ScriptedPlatform { addr, requests }
     }
 
-    /// When the questions of this path came, or those for a watch.
+    /// Returns the arrival times of the requests for a path, or for a watch if the path is `watch`.
     pub fn request_times(&self, path: &str) -> Vec<Instant> {
         let requests = self.requests.lock().unwrap();
         requests.iter().filter(|(_, p)| p == path).map(|(at, _)| *at).collect()
     }
 }
 
-/// Writes an answer that is whole.
+/// Writes a complete answer with a content length.
 pub fn write_answer(stream: &mut TcpStream, code: u16, body: &str) {
     let text = format!("HTTP/1.1 {code} X\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     _ = stream.write_all(text.as_bytes());
 }
 
-/// Begins an answer that comes in pieces.
+/// Writes the head of a chunked answer.
 pub fn begin_chunked(stream: &mut TcpStream) {
     _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
 }
 
-/// Writes a piece of an answer. False once nobody reads it.
+/// Writes one chunk of an answer. Returns false once the reader has closed the connection.
 pub fn write_chunk(stream: &mut TcpStream, text: &str) -> bool {
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).is_ok()
 }
@@ -427,8 +430,8 @@
     _ = stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
 }
 
-/// Three classes, one for each effect: `push` keyed for 3 s, `sync` safe, `pay` unsafe. Kind `one` takes single
-/// messages, kind `many` up to ten in a call.
+/// Settings with one class for each effect: `push` is keyed with a window of 3 s, `sync` is safe, `pay` is unsafe. Kind
+/// `one` takes one message in a call, kind `many` up to ten.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, limit: i64| {
         json!({"Name": name, "Effect": effect, "Group": "all", "HardLimitUs": limit, "ObjectiveUs": 2_500_000,
@@ -449,7 +452,7 @@
     })
 }
 
-/// The configuration of a sender that listens there.
+/// The configuration of a sender that listens at `addr`.
 pub fn config(addr: SocketAddr, platform: &Platform, sockets: usize) -> Value {
     json!({
         "name": "n0", "listen": addr.to_string(), "discovery": platform.addr.to_string(),
@@ -460,28 +463,28 @@
     })
 }
 
-/// Sends a process a signal, by its name as `kill` knows it.
+/// Sends a signal to a process; `name` is an option of `kill`, such as `-TERM`.
 pub fn signal(child: &Child, name: &str) {
     let pid = child.id().to_string();
     assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
 }
 
-/// A sender's process and its lasting folder.
+/// A sender process and its folder, which outlives restarts.
 pub struct Sender {
     pub addr: SocketAddr,
-    /// Where the operators' door is, of a sender that has one.
+    /// Address of the management interface, if the sender has one.
     pub mgmt: SocketAddr,
     pub folder: tempfile::TempDir,
-    /// Descriptors that the system lets its next process have, if they are bounded.
+    /// Limit on open file descriptors (`ulimit -n`) for the next process, if set.
     pub max_files: Option<usize>,
     child: Option<Child>,
 }
 
 const EXECUTABLE: &str = env!("CARGO_BIN_EXE_embershore");
 
-/// An address that keeps its port between a sender's processes: bound but not listening, since a child that another
-/// test is starting may hold a copy of it for a moment, which would take connections in the sender's place and
-/// keep it from listening.
+/// Reserves an address whose port stays the same over a sender's restarts. The socket is bound but does not listen:
+/// a child process that another test is starting may briefly hold a copy of the socket, and a listening copy would
+/// accept the sender's connections and keep the sender from listening.
 fn reserve_address(own: Ipv4Addr) -> SocketAddr {
     let port = tokio::net::TcpSocket::new_v4().unwrap();
     port.set_reuseaddr(true).unwrap();
@@ -494,9 +497,9 @@
         Self::with(platform, |_| {})
     }
 
-    /// Starts one whose configuration `change` has altered.
+    /// Starts a sender with a configuration that `change` has edited.
     pub fn with(platform: &Platform, change: impl Fn(&mut Value)) -> Self {
-        // The port must be the same after a restart. On an address of its own no one else is given it.
+        // The port must be the same after a restart. No other process is given it on an address of the sender's own.
         static SENDERS: AtomicU8 = AtomicU8::new(1);
         let [.., high, low] = std::process::id().to_be_bytes();
         let own = Ipv4Addr::new(127, high | 0x80, low, SENDERS.fetch_add(1, Ordering::Relaxed));
@@ -511,7 +514,7 @@
         sender
     }
 
-    /// Starts one with a door for operators.
+    /// Starts a sender with a management interface.
     pub fn with_mgmt(platform: &Platform) -> Self {
         let mut sender = Self::start(platform);
         sender.kill();
@@ -521,19 +524,19 @@
         sender
     }
 
-    /// Makes a call at the operators' door: its status and what it says.
+    /// Sends a request to the management interface and returns the status and the body.
     pub fn mgmt_request(&self, call: &str) -> (u16, String) {
         mgmt_request(self.mgmt, call).unwrap()
     }
 
-    /// The figures that the operators' door tells.
+    /// Returns the metrics that the management interface serves.
     pub fn metrics(&self) -> Value {
         let (status, text) = self.mgmt_request("GET /_vars");
         assert_eq!(status, 200);
         serde_json::from_str(&text).unwrap()
     }
 
-    /// Alters the configuration for the next start.
+    /// Edits the configuration file, for the next start or SIGHUP.
     pub fn change_config(&self, change: impl Fn(&mut Value)) {
         let path = self.folder.path().join("config.json");
         let mut config = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
@@ -541,16 +544,17 @@
         std::fs::write(path, config.to_string()).unwrap();
     }
 
+    /// Starts the process and waits until it listens.
     pub fn spawn(&mut self) {
         self.launch();
         wait_until("the sender to listen", || TcpStream::connect(self.addr).is_ok());
     }
 
-    /// Starts its process, and does not wait until it listens.
+    /// Starts the process without waiting until it listens.
     pub fn launch(&mut self) {
         let log = std::fs::File::create(self.log_file()).unwrap();
         let mut command = match self.max_files {
-            // The shell's limit goes over to what it becomes.
+            // The limit stays in force when the shell replaces itself by the sender.
             Some(files) => {
                 let mut shell = Command::new("sh");
                 shell.args(["-c", &format!("ulimit -n {files} && exec \"$0\""), EXECUTABLE]);
@@ -558,7 +562,7 @@
             }
             None => Command::new(EXECUTABLE),
         };
-        // The operator's options file, where a test has written one.
+        // The operator's options file, if the test has written one.
         let options = self.folder.path().join("options.toml");
         if options.exists() {
             command.env("LB_OPTIONS", options);
@@ -580,7 +584,7 @@
         self.folder.path().join("log")
     }
 
-    /// What the running process has logged.
+    /// Returns the log of the latest process.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.log_file()).unwrap()
     }
@@ -589,7 +593,7 @@
         self.state().join("journal")
     }
 
-    /// Memory in use, without what is only mapped.
+    /// Returns the resident memory (`VmRSS`).
     pub fn memory_kb(&self) -> usize {
         let path = format!("/proc/{}/status", self.child.as_ref().unwrap().id());
         let text = std::fs::read_to_string(path).unwrap();
@@ -599,25 +603,27 @@
 
     fn journal_count(&self, text: &str) -> usize {
         let bytes = std::fs::read(self.journal()).unwrap_or_default();
-        bytes.windows(text.len()).filter(|discovery| *discovery == text.as_bytes()).count()
+        bytes.windows(text.len()).filter(|window| *window == text.as_bytes()).count()
     }
 
     pub fn journal_contains(&self, text: &str) -> bool {
         self.journal_count(text) > 0
     }
 
-    /// Waits until the sender has heard that the endpoint drains or goes, as its journal shows.
+    /// Runs `trigger` and waits until the journal shows that the sender knows that the endpoint is draining or gone.
     pub fn wait_drain_recorded(&self, trigger: impl Fn(), endpoint: &str) {
         let before = self.journal_count(endpoint);
         trigger();
-        wait_until(&format!("word of {endpoint}"), || self.journal_count(endpoint) > before);
+        wait_until(&format!("a journal record of {endpoint} draining or gone"), || {
+            self.journal_count(endpoint) > before
+        });
     }
 
     pub fn client(&self) -> Client {
         Client::new(self.addr)
     }
 
-    /// Hands a message in on a connection of its own; nothing if that ends without an answer.
+    /// Puts a message on a new connection. Returns `None` if the connection ends without an answer.
     pub fn try_put(&self, id: &str, fields: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.addr).ok()?;
         stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
@@ -676,7 +682,7 @@
     }
 }
 
-/// Makes a call at an operators' door, if there is one.
+/// Sends a request to a management interface. Returns `None` if nothing answers there.
 pub fn mgmt_request(mgmt: SocketAddr, call: &str) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(mgmt).ok()?;
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -701,7 +707,7 @@
     resp(&[b"MSG.PUT", b"0000000000000000", id.as_bytes(), fields.as_bytes(), body])
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -719,7 +725,7 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// The next line of answer; empty once the connection has ended.
+    /// Reads the next reply line; empty once the connection has ended.
     pub fn read(&mut self) -> String {
         let mut line = String::new();
         _ = self.reader.read_line(&mut line);
@@ -731,7 +737,7 @@
         assert_eq!(self.read(), "+PONG");
     }
 
-    /// Hands a message in; `fields` beside the tenant.
+    /// Puts a message with these fields and the tenant, and returns the reply.
     pub fn put(&mut self, id: &str, fields: &str) -> String {
         self.write(&put(id, &format!("{fields},t=acme"), b"hello"));
         self.read()
@@ -745,7 +751,7 @@
         .sum()
 }
 
-/// A gate that a stub waits at until the test opens it.
+/// A gate at which a stub waits until the test opens it.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -765,7 +771,7 @@
     }
 }
 
-/// An address at which each connection is refused: bound, so that no one else is given it, and not listened on.
+/// An address that refuses connections: bound, so that no other process is given it, but not listening.
 pub struct RefusingAddress {
     pub addr: SocketAddr,
     socket: tokio::net::TcpSocket,
@@ -778,19 +784,19 @@
         RefusingAddress { addr: socket.local_addr().unwrap(), socket }
     }
 
-    /// Connections come up from now on.
+    /// Accepts connections from now on.
     pub fn listen(self) -> TcpListener {
         listen_with_backlog(self.socket, 64)
     }
 }
 
-/// An endpoint whose backlog is full: a connection to it comes up only once others are taken off.
+/// An endpoint whose accept backlog is full: a new connection is established only after others are accepted.
 pub struct FullBacklogEndpoint {
     listener: TcpListener,
     pub addr: SocketAddr,
     pub fillers: Vec<TcpStream>,
     accepted: Vec<TcpStream>,
-    /// What came on the connections that were taken off.
+    /// Bytes received on the accepted connections, one entry a read.
     pub calls: Vec<String>,
 }
 
@@ -804,7 +810,7 @@
         FullBacklogEndpoint { listener, addr, fillers, accepted: Vec::new(), calls: Vec::new() }
     }
 
-    /// Takes a connection off, if one has come, and reads what there is.
+    /// Accepts a connection, if one is waiting, and reads the bytes that have arrived on the accepted ones.
     pub fn accept_and_read(&mut self) {
         if let Ok((stream, _)) = self.listener.accept() {
             stream.set_nonblocking(true).unwrap();
--- a/crates/sender/tests/common/placement/clients.rs
+++ b/crates/sender/tests/common/placement/clients.rs
@@ -1,5 +1,5 @@
-//! Clients that hand messages in at any sender and keep to the protocol: a refused message comes again under a new id,
-//! one that had no answer too, and no answer is waited for longer than the patience.
+//! Clients that put messages at any sender and follow the protocol. They wait no longer than [`ANSWER_TIMEOUT`] for an
+//! answer, and put a message that was refused, or had no answer, again under a new id.
 
 use super::deployment::{DEADLINE, FLOW, TENANT, classes};
 use super::directory::Returned;
@@ -19,27 +19,27 @@
 
 /// How long a client waits for an answer.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// The first wait after a refusal that tells none; each further one is twice as long.
+/// Wait after the first refusal that names no wait; it doubles with each further one.
 const FIRST_RETRY_WAIT: Duration = Duration::from_millis(150);
-/// Doublings of that wait at most.
+/// Limit on the doublings of that wait.
 const MAX_DOUBLINGS: u32 = 3;
 const BODY: &[u8] = b"hello";
 
-/// A message over all the times that it is handed in.
+/// A message with the number of times that it was put again.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub origin: String,
     pub class: usize,
     pub destination: i64,
-    /// What it is about, in a class that keeps order.
+    /// Ordering key, in a class that keeps order.
     pub order_key: Option<String>,
-    /// The sender that it is handed in at first.
+    /// The sender at which it is put first.
     pub entry: usize,
     deadline: Micros,
     resubmissions: u32,
 }
 
-/// What a client read.
+/// An answer as a client received it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ClientReply {
     answered: Answered,
@@ -64,34 +64,34 @@
 
 type Connection = BufReader<TcpStream>;
 
-/// All clients.
+/// All clients of the fleet.
 pub struct Clients {
     ledger: Rc<Ledger>,
     fleet: Rc<Fleet>,
-    /// Connections without an open request, by sender.
+    /// Connections without an outstanding request, by sender.
     idle: RefCell<Vec<Vec<Connection>>>,
-    /// Taken messages that a notice may still hand back.
+    /// Accepted messages that a notice may still return, by id.
     accepted: RefCell<HashMap<String, Message>>,
-    /// Messages that are being handed in, or wait to be.
+    /// Number of messages that are being put or wait to be put again.
     in_progress: Cell<usize>,
     put_count: Cell<usize>,
 }
 
-/// What is handed in.
+/// The messages that the clients put.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Messages a second.
+    /// Messages per second.
     pub rate: u32,
-    /// Indices of classes, in turn.
+    /// Indices of classes, used in turn.
     pub classes: Vec<usize>,
-    /// Destinations, in turn.
+    /// Destinations, used in turn.
     pub destinations: Vec<i64>,
-    /// Senders, in turn.
+    /// Senders at which messages are put, used in turn.
     pub entries: Vec<usize>,
 }
 
 impl Load {
-    /// All classes to all destinations at all members.
+    /// A load of all classes to all destinations at all members.
     pub fn of(fleet: &Fleet, rate: u32) -> Self {
         Load {
             rate,
@@ -102,10 +102,10 @@
     }
 }
 
-/// Strides with which the n-th message picks from each list, so that all combinations come up.
+/// Strides with which the n-th message picks from each list, so that all combinations occur.
 const DESTINATION_STRIDE: usize = 101;
 const ENTRY_STRIDE: usize = 7;
-/// Messages of a class that keeps order go to so few destinations that they meet.
+/// Number of destinations of an ordered class: few, so that several messages of a key are open at once.
 const ORDERED_DESTINATIONS: usize = 25;
 
 impl Clients {
@@ -121,7 +121,7 @@
         clients
     }
 
-    /// Hands in a load while `during` lasts; each message at its time, however late other answers are.
+    /// Puts a load until `during` completes. Each message is put on schedule, however late other answers are.
     pub async fn run_load(self: &Rc<Self>, load: &Load, during: impl Future<Output = ()>) {
         tokio::select! {
             () = during => {}
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Hands one message in at a sender, from a task of its own; its id.
+    /// Puts one message at a sender, from a task of its own, and returns its id.
     pub fn send(self: &Rc<Self>, class: usize, destination: i64, entry: usize) -> String {
         let message = self.new_message(class, destination, entry);
         let id = message.origin.clone();
@@ -171,10 +171,10 @@
         }
     }
 
-    /// Waits until nothing is being handed in and what was taken has ended or run out of time.
+    /// Waits until no message is being put and all accepted messages have ended or passed their deadline.
     pub async fn wait_all_ended(&self) {
         super::wait_until("the clients' last answers", || self.in_progress.get() == 0).await;
-        // A notice falls due 0.3 s after its message's time.
+        // A notice is due 0.3 s after its message's deadline.
         let latest = self.ledger.now() + DEADLINE + 1_000_000;
         while self.ledger.now() < latest && !self.all_ended() {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -182,12 +182,12 @@
         super::wait_until("the clients' last answers", || self.in_progress.get() == 0).await;
     }
 
-    /// Each taken message has an answer of its receiver's or a notice.
+    /// Returns whether each accepted message has been delivered or has a notice.
     fn all_ended(&self) -> bool {
         super::verdict::unended(&self.ledger.records()).is_empty()
     }
 
-    /// A message that was handed back after it had been taken on comes again too.
+    /// Puts messages again that a notice returned after they had been accepted.
     async fn resubmit_returned(self: Rc<Self>, mut returned: mpsc::UnboundedReceiver<Returned>) {
         while let Some(Returned { id, after_ms }) = returned.recv().await {
             let Some(message) = self.accepted.borrow_mut().remove(&id) else { continue };
@@ -205,7 +205,7 @@
             self.in_progress.set(self.in_progress.get() - 1);
             return;
         }
-        // After no answer at one sender a client turns to another.
+        // Each further put of a message goes to the next sender.
         let entry = self.fleet.entry_for(message.entry + message.resubmissions as usize);
         let request = self.offer(&message, &id, entry);
         let ClientReply { answered, after_ms } = self.request_answer(entry, &request).await;
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Hands one message in at a member's forward address, as another member would; its answer.
+    /// Puts one message at a member's forward address, as another member would, and returns the answer.
     pub async fn forward(&self, class: usize, destination: i64, member: usize) -> Answered {
         let message = self.new_message(class, destination, member);
         let id = message.origin.clone();
@@ -236,7 +236,7 @@
         answered
     }
 
-    /// Takes down that a message is handed in under an id; the request.
+    /// Records that a message is put under an id, and returns the request.
     fn offer(&self, message: &Message, id: &str, sender: usize) -> Vec<u8> {
         let class = &classes()[message.class];
         let left = (message.deadline - self.ledger.now()) / 1000;
@@ -263,7 +263,7 @@
         crate::common::resp(&[b"MSG.PUT", order_key.as_bytes(), id.as_bytes(), fields.as_bytes(), BODY])
     }
 
-    /// Hands a message in once more after the wait that was told, or one of its own.
+    /// Puts a message again after the advertised wait, or after the client's own wait if none was advertised.
     async fn resubmit(self: Rc<Self>, mut message: Message, after_ms: Option<u64>) {
         let own = FIRST_RETRY_WAIT * (1 << message.resubmissions.min(MAX_DOUBLINGS));
         tokio::time::sleep(after_ms.map_or(own, Duration::from_millis)).await;
@@ -273,12 +273,11 @@
 
     async fn request_answer(&self, entry: usize, request: &[u8]) -> ClientReply {
         let until = tokio::time::Instant::now() + ANSWER_TIMEOUT;
-        let exchange =
-            tokio::time::timeout_at(until, self.request_on_idle_or_new_connection(entry, request)).await;
+        let exchange = tokio::time::timeout_at(until, self.request_with_reconnect(entry, request)).await;
         exchange.unwrap_or(ClientReply::without_wait(Answered::Silence))
     }
 
-    async fn request_on_idle_or_new_connection(&self, entry: usize, request: &[u8]) -> ClientReply {
+    async fn request_with_reconnect(&self, entry: usize, request: &[u8]) -> ClientReply {
         let idle = self.idle.borrow_mut()[entry].pop();
         if let Some(connection) = idle
             && let Some((reply, connection)) = self.exchange(connection, request).await
@@ -286,7 +285,7 @@
             self.idle.borrow_mut()[entry].push(connection);
             return reply;
         }
-        // Closed between requests: the client sends it once more on a new connection.
+        // The idle connection was closed between requests: the client sends the request again on a new one.
         let Ok(connection) = connect(self.fleet.addr(entry)).await else {
             return ClientReply::without_wait(Answered::Unreachable);
         };
@@ -297,7 +296,7 @@
         reply
     }
 
-    /// Writes a request and reads its answer; nothing if the connection ended without one.
+    /// Writes a request and reads its answer. Returns `None` if the connection ended without one.
     async fn exchange(
         &self,
         mut connection: Connection,
--- a/crates/sender/tests/common/placement/control.rs
+++ b/crates/sender/tests/common/placement/control.rs
@@ -1,5 +1,5 @@
-//! The control agents beside the senders: each answers `GET /v1/members?since=EPOCH` from one history of member
-//! lists, with a delay of its own, and can be silent or serve a list that is wrong.
+//! Stand-ins for the control agents, one for each sender. Each answers `GET /v1/members?since=EPOCH` from a common history
+//! of member lists, with its own delay, and can be made silent or serve an invalid list.
 
 use super::http;
 use hyper::{Response, body::Incoming};
@@ -10,28 +10,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A member list from the time at which it was decided.
+/// A member list and the time from which it is in force.
 struct Epoch {
     list: Value,
-    /// What changed since the one before it.
+    /// Changes since the previous epoch.
     changes: Vec<Value>,
     in_force_since: Instant,
 }
 
-/// How one agent serves.
+/// Behaviour of one agent.
 #[derive(Default)]
 struct Agent {
-    /// How much later than the others it tells an epoch.
+    /// How long after an epoch takes effect the agent starts to serve it.
     delay: Cell<Duration>,
-    /// It takes questions and answers none.
+    /// Whether it accepts requests without answering them.
     silent: Cell<bool>,
-    /// What it answers in place of the truth.
+    /// Answer that it gives to every request in place of the real one, if set.
     override_with: RefCell<Option<Value>>,
-    /// Questions that came.
+    /// Number of requests received.
     requests: Cell<u64>,
 }
 
-/// All control agents.
+/// All control agents and their common history.
 #[derive(Default)]
 pub struct Control {
     epochs: RefCell<Vec<Epoch>>,
@@ -43,7 +43,7 @@
         Rc::default()
     }
 
-    /// Starts the agent of the next sender.
+    /// Starts the agent of the next sender and returns its address.
     pub async fn listen(self: &Rc<Self>) -> SocketAddr {
         let agent = Rc::new(Agent::default());
         self.agents.borrow_mut().push(agent.clone());
@@ -51,13 +51,13 @@
         http::serve(move |request| control.clone().answer(agent.clone(), request)).await
     }
 
-    /// Decides the first list.
+    /// Sets the list of the first epoch.
     pub fn set_first_list(&self, list: Value) {
         let epoch = Epoch { list, changes: Vec::new(), in_force_since: Instant::now() };
         *self.epochs.borrow_mut() = vec![epoch];
     }
 
-    /// Decides the next epoch; its number.
+    /// Starts the next epoch with these changes and returns its number.
     pub fn change(&self, changes: Vec<Value>) -> u64 {
         let mut epochs = self.epochs.borrow_mut();
         let mut list = epochs.last().unwrap().list.clone();
@@ -69,27 +69,27 @@
         number
     }
 
-    /// The list in force.
+    /// Returns the list in force.
     pub fn list(&self) -> Value {
         self.epochs.borrow().last().unwrap().list.clone()
     }
 
-    /// Lets an agent tell epochs so much later.
+    /// Delays the epochs that an agent serves.
     pub fn set_delay(&self, agent: usize, by: Duration) {
         self.agents.borrow()[agent].delay.set(by);
     }
 
-    /// Lets an agent fall silent, or answer again.
+    /// Sets whether an agent leaves requests unanswered.
     pub fn set_silent(&self, agent: usize, silent: bool) {
         self.agents.borrow()[agent].silent.set(silent);
     }
 
-    /// Lets an agent answer this, whatever it is asked; with nothing, the truth again.
+    /// Sets a fixed answer for all requests to an agent; `None` restores the real answers.
     pub fn override_answer(&self, agent: usize, answer: Option<Value>) {
         *self.agents.borrow()[agent].override_with.borrow_mut() = answer;
     }
 
-    /// Questions that an agent was asked.
+    /// Returns how many requests an agent has received.
     pub fn requests(&self, agent: usize) -> u64 {
         self.agents.borrow()[agent].requests.get()
     }
@@ -104,7 +104,7 @@
         }
         agent.requests.set(agent.requests.get() + 1);
         if agent.silent.get() {
-            // Longer than any scenario: the question is never answered.
+            // The request is never answered: this outlasts any scenario.
             std::future::pending::<()>().await;
         }
         let since = http::query_number(&request, "since");
@@ -113,7 +113,8 @@
         http::with_body(200, answer.to_string())
     }
 
-    /// What an agent with this delay tells one that knows the epoch `since`.
+    /// Returns the answer of an agent with this delay to a sender that knows the epoch `since`: the changes, or the full list
+    /// if the agent does not know that epoch.
     fn answer_since(&self, delay: Duration, since: Option<u64>) -> Value {
         let epochs = self.epochs.borrow();
         let latest = epochs.iter().rposition(|e| e.in_force_since.elapsed() >= delay).unwrap_or(0);
@@ -126,7 +127,7 @@
     }
 }
 
-/// Applies one change to a whole list.
+/// Applies one change to a full list.
 fn apply(list: &mut Value, change: &Value) {
     if let Some(seat) = change["seat"].as_u64() {
         list["seats"][seat as usize]["member"] = change["member"].clone();
--- a/crates/sender/tests/common/placement/deployment.rs
+++ b/crates/sender/tests/common/placement/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that all scenarios share: classes, settings, and what the judge must know of them.
+//! The deployment that all scenarios share: classes, settings, and the judge's parameters for them.
 
 use embershore_rehearsal::parameters::{Class, Effect, Parameters, Receiver, Rules, Sender, Tenant};
 use embershore_rehearsal::span::Micros;
@@ -9,33 +9,33 @@
 pub const TENANT: &str = "acme";
 /// How long a receiver remembers an idempotency key.
 pub const KEY_WINDOW: Micros = 2_000_000;
-/// How long any message may be delivered.
+/// Time from the put of a message to its deadline.
 pub const DEADLINE: Micros = 2_500_000;
-/// How long a key rests after an attempt that may still run.
+/// How long a key is blocked after an attempt that may still run.
 const ORDER_SETTLE: Micros = 300_000;
-/// How long calls to a draining endpoint may still begin.
+/// How long calls to a draining endpoint may still start.
 const DRAIN_GRACE: Micros = 1_000_000;
 const MAX_ATTEMPTS: u32 = 6;
 const SLOTS: u32 = 40;
 
-/// What differs between scenarios.
+/// The values that differ between scenarios.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Members of the first list.
+    /// Number of members in the first list.
     pub members: usize,
-    /// Processes that run and are in no list at first.
+    /// Number of processes that run but are not in the first list.
     pub spares: usize,
     /// Destinations, numbered from 1.
     pub destinations: i64,
-    /// Owners of a destination.
+    /// Number of owners of a destination.
     pub replicas: usize,
-    /// For how long an answer of the control agent lets a sender take messages on as an owner.
+    /// How long a sender may accept messages as an owner after an answer of its control agent.
     pub lease: Duration,
-    /// How often a sender asks its control agent.
+    /// How often a sender polls its control agent.
     pub poll_interval: Duration,
-    /// How much later than others a control agent may tell an epoch.
+    /// Maximum delay with which a control agent serves an epoch.
     pub agent_lag: Duration,
-    /// Messages that a sender may hold.
+    /// Maximum number of open messages of a sender.
     pub max_open: u32,
 }
 
@@ -55,17 +55,17 @@
 }
 
 impl Deployment {
-    /// Processes in all.
+    /// Returns the number of processes, spares included.
     pub fn processes(&self) -> usize {
         self.members + self.spares
     }
 
-    /// After the news of a gained destination, how long a sender takes nothing for it.
+    /// Returns how long a sender accepts nothing for a destination that it has newly gained.
     pub fn hold(&self) -> Duration {
         self.lease + self.agent_lag + Duration::from_micros(DEADLINE as u64)
     }
 
-    /// The `settings` of a sender's configuration.
+    /// Returns the `settings` of a sender's configuration.
     pub fn settings(&self) -> Value {
         let profile = |class: &Class| {
             let effect = match class.effect {
@@ -91,7 +91,7 @@
         })
     }
 
-    /// What the judge must know.
+    /// Returns the parameters of the run for the judge.
     pub fn parameters(&self, scenario: &str) -> Parameters {
         let receiver = |number| Receiver {
             number,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The first member list: of a new fleet, with nothing before it.
+    /// Returns the first member list, that of a new fleet without an earlier epoch.
     pub fn first_list(&self, addresses: &[String]) -> Value {
         let seats = (0..self.members).map(|index| seat(index, &addresses[index]));
         json!({
@@ -139,14 +139,14 @@
     }
 }
 
-/// A seat with its member.
+/// Returns the seat of a sender, occupied by it.
 pub fn seat(index: usize, address: &str) -> Value {
     let zone = zone(index);
     json!({"region": "r1", "zone": zone, "rack": format!("{zone}{}", index / 3), "weight": 1.0,
            "member": {"name": name(index), "address": address}})
 }
 
-/// The name of a sender.
+/// Returns the name of a sender.
 pub fn name(index: usize) -> String {
     format!("n{index}")
 }
@@ -155,7 +155,7 @@
     ["a", "b", "c"][index % 3]
 }
 
-/// Classes by index: one for each effect, and one that keeps order.
+/// Returns the classes by index: one for each effect, and an ordered one.
 pub fn classes() -> Vec<Class> {
     let class = |name: &str, effect: Effect, ordered: bool| Class {
         name: name.into(),
--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -1,5 +1,5 @@
-//! The directory: tells each sender the endpoints of all destinations, at addresses of the sender's own, and takes its
-//! notices.
+//! A stand-in for the directory: serves each sender the endpoints of all destinations, at addresses of the sender's own, and
+//! receives its notices.
 
 use super::http::{self, Body};
 use super::ledger::Ledger;
@@ -17,17 +17,17 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// The version of the first list.
+/// Index of the first list.
 const FIRST_INDEX: u64 = 7;
-/// How often a watch with no news says that it lives.
+/// How often a watch without changes sends an empty line.
 const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Pieces of a watch that wait to be written.
+/// Maximum number of chunks of a watch that are queued for writing.
 const MAX_QUEUED_CHUNKS: usize = 16;
 
-/// Endpoints of the first list, and those that replace them.
+/// Number of generations of endpoints: those of the first list, and their replacements.
 pub const GENERATIONS: usize = 2;
 
-/// What stands in the directory for one endpoint.
+/// The directory's entry for one endpoint.
 #[derive(Clone, Debug)]
 struct Entry {
     destination: i64,
@@ -39,14 +39,14 @@
 /// Addresses at which one sender reaches the endpoints, by generation.
 pub type Addresses = [SocketAddr; GENERATIONS];
 
-/// A notice that hands a message back to its client.
+/// A notice that returns a message to its client.
 #[derive(Clone, Debug)]
 pub struct Returned {
     pub id: String,
     pub after_ms: Option<u64>,
 }
 
-/// The directory of all senders.
+/// The directory that serves all senders.
 pub struct Directory {
     ledger: Rc<Ledger>,
     entries: RefCell<Vec<Entry>>,
@@ -61,14 +61,14 @@
     after_ms: Option<u64>,
 }
 
-/// The name of a destination's endpoint.
+/// Returns the name of a destination's endpoint.
 pub fn endpoint_name(destination: i64, generation: usize) -> String {
     format!("d{destination}-{generation}")
 }
 
 impl Directory {
-    /// A directory that lists one endpoint for each destination, and where clients hear of returned messages. The
-    /// queue is bounded by what the clients hand in.
+    /// Creates a directory that lists one endpoint for each destination, and the queue on which clients receive returned
+    /// messages. The number of messages that the clients put bounds the queue.
     pub fn new(ledger: Rc<Ledger>, destinations: i64) -> (Rc<Self>, mpsc::UnboundedReceiver<Returned>) {
         let entry =
             |destination| Entry { destination, generation: 0, status: Standing::Ready, index: FIRST_INDEX };
@@ -82,20 +82,23 @@
         (Rc::new(Directory { ledger, entries, index, returned }), queue)
     }
 
-    /// Starts the directory's agent of one sender.
+    /// Starts the directory's agent for one sender and returns its address.
     pub async fn listen(self: &Rc<Self>, sender: usize, addresses: Addresses) -> SocketAddr {
         let directory = self.clone();
         http::serve(move |request| directory.clone().answer(sender, addresses, request)).await
     }
 
-    /// Lists a new endpoint for a destination and lets the one that it has drain.
+    /// Lists a new endpoint for a destination and drains the present one.
     pub fn replace(&self, destination: i64) {
         let index = self.index.borrow().to_owned() + 1;
         let mut entries = self.entries.borrow_mut();
         let old = entries.iter_mut().find(|e| e.destination == destination).unwrap();
         (old.status, old.index) = (Standing::Terminating, index);
         let generation = old.generation + 1;
-        assert!(generation < GENERATIONS, "an endpoint is replaced once");
+        assert!(
+            generation < GENERATIONS,
+            "the endpoint of destination {destination} was already replaced once"
+        );
         entries.push(Entry { destination, generation, status: Standing::Ready, index });
         drop(entries);
         let endpoint = endpoint_name(destination, generation);
@@ -148,7 +151,7 @@
         }
     }
 
-    /// The list for one sender: whole, or what changed since a version.
+    /// Returns the listing for one sender: the full list, or the changes since an index.
     fn listing(&self, sender: usize, addresses: Addresses, since: Option<u64>) -> Value {
         let (entries, index) = (self.entries.borrow(), *self.index.borrow());
         let changed_entries: Vec<&Entry> =
--- a/crates/sender/tests/common/placement/fleet.rs
+++ b/crates/sender/tests/common/placement/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet's processes, and the stand-ins around them.
+//! The sender processes of a fleet and the stand-ins around them.
 
 use super::clients::Clients;
 use super::control::Control;
@@ -20,18 +20,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Kept connections from one sender to all others at most.
+/// Maximum number of idle connections from one sender to all others.
 const OWNER_CONNECTIONS: usize = 32;
-/// How long a door has for one answer, before it is asked once more.
+/// Time limit of one request to a management interface, after which the request is repeated.
 const MGMT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often processes that end by themselves are looked for.
+/// How often the fleet checks for processes that ended by themselves.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How often the rig looks whether it stands still itself, and how often it says so.
+/// How often the rig measures how late its own timers are, and how many measurements make one record.
 const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const CHECKS_PER_RECORD: u32 = 100;
 
-/// The addresses at which a process listens. They are its own over its restarts, on a loopback address that no one else
-/// is given a port on.
+/// The addresses at which a process listens. They stay the same over its restarts, on a loopback address of its own, so
+/// that no other process is given the ports.
 struct Addresses {
     clients: SocketAddr,
     mgmt: SocketAddr,
@@ -40,30 +40,30 @@
 
 impl Addresses {
     fn new() -> Self {
-        // One fleet at a time has far fewer processes.
+        // A fleet has far fewer than 254 processes, and only one fleet runs at a time.
         static PROCESSES: AtomicU8 = AtomicU8::new(0);
         let [.., high, low] = std::process::id().to_be_bytes();
         let last = PROCESSES.fetch_add(1, Ordering::Relaxed) % 254 + 1;
         let own = Ipv4Addr::new(127, high | 0x80, low, last);
-        // All are open at once, so that they are different ports.
+        // All listeners are open at once, so that the ports differ.
         let [clients, mgmt, forward] = [(); 3].map(|()| std::net::TcpListener::bind((own, 0)).unwrap());
         let [clients, mgmt, forward] = [clients, mgmt, forward].map(|l| l.local_addr().unwrap());
         Addresses { clients, mgmt, forward }
     }
 }
 
-/// One sender.
+/// One sender process.
 struct Process {
     index: usize,
     folder: PathBuf,
     addresses: Addresses,
     relay: Rc<Relay>,
     child: RefCell<Option<Child>>,
-    /// Clients are not sent to it.
+    /// Whether clients avoid it.
     excluded: Cell<bool>,
 }
 
-/// All senders.
+/// All sender processes.
 pub struct Fleet {
     pub deployment: Deployment,
     ledger: Rc<Ledger>,
@@ -71,7 +71,7 @@
     processes: Vec<Process>,
 }
 
-/// A scenario's fleet and its stand-ins.
+/// The fleet and the stand-ins of a scenario.
 pub struct Rig {
     pub ledger: Rc<Ledger>,
     pub control: Rc<Control>,
@@ -82,12 +82,12 @@
 }
 
 impl Rig {
-    /// Starts the stand-ins and all processes, and waits until they are ready.
+    /// Starts the stand-ins and all processes, and waits until the processes are ready.
     pub async fn start(deployment: Deployment) -> Rig {
         Rig::start_with(deployment, true).await
     }
 
-    /// The same with processes whose operators have not switched placement on.
+    /// Does the same with processes that run without an options file, and so without placement.
     pub async fn start_without_placement(deployment: Deployment) -> Rig {
         Rig::start_with(deployment, false).await
     }
@@ -101,7 +101,7 @@
         rig
     }
 
-    /// Starts the stand-ins and writes the processes' files.
+    /// Starts the stand-ins and writes the files of the processes.
     async fn prepare(deployment: Deployment, with_placement: bool) -> Rig {
         let ledger = Rc::new(Ledger::new());
         let (directory, returned) = Directory::new(ledger.clone(), deployment.destinations);
@@ -131,7 +131,7 @@
     }
 }
 
-/// The files of one sender.
+/// Writes the files of one sender.
 struct Files<'a> {
     deployment: &'a Deployment,
     index: usize,
@@ -172,39 +172,39 @@
 }
 
 impl Fleet {
-    /// Where clients reach a sender.
+    /// Returns the address at which clients reach a sender.
     pub fn addr(&self, index: usize) -> SocketAddr {
         self.processes[index].addresses.clients
     }
 
-    /// The relay before a sender's forward address.
+    /// Returns the relay in front of a sender's forward address.
     pub fn relay(&self, index: usize) -> &Relay {
         &self.processes[index].relay
     }
 
-    /// The address that stands for a sender in the member list.
+    /// Returns a sender's address in the member list, which is that of its relay.
     pub fn address(&self, index: usize) -> String {
         self.processes[index].relay.addr.to_string()
     }
 
-    /// Where a sender keeps its state.
+    /// Returns the state folder of a sender.
     pub fn state(&self, index: usize) -> PathBuf {
         self.processes[index].folder.join("state")
     }
 
-    /// The sender at which a client of this one is let in.
+    /// Returns the sender that a client uses: the wanted one, or the next that clients do not avoid.
     pub fn entry_for(&self, wanted: usize) -> usize {
         let count = self.processes.len();
         let mut candidates = (0..count).map(|n| (wanted + n) % count);
         candidates.find(|n| !self.processes[*n].excluded.get()).unwrap_or(wanted % count)
     }
 
-    /// Whether clients are let in at a sender.
+    /// Sets whether clients use a sender.
     pub fn set_accepts_clients(&self, index: usize, open: bool) {
         self.processes[index].excluded.set(!open);
     }
 
-    /// Starts a process on what its folder holds.
+    /// Starts a process with the files in its folder.
     pub fn spawn(&self, index: usize) {
         let process = &self.processes[index];
         let log = File::options().create(true).append(true).open(process.folder.join("log")).unwrap();
@@ -222,16 +222,26 @@
         *process.child.borrow_mut() = Some(command.spawn().unwrap());
     }
 
-    /// Waits until a process answers its clients, and knows its member list and the endpoints of what it owns.
+    /// Waits until a process answers clients, and knows the member list and the endpoints of the destinations that it owns.
     pub async fn wait_ready(&self, index: usize) {
         let started = tokio::time::Instant::now();
         while !self.answers_ping(index).await {
-            assert!(started.elapsed() < crate::common::TEST_TIMEOUT, "not ready: {}", self.log(index));
+            assert!(
+                started.elapsed() < crate::common::TEST_TIMEOUT,
+                "{} did not answer clients in time; {}",
+                name(index),
+                self.log(index)
+            );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         self.ledger.record(Event::Ready { sender: index });
         while !self.has_placement(index).await {
-            assert!(started.elapsed() < crate::common::TEST_TIMEOUT, "no member list: {}", self.log(index));
+            assert!(
+                started.elapsed() < crate::common::TEST_TIMEOUT,
+                "{} has no member list or unread shards; {}",
+                name(index),
+                self.log(index)
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -253,7 +263,7 @@
         tokio::time::timeout(Duration::from_secs(2), request).await.is_ok_and(|a| a.is_some())
     }
 
-    /// SIGKILL; waits until the process has ended.
+    /// Sends SIGKILL and waits until the process has ended.
     pub fn kill(&self, index: usize) {
         self.ledger.record(Event::Signal { sender: index, signal: Signal::Kill });
         let mut child = self.processes[index].child.take().unwrap();
@@ -262,13 +272,13 @@
         self.ledger.record(Event::Exited { sender: index, planned: true, how });
     }
 
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     pub fn stop(&self, index: usize) {
         self.ledger.record(Event::Signal { sender: index, signal: Signal::Stop });
         self.signal(index, "-STOP");
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub fn resume(&self, index: usize) {
         self.signal(index, "-CONT");
         self.ledger.record(Event::Signal { sender: index, signal: Signal::Cont });
@@ -278,7 +288,7 @@
         crate::common::signal(self.processes[index].child.borrow().as_ref().unwrap(), signal);
     }
 
-    /// The figures that a sender tells its operators, as soon as it does.
+    /// Returns the metrics of a sender, repeating the request until it is answered.
     pub async fn metrics(&self, index: usize) -> Value {
         let started = tokio::time::Instant::now();
         loop {
@@ -286,7 +296,12 @@
             if let Some(metrics) = request.await.ok().flatten() {
                 return metrics;
             }
-            assert!(started.elapsed() < crate::common::TEST_TIMEOUT, "no figures: {}", self.log(index));
+            assert!(
+                started.elapsed() < crate::common::TEST_TIMEOUT,
+                "{} did not answer a request for metrics; {}",
+                name(index),
+                self.log(index)
+            );
         }
     }
 
@@ -298,13 +313,13 @@
         serde_json::from_str(answer.split_once("\r\n\r\n")?.1).ok()
     }
 
-    /// What a process wrote.
+    /// Returns the log of a process over all its starts.
     pub fn log(&self, index: usize) -> String {
         let text = std::fs::read_to_string(self.processes[index].folder.join("log")).unwrap_or_default();
         format!("{}'s log:\n{text}", name(index))
     }
 
-    /// The folder of all senders.
+    /// Returns the folder that contains the folders of all senders.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
@@ -321,12 +336,12 @@
     }
 }
 
-/// Takes down processes that end by themselves.
+/// Records processes that end by themselves.
 async fn watch_exits(fleet: Rc<Fleet>) {
     loop {
         for process in &fleet.processes {
             if process.is(|child| matches!(child.try_wait(), Ok(Some(_)))) {
-                let how = format!("it ended by itself; {}", fleet.log(process.index));
+                let how = format!("the process ended unexpectedly; {}", fleet.log(process.index));
                 *process.child.borrow_mut() = None;
                 fleet.ledger.record(Event::Exited { sender: process.index, planned: false, how });
             }
@@ -335,7 +350,7 @@
     }
 }
 
-/// Takes down how late the stand-ins' own timers are.
+/// Records how late the timers of the stand-ins are.
 async fn record_lag(ledger: Rc<Ledger>) {
     loop {
         let mut max_us = 0;
--- a/crates/sender/tests/common/placement/http.rs
+++ b/crates/sender/tests/common/placement/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 servers on loopback ports that the system gives.
+//! HTTP/1.1 servers on loopback ports that the system assigns.
 
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
@@ -14,7 +14,7 @@
 
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// Listens on a port of the system's choice and answers each request by `answer`, for as long as the runtime lives.
+/// Listens on a port that the system assigns and answers each request with `answer`, until the runtime ends.
 pub async fn serve<F, A>(answer: F) -> SocketAddr
 where
     F: Fn(Request<Incoming>) -> A + Clone + 'static,
@@ -31,7 +31,7 @@
                 async move { Ok::<_, Infallible>(answered.await) }
             });
             tokio::task::spawn_local(async move {
-                // A process that is killed breaks its connections off; that is no fault here.
+                // A killed process resets its connections, which is expected here.
                 _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
@@ -39,26 +39,26 @@
     addr
 }
 
-/// An answer with a body.
+/// Returns an answer with a body.
 pub fn with_body(status: u16, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Full::new(body.into()).boxed());
     *response.status_mut() = status.try_into().unwrap();
     response
 }
 
-/// An answer without a body.
+/// Returns an answer without a body.
 pub fn empty(status: u16) -> Response<Body> {
     with_body(status, Bytes::new())
 }
 
-/// The number that a query names.
+/// Returns the value of a query parameter as a number.
 pub fn query_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(n, _)| *n == name)?.1.parse().ok()
 }
 
-/// What a request carries.
+/// Reads the body of a request.
 pub async fn read_body(request: Request<Incoming>) -> Option<Bytes> {
     Some(request.into_body().collect().await.ok()?.to_bytes())
 }
--- a/crates/sender/tests/common/placement/ledger.rs
+++ b/crates/sender/tests/common/placement/ledger.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins saw, in the form of the rehearsal kit's history.
+//! The observations of all stand-ins, in the format of the rehearsal kit's history.
 
 use embershore_rehearsal::history::{Event, Record};
 use embershore_rehearsal::span::Micros;
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// The records of one scenario, and what the stand-ins must know of a message by its id.
+/// The records of one scenario, and the destination of each message by its id.
 pub struct Ledger {
     started: Instant,
     records: RefCell<Vec<Record>>,
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Microseconds since the scenario began.
+    /// Returns the microseconds since the scenario started.
     pub fn now(&self) -> Micros {
         self.started.elapsed().as_micros() as Micros
     }
 
-    /// Takes down what is seen now.
+    /// Records an event with the current time.
     pub fn record(&self, event: Event) {
         if let Event::Offer { id, receiver, .. } = &event {
             self.destinations.borrow_mut().insert(id.clone(), *receiver);
@@ -37,23 +37,23 @@
         self.records.borrow_mut().push(Record { t: self.now(), event });
     }
 
-    /// A number for the next call that a receiver takes.
+    /// Returns the number of the next call to a receiver.
     pub fn next_call(&self) -> u64 {
         self.calls.set(self.calls.get() + 1);
         self.calls.get()
     }
 
-    /// The destination of a message that a client has handed in.
+    /// Returns the destination of a message that a client has put, by its id.
     pub fn destination(&self, id: &str) -> Option<i64> {
         self.destinations.borrow().get(id).copied()
     }
 
-    /// All that was seen so far.
+    /// Returns all records so far.
     pub fn records(&self) -> Vec<Record> {
         self.records.borrow().clone()
     }
 
-    /// How many records hold.
+    /// Counts the events for which `holds` is true.
     pub fn count(&self, holds: impl Fn(&Event) -> bool) -> usize {
         self.records.borrow().iter().filter(|r| holds(&r.event)).count()
     }
--- a/crates/sender/tests/common/placement/mod.rs
+++ b/crates/sender/tests/common/placement/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet of real senders with placement on, between stand-ins on loopback: control agents, a directory, receivers,
-//! clients and a relay before each member's forward address.
+//! A fleet of real senders with placement enabled, between stand-ins on loopback: control agents, a directory,
+//! receivers, clients, and a relay in front of each member's forward address.
 //!
-//! All stand-ins run on the test's own thread and write what they see into one [`ledger::Ledger`], in the form of the
-//! rehearsal kit's history, so that the kit's judge can read it.
+//! All stand-ins run on the test's own thread and record what they observe in one [`ledger::Ledger`], in the format of
+//! the rehearsal kit's history, so that the kit's judge can read it.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -22,13 +22,13 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// One fleet of processes at a time: the verdicts must not hang on how many tests the machine runs at once.
+/// Allows one fleet of processes at a time: the verdicts must not depend on how many tests run at once.
 static ONE_FLEET: std::sync::Mutex<()> = std::sync::Mutex::new(());
 
-/// No scenario takes longer, waiting for the end of each message included.
+/// Time limit of a scenario, including the wait for the end of each message.
 const MAX_SCENARIO_TIME: Duration = Duration::from_secs(60);
 
-/// Runs a scenario on a thread of its own runtime, after all others.
+/// Runs a scenario on a single-threaded runtime of its own, while no other scenario runs.
 pub fn run(scenario: impl Future<Output = ()>) {
     let _lock = ONE_FLEET.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -37,11 +37,14 @@
     assert!(result.is_ok(), "the scenario did not end within {MAX_SCENARIO_TIME:?}");
 }
 
-/// Waits until `ready` holds, while the stand-ins go on; fails the test if it never does.
+/// Polls `ready` until it holds, while the stand-ins keep running.
+///
+/// # Panics
+/// If it does not hold within the time limit of the tests.
 pub async fn wait_until(what: &str, mut ready: impl FnMut() -> bool) {
     let started = tokio::time::Instant::now();
     while !ready() {
-        assert!(started.elapsed() < crate::common::TEST_TIMEOUT, "waited in vain for: {what}");
+        assert!(started.elapsed() < crate::common::TEST_TIMEOUT, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/sender/tests/common/placement/receivers.rs
+++ b/crates/sender/tests/common/placement/receivers.rs
@@ -1,5 +1,5 @@
-//! The receivers of all destinations. Each sender reaches them at addresses of its own, so that every call says whose
-//! it is; the destination is that of the message which the call carries.
+//! Stand-ins for the receivers of all destinations. Each sender reaches them at addresses of its own, which identifies the
+//! caller; the destination of a call is that of the message that it carries.
 
 use super::deployment::KEY_WINDOW;
 use super::directory::{Addresses, GENERATIONS, endpoint_name};
@@ -15,22 +15,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a receiver takes where it was not told otherwise.
+/// Default time that a receiver takes for a call.
 const DEFAULT_DELAY: Duration = Duration::from_millis(5);
 
-/// What a receiver does with calls.
+/// How a receiver treats calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Conduct {
-    /// Carries each out and says so.
+    /// Runs each message and answers 200.
     #[default]
     Normal,
-    /// The same, but so much slower.
+    /// Does the same after this delay.
     Slow(Duration),
-    /// Carries each out and answers 500.
+    /// Runs each message and answers 500.
     RunThenFail,
-    /// Turns each away with 503 before it carries it out.
+    /// Rejects each call with 503 without running it.
     Refuse,
-    /// Turns the next call away and tells the sender to wait; is well again after it.
+    /// Rejects the next call with 429 and an advertised wait, then returns to normal.
     WaitOnce(Duration),
 }
 
@@ -43,7 +43,7 @@
     keys: RefCell<HashMap<String, Micros>>,
 }
 
-/// A call that was begun: it is taken down as broken off unless it is answered.
+/// A call in progress, which is recorded as broken off by the sender unless it is answered.
 struct OpenCall<'a> {
     ledger: &'a Ledger,
     call: u64,
@@ -82,12 +82,12 @@
         addresses
     }
 
-    /// Tells the receiver of a destination what to do from now on.
+    /// Sets how the receiver of a destination treats calls from now on.
     pub fn set_conduct(&self, destination: i64, conduct: Conduct) {
         self.conduct.borrow_mut().insert(destination, conduct);
     }
 
-    /// How long all others take from now on.
+    /// Sets how long a call takes from now on at receivers that treat calls normally.
     pub fn set_default_delay(&self, time: Duration) {
         self.default_delay.set(time);
     }
@@ -105,7 +105,7 @@
         if http::read_body(request).await.is_none() {
             return http::empty(400);
         }
-        // A message that no client has handed in is no one's.
+        // A message that no client has put has no destination.
         let Some(destination) = self.ledger.destination(&id) else { return http::empty(400) };
         let call = self.ledger.next_call();
         let endpoint = endpoint_name(destination, generation);
@@ -137,7 +137,7 @@
         http::empty(status)
     }
 
-    /// Remembers a key; false if it was remembered already, within the window from its first effect on.
+    /// Records a key and returns whether it is new: not seen within the window since its first effect.
     fn is_new(&self, key: String) -> bool {
         let now = self.ledger.now();
         let mut keys = self.keys.borrow_mut();
--- a/crates/sender/tests/common/placement/relay.rs
+++ b/crates/sender/tests/common/placement/relay.rs
@@ -1,4 +1,5 @@
-//! A relay before a member's forward address: passes bytes on both ways, and cuts or delays connections as it is told.
+//! A relay in front of a member's forward address: passes bytes in both directions, and cuts or delays connections
+//! according to its mode.
 
 use bytes::BytesMut;
 use embershore_protocol::resp;
@@ -11,19 +12,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// After a cut the owner's side stays open for this long: its answer comes, and no one hears it.
+/// How long the owner's side stays open after a cut: the owner's answer arrives, but is not passed on.
 const OWNER_SIDE_LINGER: Duration = Duration::from_secs(1);
 
-/// What a relay does with what passes.
+/// How a relay treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
     Pass,
-    /// Ends the forwarder's side once a whole `MSG.PUT` has passed, before its answer.
+    /// Closes the forwarder's side after a complete `MSG.PUT` has passed, before its answer.
     CutAfterRequest,
-    /// Ends a connection that comes, before any byte, and one that is open as its next byte comes, which is not
-    /// passed on.
+    /// Closes a new connection before any byte passes, and an open one when its next bytes arrive, which are not passed on.
     CutBefore,
-    /// Passes each request on so much later.
+    /// Passes each request on after this delay.
     Delay(Duration),
 }
 
@@ -31,9 +31,9 @@
 pub struct Relay {
     pub addr: SocketAddr,
     mode: Cell<Mode>,
-    /// Requests whose last byte had passed as their connection was cut.
+    /// Number of requests whose connection was cut after their last byte had passed.
     cut: Cell<usize>,
-    /// Requests that passed.
+    /// Number of complete requests that passed.
     passed: Cell<usize>,
 }
 
@@ -57,12 +57,12 @@
         self.mode.set(mode);
     }
 
-    /// Requests whose connection was cut after their last byte had passed.
+    /// Returns how many requests had their connection cut after their last byte had passed.
     pub fn cut(&self) -> usize {
         self.cut.get()
     }
 
-    /// Requests that passed whole, those that were cut after it included.
+    /// Returns how many complete requests passed, including those whose connection was cut afterwards.
     pub fn passed(&self) -> usize {
         self.passed.get()
     }
@@ -71,7 +71,7 @@
         if self.mode.get() == Mode::CutBefore {
             return;
         }
-        // An owner that is down: the forwarder's connection ends before any byte.
+        // The owner is down: the forwarder's connection ends before any byte passes.
         let Ok(owner) = TcpStream::connect(owner).await else { return };
         _ = (forwarder.set_nodelay(true), owner.set_nodelay(true));
         let ((from_forwarder, to_forwarder), (from_owner, to_owner)) =
@@ -81,7 +81,7 @@
         self.pass_requests(from_forwarder, to_owner, &cut).await;
     }
 
-    /// Passes requests on until the forwarder has gone or is cut off.
+    /// Passes requests on until the forwarder closes its connection or is cut off.
     async fn pass_requests(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, cut: &Notify) {
         let mut unparsed = BytesMut::new();
         let mut buffer = [0; 16 * 1024];
@@ -112,7 +112,7 @@
     }
 }
 
-/// Takes the whole commands off; how many of them hand a message in.
+/// Removes the complete commands from the buffer and returns how many of them are `MSG.PUT`.
 fn take_puts(unparsed: &mut BytesMut) -> usize {
     let mut requests = 0;
     while let Ok(Some(args)) = resp::decode_command(unparsed) {
@@ -121,14 +121,14 @@
     requests
 }
 
-/// Passes answers on until either side has gone, or the forwarder is cut off.
+/// Passes answers on until either side closes its connection or the forwarder is cut off.
 async fn pass_answers(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, cut: Rc<Notify>) {
     tokio::select! {
         biased;
         () = cut.notified() => drop(to),
         _ = tokio::io::copy(&mut from, &mut to) => return,
     }
-    // What the owner still says is read, so that its side ends in order.
+    // The owner's remaining bytes are read, so that its side is closed without a reset.
     let rest = async { while matches!(from.read(&mut [0; 1024]).await, Ok(1..)) {} };
     _ = tokio::time::timeout(OWNER_SIDE_LINGER, rest).await;
 }
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -1,9 +1,10 @@
-//! What a scenario's records say: the kit's judge over the whole fleet, and what only a placed fleet can break.
+//! The verdict on a scenario's records: the rehearsal kit's judge over the whole fleet, and the rules that only a fleet with
+//! placement can break.
 //!
-//! Of the six rules the judge is fed all that rules 1 (no message lost), 2 (no effect twice), 3 (drains kept), 5 (order
-//! kept) and 6 (waits heeded) look at. Rule 5 is judged twice: for each owner, and over the whole fleet, since all messages
-//! of a key go to one owner at a time. Rule 4 (a returning receiver is not pushed over) is not covered: the stand-in
-//! receivers have no capacity that could be exceeded.
+//! The judge receives all records that rules 1 (no message lost), 2 (no effect twice), 3 (drains kept), 5 (order kept) and
+//! 6 (waits heeded) need. Rule 5 is judged twice: for each owner, and over the whole fleet, since all messages of a key go
+//! to one owner at a time. Rule 4 (a returning receiver is not overloaded) is not covered: the stand-in receivers have no
+//! capacity that could be exceeded.
 
 use super::deployment::Deployment;
 use super::ledger::Ledger;
@@ -12,26 +13,26 @@
 use embershore_rehearsal::parameters::Effect;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The records of a scenario that is over, put together.
+/// The results of a completed scenario.
 pub struct Findings {
     pub judgement: Judgement,
-    /// Rule 5, as if all owners were one sender.
+    /// Rule 5, judged as if all owners were one sender.
     pub fleet_order: Ruling,
     pub table: Table,
 }
 
-/// How the clients' hand-ins were answered.
+/// How many puts of the clients had each kind of answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
     pub accepted: usize,
     pub busy: usize,
     pub failed: usize,
-    /// No answer in time, no connection, or one that ended.
+    /// No answer in time, no connection, or a connection that ended.
     pub none: usize,
 }
 
 impl Findings {
-    /// Judges what the ledger holds.
+    /// Judges the records of a ledger.
     pub fn from_ledger(scenario: &str, deployment: &Deployment, ledger: &Ledger) -> Findings {
         let parameters = Box::new(deployment.parameters(scenario));
         let mut records = vec![Record { t: 0, event: Event::Run { format: FORMAT, parameters } }];
@@ -43,21 +44,29 @@
         Findings { judgement: verdict(&table), fleet_order, table }
     }
 
-    /// Asserts that nothing was lost, had its effect twice or a second owner, and that no rule of the judge's is broken. A
-    /// run in which the rig itself stood still is void to the judge, whose rules hang on times: then only the first part
-    /// counts.
+    /// Asserts that no message was lost, took effect twice or had a second owner, that the judge finds no rule broken, and that
+    /// the `tested` rules were tested. The judge's rules depend on times, so a run in which the rig itself stalled is void:
+    /// then only the checks of loss, effects and owners count.
     ///
     /// # Panics
-    /// Tells the offences.
+    /// If a check fails, with the offences.
     pub fn assert_rules_kept(&self, tested: &[Rule]) {
         println!("{:?}; void: {:?}", self.answers(), self.judgement.void);
         let rulings = self.judgement.rules.iter().chain([&self.fleet_order]);
         rulings
             .clone()
             .for_each(|r| println!("{}: {}, {} tests {:?}", r.rule, r.verdict, r.tested, r.margin));
-        assert_eq!(self.second_owners(), Vec::<String>::new(), "no second owner after an unknown outcome");
-        assert_eq!(self.unended(), Vec::<String>::new(), "promised and neither delivered nor ended");
-        assert_eq!(self.double_effects(), Vec::<String>::new(), "effect twice");
+        assert_eq!(
+            self.second_owners(),
+            Vec::<String>::new(),
+            "messages sent by a second owner after an unknown outcome, by id"
+        );
+        assert_eq!(
+            self.unended(),
+            Vec::<String>::new(),
+            "messages accepted but neither delivered nor ended, by id"
+        );
+        assert_eq!(self.double_effects(), Vec::<String>::new(), "messages that took effect twice, by id");
         if self.is_void() {
             return;
         }
@@ -66,17 +75,17 @@
         }
         for rule in tested {
             let ruling = self.judgement.ruling(*rule).unwrap();
-            assert!(ruling.tested > 0, "{rule} was not put to the test");
+            assert!(ruling.tested > 0, "rule {rule} was not tested by this scenario");
         }
     }
 
-    /// Whether the rig itself stood still: figures of the service say nothing then.
+    /// Returns whether the rig itself stalled, so that measurements of the service mean nothing.
     pub fn is_void(&self) -> bool {
         self.judgement.void.is_some()
     }
 
-    /// Messages, of those that may not have their effect twice, that were called by two senders though the first may
-    /// have delivered them.
+    /// Returns the messages that must not take effect twice but were sent by two senders, although the first may have
+    /// delivered them.
     pub fn second_owners(&self) -> Vec<String> {
         let harmful = self.table.messages.iter().filter(|m| self.effect(m) != Effect::Safe);
         let by_two = harmful.filter(|m| {
@@ -86,15 +95,15 @@
         by_two.map(|m| m.id.clone()).collect()
     }
 
-    /// Messages that were promised, and neither delivered nor ended by a notice.
+    /// Returns the accepted messages that were neither delivered nor ended by a notice.
     pub fn unended(&self) -> Vec<String> {
         let accepted = self.table.messages.iter().filter(|m| m.taken().is_some());
         let open = accepted.filter(|m| m.notices.is_empty() && self.table.delivered(m).is_none());
         open.map(|m| m.id.clone()).collect()
     }
 
-    /// Messages, by the id under which they were first handed in, that took effect twice, and may not. A hand-in whose
-    /// client had no answer counts too where the message was never promised under another id.
+    /// Returns the messages, by the id of their first put, that took effect twice but must not. A put without an answer counts
+    /// too if the message was never accepted under another id.
     pub fn double_effects(&self) -> Vec<String> {
         let mut effects: BTreeMap<&str, usize> = BTreeMap::new();
         for message in self.table.messages.iter().filter(|m| self.effect(m) != Effect::Safe && !m.disowned())
@@ -105,7 +114,7 @@
         effects.iter().filter(|(_, runs)| **runs > 1).map(|(origin, _)| origin.to_string()).collect()
     }
 
-    /// By destination, the senders that called its receiver.
+    /// Returns, by destination, the senders that called its receiver.
     pub fn callers(&self) -> BTreeMap<i64, BTreeSet<usize>> {
         let mut callers: BTreeMap<i64, BTreeSet<usize>> = BTreeMap::new();
         for call in self.table.calls.values() {
@@ -114,7 +123,7 @@
         callers
     }
 
-    /// Messages that a sender called for, of those that were handed in at another.
+    /// Returns how many calls carry a message that was put at another sender.
     pub fn forwarded(&self, ledger: &Ledger) -> usize {
         let entries: HashMap<String, usize> = ledger.records().iter().filter_map(entry).collect();
         let elsewhere = |id: &str, caller: usize| entries.get(id).is_some_and(|entry| *entry != caller);
@@ -122,7 +131,7 @@
         calls.filter(|call| call.ids.iter().any(|id| elsewhere(id, call.sender))).count()
     }
 
-    /// How all hand-ins were answered.
+    /// Counts the answers to all puts.
     pub fn answers(&self) -> Answers {
         let mut answers = Answers::default();
         for message in &self.table.messages {
@@ -136,17 +145,17 @@
         answers
     }
 
-    /// Messages that were handed in, each once.
+    /// Returns the number of messages, each counted once however often it was put.
     pub fn origins(&self) -> usize {
         self.table.first_offers().len()
     }
 
-    /// How many messages were delivered under any of their ids.
+    /// Returns how many messages were delivered under any of their ids.
     pub fn delivered(&self) -> usize {
         self.delivered_origins().len()
     }
 
-    /// By destination, messages that were delivered under none of their ids.
+    /// Returns, by destination, the messages that were delivered under none of their ids.
     pub fn undelivered(&self) -> BTreeMap<i64, BTreeSet<&str>> {
         let delivered = self.delivered_origins();
         let mut missing: BTreeMap<i64, BTreeSet<&str>> = BTreeMap::new();
@@ -167,7 +176,7 @@
     }
 }
 
-/// Taken messages of which no end has been seen yet.
+/// Returns the accepted messages whose end has not been observed yet.
 pub fn unended(records: &[Record]) -> BTreeSet<String> {
     let mut calls: HashMap<u64, &str> = HashMap::new();
     let mut open = BTreeSet::new();
@@ -185,7 +194,7 @@
     open
 }
 
-/// The sender at which a message was handed in.
+/// Returns the id of a put message and the sender at which it was put.
 fn entry(record: &Record) -> Option<(String, usize)> {
     match &record.event {
         Event::Offer { id, sender, .. } => Some((id.clone(), *sender)),
@@ -193,7 +202,7 @@
     }
 }
 
-/// Rule 5 over all senders together.
+/// Judges rule 5 over all senders together.
 fn fleet_order(records: &[Record]) -> Ruling {
     let mut records = records.to_vec();
     for record in &mut records {
@@ -205,8 +214,8 @@
     judgement.ruling(Rule::OrderKept).unwrap().clone()
 }
 
-/// The judge holds a sender to what it took on. Here that is the message's owner, as its first call or its notice shows,
-/// and not the sender at which the client handed it in.
+/// Attributes each accepted message to its owner, which its first call or its notice shows. The judge holds the sender of a
+/// put responsible for the message; with placement that is the owner, not the sender at which the client put it.
 fn attribute_to_owners(records: &mut [Record]) {
     let mut owners: HashMap<String, usize> = HashMap::new();
     let mut accepted: BTreeSet<String> = BTreeSet::new();
--- a/crates/sender/tests/common/placement/wrong_lists.rs
+++ b/crates/sender/tests/common/placement/wrong_lists.rs
@@ -1,8 +1,8 @@
-//! Member lists that a sender must refuse.
+//! Invalid member lists, which a sender must refuse.
 
 use serde_json::{Value, json};
 
-/// Lists that a sender must refuse, each by itself, where the list in force has this form.
+/// Returns lists, with the reason, each of which a sender must refuse while `list` is in force.
 pub fn invalid_lists(list: &Value) -> Vec<(&'static str, Value)> {
     let altered = |change: &dyn Fn(&mut Value)| {
         let mut altered = list.clone();
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! Two events that cross: a watch that falls silent, trickles or comes indented, a change of discovery's address, signals
-//! within a start and a stop, a notice that is not answered, a client that has ended its sending.
+//! Two events that overlap: a watch that stalls, trickles or is indented, a change of discovery's address, signals during a
+//! start and a stop, a notice that is not answered, a client that has shut down its sending side. Guards against a lost
+//! change, message or answer when the second event arrives before the first is handled.
 //! `docs/design/crossings.md` has one row for each pair.
 
 mod common;
@@ -10,11 +11,11 @@
 use std::time::{Duration, Instant};
 
 const SYNC: &str = "c=sync,d=15000,dest=3";
-/// What a watch that fell silent misses counts as told by then.
-const TOLD: Duration = Duration::from_secs(6);
+/// Within this the sender must know a change that a stalled watch did not deliver.
+const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
 
-/// A sender that is told its list and its changes by a script, with one endpoint of destination 3; the script sees
-/// only questions for a watch, with the number of those before it, and the endpoint's line with its status.
+/// Starts a sender with one endpoint of destination 3, whose watches a script answers. The script receives the number of
+/// earlier watch requests, a function that gives the list with an index and the endpoint's status, and the connection.
 fn watching(
     script: impl Fn(usize, &dyn Fn(u64, &str) -> serde_json::Value, &mut TcpStream) + Send + Sync + 'static,
 ) -> (Endpoint, ScriptedPlatform, Platform, Sender) {
@@ -30,14 +31,15 @@
         }
         _ => write_answer(stream, 204, ""),
     });
-    // Its notices go to the script as well: this one only lends its address at the start.
+    // Notices go to the script as well: this platform only provides an address at the start.
     let platform = Platform::new(Vec::new());
     let sender = Sender::with(&platform, |c| c["discovery"] = scripted.addr.to_string().into());
     (endpoint, scripted, platform, sender)
 }
 
-/// How long after the first watch was asked for the drain that it did not tell has been heard.
-fn heard_after(first: impl Fn(&mut TcpStream) + Send + Sync + 'static, hang: usize) -> Duration {
+/// Returns the time from the first watch request until the sender knows a drain that the first watch did not deliver.
+/// After the first watch, `hang` further ones are not answered.
+fn drain_delay(first: impl Fn(&mut TcpStream) + Send + Sync + 'static, hang: usize) -> Duration {
     let (_endpoint, scripted, _platform, sender) = watching(move |before, list, stream| {
         if before == 0 {
             begin_chunked(stream);
@@ -53,31 +55,31 @@
 
 #[test]
 fn what_a_silent_watch_misses_is_heard_in_time() {
-    let after_the_head = heard_after(|_| {}, 0);
-    assert!(after_the_head < TOLD - Duration::from_secs(1), "{after_the_head:?}");
-    let after_an_empty_line = heard_after(|stream| _ = write_chunk(stream, "\n"), 0);
-    assert!(after_an_empty_line < TOLD - Duration::from_secs(1), "{after_an_empty_line:?}");
-    let within_a_line = heard_after(|stream| _ = write_chunk(stream, "{\"index\": 8, \"snap"), 0);
-    assert!(within_a_line < TOLD - Duration::from_secs(1), "{within_a_line:?}");
+    let after_the_head = drain_delay(|_| {}, 0);
+    assert!(after_the_head < MAX_DISCOVERY_DELAY - Duration::from_secs(1), "{after_the_head:?}");
+    let after_an_empty_line = drain_delay(|stream| _ = write_chunk(stream, "\n"), 0);
+    assert!(after_an_empty_line < MAX_DISCOVERY_DELAY - Duration::from_secs(1), "{after_an_empty_line:?}");
+    let within_a_line = drain_delay(|stream| _ = write_chunk(stream, "{\"index\": 8, \"snap"), 0);
+    assert!(within_a_line < MAX_DISCOVERY_DELAY - Duration::from_secs(1), "{within_a_line:?}");
 }
 
 #[test]
 fn a_first_question_that_hangs_leaves_time_for_a_second() {
-    let heard = heard_after(|_| {}, 2);
-    assert!(heard < TOLD, "{heard:?}");
+    let delay = drain_delay(|_| {}, 2);
+    assert!(delay < MAX_DISCOVERY_DELAY, "the drain was known after {delay:?}");
 }
 
 #[test]
 fn bytes_that_never_end_a_line_are_no_sign_of_life() {
     let trickle = |stream: &mut TcpStream| {
         write_chunk(stream, "{");
-        // Until the sender has gone.
+        // Until the sender closes the connection.
         while write_chunk(stream, " ") {
             sleep(Duration::from_millis(200));
         }
     };
-    let heard = heard_after(trickle, 0);
-    assert!(heard < TOLD - Duration::from_secs(1), "{heard:?}");
+    let delay = drain_delay(trickle, 0);
+    assert!(delay < MAX_DISCOVERY_DELAY - Duration::from_secs(1), "the drain was known after {delay:?}");
 }
 
 #[test]
@@ -91,7 +93,7 @@
         write_chunk(stream, "\n\n");
     });
     wait_until("the drain", || sender.journal_contains("s-1"));
-    assert_eq!(scripted.request_times("watch").len(), 1, "the watch goes on");
+    assert_eq!(scripted.request_times("watch").len(), 1, "the watch must stay open");
     let mut client = sender.client();
     client.ping();
     assert_eq!(client.put("a1", SYNC), "+OK");
@@ -99,8 +101,8 @@
     assert_eq!(endpoint.call_count("a1"), 0);
 }
 
-/// A sender that has nowhere to deliver to, ready; its notices are answered by a script, which sees how many posts came
-/// before.
+/// Starts a sender without an endpoint that accepts calls, and waits until it is ready. A script answers its notices; it
+/// receives the number of earlier posts.
 fn noticing(
     reports: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
 ) -> (ScriptedPlatform, Platform, Sender) {
@@ -129,7 +131,7 @@
     assert_eq!(client.put("a1", "c=sync,d=300,dest=3"), "+OK");
     wait_until("a second post", || scripted.request_times("/reports").len() > 1);
     let posts = scripted.request_times("/reports");
-    // The first has 0.1 s. It had a whole one, and the notice came long after it was due.
+    // The first post has 0.1 s to be answered. With 1 s the second one came long after the notice was due.
     assert!(posts[1] - posts[0] < Duration::from_millis(600), "{:?}", posts[1] - posts[0]);
 }
 
@@ -145,29 +147,29 @@
         let requests: Vec<u8> =
             ids.iter().flat_map(|id| put(id, &format!("{SYNC},t=acme"), b"hello")).collect();
         client.write(&requests);
-        // The end of its sending meets the driver at another moment each time.
+        // The end of the client's sending side reaches the driver at a different moment in each round.
         sleep(Duration::from_micros(400 * round));
         client.stream.shutdown(Shutdown::Write).unwrap();
         for id in &ids {
             match &*client.read() {
                 "+OK" => endpoint.wait_sent(id),
                 "-BUSY" => {
-                    // Withdrawn: it is taken on as new when it comes again.
+                    // The message was withdrawn: put again, it is accepted as new.
                     assert_eq!(endpoint.call_count(id), 0, "{id}");
-                    wait_until("its second coming", || sender.client().put(id, SYNC) == "+OK");
+                    wait_until("the second put to be accepted", || sender.client().put(id, SYNC) == "+OK");
                 }
-                other => panic!("{id}: '{other}'"),
+                other => panic!("{id}: expected +OK or -BUSY, got '{other}'"),
             }
         }
-        assert_eq!(client.read(), "", "then the connection ends");
+        assert_eq!(client.read(), "", "the connection must end after the last answer");
     }
     let begun = Instant::now();
     assert_eq!(sender.client().put("last", SYNC), "+OK");
     assert!(begun.elapsed() < Duration::from_secs(1));
 }
 
-/// A platform that never answers what it is asked.
-fn mute() -> ScriptedPlatform {
+/// Starts a platform that never answers a request.
+fn unresponsive_platform() -> ScriptedPlatform {
     ScriptedPlatform::new(|_, _, _| {})
 }
 
@@ -178,12 +180,12 @@
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     sender.kill();
     let before = std::fs::read(sender.journal()).unwrap();
-    let silent = mute();
+    let silent = unresponsive_platform();
     sender.change_config(|c| c["discovery"] = silent.addr.to_string().into());
     sender.spawn();
     let mut client = sender.client();
     client.write(&put("a2", &format!("{SYNC},t=acme"), b"hello"));
-    wait_until("it to ask for the list", || !silent.request_times("/v1/servers").is_empty());
+    wait_until("a request for the list", || !silent.request_times("/v1/servers").is_empty());
     sender.terminate();
     assert!(sender.wait_exit().success());
     assert_eq!(client.read(), "-BUSY");
@@ -248,7 +250,7 @@
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     wait_until("the watch", || scripted.request_times("watch").len() == 1);
-    // The new one counts its versions otherwise, and knows of a drain.
+    // The new platform has its own sequence of indexes, and lists a drain.
     let (other, addr) = (Endpoint::new(|_| status(200)), endpoint.addr);
     let lines = [
         listed_endpoint("s-1", addr, "one", 3, "Terminating"),
@@ -265,7 +267,7 @@
         other.wait_sent(&format!("b{n}"));
     }
     assert_eq!(endpoint.sent(), ["a1"]);
-    // Changes of the new one are heard by its own count.
+    // Changes are followed by the indexes of the new platform.
     sender.wait_drain_recorded(
         || successor.publish(false, vec![listed_endpoint("s-2", other.addr, "one", 3, "Gone")]),
         "s-2",
@@ -289,7 +291,7 @@
     one.wait_sent("a3");
     assert_eq!(client.put("a4", &dest(4)), "+OK");
     two.wait_sent("a4");
-    // Each name is now at the other's address, and both have a connection that is kept. A third one tells when it is known.
+    // Each name is now at the other's address, and both have an idle connection. The third entry shows when the list is known.
     let mut swapped = both(&two, &one);
     swapped.push(listed_endpoint("s-3", one.addr, "one", 5, "Terminating"));
     sender.wait_drain_recorded(|| platform.publish(true, swapped.clone()), "s-3");
@@ -299,7 +301,7 @@
         assert_eq!(client.put(&format!("b4{n}"), &dest(4)), "+OK");
         one.wait_sent(&format!("b4{n}"));
     }
-    // Gone, and listed again as one that has started anew at a third place.
+    // The endpoint is gone, and is listed again as one that was restarted at a third address.
     let three = Endpoint::new(|_| status(200));
     sender.wait_drain_recorded(
         || platform.publish(false, vec![listed_endpoint("s-1", two.addr, "one", 3, "Gone")]),
@@ -326,7 +328,11 @@
         assert!(begun.elapsed() < Duration::from_millis(350), "{n}: {:?}", begun.elapsed());
     }
     sleep(Duration::from_millis(100));
-    assert_eq!(scripted.request_times("/reports").len(), 6, "each was confirmed by its first answer");
+    assert_eq!(
+        scripted.request_times("/reports").len(),
+        6,
+        "each notice must be confirmed by its first answer"
+    );
 }
 
 #[test]
@@ -343,7 +349,7 @@
         let state = move |state: &str| listed_endpoint("s-1", endpoint.addr, "one", 3, state);
         let scripted = ScriptedPlatform::new(move |request, before, stream| {
             if !request.line.contains("follow") {
-                // Asked again, it says nothing.
+                // A second request is not answered.
                 if before == 0 {
                     write_answer(stream, 200, &list(7, true, vec![state("Ready")]));
                 }
@@ -357,10 +363,13 @@
         let platform = Platform::new(Vec::new());
         let sender = Sender::with(&platform, |c| c["discovery"] = scripted.addr.to_string().into());
         wait_until("the drain", || sender.journal_contains("s-1"));
-        wait_until("the whole list to be asked for", || scripted.request_times("/v1/servers").len() > 1);
+        wait_until("a second request for the full list", || scripted.request_times("/v1/servers").len() > 1);
         let mut client = sender.client();
         assert_eq!(client.put("a1", SYNC), "+OK");
         sleep(Duration::from_millis(100));
-        assert!(endpoint.sent().is_empty(), "{wrong}");
+        assert!(
+            endpoint.sent().is_empty(),
+            "a message was sent to the draining endpoint after the line {wrong}"
+        );
     }
 }
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -1,5 +1,6 @@
-//! A hundred real processes round a few receivers: their load is even though each sees little of it, also where
-//! endpoints join, fall silent or are slow, and half of the processes are killed in the same second.
+//! Evenness of the load that a hundred real processes put on a few receivers. Guards against uneven endpoints where each
+//! sender sees little of the load, also when endpoints join, stall or are slow, and when half of the processes are killed in
+//! the same second.
 
 use embershore_rehearsal::judge::{Spread, Table, Verdict};
 use embershore_rehearsal::report::{Report, report};
@@ -8,12 +9,12 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// One fleet at a time: it wants the machine to itself.
-static MACHINE: Mutex<()> = Mutex::new(());
+/// Allows one fleet at a time, since it needs the whole machine.
+static ONE_FLEET: Mutex<()> = Mutex::new(());
 
 const SENDERS: usize = 100;
-/// How late the rig may be at the 99th percentile, in microseconds: a quarter of the shortest time that is counted over.
-const LATE_MOST: i64 = 250_000;
+/// Limit of the rig's lateness at the 99th percentile: a quarter of the shortest period over which calls are counted.
+const MAX_RIG_LATENESS_US: i64 = 250_000;
 
 fn receiver(number: usize, endpoints: usize) -> String {
     format!(
@@ -22,9 +23,9 @@
     )
 }
 
-/// Plays it around real processes; no rule may be broken and the rig must have kept up.
+/// Runs a scenario with real processes. No rule may be broken and the rig must have kept up.
 fn rehearse(length: &str, rate: u32, receivers: &[String], events: &str) -> (Report, Table) {
-    let _alone = MACHINE.lock().unwrap_or_else(|e| e.into_inner());
+    let _lock = ONE_FLEET.lock().unwrap_or_else(|e| e.into_inner());
     let text = format!(
         "name = \"hundred\"\nseed = 5\nlength = \"{length}\"\n[clients]\nretries = 2\n\
          [[class]]\nname = \"push\"\nshare = 0.5\neffect = \"keyed\"\nwindow = \"4s\"\naim = \"1500ms\"\n\
@@ -39,8 +40,9 @@
     let path = folder.path().to_path_buf();
     let options = Options { subject, folder: path, control: None, serve_only: false, stall: None };
     let (report, table) = report(&rig::run(scenario, &options, |_| {}).unwrap()).unwrap();
-    // Fifty debug builds that start in the same second make the rig late on few cores; calls are counted over seconds here.
-    let late = report.judgement.lateness.p99_us < LATE_MOST;
+    // Fifty debug builds that start in the same second make the rig late on few cores; calls are counted over seconds here,
+    // so more lateness than usual is allowed.
+    let late = report.judgement.lateness.p99_us < MAX_RIG_LATENESS_US;
     let void = report.judgement.void.as_deref().filter(|why| !why.contains("ran late") || !late);
     assert_eq!(void, None);
     for r in &report.judgement.rules {
@@ -49,13 +51,13 @@
     (report, table)
 }
 
-fn ten_seconds(report: &Report, receiver: i64) -> Spread {
+fn spread_over_longest_window(report: &Report, receiver: i64) -> Spread {
     let evenness = report.judgement.evenness.iter().find(|e| e.receiver == receiver).unwrap();
     *evenness.spreads.last().unwrap()
 }
 
-/// Calls to each endpoint of a receiver, by name, between two seconds of the traffic.
-fn counts(table: &Table, receiver: i64, from: f64, until: f64) -> Vec<(String, f64)> {
+/// Returns the calls to each endpoint of a receiver, by name, from second `from` to second `until` of the traffic.
+fn calls_by_endpoint(table: &Table, receiver: i64, from: f64, until: f64) -> Vec<(String, f64)> {
     let zero = table.messages.iter().map(|m| m.offered).min().unwrap();
     let mut names: Vec<&String> =
         table.endpoints.iter().filter(|(_, e)| e.0 == receiver).map(|(n, _)| n).collect();
@@ -68,20 +70,20 @@
     names.into_iter().map(|n| (n.clone(), of(n))).collect()
 }
 
-/// The part of the calls that these endpoints got, over an even one.
-fn part(counts: &[(String, f64)], of: impl Fn(&str) -> bool) -> f64 {
-    let sum: f64 = counts.iter().map(|c| c.1).sum();
-    let mine: Vec<f64> = counts.iter().filter(|c| of(&c.0)).map(|c| c.1).collect();
-    mine.iter().sum::<f64>() / sum.max(1.0) * counts.len() as f64 / mine.len().max(1) as f64
+/// Returns the share of the calls that these endpoints got, relative to an even share.
+fn share_over_even(calls_by_endpoint: &[(String, f64)], of: impl Fn(&str) -> bool) -> f64 {
+    let sum: f64 = calls_by_endpoint.iter().map(|c| c.1).sum();
+    let mine: Vec<f64> = calls_by_endpoint.iter().filter(|c| of(&c.0)).map(|c| c.1).collect();
+    mine.iter().sum::<f64>() / sum.max(1.0) * calls_by_endpoint.len() as f64 / mine.len().max(1) as f64
 }
 
 #[test]
 fn one_message_each_in_five_seconds_over_thirty_endpoints() {
     let (report, table) = rehearse("12s", 20, &[receiver(1, 30)], "");
-    let spread = ten_seconds(&report, 1);
-    // By the order of the list it was over 60.
+    let spread = spread_over_longest_window(&report, 1);
+    // When endpoints were used in the order of the list, the variance was over 60.
     assert!(spread.variance < 4.0, "{}", report.text());
-    let idle = counts(&table, 1, 0.0, 12.0).iter().filter(|c| c.1 == 0.0).count();
+    let idle = calls_by_endpoint(&table, 1, 0.0, 12.0).iter().filter(|c| c.1 == 0.0).count();
     assert!(idle <= 3, "{idle} endpoints had no call\n{}", report.text());
     assert!(report.judgement.service.whole.share > 0.98, "{}", report.text());
 }
@@ -95,13 +97,24 @@
     let (report, table) = rehearse("20s", 60, &[receiver(1, 4)], events);
     let new = |name: &str| matches!(name, "r1-4" | "r1-5" | "r1-6" | "r1-7");
     // The directory's own lag of 2 s comes first.
-    let (first, later) = (part(&counts(&table, 1, 5.0, 6.0), new), part(&counts(&table, 1, 12.0, 20.0), new));
-    assert!(first < 0.6, "{first:.2} of an even part at once\n{}", report.text());
-    let seconds: Vec<f64> =
-        (5..20).map(|n| part(&counts(&table, 1, n as f64, n as f64 + 1.0), new)).collect();
-    assert!((0.55..1.35).contains(&later), "{later:.2} of an even part in the end {seconds:.2?}");
-    let after = counts(&table, 1, 12.5, 17.5);
-    let busiest = after.iter().map(|c| part(&after, |n| n == c.0)).fold(0.0, f64::max);
+    let (first, later) = (
+        share_over_even(&calls_by_endpoint(&table, 1, 5.0, 6.0), new),
+        share_over_even(&calls_by_endpoint(&table, 1, 12.0, 20.0), new),
+    );
+    assert!(
+        first < 0.6,
+        "{first:.2} of an even share in the first second, expected less than 0.6\n{}",
+        report.text()
+    );
+    let seconds: Vec<f64> = (5..20)
+        .map(|n| share_over_even(&calls_by_endpoint(&table, 1, n as f64, n as f64 + 1.0), new))
+        .collect();
+    assert!(
+        (0.55..1.35).contains(&later),
+        "{later:.2} of an even share from second 12 to 20; by second: {seconds:.2?}"
+    );
+    let after = calls_by_endpoint(&table, 1, 12.5, 17.5);
+    let busiest = after.iter().map(|c| share_over_even(&after, |n| n == c.0)).fold(0.0, f64::max);
     assert!(busiest < 1.8, "{after:?} {later:.2} {seconds:.2?}");
 }
 
@@ -111,14 +124,14 @@
         [[event]]\nat = \"2s\"\ndo = \"silent\"\nreceiver = 1\nendpoints = 1\nfor = \"6s\"
         [[event]]\nat = \"2s\"\ndo = \"slow\"\nreceiver = 2\nendpoints = 1\nfactor = 3\nfor = \"8s\"";
     let (report, table) = rehearse("20s", 80, &[receiver(1, 6), receiver(2, 6)], events);
-    // The others share its load evenly.
-    let during = counts(&table, 1, 4.0, 8.0);
+    // The other endpoints share the load of the silent one evenly.
+    let during = calls_by_endpoint(&table, 1, 4.0, 8.0);
     let rest: Vec<_> = during.iter().filter(|c| c.0 != "r1-0").cloned().collect();
-    let busiest = rest.iter().map(|c| part(&rest, |n| n == c.0)).fold(0.0, f64::max);
-    assert!(busiest < 1.7 && part(&during, |n| n == "r1-0") < 0.8, "{during:?}");
-    // Within 5 s it has its part again.
-    let back = part(&counts(&table, 1, 13.0, 20.0), |n| n == "r1-0");
-    assert!(back > 0.5, "{back:.2} of an even part\n{}", report.text());
-    let slow = part(&counts(&table, 2, 4.0, 10.0), |n| n == "r2-0");
-    assert!((0.2..1.35).contains(&slow), "{slow:.2} of an even part\n{}", report.text());
+    let busiest = rest.iter().map(|c| share_over_even(&rest, |n| n == c.0)).fold(0.0, f64::max);
+    assert!(busiest < 1.7 && share_over_even(&during, |n| n == "r1-0") < 0.8, "{during:?}");
+    // Within 5 s after its return it has its share again.
+    let back = share_over_even(&calls_by_endpoint(&table, 1, 13.0, 20.0), |n| n == "r1-0");
+    assert!(back > 0.5, "{back:.2} of an even share\n{}", report.text());
+    let slow = share_over_even(&calls_by_endpoint(&table, 2, 4.0, 10.0), |n| n == "r2-0");
+    assert!((0.2..1.35).contains(&slow), "{slow:.2} of an even share\n{}", report.text());
 }
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -1,5 +1,5 @@
-//! One sender with placement on, between owners that act by a script: what each answer of theirs, and each lack of one,
-//! leads to.
+//! Forwarding by one sender with placement enabled, between scripted owners. Guards against a wrong reply to the client for
+//! each answer, or missing answer, of an owner, and against a second owner for a message that may have been accepted.
 
 mod common;
 use bytes::BytesMut;
@@ -14,28 +14,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Destinations among which the tests choose.
+/// Destinations from which the tests choose.
 const DESTINATIONS: RangeInclusive<i64> = 1..=60;
 /// The sender under test.
 const OWN_SEAT: SeatId = SeatId(0);
-/// Within this a client has its answer.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
-/// Fields of each effect's class, with a time that any of them may have.
+/// Time limit of a reply to a client.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Fields of a message of each effect, with a time that all their classes allow.
 const PUSH: &str = "c=push,d=15000,k=5c0f6e1a2b3d4c59";
 const SYNC: &str = "c=sync,d=15000";
 const PAY: &str = "c=pay,d=15000";
 
-/// What an owner does with a message.
+/// How an owner responds to a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Conduct {
     Answer(&'static str),
-    /// Reads all of it and ends the connection.
+    /// Reads it completely and closes the connection.
     Cut,
-    /// Reads all of it and says nothing.
+    /// Reads it completely and does not answer.
     Silent,
 }
 
-/// An owner that acts by a script.
+/// A stub owner that responds as its conduct says.
 struct ScriptedOwner {
     addr: SocketAddr,
     conduct: Arc<Mutex<Conduct>>,
@@ -61,11 +61,11 @@
         owner
     }
 
-    fn set_script(&self, conduct: Conduct) {
+    fn set_conduct(&self, conduct: Conduct) {
         *self.conduct.lock().unwrap() = conduct;
     }
 
-    /// Messages that came whole.
+    /// Returns the messages that were received completely.
     fn put(&self) -> Vec<Put> {
         self.put.lock().unwrap().clone()
     }
@@ -101,7 +101,7 @@
            "seats": [seat(0), seat(1), seat(2)], "wide": []})
 }
 
-/// The table of any such list: it does not depend on addresses.
+/// The table of owners under any of these lists; it does not depend on addresses.
 static TABLE: LazyLock<Table> = LazyLock::new(|| {
     let list = member_list([1, 2, 3].map(|port| SocketAddr::from(([127, 0, 0, 1], port))));
     Table::build(&MemberList::parse_json(list.to_string().as_bytes()).unwrap())
@@ -112,12 +112,12 @@
     TABLE.owners(shard)
 }
 
-/// Destinations that the sender under test owns, or that the two others do.
+/// Returns the destinations that the sender under test owns, or those that only the two others own.
 fn destinations(own: bool) -> Vec<i64> {
     DESTINATIONS.filter(|dest| owners(*dest).contains(&OWN_SEAT) == own).collect()
 }
 
-/// A sender with placement on, and what stands around it.
+/// A sender with placement enabled, and the stubs around it.
 struct Rig {
     sender: Sender,
     forward: SocketAddr,
@@ -136,7 +136,7 @@
         let owners = [ScriptedOwner::new(), ScriptedOwner::new()];
         let mut sender = Sender::with_mgmt(&platform);
         sender.kill();
-        // An address of the sender's own, on which no one else is given a port.
+        // The sender has its own address, on which no other process is given a port.
         let forward = SocketAddr::new(sender.addr.ip(), sender.addr.port() ^ 1);
         let list = member_list([forward, owners[0].addr, owners[1].addr]).to_string();
         let control = Endpoint::new(move |_| status_with(&list));
@@ -156,20 +156,20 @@
         self.sender.metrics()["placement"].clone()
     }
 
-    /// Hands a message in; the answer, within the time that a client has.
+    /// Puts a message and returns the reply, which must come within [`MAX_ANSWER_TIME`].
     fn put(&self, id: &str, fields: &str, dest: i64) -> String {
         let mut client = self.sender.client();
-        let begun = Instant::now();
+        let started = Instant::now();
         let answer = client.put(id, &format!("{fields},dest={dest}"));
-        assert!(begun.elapsed() < ANSWER_TIME, "{id}: {answer} after {:?}", begun.elapsed());
+        assert!(started.elapsed() < MAX_ANSWER_TIME, "{id}: {answer} after {:?}", started.elapsed());
         answer
     }
 
-    fn set_script(&self, conduct: Conduct) {
-        self.owners.iter().for_each(|owner| owner.set_script(conduct));
+    fn set_conduct(&self, conduct: Conduct) {
+        self.owners.iter().for_each(|owner| owner.set_conduct(conduct));
     }
 
-    /// How many owners saw a message.
+    /// Returns how many owners received a message.
     fn seen_by(&self, id: &str) -> usize {
         self.owners.iter().filter(|owner| owner.saw(id)).count()
     }
@@ -183,7 +183,11 @@
 fn an_owned_destination_is_served_here_and_another_is_passed_on_once() {
     let rig = Rig::start();
     let own = destinations(true);
-    assert_eq!(rig.sender.metrics()["discovered"], own.len(), "no more of the list is kept");
+    assert_eq!(
+        rig.sender.metrics()["discovered"],
+        own.len(),
+        "only endpoints of owned destinations must be retained"
+    );
     assert_eq!(rig.put("own", PAY, own[0]), "+OK");
     rig.receiver.wait_sent("own");
     let others = destinations(false);
@@ -193,7 +197,11 @@
     }
     assert_eq!(rig.seen_by("own"), 0);
     let connections: usize = rig.owners.iter().map(|owner| *owner.connections.lock().unwrap()).sum();
-    assert!(connections < others.len(), "connections are kept: {connections} for {}", others.len());
+    assert!(
+        connections < others.len(),
+        "expected idle connections to be reused: {connections} connections for {} messages",
+        others.len()
+    );
     let put = rig.owners.iter().flat_map(ScriptedOwner::put).next().unwrap();
     assert_eq!((put.class.as_str(), put.tenant.as_str(), &put.body[..]), ("push", "acme", &b"hello"[..]));
     assert_eq!(put.idempotency_key.as_deref(), Some("5c0f6e1a2b3d4c59"));
@@ -203,7 +211,7 @@
         (&metrics["forwarded"]["taken"], &metrics["forwarded"]["unknown"]),
         (&others.len().into(), &0.into())
     );
-    // What comes in at the forward address is served or refused, and goes no further.
+    // A message that arrives at the forward address is served or refused, but not forwarded.
     let mut member = Client::new(rig.forward);
     assert_eq!(member.put("for-own", &format!("{SYNC},dest={}", own[1])), "+OK");
     let refused = member.put("for-other", &format!("{SYNC},dest={}", others[0]));
@@ -216,16 +224,16 @@
 fn each_answer_of_an_owner_has_its_own() {
     let rig = Rig::start();
     let dest = destinations(false)[0];
-    rig.set_script(Conduct::Answer("-BUSY 700"));
+    rig.set_conduct(Conduct::Answer("-BUSY 700"));
     assert_eq!(rig.put("full", PAY, dest), "-BUSY 700");
-    assert_eq!(rig.seen_by("full"), 2, "surely not taken: the next one is asked");
-    rig.owners[0].set_script(Conduct::Answer("-BUSY 90"));
+    assert_eq!(rig.seen_by("full"), 2, "the first owner refused, so the second must be tried");
+    rig.owners[0].set_conduct(Conduct::Answer("-BUSY 90"));
     assert_eq!(rig.put("least", PAY, dest), "-BUSY 90");
-    rig.set_script(Conduct::Answer("-ERR unknown destination"));
+    rig.set_conduct(Conduct::Answer("-ERR unknown destination"));
     assert_eq!(rig.put("wrong", SYNC, dest), "-ERR unknown destination");
-    assert_eq!(rig.seen_by("wrong"), 1, "final");
-    rig.owners[0].set_script(Conduct::Answer("-BUSY"));
-    rig.owners[1].set_script(Conduct::Answer("+OK"));
+    assert_eq!(rig.seen_by("wrong"), 1, "-ERR is final: no second owner must be tried");
+    rig.owners[0].set_conduct(Conduct::Answer("-BUSY"));
+    rig.owners[1].set_conduct(Conduct::Answer("+OK"));
     for n in 0..4 {
         assert_eq!(rig.put(&format!("either-{n}"), PAY, dest), "+OK");
     }
@@ -242,11 +250,15 @@
     let dest = destinations(false)[0];
     for (n, conduct) in [Conduct::Cut, Conduct::Silent, Conduct::Answer("$nonsense")].into_iter().enumerate()
     {
-        rig.set_script(conduct);
+        rig.set_conduct(conduct);
         for (class, fields) in [("push", PUSH), ("pay", PAY)] {
             let id = format!("{class}-{n}");
             assert_eq!(rig.put(&id, fields, dest), "-ERR the message failed", "{conduct:?}");
-            assert_eq!(rig.seen_by(&id), 1, "{conduct:?}: one owner may have taken it");
+            assert_eq!(
+                rig.seen_by(&id),
+                1,
+                "{conduct:?}: the first owner may have accepted it, so no second one must be tried"
+            );
         }
         let id = format!("sync-{n}");
         let answer = rig.put(&id, SYNC, dest);
@@ -254,8 +266,8 @@
         assert_eq!(rig.seen_by(&id), 2, "{conduct:?}");
     }
     assert!(rig.metrics()["forwarded"]["unknown"].as_u64() >= Some(12), "{}", rig.metrics());
-    // One of them still serves.
-    rig.owners[0].set_script(Conduct::Answer("+OK"));
+    // One of the owners serves again.
+    rig.owners[0].set_conduct(Conduct::Answer("+OK"));
     for n in 0..4 {
         assert_eq!(rig.put(&format!("again-{n}"), SYNC, dest), "+OK");
     }
@@ -268,7 +280,7 @@
     wait_until("the lease to expire", || rig.metrics()["lease_left_ms"] == 0);
     let (own, other) = (destinations(true)[0], destinations(false)[0]);
     assert_eq!(rig.put("other", PAY, other), "+OK");
-    // The other owner of it is asked, and has a lease of its own.
+    // The other owner of the destination is tried, which has its own lease.
     assert_eq!(rig.put("own", PAY, own), "+OK");
     assert_eq!(rig.seen_by("own"), 1);
     let refused = Client::new(rig.forward).put("forwarded", &format!("{PAY},dest={own}"));
@@ -278,7 +290,7 @@
     control.set_script(|_| status_with(r#"{"epoch":1,"since":1,"changes":[]}"#));
     wait_until("a lease", || rig.metrics()["lease_left_ms"] != 0);
     let taken = Client::new(rig.forward).put("afterwards", &format!("{PAY},dest={own}"));
-    assert_eq!(taken, "+OK", "no hold after an outage of control");
+    assert_eq!(taken, "+OK", "no hold is due after an outage of control");
 }
 
 #[test]
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -1,4 +1,5 @@
-//! One process replaced by another while clients come and calls are out.
+//! Replacement of a running process by another while clients connect and calls are in flight. Guards against messages that
+//! are lost or sent twice because both processes, or neither, consider themselves their owner.
 
 mod common;
 use common::*;
@@ -13,43 +14,43 @@
 const SYNC: &str = "c=sync,d=15000,dest=3";
 const PAY: &str = "c=pay,d=15000,dest=3";
 
-/// A sender whose listening socket is held by someone else, as the platform does where processes are replaced.
-struct Held {
+/// Processes of a sender on a listening socket that the test holds, as the platform does where processes are replaced.
+struct SharedSocket {
     listener: std::net::TcpListener,
     addr: std::net::SocketAddr,
     folder: tempfile::TempDir,
-    /// Processes, with their doors.
+    /// Processes, with the addresses of their management interfaces.
     running: Vec<(Child, std::net::SocketAddr)>,
 }
 
-impl Held {
+impl SharedSocket {
     fn new(platform: &Platform) -> Self {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let folder = tempfile::tempdir().unwrap();
         std::fs::create_dir(folder.path().join("state")).unwrap();
         let mut config = config(addr, platform, 1024);
-        // Room for all that a test hands in at once: on a slow machine some would be handed back for want of it.
+        // Enough for all messages that a test puts at once: with fewer, some are returned for lack of room on a slow machine.
         config["settings"]["Limits"]["MaxOpen"] = 400.into();
         std::fs::write(folder.path().join("config.json"), config.to_string()).unwrap();
-        Held { listener, addr, folder, running: Vec::new() }
+        SharedSocket { listener, addr, folder, running: Vec::new() }
     }
 
-    /// Starts a process beside those that run; its number.
+    /// Starts a process next to the running ones and returns its number.
     fn start(&mut self) -> usize {
         let spare = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let door = spare.local_addr().unwrap();
+        let mgmt = spare.local_addr().unwrap();
         drop(spare);
-        // A copy that does not close at exec, as the listener itself does.
+        // A duplicate that stays open across exec; the listener itself does not.
         let inherit = rustix::io::dup(&self.listener).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_embershore"))
             .env("LB_CONFIG", self.folder.path().join("config.json"))
             .env("LB_STATE", self.folder.path().join("state"))
-            .env("LB_MGMT", door.to_string())
+            .env("LB_MGMT", mgmt.to_string())
             .env("LB_SOCKET_FD", inherit.as_raw_fd().to_string())
             .spawn()
             .unwrap();
-        self.running.push((child, door));
+        self.running.push((child, mgmt));
         self.running.len() - 1
     }
 
@@ -79,7 +80,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for SharedSocket {
     fn drop(&mut self) {
         for (child, _) in &mut self.running {
             _ = child.kill();
@@ -88,32 +89,34 @@
     }
 }
 
-fn one(script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) -> (Endpoint, Platform, Held) {
+fn start_first(
+    script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static,
+) -> (Endpoint, Platform, SharedSocket) {
     let endpoint = Endpoint::new(script);
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
-    let mut held = Held::new(&platform);
-    held.start();
-    held.wait_ready(0);
-    (endpoint, platform, held)
+    let mut processes = SharedSocket::new(&platform);
+    processes.start();
+    processes.wait_ready(0);
+    (endpoint, platform, processes)
 }
 
 #[test]
 fn the_next_process_takes_over_what_is_held_and_the_first_one_leaves() {
     let endpoint = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![placeholder(3)]);
-    let mut held = Held::new(&platform);
-    held.start();
-    held.wait_ready(0);
-    let mut client = held.client();
+    let mut processes = SharedSocket::new(&platform);
+    processes.start();
+    processes.wait_ready(0);
+    let mut client = processes.client();
     assert_eq!(client.put("a1", PAY), "+OK");
-    held.start();
-    held.wait_ready(1);
-    // The first one closes its clients' connections and ends by itself; all else goes on.
+    processes.start();
+    processes.wait_ready(1);
+    // The first process closes its clients' connections and exits by itself; everything else continues.
     assert_eq!(client.read(), "");
-    assert!(held.wait_exit(0).success());
+    assert!(processes.wait_exit(0).success());
     platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     endpoint.wait_sent("a1");
-    assert_eq!(held.client().put("a2", PAY), "+OK");
+    assert_eq!(processes.client().put("a2", PAY), "+OK");
     endpoint.wait_sent("a2");
     assert_eq!((endpoint.call_count("a1"), endpoint.call_count("a2")), (1, 1));
     assert!(platform.notices().is_empty());
@@ -123,60 +126,65 @@
 fn a_call_that_is_out_stays_with_its_process_and_its_outcome_counts() {
     let gate = Gate::default();
     let waits = gate.clone();
-    let (endpoint, platform, mut held) = one(move |r| {
+    let (endpoint, platform, mut processes) = start_first(move |r| {
         if r.ids() == ["a1"] {
             waits.wait();
         }
         status(200)
     });
-    assert_eq!(held.client().put("a1", PAY), "+OK");
-    wait_until("the call", || std::fs::read(held.folder.path().join("state/journal")).unwrap().len() > 100);
+    assert_eq!(processes.client().put("a1", PAY), "+OK");
+    wait_until("the call", || {
+        std::fs::read(processes.folder.path().join("state/journal")).unwrap().len() > 100
+    });
     thread::sleep(Duration::from_millis(100));
-    held.start();
-    held.wait_ready(1);
-    // The message is held by the second process, and is not sent by it.
-    let door = held.running[1].1;
-    wait_until("the message", || mgmt_request(door, "GET /_vars").unwrap().1.contains("\"outstanding\":1"));
-    assert!(held.running[0].0.try_wait().unwrap().is_none(), "it has a call out");
+    processes.start();
+    processes.wait_ready(1);
+    // The second process has the message, but does not send it.
+    let mgmt = processes.running[1].1;
+    wait_until("the message", || mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"outstanding\":1"));
+    assert!(
+        processes.running[0].0.try_wait().unwrap().is_none(),
+        "the first process exited with a call in flight"
+    );
     gate.open();
-    wait_until("its end", || mgmt_request(door, "GET /_vars").unwrap().1.contains("\"outstanding\":0"));
-    assert!(mgmt_request(door, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1"));
-    assert!(held.wait_exit(0).success());
+    wait_until("its end", || mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"outstanding\":0"));
+    assert!(mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1"));
+    assert!(processes.wait_exit(0).success());
     assert_eq!(endpoint.call_count("a1"), 1);
     assert!(platform.notices().is_empty());
 }
 
 #[test]
 fn a_process_that_dies_with_a_call_out_leaves_it_open_whether_it_ran() {
-    let (endpoint, platform, mut held) =
-        one(|r| if r.ids()[0].starts_with('a') { StubResponse::Silence } else { status(200) });
-    assert_eq!(held.client().put("a1", PAY), "+OK");
+    let (endpoint, platform, mut processes) =
+        start_first(|r| if r.ids()[0].starts_with('a') { StubResponse::Silence } else { status(200) });
+    assert_eq!(processes.client().put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
-    held.start();
-    held.wait_ready(1);
-    held.signal(0, "-KILL");
+    processes.start();
+    processes.wait_ready(1);
+    processes.signal(0, "-KILL");
     platform.wait_notice("a1", "failed");
     assert_eq!(endpoint.call_count("a1"), 1);
-    assert_eq!(held.client().put("b1", SYNC), "+OK");
+    assert_eq!(processes.client().put("b1", SYNC), "+OK");
     endpoint.wait_sent("b1");
 }
 
 #[test]
 fn a_wait_binds_the_next_process() {
-    let told = AtomicBool::new(false);
-    let (endpoint, _platform, mut held) = one(move |_| {
-        let first = !told.swap(true, Ordering::SeqCst);
+    let wait_advertised = AtomicBool::new(false);
+    let (endpoint, _platform, mut processes) = start_first(move |_| {
+        let first = !wait_advertised.swap(true, Ordering::SeqCst);
         let wait = vec![("x-retry-in-ms", "2500".to_string())];
         if first { StubResponse::Answer(429, wait, String::new()) } else { status(200) }
     });
-    assert_eq!(held.client().put("a1", PAY), "+OK");
+    assert_eq!(processes.client().put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
     let since = Instant::now();
     thread::sleep(Duration::from_millis(100));
-    held.start();
-    held.wait_ready(1);
-    assert!(held.wait_exit(0).success());
-    assert_eq!(held.client().put("a2", SYNC), "+OK");
+    processes.start();
+    processes.wait_ready(1);
+    assert!(processes.wait_exit(0).success());
+    assert_eq!(processes.client().put("a2", SYNC), "+OK");
     wait_until("both", || endpoint.call_count("a1") == 2 && endpoint.call_count("a2") == 1);
     assert!(since.elapsed() >= Duration::from_millis(2400), "{:?}", since.elapsed());
 }
@@ -185,42 +193,49 @@
 fn a_wait_told_to_the_first_process_stops_a_connection_of_the_next_that_is_coming_up() {
     let gate = Gate::default();
     let waits = gate.clone();
-    let (endpoint, platform, mut held) = one(move |_| {
+    let (endpoint, platform, mut processes) = start_first(move |_| {
         waits.wait();
         StubResponse::Answer(429, vec![("x-retry-in-ms", "2500".to_string())], String::new())
     });
-    assert_eq!(held.client().put("a1", PAY), "+OK");
-    wait_until("the call", || std::fs::read(held.folder.path().join("state/journal")).unwrap().len() > 100);
-    held.start();
-    held.wait_ready(1);
+    assert_eq!(processes.client().put("a1", PAY), "+OK");
+    wait_until("the call", || {
+        std::fs::read(processes.folder.path().join("state/journal")).unwrap().len() > 100
+    });
+    processes.start();
+    processes.wait_ready(1);
     let mut other = FullBacklogEndpoint::new();
     platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Terminating")]);
     platform.publish(false, vec![listed_endpoint("s-2", other.addr, "one", 3, "Ready")]);
-    wait_until("a client", || held.client().put("b1", SYNC) == "+OK");
-    // Its connection is on its way. The first process ends once it has passed on what its call was told.
+    wait_until("a client", || processes.client().put("b1", SYNC) == "+OK");
+    // The connection is being established. The first process exits once it has passed on the wait that its call received.
     thread::sleep(Duration::from_millis(150));
-    let told = Instant::now();
+    let released_at = Instant::now();
     gate.open();
-    assert!(held.wait_exit(0).success());
-    while other.calls.is_empty() && told.elapsed() < TEST_TIMEOUT {
+    assert!(processes.wait_exit(0).success());
+    while other.calls.is_empty() && released_at.elapsed() < TEST_TIMEOUT {
         other.accept_and_read();
         thread::sleep(Duration::from_millis(1));
     }
-    assert!(!other.calls.is_empty() && told.elapsed() >= Duration::from_millis(2400), "{:?}", told.elapsed());
+    assert!(
+        !other.calls.is_empty() && released_at.elapsed() >= Duration::from_millis(2400),
+        "called {:?} after the wait, calls: {:?}",
+        released_at.elapsed(),
+        other.calls
+    );
 }
 
 #[test]
 fn what_had_not_begun_in_a_process_that_dies_has_not_run() {
     let mut full_backlog = FullBacklogEndpoint::new();
     let platform = Platform::new(vec![listed_endpoint("s-1", full_backlog.addr, "one", 3, "Ready")]);
-    let mut held = Held::new(&platform);
-    held.start();
-    held.wait_ready(0);
-    assert_eq!(held.client().put("a1", PAY), "+OK");
+    let mut processes = SharedSocket::new(&platform);
+    processes.start();
+    processes.wait_ready(0);
+    assert_eq!(processes.client().put("a1", PAY), "+OK");
     thread::sleep(Duration::from_millis(50));
-    held.start();
-    held.wait_ready(1);
-    held.signal(0, "-KILL");
+    processes.start();
+    processes.wait_ready(1);
+    processes.signal(0, "-KILL");
     wait_until("the call", || {
         full_backlog.accept_and_read();
         full_backlog.calls.concat().contains("a1")
@@ -230,19 +245,19 @@
 
 #[test]
 fn a_command_cut_at_any_byte_across_the_replacement_gets_one_answer() {
-    let (endpoint, _platform, mut held) = one(|_| status(200));
+    let (endpoint, _platform, mut processes) = start_first(|_| status(200));
     let whole = put("a00", &format!("{SYNC},t=acme"), b"hello");
     let mut clients: Vec<(Client, usize)> = Vec::new();
     for cut in 1..whole.len() {
-        let mut client = held.client();
+        let mut client = processes.client();
         let id = format!("a{cut:02}");
         client.write(&put(&id, &format!("{SYNC},t=acme"), b"hello")[..cut]);
         clients.push((client, cut));
     }
-    // All have been let in by the first process once one that came later is answered.
-    held.client().ping();
-    held.start();
-    held.wait_ready(1);
+    // The first process has accepted all of them once a later client is answered.
+    processes.client().ping();
+    processes.start();
+    processes.wait_ready(1);
     for (client, cut) in &mut clients {
         let id = format!("a{cut:02}");
         client.write(&put(&id, &format!("{SYNC},t=acme"), b"hello")[*cut..]);
@@ -250,35 +265,35 @@
     for (client, cut) in &mut clients {
         let answer = client.read();
         assert!(answer == "+OK" || answer.starts_with("-BUSY"), "cut at {cut}: {answer:?}");
-        assert_eq!(client.read(), "", "cut at {cut}: one answer, and then the end");
+        assert_eq!(client.read(), "", "cut at {cut}: expected the end of the connection after one answer");
         if answer == "+OK" {
             endpoint.wait_sent(&format!("a{cut:02}"));
         }
     }
-    assert!(held.wait_exit(0).success());
+    assert!(processes.wait_exit(0).success());
     let sent = endpoint.sent();
-    assert_eq!(sent.len(), sent.iter().collect::<HashSet<_>>().len(), "nothing twice");
+    assert_eq!(sent.len(), sent.iter().collect::<HashSet<_>>().len(), "a message was sent twice: {sent:?}");
 }
 
 #[test]
 fn an_owner_that_is_stopped_is_waited_for_and_never_written_beside() {
-    let (endpoint, platform, mut held) = one(|_| status(200));
-    assert_eq!(held.client().put("a1", PAY), "+OK");
-    // Its outcome has been read by then: stopped before that, it would have to count as one that may have run.
-    let door = held.running[0].1;
+    let (endpoint, platform, mut processes) = start_first(|_| status(200));
+    assert_eq!(processes.client().put("a1", PAY), "+OK");
+    // The outcome must be read before the process is stopped: otherwise the message counts as one that may have run.
+    let mgmt = processes.running[0].1;
     wait_until("its outcome", || {
-        mgmt_request(door, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1")
+        mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1")
     });
-    held.signal(0, "-STOP");
-    let before = std::fs::read(held.folder.path().join("state/journal")).unwrap();
+    processes.signal(0, "-STOP");
+    let before = std::fs::read(processes.folder.path().join("state/journal")).unwrap();
     let started = Instant::now();
-    held.start();
-    // It says yes in time, so that the platform ends the one that does not answer.
-    held.wait_ready(1);
+    processes.start();
+    // It reports ready in time, so that the platform ends the process that does not answer.
+    processes.wait_ready(1);
     assert!(started.elapsed() < Duration::from_secs(6), "{:?}", started.elapsed());
-    assert_eq!(std::fs::read(held.folder.path().join("state/journal")).unwrap(), before);
-    held.signal(0, "-KILL");
-    wait_until("the second to serve", || held.client().put("a2", PAY) == "+OK");
+    assert_eq!(std::fs::read(processes.folder.path().join("state/journal")).unwrap(), before);
+    processes.signal(0, "-KILL");
+    wait_until("the second to serve", || processes.client().put("a2", PAY) == "+OK");
     endpoint.wait_sent("a2");
     assert_eq!(endpoint.call_count("a1"), 1);
     assert!(platform.notices().is_empty());
@@ -286,27 +301,27 @@
 
 #[test]
 fn a_newcomer_that_dies_or_stalls_leaves_the_owner_serving() {
-    let (endpoint, _platform, mut held) = one(|_| status(200));
-    // Killed at many moments of its start.
+    let (endpoint, _platform, mut processes) = start_first(|_| status(200));
+    // The new process is killed at many moments of its start.
     for n in 0..12 {
-        let newcomer = held.start();
+        let replacement = processes.start();
         thread::sleep(Duration::from_millis(3 * n));
-        _ = held.running[newcomer].0.kill();
-        _ = held.running[newcomer].0.wait();
+        _ = processes.running[replacement].0.kill();
+        _ = processes.running[replacement].0.wait();
         let id = format!("a{n}");
-        // Either it had not taken over, and the first one serves on, or it had: then the first one ends, and the
-        // next to start goes on with the journal.
+        // If it had not taken over, the first process continues to serve. Otherwise the first process exits, and the next
+        // one that starts continues with the journal.
         let mut served = false;
         wait_until("an answer or the end", || {
-            let mut client = held.client();
+            let mut client = processes.client();
             client.stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
             served = client.put(&id, SYNC) == "+OK";
-            served || held.running[0].0.try_wait().unwrap().is_some()
+            served || processes.running[0].0.try_wait().unwrap().is_some()
         });
         if !served {
-            let next = held.start();
-            held.wait_ready(next);
-            assert_eq!(held.client().put("last", SYNC), "+OK");
+            let next = processes.start();
+            processes.wait_ready(next);
+            assert_eq!(processes.client().put("last", SYNC), "+OK");
             endpoint.wait_sent("last");
             return;
         }
@@ -319,14 +334,14 @@
     let (old, new) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
     let first = listed_endpoint("s-1", old.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![first.clone()]);
-    let mut held = Held::new(&platform);
-    // The list that each process is given with its configuration is the one from before.
-    let path = held.folder.path().join("config.json");
+    let mut processes = SharedSocket::new(&platform);
+    // The known list in the configuration of each process is the old one.
+    let path = processes.folder.path().join("config.json");
     let mut config: serde_json::Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
     config["known"] = serde_json::json!({"index": 7, "snapshot": true, "endpoints": [first]});
     std::fs::write(&path, config.to_string()).unwrap();
-    held.start();
-    held.wait_ready(0);
+    processes.start();
+    processes.wait_ready(0);
     platform.publish(
         false,
         vec![
@@ -335,10 +350,10 @@
         ],
     );
     for n in 1..4 {
-        held.start();
-        held.wait_ready(n);
+        processes.start();
+        processes.wait_ready(n);
         let id = format!("a{n}");
-        wait_until("a client", || held.client().put(&id, PAY) == "+OK");
+        wait_until("a client", || processes.client().put(&id, PAY) == "+OK");
         new.wait_sent(&id);
     }
     assert!(old.sent().is_empty());
@@ -347,13 +362,13 @@
 
 #[test]
 fn replacements_one_after_another_and_two_newcomers_at_once() {
-    let (endpoint, platform, mut held) = one(|_| status(200));
+    let (endpoint, platform, mut processes) = start_first(|_| status(200));
     for n in 0..3 {
-        let (first, second) = (held.start(), held.start());
-        // One takes over from the owner, and the other from that one.
-        wait_until("one of them alone", || held.ready(first) ^ held.ready(second));
+        let (first, second) = (processes.start(), processes.start());
+        // One takes over from the running process, and the other from that one.
+        wait_until("exactly one of the two to be ready", || processes.ready(first) ^ processes.ready(second));
         let id = format!("a{n}");
-        wait_until("a client", || held.client().put(&id, SYNC) == "+OK");
+        wait_until("a client", || processes.client().put(&id, SYNC) == "+OK");
         endpoint.wait_sent(&id);
     }
     assert!(platform.notices().is_empty());
@@ -361,13 +376,13 @@
 
 #[test]
 fn under_load_nothing_is_lost_or_done_twice() {
-    let (endpoint, platform, mut held) = one(|_| {
+    let (endpoint, platform, mut processes) = start_first(|_| {
         thread::sleep(Duration::from_millis(5));
         status(200)
     });
     let (stop, taken, gone) =
         (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(0)));
-    let addr = held.addr;
+    let addr = processes.addr;
     let clients: Vec<_> = (0..6)
         .map(|c| {
             let (stop, taken, gone) = (stop.clone(), taken.clone(), gone.clone());
@@ -380,7 +395,7 @@
                     let id = format!("m{c}x{n}");
                     match client.put(&id, PAY).as_str() {
                         "+OK" => taken.lock().unwrap().push(id),
-                        // Closed between requests; what crosses that goes once more on a new connection.
+                        // The connection was closed between requests: the client sends the request again on a new one.
                         "" => {
                             client = Client::new(addr);
                             match client.put(&id, PAY).as_str() {
@@ -397,23 +412,23 @@
         .collect();
     for _ in 0..3 {
         thread::sleep(Duration::from_millis(300));
-        let n = held.start();
-        held.wait_ready(n);
-        held.signal(n - 1, "-TERM");
-        assert!(held.wait_exit(n - 1).success());
+        let n = processes.start();
+        processes.wait_ready(n);
+        processes.signal(n - 1, "-TERM");
+        assert!(processes.wait_exit(n - 1).success());
     }
     thread::sleep(Duration::from_millis(200));
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
     let taken = taken.lock().unwrap();
     assert!(taken.len() > 50);
-    // Each is delivered, or handed back for want of room, and none both.
+    // Each message is either delivered or returned for lack of room, not both.
     wait_until("the end of each", || {
         let sent: HashSet<String> = endpoint.sent().into_iter().collect();
         taken.iter().all(|id| sent.contains(id) ^ (platform.notice_state(id).as_deref() == Some("returned")))
     });
     let sent = endpoint.sent();
-    assert_eq!(sent.len(), sent.iter().collect::<HashSet<_>>().len(), "nothing twice");
+    assert_eq!(sent.len(), sent.iter().collect::<HashSet<_>>().len(), "a message was sent twice: {sent:?}");
     assert!(platform.notices().len() < taken.len() / 4);
-    assert_eq!(*gone.lock().unwrap(), 0, "no message ended at the door");
+    assert_eq!(*gone.lock().unwrap(), 0, "puts that ended without +OK or -BUSY on two connections");
 }
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -1,5 +1,5 @@
-//! The operators' door: whether it answers whoever else stands there, whether its figures are true, and what a sender
-//! that is to be emptied does.
+//! The management interface. Guards against requests that idle callers or crowds of clients delay, metrics that disagree
+//! with what clients and endpoints observe, and a lame duck that drops or keeps its clients.
 
 mod common;
 use common::*;
@@ -12,7 +12,9 @@
 const PAY: &str = "c=pay,d=15000,dest=3";
 const PUSH: &str = "c=push,d=15000,dest=3,k=5c0f6e1a2b3d4c59";
 
-fn one(script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
+fn sender_with_endpoint(
+    script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static,
+) -> (Endpoint, Platform, Sender) {
     let endpoint = Endpoint::new(script);
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let sender = Sender::with_mgmt(&platform);
@@ -22,7 +24,7 @@
 
 #[test]
 fn calls_that_are_not_known_or_made_wrongly_are_turned_away() {
-    let (_endpoint, _platform, sender) = one(|_| status(200));
+    let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     assert_eq!(sender.mgmt_request("GET /_ready"), (200, "ready\n".into()));
     assert_eq!(sender.mgmt_request("GET /elsewhere").0, 404);
     assert_eq!(sender.mgmt_request("POST /_ready").0, 405);
@@ -41,27 +43,27 @@
 
 #[test]
 fn callers_that_say_nothing_or_half_a_call_delay_no_one() {
-    let (_endpoint, _platform, sender) = one(|_| status(200));
-    // More of them than the door lets in at once, twice over.
-    let mut standing = Vec::new();
+    let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
+    // More than twice as many as the interface accepts at once.
+    let mut open_connections = Vec::new();
     for n in 0..60 {
         let mut stream = TcpStream::connect(sender.mgmt).unwrap();
         if n % 2 == 0 {
             stream.write_all(b"GET /_rea").unwrap();
         }
-        standing.push(stream);
+        open_connections.push(stream);
         let asked = Instant::now();
         assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
         assert!(asked.elapsed() < Duration::from_secs(1));
     }
-    // The one that came first gave way.
-    standing[1].set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    assert_eq!(standing[1].read(&mut [0; 64]).unwrap_or(0), 0);
+    // The oldest idle caller was closed to make room.
+    open_connections[1].set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    assert_eq!(open_connections[1].read(&mut [0; 64]).unwrap_or(0), 0);
 }
 
 #[test]
 fn a_crowd_at_the_clients_address_does_not_shut_the_door() {
-    let (_endpoint, _platform, sender) = one(|_| status(200));
+    let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     let crowd: Vec<TcpStream> = (0..600)
         .map(|_| {
             let mut stream = TcpStream::connect(sender.addr).unwrap();
@@ -78,9 +80,9 @@
 }
 
 #[test]
-#[ignore = "prints figures; run it by name with --ignored --nocapture"]
+#[ignore = "prints measurements; run it by name with --ignored --nocapture"]
 fn longest_answers_of_the_door_under_a_crowd() {
-    let (_endpoint, _platform, sender) = one(|_| status(200));
+    let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     let mut crowd = Vec::new();
     for size in [0, 600, 1500] {
         while crowd.len() < size {
@@ -88,7 +90,7 @@
             _ = stream.write_all(b"*5\r\n$7\r\nMSG.");
             crowd.push(stream);
         }
-        // Those that the sender lets go come again, as a crowd does.
+        // Connections that the sender closed are opened again, as a crowd of clients does.
         let mut took: Vec<Duration> = (0..300)
             .map(|n| {
                 if let Some(stream) = crowd.get_mut(n % size.max(1)) {
@@ -101,17 +103,18 @@
             })
             .collect();
         took.sort();
-        println!("{size:>5} in the crowd: median {:?}, longest {:?}", took[150], took[299]);
+        println!("{size:>5} connections: median {:?}, longest {:?}", took[150], took[299]);
     }
 }
 
 #[test]
 fn the_figures_are_what_clients_and_endpoints_have_counted() {
-    let (endpoint, platform, mut sender) = one(|request| match request.ids()[0].as_bytes()[0] {
-        b'g' => status(200),
-        b's' => StubResponse::Silence,
-        _ => status(500),
-    });
+    let (endpoint, platform, mut sender) =
+        sender_with_endpoint(|request| match request.ids()[0].as_bytes()[0] {
+            b'g' => status(200),
+            b's' => StubResponse::Silence,
+            _ => status(500),
+        });
     let before = sender.metrics();
     let none = json!({"pay": 0, "push": 0, "sync": 0});
     assert_eq!((&before["succeeded"], &before["declined"], &before["aborted"]), (&none, &none, &none));
@@ -129,18 +132,18 @@
     assert!(client.put("w2", "c=nobody,d=15000,dest=3").starts_with("-ERR"));
     assert_eq!(client.put("s1", PAY), "+OK");
     endpoint.wait_sent("s1");
-    let told = sender.metrics();
-    assert_eq!(told["succeeded"], json!({"pay": 5, "push": 1, "sync": 0}));
-    assert_eq!(told["aborted"], json!({"pay": 1, "push": 0, "sync": 1}));
-    assert_eq!(told["declined"], none);
-    assert_eq!((&told["forwards"], &told["outstanding"]), (&json!(8), &json!(1)));
-    // Each process counts from nought; what an earlier one took and this one ends counts here.
+    let metrics = sender.metrics();
+    assert_eq!(metrics["succeeded"], json!({"pay": 5, "push": 1, "sync": 0}));
+    assert_eq!(metrics["aborted"], json!({"pay": 1, "push": 0, "sync": 1}));
+    assert_eq!(metrics["declined"], none);
+    assert_eq!((&metrics["forwards"], &metrics["outstanding"]), (&json!(8), &json!(1)));
+    // Each process counts from zero. A message that an earlier process accepted counts where it ends.
     sender.kill();
     sender.spawn();
     platform.wait_notice("s1", "failed");
-    let told = sender.metrics();
-    assert_eq!((&told["aborted"]["pay"], &told["succeeded"]["pay"]), (&json!(1), &json!(0)));
-    assert_eq!((&told["forwards"], &told["outstanding"]), (&json!(0), &json!(0)));
+    let metrics = sender.metrics();
+    assert_eq!((&metrics["aborted"]["pay"], &metrics["succeeded"]["pay"]), (&json!(1), &json!(0)));
+    assert_eq!((&metrics["forwards"], &metrics["outstanding"]), (&json!(0), &json!(0)));
 }
 
 #[test]
@@ -159,25 +162,25 @@
     assert_eq!(sender.metrics()["outstanding"], 6);
     platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "many", 3, "Ready")]);
     wait_until("all of them", || sender.metrics()["outstanding"] == 0);
-    let told = sender.metrics();
-    assert_eq!((&told["succeeded"]["sync"], &told["forwards"]), (&json!(6), &json!(6)));
-    assert!(endpoint.requests().len() < 6, "some of them share a call");
+    let metrics = sender.metrics();
+    assert_eq!((&metrics["succeeded"]["sync"], &metrics["forwards"]), (&json!(6), &json!(6)));
+    assert!(endpoint.requests().len() < 6, "expected some of the six messages to share a call");
 }
 
 #[test]
 fn a_file_at_sighup_is_counted_as_taken_or_turned_down() {
-    let (_endpoint, _platform, sender) = one(|_| status(200));
+    let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     sender.send_sighup();
-    wait_until("the file to be taken", || sender.metrics()["sighup_applied"] == 1);
+    wait_until("the configuration to be applied", || sender.metrics()["sighup_applied"] == 1);
     std::fs::write(sender.folder.path().join("config.json"), "{").unwrap();
     sender.send_sighup();
-    wait_until("the file to be turned down", || sender.metrics()["sighup_rejected"] == 1);
+    wait_until("the configuration to be rejected", || sender.metrics()["sighup_rejected"] == 1);
     assert_eq!(sender.metrics()["sighup_applied"], 1);
 }
 
 #[test]
 fn an_end_that_an_earlier_process_could_not_tell_counts_where_it_is_told() {
-    let (endpoint, platform, mut sender) = one(|_| status(500));
+    let (endpoint, platform, mut sender) = sender_with_endpoint(|_| status(500));
     platform.set_reject_notices(true);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
@@ -190,8 +193,8 @@
     assert_eq!(sender.metrics()["aborted"]["pay"], 1);
 }
 
-/// The answer to `PING` on a new connection.
-fn pinged(sender: &Sender) -> String {
+/// Returns the reply to `PING` on a new connection.
+fn ping_reply(sender: &Sender) -> String {
     let mut client = sender.client();
     client.write(&resp(&[b"PING"]));
     client.read()
@@ -199,45 +202,45 @@
 
 #[test]
 fn an_emptied_sender_lets_its_clients_go_and_has_them_back() {
-    let (endpoint, _platform, sender) = one(|_| status(200));
+    let (endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     let (mut idle, mut busy) = (sender.client(), sender.client());
     idle.ping();
     assert_eq!(sender.mgmt_request("POST /_lameduck/on").0, 200);
     assert_eq!(sender.mgmt_request("GET /_ready").0, 503);
-    assert!(pinged(&sender).starts_with("-ERR"));
-    // What crosses the answer is served, on connections that are there and on new ones.
+    assert!(ping_reply(&sender).starts_with("-ERR"));
+    // Messages that are put at the same time are still served, on existing connections and on new ones.
     assert_eq!(busy.put("a1", SYNC), "+OK");
     assert_eq!(sender.client().put("a2", SYNC), "+OK");
-    // Neither is left open.
-    let told = Instant::now();
+    // Both connections are closed.
+    let drained_at = Instant::now();
     assert_eq!((idle.read(), busy.read()), (String::new(), String::new()));
-    assert!(told.elapsed() < Duration::from_millis(1500));
-    // A new one may still ask, and is closed after its answer.
+    assert!(drained_at.elapsed() < Duration::from_millis(1500));
+    // A new connection is still answered, and closed after its answer.
     let mut late = sender.client();
     late.write(&resp(&[b"PING"]));
     assert!(late.read().starts_with("-ERR"));
     assert_eq!(late.read(), "");
-    // Whoever comes much later is told to come again.
+    // Later messages are refused with `-BUSY`.
     wait_until("refusals", || sender.client().put("b1", SYNC).starts_with("-BUSY"));
     assert_eq!(sender.mgmt_request("POST /_lameduck/off").0, 200);
     assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
-    assert_eq!(pinged(&sender), "+PONG");
+    assert_eq!(ping_reply(&sender), "+PONG");
     assert_eq!(sender.client().put("a3", SYNC), "+OK");
     ["a1", "a2", "a3"].iter().for_each(|id| endpoint.wait_sent(id));
 }
 
 #[test]
 fn on_off_and_on_again_within_a_tenth_of_a_second() {
-    let (endpoint, _platform, sender) = one(|_| status(200));
+    let (endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     let mut client = sender.client();
     client.ping();
     for call in ["on", "on", "off", "off", "on", "off"] {
         assert_eq!(sender.mgmt_request(&format!("POST /_lameduck/{call}")).0, 200);
         let ready = call == "off";
         assert_eq!(sender.mgmt_request("GET /_ready").0 == 200, ready);
-        assert_eq!(pinged(&sender) == "+PONG", ready);
+        assert_eq!(ping_reply(&sender) == "+PONG", ready);
     }
-    // The connection from before was never to be closed for good.
+    // The existing connection must survive, since the last request was `off`.
     std::thread::sleep(Duration::from_millis(700));
     client.ping();
     assert_eq!(client.put("a1", PUSH), "+OK");
@@ -246,7 +249,7 @@
 
 #[test]
 fn a_command_that_is_half_written_when_the_sender_is_emptied_is_served() {
-    let (endpoint, _platform, sender) = one(|_| status(200));
+    let (endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     sender.client().ping();
     let mut client = sender.client();
     let command = put("a1", &format!("{SYNC},t=acme"), b"hello");
@@ -262,7 +265,7 @@
 
 #[test]
 fn a_sender_that_was_told_to_end_is_not_let_out_of_it() {
-    let (endpoint, _platform, mut sender) = one(|_| StubResponse::Silence);
+    let (endpoint, _platform, mut sender) = sender_with_endpoint(|_| StubResponse::Silence);
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     assert_eq!(sender.mgmt_request("POST /_lameduck/on").0, 200);
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -1,4 +1,5 @@
-//! What comes back from endpoints, and what the sender makes of it.
+//! Answers of endpoints and the outcomes that the sender derives from them. Guards against messages that are sent again
+//! although they may have run, messages that fail although they never ran, ignored waits, and slots that stay occupied.
 
 mod common;
 use common::*;
@@ -10,7 +11,9 @@
 const PUSH: &str = "c=push,d=20000,dest=3,k=5c0f6e1a2b3d4c59";
 const PAY: &str = "c=pay,d=20000,dest=3";
 
-fn one(script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
+fn sender_with_endpoint(
+    script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static,
+) -> (Endpoint, Platform, Sender) {
     let endpoint = Endpoint::new(script);
     let platform =
         Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready"), placeholder(9)]);
@@ -19,10 +22,10 @@
     (endpoint, platform, sender)
 }
 
-/// An endpoint that acts so at a message's first call and delivers from then on.
-fn first(act: StubResponse) -> (Endpoint, Platform, Sender) {
+/// Starts an endpoint that gives this answer to the first call with a message and delivers from then on.
+fn first_call_answered_with(act: StubResponse) -> (Endpoint, Platform, Sender) {
     let seen = std::sync::atomic::AtomicBool::new(false);
-    one(move |r| {
+    sender_with_endpoint(move |r| {
         let message = r.line.starts_with("POST");
         let first = message && !seen.swap(true, std::sync::atomic::Ordering::SeqCst);
         if first { act.clone() } else { status(200) }
@@ -31,12 +34,12 @@
 
 #[test]
 fn a_call_carries_id_key_timeout_and_body_and_reuses_its_connection() {
-    let (endpoint, _platform, sender) = one(|_| status(200));
+    let (endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     let mut client = sender.client();
     for id in ["a1", "a2", "a3"] {
         assert_eq!(client.put(id, PUSH), "+OK");
         endpoint.wait_sent(id);
-        // The connection is free again once the sender has read the answer.
+        // The connection is idle again once the sender has read the answer.
         std::thread::sleep(Duration::from_millis(200));
     }
     let requests = endpoint.requests();
@@ -51,7 +54,7 @@
 #[test]
 fn an_error_may_have_run_so_only_repeatable_messages_go_again() {
     for (fields, times, notice) in [(SYNC, 2, None), (PUSH, 2, None), (PAY, 1, Some("failed"))] {
-        let (endpoint, platform, sender) = first(status(500));
+        let (endpoint, platform, sender) = first_call_answered_with(status(500));
         assert_eq!(sender.client().put("a1", fields), "+OK");
         match notice {
             Some(state) => platform.wait_notice("a1", state),
@@ -63,7 +66,7 @@
 
 #[test]
 fn a_reset_may_have_run() {
-    let (endpoint, platform, sender) = first(StubResponse::Close);
+    let (endpoint, platform, sender) = first_call_answered_with(StubResponse::Close);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     platform.wait_notice("a1", "failed");
     assert_eq!(endpoint.call_count("a1"), 1);
@@ -72,32 +75,32 @@
 #[test]
 fn what_was_turned_away_never_ran_and_goes_again() {
     for code in [429, 503] {
-        let (endpoint, platform, sender) = first(status(code));
+        let (endpoint, platform, sender) = first_call_answered_with(status(code));
         assert_eq!(sender.client().put("a1", PAY), "+OK");
         wait_until("the second call", || endpoint.call_count("a1") == 2);
         assert_eq!(platform.notices(), Vec::<Value>::new());
     }
     let no_slot = StubResponse::Answer(503, vec![("X-No-Slot", "1".into())], String::new());
-    let (endpoint, _platform, sender) = first(no_slot);
+    let (endpoint, _platform, sender) = first_call_answered_with(no_slot);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     wait_until("the second call", || endpoint.call_count("a1") == 2);
 }
 
 #[test]
 fn a_refused_connection_never_ran() {
-    // An address at which nothing listens.
+    // An address at which no process listens.
     let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let platform = Platform::new(vec![listed_endpoint("s-1", dead, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     assert_eq!(sender.client().put("a1", "c=pay,d=1500,dest=3"), "+OK");
     platform.wait_notice("a1", "returned");
     let after = platform.notices()[0]["after_ms"].as_u64();
-    assert!(after.is_some_and(|ms| ms > 0), "the client is told when to come again");
+    assert!(after.is_some_and(|ms| ms > 0), "the notice must give a retry time");
 }
 
 #[test]
 fn a_message_that_is_over_is_owed_nothing() {
-    let (endpoint, platform, sender) = one(|_| status(410));
+    let (endpoint, platform, sender) = sender_with_endpoint(|_| status(410));
     let mut client = sender.client();
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
@@ -108,7 +111,7 @@
 
 #[test]
 fn silence_ends_the_call_by_closing_its_connection_before_the_next_try() {
-    let (endpoint, _platform, sender) = first(StubResponse::Silence);
+    let (endpoint, _platform, sender) = first_call_answered_with(StubResponse::Silence);
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     wait_until("the second call", || endpoint.call_count("a1") == 2);
     let calls: Vec<_> = endpoint.requests().into_iter().filter(|r| r.line.starts_with("POST")).collect();
@@ -120,7 +123,7 @@
 
 #[test]
 fn an_unsafe_message_is_failed_at_its_deadline_when_nothing_came_back() {
-    let (endpoint, platform, sender) = one(|_| StubResponse::Silence);
+    let (endpoint, platform, sender) = sender_with_endpoint(|_| StubResponse::Silence);
     let start = Instant::now();
     assert_eq!(sender.client().put("a1", "c=pay,d=900,dest=3"), "+OK");
     platform.wait_notice("a1", "failed");
@@ -130,12 +133,15 @@
 
 #[test]
 fn a_wait_holds_back_all_messages_of_the_destination() {
-    let (endpoint, _platform, sender) =
-        first(StubResponse::Answer(429, vec![("X-Retry-In-Ms", "700".into())], String::new()));
+    let (endpoint, _platform, sender) = first_call_answered_with(StubResponse::Answer(
+        429,
+        vec![("X-Retry-In-Ms", "700".into())],
+        String::new(),
+    ));
     let mut client = sender.client();
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    // The sender has read the answer once the stub has written it and a moment has passed.
+    // Gives the sender time to read the answer that the stub has written.
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(client.put("a2", PAY), "+OK");
     assert_eq!(client.put("a3", PUSH), "+OK");
@@ -148,8 +154,8 @@
     }
 }
 
-/// An endpoint of the batching kind. Its first call, of `w0`, is told to wait, so that what is handed in
-/// meanwhile goes in one call.
+/// Starts an endpoint of the batching kind. It answers the first call, with `w0`, with a wait, so that messages that are put
+/// in the meantime share one call.
 fn batching(
     answer: impl Fn(&Request) -> StubResponse + Send + Sync + 'static,
 ) -> (Endpoint, Platform, Sender) {
@@ -166,7 +172,7 @@
     (endpoint, platform, sender)
 }
 
-fn hand_in_together(endpoint: &Endpoint, sender: &Sender, messages: &[(&str, &str)]) {
+fn put_in_one_call(endpoint: &Endpoint, sender: &Sender, messages: &[(&str, &str)]) {
     let mut client = sender.client();
     assert_eq!(client.put("w0", SYNC), "+OK");
     endpoint.wait_sent("w0");
@@ -190,8 +196,8 @@
             .collect();
         StubResponse::Answer(200, vec![], Value::from(ends).to_string())
     });
-    hand_in_together(&endpoint, &sender, &states.map(|(id, _)| (id, PAY)));
-    // b2 may have run and is unsafe; b3 and b5 never ran.
+    put_in_one_call(&endpoint, &sender, &states.map(|(id, _)| (id, PAY)));
+    // b2 is unsafe and may have run; b3 and b5 never ran.
     platform.wait_notice("b2", "failed");
     wait_until("b3 to go again", || endpoint.call_count("b3") == 2);
     let first = endpoint.requests().into_iter().find(Request::is_batch).unwrap();
@@ -207,7 +213,7 @@
 fn a_batch_that_is_cut_short_may_have_run() {
     let (endpoint, platform, sender) =
         batching(|r| if r.is_batch() { StubResponse::Close } else { status(200) });
-    hand_in_together(&endpoint, &sender, &[("b1", PAY), ("b2", PAY), ("b3", SYNC)]);
+    put_in_one_call(&endpoint, &sender, &[("b1", PAY), ("b2", PAY), ("b3", SYNC)]);
     platform.wait_notice("b1", "failed");
     platform.wait_notice("b2", "failed");
     assert_eq!(["b1", "b2"].map(|id| endpoint.call_count(id)), [1, 1]);
@@ -222,7 +228,7 @@
         let ends: Vec<Value> = r.ids().iter().map(|id| json!({"id": id, "state": "ok"})).collect();
         StubResponse::Answer(200, vec![("X-Retry-In-Ms", "600".into())], Value::from(ends).to_string())
     });
-    hand_in_together(&endpoint, &sender, &[("b1", SYNC), ("b2", SYNC)]);
+    put_in_one_call(&endpoint, &sender, &[("b1", SYNC), ("b2", SYNC)]);
     endpoint.wait_sent("b2");
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(sender.client().put("b3", SYNC), "+OK");
@@ -236,7 +242,7 @@
 fn a_call_is_given_up_when_the_first_of_its_messages_runs_out_of_time() {
     let (endpoint, platform, sender) =
         batching(|r| if r.is_batch() { StubResponse::Silence } else { status(200) });
-    // The sender learns how long an answer takes.
+    // The sender measures how long an answer takes.
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     wait_until("a1 to go again", || endpoint.call_count("a1") == 2);
     let waited = std::sync::atomic::AtomicBool::new(false);
@@ -247,9 +253,9 @@
         StubResponse::Answer(429, vec![("X-Retry-In-Ms", "900".into())], String::new())
     });
     let start = Instant::now();
-    hand_in_together(&endpoint, &sender, &[("b1", "c=pay,d=4500,dest=3"), ("b2", PAY), ("b3", PAY)]);
+    put_in_one_call(&endpoint, &sender, &[("b1", "c=pay,d=4500,dest=3"), ("b2", PAY), ("b3", PAY)]);
     platform.wait_notice("b1", "failed");
-    // The others may have run too, and are not waited for in a call that is over.
+    // The other messages of the call may have run too, and their outcome is not awaited after the call has ended.
     platform.wait_notice("b2", "failed");
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
     let call = endpoint.requests().into_iter().find(Request::is_batch).unwrap();
@@ -258,8 +264,8 @@
     assert!(timeout.parse::<u32>().unwrap() <= 4_500, "{timeout}");
 }
 
-/// Far less than a call's whole time, far more than what an answer that has begun is given.
-const SOON: Duration = Duration::from_secs(6);
+/// Time limit for a slot to be free: far less than the time limit of a call, far more than that of a started answer.
+const MAX_RELEASE_DELAY: Duration = Duration::from_secs(6);
 
 fn raw(text: &str) -> StubResponse {
     StubResponse::Raw(text.to_string())
@@ -276,11 +282,12 @@
         "x-server-load: x0=?,x1=\r\ncontent-length: 0\r\n\r\n",
         "a head that does not end",
     ] {
-        let (endpoint, platform, sender) = first(raw(&format!("HTTP/1.1 200 OK\r\n{rest}")));
+        let (endpoint, platform, sender) =
+            first_call_answered_with(raw(&format!("HTTP/1.1 200 OK\r\n{rest}")));
         let mut client = sender.client();
         assert_eq!(client.put("a1", PAY), "+OK");
         endpoint.wait_sent("a1");
-        // One more for the same destination, at which only so many go at once, and the first one's end.
+        // Another message for the same destination, whose calls are limited, and time for the first one to end.
         assert_eq!(client.put("a2", PAY), "+OK");
         endpoint.wait_sent("a2");
         std::thread::sleep(Duration::from_millis(500));
@@ -299,13 +306,13 @@
         "HTTP/1.1 500 X\r\nthis head does not end\r\n",
         "HTTP/1.1 2000 OK\r\ncontent-length: 0\r\n\r\n",
     ] {
-        let (endpoint, platform, sender) = first(raw(text));
+        let (endpoint, platform, sender) = first_call_answered_with(raw(text));
         let (mut client, start) = (sender.client(), Instant::now());
         assert_eq!(client.put("a1", PAY), "+OK");
         platform.wait_notice("a1", "failed");
         assert_eq!(client.put("a2", SYNC), "+OK");
         endpoint.wait_sent("a2");
-        assert!(start.elapsed() < SOON, "{text:?}: {:?}", start.elapsed());
+        assert!(start.elapsed() < MAX_RELEASE_DELAY, "{text:?}: {:?}", start.elapsed());
         assert_eq!(endpoint.call_count("a1"), 1);
     }
 }
@@ -320,7 +327,7 @@
         assert_eq!(client.put(id, PAY), "+OK");
     }
     endpoint.wait_sent("a3");
-    assert!(start.elapsed() < SOON, "{:?}", start.elapsed());
+    assert!(start.elapsed() < MAX_RELEASE_DELAY, "{:?}", start.elapsed());
     assert!(platform.notices().is_empty());
 }
 
@@ -328,15 +335,15 @@
 fn answers_ahead_are_passed_over_and_bytes_behind_belong_to_no_call() {
     let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 101 Switching Protocols\r\nupgrade: x\r\n\r\n";
     let turned_away = "HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n";
-    let (endpoint, platform, sender) = first(raw(&format!("{ahead}{turned_away}")));
+    let (endpoint, platform, sender) = first_call_answered_with(raw(&format!("{ahead}{turned_away}")));
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     wait_until("the second call", || endpoint.call_count("a1") == 2);
     assert!(platform.notices().is_empty());
 
-    // A second copy that delivers nothing: the next message is answered 500 and fails.
+    // The second answer belongs to no call: the next message is answered 500 and fails.
     let seen = std::sync::atomic::AtomicBool::new(false);
     let ok = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-    let (endpoint, platform, sender) = one(move |_| {
+    let (endpoint, platform, sender) = sender_with_endpoint(move |_| {
         let first = !seen.swap(true, std::sync::atomic::Ordering::SeqCst);
         if first { raw(&format!("{ok}{ok}")) } else { status(500) }
     });
@@ -352,9 +359,9 @@
 
 #[test]
 fn a_kept_connection_that_is_reset_at_its_next_request_is_a_lesson() {
-    // The endpoint drops every connection unseen after an answer: the next request on it is reset.
+    // After each answer the endpoint stops serving the connection unnoticed: the next request on it is reset.
     let seen = std::sync::Mutex::new(std::collections::HashSet::new());
-    let (endpoint, platform, sender) = one(move |r| {
+    let (endpoint, platform, sender) = sender_with_endpoint(move |r| {
         let fresh = seen.lock().unwrap().insert(r.connection);
         if fresh { status(200) } else { StubResponse::Close }
     });
@@ -366,5 +373,5 @@
         std::thread::sleep(Duration::from_millis(300));
     }
     let failed = platform.notices().len();
-    assert!(failed <= 1, "{failed} unsafe messages met a dropped connection");
+    assert!(failed <= 1, "{failed} unsafe messages failed on reset connections, expected at most 1");
 }
