--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_sender_with_a_list_serves_before_it_asks() {
+fn a_sender_with_a_list_serves_before_it_polls() {
     let endpoint = Endpoint::new(|_| status(200));
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![known.clone()]);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_question_turned_away_is_asked_again_from_the_same_version() {
+fn a_rejected_poll_is_repeated_from_the_same_index() {
     let (endpoint, fresh) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![known.clone()]);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn where_changes_come_unasked_the_list_is_asked_for_at_once() {
+fn where_discovery_pushes_changes_the_list_is_requested_at_once() {
     let endpoint = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     // The poll interval does not apply to this discovery.
@@ -159,26 +159,26 @@
 }
 
 #[test]
-fn what_discovery_knows_is_heard_in_time_after_connections_that_were_refused() {
+fn a_drain_is_known_in_time_after_refused_connections() {
     assert_drain_known_in_time(Failure::Refused);
 }
 
 #[test]
-fn what_discovery_knows_is_heard_in_time_after_calls_that_hung() {
+fn a_drain_is_known_in_time_after_unanswered_requests() {
     assert_drain_known_in_time(Failure::NoAnswer);
 }
 
 #[test]
-fn what_discovery_knows_is_heard_in_time_after_calls_that_were_closed() {
+fn a_drain_is_known_in_time_after_closed_connections() {
     assert_drain_known_in_time(Failure::Closed);
 }
 
 #[test]
-fn what_discovery_knows_is_heard_in_time_after_calls_that_were_half_answered() {
+fn a_drain_is_known_in_time_after_partial_answers() {
     assert_drain_known_in_time(Failure::PartialAnswer);
 }
 
 #[test]
-fn what_discovery_knows_is_heard_in_time_after_calls_that_were_turned_away() {
+fn a_drain_is_known_in_time_after_rejected_requests() {
     assert_drain_known_in_time(Failure::Rejected);
 }
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn what_no_sender_could_take_on_is_an_error() {
+fn a_message_that_no_sender_could_accept_is_an_error() {
     let (endpoint, platform, sender) = sender_with_endpoint();
     let mut client = sender.client();
     for fields in [
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn connections_that_say_nothing_of_use_are_closed() {
+fn idle_and_half_written_connections_are_closed() {
     let (_endpoint, _platform, sender) = sender_with_endpoint();
     let start = Instant::now();
     let half = put("a1", SYNC, b"hello");
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn a_second_copy_is_not_called_taken_before_the_first_is_written_down() {
+fn a_second_copy_is_not_accepted_before_the_first_is_journaled() {
     // Before the list is known nothing is accepted; a journal record of this size does not fit.
     let endpoint = Endpoint::new(|_| status(200));
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn a_drain_that_is_learnt_while_a_connection_comes_up_stops_the_call() {
+fn a_drain_that_becomes_known_while_a_connection_comes_up_stops_the_call() {
     let mut old = FullBacklogEndpoint::new();
     let new = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("s-1", old.addr, "one", 3, "Ready")]);
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn four_join_four_half_are_killed_and_a_third_hears_late() {
+fn four_endpoints_join_four_half_the_senders_are_killed_and_a_third_learn_late() {
     let events = "
         [[event]]\nat = \"2s\"\ndo = \"directory-lag\"\nby = \"2s\"\nfor = \"6s\"\nshare = 0.33
         [[event]]\nat = \"3s\"\ndo = \"join\"\nreceiver = 1\nendpoints = 4
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn each_answer_of_an_owner_has_its_own() {
+fn each_answer_of_an_owner_gives_its_own_reply() {
     let rig = Rig::start();
     let dest = destinations(false)[0];
     rig.set_conduct(Conduct::Answer("-BUSY 700"));
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn without_a_lease_nothing_new_is_taken_on_and_others_are_still_reached() {
+fn without_a_lease_nothing_new_is_accepted_and_others_are_still_reached() {
     let rig = Rig::start();
     rig.control.set_script(|_| StubResponse::Silence);
     wait_until("the lease to expire", || rig.metrics()["lease_left_ms"] == 0);
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn without_the_section_there_is_no_word_of_placement() {
+fn without_the_section_there_is_no_trace_of_placement() {
     let receiver = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("e1", receiver.addr, "one", 1, "Ready")]);
     let sender = Sender::with_mgmt(&platform);
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_call_that_is_out_stays_with_its_process_and_its_outcome_counts() {
+fn a_call_in_flight_stays_with_its_process_and_its_outcome_counts() {
     let gate = Gate::default();
     let waits = gate.clone();
     let (endpoint, platform, mut processes) = start_first(move |r| {
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_process_that_dies_with_a_call_out_leaves_it_open_whether_it_ran() {
+fn a_call_in_flight_in_a_process_that_dies_may_have_run() {
     let (endpoint, platform, mut processes) =
         start_first(|r| if r.ids()[0].starts_with('a') { StubResponse::Silence } else { status(200) });
     assert_eq!(processes.client().put("a1", PAY), "+OK");
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn an_owner_that_is_stopped_is_waited_for_and_never_written_beside() {
+fn a_stopped_owner_is_waited_for_and_its_journal_is_not_written() {
     let (endpoint, platform, mut processes) = start_first(|_| status(200));
     assert_eq!(processes.client().put("a1", PAY), "+OK");
     // The outcome must be read before the process is stopped: otherwise the message counts as one that may have run.
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn a_newcomer_that_dies_or_stalls_leaves_the_owner_serving() {
+fn a_replacement_that_dies_during_its_start_leaves_the_owner_serving() {
     let (endpoint, _platform, mut processes) = start_first(|_| status(200));
     // The new process is killed at many moments of its start.
     for n in 0..12 {
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn the_next_process_goes_by_discoverys_word_and_not_by_an_older_list() {
+fn the_next_process_uses_discoverys_list_and_not_an_older_known_one() {
     let (old, new) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
     let first = listed_endpoint("s-1", old.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![first.clone()]);
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn replacements_one_after_another_and_two_newcomers_at_once() {
+fn replacements_one_after_another_and_two_at_once() {
     let (endpoint, platform, mut processes) = start_first(|_| status(200));
     for n in 0..3 {
         let (first, second) = (processes.start(), processes.start());
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_list_over_the_limit_at_the_start_is_said_and_no_list_means_not_ready() {
+fn a_list_over_the_limit_at_the_start_is_logged_and_no_list_means_not_ready() {
     let endpoint = Endpoint::new(|_| status(200));
     let discovery = discovery(&listing(7, &endpoint, TOO_MANY), |_, _| {});
     let sender = sender(&discovery, &nothing_known());
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_known_list_over_the_limit_is_said_and_discoverys_word_is_waited_for() {
+fn a_known_list_over_the_limit_is_logged_and_discoverys_list_is_awaited() {
     let endpoint = Endpoint::new(|_| status(200));
     let short = listing(9, &endpoint, 0);
     let gate = Gate::default();
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn calls_that_are_not_known_or_made_wrongly_are_turned_away() {
+fn unknown_or_malformed_requests_are_rejected() {
     let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     assert_eq!(sender.mgmt_request("GET /_ready"), (200, "ready\n".into()));
     assert_eq!(sender.mgmt_request("GET /elsewhere").0, 404);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn without_an_address_there_is_no_door() {
+fn without_an_address_there_is_no_management_interface() {
     let platform = Platform::new(vec![placeholder(3)]);
     let sender = Sender::start(&platform);
     sender.client().ping();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn callers_that_say_nothing_or_half_a_call_delay_no_one() {
+fn idle_and_half_written_requests_delay_no_one() {
     let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     // More than twice as many as the interface accepts at once.
     let mut open_connections = Vec::new();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_crowd_at_the_clients_address_does_not_shut_the_door() {
+fn many_clients_do_not_block_the_management_interface() {
     let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     let crowd: Vec<TcpStream> = (0..600)
         .map(|_| {
@@ -81,7 +81,7 @@
 
 #[test]
 #[ignore = "prints measurements; run it by name with --ignored --nocapture"]
-fn longest_answers_of_the_door_under_a_crowd() {
+fn longest_answers_under_many_clients() {
     let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     let mut crowd = Vec::new();
     for size in [0, 600, 1500] {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_figures_are_what_clients_and_endpoints_have_counted() {
+fn the_metrics_match_what_clients_and_endpoints_counted() {
     let (endpoint, platform, mut sender) =
         sender_with_endpoint(|request| match request.ids()[0].as_bytes()[0] {
             b'g' => status(200),
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_file_at_sighup_is_counted_as_taken_or_turned_down() {
+fn a_reload_is_counted_as_applied_or_rejected() {
     let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     sender.send_sighup();
     wait_until("the configuration to be applied", || sender.metrics()["sighup_applied"] == 1);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn an_end_that_an_earlier_process_could_not_tell_counts_where_it_is_told() {
+fn an_end_that_an_earlier_process_could_not_report_counts_where_it_is_reported() {
     let (endpoint, platform, mut sender) = sender_with_endpoint(|_| status(500));
     platform.set_reject_notices(true);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn an_emptied_sender_lets_its_clients_go_and_has_them_back() {
+fn a_lame_duck_closes_its_clients_and_serves_them_again_afterwards() {
     let (endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     let (mut idle, mut busy) = (sender.client(), sender.client());
     idle.ping();
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_command_that_is_half_written_when_the_sender_is_emptied_is_served() {
+fn a_command_half_written_when_the_sender_becomes_a_lame_duck_is_served() {
     let (endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     sender.client().ping();
     let mut client = sender.client();
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_sender_that_was_told_to_end_is_not_let_out_of_it() {
+fn a_lame_duck_request_does_not_cancel_a_stop() {
     let (endpoint, _platform, mut sender) = sender_with_endpoint(|_| StubResponse::Silence);
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_error_may_have_run_so_only_repeatable_messages_go_again() {
+fn an_error_may_have_run_so_only_repeatable_messages_are_sent_again() {
     for (fields, times, notice) in [(SYNC, 2, None), (PUSH, 2, None), (PAY, 1, Some("failed"))] {
         let (endpoint, platform, sender) = first_call_answered_with(status(500));
         assert_eq!(sender.client().put("a1", fields), "+OK");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_was_turned_away_never_ran_and_goes_again() {
+fn a_rejected_message_never_ran_and_is_sent_again() {
     for code in [429, 503] {
         let (endpoint, platform, sender) = first_call_answered_with(status(code));
         assert_eq!(sender.client().put("a1", PAY), "+OK");
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_message_that_is_over_is_owed_nothing() {
+fn a_message_answered_with_410_ends_without_a_notice() {
     let (endpoint, platform, sender) = sender_with_endpoint(|_| status(410));
     let mut client = sender.client();
     assert_eq!(client.put("a1", SYNC), "+OK");
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_batch_tells_each_messages_end() {
+fn a_batchs_answer_gives_each_messages_outcome() {
     let states = [("b1", "ok"), ("b2", "error"), ("b3", "later"), ("b4", "gone"), ("b5", "exhausted")];
     let (endpoint, platform, sender) = batching(move |r| {
         if !r.ids().contains(&"b1".to_string()) {
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_first_line_that_says_200_delivers_a_single_message_whatever_follows() {
+fn a_status_line_with_200_delivers_a_single_message_whatever_follows() {
     for rest in [
         "no colon\x01\r\n\r\n",
         "content-length: -5\r\n\r\n",
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_may_have_run_and_its_slot_is_free_soon() {
+fn a_malformed_answer_may_have_run_and_its_slot_is_free_soon() {
     for text in [
         "\x00\x01noise\r\n\r\n",
         "HTTP/1.1 2",
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_is_reset_at_its_next_request_is_a_lesson() {
+fn idle_connections_that_are_reset_at_their_next_request_fail_at_most_one_message() {
     // After each answer the endpoint stops serving the connection unnoticed: the next request on it is reset.
     let seen = std::sync::Mutex::new(std::collections::HashSet::new());
     let (endpoint, platform, sender) = sender_with_endpoint(move |r| {
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn in_calm_every_request_reaches_an_owner_in_one_pass() {
+fn without_faults_every_request_reaches_an_owner_in_one_pass() {
     placement::run(async {
         let rig = Rig::start(Deployment::default()).await;
         rig.receivers.set_conduct(WAITING, Conduct::WaitOnce(Duration::from_millis(400)));
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn epochs_that_are_told_late_to_a_third_of_the_members() {
+fn epochs_that_reach_a_third_of_the_members_late() {
     placement::run(async {
         let agent_lag = Duration::from_millis(5500);
         let deployment = Deployment { spares: 1, agent_lag, ..Deployment::default() };
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn with_all_control_agents_silent_nothing_new_is_taken_on_and_what_was_is_finished() {
+fn with_all_control_agents_silent_nothing_new_is_accepted_and_accepted_messages_are_finished() {
     placement::run(async {
         let rig = Rig::start(Deployment::default()).await;
         let lease = rig.fleet.deployment.lease;
@@ -447,7 +447,7 @@
 }
 
 #[test]
-fn lists_that_are_wrong_are_refused_and_the_last_good_one_stays() {
+fn invalid_lists_are_refused_and_the_last_good_one_stays() {
     placement::run(async {
         let rig = Rig::start(Deployment { spares: 1, ..Deployment::default() }).await;
         // Epoch 2 is in force, so that an older one exists.
--- a/crates/sender/tests/placement_standins.rs
+++ b/crates/sender/tests/placement_standins.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_agent_tells_the_whole_list_changes_or_nothing_new() {
+fn an_agent_serves_the_full_list_changes_or_no_change() {
     placement::run(async {
         let control = Control::new();
         let (prompt, late) = (control.listen().await, control.listen().await);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_deciding_crate_reads_the_agents_lists_and_refuses_the_wrong_ones() {
+fn the_placement_crate_reads_the_agents_lists_and_refuses_the_invalid_ones() {
     let deployment = Deployment::default();
     let addresses: Vec<String> = (1..=12).map(|n| format!("127.0.0.1:{n}")).collect();
     let control = Control::new();
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn the_kits_judge_holds_the_owner_to_what_it_took_on_and_not_the_entry() {
+fn the_judge_attributes_a_message_to_its_owner_and_not_to_the_entry() {
     let ledger = Ledger::new();
     ledger.record(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
     record_put(&ledger, "a", PAY, Answered::Taken);
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_receiver_that_returns_cold_is_not_pushed_over() {
+fn a_receiver_that_returns_cold_is_not_overloaded() {
     let events = "
         [[event]]\nat = \"1s\"\ndo = \"down\"\nreceiver = 1\nfor = \"4s\"
         [[event]]\nat = \"2s\"\ndo = \"shut\"\nreceiver = 2\nfor = \"4s\"
@@ -154,7 +154,7 @@
 /// Kills senders that hold messages in all states: never sent, call written in part, call unanswered, and end not
 /// confirmed by the platform.
 #[test]
-fn a_sender_killed_at_any_point_owes_each_message_one_end() {
+fn a_sender_killed_at_any_point_ends_each_message_once() {
     let events = "
         [[event]]\nat = \"800ms\"\ndo = \"hang\"\nreceiver = 2\nfor = \"2s\"
         [[event]]\nat = \"800ms\"\ndo = \"silent\"\nreceiver = 3\nfor = \"2s\"
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_said_and_nothing_is_started() {
+fn an_invalid_scenario_is_reported_and_nothing_is_started() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("bad.toml").display().to_string();
     std::fs::write(&path, "name = \"x\"\nlenght = \"2s\"\n").unwrap();
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn what_is_told_while_it_runs_is_done() {
+fn commands_at_the_control_port_are_carried_out() {
     let folder = tempfile::tempdir().unwrap();
     let scenario = file(folder.path(), "6s").display().to_string();
     let evidence = folder.path().join("e").display().to_string();
--- a/crates/sender/tests/reload.rs
+++ b/crates/sender/tests/reload.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_notice_in_work_is_repeated_at_the_new_address() {
+fn a_pending_notice_is_repeated_at_the_new_address() {
     let endpoint = Endpoint::new(|_| status(500));
     let listed = vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")];
     let (first, second) = (Platform::new(listed.clone()), Platform::new(listed));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn nothing_is_taken_from_a_file_with_a_flaw() {
+fn nothing_is_applied_from_an_invalid_file() {
     let endpoint = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let nowhere = Platform::new(vec![placeholder(9)]);
--- a/crates/sender/tests/restart.rs
+++ b/crates/sender/tests/restart.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_call_that_was_out_at_a_kill_may_have_run() {
+fn a_call_in_flight_at_a_kill_may_have_run() {
     let (endpoint, platform, mut sender) = sender_with_endpoint(|_| StubResponse::Silence);
     let mut client = sender.client();
     for (id, fields) in [("a1", PAY), ("a2", SYNC), ("a3", PUSH)] {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_was_delivered_stays_so() {
+fn a_delivered_message_is_not_sent_again() {
     let (endpoint, platform, mut sender) = sender_with_endpoint(|_| status(200));
     let mut client = sender.client();
     assert_eq!(client.put("a1", PAY), "+OK");
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_end_is_told_until_it_is_confirmed_also_after_a_kill() {
+fn a_notice_is_repeated_until_it_is_confirmed_also_after_a_kill() {
     let (_endpoint, platform, mut sender) = sender_with_endpoint(|_| status(500));
     platform.set_reject_notices(true);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_destination_that_was_failing_is_not_rushed_after_a_restart() {
+fn a_failing_destination_is_not_flooded_after_a_restart() {
     let (endpoint, _platform, mut sender) = sender_with_endpoint(|_| status(503));
     let mut client = sender.client();
     for n in 0..6 {
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_drain_learnt_before_a_restart_holds_though_the_list_given_then_is_older() {
+fn a_drain_known_before_a_restart_stays_in_force_though_the_known_list_is_older() {
     let (old, new) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
     let listed = [
         listed_endpoint("s-1", old.addr, "one", 3, "Ready"),
--- a/crates/sender/tests/return_restart.rs
+++ b/crates/sender/tests/return_restart.rs
@@ -12,7 +12,7 @@
 const EXECUTABLE: &str = env!("CARGO_BIN_EXE_embershore");
 
 #[test]
-fn thirty_restarted_senders_do_not_push_two_small_receivers_over() {
+fn thirty_restarted_senders_do_not_overload_two_small_receivers() {
     let shipped = shipped::find("return-restart").unwrap();
     // The receivers are warm again 10 s after their return at 18 s.
     let text = shipped.text.replace("length = \"40s\"", "length = \"28s\"");
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn so_it_is_with_new_messages_beside_them_and_by_a_slow_receiver() {
+fn untried_messages_are_called_alongside_new_ones_and_by_a_slow_receiver() {
     let slow = Endpoint::new(|_| {
         sleep(Duration::from_millis(300));
         status(200)
