--- a/crates/sender/tests/check.rs
+++ b/crates/sender/tests/check.rs
@@ -1,4 +1,5 @@
-//! `embershore check`: its verdicts, its exit codes, and what it shows.
+//! `embershore check`. Guards against an invalid options file that passes, findings without their place, exit codes that
+//! scripts cannot tell apart, and a daemon that starts with an invalid options file.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -43,9 +44,13 @@
     line(&["others", "payout", "down", "none", "not kept"]);
     line(&["others", "quota", "may-have-run", "counts", "not sent again, dropped for a newer one"]);
     let (code, out, _) = check(folder.path(), GOOD, &["--config", "config.json", "--json"]);
-    let read: serde_json::Value = serde_json::from_str(&out).expect("JSON");
-    assert_eq!((code, &read["good"]), (Some(0), &true.into()));
-    assert_eq!(read["owed"].as_array().map(Vec::len), Some(2 * 3 * 6), "receivers by classes by reasons");
+    let report: serde_json::Value = serde_json::from_str(&out).expect("JSON");
+    assert_eq!((code, &report["good"]), (Some(0), &true.into()));
+    assert_eq!(
+        report["owed"].as_array().map(Vec::len),
+        Some(2 * 3 * 6),
+        "expected an entry for each receiver, class and reason"
+    );
 }
 
 #[test]
@@ -60,12 +65,15 @@
         "{err}"
     );
     let (code, out, _) = check(folder.path(), &bad, &["--config", "config.json", "--json"]);
-    let read: serde_json::Value = serde_json::from_str(&out).expect("JSON");
-    assert_eq!((code, &read["good"], &read["findings"][0]["line"]), (Some(1), &false.into(), &9.into()));
+    let report: serde_json::Value = serde_json::from_str(&out).expect("JSON");
+    assert_eq!((code, &report["good"], &report["findings"][0]["line"]), (Some(1), &false.into(), &9.into()));
     let (code, _, err) = check(folder.path(), GOOD, &["--config", "missing.json"]);
     assert!(code == Some(2) && err.contains("missing.json"), "{code:?} {err}");
     let (code, _, err) = check(folder.path(), GOOD, &[]);
-    assert!(code == Some(2) && err.contains("--config"), "the classes must come from somewhere: {err}");
+    assert!(
+        code == Some(2) && err.contains("--config"),
+        "expected an error that asks for --config, which has the classes: {err}"
+    );
 }
 
 const FLEET: &str = "[fleet]\nname = \"n1\"\nprobe = \"500ms\"\n\
@@ -82,9 +90,9 @@
                 'rack-2', the largest with 2, no majority is left";
     assert!(out.contains(line), "{out}");
     let (_, out, _) = check(folder.path(), FLEET, &["--config", "config.json", "--json"]);
-    let told: serde_json::Value = serde_json::from_str(&out).expect("JSON");
-    assert_eq!((&told["fleet"]["majority"], &told["owed"]), (&2.into(), &serde_json::Value::Null));
-    // Findings of all sections come together, in the order of the file.
+    let report: serde_json::Value = serde_json::from_str(&out).expect("JSON");
+    assert_eq!((&report["fleet"]["majority"], &report["owed"]), (&2.into(), &serde_json::Value::Null));
+    // Findings of all sections are reported together, in the order of the file.
     let wrong = FLEET.replace("10.0.0.12:7946", "10.0.0.11:7946") + "[owed]\nmax_mb = 0\n";
     let (code, _, err) = check(folder.path(), &wrong, &["--config", "config.json"]);
     let lines: Vec<&str> = err.lines().map(|l| l.split(": ").next().unwrap_or("")).collect();
@@ -103,8 +111,8 @@
                 every 2s for a lease of 8s, agents are at most 0s behind, keeps 64 connections to other members at most";
     assert!(out.contains(line) && !out.contains("nothing is switched on"), "{out}");
     let (_, out, _) = check(folder.path(), PLACEMENT, &["--config", "config.json", "--json"]);
-    let told: serde_json::Value = serde_json::from_str(&out).expect("JSON");
-    assert_eq!((&told["placement"]["name"], &told["placement"]["lease"]), (&"n0".into(), &"8s".into()));
+    let report: serde_json::Value = serde_json::from_str(&out).expect("JSON");
+    assert_eq!((&report["placement"]["name"], &report["placement"]["lease"]), (&"n0".into(), &"8s".into()));
     let wrong = PLACEMENT.replace("8s", "8min").replace("10.0.0.10:7001", "10.0.0.10");
     let (code, _, err) = check(folder.path(), &wrong, &["--config", "config.json"]);
     let lines: Vec<&str> = err.lines().map(|l| l.split(": ").next().unwrap_or("")).collect();
@@ -116,7 +124,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let wrong = PLACEMENT.replace("8s", "1s");
     std::fs::write(folder.path().join("options.toml"), wrong).expect("written");
-    // An address that is taken: a daemon that came as far as to listen would name it.
+    // An address in use: a daemon that tries to listen reports an error with it.
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
     let address = taken.local_addr().expect("bound").to_string();
     std::fs::write(folder.path().join("config.json"), CONFIG.replace("127.0.0.1:0", &address))
@@ -137,7 +145,7 @@
         );
     }
     let (_, err) = daemon(&["--options", "missing.toml"], "options.toml");
-    assert!(err.contains("missing.toml"), "the command line goes first: {err}");
+    assert!(err.contains("missing.toml"), "the command line must override the variable: {err}");
     let (_, err) = daemon(&[], "");
-    assert!(err.contains("listen on"), "no options file, as before: {err}");
+    assert!(err.contains("listen on"), "without an options file the daemon must try to listen: {err}");
 }
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -29,8 +29,8 @@
     // Discovery accepts connections without answering, and there is no known list.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
-    let quiet = silent.local_addr().unwrap().to_string();
-    let sender = Sender::with(&platform, |c| c["discovery"] = quiet.clone().into());
+    let silent_addr = silent.local_addr().unwrap().to_string();
+    let sender = Sender::with(&platform, |c| c["discovery"] = silent_addr.clone().into());
     let mut client = sender.client();
     client.write(&resp(&[b"PING"]));
     client.stream.set_read_timeout(Some(Duration::from_millis(1500))).unwrap();
@@ -40,7 +40,7 @@
     let endpoint = Endpoint::new(|_| status(200));
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let sender = Sender::with(&platform, |c| {
-        c["discovery"] = quiet.clone().into();
+        c["discovery"] = silent_addr.clone().into();
         c["known"]["endpoints"] = vec![known.clone()].into();
     });
     let mut client = sender.client();
@@ -139,9 +139,9 @@
 fn idle_and_half_written_connections_are_closed() {
     let (_endpoint, _platform, sender) = sender_with_endpoint();
     let start = Instant::now();
-    let half = put("a1", SYNC, b"hello");
+    let half_command = put("a1", SYNC, b"hello");
     let mut clients: Vec<Client> = (0..3).map(|_| sender.client()).collect();
-    clients[1].write(&half[..half.len() - 3]);
+    clients[1].write(&half_command[..half_command.len() - 3]);
     clients[2].ping();
     for mut client in clients {
         let answer = client.read();
@@ -186,20 +186,20 @@
     let mut sender = Sender::with(&platform, |c| {
         c["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": 24, "sockets": 192, "disk_mb": 3});
     });
-    let half = &put("half", SYNC, b"hello")[..30];
-    let mut crowd = Vec::new();
+    let half_command = &put("half", SYNC, b"hello")[..30];
+    let mut connections = Vec::new();
     let mut closed = 0;
     for n in 0..3000 {
         let mut one = sender.client();
         match n % 3 {
             0 => {}
-            1 => one.write(half),
+            1 => one.write(half_command),
             _ => {
                 // The sender may have closed this connection already to make room for a later one.
                 one.write(&resp(&[b"PING"]));
             }
         }
-        crowd.push(one);
+        connections.push(one);
         if n % 100 == 99 {
             let id = format!("a{n}");
             let mut answer = String::new();
@@ -212,7 +212,7 @@
             }
             assert_eq!(answer, "+OK");
             endpoint.wait_sent(&id);
-            crowd.truncate(600);
+            connections.truncate(600);
         }
         if n == 1500 {
             sender.kill();
@@ -230,8 +230,8 @@
     active.ping();
     // 256 descriptors leave room for 85 clients.
     let silent: Vec<Client> = (0..200).map(|_| sender.client()).collect();
-    let mut late = sender.client();
-    assert_eq!(late.put("a1", SYNC), "+OK");
+    let mut last = sender.client();
+    assert_eq!(last.put("a1", SYNC), "+OK");
     assert_eq!(active.put("a2", SYNC), "+OK", "a connection that has sent a request must be kept open");
     endpoint.wait_sent("a1");
     endpoint.wait_sent("a2");
@@ -293,10 +293,10 @@
     let endpoint = Endpoint::new(|_| status(200));
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
-    let (quiet, known) =
+    let (silent_addr, known) =
         (silent.local_addr().unwrap().to_string(), listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready"));
     let sender = Sender::with(&platform, |c| {
-        c["discovery"] = quiet.clone().into();
+        c["discovery"] = silent_addr.clone().into();
         c["known"]["endpoints"] = vec![known.clone()].into();
     });
     let mut client = sender.client();
@@ -328,10 +328,10 @@
     let endpoint = Endpoint::new(|_| status(200));
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
-    let quiet = silent.local_addr().unwrap().to_string();
+    let silent_addr = silent.local_addr().unwrap().to_string();
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let sender = Sender::with(&platform, |c| {
-        c["discovery"] = quiet.clone().into();
+        c["discovery"] = silent_addr.clone().into();
         c["known"]["endpoints"] = vec![known.clone()].into();
         c["limits"]["disk_mb"] = 0.02.into();
     });
@@ -357,11 +357,11 @@
     let mut client = sender.client();
     assert_eq!(client.put("a1", PAY), "+OK");
     wait_until("the attempt in the journal", || sender.journal_contains("s-1"));
-    let (drains, comes) = (
+    let (draining, added) = (
         listed_endpoint("s-1", old.addr, "one", 3, "Terminating"),
         listed_endpoint("s-2", new.addr, "one", 3, "Ready"),
     );
-    sender.wait_drain_recorded(|| platform.publish(false, vec![comes.clone(), drains.clone()]), "s-1");
+    sender.wait_drain_recorded(|| platform.publish(false, vec![added.clone(), draining.clone()]), "s-1");
     for id in ["a2", "a3"] {
         assert_eq!(client.put(id, PAY), "+OK");
         new.wait_sent(id);
@@ -441,15 +441,15 @@
 }
 
 /// Keeps `size` idle connections open, replacing them one after another, until `until` is set.
-fn idle_crowd(addr: std::net::SocketAddr, size: usize, until: Arc<AtomicBool>) -> thread::JoinHandle<()> {
+fn idle_crowd(addr: std::net::SocketAddr, size: usize, stop: Arc<AtomicBool>) -> thread::JoinHandle<()> {
     thread::spawn(move || {
-        let mut crowd: Vec<Option<TcpStream>> = (0..size).map(|_| None).collect();
+        let mut connections: Vec<Option<TcpStream>> = (0..size).map(|_| None).collect();
         for place in (0..size).cycle() {
-            if until.load(Ordering::SeqCst) {
+            if stop.load(Ordering::SeqCst) {
                 return;
             }
             // The old connection is closed only after the new one is open.
-            crowd[place] = TcpStream::connect(addr).ok();
+            connections[place] = TcpStream::connect(addr).ok();
             thread::sleep(Duration::from_millis(if place % 8 == 0 { 4 } else { 0 }));
         }
     })
@@ -457,8 +457,8 @@
 
 #[test]
 fn idle_clients_that_fill_the_descriptors_do_not_keep_discovery_out_at_its_return() {
-    let (gone, fresh) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
-    let known = listed_endpoint("s-1", gone.addr, "one", 3, "Ready");
+    let (drained, fresh) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
+    let known = listed_endpoint("s-1", drained.addr, "one", 3, "Ready");
     let (platform, down) = (Platform::new(Vec::new()), RefusingAddress::new());
     let mut sender = Sender::with(&platform, |c| {
         c["limits"]["sockets"] = 96.into();
@@ -469,11 +469,11 @@
     sender.max_files = Some(96);
     sender.spawn();
     sender.client().ping();
-    let over = Arc::new(AtomicBool::new(false));
-    let crowd = idle_crowd(sender.addr, 400, over.clone());
+    let stop = Arc::new(AtomicBool::new(false));
+    let connections = idle_crowd(sender.addr, 400, stop.clone());
     thread::sleep(Duration::from_secs(3));
     let lines = [
-        listed_endpoint("s-1", gone.addr, "one", 3, "Terminating"),
+        listed_endpoint("s-1", drained.addr, "one", 3, "Terminating"),
         listed_endpoint("s-2", fresh.addr, "one", 3, "Ready"),
     ];
     let list = serde_json::json!({"index": 8, "snapshot": true, "endpoints": lines}).to_string();
@@ -494,8 +494,8 @@
         wait_until("an answer", || sender.try_put(&id, "c=sync,d=15000,dest=3").as_deref() == Some("+OK"));
         fresh.wait_sent(&id);
     }
-    over.store(true, Ordering::SeqCst);
-    crowd.join().unwrap();
-    assert!(sender.is_running() && gone.sent().is_empty());
+    stop.store(true, Ordering::SeqCst);
+    connections.join().unwrap();
+    assert!(sender.is_running() && drained.sent().is_empty());
     assert!(!discovery.request_times("watch").is_empty());
 }
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -16,7 +16,7 @@
 
 /// Starts a sender with one endpoint of destination 3, whose watches a script answers. The script receives the number of
 /// earlier watch requests, a function that gives the list with an index and the endpoint's status, and the connection.
-fn watching(
+fn sender_with_scripted_watch(
     script: impl Fn(usize, &dyn Fn(u64, &str) -> serde_json::Value, &mut TcpStream) + Send + Sync + 'static,
 ) -> (Endpoint, ScriptedPlatform, Platform, Sender) {
     let endpoint = Endpoint::new(|_| status(200));
@@ -25,9 +25,9 @@
     let scripted = ScriptedPlatform::new(move |request, before, stream| match &*request.line {
         l if l.contains("follow") => script(before, &list, stream),
         l if l.contains("/v1/servers") => {
-            let mut whole = list(7, "Ready");
-            whole["snapshot"] = true.into();
-            write_answer(stream, 200, &whole.to_string());
+            let mut full_list = list(7, "Ready");
+            full_list["snapshot"] = true.into();
+            write_answer(stream, 200, &full_list.to_string());
         }
         _ => write_answer(stream, 204, ""),
     });
@@ -40,7 +40,7 @@
 /// Returns the time from the first watch request until the sender knows a drain that the first watch did not deliver.
 /// After the first watch, `hang` further ones are not answered.
 fn drain_delay(first: impl Fn(&mut TcpStream) + Send + Sync + 'static, hang: usize) -> Duration {
-    let (_endpoint, scripted, _platform, sender) = watching(move |before, list, stream| {
+    let (_endpoint, scripted, _platform, sender) = sender_with_scripted_watch(move |before, list, stream| {
         if before == 0 {
             begin_chunked(stream);
             first(stream);
@@ -84,7 +84,7 @@
 
 #[test]
 fn a_change_is_heard_though_it_comes_indented_and_cut_within_its_lines() {
-    let (endpoint, scripted, _platform, sender) = watching(|_, list, stream| {
+    let (endpoint, scripted, _platform, sender) = sender_with_scripted_watch(|_, list, stream| {
         begin_chunked(stream);
         let pretty = serde_json::to_string_pretty(&list(8, "Terminating")).unwrap();
         for bytes in pretty.as_bytes().chunks(7) {
@@ -103,7 +103,7 @@
 
 /// Starts a sender without an endpoint that accepts calls, and waits until it is ready. A script answers its notices; it
 /// receives the number of earlier posts.
-fn noticing(
+fn sender_without_endpoint(
     reports: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
 ) -> (ScriptedPlatform, Platform, Sender) {
     let scripted = ScriptedPlatform::new(move |request, before, stream| match &*request.line {
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_notice_that_is_not_answered_is_told_again_while_it_still_counts() {
-    let (scripted, _platform, sender) = noticing(|before, stream| {
+    let (scripted, _platform, sender) = sender_without_endpoint(|before, stream| {
         if before > 0 {
             write_answer(stream, 204, "");
         }
@@ -234,13 +234,13 @@
 #[test]
 fn a_new_discovery_holds_from_its_first_word_though_the_old_one_talks_on_within_a_line() {
     let gate = Gate::default();
-    let (half, released) = (gate.clone(), gate.clone());
-    let (endpoint, scripted, _platform, sender) = watching(move |_, list, stream| {
+    let (half_written, released) = (gate.clone(), gate.clone());
+    let (endpoint, scripted, _platform, sender) = sender_with_scripted_watch(move |_, list, stream| {
         begin_chunked(stream);
         let text = format!("{}\n", list(41, "Ready"));
         let (head, tail) = text.split_at(text.len() / 2);
         write_chunk(stream, head);
-        half.wait();
+        half_written.wait();
         write_chunk(stream, tail);
         while write_chunk(stream, &format!("{}\n", list(42, "Ready"))) {
             sleep(Duration::from_millis(5));
@@ -316,7 +316,7 @@
 
 #[test]
 fn a_confirmation_that_comes_with_the_connections_end_is_one() {
-    let (scripted, _platform, sender) = noticing(|_, stream| {
+    let (scripted, _platform, sender) = sender_without_endpoint(|_, stream| {
         write_answer(stream, 204, "");
         _ = stream.shutdown(Shutdown::Both);
     });
@@ -343,8 +343,8 @@
         "{\"index\":9,\"snapshot\":true,\"endpoints\":[TWICE]}",
     ] {
         let endpoint = Endpoint::new(|_| status(200));
-        let list = move |index: u64, whole: bool, lines: Vec<serde_json::Value>| {
-            json!({"index": index, "snapshot": whole, "endpoints": lines}).to_string()
+        let list = move |index: u64, snapshot: bool, lines: Vec<serde_json::Value>| {
+            json!({"index": index, "snapshot": snapshot, "endpoints": lines}).to_string()
         };
         let state = move |state: &str| listed_endpoint("s-1", endpoint.addr, "one", 3, state);
         let scripted = ScriptedPlatform::new(move |request, before, stream| {
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -125,10 +125,10 @@
 #[test]
 fn a_call_in_flight_stays_with_its_process_and_its_outcome_counts() {
     let gate = Gate::default();
-    let waits = gate.clone();
+    let gate_of_endpoint = gate.clone();
     let (endpoint, platform, mut processes) = start_first(move |r| {
         if r.ids() == ["a1"] {
-            waits.wait();
+            gate_of_endpoint.wait();
         }
         status(200)
     });
@@ -192,9 +192,9 @@
 #[test]
 fn a_wait_told_to_the_first_process_stops_a_connection_of_the_next_that_is_coming_up() {
     let gate = Gate::default();
-    let waits = gate.clone();
+    let gate_of_endpoint = gate.clone();
     let (endpoint, platform, mut processes) = start_first(move |_| {
-        waits.wait();
+        gate_of_endpoint.wait();
         StubResponse::Answer(429, vec![("x-retry-in-ms", "2500".to_string())], String::new())
     });
     assert_eq!(processes.client().put("a1", PAY), "+OK");
@@ -218,7 +218,7 @@
     }
     assert!(
         !other.calls.is_empty() && released_at.elapsed() >= Duration::from_millis(2400),
-        "called {:?} after the wait, calls: {:?}",
+        "the second process called after {:?}, expected at least 2.4 s; calls: {:?}",
         released_at.elapsed(),
         other.calls
     );
@@ -246,9 +246,9 @@
 #[test]
 fn a_command_cut_at_any_byte_across_the_replacement_gets_one_answer() {
     let (endpoint, _platform, mut processes) = start_first(|_| status(200));
-    let whole = put("a00", &format!("{SYNC},t=acme"), b"hello");
+    let command = put("a00", &format!("{SYNC},t=acme"), b"hello");
     let mut clients: Vec<(Client, usize)> = Vec::new();
-    for cut in 1..whole.len() {
+    for cut in 1..command.len() {
         let mut client = processes.client();
         let id = format!("a{cut:02}");
         client.write(&put(&id, &format!("{SYNC},t=acme"), b"hello")[..cut]);
@@ -380,12 +380,12 @@
         thread::sleep(Duration::from_millis(5));
         status(200)
     });
-    let (stop, taken, gone) =
+    let (stop, accepted, failed_puts) =
         (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(0)));
     let addr = processes.addr;
     let clients: Vec<_> = (0..6)
         .map(|c| {
-            let (stop, taken, gone) = (stop.clone(), taken.clone(), gone.clone());
+            let (stop, accepted, failed_puts) = (stop.clone(), accepted.clone(), failed_puts.clone());
             thread::spawn(move || {
                 let mut client = Client::new(addr);
                 for n in 0.. {
@@ -394,13 +394,15 @@
                     }
                     let id = format!("m{c}x{n}");
                     match client.put(&id, PAY).as_str() {
-                        "+OK" => taken.lock().unwrap().push(id),
+                        "+OK" => accepted.lock().unwrap().push(id),
                         // The connection was closed between requests: the client sends the request again on a new one.
                         "" => {
                             client = Client::new(addr);
                             match client.put(&id, PAY).as_str() {
-                                "+OK" => taken.lock().unwrap().push(id),
-                                other => *gone.lock().unwrap() += usize::from(!other.starts_with("-BUSY")),
+                                "+OK" => accepted.lock().unwrap().push(id),
+                                other => {
+                                    *failed_puts.lock().unwrap() += usize::from(!other.starts_with("-BUSY"))
+                                }
                             }
                         }
                         busy => assert!(busy.starts_with("-BUSY"), "{busy}"),
@@ -420,15 +422,17 @@
     thread::sleep(Duration::from_millis(200));
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
-    let taken = taken.lock().unwrap();
-    assert!(taken.len() > 50);
+    let accepted = accepted.lock().unwrap();
+    assert!(accepted.len() > 50);
     // Each message is either delivered or returned for lack of room, not both.
     wait_until("the end of each", || {
         let sent: HashSet<String> = endpoint.sent().into_iter().collect();
-        taken.iter().all(|id| sent.contains(id) ^ (platform.notice_state(id).as_deref() == Some("returned")))
+        accepted
+            .iter()
+            .all(|id| sent.contains(id) ^ (platform.notice_state(id).as_deref() == Some("returned")))
     });
     let sent = endpoint.sent();
     assert_eq!(sent.len(), sent.iter().collect::<HashSet<_>>().len(), "a message was sent twice: {sent:?}");
-    assert!(platform.notices().len() < taken.len() / 4);
-    assert_eq!(*gone.lock().unwrap(), 0, "puts that ended without +OK or -BUSY on two connections");
+    assert!(platform.notices().len() < accepted.len() / 4);
+    assert_eq!(*failed_puts.lock().unwrap(), 0, "puts that ended without +OK or -BUSY on two connections");
 }
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -132,9 +132,9 @@
 #[test]
 fn a_known_list_over_the_limit_is_logged_and_discoverys_list_is_awaited() {
     let endpoint = Endpoint::new(|_| status(200));
-    let short = listing(9, &endpoint, 0);
+    let short_list = listing(9, &endpoint, 0);
     let gate = Gate::default();
-    let (released, full_list) = (gate.clone(), short.to_string());
+    let (released, full_list) = (gate.clone(), short_list.to_string());
     let discovery = ScriptedPlatform::new(move |request, _, stream| match &*request.line {
         l if l.contains("follow") => begin_chunked(stream),
         _ => {
@@ -162,30 +162,30 @@
 #[test]
 fn a_list_over_the_limit_in_a_watch_leaves_the_last_good_one_until_a_shorter_one_comes() {
     let (endpoint, fresh) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
-    let (long, short) = (Gate::default(), Gate::default());
+    let (long_gate, short_gate) = (Gate::default(), Gate::default());
     let (first, too_long) = (listing(7, &endpoint, 0), listing(8, &endpoint, TOO_MANY).to_string());
     let last = listing(9, &fresh, 0).to_string();
-    let (is_long, is_short) = (long.clone(), short.clone());
+    let (send_long, send_short) = (long_gate.clone(), short_gate.clone());
     let full_list = first.to_string();
     let discovery = ScriptedPlatform::new(move |request, before, stream| match (&*request.line, before) {
         (l, 0) if l.contains("follow") => {
             begin_chunked(stream);
-            is_long.wait();
+            send_long.wait();
             write_chunk(stream, &format!("{too_long}\n"));
         }
         (l, _) if l.contains("follow") => {
             begin_chunked(stream);
-            write_chunk(stream, &format!("{}\n", if is_short.is_open() { &last } else { &too_long }));
+            write_chunk(stream, &format!("{}\n", if send_short.is_open() { &last } else { &too_long }));
         }
         (l, 0) if l.contains("/v1/servers") => write_answer(stream, 200, &full_list),
         (l, _) if l.contains("/v1/servers") => {
-            write_answer(stream, 200, if is_short.is_open() { &last } else { &too_long });
+            write_answer(stream, 200, if send_short.is_open() { &last } else { &too_long });
         }
         _ => write_answer(stream, 204, ""),
     });
     let sender = sender(&discovery, &nothing_known());
     sender.client().ping();
-    long.open();
+    long_gate.open();
     wait_until("the list to be rejected", || sender.metrics()["list_rejected"].as_u64() > Some(1));
     assert_logged_once(&sender, "discovery's list is too long", "the last good list stays");
     assert_eq!(sender.mgmt_request("GET /_ready"), (200, "ready\n".into()));
@@ -193,7 +193,7 @@
     endpoint.wait_sent("a1");
     assert_eq!(sender.metrics()["discovered"], 1);
     // The sender must apply a shorter list within 6 s after discovery has it.
-    short.open();
+    short_gate.open();
     let opened = std::time::Instant::now();
     wait_until("the shorter list", || sender.log().contains("within its limit again"));
     assert!(opened.elapsed() < Duration::from_secs(6), "{:?}", opened.elapsed());
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -52,9 +52,9 @@
             stream.write_all(b"GET /_rea").unwrap();
         }
         open_connections.push(stream);
-        let asked = Instant::now();
+        let started = Instant::now();
         assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
-        assert!(asked.elapsed() < Duration::from_secs(1));
+        assert!(started.elapsed() < Duration::from_secs(1));
     }
     // The oldest idle caller was closed to make room.
     open_connections[1].set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -64,7 +64,7 @@
 #[test]
 fn many_clients_do_not_block_the_management_interface() {
     let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
-    let crowd: Vec<TcpStream> = (0..600)
+    let connections: Vec<TcpStream> = (0..600)
         .map(|_| {
             let mut stream = TcpStream::connect(sender.addr).unwrap();
             _ = stream.write_all(b"*5\r\n$7\r\nMSG.");
@@ -72,38 +72,38 @@
         })
         .collect();
     for _ in 0..20 {
-        let asked = Instant::now();
+        let started = Instant::now();
         assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
-        assert!(asked.elapsed() < Duration::from_secs(1));
+        assert!(started.elapsed() < Duration::from_secs(1));
     }
-    drop(crowd);
+    drop(connections);
 }
 
 #[test]
 #[ignore = "prints measurements; run it by name with --ignored --nocapture"]
 fn longest_answers_under_many_clients() {
     let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
-    let mut crowd = Vec::new();
+    let mut connections = Vec::new();
     for size in [0, 600, 1500] {
-        while crowd.len() < size {
+        while connections.len() < size {
             let mut stream = TcpStream::connect(sender.addr).unwrap();
             _ = stream.write_all(b"*5\r\n$7\r\nMSG.");
-            crowd.push(stream);
+            connections.push(stream);
         }
         // Connections that the sender closed are opened again, as a crowd of clients does.
-        let mut took: Vec<Duration> = (0..300)
+        let mut answer_times: Vec<Duration> = (0..300)
             .map(|n| {
-                if let Some(stream) = crowd.get_mut(n % size.max(1)) {
+                if let Some(stream) = connections.get_mut(n % size.max(1)) {
                     *stream = TcpStream::connect(sender.addr).unwrap();
                     _ = stream.write_all(b"*5\r\n$7\r\nMSG.");
                 }
-                let asked = Instant::now();
+                let started = Instant::now();
                 assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
-                asked.elapsed()
+                started.elapsed()
             })
             .collect();
-        took.sort();
-        println!("{size:>5} connections: median {:?}, longest {:?}", took[150], took[299]);
+        answer_times.sort();
+        println!("{size:>5} connections: median {:?}, longest {:?}", answer_times[150], answer_times[299]);
     }
 }
 
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -80,8 +80,8 @@
         wait_until("the second call", || endpoint.call_count("a1") == 2);
         assert_eq!(platform.notices(), Vec::<Value>::new());
     }
-    let no_slot = StubResponse::Answer(503, vec![("X-No-Slot", "1".into())], String::new());
-    let (endpoint, _platform, sender) = first_call_answered_with(no_slot);
+    let no_slot_answer = StubResponse::Answer(503, vec![("X-No-Slot", "1".into())], String::new());
+    let (endpoint, _platform, sender) = first_call_answered_with(no_slot_answer);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     wait_until("the second call", || endpoint.call_count("a1") == 2);
 }
@@ -89,8 +89,8 @@
 #[test]
 fn a_refused_connection_never_ran() {
     // An address at which no process listens.
-    let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let platform = Platform::new(vec![listed_endpoint("s-1", dead, "one", 3, "Ready")]);
+    let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let platform = Platform::new(vec![listed_endpoint("s-1", unused_address, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     assert_eq!(sender.client().put("a1", "c=pay,d=1500,dest=3"), "+OK");
     platform.wait_notice("a1", "returned");
@@ -359,7 +359,7 @@
 
 #[test]
 fn idle_connections_that_are_reset_at_their_next_request_fail_at_most_one_message() {
-    // After each answer the endpoint stops serving the connection unnoticed: the next request on it is reset.
+    // The endpoint closes each connection at the second request on it, without an answer.
     let seen = std::sync::Mutex::new(std::collections::HashSet::new());
     let (endpoint, platform, sender) = sender_with_endpoint(move |r| {
         let fresh = seen.lock().unwrap().insert(r.connection);
--- a/crates/sender/tests/placement_standins.rs
+++ b/crates/sender/tests/placement_standins.rs
@@ -45,9 +45,9 @@
         let deployment = Deployment { members: 3, ..Deployment::default() };
         let addresses: Vec<String> = (1..=3).map(|n| format!("127.0.0.1:{n}")).collect();
         control.set_first_list(deployment.first_list(&addresses));
-        let whole = get(prompt, "/v1/members").await;
-        assert_eq!((&whole["epoch"], &whole["first"]), (&json!(1), &json!(true)));
-        assert_eq!(whole["seats"].as_array().unwrap().len(), 3);
+        let full_list = get(prompt, "/v1/members").await;
+        assert_eq!((&full_list["epoch"], &full_list["first"]), (&json!(1), &json!(true)));
+        assert_eq!(full_list["seats"].as_array().unwrap().len(), 3);
         let nothing = json!({"epoch": 1, "since": 1, "changes": []});
         assert_eq!(get(prompt, "/v1/members?since=1").await, nothing);
 
@@ -56,21 +56,21 @@
             (json!({"seat": 0, "member": null}), json!({"append": seat(3, "127.0.0.1:4")}));
         assert_eq!(control.change(vec![vacated.clone()]), 2);
         assert_eq!(control.change(vec![added.clone()]), 3);
-        let news = json!({"epoch": 3, "since": 1, "changes": [vacated, added]});
-        assert_eq!(get(prompt, "/v1/members?since=1").await, news);
+        let both_changes = json!({"epoch": 3, "since": 1, "changes": [vacated, added]});
+        assert_eq!(get(prompt, "/v1/members?since=1").await, both_changes);
         assert_eq!(get(late, "/v1/members?since=1").await, nothing);
         // A sender that knows a later epoch than its agent receives the agent's full list.
         assert_eq!(get(late, "/v1/members?since=3").await["epoch"], 1);
-        let whole = get(prompt, "/v1/members?since=9").await;
-        assert_eq!((&whole["epoch"], &whole["first"]), (&json!(3), &json!(false)));
-        assert_eq!(whole["seats"][0]["member"], Value::Null);
-        assert_eq!(whole["seats"][3]["member"]["name"], "n3");
+        let full_list = get(prompt, "/v1/members?since=9").await;
+        assert_eq!((&full_list["epoch"], &full_list["first"]), (&json!(3), &json!(false)));
+        assert_eq!(full_list["seats"][0]["member"], Value::Null);
+        assert_eq!(full_list["seats"][3]["member"]["name"], "n3");
 
         control.override_answer(0, Some(json!({"epoch": 0})));
         assert_eq!(get(prompt, "/v1/members?since=3").await["epoch"], 0);
         control.set_silent(0, true);
-        let asked = tokio::time::timeout(Duration::from_millis(200), get(prompt, "/v1/members"));
-        assert!(asked.await.is_err());
+        let unanswered = tokio::time::timeout(Duration::from_millis(200), get(prompt, "/v1/members"));
+        assert!(unanswered.await.is_err());
     });
 }
 
@@ -91,14 +91,18 @@
     }
     let changes = vec![json!({"append": seat(12, "127.0.0.1:13")}), json!({"seat": 3, "member": null})];
     control.change(changes.clone());
-    let told = json!({"epoch": 2, "since": 1, "changes": changes}).to_string();
-    let applied = first.apply(&Changes::parse_json(told.as_bytes()).unwrap()).unwrap();
-    let whole = MemberList::parse_json(control.list().to_string().as_bytes()).unwrap();
-    assert_eq!(applied.digest(), whole.digest(), "the full list and the changes must give the same digest");
+    let update = json!({"epoch": 2, "since": 1, "changes": changes}).to_string();
+    let applied = first.apply(&Changes::parse_json(update.as_bytes()).unwrap()).unwrap();
+    let full_list = MemberList::parse_json(control.list().to_string().as_bytes()).unwrap();
+    assert_eq!(
+        applied.digest(),
+        full_list.digest(),
+        "the full list and the changes must give the same digest"
+    );
     for (what, list) in invalid_lists(&control.list()) {
         let read = MemberList::parse_json(list.to_string().as_bytes());
-        let taken = read.and_then(|next| whole.check_successor(&next));
-        assert!(taken.is_err(), "accepted an invalid list ({what}): {taken:?}");
+        let accepted = read.and_then(|next| full_list.check_successor(&next));
+        assert!(accepted.is_err(), "accepted an invalid list ({what}): {accepted:?}");
     }
 }
 
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -110,8 +110,8 @@
     // 7 of 12 endpoints, at two senders.
     assert_eq!(tested(&report, Rule::DrainsKept), 14);
     // The senders learned of the drains with the intended lag, and used the endpoints until then.
-    let first = table.told.values().flatten().filter(|(_, s)| *s != Standing::Ready);
-    assert!(first.map(|(t, _)| *t).min().unwrap() > 7_000_000);
+    let drains = table.told.values().flatten().filter(|(_, s)| *s != Standing::Ready);
+    assert!(drains.map(|(t, _)| *t).min().unwrap() > 7_000_000);
     assert!(report.judgement.service.whole.share > 0.95, "{}", report.text());
 }
 
@@ -123,17 +123,17 @@
         [[event]]\nat = \"1200ms\"\ndo = \"sigkill\"\nsender = \"n0\"";
     let (report, table) = rehearse(scenario("5s", 30, events));
     assert!(tested(&report, Rule::NoEffectTwice) > 0);
-    let pays: Vec<_> = table.messages.iter().filter(|m| table.is_unsafe(m)).collect();
+    let payouts: Vec<_> = table.messages.iter().filter(|m| table.is_unsafe(m)).collect();
     // Messages that were given up and ran after that.
-    let late: Vec<_> = pays
+    let late: Vec<_> = payouts
         .iter()
         .filter(|m| m.runs.iter().any(|(ran, _)| m.notices.iter().any(|(told, _)| told < ran)))
         .collect();
     assert!(!late.is_empty(), "{}", report.text());
     for m in &late {
         assert_eq!(m.runs.len(), 1, "{}", m.id);
-        let may = table.attempts(m).filter(|(.., fate)| *fate != Attempt::NeverRan).count();
-        assert_eq!(may, 1, "{}", m.id);
+        let may_have_run = table.attempts(m).filter(|(.., fate)| *fate != Attempt::NeverRan).count();
+        assert_eq!(may_have_run, 1, "{}", m.id);
         assert_eq!(m.notices.len(), 1, "{}", m.id);
         assert_eq!(m.notices[0].1, Ended::Failed, "{}", m.id);
     }
@@ -168,12 +168,12 @@
     let (report, table) = rehearse(scenario("10s", 60, events));
     assert!(tested(&report, Rule::NoMessageLost) > 300);
     let table = &table;
-    let away = |(sender, list): (usize, &Vec<Absence>)| -> Vec<(usize, i64)> {
+    let absence_starts = |(sender, list): (usize, &Vec<Absence>)| -> Vec<(usize, i64)> {
         list.iter().map(|a| (sender, a.from)).collect()
     };
-    let kills: Vec<(usize, i64)> = table.absences.iter().enumerate().flat_map(away).collect();
+    let kills: Vec<(usize, i64)> = table.absences.iter().enumerate().flat_map(absence_starts).collect();
     assert_eq!(kills.len(), 5);
-    let held = |sender: usize, at: i64| -> Vec<&Message> {
+    let open_at = |sender: usize, at: i64| -> Vec<&Message> {
         let open =
             |m: &&Message| table.delivered(m).is_none_or(|t| t > at) && m.notices.iter().all(|n| n.0 > at);
         let taken = |m: &&Message| m.sender == sender && m.taken().is_some_and(|t| t < at);
@@ -181,19 +181,19 @@
     };
     // At one of the kills there was a message that had not been sent, and at one a message whose call was in flight.
     let unsent = |m: &Message, at: i64| table.attempts(m).all(|(c, ..)| c.t > at);
-    assert!(kills.iter().any(|(s, at)| held(*s, *at).iter().any(|m| unsent(m, *at))));
+    assert!(kills.iter().any(|(s, at)| open_at(*s, *at).iter().any(|m| unsent(m, *at))));
     let out = |m: &Message, at: i64| {
         table.attempts(m).any(|(c, known, _)| c.t < at && known.is_none_or(|k| k >= at))
     };
-    assert!(kills.iter().any(|(s, at)| held(*s, *at).iter().any(|m| out(m, *at))));
+    assert!(kills.iter().any(|(s, at)| open_at(*s, *at).iter().any(|m| out(m, *at))));
     // An unsafe message whose call was in flight was not sent again, and its notice was sent after the restart.
-    let mut pays: Vec<(&Message, i64)> = Vec::new();
+    let mut payouts: Vec<(&Message, i64)> = Vec::new();
     for (sender, at) in &kills {
-        let unsafe_out = held(*sender, *at).into_iter().filter(|m| out(m, *at) && table.is_unsafe(m));
-        pays.extend(unsafe_out.map(|m| (m, *at)));
+        let unsafe_out = open_at(*sender, *at).into_iter().filter(|m| out(m, *at) && table.is_unsafe(m));
+        payouts.extend(unsafe_out.map(|m| (m, *at)));
     }
-    assert!(!pays.is_empty());
-    for (m, at) in pays {
+    assert!(!payouts.is_empty());
+    for (m, at) in payouts {
         let again = table.attempts(m).filter(|(c, _, _)| c.t > at).count();
         let delivered = table.attempts(m).any(|(.., fate)| fate == Attempt::Delivered);
         assert_eq!(again, 0, "{}", m.id);
@@ -201,7 +201,7 @@
     }
 }
 
-fn cli(arguments: &[&str]) -> Output {
+fn rehearse_command(arguments: &[&str]) -> Output {
     Command::new(EXECUTABLE).arg("rehearse").args(arguments).stdin(Stdio::null()).output().unwrap()
 }
 
@@ -222,8 +222,16 @@
     let folder = tempfile::tempdir().unwrap();
     let path = |name: &str| folder.path().join(name).display().to_string();
     let scenario = file(folder.path(), "2s").display().to_string();
-    let run =
-        cli(&["run", &scenario, "--evidence", &path("a"), "--html", &path("a.html"), "--json", "--quiet"]);
+    let run = rehearse_command(&[
+        "run",
+        &scenario,
+        "--evidence",
+        &path("a"),
+        "--html",
+        &path("a.html"),
+        "--json",
+        "--quiet",
+    ]);
     assert_eq!(run.status.code(), Some(0), "{}{}", text(&run.stdout), text(&run.stderr));
     let report: Report = serde_json::from_slice(&run.stdout).unwrap();
     assert_eq!(report.judgement.ruling(Rule::NoMessageLost).unwrap().verdict, Verdict::Kept);
@@ -231,26 +239,26 @@
     assert!(page.contains("<svg") && page.contains("no message lost") && !page.contains("http-equiv"));
     // The verdict from the evidence is the same, whether the folder or the file is named.
     for evidence in [path("a"), path("a/history.jsonl")] {
-        let again = cli(&["judge", &evidence, "--json"]);
+        let again = rehearse_command(&["judge", &evidence, "--json"]);
         let again: Report = serde_json::from_slice(&again.stdout).unwrap();
         assert_eq!(again.judgement, report.judgement);
     }
-    let compared = cli(&["compare", &path("a"), &path("a")]);
+    let compared = rehearse_command(&["compare", &path("a"), &path("a")]);
     assert_eq!(compared.status.code(), Some(0));
     assert!(text(&compared.stdout).contains("+0.0000"));
     // A truncated history proves nothing.
     let history = std::fs::read_to_string(path("a/history.jsonl")).unwrap();
     let is_end = |l: &&str| l.contains("\"ev\":\"over\"");
-    let kept: Vec<&str> = history.lines().filter(|l| !is_end(l)).collect();
+    let truncated: Vec<&str> = history.lines().filter(|l| !is_end(l)).collect();
     let end = history.lines().find(is_end).unwrap().to_string();
-    std::fs::write(path("cut.jsonl"), kept.join("\n")).unwrap();
-    assert_eq!(cli(&["judge", &path("cut.jsonl")]).status.code(), Some(3));
+    std::fs::write(path("cut.jsonl"), truncated.join("\n")).unwrap();
+    assert_eq!(rehearse_command(&["judge", &path("cut.jsonl")]).status.code(), Some(3));
     // If the first listing had reported a draining endpoint, the later calls to it would break the rule.
-    let word = "\"lines\":[[\"r1-0\",\"terminating\"],[\"r1-1\",\"gone\"]]";
-    let told = |l: &str| l.replace("\"lines\":[]", word);
-    let drained: Vec<String> = kept.iter().map(|l| told(l)).chain([end]).collect();
+    let drained_lines = "\"lines\":[[\"r1-0\",\"terminating\"],[\"r1-1\",\"gone\"]]";
+    let with_drained_lines = |l: &str| l.replace("\"lines\":[]", drained_lines);
+    let drained: Vec<String> = truncated.iter().map(|l| with_drained_lines(l)).chain([end]).collect();
     std::fs::write(path("drained.jsonl"), drained.join("\n")).unwrap();
-    let broken = cli(&["judge", &path("drained.jsonl")]);
+    let broken = rehearse_command(&["judge", &path("drained.jsonl")]);
     assert_eq!(broken.status.code(), Some(1), "{}", text(&broken.stdout));
 }
 
@@ -260,19 +268,19 @@
     let path = folder.path().join("bad.toml").display().to_string();
     std::fs::write(&path, "name = \"x\"\nlenght = \"2s\"\n").unwrap();
     for what in ["run", "check"] {
-        let out = cli(&[what, &path]);
+        let out = rehearse_command(&[what, &path]);
         assert_eq!(out.status.code(), Some(2));
         assert!(text(&out.stderr).contains("bad.toml:2:1: unknown field `lenght`"), "{}", text(&out.stderr));
     }
-    assert_eq!(cli(&["judge", &path]).status.code(), Some(2));
-    assert_eq!(cli(&["run", "no-such-scenario"]).status.code(), Some(2));
-    assert_eq!(cli(&["dance"]).status.code(), Some(2));
-    assert_eq!(cli(&["tell", "127.0.0.1:1", "status"]).status.code(), Some(2));
-    let list = cli(&["list"]);
+    assert_eq!(rehearse_command(&["judge", &path]).status.code(), Some(2));
+    assert_eq!(rehearse_command(&["run", "no-such-scenario"]).status.code(), Some(2));
+    assert_eq!(rehearse_command(&["dance"]).status.code(), Some(2));
+    assert_eq!(rehearse_command(&["tell", "127.0.0.1:1", "status"]).status.code(), Some(2));
+    let list = rehearse_command(&["list"]);
     assert!(text(&list.stdout).contains("restart-storm"));
-    let shown = cli(&["list", "--show", "calm"]);
+    let shown = rehearse_command(&["list", "--show", "calm"]);
     assert!(text(&shown.stdout).contains("name = \"calm\""));
-    let checked = cli(&["check", "evening-rush"]);
+    let checked = rehearse_command(&["check", "evening-rush"]);
     assert!(text(&checked.stdout).contains("3 receivers") || text(&checked.stdout).contains("9 receivers"));
 }
 
@@ -290,7 +298,9 @@
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
     let address = lines.find_map(|l| l.strip_prefix("control port: ").map(str::to_string)).unwrap();
     std::thread::spawn(move || lines.for_each(drop));
-    let tell = |words: &str| cli(&[&["tell", &address], &words.split(' ').collect::<Vec<_>>()[..]].concat());
+    let tell = |words: &str| {
+        rehearse_command(&[&["tell", &address], &words.split(' ').collect::<Vec<_>>()[..]].concat())
+    };
     // The control port is printed before the senders are ready; earlier commands do no harm.
     let status = tell("status");
     assert!(text(&status.stdout).contains("offered="), "{}", text(&status.stderr));
@@ -320,11 +330,13 @@
         }
         seen
     });
-    let (path, (say, hear)) = (folder.path().join("t.jsonl"), std::sync::mpsc::channel());
+    let (path, (address_sender, address_receiver)) =
+        (folder.path().join("t.jsonl"), std::sync::mpsc::channel());
     let (out, listen) = (path.clone(), "127.0.0.1:0".parse().unwrap());
     let tap = Tap { listen, to, lasting: Some(std::time::Duration::from_millis(1500)) };
-    let tapped = std::thread::spawn(move || capture(&tap, &out, |at| say.send(at).unwrap()).unwrap());
-    let mut client = TcpStream::connect(hear.recv().unwrap()).unwrap();
+    let tapped =
+        std::thread::spawn(move || capture(&tap, &out, |at| address_sender.send(at).unwrap()).unwrap());
+    let mut client = TcpStream::connect(address_receiver.recv().unwrap()).unwrap();
     let put = "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$2\r\na1\r\n$33\r\nc=sync,t=acme,d=8000,dest=7,q=123\r\n$5\r\nhello\r\n";
     // A command in two pieces, and then bytes that are no command, which are passed on too.
     client.write_all(&put.as_bytes()[..20]).unwrap();
@@ -359,7 +371,7 @@
     let scenario = file(folder.path(), "1s").display().to_string();
     let out = folder.path().join("out").display().to_string();
     let matrix = |senders: &str| {
-        cli(&["matrix", &scenario, "--senders", senders, "--out", &out, "--jobs", "1", "--json"])
+        rehearse_command(&["matrix", &scenario, "--senders", senders, "--out", &out, "--jobs", "1", "--json"])
     };
     let first = matrix("1");
     assert_eq!(first.status.code(), Some(0), "{}", text(&first.stderr));
@@ -369,9 +381,9 @@
     };
     let written = std::fs::metadata(&report(1)[0]).unwrap().modified().unwrap();
     // An interrupted run has left no report, and is run again.
-    let half = report(1)[0].parent().unwrap().to_string_lossy().replace("-n1-", "-n3-");
-    std::fs::create_dir(&half).unwrap();
-    std::fs::write(Path::new(&half).join("history.jsonl"), "{}").unwrap();
+    let interrupted = report(1)[0].parent().unwrap().to_string_lossy().replace("-n1-", "-n3-");
+    std::fs::create_dir(&interrupted).unwrap();
+    std::fs::write(Path::new(&interrupted).join("history.jsonl"), "{}").unwrap();
     let second = matrix("1,3");
     assert_eq!(second.status.code(), Some(0), "{}", text(&second.stderr));
     assert!(text(&second.stderr).contains("2 runs, 1 of them there already"), "{}", text(&second.stderr));
--- a/crates/sender/tests/restart.rs
+++ b/crates/sender/tests/restart.rs
@@ -134,11 +134,11 @@
     let mut sender = Sender::start(&platform);
     let mut client = sender.client();
     assert_eq!(client.put("a1", PAY), "+OK");
-    let whole = std::fs::metadata(sender.journal()).unwrap().len();
+    let complete_length = std::fs::metadata(sender.journal()).unwrap().len();
     assert_eq!(client.put("a2", PAY), "+OK");
     sender.kill();
     let file = std::fs::OpenOptions::new().write(true).open(sender.journal()).unwrap();
-    file.set_len(whole + 11).unwrap();
+    file.set_len(complete_length + 11).unwrap();
     platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     sender.spawn();
     endpoint.wait_sent("a1");
@@ -187,12 +187,12 @@
         assert!(folder_size(&sender.state()) <= 500_000);
     }
     // Without an endpoint the messages stay, and those that do not fit are refused.
-    let mut taken = Vec::new();
+    let mut accepted = Vec::new();
     let mut refused = 0;
     for n in 0..25 {
         client.write(&put(&format!("q{n}"), "c=sync,d=20000,dest=4,t=acme", &body));
         match client.read().as_str() {
-            "+OK" => taken.push(format!("q{n}")),
+            "+OK" => accepted.push(format!("q{n}")),
             answer => {
                 assert!(answer.starts_with("-BUSY"), "{answer}");
                 refused += 1;
@@ -201,15 +201,15 @@
         assert!(folder_size(&sender.state()) <= 500_000);
     }
     assert!(
-        !taken.is_empty() && refused > 0,
+        !accepted.is_empty() && refused > 0,
         "{} accepted, {refused} refused, expected some of both",
-        taken.len()
+        accepted.len()
     );
     sender.kill();
     platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 4, "Ready")]);
     sender.spawn();
-    taken.iter().for_each(|id| endpoint.wait_sent(id));
-    assert_eq!(endpoint.sent().iter().filter(|id| id.starts_with('q')).count(), taken.len());
+    accepted.iter().for_each(|id| endpoint.wait_sent(id));
+    assert_eq!(endpoint.sent().iter().filter(|id| id.starts_with('q')).count(), accepted.len());
 }
 
 #[test]
@@ -235,9 +235,9 @@
 #[test]
 fn sigterm_lets_calls_end_and_closes_clients_between_requests() {
     let gate = Gate::default();
-    let waits = gate.clone();
+    let gate_of_endpoint = gate.clone();
     let (endpoint, platform, mut sender) = sender_with_endpoint(move |_| {
-        waits.wait();
+        gate_of_endpoint.wait();
         status(200)
     });
     let mut client = sender.client();
--- a/crates/sender/tests/settings.rs
+++ b/crates/sender/tests/settings.rs
@@ -32,13 +32,13 @@
     }
 }
 
-fn set(config: &mut Value, path: &str, wrong: Option<&Value>) {
+fn set(config: &mut Value, path: &str, value: Option<&Value>) {
     let (parent, name) = path.rsplit_once('/').unwrap();
     let parent = config.pointer_mut(parent).unwrap();
-    match (parent, wrong) {
-        (Value::Object(fields), Some(wrong)) => _ = fields.insert(name.into(), wrong.clone()),
+    match (parent, value) {
+        (Value::Object(fields), Some(value)) => _ = fields.insert(name.into(), value.clone()),
         (Value::Object(fields), None) => _ = fields.remove(name),
-        (Value::Array(entries), Some(wrong)) => entries[0] = wrong.clone(),
+        (Value::Array(entries), Some(value)) => entries[0] = value.clone(),
         (Value::Array(entries), None) => _ = entries.remove(0),
         _ => unreachable!("the parent of a field is an object or a list"),
     }
@@ -95,10 +95,10 @@
     // The port is that of a closed listener; each sender has its own address.
     let port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port();
     let address = |n: usize| SocketAddr::from((Ipv4Addr::new(127, 77, (n >> 8) as u8, n as u8), port));
-    let mut whole = config(address(0), &platform, 256);
-    whole["known"]["endpoints"] = json!([listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let mut valid_config = config(address(0), &platform, 256);
+    valid_config["known"]["endpoints"] = json!([listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let mut fields = Vec::new();
-    paths(&whole, "", &mut fields);
+    paths(&valid_config, "", &mut fields);
     let cases: Vec<(String, Option<Value>)> =
         fields.iter().flat_map(|f| wrong_values().into_iter().map(|w| (f.clone(), w))).collect();
     let (next, served) = (AtomicUsize::new(0), AtomicUsize::new(0));
@@ -106,17 +106,17 @@
         for _ in 0..8 {
             scope.spawn(|| {
                 while let n = next.fetch_add(1, Ordering::Relaxed)
-                    && let Some((field, wrong)) = cases.get(n)
+                    && let Some((field, value)) = cases.get(n)
                 {
-                    let (mut config, listen) = (whole.clone(), address(n + 1));
+                    let (mut config, listen) = (valid_config.clone(), address(n + 1));
                     config["listen"] = listen.to_string().into();
-                    set(&mut config, field, wrong.as_ref());
+                    set(&mut config, field, value.as_ref());
                     let name = field.rsplit('/').find(|part| *part != "0").unwrap();
                     match start(&config, listen) {
                         Ok(()) => _ = served.fetch_add(1, Ordering::Relaxed),
                         Err(log) => assert!(
                             log.contains(name),
-                            "{field} is {wrong:?}, but the log does not name the field: {log}"
+                            "{field} is {value:?}, but the log does not name the field: {log}"
                         ),
                     }
                 }
