--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -40,7 +40,7 @@
     let platform = Platform::new(vec![known.clone()]);
     platform.reject_next_polls(3);
     let sender = Sender::with(&platform, |c| poll_settings(c, 100, &known));
-    wait_until("the watch", || platform.request_lines().len() == 4);
+    wait_until("the watch requests", || platform.request_lines().len() == 4);
     let paths = platform.request_lines();
     assert!(paths.iter().all(|p| p.contains("follow=1&since=7")), "{paths:?}");
     // The watch is followed from then on.
@@ -61,7 +61,7 @@
     let sender = Sender::with(&platform, |c| c["settings"]["Rules"]["AskEveryUs"] = 500_000_000_u64.into());
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    wait_until("the watch", || platform.request_lines().len() == 2);
+    wait_until("the watch requests", || platform.request_lines().len() == 2);
 }
 
 /// Within this the sender must know a change after discovery has it and can be reached, whichever requests failed before.
@@ -144,7 +144,7 @@
         wait_until("the last failure", || last_failure.lock().unwrap().0 == failures);
         reachable = last_failure.lock().unwrap().1;
     }
-    wait_until("the drain", || sender.journal_contains("s-1"));
+    wait_until("the drain in the journal", || sender.journal_contains("s-1"));
     reachable.elapsed()
 }
 
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -146,7 +146,12 @@
     for mut client in clients {
         let answer = client.read();
         assert!(answer.is_empty() || answer.starts_with("-ERR"), "{answer}");
-        assert!(start.elapsed() < MAX_CLOSE_DELAY, "{:?}", start.elapsed());
+        assert!(
+            start.elapsed() < MAX_CLOSE_DELAY,
+            "took {:?}, expected less than {:?}",
+            start.elapsed(),
+            MAX_CLOSE_DELAY
+        );
     }
     // A connection with regular requests is kept open.
     let mut client = sender.client();
@@ -169,7 +174,7 @@
         std::thread::sleep(Duration::from_millis(30));
         // The rest of the second command comes after two seconds of silence.
         if n == command.len() * 2 / 3 {
-            wait_until("two seconds", || start.elapsed() > Duration::from_millis(2050));
+            wait_until("two seconds to pass", || start.elapsed() > Duration::from_millis(2050));
             halves.write(&other[30..]);
         }
     }
@@ -415,8 +420,8 @@
     assert_eq!(client.put("short", "c=pay,d=600,dest=3"), "+OK");
     assert_eq!(client.put("long", "c=pay,d=15000,dest=3"), "+OK");
     platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "many", 3, "Ready")]);
-    wait_until("the short one's end", || platform.notice_state("short").is_some());
-    wait_until("the call", || {
+    wait_until("a notice for the short message", || platform.notice_state("short").is_some());
+    wait_until("the call with the long message", || {
         endpoint.accept_and_read();
         endpoint.calls.concat().contains("long")
     });
@@ -434,13 +439,13 @@
     platform.publish(false, vec![]);
     platform.drop_watches();
     platform.publish(false, vec![listed_endpoint("s-9", other.addr, "one", 9, "Ready")]);
-    wait_until("the watch again", || watches().len() >= 2);
+    wait_until("a second watch", || watches().len() >= 2);
     assert!(watches()[1].contains("since=8"), "{:?}", platform.request_lines());
     wait_until("the destination to be known", || sender.client().put("a1", "c=pay,d=15000,dest=9") == "+OK");
     other.wait_sent("a1");
 }
 
-/// Keeps `size` idle connections open, replacing them one after another, until `until` is set.
+/// Keeps `size` idle connections open, replacing them one after another, until `stop` is set.
 fn idle_crowd(addr: std::net::SocketAddr, size: usize, stop: Arc<AtomicBool>) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         let mut connections: Vec<Option<TcpStream>> = (0..size).map(|_| None).collect();
@@ -486,12 +491,19 @@
         l if l.contains("/v1/servers") => write_answer(stream, 200, &list),
         _ => write_answer(stream, 204, ""),
     });
-    wait_until("the drain", || sender.journal_contains("s-1"));
-    assert!(returned.elapsed() < Duration::from_secs(6), "{:?}", returned.elapsed());
+    wait_until("the drain in the journal", || sender.journal_contains("s-1"));
+    assert!(
+        returned.elapsed() < Duration::from_secs(6),
+        "took {:?}, expected less than {:?}",
+        returned.elapsed(),
+        Duration::from_secs(6)
+    );
     for n in 0..10 {
         let id = format!("a{n}");
         // Among so many a new connection may be closed unread: its client tries again.
-        wait_until("an answer", || sender.try_put(&id, "c=sync,d=15000,dest=3").as_deref() == Some("+OK"));
+        wait_until("an accepted put", || {
+            sender.try_put(&id, "c=sync,d=15000,dest=3").as_deref() == Some("+OK")
+        });
         fresh.wait_sent(&id);
     }
     stop.store(true, Ordering::SeqCst);
--- a/crates/sender/tests/common/mod.rs
+++ b/crates/sender/tests/common/mod.rs
@@ -86,6 +86,7 @@
     Close,
 }
 
+/// An answer with this status, without headers or a body.
 pub fn status(code: u16) -> StubResponse {
     StubResponse::Answer(code, Vec::new(), String::new())
 }
@@ -148,10 +149,12 @@
         endpoint
     }
 
+    /// Replaces the script for later requests.
     pub fn set_script(&self, script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) {
         *self.script.lock().unwrap() = Box::new(script);
     }
 
+    /// Returns the received requests in order of arrival.
     pub fn requests(&self) -> Vec<Request> {
         self.requests.lock().unwrap().clone()
     }
@@ -161,10 +164,12 @@
         self.requests().iter().flat_map(Request::ids).collect()
     }
 
+    /// Returns how many calls carried the message.
     pub fn call_count(&self, id: &str) -> usize {
         self.sent().iter().filter(|s| *s == id).count()
     }
 
+    /// Waits until a call with the message has arrived.
     pub fn wait_sent(&self, id: &str) {
         wait_until(&format!("a call with {id}"), || self.call_count(id) > 0);
     }
@@ -208,6 +213,7 @@
 }
 
 impl Platform {
+    /// Starts a platform whose first full list has these entries.
     pub fn new(endpoints: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -325,10 +331,12 @@
         self.discovery.lock().unwrap().index = index;
     }
 
+    /// Returns the request lines of all list and watch requests.
     pub fn request_lines(&self) -> Vec<String> {
         self.discovery.lock().unwrap().request_lines.clone()
     }
 
+    /// Returns the recorded notices.
     pub fn notices(&self) -> Vec<Value> {
         self.notices.lock().unwrap().clone()
     }
@@ -348,12 +356,14 @@
         *self.reject_notices.lock().unwrap() = reject_notices;
     }
 
+    /// Returns the state in the first notice of a message, if there is one.
     pub fn notice_state(&self, id: &str) -> Option<String> {
         let notices = self.notices();
         let notice = notices.iter().find(|n| n["id"] == id)?;
         Some(notice["state"].as_str()?.to_string())
     }
 
+    /// Waits for a notice of the message and asserts its state.
     pub fn wait_notice(&self, id: &str, state: &str) {
         wait_until(&format!("a notice for {id}"), || self.notice_state(id).is_some());
         assert_eq!(self.notice_state(id).as_deref(), Some(state), "{id}");
@@ -493,6 +503,7 @@
 }
 
 impl Sender {
+    /// Starts a sender with the default configuration.
     pub fn start(platform: &Platform) -> Self {
         Self::with(platform, |_| {})
     }
@@ -654,6 +665,7 @@
         signal(self.child.as_ref().unwrap(), name);
     }
 
+    /// Waits until the process exits.
     pub fn wait_exit(&mut self) -> ExitStatus {
         let child = self.child.as_mut().unwrap();
         let mut status = None;
@@ -693,6 +705,7 @@
     Some((status, answer.split_once("\r\n\r\n").map(|(_, body)| body.to_string()).unwrap_or_default()))
 }
 
+/// Encodes a command in RESP.
 pub fn resp(args: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", args.len()).into_bytes();
     for a in args {
@@ -703,6 +716,7 @@
     out
 }
 
+/// Encodes a `MSG.PUT` command without an ordering key.
 pub fn put(id: &str, fields: &str, body: &[u8]) -> Vec<u8> {
     resp(&[b"MSG.PUT", b"0000000000000000", id.as_bytes(), fields.as_bytes(), body])
 }
@@ -732,6 +746,7 @@
         line.trim_end().to_string()
     }
 
+    /// Sends `PING` and asserts the reply, which comes once the sender is ready.
     pub fn ping(&mut self) {
         self.write(&resp(&[b"PING"]));
         assert_eq!(self.read(), "+PONG");
@@ -744,6 +759,7 @@
     }
 }
 
+/// Returns the size of the files in a folder, each rounded up to blocks of 512 bytes.
 pub fn folder_size(folder: &Path) -> u64 {
     std::fs::read_dir(folder)
         .unwrap()
@@ -765,6 +781,7 @@
         *self.0.0.lock().unwrap()
     }
 
+    /// Waits until the gate is open, or until [`TEST_TIMEOUT`] has passed.
     pub fn wait(&self) {
         let guard = self.0.0.lock().unwrap();
         _ = self.0.1.wait_timeout_while(guard, TEST_TIMEOUT, |open| !*open).unwrap();
--- a/crates/sender/tests/common/placement/fleet.rs
+++ b/crates/sender/tests/common/placement/fleet.rs
@@ -131,7 +131,7 @@
     }
 }
 
-/// Writes the files of one sender.
+/// The configuration and options files of one sender.
 struct Files<'a> {
     deployment: &'a Deployment,
     index: usize,
--- a/crates/sender/tests/common/placement/relay.rs
+++ b/crates/sender/tests/common/placement/relay.rs
@@ -53,6 +53,7 @@
         relay
     }
 
+    /// Sets the mode for new and open connections.
     pub fn set(&self, mode: Mode) {
         self.mode.set(mode);
     }
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -49,7 +49,7 @@
             write_chunk(stream, &format!("{}\n", list(8, "Terminating")));
         }
     });
-    wait_until("the drain", || sender.journal_contains("s-1"));
+    wait_until("the drain in the journal", || sender.journal_contains("s-1"));
     scripted.request_times("watch")[0].elapsed()
 }
 
@@ -92,7 +92,7 @@
         }
         write_chunk(stream, "\n\n");
     });
-    wait_until("the drain", || sender.journal_contains("s-1"));
+    wait_until("the drain in the journal", || sender.journal_contains("s-1"));
     assert_eq!(scripted.request_times("watch").len(), 1, "the watch must stay open");
     let mut client = sender.client();
     client.ping();
@@ -212,7 +212,12 @@
         signal(&sender);
     }
     assert!(sender.wait_exit().success());
-    assert!(begun.elapsed() < Duration::from_millis(3700), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_millis(3700),
+        "took {:?}, expected less than {:?}",
+        begun.elapsed(),
+        Duration::from_millis(3700)
+    );
 }
 
 #[test]
@@ -249,7 +254,7 @@
     let mut client = sender.client();
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    wait_until("the watch", || scripted.request_times("watch").len() == 1);
+    wait_until("a watch request", || scripted.request_times("watch").len() == 1);
     // The new platform has its own sequence of indexes, and lists a drain.
     let (other, addr) = (Endpoint::new(|_| status(200)), endpoint.addr);
     let lines = [
@@ -324,8 +329,13 @@
     for n in 0..6 {
         let begun = Instant::now();
         assert_eq!(client.put(&format!("a{n}"), "c=sync,d=100,dest=3"), "+OK");
-        wait_until("its notice", || scripted.request_times("/reports").len() > n);
-        assert!(begun.elapsed() < Duration::from_millis(350), "{n}: {:?}", begun.elapsed());
+        wait_until("the notice of the put", || scripted.request_times("/reports").len() > n);
+        assert!(
+            begun.elapsed() < Duration::from_millis(350),
+            "{n}: took {:?}, expected less than {:?}",
+            begun.elapsed(),
+            Duration::from_millis(350)
+        );
     }
     sleep(Duration::from_millis(100));
     assert_eq!(
@@ -362,7 +372,7 @@
         });
         let platform = Platform::new(Vec::new());
         let sender = Sender::with(&platform, |c| c["discovery"] = scripted.addr.to_string().into());
-        wait_until("the drain", || sender.journal_contains("s-1"));
+        wait_until("the drain in the journal", || sender.journal_contains("s-1"));
         wait_until("a second request for the full list", || scripted.request_times("/v1/servers").len() > 1);
         let mut client = sender.client();
         assert_eq!(client.put("a1", SYNC), "+OK");
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -148,7 +148,9 @@
         sender.spawn();
         sender.client().ping();
         let rig = Rig { sender, forward, owners, control, receiver, _platform: platform };
-        wait_until("an epoch", || rig.metrics()["epoch"] == 1 && rig.metrics()["unread_shards"] == 0);
+        wait_until("epoch 1 and the endpoints of the owned shards", || {
+            rig.metrics()["epoch"] == 1 && rig.metrics()["unread_shards"] == 0
+        });
         rig
     }
 
@@ -288,7 +290,7 @@
     let (control, before) = (&rig.control, rig.metrics());
     assert_eq!((&before["lists_refused"], &before["epoch"]), (&0.into(), &1.into()));
     control.set_script(|_| status_with(r#"{"epoch":1,"since":1,"changes":[]}"#));
-    wait_until("a lease", || rig.metrics()["lease_left_ms"] != 0);
+    wait_until("a new lease", || rig.metrics()["lease_left_ms"] != 0);
     let taken = Client::new(rig.forward).put("afterwards", &format!("{PAY},dest={own}"));
     assert_eq!(taken, "+OK", "no hold is due after an outage of control");
 }
@@ -299,7 +301,7 @@
     let other = rig.owners[0].addr;
     let changed = member_list([rig.forward, other, SocketAddr::from(([127, 0, 0, 1], 9))]).to_string();
     rig.control.set_script(move |_| status_with(&changed));
-    wait_until("a refusal", || rig.metrics()["lists_refused"].as_u64() > Some(0));
+    wait_until("a refused member list", || rig.metrics()["lists_refused"].as_u64() > Some(0));
     wait_until("the lease to expire", || rig.metrics()["lease_left_ms"] == 0);
     assert_eq!(rig.metrics()["epoch"], 1);
     assert_eq!(rig.put("passed-on", PAY, destinations(false)[0]), "+OK");
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -133,7 +133,7 @@
         status(200)
     });
     assert_eq!(processes.client().put("a1", PAY), "+OK");
-    wait_until("the call", || {
+    wait_until("a record of the call in the journal", || {
         std::fs::read(processes.folder.path().join("state/journal")).unwrap().len() > 100
     });
     thread::sleep(Duration::from_millis(100));
@@ -141,13 +141,17 @@
     processes.wait_ready(1);
     // The second process has the message, but does not send it.
     let mgmt = processes.running[1].1;
-    wait_until("the message", || mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"outstanding\":1"));
+    wait_until("one open message in the second process", || {
+        mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"outstanding\":1")
+    });
     assert!(
         processes.running[0].0.try_wait().unwrap().is_none(),
         "the first process exited with a call in flight"
     );
     gate.open();
-    wait_until("its end", || mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"outstanding\":0"));
+    wait_until("the end of the message in the second process", || {
+        mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"outstanding\":0")
+    });
     assert!(mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1"));
     assert!(processes.wait_exit(0).success());
     assert_eq!(endpoint.call_count("a1"), 1);
@@ -185,8 +189,15 @@
     processes.wait_ready(1);
     assert!(processes.wait_exit(0).success());
     assert_eq!(processes.client().put("a2", SYNC), "+OK");
-    wait_until("both", || endpoint.call_count("a1") == 2 && endpoint.call_count("a2") == 1);
-    assert!(since.elapsed() >= Duration::from_millis(2400), "{:?}", since.elapsed());
+    wait_until("the second call with a1 and a call with a2", || {
+        endpoint.call_count("a1") == 2 && endpoint.call_count("a2") == 1
+    });
+    assert!(
+        since.elapsed() >= Duration::from_millis(2400),
+        "took {:?}, expected at least {:?}",
+        since.elapsed(),
+        Duration::from_millis(2400)
+    );
 }
 
 #[test]
@@ -198,7 +209,7 @@
         StubResponse::Answer(429, vec![("x-retry-in-ms", "2500".to_string())], String::new())
     });
     assert_eq!(processes.client().put("a1", PAY), "+OK");
-    wait_until("the call", || {
+    wait_until("a record of the call in the journal", || {
         std::fs::read(processes.folder.path().join("state/journal")).unwrap().len() > 100
     });
     processes.start();
@@ -206,7 +217,7 @@
     let mut other = FullBacklogEndpoint::new();
     platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Terminating")]);
     platform.publish(false, vec![listed_endpoint("s-2", other.addr, "one", 3, "Ready")]);
-    wait_until("a client", || processes.client().put("b1", SYNC) == "+OK");
+    wait_until("an accepted put", || processes.client().put("b1", SYNC) == "+OK");
     // The connection is being established. The first process exits once it has passed on the wait that its call received.
     thread::sleep(Duration::from_millis(150));
     let released_at = Instant::now();
@@ -236,7 +247,7 @@
     processes.start();
     processes.wait_ready(1);
     processes.signal(0, "-KILL");
-    wait_until("the call", || {
+    wait_until("a record of the call in the journal", || {
         full_backlog.accept_and_read();
         full_backlog.calls.concat().contains("a1")
     });
@@ -281,7 +292,7 @@
     assert_eq!(processes.client().put("a1", PAY), "+OK");
     // The outcome must be read before the process is stopped: otherwise the message counts as one that may have run.
     let mgmt = processes.running[0].1;
-    wait_until("its outcome", || {
+    wait_until("the outcome of a1 in the metrics", || {
         mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1")
     });
     processes.signal(0, "-STOP");
@@ -290,10 +301,15 @@
     processes.start();
     // It reports ready in time, so that the platform ends the process that does not answer.
     processes.wait_ready(1);
-    assert!(started.elapsed() < Duration::from_secs(6), "{:?}", started.elapsed());
+    assert!(
+        started.elapsed() < Duration::from_secs(6),
+        "took {:?}, expected less than {:?}",
+        started.elapsed(),
+        Duration::from_secs(6)
+    );
     assert_eq!(std::fs::read(processes.folder.path().join("state/journal")).unwrap(), before);
     processes.signal(0, "-KILL");
-    wait_until("the second to serve", || processes.client().put("a2", PAY) == "+OK");
+    wait_until("the second process to accept a put", || processes.client().put("a2", PAY) == "+OK");
     endpoint.wait_sent("a2");
     assert_eq!(endpoint.call_count("a1"), 1);
     assert!(platform.notices().is_empty());
@@ -312,7 +328,7 @@
         // If it had not taken over, the first process continues to serve. Otherwise the first process exits, and the next
         // one that starts continues with the journal.
         let mut served = false;
-        wait_until("an answer or the end", || {
+        wait_until("an accepted put or the exit of the first process", || {
             let mut client = processes.client();
             client.stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
             served = client.put(&id, SYNC) == "+OK";
@@ -353,7 +369,7 @@
         processes.start();
         processes.wait_ready(n);
         let id = format!("a{n}");
-        wait_until("a client", || processes.client().put(&id, PAY) == "+OK");
+        wait_until("an accepted put", || processes.client().put(&id, PAY) == "+OK");
         new.wait_sent(&id);
     }
     assert!(old.sent().is_empty());
@@ -368,7 +384,7 @@
         // One takes over from the running process, and the other from that one.
         wait_until("exactly one of the two to be ready", || processes.ready(first) ^ processes.ready(second));
         let id = format!("a{n}");
-        wait_until("a client", || processes.client().put(&id, SYNC) == "+OK");
+        wait_until("an accepted put", || processes.client().put(&id, SYNC) == "+OK");
         endpoint.wait_sent(&id);
     }
     assert!(platform.notices().is_empty());
@@ -425,7 +441,7 @@
     let accepted = accepted.lock().unwrap();
     assert!(accepted.len() > 50);
     // Each message is either delivered or returned for lack of room, not both.
-    wait_until("the end of each", || {
+    wait_until("each accepted message to be sent or returned", || {
         let sent: HashSet<String> = endpoint.sent().into_iter().collect();
         accepted
             .iter()
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -196,7 +196,12 @@
     short_gate.open();
     let opened = std::time::Instant::now();
     wait_until("the shorter list", || sender.log().contains("within its limit again"));
-    assert!(opened.elapsed() < Duration::from_secs(6), "{:?}", opened.elapsed());
+    assert!(
+        opened.elapsed() < Duration::from_secs(6),
+        "took {:?}, expected less than {:?}",
+        opened.elapsed(),
+        Duration::from_secs(6)
+    );
     assert_eq!(sender.client().put("a2", SYNC), "+OK");
     fresh.wait_sent("a2");
     assert_eq!(count(&sender.log(), "is too long"), 1, "{}", sender.log());
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -161,7 +161,7 @@
     }
     assert_eq!(sender.metrics()["outstanding"], 6);
     platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "many", 3, "Ready")]);
-    wait_until("all of them", || sender.metrics()["outstanding"] == 0);
+    wait_until("no open message", || sender.metrics()["outstanding"] == 0);
     let metrics = sender.metrics();
     assert_eq!((&metrics["succeeded"]["sync"], &metrics["forwards"]), (&json!(6), &json!(6)));
     assert!(endpoint.requests().len() < 6, "expected some of the six messages to share a call");
@@ -184,7 +184,7 @@
     platform.set_reject_notices(true);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
-    wait_until("the end", || sender.metrics()["aborted"]["pay"] == 1);
+    wait_until("the failed message in the metrics", || sender.metrics()["aborted"]["pay"] == 1);
     sender.kill();
     platform.wait_connections_closed();
     platform.set_reject_notices(false);
@@ -221,7 +221,7 @@
     assert!(late.read().starts_with("-ERR"));
     assert_eq!(late.read(), "");
     // Later messages are refused with `-BUSY`.
-    wait_until("refusals", || sender.client().put("b1", SYNC).starts_with("-BUSY"));
+    wait_until("a refused put", || sender.client().put("b1", SYNC).starts_with("-BUSY"));
     assert_eq!(sender.mgmt_request("POST /_lameduck/off").0, 200);
     assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
     assert_eq!(ping_reply(&sender), "+PONG");
@@ -270,7 +270,9 @@
     endpoint.wait_sent("a1");
     assert_eq!(sender.mgmt_request("POST /_lameduck/on").0, 200);
     sender.terminate();
-    wait_until("the stop", || sender.mgmt_request("GET /_ready") == (503, "stopping\n".into()));
+    wait_until("the sender to report that it is stopping", || {
+        sender.mgmt_request("GET /_ready") == (503, "stopping\n".into())
+    });
     assert_eq!(sender.mgmt_request("POST /_lameduck/off").0, 409);
     assert_eq!(sender.mgmt_request("POST /_lameduck/on").0, 200);
     assert!(sender.wait_exit().success());
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -145,7 +145,7 @@
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(client.put("a2", PAY), "+OK");
     assert_eq!(client.put("a3", PUSH), "+OK");
-    wait_until("all three", || {
+    wait_until("the second call with a1 and the calls with a2 and a3", || {
         ["a2", "a3"].iter().all(|id| endpoint.call_count(id) == 1) && endpoint.call_count("a1") == 2
     });
     let requests = endpoint.requests();
@@ -199,7 +199,7 @@
     put_in_one_call(&endpoint, &sender, &states.map(|(id, _)| (id, PAY)));
     // b2 is unsafe and may have run; b3 and b5 never ran.
     platform.wait_notice("b2", "failed");
-    wait_until("b3 to go again", || endpoint.call_count("b3") == 2);
+    wait_until("the second call with b3", || endpoint.call_count("b3") == 2);
     let first = endpoint.requests().into_iter().find(Request::is_batch).unwrap();
     assert_eq!(first.ids().len(), 6);
     assert!(first.line.starts_with("POST /v1/messages:batch "));
@@ -244,7 +244,7 @@
         batching(|r| if r.is_batch() { StubResponse::Silence } else { status(200) });
     // The sender measures how long an answer takes.
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
-    wait_until("a1 to go again", || endpoint.call_count("a1") == 2);
+    wait_until("the second call with a1", || endpoint.call_count("a1") == 2);
     let waited = std::sync::atomic::AtomicBool::new(false);
     endpoint.set_script(move |r| {
         if waited.swap(true, std::sync::atomic::Ordering::SeqCst) {
@@ -257,7 +257,12 @@
     platform.wait_notice("b1", "failed");
     // The other messages of the call may have run too, and their outcome is not awaited after the call has ended.
     platform.wait_notice("b2", "failed");
-    assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(10),
+        "took {:?}, expected less than {:?}",
+        start.elapsed(),
+        Duration::from_secs(10)
+    );
     let call = endpoint.requests().into_iter().find(Request::is_batch).unwrap();
     assert!(call.ids().contains(&"b1".to_string()) && call.ids().contains(&"b2".to_string()));
     let timeout = call.header("x-timeout").unwrap().strip_suffix('m').unwrap();
@@ -312,7 +317,12 @@
         platform.wait_notice("a1", "failed");
         assert_eq!(client.put("a2", SYNC), "+OK");
         endpoint.wait_sent("a2");
-        assert!(start.elapsed() < MAX_RELEASE_DELAY, "{text:?}: {:?}", start.elapsed());
+        assert!(
+            start.elapsed() < MAX_RELEASE_DELAY,
+            "{text:?}: took {:?}, expected less than {:?}",
+            start.elapsed(),
+            MAX_RELEASE_DELAY
+        );
         assert_eq!(endpoint.call_count("a1"), 1);
     }
 }
@@ -327,7 +337,12 @@
         assert_eq!(client.put(id, PAY), "+OK");
     }
     endpoint.wait_sent("a3");
-    assert!(start.elapsed() < MAX_RELEASE_DELAY, "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < MAX_RELEASE_DELAY,
+        "took {:?}, expected less than {:?}",
+        start.elapsed(),
+        MAX_RELEASE_DELAY
+    );
     assert!(platform.notices().is_empty());
 }
 
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -415,7 +415,7 @@
         let (mut silent_at, mut answering_at) = (0, 0);
         play(&rig, 2, async {
             sleep(Duration::from_secs(1)).await;
-            // From now on no request is answered, so no lease is extended.
+            // Requests from now on are not answered, so that all leases expire within the lease time.
             silence(true);
             silent_at = rig.ledger.now();
             sleep(lease + Duration::from_millis(1500)).await;
--- a/crates/sender/tests/reload.rs
+++ b/crates/sender/tests/reload.rs
@@ -62,7 +62,7 @@
     let mut sender = Sender::start(&platform);
     let mut client = sender.client();
     client.ping();
-    wait_until("the watch", || platform.request_lines().len() == 2);
+    wait_until("a list request and a watch", || platform.request_lines().len() == 2);
     let path = sender.folder.path().join("config.json");
     for (n, text) in [None, Some("{"), Some("{\"discovery\": 5}")].into_iter().enumerate() {
         match text {
--- a/crates/sender/tests/restart.rs
+++ b/crates/sender/tests/restart.rs
@@ -69,7 +69,7 @@
     // The class's window is 3 s; it keeps running while the sender is down.
     wait_until("the window's end", || sent.elapsed() > Duration::from_millis(3100));
     sender.spawn();
-    wait_until("its end", || platform.notice_state("a1").is_some());
+    wait_until("a notice for a1", || platform.notice_state("a1").is_some());
     assert_eq!(endpoint.call_count("a1"), 1);
 }
 
@@ -219,14 +219,14 @@
     for n in 0..6 {
         assert_eq!(client.put(&format!("a{n}"), SYNC), "+OK");
     }
-    wait_until("failures", || endpoint.sent().len() >= 4);
+    wait_until("four failed calls", || endpoint.sent().len() >= 4);
     std::thread::sleep(Duration::from_millis(100));
     sender.kill();
     let before = endpoint.requests().len();
     endpoint.set_script(|_| StubResponse::Silence);
     sender.spawn();
     sender.client().ping();
-    wait_until("a trial", || endpoint.requests().len() > before);
+    wait_until("a trial after the restart", || endpoint.requests().len() > before);
     // Six messages wait, but an unhealthy endpoint gets one trial at a time.
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(endpoint.requests().len(), before + 1);
@@ -252,7 +252,12 @@
     gate.open();
     let status = sender.wait_exit();
     assert!(status.success());
-    assert!(start.elapsed() < Duration::from_millis(3700), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(3700),
+        "took {:?}, expected less than {:?}",
+        start.elapsed(),
+        Duration::from_millis(3700)
+    );
     assert_eq!(endpoint.call_count("a1"), 1);
     // The delivered message has ended; the next process must deliver the other one.
     sender.spawn();
@@ -274,7 +279,12 @@
     sender.terminate();
     let start = Instant::now();
     assert!(sender.wait_exit().success());
-    assert!(start.elapsed() < Duration::from_millis(3700), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(3700),
+        "took {:?}, expected less than {:?}",
+        start.elapsed(),
+        Duration::from_millis(3700)
+    );
     sender.spawn();
     platform.wait_notice("a1", "failed");
     assert_eq!(endpoint.call_count("a1"), 1);
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -40,7 +40,7 @@
 /// Returns the time after `begun` at which the platform received the notice of each message.
 fn notice_times(platform: &Platform, count: usize, begun: Instant) -> Vec<(String, Duration)> {
     let mut seen: Vec<(String, Duration)> = Vec::new();
-    wait_until("all ends", || {
+    wait_until("a notice for each message", || {
         for notice in platform.notices() {
             let id = notice["id"].as_str().unwrap().to_string();
             if !seen.iter().any(|(other, _)| *other == id) {
@@ -147,7 +147,7 @@
     sender.kill();
     sender.spawn();
     // A call that was in flight at the last kill may have run, so an unsafe message in it fails.
-    wait_until("each one's end", || {
+    wait_until("a call or a notice for each message", || {
         let called = |n: &usize| endpoint.call_count(&id(*n)) > 0 || platform.notice_state(&id(*n)).is_some();
         (0..MAX_ACCEPTED).all(|n| called(&n))
     });
