--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -1,5 +1,5 @@
-//! Polling of a discovery whose requests are expensive (`"Discovery": "ask"`). Guards against polling at the start or too
-//! often, and against pauses after failed requests that delay a drain beyond the time allowed.
+//! Polling of a discovery whose requests are expensive (`"Discovery": "ask"`). Guards against polling at the
+//! start or too often, and against pauses after failed requests that delay a drain beyond the time allowed.
 
 mod common;
 use common::*;
@@ -12,7 +12,7 @@
 const SYNC: &str = "c=sync,d=15000,dest=3";
 
 /// Configures a discovery that is polled at most once in `interval_ms`, and a list known at the start.
-fn poll_settings(config: &mut Value, interval_ms: u64, known: &Value) {
+fn use_polled_discovery(config: &mut Value, interval_ms: u64, known: &Value) {
     config["settings"]["Discovery"] = "ask".into();
     config["settings"]["Rules"]["AskEveryUs"] = (interval_ms * 1000).into();
     config["known"] = json!({"index": 7, "snapshot": true, "endpoints": [known]});
@@ -23,9 +23,9 @@
     let endpoint = Endpoint::new(|_| status(200));
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![known.clone()]);
-    // The first poll comes within four fifths of the interval, at a time that the seed determines: with 500 s it does not
-    // come during this test.
-    let sender = Sender::with(&platform, |c| poll_settings(c, 500_000, &known));
+    // The first poll comes within four fifths of the interval, at a time that the seed determines: with 500 s
+    // it does not come during this test.
+    let sender = Sender::with(&platform, |c| use_polled_discovery(c, 500_000, &known));
     let mut client = sender.client();
     client.ping();
     assert_eq!(client.put("a1", SYNC), "+OK");
@@ -39,7 +39,7 @@
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![known.clone()]);
     platform.reject_next_polls(3);
-    let sender = Sender::with(&platform, |c| poll_settings(c, 100, &known));
+    let sender = Sender::with(&platform, |c| use_polled_discovery(c, 100, &known));
     wait_until("the watch requests", || platform.request_lines().len() == 4);
     let paths = platform.request_lines();
     assert!(paths.iter().all(|p| p.contains("follow=1&since=7")), "{paths:?}");
@@ -64,7 +64,8 @@
     wait_until("the watch requests", || platform.request_lines().len() == 2);
 }
 
-/// Within this the sender must know a change after discovery has it and can be reached, whichever requests failed before.
+/// Within this the sender must know a change after discovery has it and can be reached, whichever requests
+/// failed before.
 const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
 /// A poll interval with which the pauses after failures would grow beyond that.
 const POLL_INTERVAL_MS: u64 = 12_000;
@@ -86,8 +87,9 @@
     Rejected,
 }
 
-/// Returns how long a sender takes to learn of a drain, from the moment at which discovery knows it and can be reached,
-/// which is the last failed request. With a known list the sender requests changes, otherwise the full list.
+/// Returns how long a sender takes to learn of a drain, from the moment at which discovery knows it and can
+/// be reached, which is the last failed request. With a known list the sender requests changes, otherwise the
+/// full list.
 fn drain_delay(failure: Failure, polled: bool, with_list: bool) -> Duration {
     // After this many failures the pauses have grown.
     let failures = if polled { 2 } else { 4 };
@@ -124,7 +126,7 @@
     let known = listed_endpoint("s-1", addr, "one", 3, "Ready");
     let (platform, down) = (Platform::new(Vec::new()), RefusingAddress::new());
     let configure = |c: &mut Value| {
-        poll_settings(c, POLL_INTERVAL_MS, &known);
+        use_polled_discovery(c, POLL_INTERVAL_MS, &known);
         if !polled {
             c["settings"]["Discovery"] = Value::Null;
         }
--- a/crates/sender/tests/check.rs
+++ b/crates/sender/tests/check.rs
@@ -1,5 +1,5 @@
-//! `embershore check`. Guards against an invalid options file that passes, findings without their place, exit codes that
-//! scripts cannot tell apart, and a daemon that starts with an invalid options file.
+//! `embershore check`. Guards against an invalid options file that passes, findings without their place, exit
+//! codes that scripts cannot tell apart, and a daemon that starts with an invalid options file.
 
 use std::path::Path;
 use std::process::{Command, Output};
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -1,5 +1,6 @@
-//! The client interface, and the effect of discovery's list on calls. Guards against malformed, idle or excessive clients
-//! that harm others, messages that are accepted twice or not at all, and calls to draining endpoints.
+//! The client interface, and the effect of discovery's list on calls. Guards against malformed, idle or
+//! excessive clients that harm others, messages that are accepted twice or not at all, and calls to draining
+//! endpoints.
 
 mod common;
 use common::*;
--- a/crates/sender/tests/common/mod.rs
+++ b/crates/sender/tests/common/mod.rs
@@ -284,7 +284,8 @@
                             .filter(|(i, _)| since.is_some_and(|s| *i > s))
                             .map(|(_, l)| l.clone())
                             .collect();
-                        // A full list is not in the log of changes: a watch from an earlier index gets the full list again.
+                        // A full list is not in the log of changes: a watch from an earlier index gets the
+                        // full list again.
                         let first = if since.is_some_and(|s| s > 0 && s >= discovery.full_list_index) {
                             json!({"index": discovery.index, "snapshot": false, "endpoints": changes_since})
                         } else {
@@ -440,8 +441,8 @@
     _ = stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
 }
 
-/// Settings with one class for each effect: `push` is keyed with a window of 3 s, `sync` is safe, `pay` is unsafe. Kind
-/// `one` takes one message in a call, kind `many` up to ten.
+/// Settings with one class for each effect: `push` is keyed with a window of 3 s, `sync` is safe, `pay` is
+/// unsafe. Kind `one` takes one message in a call, kind `many` up to ten.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, limit: i64| {
         json!({"Name": name, "Effect": effect, "Group": "all", "HardLimitUs": limit, "ObjectiveUs": 2_500_000,
@@ -492,9 +493,9 @@
 
 const EXECUTABLE: &str = env!("CARGO_BIN_EXE_embershore");
 
-/// Reserves an address whose port stays the same over a sender's restarts. The socket is bound but does not listen:
-/// a child process that another test is starting may briefly hold a copy of the socket, and a listening copy would
-/// accept the sender's connections and keep the sender from listening.
+/// Reserves an address whose port stays the same over a sender's restarts. The socket is bound but does not
+/// listen: a child process that another test is starting may briefly hold a copy of the socket, and a
+/// listening copy would accept the sender's connections and keep the sender from listening.
 fn reserve_address(own: Ipv4Addr) -> SocketAddr {
     let port = tokio::net::TcpSocket::new_v4().unwrap();
     port.set_reuseaddr(true).unwrap();
@@ -510,7 +511,8 @@
 
     /// Starts a sender with a configuration that `change` has edited.
     pub fn with(platform: &Platform, change: impl Fn(&mut Value)) -> Self {
-        // The port must be the same after a restart. No other process is given it on an address of the sender's own.
+        // The port must be the same after a restart. No other process is given it on an address of the
+        // sender's own.
         static SENDERS: AtomicU8 = AtomicU8::new(1);
         let [.., high, low] = std::process::id().to_be_bytes();
         let own = Ipv4Addr::new(127, high | 0x80, low, SENDERS.fetch_add(1, Ordering::Relaxed));
@@ -621,7 +623,8 @@
         self.journal_count(text) > 0
     }
 
-    /// Runs `trigger` and waits until the journal shows that the sender knows that the endpoint is draining or gone.
+    /// Runs `trigger` and waits until the journal shows that the sender knows that the endpoint is draining
+    /// or gone.
     pub fn wait_drain_recorded(&self, trigger: impl Fn(), endpoint: &str) {
         let before = self.journal_count(endpoint);
         trigger();
--- a/crates/sender/tests/common/placement/clients.rs
+++ b/crates/sender/tests/common/placement/clients.rs
@@ -1,5 +1,6 @@
-//! Clients that put messages at any sender and follow the protocol. They wait no longer than [`ANSWER_TIMEOUT`] for an
-//! answer, and put a message that was refused, or had no answer, again under a new id.
+//! Clients that put messages at any sender and follow the protocol. They wait no longer than
+//! [`ANSWER_TIMEOUT`] for an answer, and put a message that was refused, or had no answer, again under a new
+//! id.
 
 use super::deployment::{DEADLINE, FLOW, TENANT, classes};
 use super::directory::Returned;
--- a/crates/sender/tests/common/placement/control.rs
+++ b/crates/sender/tests/common/placement/control.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the control agents, one for each sender. Each answers `GET /v1/members?since=EPOCH` from a common history
-//! of member lists, with its own delay, and can be made silent or serve an invalid list.
+//! Stand-ins for the control agents, one for each sender. Each answers `GET /v1/members?since=EPOCH` from a
+//! common history of member lists, with its own delay, and can be made silent or serve an invalid list.
 
 use super::http;
 use hyper::{Response, body::Incoming};
@@ -113,8 +113,8 @@
         http::with_body(200, answer.to_string())
     }
 
-    /// Returns the answer of an agent with this delay to a sender that knows the epoch `since`: the changes, or the full list
-    /// if the agent does not know that epoch.
+    /// Returns the answer of an agent with this delay to a sender that knows the epoch `since`: the changes,
+    /// or the full list if the agent does not know that epoch.
     fn answer_since(&self, delay: Duration, since: Option<u64>) -> Value {
         let epochs = self.epochs.borrow();
         let latest = epochs.iter().rposition(|e| e.in_force_since.elapsed() >= delay).unwrap_or(0);
--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the directory: serves each sender the endpoints of all destinations, at addresses of the sender's own, and
-//! receives its notices.
+//! A stand-in for the directory: serves each sender the endpoints of all destinations, at addresses of the
+//! sender's own, and receives its notices.
 
 use super::http::{self, Body};
 use super::ledger::Ledger;
@@ -67,8 +67,8 @@
 }
 
 impl Directory {
-    /// Creates a directory that lists one endpoint for each destination, and the queue on which clients receive returned
-    /// messages. The number of messages that the clients put bounds the queue.
+    /// Creates a directory that lists one endpoint for each destination, and the queue on which clients
+    /// receive returned messages. The number of messages that the clients put bounds the queue.
     pub fn new(ledger: Rc<Ledger>, destinations: i64) -> (Rc<Self>, mpsc::UnboundedReceiver<Returned>) {
         let entry =
             |destination| Entry { destination, generation: 0, status: Standing::Ready, index: FIRST_INDEX };
--- a/crates/sender/tests/common/placement/fleet.rs
+++ b/crates/sender/tests/common/placement/fleet.rs
@@ -30,8 +30,8 @@
 const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const CHECKS_PER_RECORD: u32 = 100;
 
-/// The addresses at which a process listens. They stay the same over its restarts, on a loopback address of its own, so
-/// that no other process is given the ports.
+/// The addresses at which a process listens. They stay the same over its restarts, on a loopback address of
+/// its own, so that no other process is given the ports.
 struct Addresses {
     clients: SocketAddr,
     mgmt: SocketAddr,
@@ -222,7 +222,8 @@
         *process.child.borrow_mut() = Some(command.spawn().unwrap());
     }
 
-    /// Waits until a process answers clients, and knows the member list and the endpoints of the destinations that it owns.
+    /// Waits until a process answers clients, and knows the member list and the endpoints of the destinations
+    /// that it owns.
     pub async fn wait_ready(&self, index: usize) {
         let started = tokio::time::Instant::now();
         while !self.answers_ping(index).await {
--- a/crates/sender/tests/common/placement/mod.rs
+++ b/crates/sender/tests/common/placement/mod.rs
@@ -1,8 +1,8 @@
 //! A fleet of real senders with placement enabled, between stand-ins on loopback: control agents, a directory,
 //! receivers, clients, and a relay in front of each member's forward address.
 //!
-//! All stand-ins run on the test's own thread and record what they observe in one [`ledger::Ledger`], in the format of
-//! the rehearsal kit's history, so that the kit's judge can read it.
+//! All stand-ins run on the test's own thread and record what they observe in one [`ledger::Ledger`], in the
+//! format of the rehearsal kit's history, so that the kit's judge can read it.
 
 #![allow(dead_code)] // each test file uses a part
 
--- a/crates/sender/tests/common/placement/receivers.rs
+++ b/crates/sender/tests/common/placement/receivers.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the receivers of all destinations. Each sender reaches them at addresses of its own, which identifies the
-//! caller; the destination of a call is that of the message that it carries.
+//! Stand-ins for the receivers of all destinations. Each sender reaches them at addresses of its own, which
+//! identifies the caller; the destination of a call is that of the message that it carries.
 
 use super::deployment::KEY_WINDOW;
 use super::directory::{Addresses, GENERATIONS, endpoint_name};
--- a/crates/sender/tests/common/placement/relay.rs
+++ b/crates/sender/tests/common/placement/relay.rs
@@ -21,7 +21,8 @@
     Pass,
     /// Closes the forwarder's side after a complete `MSG.PUT` has passed, before its answer.
     CutAfterRequest,
-    /// Closes a new connection before any byte passes, and an open one when its next bytes arrive, which are not passed on.
+    /// Closes a new connection before any byte passes, and an open one when its next bytes arrive, which are
+    /// not passed on.
     CutBefore,
     /// Passes each request on after this delay.
     Delay(Duration),
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -1,10 +1,10 @@
-//! The verdict on a scenario's records: the rehearsal kit's judge over the whole fleet, and the rules that only a fleet with
-//! placement can break.
+//! The verdict on a scenario's records: the rehearsal kit's judge over the whole fleet, and the rules that
+//! only a fleet with placement can break.
 //!
-//! The judge receives all records that rules 1 (no message lost), 2 (no effect twice), 3 (drains kept), 5 (order kept) and
-//! 6 (waits heeded) need. Rule 5 is judged twice: for each owner, and over the whole fleet, since all messages of a key go
-//! to one owner at a time. Rule 4 (a returning receiver is not overloaded) is not covered: the stand-in receivers have no
-//! capacity that could be exceeded.
+//! The judge receives all records that rules 1 (no message lost), 2 (no effect twice), 3 (drains kept), 5
+//! (order kept) and 6 (waits heeded) need. Rule 5 is judged twice: for each owner, and over the whole fleet,
+//! since all messages of a key go to one owner at a time. Rule 4 (a returning receiver is not overloaded) is
+//! not covered: the stand-in receivers have no capacity that could be exceeded.
 
 use super::deployment::Deployment;
 use super::ledger::Ledger;
@@ -44,9 +44,9 @@
         Findings { judgement: verdict(&table), fleet_order, table }
     }
 
-    /// Asserts that no message was lost, took effect twice or had a second owner, that the judge finds no rule broken, and that
-    /// the `tested` rules were tested. The judge's rules depend on times, so a run in which the rig itself stalled is void:
-    /// then only the checks of loss, effects and owners count.
+    /// Asserts that no message was lost, took effect twice or had a second owner, that the judge finds no
+    /// rule broken, and that the `tested` rules were tested. The judge's rules depend on times, so a run in
+    /// which the rig itself stalled is void: then only the checks of loss, effects and owners count.
     ///
     /// # Panics
     /// If a check fails, with the offences.
@@ -84,8 +84,8 @@
         self.judgement.void.is_some()
     }
 
-    /// Returns the messages that must not take effect twice but were sent by two senders, although the first may have
-    /// delivered them.
+    /// Returns the messages that must not take effect twice but were sent by two senders, although the first
+    /// may have delivered them.
     pub fn second_owners(&self) -> Vec<String> {
         let harmful = self.table.messages.iter().filter(|m| self.effect(m) != Effect::Safe);
         let by_two = harmful.filter(|m| {
@@ -102,8 +102,8 @@
         open.map(|m| m.id.clone()).collect()
     }
 
-    /// Returns the messages, by the id of their first put, that took effect twice but must not. A put without an answer counts
-    /// too if the message was never accepted under another id.
+    /// Returns the messages, by the id of their first put, that took effect twice but must not. A put without
+    /// an answer counts too if the message was never accepted under another id.
     pub fn double_effects(&self) -> Vec<String> {
         let mut effects: BTreeMap<&str, usize> = BTreeMap::new();
         for message in self.table.messages.iter().filter(|m| self.effect(m) != Effect::Safe && !m.disowned())
@@ -214,8 +214,9 @@
     judgement.ruling(Rule::OrderKept).unwrap().clone()
 }
 
-/// Attributes each accepted message to its owner, which its first call or its notice shows. The judge holds the sender of a
-/// put responsible for the message; with placement that is the owner, not the sender at which the client put it.
+/// Attributes each accepted message to its owner, which its first call or its notice shows. The judge holds
+/// the sender of a put responsible for the message; with placement that is the owner, not the sender at which
+/// the client put it.
 fn attribute_to_owners(records: &mut [Record]) {
     let mut owners: HashMap<String, usize> = HashMap::new();
     let mut accepted: BTreeSet<String> = BTreeSet::new();
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -1,6 +1,7 @@
-//! Two events that overlap: a watch that stalls, trickles or is indented, a change of discovery's address, signals during a
-//! start and a stop, a notice that is not answered, a client that has shut down its sending side. Guards against a lost
-//! change, message or answer when the second event arrives before the first is handled.
+//! Two events that overlap: a watch that stalls, trickles or is indented, a change of discovery's address,
+//! signals during a start and a stop, a notice that is not answered, a client that has shut down its sending
+//! side. Guards against a lost change, message or answer when the second event arrives before the first is
+//! handled.
 //! `docs/design/crossings.md` has one row for each pair.
 
 mod common;
@@ -14,8 +15,9 @@
 /// Within this the sender must know a change that a stalled watch did not deliver.
 const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
 
-/// Starts a sender with one endpoint of destination 3, whose watches a script answers. The script receives the number of
-/// earlier watch requests, a function that gives the list with an index and the endpoint's status, and the connection.
+/// Starts a sender with one endpoint of destination 3, whose watches a script answers. The script receives
+/// the number of earlier watch requests, a function that gives the list with an index and the endpoint's
+/// status, and the connection.
 fn sender_with_scripted_watch(
     script: impl Fn(usize, &dyn Fn(u64, &str) -> serde_json::Value, &mut TcpStream) + Send + Sync + 'static,
 ) -> (Endpoint, ScriptedPlatform, Platform, Sender) {
@@ -37,8 +39,8 @@
     (endpoint, scripted, platform, sender)
 }
 
-/// Returns the time from the first watch request until the sender knows a drain that the first watch did not deliver.
-/// After the first watch, `hang` further ones are not answered.
+/// Returns the time from the first watch request until the sender knows a drain that the first watch did not
+/// deliver. After the first watch, `hang` further ones are not answered.
 fn drain_delay(first: impl Fn(&mut TcpStream) + Send + Sync + 'static, hang: usize) -> Duration {
     let (_endpoint, scripted, _platform, sender) = sender_with_scripted_watch(move |before, list, stream| {
         if before == 0 {
@@ -101,8 +103,8 @@
     assert_eq!(endpoint.call_count("a1"), 0);
 }
 
-/// Starts a sender without an endpoint that accepts calls, and waits until it is ready. A script answers its notices; it
-/// receives the number of earlier posts.
+/// Starts a sender without an endpoint that accepts calls, and waits until it is ready. A script answers its
+/// notices; it receives the number of earlier posts.
 fn sender_without_endpoint(
     reports: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
 ) -> (ScriptedPlatform, Platform, Sender) {
@@ -296,7 +298,8 @@
     one.wait_sent("a3");
     assert_eq!(client.put("a4", &dest(4)), "+OK");
     two.wait_sent("a4");
-    // Each name is now at the other's address, and both have an idle connection. The third entry shows when the list is known.
+    // Each name is now at the other's address, and both have an idle connection. The third entry shows when
+    // the list is known.
     let mut swapped = both(&two, &one);
     swapped.push(listed_endpoint("s-3", one.addr, "one", 5, "Terminating"));
     sender.wait_drain_recorded(|| platform.publish(true, swapped.clone()), "s-3");
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -1,6 +1,6 @@
-//! Evenness of the load that a hundred real processes put on a few receivers. Guards against uneven endpoints where each
-//! sender sees little of the load, also when endpoints join, stall or are slow, and when half of the processes are killed in
-//! the same second.
+//! Evenness of the load that a hundred real processes put on a few receivers. Guards against uneven endpoints
+//! where each sender sees little of the load, also when endpoints join, stall or are slow, and when half of
+//! the processes are killed in the same second.
 
 use embershore_rehearsal::judge::{Spread, Table, Verdict};
 use embershore_rehearsal::report::{Report, report};
@@ -13,7 +13,8 @@
 static ONE_FLEET: Mutex<()> = Mutex::new(());
 
 const SENDERS: usize = 100;
-/// Limit of the rig's lateness at the 99th percentile: a quarter of the shortest period over which calls are counted.
+/// Limit of the rig's lateness at the 99th percentile: a quarter of the shortest period over which calls are
+/// counted.
 const MAX_RIG_LATENESS_US: i64 = 250_000;
 
 fn receiver(number: usize, endpoints: usize) -> String {
@@ -40,8 +41,8 @@
     let path = folder.path().to_path_buf();
     let options = Options { subject, folder: path, control: None, serve_only: false, stall: None };
     let (report, table) = report(&rig::run(scenario, &options, |_| {}).unwrap()).unwrap();
-    // Fifty debug builds that start in the same second make the rig late on few cores; calls are counted over seconds here,
-    // so more lateness than usual is allowed.
+    // Fifty debug builds that start in the same second make the rig late on few cores; calls are counted over
+    // seconds here, so more lateness than usual is allowed.
     let late = report.judgement.lateness.p99_us < MAX_RIG_LATENESS_US;
     let void = report.judgement.void.as_deref().filter(|why| !why.contains("ran late") || !late);
     assert_eq!(void, None);
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -1,5 +1,6 @@
-//! Forwarding by one sender with placement enabled, between scripted owners. Guards against a wrong reply to the client for
-//! each answer, or missing answer, of an owner, and against a second owner for a message that may have been accepted.
+//! Forwarding by one sender with placement enabled, between scripted owners. Guards against a wrong reply to
+//! the client for each answer, or missing answer, of an owner, and against a second owner for a message that
+//! may have been accepted.
 
 mod common;
 use bytes::BytesMut;
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Replacement of a running process by another while clients connect and calls are in flight. Guards against messages that
-//! are lost or sent twice because both processes, or neither, consider themselves their owner.
+//! Replacement of a running process by another while clients connect and calls are in flight. Guards against
+//! messages that are lost or sent twice because both processes, or neither, consider themselves their owner.
 
 mod common;
 use common::*;
@@ -14,7 +14,8 @@
 const SYNC: &str = "c=sync,d=15000,dest=3";
 const PAY: &str = "c=pay,d=15000,dest=3";
 
-/// Processes of a sender on a listening socket that the test holds, as the platform does where processes are replaced.
+/// Processes of a sender on a listening socket that the test holds, as the platform does where processes are
+/// replaced.
 struct SharedSocket {
     listener: std::net::TcpListener,
     addr: std::net::SocketAddr,
@@ -30,7 +31,8 @@
         let folder = tempfile::tempdir().unwrap();
         std::fs::create_dir(folder.path().join("state")).unwrap();
         let mut config = config(addr, platform, 1024);
-        // Enough for all messages that a test puts at once: with fewer, some are returned for lack of room on a slow machine.
+        // Enough for all messages that a test puts at once: with fewer, some are returned for lack of room on
+        // a slow machine.
         config["settings"]["Limits"]["MaxOpen"] = 400.into();
         std::fs::write(folder.path().join("config.json"), config.to_string()).unwrap();
         SharedSocket { listener, addr, folder, running: Vec::new() }
@@ -218,7 +220,8 @@
     platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Terminating")]);
     platform.publish(false, vec![listed_endpoint("s-2", other.addr, "one", 3, "Ready")]);
     wait_until("an accepted put", || processes.client().put("b1", SYNC) == "+OK");
-    // The connection is being established. The first process exits once it has passed on the wait that its call received.
+    // The connection is being established. The first process exits once it has passed on the wait that its
+    // call received.
     thread::sleep(Duration::from_millis(150));
     let released_at = Instant::now();
     gate.open();
@@ -290,7 +293,8 @@
 fn a_stopped_owner_is_waited_for_and_its_journal_is_not_written() {
     let (endpoint, platform, mut processes) = start_first(|_| status(200));
     assert_eq!(processes.client().put("a1", PAY), "+OK");
-    // The outcome must be read before the process is stopped: otherwise the message counts as one that may have run.
+    // The outcome must be read before the process is stopped: otherwise the message counts as one that may
+    // have run.
     let mgmt = processes.running[0].1;
     wait_until("the outcome of a1 in the metrics", || {
         mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1")
@@ -325,8 +329,8 @@
         _ = processes.running[replacement].0.kill();
         _ = processes.running[replacement].0.wait();
         let id = format!("a{n}");
-        // If it had not taken over, the first process continues to serve. Otherwise the first process exits, and the next
-        // one that starts continues with the journal.
+        // If it had not taken over, the first process continues to serve. Otherwise the first process exits,
+        // and the next one that starts continues with the journal.
         let mut served = false;
         wait_until("an accepted put or the exit of the first process", || {
             let mut client = processes.client();
@@ -411,7 +415,8 @@
                     let id = format!("m{c}x{n}");
                     match client.put(&id, PAY).as_str() {
                         "+OK" => accepted.lock().unwrap().push(id),
-                        // The connection was closed between requests: the client sends the request again on a new one.
+                        // The connection was closed between requests: the client sends the request again on a
+                        // new one.
                         "" => {
                             client = Client::new(addr);
                             match client.put(&id, PAY).as_str() {
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -1,5 +1,5 @@
-//! Endpoint lists that exceed the sender's memory limit. Guards against a sender that runs out of memory, drops its last good
-//! list, polls in a tight loop or does not report the limit.
+//! Endpoint lists that exceed the sender's memory limit. Guards against a sender that runs out of memory,
+//! drops its last good list, polls in a tight loop or does not report the limit.
 
 mod common;
 use common::*;
@@ -68,8 +68,8 @@
     before.rsplit(' ').next().unwrap().parse().unwrap()
 }
 
-/// Asserts that a rejected list was logged once, with the limit, the size and the consequence, and that the metrics show
-/// the same limit and the size of the latest list.
+/// Asserts that a rejected list was logged once, with the limit, the size and the consequence, and that the
+/// metrics show the same limit and the size of the latest list.
 fn assert_logged_once(sender: &Sender, what: &str, consequence: &str) {
     let log = sender.log();
     assert_eq!(count(&log, what), 1, "{log}");
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -1,5 +1,5 @@
-//! The management interface. Guards against requests that idle callers or crowds of clients delay, metrics that disagree
-//! with what clients and endpoints observe, and a lame duck that drops or keeps its clients.
+//! The management interface. Guards against requests that idle callers or crowds of clients delay, metrics
+//! that disagree with what clients and endpoints observe, and a lame duck that drops or keeps its clients.
 
 mod common;
 use common::*;
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -1,5 +1,6 @@
-//! Answers of endpoints and the outcomes that the sender derives from them. Guards against messages that are sent again
-//! although they may have run, messages that fail although they never ran, ignored waits, and slots that stay occupied.
+//! Answers of endpoints and the outcomes that the sender derives from them. Guards against messages that are
+//! sent again although they may have run, messages that fail although they never ran, ignored waits, and
+//! slots that stay occupied.
 
 mod common;
 use common::*;
@@ -154,8 +155,8 @@
     }
 }
 
-/// Starts an endpoint of the batching kind. It answers the first call, with `w0`, with a wait, so that messages that are put
-/// in the meantime share one call.
+/// Starts an endpoint of the batching kind. It answers the first call, with `w0`, with a wait, so that
+/// messages that are put in the meantime share one call.
 fn batching(
     answer: impl Fn(&Request) -> StubResponse + Send + Sync + 'static,
 ) -> (Endpoint, Platform, Sender) {
@@ -269,7 +270,8 @@
     assert!(timeout.parse::<u32>().unwrap() <= 4_500, "{timeout}");
 }
 
-/// Time limit for a slot to be free: far less than the time limit of a call, far more than that of a started answer.
+/// Time limit for a slot to be free: far less than the time limit of a call, far more than that of a started
+/// answer.
 const MAX_RELEASE_DELAY: Duration = Duration::from_secs(6);
 
 fn raw(text: &str) -> StubResponse {
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -1,6 +1,6 @@
-//! Placement under faults, with twelve and more real senders. Guards against requests that are forwarded more than once,
-//! accepted messages that are lost, and messages that take effect twice, when members are killed, stopped, added or
-//! removed, connections are cut, and control agents are late, silent or wrong.
+//! Placement under faults, with twelve and more real senders. Guards against requests that are forwarded more
+//! than once, accepted messages that are lost, and messages that take effect twice, when members are killed,
+//! stopped, added or removed, connections are cut, and control agents are late, silent or wrong.
 
 mod common;
 #[path = "common/placement/mod.rs"]
@@ -35,8 +35,8 @@
     Findings::from_ledger(scenario, &rig.fleet.deployment, &rig.ledger)
 }
 
-/// Puts a load of all classes at all members while `faults` happen and for `seconds_after` after them, then waits for the
-/// end of each message.
+/// Puts a load of all classes at all members while `faults` happen and for `seconds_after` after them, then
+/// waits for the end of each message.
 async fn play(rig: &Rig, seconds_after: u64, faults: impl Future<Output = ()>) {
     let load = Load::of(&rig.fleet, RATE);
     let during = async {
@@ -271,7 +271,8 @@
         findings.assert_rules_kept(&ALWAYS);
         assert_only_owners_call(&findings, &[before, rig.control.list()]);
         assert_delivered(&findings, 9);
-        // The new member accepts nothing before the previous owners of its shards must have finished their messages.
+        // The new member accepts nothing before the previous owners of its shards must have finished their
+        // messages.
         let first = findings.table.calls.values().find(|call| call.sender == added).unwrap();
         let hold = micros(rig.fleet.deployment.hold());
         assert!(
@@ -400,7 +401,8 @@
         assert_only_owners_call(&findings, &[rig.control.list()]);
         let answers = findings.answers();
         assert!(answers.busy > 0 && answers.accepted > 100, "{answers:?}");
-        // A full owner refuses, which is no failure. On a busy machine an owner may not answer in time, which is one.
+        // A full owner refuses, which is no failure. On a busy machine an owner may not answer in time, which
+        // is one.
         assert!(answers.failed <= unknown_outcomes(&rig).await, "{answers:?}");
     });
 }
--- a/crates/sender/tests/placement_standins.rs
+++ b/crates/sender/tests/placement_standins.rs
@@ -1,5 +1,5 @@
-//! Tests of the stand-ins of the placement tests, against each other and against one sender. Guards against faults of the
-//! stand-ins themselves, which would hide or imitate faults of the fleet.
+//! Tests of the stand-ins of the placement tests, against each other and against one sender. Guards against
+//! faults of the stand-ins themselves, which would hide or imitate faults of the fleet.
 
 mod common;
 #[path = "common/placement/mod.rs"]
@@ -106,7 +106,8 @@
     }
 }
 
-/// Starts an owner that answers each request with `+OK`; returns its address and a queue of the bytes that it reads.
+/// Starts an owner that answers each request with `+OK`; returns its address and a queue of the bytes that it
+/// reads.
 async fn owner() -> (SocketAddr, tokio::sync::mpsc::UnboundedReceiver<Vec<u8>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -1,5 +1,6 @@
-//! The rehearsal kit with real daemons: hard cases, command line, control and capture. Guards against a daemon that breaks a
-//! rule under lagging discovery, late answers, outages and kills, and against a kit that misjudges a run.
+//! The rehearsal kit with real daemons: hard cases, command line, control and capture. Guards against a
+//! daemon that breaks a rule under lagging discovery, late answers, outages and kills, and against a kit that
+//! misjudges a run.
 
 use embershore_rehearsal::capture::{Tap, capture};
 use embershore_rehearsal::history::{Ended, Event, Standing};
@@ -179,7 +180,8 @@
         let taken = |m: &&Message| m.sender == sender && m.taken().is_some_and(|t| t < at);
         table.messages.iter().filter(|m| taken(m) && open(m)).collect()
     };
-    // At one of the kills there was a message that had not been sent, and at one a message whose call was in flight.
+    // At one of the kills there was a message that had not been sent, and at one a message whose call was in
+    // flight.
     let unsent = |m: &Message, at: i64| table.attempts(m).all(|(c, ..)| c.t > at);
     assert!(kills.iter().any(|(s, at)| open_at(*s, *at).iter().any(|m| unsent(m, *at))));
     let out = |m: &Message, at: i64| {
--- a/crates/sender/tests/reload.rs
+++ b/crates/sender/tests/reload.rs
@@ -1,5 +1,6 @@
-//! Reload of the configuration on SIGHUP. Guards against a reload that applies part of an invalid file, loses changes or
-//! notices at a new discovery address, or changes the rules of messages that were accepted before it.
+//! Reload of the configuration on SIGHUP. Guards against a reload that applies part of an invalid file, loses
+//! changes or notices at a new discovery address, or changes the rules of messages that were accepted before
+//! it.
 
 mod common;
 use common::*;
@@ -183,7 +184,8 @@
     client.ping();
     let path = sender.folder.path().join("config.json");
     let good = std::fs::read_to_string(&path).unwrap();
-    // Twenty files, each with a changed discovery, an additional class and an error. Odd ones are also cut in half.
+    // Twenty files, each with a changed discovery, an additional class and an error. Odd ones are also cut in
+    // half.
     let flaws: [fn(&mut serde_json::Value); 5] = [
         |c| c["settings"]["Profiles"][0]["HardLimitUs"] = (-5).into(),
         |c| c["settings"]["Limits"]["MaxAttempts"] = 0.into(),
--- a/crates/sender/tests/restart.rs
+++ b/crates/sender/tests/restart.rs
@@ -1,5 +1,6 @@
-//! Restarts by SIGKILL and SIGTERM, and the journal with its limits. Guards against accepted messages that are lost,
-//! messages that are sent again although they may have run, and limits and drains that a restart forgets.
+//! Restarts by SIGKILL and SIGTERM, and the journal with its limits. Guards against accepted messages that
+//! are lost, messages that are sent again although they may have run, and limits and drains that a restart
+//! forgets.
 
 mod common;
 use common::*;
@@ -266,7 +267,8 @@
     assert_eq!((endpoint.call_count("a1"), platform.notice_state("a1")), (1, None));
 }
 
-/// Waits until the journal shows an attempt at the endpoint. The stub records a request only after its gate has opened.
+/// Waits until the journal shows an attempt at the endpoint. The stub records a request only after its gate
+/// has opened.
 fn wait_attempt_journaled(_endpoint: &Endpoint, sender: &Sender) {
     wait_until("the attempt in the journal", || sender.journal_contains("s-1"));
 }
@@ -386,8 +388,8 @@
     }
 }
 
-/// Puts a keyed message whose window is 1 s, kills the sender while the first call is unanswered, and starts it again `down`
-/// after that call. Returns how long after the first call each further one came.
+/// Puts a keyed message whose window is 1 s, kills the sender while the first call is unanswered, and starts
+/// it again `down` after that call. Returns how long after the first call each further one came.
 fn repeats_in_window_of_1s(down: Duration) -> Vec<Duration> {
     let endpoint = Endpoint::new(|_| StubResponse::Silence);
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
@@ -405,8 +407,9 @@
 }
 
 const WINDOW: Duration = Duration::from_secs(1);
-/// The sender checks the window right before the first byte of a repeat, without a margin for the transfer. On a busy
-/// machine the stub reads a request up to 62 ms later (4 of 200 restarts at a load of 30 on 8 cores).
+/// The sender checks the window right before the first byte of a repeat, without a margin for the transfer.
+/// On a busy machine the stub reads a request up to 62 ms later (4 of 200 restarts at a load of 30 on 8
+/// cores).
 const TRANSIT: Duration = Duration::from_millis(200);
 
 #[test]
--- a/crates/sender/tests/return_restart.rs
+++ b/crates/sender/tests/return_restart.rs
@@ -1,6 +1,6 @@
-//! Guards against thirty restarted senders that overload two small receivers: the senders are killed one second after the
-//! receivers returned cold, and must not forget that they are warming up. Alone in its file, since so many processes
-//! next to other rehearsals would make the rig late.
+//! Guards against thirty restarted senders that overload two small receivers: the senders are killed one
+//! second after the receivers returned cold, and must not forget that they are warming up. Alone in its file,
+//! since so many processes next to other rehearsals would make the rig late.
 
 use embershore_rehearsal::judge::{Rule, Verdict};
 use embershore_rehearsal::report::report;
--- a/crates/sender/tests/settings.rs
+++ b/crates/sender/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Configurations in which one field is missing, null or out of bounds. Guards against a sender that panics, hangs or exits
-//! without naming the field: it must either serve or name it.
+//! Configurations in which one field is missing, null or out of bounds. Guards against a sender that panics,
+//! hangs or exits without naming the field: it must either serve or name it.
 
 mod common;
 use common::*;
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -1,5 +1,6 @@
-//! Accepted messages that were not tried before a kill. Guards against a restart that returns or drops them without a call:
-//! from one message up to the limit of open messages, with receivers that are prompt, slow, refusing or unreachable.
+//! Accepted messages that were not tried before a kill. Guards against a restart that returns or drops them
+//! without a call: from one message up to the limit of open messages, with receivers that are prompt, slow,
+//! refusing or unreachable.
 
 mod common;
 use common::*;
@@ -17,8 +18,8 @@
     format!("m{n}")
 }
 
-/// Starts a sender, puts this many messages, none of which can be tried, and kills it. Message n goes to destination
-/// 3 + n % `dests`.
+/// Starts a sender, puts this many messages, none of which can be tried, and kills it. Message n goes to
+/// destination 3 + n % `dests`.
 fn killed_with_untried(count: usize, dests: i64, time: u32) -> (Platform, Sender, Instant) {
     let platform = Platform::new((3..3 + dests).map(placeholder).collect());
     let mut sender = Sender::start(&platform);
@@ -87,8 +88,9 @@
         _ = client.put(&format!("new{n}"), &format!("c=pay,d=15000,dest={}", 3 + n % 2));
     }
     (0..20).for_each(|n| [&slow, &prompt][n % 2].wait_sent(&id(n)));
-    // Each message has been called. The slow receiver answers one call at a time: a call that waits in its queue for too long
-    // is given up as silent, and its message ends if it may not be sent again (unsafe) or only within a window (keyed).
+    // Each message has been called. The slow receiver answers one call at a time: a call that waits in its
+    // queue for too long is given up as silent, and its message ends if it may not be sent again (unsafe) or
+    // only within a window (keyed).
     let ends = platform.notices();
     let mut found = ends.iter().filter_map(|n| n["id"].as_str().unwrap().strip_prefix('m'));
     assert!(found.all(|n| n.parse::<usize>().unwrap() % 3 != 0), "{ends:?}");
@@ -102,8 +104,8 @@
     sender.spawn();
     let ends = notice_times(&platform, 12, begun);
     let uncalled: Vec<_> = ends.iter().filter(|(id, _)| endpoint.call_count(id) == 0).collect();
-    // An unhealthy endpoint gets single trials, in the end one second apart: within nine seconds some of the twelve may get no
-    // trial, and end at their deadline.
+    // An unhealthy endpoint gets single trials, in the end one second apart: within nine seconds some of the
+    // twelve may get no trial, and end at their deadline.
     assert!(uncalled.len() < 6, "ended without a call, expected fewer than 6 of 12: {uncalled:?}");
     assert!(uncalled.iter().all(|(_, at)| *at >= Duration::from_millis(8_900)), "{uncalled:?}");
 }
