--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -170,8 +170,8 @@
 
     async fn take_notices(&self, sender: usize, request: Request<Incoming>) -> Response<Body> {
         let Some(body) = http::read_body(request).await else { return http::empty(400) };
-        let reported = body.split(|b| *b == b'\n').filter(|line| !line.is_empty());
-        let notices: Result<Vec<Notice>, _> = reported.map(serde_json::from_slice).collect();
+        let lines = body.split(|b| *b == b'\n').filter(|line| !line.is_empty());
+        let notices: Result<Vec<Notice>, _> = lines.map(serde_json::from_slice).collect();
         let Ok(notices) = notices else { return http::empty(400) };
         for Notice { id, state, after_ms } in notices {
             self.ledger.record(Event::Notice { sender, id: id.clone(), state, after_ms });
--- a/crates/sender/tests/common/placement/fleet.rs
+++ b/crates/sender/tests/common/placement/fleet.rs
@@ -239,7 +239,7 @@
         while !self.has_placement(index).await {
             assert!(
                 started.elapsed() < crate::common::TEST_TIMEOUT,
-                "{} has no member list or unread shards; {}",
+                "{} has no member list, or has not read the endpoints of all its shards; {}",
                 name(index),
                 self.log(index)
             );
