--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -1,4 +1,6 @@
-//! The clients' side, and what discovery's list does to calls.
+//! The client interface, and the effect of discovery's list on calls. Guards against malformed, idle or
+//! excessive clients that harm others, messages that are accepted twice or not at all, and calls to draining
+//! endpoints.
 
 mod common;
 use common::*;
@@ -12,12 +14,12 @@
 const SYNC: &str = "c=sync,d=15000,dest=3";
 const PAY: &str = "c=pay,d=15000,dest=3";
 
-/// Time for what is to happen within 3 s of connecting, on a busy machine too.
-const SOON: Duration = Duration::from_secs(8);
+/// Time limit, with room for a busy machine, of what must happen within 3 s after a client connects.
+const MAX_CLOSE_DELAY: Duration = Duration::from_secs(8);
 
-fn one() -> (Endpoint, Platform, Sender) {
+fn sender_with_endpoint() -> (Endpoint, Platform, Sender) {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     sender.client().ping();
     (endpoint, platform, sender)
@@ -25,21 +27,21 @@
 
 #[test]
 fn ping_is_answered_only_once_the_list_is_known() {
-    // Discovery that takes connections and says nothing, and no list from before.
+    // Discovery accepts connections without answering, and there is no known list.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
-    let quiet = silent.local_addr().unwrap().to_string();
-    let sender = Sender::with(&platform, |c| c["discovery"] = quiet.clone().into());
+    let silent_addr = silent.local_addr().unwrap().to_string();
+    let sender = Sender::with(&platform, |c| c["discovery"] = silent_addr.clone().into());
     let mut client = sender.client();
     client.write(&resp(&[b"PING"]));
     client.stream.set_read_timeout(Some(Duration::from_millis(1500))).unwrap();
-    assert!(client.stream.read(&mut [0; 8]).is_err(), "answered without a list");
+    assert!(client.stream.read(&mut [0; 8]).is_err(), "PING was answered although no list is known");
 
-    // With one from before, though it may be old, it starts after a while.
+    // With a known list, which may be old, the sender becomes ready after a while.
     let endpoint = Endpoint::new(|_| status(200));
-    let known = line("s-1", endpoint.addr, "one", 3, "Ready");
+    let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let sender = Sender::with(&platform, |c| {
-        c["discovery"] = quiet.clone().into();
+        c["discovery"] = silent_addr.clone().into();
         c["known"]["endpoints"] = vec![known.clone()].into();
     });
     let mut client = sender.client();
@@ -50,7 +52,7 @@
 
 #[test]
 fn split_and_pipelined_requests_are_answered_in_order() {
-    let (endpoint, _platform, sender) = one();
+    let (endpoint, _platform, sender) = sender_with_endpoint();
     let mut client = sender.client();
     client.stream.set_nodelay(true).unwrap();
     let mut bytes = put("a1", "c=sync,d=15000,dest=3,t=acme", b"x\r\n*1\r\n");
@@ -67,12 +69,12 @@
     endpoint.wait_sent("a1");
     endpoint.wait_sent("a3");
     assert_eq!(endpoint.requests().iter().find(|r| r.ids() == ["a1"]).unwrap().body, b"x\r\n*1\r\n");
-    assert_eq!(endpoint.times("a2"), 0);
+    assert_eq!(endpoint.call_count("a2"), 0);
 }
 
 #[test]
 fn bad_input_gets_an_error_and_harms_nobody() {
-    let (endpoint, _platform, mut sender) = one();
+    let (endpoint, _platform, mut sender) = sender_with_endpoint();
     let long = "1".repeat(40);
     let lines: Vec<Vec<u8>> = vec![
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
@@ -87,7 +89,7 @@
         let mut client = sender.client();
         client.write(&bytes);
         assert!(client.read().starts_with("-ERR"), "{bytes:?}");
-        assert_eq!(client.read(), "", "the connection ends");
+        assert_eq!(client.read(), "", "the connection must end after the error");
     }
     let mut client = sender.client();
     for fields in
@@ -109,8 +111,8 @@
 }
 
 #[test]
-fn what_no_sender_could_take_on_is_an_error() {
-    let (endpoint, platform, sender) = one();
+fn a_message_that_no_sender_could_accept_is_an_error() {
+    let (endpoint, platform, sender) = sender_with_endpoint();
     let mut client = sender.client();
     for fields in [
         "c=none,d=15000,dest=3",
@@ -128,26 +130,31 @@
     assert!(client.read().starts_with("-ERR"));
     assert_eq!(client.put("a1", "c=pay,d=28000,dest=3"), "+OK");
     endpoint.wait_sent("a1");
-    // Where all endpoints have just gone the destination is known still.
-    sender.hears(|| platform.tell(true, vec![]), "s-1");
+    // A destination whose endpoints are all gone is still known.
+    sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     assert_eq!(client.put("a2", PAY), "+OK");
     assert_eq!(endpoint.sent(), ["a1"]);
 }
 
 #[test]
-fn connections_that_say_nothing_of_use_are_closed() {
-    let (_endpoint, _platform, sender) = one();
+fn idle_and_half_written_connections_are_closed() {
+    let (_endpoint, _platform, sender) = sender_with_endpoint();
     let start = Instant::now();
-    let half = put("a1", SYNC, b"hello");
+    let half_command = put("a1", SYNC, b"hello");
     let mut clients: Vec<Client> = (0..3).map(|_| sender.client()).collect();
-    clients[1].write(&half[..half.len() - 3]);
+    clients[1].write(&half_command[..half_command.len() - 3]);
     clients[2].ping();
     for mut client in clients {
         let answer = client.read();
         assert!(answer.is_empty() || answer.starts_with("-ERR"), "{answer}");
-        assert!(start.elapsed() < SOON, "{:?}", start.elapsed());
+        assert!(
+            start.elapsed() < MAX_CLOSE_DELAY,
+            "took {:?}, expected less than {:?}",
+            start.elapsed(),
+            MAX_CLOSE_DELAY
+        );
     }
-    // One that goes on asking is kept.
+    // A connection with regular requests is kept open.
     let mut client = sender.client();
     while start.elapsed() < Duration::from_secs(4) {
         client.ping();
@@ -157,7 +164,7 @@
 
 #[test]
 fn a_command_that_keeps_coming_is_served_however_long_it_takes() {
-    let (endpoint, _platform, sender) = one();
+    let (endpoint, _platform, sender) = sender_with_endpoint();
     let command = put("slow", &format!("{SYNC},t=acme"), b"hello");
     let (mut slow, mut halves) = (sender.client(), sender.client());
     let other = put("halves", &format!("{SYNC},t=acme"), b"hello");
@@ -166,9 +173,9 @@
     for (n, byte) in command.iter().enumerate() {
         slow.write(&[*byte]);
         std::thread::sleep(Duration::from_millis(30));
-        // The rest of the second one comes after two seconds of silence.
+        // The rest of the second command comes after two seconds of silence.
         if n == command.len() * 2 / 3 {
-            wait_until("two seconds", || start.elapsed() > Duration::from_millis(2050));
+            wait_until("two seconds to pass", || start.elapsed() > Duration::from_millis(2050));
             halves.write(&other[30..]);
         }
     }
@@ -181,24 +188,24 @@
 #[test]
 fn real_clients_are_served_among_thousands_of_idle_and_half_written_connections() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let mut sender = Sender::with(&platform, |c| {
         c["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": 24, "sockets": 192, "disk_mb": 3});
     });
-    let half = &put("half", SYNC, b"hello")[..30];
-    let mut crowd = Vec::new();
+    let half_command = &put("half", SYNC, b"hello")[..30];
+    let mut connections = Vec::new();
     let mut closed = 0;
     for n in 0..3000 {
         let mut one = sender.client();
         match n % 3 {
             0 => {}
-            1 => one.write(half),
+            1 => one.write(half_command),
             _ => {
-                // Its connection may have been taken for that of a later one already.
+                // The sender may have closed this connection already to make room for a later one.
                 one.write(&resp(&[b"PING"]));
             }
         }
-        crowd.push(one);
+        connections.push(one);
         if n % 100 == 99 {
             let id = format!("a{n}");
             let mut answer = String::new();
@@ -211,27 +218,27 @@
             }
             assert_eq!(answer, "+OK");
             endpoint.wait_sent(&id);
-            crowd.truncate(600);
+            connections.truncate(600);
         }
         if n == 1500 {
             sender.kill();
             sender.spawn();
         }
     }
-    assert!(closed <= 3, "{closed} of 30 were closed unserved");
-    assert!(sender.memory_kb() < 24_000, "{} KB", sender.memory_kb());
+    assert!(closed <= 3, "{closed} of 30 connections were closed without a reply, expected at most 3");
+    assert!(sender.memory_kb() < 24_000, "{} KB resident, expected less than 24,000", sender.memory_kb());
 }
 
 #[test]
 fn silent_connections_do_not_keep_out_others() {
-    let (endpoint, _platform, sender) = one();
-    let mut usual = sender.client();
-    usual.ping();
-    // 256 descriptors leave 85 places.
+    let (endpoint, _platform, sender) = sender_with_endpoint();
+    let mut active = sender.client();
+    active.ping();
+    // 256 descriptors leave room for 85 clients.
     let silent: Vec<Client> = (0..200).map(|_| sender.client()).collect();
-    let mut late = sender.client();
-    assert_eq!(late.put("a1", SYNC), "+OK");
-    assert_eq!(usual.put("a2", SYNC), "+OK", "one that has asked something is kept");
+    let mut last = sender.client();
+    assert_eq!(last.put("a1", SYNC), "+OK");
+    assert_eq!(active.put("a2", SYNC), "+OK", "a connection that has sent a request must be kept open");
     endpoint.wait_sent("a1");
     endpoint.wait_sent("a2");
     drop(silent);
@@ -239,11 +246,11 @@
 
 #[test]
 fn an_error_is_not_overtaken_by_a_reset_while_its_client_writes_on() {
-    let (_endpoint, _platform, sender) = one();
+    let (_endpoint, _platform, sender) = sender_with_endpoint();
     for _ in 0..5 {
         let mut client = sender.client();
         client.write(b"*5\r\n$7\r\nMSG.PUT\r\n$60000000\r\nxxx");
-        // The error has come; what is written now meets a connection that is being ended.
+        // The error has arrived; the following bytes reach a connection that is being closed.
         client.stream.peek(&mut [0; 1]).unwrap();
         (0..10).for_each(|_| client.write(&[b'x'; 10_000]));
         assert!(client.read().starts_with("-ERR"));
@@ -254,19 +261,19 @@
 #[test]
 fn long_commands_take_turns_in_little_memory() {
     let endpoint = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
-    // An eighth of it is room for seven long commands.
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
+    // An eighth of the memory is room for seven long commands.
     let sender = Sender::with(&platform, |c| c["limits"]["memory_mb"] = 8.into());
     let mut client = sender.client();
     client.ping();
     let before = sender.memory_kb();
     let long = resp(&[b"MSG.PUT", &[7; 60_000], &[7; 60_000]]);
     let mut clients: Vec<Client> = (0..60).map(|_| sender.client()).collect();
-    // All but the end of each: those without room wait, and are let in when others have been ended.
+    // All but the last byte of each command: those without room wait, and are read once others are done.
     clients.iter_mut().for_each(|c| c.write(&long[..long.len() - 1]));
     (0..50).for_each(|_| client.ping());
     let grown = sender.memory_kb().saturating_sub(before);
-    assert!(grown < 4_000, "{grown} KB");
+    assert!(grown < 4_000, "the memory grew by {grown} KB, expected less than 4,000");
     drop(clients);
     client.write(&put("a1", "c=sync,d=15000,dest=3,t=acme", &[7; 60_000]));
     assert_eq!(client.read(), "+OK");
@@ -275,27 +282,27 @@
 
 #[test]
 fn no_more_messages_are_held_than_the_limit() {
-    let (_endpoint, platform, sender) = one();
-    sender.hears(|| platform.tell(true, vec![]), "s-1");
+    let (_endpoint, platform, sender) = sender_with_endpoint();
+    sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     let mut client = sender.client();
     let answers: Vec<String> =
         (0..60).map(|n| client.put(&format!("a{n}"), "c=pay,d=28000,dest=3")).collect();
     let taken = answers.iter().filter(|a| *a == "+OK").count();
-    assert!(taken <= 40, "{taken} taken");
+    assert!(taken <= 40, "{taken} messages accepted, expected at most 40");
     assert_eq!(platform.notices().len(), 0);
     assert!(answers.iter().any(|a| a.starts_with("-BUSY")), "{answers:?}");
 }
 
 #[test]
 fn a_client_that_leaves_before_its_answer_withdraws_its_message() {
-    // Without a list no answer is given yet: the client has gone by the time there is one.
+    // Without a list the reply is delayed: the client has closed its connection before it.
     let endpoint = Endpoint::new(|_| status(200));
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
-    let (quiet, known) =
-        (silent.local_addr().unwrap().to_string(), line("s-1", endpoint.addr, "one", 3, "Ready"));
+    let (silent_addr, known) =
+        (silent.local_addr().unwrap().to_string(), listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready"));
     let sender = Sender::with(&platform, |c| {
-        c["discovery"] = quiet.clone().into();
+        c["discovery"] = silent_addr.clone().into();
         c["known"]["endpoints"] = vec![known.clone()].into();
     });
     let mut client = sender.client();
@@ -305,32 +312,32 @@
     let mut client = sender.client();
     assert_eq!(client.put("a2", SYNC), "+OK");
     endpoint.wait_sent("a2");
-    assert_eq!(endpoint.times("a1"), 0);
+    assert_eq!(endpoint.call_count("a1"), 0);
 }
 
 #[test]
 fn the_same_message_on_a_second_connection_is_taken_once() {
-    let (endpoint, platform, sender) = one();
-    sender.hears(|| platform.tell(true, vec![]), "s-1");
+    let (endpoint, platform, sender) = sender_with_endpoint();
+    sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     assert_eq!(sender.client().put("a1", PAY), "+OK");
     assert_eq!(sender.client().put("a1", PAY), "+OK");
-    platform.tell(true, vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     endpoint.wait_sent("a1");
     assert_eq!(sender.client().put("a2", PAY), "+OK");
     endpoint.wait_sent("a2");
-    assert_eq!(endpoint.times("a1"), 1);
+    assert_eq!(endpoint.call_count("a1"), 1);
 }
 
 #[test]
-fn a_second_copy_is_not_called_taken_before_the_first_is_written_down() {
-    // Before the list is known nothing is taken on yet; one journal record of this size does not fit.
+fn a_second_copy_is_not_accepted_before_the_first_is_journaled() {
+    // Before the list is known nothing is accepted; a journal record of this size does not fit.
     let endpoint = Endpoint::new(|_| status(200));
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
-    let quiet = silent.local_addr().unwrap().to_string();
-    let known = line("s-1", endpoint.addr, "one", 3, "Ready");
+    let silent_addr = silent.local_addr().unwrap().to_string();
+    let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let sender = Sender::with(&platform, |c| {
-        c["discovery"] = quiet.clone().into();
+        c["discovery"] = silent_addr.clone().into();
         c["known"]["endpoints"] = vec![known.clone()].into();
         c["limits"]["disk_mb"] = 0.02.into();
     });
@@ -351,22 +358,27 @@
         status(200)
     });
     let new = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", old.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", old.addr, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     let mut client = sender.client();
     assert_eq!(client.put("a1", PAY), "+OK");
-    wait_until("the attempt in the journal", || sender.journal_holds("s-1"));
-    let (drains, comes) =
-        (line("s-1", old.addr, "one", 3, "Terminating"), line("s-2", new.addr, "one", 3, "Ready"));
-    sender.hears(|| platform.tell(false, vec![comes.clone(), drains.clone()]), "s-1");
+    wait_until("the attempt in the journal", || sender.journal_contains("s-1"));
+    let (draining, added) = (
+        listed_endpoint("s-1", old.addr, "one", 3, "Terminating"),
+        listed_endpoint("s-2", new.addr, "one", 3, "Ready"),
+    );
+    sender.wait_drain_recorded(|| platform.publish(false, vec![added.clone(), draining.clone()]), "s-1");
     for id in ["a2", "a3"] {
         assert_eq!(client.put(id, PAY), "+OK");
         new.wait_sent(id);
     }
     gate.open();
     old.wait_sent("a1");
-    // Gone by a full list that lacks it.
-    sender.hears(|| platform.tell(true, vec![line("s-1", old.addr, "one", 3, "Ready")]), "s-2");
+    // The full list lacks `s-2`, so that endpoint is gone.
+    sender.wait_drain_recorded(
+        || platform.publish(true, vec![listed_endpoint("s-1", old.addr, "one", 3, "Ready")]),
+        "s-2",
+    );
     assert_eq!(client.put("a4", PAY), "+OK");
     old.wait_sent("a4");
     assert_eq!((old.sent(), new.sent()), (vec!["a1".into(), "a4".into()], vec!["a2".into(), "a3".into()]));
@@ -374,41 +386,44 @@
 }
 
 #[test]
-fn a_drain_that_is_learnt_while_a_connection_comes_up_stops_the_call() {
-    let mut old = Crammed::new();
+fn a_drain_that_becomes_known_while_a_connection_comes_up_stops_the_call() {
+    let mut old = FullBacklogEndpoint::new();
     let new = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("s-1", old.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", old.addr, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     let mut client = sender.client();
     assert_eq!(client.put("a1", PAY), "+OK");
     std::thread::sleep(Duration::from_millis(100));
-    platform.tell(
+    platform.publish(
         false,
-        vec![line("s-1", old.addr, "one", 3, "Terminating"), line("s-2", new.addr, "one", 3, "Ready")],
+        vec![
+            listed_endpoint("s-1", old.addr, "one", 3, "Terminating"),
+            listed_endpoint("s-2", new.addr, "one", 3, "Ready"),
+        ],
     );
     std::thread::sleep(Duration::from_millis(100));
     let start = Instant::now();
-    while start.elapsed() < Duration::from_secs(10) && new.times("a1") == 0 {
-        old.serve();
+    while start.elapsed() < Duration::from_secs(10) && new.call_count("a1") == 0 {
+        old.accept_and_read();
         std::thread::sleep(Duration::from_millis(1));
     }
-    assert_eq!(new.times("a1"), 1, "sent to the other endpoint instead");
+    assert_eq!(new.call_count("a1"), 1, "the message must be sent to the other endpoint instead");
     assert_eq!(old.calls, Vec::<String>::new(), "{} fillers", old.fillers.len());
 }
 
 #[test]
 fn a_message_that_ends_while_its_calls_connection_comes_up_is_left_out() {
-    // Two share a call; one's time is up before the connection to the endpoint is.
-    let mut endpoint = Crammed::new();
+    // Two messages share a call; one reaches its deadline before the connection is established.
+    let mut endpoint = FullBacklogEndpoint::new();
     let platform = Platform::new(vec![placeholder(3)]);
     let sender = Sender::start(&platform);
     let mut client = sender.client();
     assert_eq!(client.put("short", "c=pay,d=600,dest=3"), "+OK");
     assert_eq!(client.put("long", "c=pay,d=15000,dest=3"), "+OK");
-    platform.tell(false, vec![line("s-1", endpoint.addr, "many", 3, "Ready")]);
-    wait_until("the short one's end", || platform.state_of("short").is_some());
-    wait_until("the call", || {
-        endpoint.serve();
+    platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "many", 3, "Ready")]);
+    wait_until("a notice for the short message", || platform.notice_state("short").is_some());
+    wait_until("the call with the long message", || {
+        endpoint.accept_and_read();
         endpoint.calls.concat().contains("long")
     });
     let (calls, fillers) = (&endpoint.calls, endpoint.fillers.len());
@@ -417,29 +432,30 @@
 
 #[test]
 fn a_watch_that_breaks_is_resumed_from_the_last_index() {
-    let (_endpoint, platform, sender) = one();
+    let (_endpoint, platform, sender) = sender_with_endpoint();
     let other = Endpoint::new(|_| status(200));
-    let watches = || platform.paths().into_iter().filter(|p| p.contains("follow=1")).collect::<Vec<_>>();
+    let watches =
+        || platform.request_lines().into_iter().filter(|p| p.contains("follow=1")).collect::<Vec<_>>();
     wait_until("the first watch", || watches().len() == 1);
-    platform.tell(false, vec![]);
+    platform.publish(false, vec![]);
     platform.drop_watches();
-    platform.tell(false, vec![line("s-9", other.addr, "one", 9, "Ready")]);
-    wait_until("the watch again", || watches().len() >= 2);
-    assert!(watches()[1].contains("since=8"), "{:?}", platform.paths());
+    platform.publish(false, vec![listed_endpoint("s-9", other.addr, "one", 9, "Ready")]);
+    wait_until("a second watch", || watches().len() >= 2);
+    assert!(watches()[1].contains("since=8"), "{:?}", platform.request_lines());
     wait_until("the destination to be known", || sender.client().put("a1", "c=pay,d=15000,dest=9") == "+OK");
     other.wait_sent("a1");
 }
 
-/// Connections that say nothing, so many at a time: each that the sender ends comes again.
-fn idle_crowd(addr: std::net::SocketAddr, size: usize, until: Arc<AtomicBool>) -> thread::JoinHandle<()> {
+/// Keeps `size` idle connections open, replacing them one after another, until `stop` is set.
+fn idle_crowd(addr: std::net::SocketAddr, size: usize, stop: Arc<AtomicBool>) -> thread::JoinHandle<()> {
     thread::spawn(move || {
-        let mut crowd: Vec<Option<TcpStream>> = (0..size).map(|_| None).collect();
+        let mut connections: Vec<Option<TcpStream>> = (0..size).map(|_| None).collect();
         for place in (0..size).cycle() {
-            if until.load(Ordering::SeqCst) {
+            if stop.load(Ordering::SeqCst) {
                 return;
             }
-            // The one before it is closed only once there is another.
-            crowd[place] = TcpStream::connect(addr).ok();
+            // The old connection is closed only after the new one is open.
+            connections[place] = TcpStream::connect(addr).ok();
             thread::sleep(Duration::from_millis(if place % 8 == 0 { 4 } else { 0 }));
         }
     })
@@ -447,42 +463,52 @@
 
 #[test]
 fn idle_clients_that_fill_the_descriptors_do_not_keep_discovery_out_at_its_return() {
-    let (gone, fresh) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
-    let known = line("s-1", gone.addr, "one", 3, "Ready");
-    let (platform, down) = (Platform::new(Vec::new()), Refusing::new());
+    let (drained, fresh) = (Endpoint::new(|_| status(200)), Endpoint::new(|_| status(200)));
+    let known = listed_endpoint("s-1", drained.addr, "one", 3, "Ready");
+    let (platform, down) = (Platform::new(Vec::new()), RefusingAddress::new());
     let mut sender = Sender::with(&platform, |c| {
         c["limits"]["sockets"] = 96.into();
         c["known"] = serde_json::json!({"index": 7, "snapshot": true, "endpoints": [known]});
         c["discovery"] = down.addr.to_string().into();
     });
     sender.kill();
-    sender.files = Some(96);
+    sender.max_files = Some(96);
     sender.spawn();
     sender.client().ping();
-    let over = Arc::new(AtomicBool::new(false));
-    let crowd = idle_crowd(sender.addr, 400, over.clone());
+    let stop = Arc::new(AtomicBool::new(false));
+    let connections = idle_crowd(sender.addr, 400, stop.clone());
     thread::sleep(Duration::from_secs(3));
-    let lines = [line("s-1", gone.addr, "one", 3, "Terminating"), line("s-2", fresh.addr, "one", 3, "Ready")];
+    let lines = [
+        listed_endpoint("s-1", drained.addr, "one", 3, "Terminating"),
+        listed_endpoint("s-2", fresh.addr, "one", 3, "Ready"),
+    ];
     let list = serde_json::json!({"index": 8, "snapshot": true, "endpoints": lines}).to_string();
     let returned = Instant::now();
-    let discovery = Scripted::at(down.listen(), move |request, _, stream| match &*request.line {
+    let discovery = ScriptedPlatform::at(down.listen(), move |request, _, stream| match &*request.line {
         l if l.contains("follow") => {
-            begin(stream);
-            piece(stream, &format!("{list}\n"));
+            begin_chunked(stream);
+            write_chunk(stream, &format!("{list}\n"));
         }
-        l if l.contains("/v1/servers") => answer(stream, 200, &list),
-        _ => answer(stream, 204, ""),
+        l if l.contains("/v1/servers") => write_answer(stream, 200, &list),
+        _ => write_answer(stream, 204, ""),
     });
-    wait_until("the drain", || sender.journal_holds("s-1"));
-    assert!(returned.elapsed() < Duration::from_secs(6), "{:?}", returned.elapsed());
+    wait_until("the drain in the journal", || sender.journal_contains("s-1"));
+    assert!(
+        returned.elapsed() < Duration::from_secs(6),
+        "took {:?}, expected less than {:?}",
+        returned.elapsed(),
+        Duration::from_secs(6)
+    );
     for n in 0..10 {
         let id = format!("a{n}");
-        // A new connection may be shut unread among so many: its client comes again.
-        wait_until("an answer", || sender.try_put(&id, "c=sync,d=15000,dest=3").as_deref() == Some("+OK"));
+        // Among so many a new connection may be closed unread: its client tries again.
+        wait_until("an accepted put", || {
+            sender.try_put(&id, "c=sync,d=15000,dest=3").as_deref() == Some("+OK")
+        });
         fresh.wait_sent(&id);
     }
-    over.store(true, Ordering::SeqCst);
-    crowd.join().unwrap();
-    assert!(sender.is_running() && gone.sent().is_empty());
-    assert!(!discovery.times("watch").is_empty());
+    stop.store(true, Ordering::SeqCst);
+    connections.join().unwrap();
+    assert!(sender.is_running() && drained.sent().is_empty());
+    assert!(!discovery.request_times("watch").is_empty());
 }
--- a/crates/sender/tests/common/mod.rs
+++ b/crates/sender/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Stub peers on loopback sockets, and the sender's own process between them.
+//! Stub endpoints and a stub platform on loopback sockets, and real sender processes that run between them.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -12,25 +12,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here should take on a busy machine.
-pub const LIMIT: Duration = Duration::from_secs(20);
+/// Time limit of each wait; longer than any awaited step takes on a busy machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until `ready` holds; fails the test if it never does.
+/// Polls `ready` until it holds.
+///
+/// # Panics
+/// If it does not hold within [`TEST_TIMEOUT`].
 pub fn wait_until(what: &str, mut ready: impl FnMut() -> bool) {
     let start = Instant::now();
     while !ready() {
-        assert!(start.elapsed() < LIMIT, "waited in vain for: {what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "timed out after {TEST_TIMEOUT:?} waiting for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// An HTTP request as a stub read it.
+/// An HTTP request that a stub received.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Which of the stub's connections it came on.
+    /// Number of the stub's connection that carried it, from 0 in order of acceptance.
     pub connection: usize,
     pub at: Instant,
 }
@@ -44,7 +47,7 @@
         self.line.contains("/v1/messages:batch")
     }
 
-    /// The ids of the messages in it.
+    /// Returns the ids of the messages that it carries.
     pub fn ids(&self) -> Vec<String> {
         if self.is_batch() {
             let items: Vec<Value> = serde_json::from_slice(&self.body).unwrap();
@@ -70,26 +73,27 @@
     Some(Request { line: line.trim_end().to_string(), headers, body, connection, at: Instant::now() })
 }
 
-/// What an endpoint does with a request.
+/// How a stub endpoint responds to a request.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Answers with a status, header lines and a body.
+pub enum StubResponse {
+    /// Sends an answer with this status, these headers and this body.
     Answer(u16, Vec<(&'static str, String)>, String),
-    /// Writes these bytes and keeps the connection.
+    /// Writes these bytes and keeps the connection open.
     Raw(String),
-    /// Says nothing and keeps the connection.
+    /// Sends nothing and keeps the connection open.
     Silence,
     /// Closes the connection without an answer.
-    Break,
+    Close,
 }
 
-pub fn status(code: u16) -> Act {
-    Act::Answer(code, Vec::new(), String::new())
+/// An answer with this status, without headers or a body.
+pub fn status(code: u16) -> StubResponse {
+    StubResponse::Answer(code, Vec::new(), String::new())
 }
 
-type Script = Box<dyn Fn(&Request) -> Act + Send + Sync>;
+type Script = Box<dyn Fn(&Request) -> StubResponse + Send + Sync>;
 
-/// An endpoint that acts by a script and keeps what it was sent.
+/// A stub endpoint that responds by a script and records the requests that it received.
 pub struct Endpoint {
     pub addr: SocketAddr,
     requests: Arc<Mutex<Vec<Request>>>,
@@ -98,7 +102,7 @@
 }
 
 impl Endpoint {
-    pub fn new(script: impl Fn(&Request) -> Act + Send + Sync + 'static) -> Self {
+    pub fn new(script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let requests: Arc<Mutex<Vec<Request>>> = Arc::default();
@@ -117,7 +121,7 @@
                         let act = script.lock().unwrap()(&request);
                         requests.lock().unwrap().push(request);
                         match act {
-                            Act::Answer(code, headers, body) => {
+                            StubResponse::Answer(code, headers, body) => {
                                 let mut text =
                                     format!("HTTP/1.1 {code} X\r\ncontent-length: {}\r\n", body.len());
                                 for (name, value) in headers {
@@ -128,13 +132,13 @@
                                     break;
                                 }
                             }
-                            Act::Raw(text) => {
+                            StubResponse::Raw(text) => {
                                 if stream.write_all(text.as_bytes()).is_err() {
                                     break;
                                 }
                             }
-                            Act::Silence => {}
-                            Act::Break => break,
+                            StubResponse::Silence => {}
+                            StubResponse::Close => break,
                         }
                     }
                     _ = stream.shutdown(Shutdown::Both);
@@ -145,91 +149,97 @@
         endpoint
     }
 
-    pub fn act(&self, script: impl Fn(&Request) -> Act + Send + Sync + 'static) {
+    /// Replaces the script for later requests.
+    pub fn set_script(&self, script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) {
         *self.script.lock().unwrap() = Box::new(script);
     }
 
+    /// Returns the received requests in order of arrival.
     pub fn requests(&self) -> Vec<Request> {
         self.requests.lock().unwrap().clone()
     }
 
-    /// Messages that were sent, in order, each as often as it was.
+    /// Returns the ids of the received messages in order of arrival, once for each call.
     pub fn sent(&self) -> Vec<String> {
         self.requests().iter().flat_map(Request::ids).collect()
     }
 
-    pub fn times(&self, id: &str) -> usize {
+    /// Returns how many calls carried the message.
+    pub fn call_count(&self, id: &str) -> usize {
         self.sent().iter().filter(|s| *s == id).count()
     }
 
+    /// Waits until a call with the message has arrived.
     pub fn wait_sent(&self, id: &str) {
-        wait_until(&format!("a call with {id}"), || self.times(id) > 0);
+        wait_until(&format!("a call with {id}"), || self.call_count(id) > 0);
     }
 
-    /// Connections that have ended.
-    pub fn closed(&self) -> Vec<usize> {
+    /// Returns the numbers of the connections that have ended.
+    pub fn closed_connections(&self) -> Vec<usize> {
         self.closed.lock().unwrap().clone()
     }
 }
 
-/// An endpoint that makes a destination known and takes nothing.
+/// A listing entry that makes a destination known but accepts no calls, because the endpoint is draining.
 pub fn placeholder(group: i64) -> Value {
-    line(&format!("away-{group}"), "127.0.0.1:9".parse().unwrap(), "one", group, "Terminating")
+    listed_endpoint(&format!("away-{group}"), "127.0.0.1:9".parse().unwrap(), "one", group, "Terminating")
 }
 
-/// A line of discovery.
-pub fn line(name: &str, addr: SocketAddr, kind: &str, group: i64, status: &str) -> Value {
+/// An endpoint's entry in a listing.
+pub fn listed_endpoint(name: &str, addr: SocketAddr, kind: &str, group: i64, status: &str) -> Value {
     json!({"name": name, "address": addr.to_string(), "zone": "a", "type": kind, "group": group,
            "status": status, "weight": 100.0, "since_ms": 0})
 }
 
-struct Watchers {
-    streams: Vec<TcpStream>,
-    log: Vec<(u64, Value)>,
-    whole: Vec<Value>,
-    paths: Vec<String>,
+struct DiscoveryState {
+    watches: Vec<TcpStream>,
+    changes: Vec<(u64, Value)>,
+    full_list: Vec<Value>,
+    request_lines: Vec<String>,
     index: u64,
-    whole_at: u64,
-    /// Questions that are answered with 503.
-    turned_away: usize,
+    full_list_index: u64,
+    /// How many further list requests are answered with 503.
+    polls_to_reject: usize,
 }
 
-/// Discovery and the platform's ear for notices.
+/// A stub of the platform: serves discovery's listings and receives notices.
 pub struct Platform {
     pub addr: SocketAddr,
-    watchers: Arc<Mutex<Watchers>>,
+    discovery: Arc<Mutex<DiscoveryState>>,
     notices: Arc<Mutex<Vec<Value>>>,
-    deaf: Arc<Mutex<bool>>,
-    /// Connections that are open.
+    reject_notices: Arc<Mutex<bool>>,
+    /// Number of open connections.
     open: Arc<AtomicUsize>,
 }
 
 impl Platform {
+    /// Starts a platform whose first full list has these entries.
     pub fn new(endpoints: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let watchers = Watchers {
-            streams: Vec::new(),
-            log: Vec::new(),
-            whole: endpoints,
-            paths: Vec::new(),
+        let state = DiscoveryState {
+            watches: Vec::new(),
+            changes: Vec::new(),
+            full_list: endpoints,
+            request_lines: Vec::new(),
             index: 7,
-            whole_at: 0,
-            turned_away: 0,
+            full_list_index: 0,
+            polls_to_reject: 0,
         };
         let platform = Platform {
             addr,
-            watchers: Arc::new(Mutex::new(watchers)),
+            discovery: Arc::new(Mutex::new(state)),
             notices: Arc::default(),
-            deaf: Arc::default(),
+            reject_notices: Arc::default(),
             open: Arc::default(),
         };
-        let (watchers, notices, deaf) =
-            (platform.watchers.clone(), platform.notices.clone(), platform.deaf.clone());
+        let (discovery, notices, reject_notices) =
+            (platform.discovery.clone(), platform.notices.clone(), platform.reject_notices.clone());
         let open = platform.open.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (watchers, notices, deaf) = (watchers.clone(), notices.clone(), deaf.clone());
+                let (discovery, notices, reject_notices) =
+                    (discovery.clone(), notices.clone(), reject_notices.clone());
                 let mut stream = stream.unwrap();
                 open.fetch_add(1, Ordering::SeqCst);
                 let open = open.clone();
@@ -237,26 +247,26 @@
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Some(request) = read_request(&mut reader, 0) {
                         if request.line.starts_with("POST /reports") {
-                            let deaf = *deaf.lock().unwrap();
-                            if !deaf {
+                            let reject_notices = *reject_notices.lock().unwrap();
+                            if !reject_notices {
                                 let text = String::from_utf8(request.body).unwrap();
                                 let lines = text.lines().map(|l| serde_json::from_str(l).unwrap());
                                 notices.lock().unwrap().extend(lines);
                             }
-                            let code = if deaf { 500 } else { 204 };
+                            let code = if reject_notices { 500 } else { 204 };
                             let text = format!("HTTP/1.1 {code} X\r\ncontent-length: 0\r\n\r\n");
                             _ = stream.write_all(text.as_bytes());
                             continue;
                         }
-                        let mut w = watchers.lock().unwrap();
-                        w.paths.push(request.line.clone());
-                        if w.turned_away > 0 {
-                            w.turned_away -= 1;
+                        let mut discovery = discovery.lock().unwrap();
+                        discovery.request_lines.push(request.line.clone());
+                        if discovery.polls_to_reject > 0 {
+                            discovery.polls_to_reject -= 1;
                             _ = stream.write_all(b"HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n");
                             continue;
                         }
                         if !request.line.contains("follow") {
-                            let list = json!({"index": w.index, "snapshot": true, "endpoints": w.whole});
+                            let list = json!({"index": discovery.index, "snapshot": true, "endpoints": discovery.full_list});
                             let list = list.to_string();
                             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", list.len());
                             _ = stream.write_all((head + &list).as_bytes());
@@ -268,20 +278,21 @@
                             .split("since=")
                             .nth(1)
                             .and_then(|s| s.split(' ').next()?.parse().ok());
-                        let missed: Vec<Value> = w
-                            .log
+                        let changes_since: Vec<Value> = discovery
+                            .changes
                             .iter()
                             .filter(|(i, _)| since.is_some_and(|s| *i > s))
                             .map(|(_, l)| l.clone())
                             .collect();
-                        // A whole list is no change: a watch from before it gets it again.
-                        let first = if since.is_some_and(|s| s > 0 && s >= w.whole_at) {
-                            json!({"index": w.index, "snapshot": false, "endpoints": missed})
+                        // A full list is not in the log of changes: a watch from an earlier index gets the
+                        // full list again.
+                        let first = if since.is_some_and(|s| s > 0 && s >= discovery.full_list_index) {
+                            json!({"index": discovery.index, "snapshot": false, "endpoints": changes_since})
                         } else {
-                            json!({"index": w.index, "snapshot": true, "endpoints": w.whole})
+                            json!({"index": discovery.index, "snapshot": true, "endpoints": discovery.full_list})
                         };
-                        chunk(&mut stream, &first);
-                        w.streams.push(stream.try_clone().unwrap());
+                        write_list(&mut stream, &first);
+                        discovery.watches.push(stream.try_clone().unwrap());
                     }
                     open.fetch_sub(1, Ordering::SeqCst);
                 });
@@ -290,92 +301,96 @@
         platform
     }
 
-    /// Tells a change, as a whole list or as changed lines.
-    pub fn tell(&self, snapshot: bool, endpoints: Vec<Value>) {
-        let mut w = self.watchers.lock().unwrap();
-        w.index += 1;
-        let index = w.index;
+    /// Publishes a full list (`snapshot`) or changed entries to all watches.
+    pub fn publish(&self, snapshot: bool, endpoints: Vec<Value>) {
+        let mut discovery = self.discovery.lock().unwrap();
+        discovery.index += 1;
+        let index = discovery.index;
         if snapshot {
-            w.whole = endpoints.clone();
-            w.whole_at = index;
+            discovery.full_list = endpoints.clone();
+            discovery.full_list_index = index;
         }
-        w.log.extend(endpoints.iter().map(|l| (index, l.clone())));
-        let news = json!({"index": index, "snapshot": snapshot, "endpoints": endpoints});
-        w.streams.iter_mut().for_each(|s| chunk(s, &news));
+        discovery.changes.extend(endpoints.iter().map(|l| (index, l.clone())));
+        let update = json!({"index": index, "snapshot": snapshot, "endpoints": endpoints});
+        discovery.watches.iter_mut().for_each(|s| write_list(s, &update));
     }
 
-    /// Ends all watches.
+    /// Closes all watches.
     pub fn drop_watches(&self) {
-        for s in self.watchers.lock().unwrap().streams.drain(..) {
+        for s in self.discovery.lock().unwrap().watches.drain(..) {
             _ = s.shutdown(Shutdown::Both);
         }
     }
 
-    /// Answers the next questions for the list with 503.
-    pub fn turn_away(&self, questions: usize) {
-        self.watchers.lock().unwrap().turned_away = questions;
+    /// Answers the next `count` list requests with 503.
+    pub fn reject_next_polls(&self, count: usize) {
+        self.discovery.lock().unwrap().polls_to_reject = count;
     }
 
-    /// Sets the version of the list, as told next.
+    /// Sets the index of the list that is sent from now on.
     pub fn set_index(&self, index: u64) {
-        self.watchers.lock().unwrap().index = index;
+        self.discovery.lock().unwrap().index = index;
     }
 
-    pub fn paths(&self) -> Vec<String> {
-        self.watchers.lock().unwrap().paths.clone()
+    /// Returns the request lines of all list and watch requests.
+    pub fn request_lines(&self) -> Vec<String> {
+        self.discovery.lock().unwrap().request_lines.clone()
     }
 
+    /// Returns the recorded notices.
     pub fn notices(&self) -> Vec<Value> {
         self.notices.lock().unwrap().clone()
     }
 
-    /// Waits until all that a killed process had said has been heard. What it wrote may still lie unread, on a
-    /// connection that may not even be accepted: they are accepted in order, one of our own last.
-    pub fn hear_out(&self) {
+    /// Waits until everything that a killed process had written is read. Its last bytes may still be unread, on a
+    /// connection that is not yet accepted. Connections are accepted in order, so one opened here comes last.
+    pub fn wait_connections_closed(&self) {
         let mut last = TcpStream::connect(self.addr).unwrap();
         last.write_all(b"GET /v1/servers HTTP/1.1\r\n\r\n").unwrap();
         last.read_exact(&mut [0]).unwrap();
         drop(last);
-        wait_until("the last word of a process", || self.open.load(Ordering::SeqCst) == 0);
+        wait_until("the connections of a killed process to close", || self.open.load(Ordering::SeqCst) == 0);
     }
 
-    /// While deaf it answers notices with an error.
-    pub fn set_deaf(&self, deaf: bool) {
-        *self.deaf.lock().unwrap() = deaf;
+    /// Sets whether notices are answered with 500 and not recorded.
+    pub fn set_reject_notices(&self, reject_notices: bool) {
+        *self.reject_notices.lock().unwrap() = reject_notices;
     }
 
-    pub fn state_of(&self, id: &str) -> Option<String> {
+    /// Returns the state in the first notice of a message, if there is one.
+    pub fn notice_state(&self, id: &str) -> Option<String> {
         let notices = self.notices();
         let notice = notices.iter().find(|n| n["id"] == id)?;
         Some(notice["state"].as_str()?.to_string())
     }
 
-    pub fn wait_state(&self, id: &str, state: &str) {
-        wait_until(&format!("a notice for {id}"), || self.state_of(id).is_some());
-        assert_eq!(self.state_of(id).as_deref(), Some(state), "{id}");
+    /// Waits for a notice of the message and asserts its state.
+    pub fn wait_notice(&self, id: &str, state: &str) {
+        wait_until(&format!("a notice for {id}"), || self.notice_state(id).is_some());
+        assert_eq!(self.notice_state(id).as_deref(), Some(state), "{id}");
     }
 }
 
-/// A platform that answers as its script does: what is asked, how many questions of the same path came before, and
-/// where to answer. Whatever the script does not write is not said.
-pub struct Scripted {
+/// A stub platform whose script writes each answer itself. The script receives the request, the number of earlier
+/// requests for the same path, and the connection; nothing else is written.
+pub struct ScriptedPlatform {
     pub addr: SocketAddr,
-    asked: Arc<Mutex<Vec<(Instant, String)>>>,
+    requests: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
-impl Scripted {
+impl ScriptedPlatform {
     pub fn new(script: impl Fn(&Request, usize, &mut TcpStream) + Send + Sync + 'static) -> Self {
         Self::at(TcpListener::bind("127.0.0.1:0").unwrap(), script)
     }
 
-    /// Answers at this address.
+    /// Starts one on a listener that is already bound.
     pub fn at(
         listener: TcpListener,
         script: impl Fn(&Request, usize, &mut TcpStream) + Send + Sync + 'static,
     ) -> Self {
         let addr = listener.local_addr().unwrap();
-        let asked: Arc<Mutex<Vec<(Instant, String)>>> = Arc::default();
-        let (log, script) = (asked.clone(), Arc::new(script));
+        let requests: Arc<Mutex<Vec<(Instant, String)>>> = Arc::default();
+        let (log, script) = (requests.clone(), Arc::new(script));
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let (log, script, mut stream) = (log.clone(), script.clone(), stream.unwrap());
@@ -395,39 +410,39 @@
                 });
             }
         });
-        Scripted { addr, asked }
+        ScriptedPlatform { addr, requests }
     }
 
-    /// When the questions of this path came, or those for a watch.
-    pub fn times(&self, path: &str) -> Vec<Instant> {
-        let asked = self.asked.lock().unwrap();
-        asked.iter().filter(|(_, p)| p == path).map(|(at, _)| *at).collect()
+    /// Returns the arrival times of the requests for a path, or for a watch if the path is `watch`.
+    pub fn request_times(&self, path: &str) -> Vec<Instant> {
+        let requests = self.requests.lock().unwrap();
+        requests.iter().filter(|(_, p)| p == path).map(|(at, _)| *at).collect()
     }
 }
 
-/// Writes an answer that is whole.
-pub fn answer(stream: &mut TcpStream, code: u16, body: &str) {
+/// Writes a complete answer with a content length.
+pub fn write_answer(stream: &mut TcpStream, code: u16, body: &str) {
     let text = format!("HTTP/1.1 {code} X\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     _ = stream.write_all(text.as_bytes());
 }
 
-/// Begins an answer that comes in pieces.
-pub fn begin(stream: &mut TcpStream) {
+/// Writes the head of a chunked answer.
+pub fn begin_chunked(stream: &mut TcpStream) {
     _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
 }
 
-/// Writes a piece of an answer. False once nobody reads it.
-pub fn piece(stream: &mut TcpStream, text: &str) -> bool {
+/// Writes one chunk of an answer. Returns false once the reader has closed the connection.
+pub fn write_chunk(stream: &mut TcpStream, text: &str) -> bool {
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).is_ok()
 }
 
-fn chunk(stream: &mut TcpStream, value: &Value) {
+fn write_list(stream: &mut TcpStream, value: &Value) {
     let text = format!("{value}\n");
     _ = stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
 }
 
-/// Three classes, one for each effect: `push` keyed for 3 s, `sync` safe, `pay` unsafe. Kind `one` takes single
-/// messages, kind `many` up to ten in a call.
+/// Settings with one class for each effect: `push` is keyed with a window of 3 s, `sync` is safe, `pay` is
+/// unsafe. Kind `one` takes one message in a call, kind `many` up to ten.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, limit: i64| {
         json!({"Name": name, "Effect": effect, "Group": "all", "HardLimitUs": limit, "ObjectiveUs": 2_500_000,
@@ -448,7 +463,7 @@
     })
 }
 
-/// The configuration of a sender that listens there.
+/// The configuration of a sender that listens at `addr`.
 pub fn config(addr: SocketAddr, platform: &Platform, sockets: usize) -> Value {
     json!({
         "name": "n0", "listen": addr.to_string(), "discovery": platform.addr.to_string(),
@@ -459,29 +474,29 @@
     })
 }
 
-/// Sends a process a signal, by its name as `kill` knows it.
+/// Sends a signal to a process; `name` is an option of `kill`, such as `-TERM`.
 pub fn signal(child: &Child, name: &str) {
     let pid = child.id().to_string();
     assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
 }
 
-/// A sender's process and its lasting folder.
+/// A sender process and its folder, which outlives restarts.
 pub struct Sender {
     pub addr: SocketAddr,
-    /// Where the operators' door is, of a sender that has one.
-    pub door: SocketAddr,
+    /// Address of the management interface, if the sender has one.
+    pub mgmt: SocketAddr,
     pub folder: tempfile::TempDir,
-    /// Descriptors that the system lets its next process have, if they are bounded.
-    pub files: Option<usize>,
+    /// Limit on open file descriptors (`ulimit -n`) for the next process, if set.
+    pub max_files: Option<usize>,
     child: Option<Child>,
 }
 
 const EXECUTABLE: &str = env!("CARGO_BIN_EXE_embershore");
 
-/// An address that keeps its port between a sender's processes: bound but not listening, since a child that another
-/// test is starting may hold a copy of it for a moment, which would take connections in the sender's place and
-/// keep it from listening.
-fn reserved(own: Ipv4Addr) -> SocketAddr {
+/// Reserves an address whose port stays the same over a sender's restarts. The socket is bound but does not
+/// listen: a child process that another test is starting may briefly hold a copy of the socket, and a
+/// listening copy would accept the sender's connections and keep the sender from listening.
+fn reserve_address(own: Ipv4Addr) -> SocketAddr {
     let port = tokio::net::TcpSocket::new_v4().unwrap();
     port.set_reuseaddr(true).unwrap();
     port.bind((own, 0).into()).unwrap();
@@ -489,67 +504,70 @@
 }
 
 impl Sender {
+    /// Starts a sender with the default configuration.
     pub fn start(platform: &Platform) -> Self {
         Self::with(platform, |_| {})
     }
 
-    /// Starts one whose configuration `change` has altered.
+    /// Starts a sender with a configuration that `change` has edited.
     pub fn with(platform: &Platform, change: impl Fn(&mut Value)) -> Self {
-        // The port must be the same after a restart. On an address of its own no one else is given it.
+        // The port must be the same after a restart. No other process is given it on an address of the
+        // sender's own.
         static SENDERS: AtomicU8 = AtomicU8::new(1);
         let [.., high, low] = std::process::id().to_be_bytes();
         let own = Ipv4Addr::new(127, high | 0x80, low, SENDERS.fetch_add(1, Ordering::Relaxed));
-        let (addr, door) = (reserved(own), reserved(own));
+        let (addr, mgmt) = (reserve_address(own), reserve_address(own));
         let folder = tempfile::tempdir().unwrap();
         std::fs::create_dir(folder.path().join("state")).unwrap();
         let mut config = config(addr, platform, 256);
         change(&mut config);
         std::fs::write(folder.path().join("config.json"), config.to_string()).unwrap();
-        let mut sender = Sender { addr, door, folder, files: None, child: None };
+        let mut sender = Sender { addr, mgmt, folder, max_files: None, child: None };
         sender.spawn();
         sender
     }
 
-    /// Starts one with a door for operators.
-    pub fn with_door(platform: &Platform) -> Self {
+    /// Starts a sender with a management interface.
+    pub fn with_mgmt(platform: &Platform) -> Self {
         let mut sender = Self::start(platform);
         sender.kill();
-        let door = sender.door.to_string();
-        sender.change(|c| c["mgmt"] = door.clone().into());
+        let mgmt = sender.mgmt.to_string();
+        sender.change_config(|c| c["mgmt"] = mgmt.clone().into());
         sender.spawn();
         sender
     }
 
-    /// Makes a call at the operators' door: its status and what it says.
-    pub fn ask(&self, call: &str) -> (u16, String) {
-        ask(self.door, call).unwrap()
+    /// Sends a request to the management interface and returns the status and the body.
+    pub fn mgmt_request(&self, call: &str) -> (u16, String) {
+        mgmt_request(self.mgmt, call).unwrap()
     }
 
-    /// The figures that the operators' door tells.
-    pub fn figures(&self) -> Value {
-        let (status, text) = self.ask("GET /_vars");
+    /// Returns the metrics that the management interface serves.
+    pub fn metrics(&self) -> Value {
+        let (status, text) = self.mgmt_request("GET /_vars");
         assert_eq!(status, 200);
         serde_json::from_str(&text).unwrap()
     }
 
-    /// Alters the configuration for the next start.
-    pub fn change(&self, change: impl Fn(&mut Value)) {
+    /// Edits the configuration file, for the next start or SIGHUP.
+    pub fn change_config(&self, change: impl Fn(&mut Value)) {
         let path = self.folder.path().join("config.json");
         let mut config = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
         change(&mut config);
         std::fs::write(path, config.to_string()).unwrap();
     }
 
+    /// Starts the process and waits until it listens.
     pub fn spawn(&mut self) {
         self.launch();
         wait_until("the sender to listen", || TcpStream::connect(self.addr).is_ok());
     }
 
-    /// Starts its process, and does not wait until it listens.
+    /// Starts the process without waiting until it listens.
     pub fn launch(&mut self) {
         let log = std::fs::File::create(self.log_file()).unwrap();
-        let mut command = match self.files {
-            // The shell's limit goes over to what it becomes.
+        let mut command = match self.max_files {
+            // The limit stays in force when the shell replaces itself by the sender.
             Some(files) => {
                 let mut shell = Command::new("sh");
                 shell.args(["-c", &format!("ulimit -n {files} && exec \"$0\""), EXECUTABLE]);
@@ -557,7 +575,7 @@
             }
             None => Command::new(EXECUTABLE),
         };
-        // The operator's options file, where a test has written one.
+        // The operator's options file, if the test has written one.
         let options = self.folder.path().join("options.toml");
         if options.exists() {
             command.env("LB_OPTIONS", options);
@@ -579,7 +597,7 @@
         self.folder.path().join("log")
     }
 
-    /// What the running process has logged.
+    /// Returns the log of the latest process.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.log_file()).unwrap()
     }
@@ -588,7 +606,7 @@
         self.state().join("journal")
     }
 
-    /// Memory in use, without what is only mapped.
+    /// Returns the resident memory (`VmRSS`).
     pub fn memory_kb(&self) -> usize {
         let path = format!("/proc/{}/status", self.child.as_ref().unwrap().id());
         let text = std::fs::read_to_string(path).unwrap();
@@ -598,28 +616,31 @@
 
     fn journal_count(&self, text: &str) -> usize {
         let bytes = std::fs::read(self.journal()).unwrap_or_default();
-        bytes.windows(text.len()).filter(|w| *w == text.as_bytes()).count()
+        bytes.windows(text.len()).filter(|window| *window == text.as_bytes()).count()
     }
 
-    pub fn journal_holds(&self, text: &str) -> bool {
+    pub fn journal_contains(&self, text: &str) -> bool {
         self.journal_count(text) > 0
     }
 
-    /// Waits until the sender has heard that the endpoint drains or goes, as its journal shows.
-    pub fn hears(&self, tell: impl Fn(), endpoint: &str) {
+    /// Runs `trigger` and waits until the journal shows that the sender knows that the endpoint is draining
+    /// or gone.
+    pub fn wait_drain_recorded(&self, trigger: impl Fn(), endpoint: &str) {
         let before = self.journal_count(endpoint);
-        tell();
-        wait_until(&format!("word of {endpoint}"), || self.journal_count(endpoint) > before);
+        trigger();
+        wait_until(&format!("a journal record of {endpoint} draining or gone"), || {
+            self.journal_count(endpoint) > before
+        });
     }
 
     pub fn client(&self) -> Client {
         Client::new(self.addr)
     }
 
-    /// Hands a message in on a connection of its own; nothing if that ends without an answer.
+    /// Puts a message on a new connection. Returns `None` if the connection ends without an answer.
     pub fn try_put(&self, id: &str, fields: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.addr).ok()?;
-        stream.set_read_timeout(Some(LIMIT)).ok()?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
         stream.write_all(&put(id, &format!("{fields},t=acme"), b"hello")).ok()?;
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).ok()?;
@@ -639,7 +660,7 @@
     }
 
     /// SIGHUP.
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         self.signal("-HUP");
     }
 
@@ -647,6 +668,7 @@
         signal(self.child.as_ref().unwrap(), name);
     }
 
+    /// Waits until the process exits.
     pub fn wait_exit(&mut self) -> ExitStatus {
         let child = self.child.as_mut().unwrap();
         let mut status = None;
@@ -675,10 +697,10 @@
     }
 }
 
-/// Makes a call at an operators' door, if there is one.
-pub fn ask(door: SocketAddr, call: &str) -> Option<(u16, String)> {
-    let mut stream = TcpStream::connect(door).ok()?;
-    stream.set_read_timeout(Some(LIMIT)).unwrap();
+/// Sends a request to a management interface. Returns `None` if nothing answers there.
+pub fn mgmt_request(mgmt: SocketAddr, call: &str) -> Option<(u16, String)> {
+    let mut stream = TcpStream::connect(mgmt).ok()?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(format!("{call} HTTP/1.1\r\nhost: door\r\n\r\n").as_bytes()).ok()?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).ok()?;
@@ -686,6 +708,7 @@
     Some((status, answer.split_once("\r\n\r\n").map(|(_, body)| body.to_string()).unwrap_or_default()))
 }
 
+/// Encodes a command in RESP.
 pub fn resp(args: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", args.len()).into_bytes();
     for a in args {
@@ -696,11 +719,12 @@
     out
 }
 
+/// Encodes a `MSG.PUT` command without an ordering key.
 pub fn put(id: &str, fields: &str, body: &[u8]) -> Vec<u8> {
     resp(&[b"MSG.PUT", b"0000000000000000", id.as_bytes(), fields.as_bytes(), body])
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -709,7 +733,7 @@
 impl Client {
     pub fn new(addr: SocketAddr) -> Self {
         let stream = TcpStream::connect(addr).unwrap();
-        stream.set_read_timeout(Some(LIMIT)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let reader = BufReader::new(stream.try_clone().unwrap());
         Client { stream, reader }
     }
@@ -718,33 +742,35 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// The next line of answer; empty once the connection has ended.
+    /// Reads the next reply line; empty once the connection has ended.
     pub fn read(&mut self) -> String {
         let mut line = String::new();
         _ = self.reader.read_line(&mut line);
         line.trim_end().to_string()
     }
 
+    /// Sends `PING` and asserts the reply, which comes once the sender is ready.
     pub fn ping(&mut self) {
         self.write(&resp(&[b"PING"]));
         assert_eq!(self.read(), "+PONG");
     }
 
-    /// Hands a message in; `fields` beside the tenant.
+    /// Puts a message with these fields and the tenant, and returns the reply.
     pub fn put(&mut self, id: &str, fields: &str) -> String {
         self.write(&put(id, &format!("{fields},t=acme"), b"hello"));
         self.read()
     }
 }
 
-pub fn size_of(folder: &Path) -> u64 {
+/// Returns the size of the files in a folder, each rounded up to blocks of 512 bytes.
+pub fn folder_size(folder: &Path) -> u64 {
     std::fs::read_dir(folder)
         .unwrap()
         .filter_map(|f| Some(f.ok()?.metadata().ok()?.len().div_ceil(512) * 512))
         .sum()
 }
 
-/// A gate that a stub waits at until the test opens it.
+/// A gate at which a stub waits until the test opens it.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -758,58 +784,59 @@
         *self.0.0.lock().unwrap()
     }
 
+    /// Waits until the gate is open, or until [`TEST_TIMEOUT`] has passed.
     pub fn wait(&self) {
         let guard = self.0.0.lock().unwrap();
-        _ = self.0.1.wait_timeout_while(guard, LIMIT, |open| !*open).unwrap();
+        _ = self.0.1.wait_timeout_while(guard, TEST_TIMEOUT, |open| !*open).unwrap();
     }
 }
 
-/// An address at which each connection is refused: bound, so that no one else is given it, and not listened on.
-pub struct Refusing {
+/// An address that refuses connections: bound, so that no other process is given it, but not listening.
+pub struct RefusingAddress {
     pub addr: SocketAddr,
     socket: tokio::net::TcpSocket,
 }
 
-impl Refusing {
+impl RefusingAddress {
     pub fn new() -> Self {
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-        Refusing { addr: socket.local_addr().unwrap(), socket }
+        RefusingAddress { addr: socket.local_addr().unwrap(), socket }
     }
 
-    /// Connections come up from now on.
+    /// Accepts connections from now on.
     pub fn listen(self) -> TcpListener {
-        listening(self.socket, 64)
+        listen_with_backlog(self.socket, 64)
     }
 }
 
-/// An endpoint whose backlog is full: a connection to it comes up only once others are taken off.
-pub struct Crammed {
+/// An endpoint whose accept backlog is full: a new connection is established only after others are accepted.
+pub struct FullBacklogEndpoint {
     listener: TcpListener,
     pub addr: SocketAddr,
     pub fillers: Vec<TcpStream>,
-    taken: Vec<TcpStream>,
-    /// What came on the connections that were taken off.
+    accepted: Vec<TcpStream>,
+    /// Bytes received on the accepted connections, one entry a read.
     pub calls: Vec<String>,
 }
 
-impl Crammed {
+impl FullBacklogEndpoint {
     pub fn new() -> Self {
-        let listener = backlog_of_none();
+        let listener = listen_without_backlog();
         let addr = listener.local_addr().unwrap();
         let filler = |_| TcpStream::connect_timeout(&addr, Duration::from_millis(100)).ok();
         let fillers = (0..8).filter_map(filler).collect();
         listener.set_nonblocking(true).unwrap();
-        Crammed { listener, addr, fillers, taken: Vec::new(), calls: Vec::new() }
+        FullBacklogEndpoint { listener, addr, fillers, accepted: Vec::new(), calls: Vec::new() }
     }
 
-    /// Takes a connection off, if one has come, and reads what there is.
-    pub fn serve(&mut self) {
+    /// Accepts a connection, if one is waiting, and reads the bytes that have arrived on the accepted ones.
+    pub fn accept_and_read(&mut self) {
         if let Ok((stream, _)) = self.listener.accept() {
             stream.set_nonblocking(true).unwrap();
-            self.taken.push(stream);
+            self.accepted.push(stream);
         }
-        for stream in &mut self.taken {
+        for stream in &mut self.accepted {
             let mut buf = [0; 2048];
             if let Ok(n @ 1..) = stream.read(&mut buf) {
                 self.calls.push(String::from_utf8_lossy(&buf[..n]).into_owned());
@@ -818,13 +845,13 @@
     }
 }
 
-fn backlog_of_none() -> TcpListener {
+fn listen_without_backlog() -> TcpListener {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    listening(socket, 0)
+    listen_with_backlog(socket, 0)
 }
 
-fn listening(socket: tokio::net::TcpSocket, backlog: u32) -> TcpListener {
+fn listen_with_backlog(socket: tokio::net::TcpSocket, backlog: u32) -> TcpListener {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let _entered = runtime.enter();
     let listener = socket.listen(backlog).unwrap().into_std().unwrap();
--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -1,5 +1,5 @@
-//! The directory: tells each sender the endpoints of all destinations, at addresses of the sender's own, and takes its
-//! notices.
+//! A stand-in for the directory: serves each sender the endpoints of all destinations, at addresses of the
+//! sender's own, and receives its notices.
 
 use super::http::{self, Body};
 use super::ledger::Ledger;
@@ -17,36 +17,36 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// The version of the first list.
+/// Index of the first list.
 const FIRST_INDEX: u64 = 7;
-/// How often a watch with no news says that it lives.
+/// How often a watch without changes sends an empty line.
 const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Pieces of a watch that wait to be written.
-const PIECES_MOST: usize = 16;
+/// Maximum number of chunks of a watch that are queued for writing.
+const MAX_QUEUED_CHUNKS: usize = 16;
 
-/// Endpoints of the first list, and those that replace them.
+/// Number of generations of endpoints: those of the first list, and their replacements.
 pub const GENERATIONS: usize = 2;
 
-/// What stands in the directory for one endpoint.
+/// The directory's entry for one endpoint.
 #[derive(Clone, Debug)]
 struct Entry {
     destination: i64,
     generation: usize,
-    standing: EndpointStatus,
+    status: EndpointStatus,
     index: u64,
 }
 
 /// Addresses at which one sender reaches the endpoints, by generation.
 pub type Addresses = [SocketAddr; GENERATIONS];
 
-/// A notice that hands a message back to its client.
+/// A notice that returns a message to its client.
 #[derive(Clone, Debug)]
 pub struct Returned {
     pub id: String,
     pub after_ms: Option<u64>,
 }
 
-/// The directory of all senders.
+/// The directory that serves all senders.
 pub struct Directory {
     ledger: Rc<Ledger>,
     entries: RefCell<Vec<Entry>>,
@@ -61,49 +61,52 @@
     after_ms: Option<u64>,
 }
 
-/// The name of a destination's endpoint.
+/// Returns the name of a destination's endpoint.
 pub fn endpoint_name(destination: i64, generation: usize) -> String {
     format!("d{destination}-{generation}")
 }
 
 impl Directory {
-    /// A directory that lists one endpoint for each destination, and where clients hear of returned messages. The
-    /// queue is bounded by what the clients hand in.
+    /// Creates a directory that lists one endpoint for each destination, and the queue on which clients
+    /// receive returned messages. The number of messages that the clients put bounds the queue.
     pub fn new(ledger: Rc<Ledger>, destinations: i64) -> (Rc<Self>, mpsc::UnboundedReceiver<Returned>) {
         let entry = |destination| Entry {
             destination,
             generation: 0,
-            standing: EndpointStatus::Ready,
+            status: EndpointStatus::Ready,
             index: FIRST_INDEX,
         };
         let entries: Vec<Entry> = (1..=destinations).map(entry).collect();
         for e in &entries {
             let endpoint = endpoint_name(e.destination, e.generation);
-            ledger.note(Event::Endpoint { endpoint, receiver: e.destination, zone: "a".into() });
+            ledger.record(Event::Endpoint { endpoint, receiver: e.destination, zone: "a".into() });
         }
         let (returned, queue) = mpsc::unbounded_channel();
         let (index, entries) = (watch::Sender::new(FIRST_INDEX), RefCell::new(entries));
         (Rc::new(Directory { ledger, entries, index, returned }), queue)
     }
 
-    /// Starts the directory's agent of one sender.
+    /// Starts the directory's agent for one sender and returns its address.
     pub async fn listen(self: &Rc<Self>, sender: usize, addresses: Addresses) -> SocketAddr {
         let directory = self.clone();
         http::serve(move |request| directory.clone().answer(sender, addresses, request)).await
     }
 
-    /// Lists a new endpoint for a destination and lets the one that it has drain.
+    /// Lists a new endpoint for a destination and drains the present one.
     pub fn replace(&self, destination: i64) {
         let index = self.index.borrow().to_owned() + 1;
         let mut entries = self.entries.borrow_mut();
         let old = entries.iter_mut().find(|e| e.destination == destination).unwrap();
-        (old.standing, old.index) = (EndpointStatus::Terminating, index);
+        (old.status, old.index) = (EndpointStatus::Terminating, index);
         let generation = old.generation + 1;
-        assert!(generation < GENERATIONS, "an endpoint is replaced once");
-        entries.push(Entry { destination, generation, standing: EndpointStatus::Ready, index });
+        assert!(
+            generation < GENERATIONS,
+            "the endpoint of destination {destination} was already replaced once"
+        );
+        entries.push(Entry { destination, generation, status: EndpointStatus::Ready, index });
         drop(entries);
         let endpoint = endpoint_name(destination, generation);
-        self.ledger.note(Event::Endpoint { endpoint, receiver: destination, zone: "a".into() });
+        self.ledger.record(Event::Endpoint { endpoint, receiver: destination, zone: "a".into() });
         self.index.send_replace(index);
     }
 
@@ -120,11 +123,11 @@
             return http::empty(404);
         }
         if !request.uri().query().unwrap_or_default().contains("follow") {
-            return http::whole(200, self.tell(sender, addresses, None).to_string());
+            return http::with_body(200, self.listing(sender, addresses, None).to_string());
         }
         let since = http::query_number(&request, "since").filter(|s| *s >= FIRST_INDEX);
-        let (pieces, body) = Channel::new(PIECES_MOST);
-        tokio::task::spawn_local(self.follow(sender, addresses, since, pieces));
+        let (chunks, body) = Channel::new(MAX_QUEUED_CHUNKS);
+        tokio::task::spawn_local(self.follow(sender, addresses, since, chunks));
         Response::new(body.boxed())
     }
 
@@ -140,7 +143,7 @@
         loop {
             let index = *changed.borrow_and_update();
             let text = if first || known != Some(index) {
-                format!("{}\n", self.tell(sender, addresses, known))
+                format!("{}\n", self.listing(sender, addresses, known))
             } else {
                 "\n".to_string()
             };
@@ -152,18 +155,20 @@
         }
     }
 
-    /// The list for one sender: whole, or what changed since a version.
-    fn tell(&self, sender: usize, addresses: Addresses, since: Option<u64>) -> Value {
+    /// Returns the listing for one sender: the full list, or the changes since an index.
+    fn listing(&self, sender: usize, addresses: Addresses, since: Option<u64>) -> Value {
         let (entries, index) = (self.entries.borrow(), *self.index.borrow());
-        let news: Vec<&Entry> = entries.iter().filter(|e| since.is_none_or(|s| e.index > s)).collect();
-        let lines = news.iter().map(|e| (endpoint_name(e.destination, e.generation), e.standing)).collect();
-        self.ledger.note(Event::Listing { sender, index, complete: since.is_none(), endpoints: lines });
+        let changed_entries: Vec<&Entry> =
+            entries.iter().filter(|e| since.is_none_or(|s| e.index > s)).collect();
+        let reported =
+            changed_entries.iter().map(|e| (endpoint_name(e.destination, e.generation), e.status)).collect();
+        self.ledger.record(Event::Listing { sender, index, complete: since.is_none(), endpoints: reported });
         let line = |e: &&Entry| {
             let addr = addresses[e.generation];
             let name = endpoint_name(e.destination, e.generation);
-            crate::common::line(&name, addr, "one", e.destination, status(e.standing))
+            crate::common::listed_endpoint(&name, addr, "one", e.destination, status_name(e.status))
         };
-        let endpoints: Vec<Value> = news.iter().map(line).collect();
+        let endpoints: Vec<Value> = changed_entries.iter().map(line).collect();
         json!({"index": index, "snapshot": since.is_none(), "endpoints": endpoints})
     }
 
@@ -173,7 +178,7 @@
         let notices: Result<Vec<Notice>, _> = lines.map(serde_json::from_slice).collect();
         let Ok(notices) = notices else { return http::empty(400) };
         for Notice { id, state, after_ms } in notices {
-            self.ledger.note(Event::Notice { sender, id: id.clone(), state, after_ms });
+            self.ledger.record(Event::Notice { sender, id: id.clone(), state, after_ms });
             if state == NoticeState::Returned {
                 _ = self.returned.send(Returned { id, after_ms });
             }
@@ -182,8 +187,8 @@
     }
 }
 
-fn status(standing: EndpointStatus) -> &'static str {
-    match standing {
+fn status_name(status: EndpointStatus) -> &'static str {
+    match status {
         EndpointStatus::Ready => "Ready",
         EndpointStatus::Terminating => "Terminating",
         EndpointStatus::Gone => "Gone",
--- a/crates/sender/tests/common/placement/receivers.rs
+++ b/crates/sender/tests/common/placement/receivers.rs
@@ -1,5 +1,5 @@
-//! The receivers of all destinations. Each sender reaches them at addresses of its own, so that every call says whose
-//! it is; the destination is that of the message which the call carries.
+//! Stand-ins for the receivers of all destinations. Each sender reaches them at addresses of its own, which
+//! identifies the caller; the destination of a call is that of the message that it carries.
 
 use super::deployment::KEY_WINDOW;
 use super::directory::{Addresses, GENERATIONS, endpoint_name};
@@ -15,22 +15,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a receiver takes where it was not told otherwise.
-const USUAL: Duration = Duration::from_millis(5);
+/// Default time that a receiver takes for a call.
+const DEFAULT_DELAY: Duration = Duration::from_millis(5);
 
-/// What a receiver does with calls.
+/// How a receiver treats calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Conduct {
-    /// Carries each out and says so.
+    /// Runs each message and answers 200.
     #[default]
-    Well,
-    /// The same, but so much slower.
+    Normal,
+    /// Does the same after this delay.
     Slow(Duration),
-    /// Carries each out and answers 500.
-    FailAfter,
-    /// Turns each away with 503 before it carries it out.
+    /// Runs each message and answers 500.
+    RunThenFail,
+    /// Rejects each call with 503 without running it.
     Refuse,
-    /// Turns the next call away and tells the sender to wait; is well again after it.
+    /// Rejects the next call with 429 and an advertised wait, then returns to normal.
     WaitOnce(Duration),
 }
 
@@ -38,12 +38,12 @@
 pub struct Receivers {
     ledger: Rc<Ledger>,
     conduct: RefCell<HashMap<i64, Conduct>>,
-    usual: Cell<Duration>,
+    default_delay: Cell<Duration>,
     /// When each idempotency key took effect.
     keys: RefCell<HashMap<String, Micros>>,
 }
 
-/// A call that was begun: it is taken down as broken off unless it is answered.
+/// A call in progress, which is recorded as broken off by the sender unless it is answered.
 struct OpenCall<'a> {
     ledger: &'a Ledger,
     call: u64,
@@ -54,14 +54,14 @@
     fn answer(&mut self, status: u16, wait: Duration) {
         self.answered = true;
         let wait_ms = wait.as_millis() as u32;
-        self.ledger.note(Event::Answer { call: self.call, status, wait_ms, states: None });
+        self.ledger.record(Event::Answer { call: self.call, status, wait_ms, states: None });
     }
 }
 
 impl Drop for OpenCall<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.ledger.note(Event::Disconnected { call: self.call, by: ClosedBy::Sender });
+            self.ledger.record(Event::Disconnected { call: self.call, by: ClosedBy::Sender });
         }
     }
 }
@@ -69,7 +69,7 @@
 impl Receivers {
     pub fn new(ledger: Rc<Ledger>) -> Rc<Self> {
         let (conduct, keys) = (RefCell::default(), RefCell::default());
-        Rc::new(Receivers { ledger, conduct, usual: Cell::new(USUAL), keys })
+        Rc::new(Receivers { ledger, conduct, default_delay: Cell::new(DEFAULT_DELAY), keys })
     }
 
     /// Opens the addresses at which one sender reaches the endpoints.
@@ -82,14 +82,14 @@
         addresses
     }
 
-    /// Tells the receiver of a destination what to do from now on.
-    pub fn conduct(&self, destination: i64, conduct: Conduct) {
+    /// Sets how the receiver of a destination treats calls from now on.
+    pub fn set_conduct(&self, destination: i64, conduct: Conduct) {
         self.conduct.borrow_mut().insert(destination, conduct);
     }
 
-    /// How long all others take from now on.
-    pub fn take_usually(&self, time: Duration) {
-        self.usual.set(time);
+    /// Sets how long a call takes from now on at receivers that treat calls normally.
+    pub fn set_default_delay(&self, time: Duration) {
+        self.default_delay.set(time);
     }
 
     async fn take(
@@ -105,13 +105,13 @@
         if http::read_body(request).await.is_none() {
             return http::empty(400);
         }
-        // A message that no client has handed in is no one's.
+        // A message that no client has put has no destination.
         let Some(destination) = self.ledger.destination(&id) else { return http::empty(400) };
         let call = self.ledger.next_call();
         let endpoint = endpoint_name(destination, generation);
         let items = vec![Item { id: id.clone(), key: key.clone() }];
         let (new_connection, batch) = (false, false);
-        self.ledger.note(Event::Call {
+        self.ledger.record(Event::Call {
             call,
             sender,
             endpoint,
@@ -128,24 +128,24 @@
                 return http::empty(503);
             }
             Conduct::WaitOnce(wait) => {
-                self.conduct(destination, Conduct::Well);
+                self.set_conduct(destination, Conduct::Normal);
                 open.answer(429, wait);
                 let mut response = http::empty(429);
-                let told = wait.as_millis().to_string().parse().unwrap();
-                response.headers_mut().insert("x-retry-in-ms", told);
+                let wait_ms = wait.as_millis().to_string().parse().unwrap();
+                response.headers_mut().insert("x-retry-in-ms", wait_ms);
                 return response;
             }
             Conduct::Slow(time) => tokio::time::sleep(time).await,
-            Conduct::Well | Conduct::FailAfter => tokio::time::sleep(self.usual.get()).await,
+            Conduct::Normal | Conduct::RunThenFail => tokio::time::sleep(self.default_delay.get()).await,
         }
         let dropped = key.is_some_and(|key| !self.is_new(key));
-        self.ledger.note(Event::Ran { call, id, dropped });
-        let status = if conduct == Conduct::FailAfter { 500 } else { 200 };
+        self.ledger.record(Event::Ran { call, id, dropped });
+        let status = if conduct == Conduct::RunThenFail { 500 } else { 200 };
         open.answer(status, Duration::ZERO);
         http::empty(status)
     }
 
-    /// Remembers a key; false if it was remembered already, within the window from its first effect on.
+    /// Records a key and returns whether it is new: not seen within the window since its first effect.
     fn is_new(&self, key: String) -> bool {
         let now = self.ledger.now();
         let mut keys = self.keys.borrow_mut();
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -1,5 +1,6 @@
-//! One sender with placement on, between owners that act by a script: what each answer of theirs, and each lack of one,
-//! leads to.
+//! Forwarding by one sender with placement enabled, between scripted owners. Guards against a wrong reply to
+//! the client for each answer, or missing answer, of an owner, and against a second owner for a message that
+//! may have been accepted.
 
 mod common;
 use bytes::BytesMut;
@@ -14,28 +15,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Destinations among which the tests choose.
+/// Destinations from which the tests choose.
 const DESTINATIONS: RangeInclusive<i64> = 1..=60;
 /// The sender under test.
 const OWN_SEAT: SeatId = SeatId(0);
-/// Within this a client has its answer.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
-/// Fields of each effect's class, with a time that any of them may have.
+/// Time limit of a reply to a client.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Fields of a message of each effect, with a time that all their classes allow.
 const PUSH: &str = "c=push,d=15000,k=5c0f6e1a2b3d4c59";
 const SYNC: &str = "c=sync,d=15000";
 const PAY: &str = "c=pay,d=15000";
 
-/// What an owner does with a message.
+/// How an owner responds to a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Conduct {
     Answer(&'static str),
-    /// Reads all of it and ends the connection.
+    /// Reads it completely and closes the connection.
     Cut,
-    /// Reads all of it and says nothing.
+    /// Reads it completely and does not answer.
     Silent,
 }
 
-/// An owner that acts by a script.
+/// A stub owner that responds as its conduct says.
 struct ScriptedOwner {
     addr: SocketAddr,
     conduct: Arc<Mutex<Conduct>>,
@@ -61,11 +62,11 @@
         owner
     }
 
-    fn act(&self, conduct: Conduct) {
+    fn set_conduct(&self, conduct: Conduct) {
         *self.conduct.lock().unwrap() = conduct;
     }
 
-    /// Messages that came whole.
+    /// Returns the messages that were received completely.
     fn put(&self) -> Vec<Put> {
         self.put.lock().unwrap().clone()
     }
@@ -101,7 +102,7 @@
            "seats": [seat(0), seat(1), seat(2)], "wide": []})
 }
 
-/// The table of any such list: it does not depend on addresses.
+/// The table of owners under any of these lists; it does not depend on addresses.
 static TABLE: LazyLock<Table> = LazyLock::new(|| {
     let list = member_list([1, 2, 3].map(|port| SocketAddr::from(([127, 0, 0, 1], port))));
     Table::build(&MemberList::parse_json(list.to_string().as_bytes()).unwrap())
@@ -112,13 +113,13 @@
     TABLE.owners(shard)
 }
 
-/// Destinations that the sender under test owns, or that the two others do.
+/// Returns the destinations that the sender under test owns, or those that only the two others own.
 fn destinations(own: bool) -> Vec<i64> {
     DESTINATIONS.filter(|dest| owners(*dest).contains(&OWN_SEAT) == own).collect()
 }
 
-/// A sender with placement on, and what stands around it.
-struct Stage {
+/// A sender with placement enabled, and the stubs around it.
+struct Rig {
     sender: Sender,
     forward: SocketAddr,
     owners: [ScriptedOwner; 2],
@@ -127,15 +128,16 @@
     _platform: Platform,
 }
 
-impl Stage {
+impl Rig {
     fn start() -> Self {
         let receiver = Endpoint::new(|_| status(200));
-        let lines = DESTINATIONS.map(|dest| line(&format!("e{dest}"), receiver.addr, "one", dest, "Ready"));
+        let lines = DESTINATIONS
+            .map(|dest| listed_endpoint(&format!("e{dest}"), receiver.addr, "one", dest, "Ready"));
         let platform = Platform::new(lines.collect());
         let owners = [ScriptedOwner::new(), ScriptedOwner::new()];
-        let mut sender = Sender::with_door(&platform);
+        let mut sender = Sender::with_mgmt(&platform);
         sender.kill();
-        // An address of the sender's own, on which no one else is given a port.
+        // The sender has its own address, on which no other process is given a port.
         let forward = SocketAddr::new(sender.addr.ip(), sender.addr.port() ^ 1);
         let list = member_list([forward, owners[0].addr, owners[1].addr]).to_string();
         let control = Endpoint::new(move |_| status_with(&list));
@@ -146,89 +148,99 @@
         std::fs::write(sender.folder.path().join("options.toml"), options).unwrap();
         sender.spawn();
         sender.client().ping();
-        let stage = Stage { sender, forward, owners, control, receiver, _platform: platform };
-        wait_until("an epoch", || stage.figures()["epoch"] == 1 && stage.figures()["unread_shards"] == 0);
-        stage
+        let rig = Rig { sender, forward, owners, control, receiver, _platform: platform };
+        wait_until("epoch 1 and the endpoints of the owned shards", || {
+            rig.metrics()["epoch"] == 1 && rig.metrics()["unread_shards"] == 0
+        });
+        rig
     }
 
-    fn figures(&self) -> Value {
-        self.sender.figures()["placement"].clone()
+    fn metrics(&self) -> Value {
+        self.sender.metrics()["placement"].clone()
     }
 
-    /// Hands a message in; the answer, within the time that a client has.
+    /// Puts a message and returns the reply, which must come within [`MAX_ANSWER_TIME`].
     fn put(&self, id: &str, fields: &str, dest: i64) -> String {
         let mut client = self.sender.client();
-        let begun = Instant::now();
+        let started = Instant::now();
         let answer = client.put(id, &format!("{fields},dest={dest}"));
-        assert!(begun.elapsed() < ANSWER_TIME, "{id}: {answer} after {:?}", begun.elapsed());
+        assert!(started.elapsed() < MAX_ANSWER_TIME, "{id}: {answer} after {:?}", started.elapsed());
         answer
     }
 
-    fn act(&self, conduct: Conduct) {
-        self.owners.iter().for_each(|owner| owner.act(conduct));
+    fn set_conduct(&self, conduct: Conduct) {
+        self.owners.iter().for_each(|owner| owner.set_conduct(conduct));
     }
 
-    /// How many owners saw a message.
+    /// Returns how many owners received a message.
     fn seen_by(&self, id: &str) -> usize {
         self.owners.iter().filter(|owner| owner.saw(id)).count()
     }
 }
 
-fn status_with(body: &str) -> Act {
-    Act::Answer(200, Vec::new(), body.to_string())
+fn status_with(body: &str) -> StubResponse {
+    StubResponse::Answer(200, Vec::new(), body.to_string())
 }
 
 #[test]
 fn an_owned_destination_is_served_here_and_another_is_passed_on_once() {
-    let stage = Stage::start();
+    let rig = Rig::start();
     let own = destinations(true);
-    assert_eq!(stage.sender.figures()["discovered"], own.len(), "no more of the list is kept");
-    assert_eq!(stage.put("own", PAY, own[0]), "+OK");
-    stage.receiver.wait_sent("own");
+    assert_eq!(
+        rig.sender.metrics()["discovered"],
+        own.len(),
+        "only endpoints of owned destinations must be retained"
+    );
+    assert_eq!(rig.put("own", PAY, own[0]), "+OK");
+    rig.receiver.wait_sent("own");
     let others = destinations(false);
     for (n, dest) in others.iter().enumerate() {
-        assert_eq!(stage.put(&format!("other-{n}"), PUSH, *dest), "+OK");
-        assert_eq!(stage.seen_by(&format!("other-{n}")), 1);
+        assert_eq!(rig.put(&format!("other-{n}"), PUSH, *dest), "+OK");
+        assert_eq!(rig.seen_by(&format!("other-{n}")), 1);
     }
-    assert_eq!(stage.seen_by("own"), 0);
-    let connections: usize = stage.owners.iter().map(|owner| *owner.connections.lock().unwrap()).sum();
-    assert!(connections < others.len(), "connections are kept: {connections} for {}", others.len());
-    let put = stage.owners.iter().flat_map(ScriptedOwner::put).next().unwrap();
+    assert_eq!(rig.seen_by("own"), 0);
+    let connections: usize = rig.owners.iter().map(|owner| *owner.connections.lock().unwrap()).sum();
+    assert!(
+        connections < others.len(),
+        "expected idle connections to be reused: {connections} connections for {} messages",
+        others.len()
+    );
+    let put = rig.owners.iter().flat_map(ScriptedOwner::put).next().unwrap();
     assert_eq!((put.class.as_str(), put.tenant.as_str(), &put.body[..]), ("push", "acme", &b"hello"[..]));
     assert_eq!(put.idempotency_key.as_deref(), Some("5c0f6e1a2b3d4c59"));
     assert!((14_600_000..=15_000_000).contains(&put.time_left), "{}", put.time_left);
-    let figures = stage.figures();
+    let metrics = rig.metrics();
     assert_eq!(
-        (&figures["forwarded"]["taken"], &figures["forwarded"]["unknown"]),
+        (&metrics["forwarded"]["taken"], &metrics["forwarded"]["unknown"]),
         (&others.len().into(), &0.into())
     );
-    // What comes in at the forward address is served or refused, and goes no further.
-    let mut member = Client::new(stage.forward);
+    // A message that arrives at the forward address is served or refused, but not forwarded.
+    let mut member = Client::new(rig.forward);
     assert_eq!(member.put("for-own", &format!("{SYNC},dest={}", own[1])), "+OK");
     let refused = member.put("for-other", &format!("{SYNC},dest={}", others[0]));
     assert!(refused.starts_with("-BUSY"), "{refused}");
-    assert_eq!(stage.seen_by("for-other"), 0);
-    assert_eq!(stage.figures()["taken_for_others"], 1);
+    assert_eq!(rig.seen_by("for-other"), 0);
+    assert_eq!(rig.metrics()["taken_for_others"], 1);
 }
 
 #[test]
-fn each_answer_of_an_owner_has_its_own() {
-    let stage = Stage::start();
+fn each_answer_of_an_owner_gives_its_own_reply() {
+    let rig = Rig::start();
     let dest = destinations(false)[0];
-    stage.act(Conduct::Answer("-BUSY 700"));
-    assert_eq!(stage.put("full", PAY, dest), "-BUSY 700");
-    assert_eq!(stage.seen_by("full"), 2, "surely not taken: the next one is asked");
-    stage.owners[0].act(Conduct::Answer("-BUSY 90"));
-    assert_eq!(stage.put("least", PAY, dest), "-BUSY 90");
-    stage.act(Conduct::Answer("-ERR unknown destination"));
-    assert_eq!(stage.put("wrong", SYNC, dest), "-ERR unknown destination");
-    assert_eq!(stage.seen_by("wrong"), 1, "final");
-    stage.owners[0].act(Conduct::Answer("-BUSY"));
-    stage.owners[1].act(Conduct::Answer("+OK"));
+    rig.set_conduct(Conduct::Answer("-BUSY 700"));
+    assert_eq!(rig.put("full", PAY, dest), "-BUSY 700");
+    assert_eq!(rig.seen_by("full"), 2, "the first owner refused, so the second must be tried");
+    rig.owners[0].set_conduct(Conduct::Answer("-BUSY 90"));
+    assert_eq!(rig.put("least", PAY, dest), "-BUSY 90");
+    rig.set_conduct(Conduct::Answer("-ERR unknown destination"));
+    assert_eq!(rig.put("wrong", SYNC, dest), "-ERR unknown destination");
+    assert_eq!(rig.seen_by("wrong"), 1, "-ERR is final: no second owner must be tried");
+    rig.owners[0].set_conduct(Conduct::Answer("-BUSY"));
+    rig.owners[1].set_conduct(Conduct::Answer("+OK"));
     for n in 0..4 {
-        assert_eq!(stage.put(&format!("either-{n}"), PAY, dest), "+OK");
+        assert_eq!(rig.put(&format!("either-{n}"), PAY, dest), "+OK");
     }
-    let forwarded = &stage.figures()["forwarded"];
+    let forwarded = &rig.metrics()["forwarded"];
     assert_eq!(
         (&forwarded["taken"], &forwarded["busy"], &forwarded["failed"]),
         (&4.into(), &2.into(), &1.into())
@@ -237,68 +249,72 @@
 
 #[test]
 fn without_an_answer_only_a_message_that_may_be_repeated_goes_to_a_second_owner() {
-    let stage = Stage::start();
+    let rig = Rig::start();
     let dest = destinations(false)[0];
     for (n, conduct) in [Conduct::Cut, Conduct::Silent, Conduct::Answer("$nonsense")].into_iter().enumerate()
     {
-        stage.act(conduct);
+        rig.set_conduct(conduct);
         for (class, fields) in [("push", PUSH), ("pay", PAY)] {
             let id = format!("{class}-{n}");
-            assert_eq!(stage.put(&id, fields, dest), "-ERR the message failed", "{conduct:?}");
-            assert_eq!(stage.seen_by(&id), 1, "{conduct:?}: one owner may have taken it");
+            assert_eq!(rig.put(&id, fields, dest), "-ERR the message failed", "{conduct:?}");
+            assert_eq!(
+                rig.seen_by(&id),
+                1,
+                "{conduct:?}: the first owner may have accepted it, so no second one must be tried"
+            );
         }
         let id = format!("sync-{n}");
-        let answer = stage.put(&id, SYNC, dest);
+        let answer = rig.put(&id, SYNC, dest);
         assert!(answer.starts_with("-BUSY"), "{conduct:?}: {answer}");
-        assert_eq!(stage.seen_by(&id), 2, "{conduct:?}");
+        assert_eq!(rig.seen_by(&id), 2, "{conduct:?}");
     }
-    assert!(stage.figures()["forwarded"]["unknown"].as_u64() >= Some(12), "{}", stage.figures());
-    // One of them still serves.
-    stage.owners[0].act(Conduct::Answer("+OK"));
+    assert!(rig.metrics()["forwarded"]["unknown"].as_u64() >= Some(12), "{}", rig.metrics());
+    // One of the owners serves again.
+    rig.owners[0].set_conduct(Conduct::Answer("+OK"));
     for n in 0..4 {
-        assert_eq!(stage.put(&format!("again-{n}"), SYNC, dest), "+OK");
+        assert_eq!(rig.put(&format!("again-{n}"), SYNC, dest), "+OK");
     }
 }
 
 #[test]
-fn without_a_lease_nothing_new_is_taken_on_and_others_are_still_reached() {
-    let stage = Stage::start();
-    stage.control.act(|_| Act::Silence);
-    wait_until("the lease to expire", || stage.figures()["lease_left_ms"] == 0);
+fn without_a_lease_nothing_new_is_accepted_and_others_are_still_reached() {
+    let rig = Rig::start();
+    rig.control.set_script(|_| StubResponse::Silence);
+    wait_until("the lease to expire", || rig.metrics()["lease_left_ms"] == 0);
     let (own, other) = (destinations(true)[0], destinations(false)[0]);
-    assert_eq!(stage.put("other", PAY, other), "+OK");
-    // The other owner of it is asked, and has a lease of its own.
-    assert_eq!(stage.put("own", PAY, own), "+OK");
-    assert_eq!(stage.seen_by("own"), 1);
-    let refused = Client::new(stage.forward).put("forwarded", &format!("{PAY},dest={own}"));
+    assert_eq!(rig.put("other", PAY, other), "+OK");
+    // The other owner of the destination is tried, which has its own lease.
+    assert_eq!(rig.put("own", PAY, own), "+OK");
+    assert_eq!(rig.seen_by("own"), 1);
+    let refused = Client::new(rig.forward).put("forwarded", &format!("{PAY},dest={own}"));
     assert!(refused.starts_with("-BUSY"), "{refused}");
-    let (control, before) = (&stage.control, stage.figures());
+    let (control, before) = (&rig.control, rig.metrics());
     assert_eq!((&before["lists_refused"], &before["epoch"]), (&0.into(), &1.into()));
-    control.act(|_| status_with(r#"{"epoch":1,"since":1,"changes":[]}"#));
-    wait_until("a lease", || stage.figures()["lease_left_ms"] != 0);
-    let taken = Client::new(stage.forward).put("afterwards", &format!("{PAY},dest={own}"));
-    assert_eq!(taken, "+OK", "no hold after an outage of control");
+    control.set_script(|_| status_with(r#"{"epoch":1,"since":1,"changes":[]}"#));
+    wait_until("a new lease", || rig.metrics()["lease_left_ms"] != 0);
+    let taken = Client::new(rig.forward).put("afterwards", &format!("{PAY},dest={own}"));
+    assert_eq!(taken, "+OK", "no hold is due after an outage of control");
 }
 
 #[test]
 fn a_list_that_is_refused_leaves_the_last_one_in_force() {
-    let stage = Stage::start();
-    let other = stage.owners[0].addr;
-    let changed = member_list([stage.forward, other, SocketAddr::from(([127, 0, 0, 1], 9))]).to_string();
-    stage.control.act(move |_| status_with(&changed));
-    wait_until("a refusal", || stage.figures()["lists_refused"].as_u64() > Some(0));
-    wait_until("the lease to expire", || stage.figures()["lease_left_ms"] == 0);
-    assert_eq!(stage.figures()["epoch"], 1);
-    assert_eq!(stage.put("passed-on", PAY, destinations(false)[0]), "+OK");
+    let rig = Rig::start();
+    let other = rig.owners[0].addr;
+    let changed = member_list([rig.forward, other, SocketAddr::from(([127, 0, 0, 1], 9))]).to_string();
+    rig.control.set_script(move |_| status_with(&changed));
+    wait_until("a refused member list", || rig.metrics()["lists_refused"].as_u64() > Some(0));
+    wait_until("the lease to expire", || rig.metrics()["lease_left_ms"] == 0);
+    assert_eq!(rig.metrics()["epoch"], 1);
+    assert_eq!(rig.put("passed-on", PAY, destinations(false)[0]), "+OK");
 }
 
 #[test]
-fn without_the_section_there_is_no_word_of_placement() {
+fn without_the_section_there_is_no_trace_of_placement() {
     let receiver = Endpoint::new(|_| status(200));
-    let platform = Platform::new(vec![line("e1", receiver.addr, "one", 1, "Ready")]);
-    let sender = Sender::with_door(&platform);
+    let platform = Platform::new(vec![listed_endpoint("e1", receiver.addr, "one", 1, "Ready")]);
+    let sender = Sender::with_mgmt(&platform);
     sender.client().ping();
-    assert_eq!(sender.figures().get("placement"), None);
+    assert_eq!(sender.metrics().get("placement"), None);
     assert_eq!(sender.client().put("m", &format!("{PAY},dest=1")), "+OK");
     assert!(!sender.state().join("placement.json").exists());
 }
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -1,4 +1,6 @@
-//! What comes back from endpoints, and what the sender makes of it.
+//! Answers of endpoints and the outcomes that the sender derives from them. Guards against messages that are
+//! sent again although they may have run, messages that fail although they never ran, ignored waits, and
+//! slots that stay occupied.
 
 mod common;
 use common::*;
@@ -10,18 +12,21 @@
 const PUSH: &str = "c=push,d=20000,dest=3,k=5c0f6e1a2b3d4c59";
 const PAY: &str = "c=pay,d=20000,dest=3";
 
-fn one(script: impl Fn(&Request) -> Act + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
+fn sender_with_endpoint(
+    script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static,
+) -> (Endpoint, Platform, Sender) {
     let endpoint = Endpoint::new(script);
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready"), placeholder(9)]);
+    let platform =
+        Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready"), placeholder(9)]);
     let sender = Sender::start(&platform);
     sender.client().ping();
     (endpoint, platform, sender)
 }
 
-/// An endpoint that acts so at a message's first call and delivers from then on.
-fn first(act: Act) -> (Endpoint, Platform, Sender) {
+/// Starts an endpoint that gives this answer to the first call with a message and delivers from then on.
+fn first_call_answered_with(act: StubResponse) -> (Endpoint, Platform, Sender) {
     let seen = std::sync::atomic::AtomicBool::new(false);
-    one(move |r| {
+    sender_with_endpoint(move |r| {
         let message = r.line.starts_with("POST");
         let first = message && !seen.swap(true, std::sync::atomic::Ordering::SeqCst);
         if first { act.clone() } else { status(200) }
@@ -30,12 +35,12 @@
 
 #[test]
 fn a_call_carries_id_key_timeout_and_body_and_reuses_its_connection() {
-    let (endpoint, _platform, sender) = one(|_| status(200));
+    let (endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
     let mut client = sender.client();
     for id in ["a1", "a2", "a3"] {
         assert_eq!(client.put(id, PUSH), "+OK");
         endpoint.wait_sent(id);
-        // The connection is free again once the sender has read the answer.
+        // The connection is idle again once the sender has read the answer.
         std::thread::sleep(Duration::from_millis(200));
     }
     let requests = endpoint.requests();
@@ -48,96 +53,101 @@
 }
 
 #[test]
-fn an_error_may_have_run_so_only_repeatable_messages_go_again() {
+fn an_error_may_have_run_so_only_repeatable_messages_are_sent_again() {
     for (fields, times, notice) in [(SYNC, 2, None), (PUSH, 2, None), (PAY, 1, Some("failed"))] {
-        let (endpoint, platform, sender) = first(status(500));
+        let (endpoint, platform, sender) = first_call_answered_with(status(500));
         assert_eq!(sender.client().put("a1", fields), "+OK");
         match notice {
-            Some(state) => platform.wait_state("a1", state),
-            None => wait_until("the second call", || endpoint.times("a1") == 2),
+            Some(state) => platform.wait_notice("a1", state),
+            None => wait_until("the second call", || endpoint.call_count("a1") == 2),
         }
-        assert_eq!(endpoint.times("a1"), times, "{fields}");
+        assert_eq!(endpoint.call_count("a1"), times, "{fields}");
     }
 }
 
 #[test]
 fn a_reset_may_have_run() {
-    let (endpoint, platform, sender) = first(Act::Break);
+    let (endpoint, platform, sender) = first_call_answered_with(StubResponse::Close);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
-    platform.wait_state("a1", "failed");
-    assert_eq!(endpoint.times("a1"), 1);
+    platform.wait_notice("a1", "failed");
+    assert_eq!(endpoint.call_count("a1"), 1);
 }
 
 #[test]
-fn what_was_turned_away_never_ran_and_goes_again() {
+fn a_rejected_message_never_ran_and_is_sent_again() {
     for code in [429, 503] {
-        let (endpoint, platform, sender) = first(status(code));
+        let (endpoint, platform, sender) = first_call_answered_with(status(code));
         assert_eq!(sender.client().put("a1", PAY), "+OK");
-        wait_until("the second call", || endpoint.times("a1") == 2);
+        wait_until("the second call", || endpoint.call_count("a1") == 2);
         assert_eq!(platform.notices(), Vec::<Value>::new());
     }
-    let no_slot = Act::Answer(503, vec![("X-No-Slot", "1".into())], String::new());
-    let (endpoint, _platform, sender) = first(no_slot);
+    let no_slot_answer = StubResponse::Answer(503, vec![("X-No-Slot", "1".into())], String::new());
+    let (endpoint, _platform, sender) = first_call_answered_with(no_slot_answer);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
-    wait_until("the second call", || endpoint.times("a1") == 2);
+    wait_until("the second call", || endpoint.call_count("a1") == 2);
 }
 
 #[test]
 fn a_refused_connection_never_ran() {
-    // An address at which nothing listens.
-    let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let platform = Platform::new(vec![line("s-1", dead, "one", 3, "Ready")]);
+    // An address at which no process listens.
+    let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let platform = Platform::new(vec![listed_endpoint("s-1", unused_address, "one", 3, "Ready")]);
     let sender = Sender::start(&platform);
     assert_eq!(sender.client().put("a1", "c=pay,d=1500,dest=3"), "+OK");
-    platform.wait_state("a1", "returned");
+    platform.wait_notice("a1", "returned");
     let after = platform.notices()[0]["after_ms"].as_u64();
-    assert!(after.is_some_and(|ms| ms > 0), "the client is told when to come again");
+    assert!(after.is_some_and(|ms| ms > 0), "the notice must give a retry time");
 }
 
 #[test]
-fn a_message_that_is_over_is_owed_nothing() {
-    let (endpoint, platform, sender) = one(|_| status(410));
+fn a_message_answered_with_410_ends_without_a_notice() {
+    let (endpoint, platform, sender) = sender_with_endpoint(|_| status(410));
     let mut client = sender.client();
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     assert_eq!(client.put("a2", "c=pay,d=400,dest=9"), "+OK");
-    platform.wait_state("a2", "returned");
-    assert_eq!((endpoint.times("a1"), platform.state_of("a1")), (1, None));
+    platform.wait_notice("a2", "returned");
+    assert_eq!((endpoint.call_count("a1"), platform.notice_state("a1")), (1, None));
 }
 
 #[test]
 fn silence_ends_the_call_by_closing_its_connection_before_the_next_try() {
-    let (endpoint, _platform, sender) = first(Act::Silence);
+    let (endpoint, _platform, sender) = first_call_answered_with(StubResponse::Silence);
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
-    wait_until("the second call", || endpoint.times("a1") == 2);
+    wait_until("the second call", || endpoint.call_count("a1") == 2);
     let calls: Vec<_> = endpoint.requests().into_iter().filter(|r| r.line.starts_with("POST")).collect();
     assert_ne!(calls[0].connection, calls[1].connection);
-    wait_until("the first connection to end", || endpoint.closed().contains(&calls[0].connection));
+    wait_until("the first connection to end", || {
+        endpoint.closed_connections().contains(&calls[0].connection)
+    });
 }
 
 #[test]
 fn an_unsafe_message_is_failed_at_its_deadline_when_nothing_came_back() {
-    let (endpoint, platform, sender) = one(|_| Act::Silence);
+    let (endpoint, platform, sender) = sender_with_endpoint(|_| StubResponse::Silence);
     let start = Instant::now();
     assert_eq!(sender.client().put("a1", "c=pay,d=900,dest=3"), "+OK");
-    platform.wait_state("a1", "failed");
+    platform.wait_notice("a1", "failed");
     assert!(start.elapsed() >= Duration::from_millis(850));
-    assert_eq!(endpoint.times("a1"), 1);
+    assert_eq!(endpoint.call_count("a1"), 1);
 }
 
 #[test]
 fn a_wait_holds_back_all_messages_of_the_destination() {
-    let (endpoint, _platform, sender) =
-        first(Act::Answer(429, vec![("X-Retry-In-Ms", "700".into())], String::new()));
+    let (endpoint, _platform, sender) = first_call_answered_with(StubResponse::Answer(
+        429,
+        vec![("X-Retry-In-Ms", "700".into())],
+        String::new(),
+    ));
     let mut client = sender.client();
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    // The sender has read the answer once the stub has written it and a moment has passed.
+    // Gives the sender time to read the answer that the stub has written.
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(client.put("a2", PAY), "+OK");
     assert_eq!(client.put("a3", PUSH), "+OK");
-    wait_until("all three", || {
-        ["a2", "a3"].iter().all(|id| endpoint.times(id) == 1) && endpoint.times("a1") == 2
+    wait_until("the second call with a1 and the calls with a2 and a3", || {
+        ["a2", "a3"].iter().all(|id| endpoint.call_count(id) == 1) && endpoint.call_count("a1") == 2
     });
     let requests = endpoint.requests();
     for later in &requests[1..] {
@@ -145,23 +155,25 @@
     }
 }
 
-/// An endpoint of the batching kind. Its first call, of `w0`, is told to wait, so that what is handed in
-/// meanwhile goes in one call.
-fn batching(answer: impl Fn(&Request) -> Act + Send + Sync + 'static) -> (Endpoint, Platform, Sender) {
+/// Starts an endpoint of the batching kind. It answers the first call, with `w0`, with a wait, so that
+/// messages that are put in the meantime share one call.
+fn batching(
+    answer: impl Fn(&Request) -> StubResponse + Send + Sync + 'static,
+) -> (Endpoint, Platform, Sender) {
     let waited = std::sync::atomic::AtomicBool::new(false);
     let endpoint = Endpoint::new(move |r| {
         if waited.swap(true, std::sync::atomic::Ordering::SeqCst) {
             return answer(r);
         }
-        Act::Answer(429, vec![("X-Retry-In-Ms", "900".into())], String::new())
+        StubResponse::Answer(429, vec![("X-Retry-In-Ms", "900".into())], String::new())
     });
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "many", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "many", 3, "Ready")]);
     let sender = Sender::start(&platform);
     sender.client().ping();
     (endpoint, platform, sender)
 }
 
-fn hand_in_together(endpoint: &Endpoint, sender: &Sender, messages: &[(&str, &str)]) {
+fn put_in_one_call(endpoint: &Endpoint, sender: &Sender, messages: &[(&str, &str)]) {
     let mut client = sender.client();
     assert_eq!(client.put("w0", SYNC), "+OK");
     endpoint.wait_sent("w0");
@@ -172,7 +184,7 @@
 }
 
 #[test]
-fn a_batch_tells_each_messages_end() {
+fn a_batchs_answer_gives_each_messages_outcome() {
     let states = [("b1", "ok"), ("b2", "error"), ("b3", "later"), ("b4", "gone"), ("b5", "exhausted")];
     let (endpoint, platform, sender) = batching(move |r| {
         if !r.ids().contains(&"b1".to_string()) {
@@ -183,28 +195,29 @@
             .iter()
             .map(|id| json!({"id": id, "state": states.iter().find(|s| s.0 == id).map_or("ok", |s| s.1)}))
             .collect();
-        Act::Answer(200, vec![], Value::from(ends).to_string())
+        StubResponse::Answer(200, vec![], Value::from(ends).to_string())
     });
-    hand_in_together(&endpoint, &sender, &states.map(|(id, _)| (id, PAY)));
-    // b2 may have run and is unsafe; b3 and b5 never ran.
-    platform.wait_state("b2", "failed");
-    wait_until("b3 to go again", || endpoint.times("b3") == 2);
+    put_in_one_call(&endpoint, &sender, &states.map(|(id, _)| (id, PAY)));
+    // b2 is unsafe and may have run; b3 and b5 never ran.
+    platform.wait_notice("b2", "failed");
+    wait_until("the second call with b3", || endpoint.call_count("b3") == 2);
     let first = endpoint.requests().into_iter().find(Request::is_batch).unwrap();
     assert_eq!(first.ids().len(), 6);
     assert!(first.line.starts_with("POST /v1/messages:batch "));
     let items: Vec<Value> = serde_json::from_slice(&first.body).unwrap();
     assert!(items.iter().all(|i| i["body"] == "aGVsbG8="));
-    assert_eq!(["b1", "b2", "b4"].map(|id| endpoint.times(id)), [1, 1, 1]);
-    assert_eq!(["b1", "b4"].map(|id| platform.state_of(id)), [None, None]);
+    assert_eq!(["b1", "b2", "b4"].map(|id| endpoint.call_count(id)), [1, 1, 1]);
+    assert_eq!(["b1", "b4"].map(|id| platform.notice_state(id)), [None, None]);
 }
 
 #[test]
 fn a_batch_that_is_cut_short_may_have_run() {
-    let (endpoint, platform, sender) = batching(|r| if r.is_batch() { Act::Break } else { status(200) });
-    hand_in_together(&endpoint, &sender, &[("b1", PAY), ("b2", PAY), ("b3", SYNC)]);
-    platform.wait_state("b1", "failed");
-    platform.wait_state("b2", "failed");
-    assert_eq!(["b1", "b2"].map(|id| endpoint.times(id)), [1, 1]);
+    let (endpoint, platform, sender) =
+        batching(|r| if r.is_batch() { StubResponse::Close } else { status(200) });
+    put_in_one_call(&endpoint, &sender, &[("b1", PAY), ("b2", PAY), ("b3", SYNC)]);
+    platform.wait_notice("b1", "failed");
+    platform.wait_notice("b2", "failed");
+    assert_eq!(["b1", "b2"].map(|id| endpoint.call_count(id)), [1, 1]);
 }
 
 #[test]
@@ -214,9 +227,9 @@
             return status(200);
         }
         let ends: Vec<Value> = r.ids().iter().map(|id| json!({"id": id, "state": "ok"})).collect();
-        Act::Answer(200, vec![("X-Retry-In-Ms", "600".into())], Value::from(ends).to_string())
+        StubResponse::Answer(200, vec![("X-Retry-In-Ms", "600".into())], Value::from(ends).to_string())
     });
-    hand_in_together(&endpoint, &sender, &[("b1", SYNC), ("b2", SYNC)]);
+    put_in_one_call(&endpoint, &sender, &[("b1", SYNC), ("b2", SYNC)]);
     endpoint.wait_sent("b2");
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(sender.client().put("b3", SYNC), "+OK");
@@ -228,38 +241,45 @@
 
 #[test]
 fn a_call_is_given_up_when_the_first_of_its_messages_runs_out_of_time() {
-    let (endpoint, platform, sender) = batching(|r| if r.is_batch() { Act::Silence } else { status(200) });
-    // The sender learns how long an answer takes.
+    let (endpoint, platform, sender) =
+        batching(|r| if r.is_batch() { StubResponse::Silence } else { status(200) });
+    // The sender measures how long an answer takes.
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
-    wait_until("a1 to go again", || endpoint.times("a1") == 2);
+    wait_until("the second call with a1", || endpoint.call_count("a1") == 2);
     let waited = std::sync::atomic::AtomicBool::new(false);
-    endpoint.act(move |r| {
+    endpoint.set_script(move |r| {
         if waited.swap(true, std::sync::atomic::Ordering::SeqCst) {
-            return if r.is_batch() { Act::Silence } else { status(200) };
+            return if r.is_batch() { StubResponse::Silence } else { status(200) };
         }
-        Act::Answer(429, vec![("X-Retry-In-Ms", "900".into())], String::new())
+        StubResponse::Answer(429, vec![("X-Retry-In-Ms", "900".into())], String::new())
     });
     let start = Instant::now();
-    hand_in_together(&endpoint, &sender, &[("b1", "c=pay,d=4500,dest=3"), ("b2", PAY), ("b3", PAY)]);
-    platform.wait_state("b1", "failed");
-    // The others may have run too, and are not waited for in a call that is over.
-    platform.wait_state("b2", "failed");
-    assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
+    put_in_one_call(&endpoint, &sender, &[("b1", "c=pay,d=4500,dest=3"), ("b2", PAY), ("b3", PAY)]);
+    platform.wait_notice("b1", "failed");
+    // The other messages of the call may have run too, and their outcome is not awaited after the call has ended.
+    platform.wait_notice("b2", "failed");
+    assert!(
+        start.elapsed() < Duration::from_secs(10),
+        "took {:?}, expected less than {:?}",
+        start.elapsed(),
+        Duration::from_secs(10)
+    );
     let call = endpoint.requests().into_iter().find(Request::is_batch).unwrap();
     assert!(call.ids().contains(&"b1".to_string()) && call.ids().contains(&"b2".to_string()));
     let timeout = call.header("x-timeout").unwrap().strip_suffix('m').unwrap();
     assert!(timeout.parse::<u32>().unwrap() <= 4_500, "{timeout}");
 }
 
-/// Far less than a call's whole time, far more than what an answer that has begun is given.
-const SOON: Duration = Duration::from_secs(6);
+/// Time limit for a slot to be free: far less than the time limit of a call, far more than that of a started
+/// answer.
+const MAX_RELEASE_DELAY: Duration = Duration::from_secs(6);
 
-fn raw(text: &str) -> Act {
-    Act::Raw(text.to_string())
+fn raw(text: &str) -> StubResponse {
+    StubResponse::Raw(text.to_string())
 }
 
 #[test]
-fn a_first_line_that_says_200_delivers_a_single_message_whatever_follows() {
+fn a_status_line_with_200_delivers_a_single_message_whatever_follows() {
     for rest in [
         "no colon\x01\r\n\r\n",
         "content-length: -5\r\n\r\n",
@@ -269,22 +289,23 @@
         "x-server-load: x0=?,x1=\r\ncontent-length: 0\r\n\r\n",
         "a head that does not end",
     ] {
-        let (endpoint, platform, sender) = first(raw(&format!("HTTP/1.1 200 OK\r\n{rest}")));
+        let (endpoint, platform, sender) =
+            first_call_answered_with(raw(&format!("HTTP/1.1 200 OK\r\n{rest}")));
         let mut client = sender.client();
         assert_eq!(client.put("a1", PAY), "+OK");
         endpoint.wait_sent("a1");
-        // One more for the same destination, at which only so many go at once, and the first one's end.
+        // Another message for the same destination, whose calls are limited, and time for the first one to end.
         assert_eq!(client.put("a2", PAY), "+OK");
         endpoint.wait_sent("a2");
         std::thread::sleep(Duration::from_millis(500));
         assert_eq!(client.put("a3", PAY), "+OK");
         endpoint.wait_sent("a3");
-        assert_eq!((endpoint.times("a1"), platform.state_of("a1")), (1, None), "{rest:?}");
+        assert_eq!((endpoint.call_count("a1"), platform.notice_state("a1")), (1, None), "{rest:?}");
     }
 }
 
 #[test]
-fn a_spoilt_answer_may_have_run_and_its_slot_is_free_soon() {
+fn a_malformed_answer_may_have_run_and_its_slot_is_free_soon() {
     for text in [
         "\x00\x01noise\r\n\r\n",
         "HTTP/1.1 2",
@@ -292,28 +313,38 @@
         "HTTP/1.1 500 X\r\nthis head does not end\r\n",
         "HTTP/1.1 2000 OK\r\ncontent-length: 0\r\n\r\n",
     ] {
-        let (endpoint, platform, sender) = first(raw(text));
+        let (endpoint, platform, sender) = first_call_answered_with(raw(text));
         let (mut client, start) = (sender.client(), Instant::now());
         assert_eq!(client.put("a1", PAY), "+OK");
-        platform.wait_state("a1", "failed");
+        platform.wait_notice("a1", "failed");
         assert_eq!(client.put("a2", SYNC), "+OK");
         endpoint.wait_sent("a2");
-        assert!(start.elapsed() < SOON, "{text:?}: {:?}", start.elapsed());
-        assert_eq!(endpoint.times("a1"), 1);
+        assert!(
+            start.elapsed() < MAX_RELEASE_DELAY,
+            "{text:?}: took {:?}, expected less than {:?}",
+            start.elapsed(),
+            MAX_RELEASE_DELAY
+        );
+        assert_eq!(endpoint.call_count("a1"), 1);
     }
 }
 
 #[test]
 fn a_delivered_messages_slot_is_free_soon_although_its_body_stalls() {
     let endpoint = Endpoint::new(|_| raw("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nx"));
-    let platform = Platform::new(vec![line("s-1", endpoint.addr, "one", 3, "Ready")]);
+    let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     let sender = Sender::with(&platform, |c| c["settings"]["FamilyInfo"]["Workers"] = 1.into());
     let (mut client, start) = (sender.client(), Instant::now());
     for id in ["a1", "a2", "a3"] {
         assert_eq!(client.put(id, PAY), "+OK");
     }
     endpoint.wait_sent("a3");
-    assert!(start.elapsed() < SOON, "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < MAX_RELEASE_DELAY,
+        "took {:?}, expected less than {:?}",
+        start.elapsed(),
+        MAX_RELEASE_DELAY
+    );
     assert!(platform.notices().is_empty());
 }
 
@@ -321,15 +352,15 @@
 fn answers_ahead_are_passed_over_and_bytes_behind_belong_to_no_call() {
     let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 101 Switching Protocols\r\nupgrade: x\r\n\r\n";
     let turned_away = "HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n";
-    let (endpoint, platform, sender) = first(raw(&format!("{ahead}{turned_away}")));
+    let (endpoint, platform, sender) = first_call_answered_with(raw(&format!("{ahead}{turned_away}")));
     assert_eq!(sender.client().put("a1", PAY), "+OK");
-    wait_until("the second call", || endpoint.times("a1") == 2);
+    wait_until("the second call", || endpoint.call_count("a1") == 2);
     assert!(platform.notices().is_empty());
 
-    // A second copy that delivers nothing: the next message is answered 500 and fails.
+    // The second answer belongs to no call: the next message is answered 500 and fails.
     let seen = std::sync::atomic::AtomicBool::new(false);
     let ok = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-    let (endpoint, platform, sender) = one(move |_| {
+    let (endpoint, platform, sender) = sender_with_endpoint(move |_| {
         let first = !seen.swap(true, std::sync::atomic::Ordering::SeqCst);
         if first { raw(&format!("{ok}{ok}")) } else { status(500) }
     });
@@ -338,18 +369,18 @@
     endpoint.wait_sent("a1");
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(client.put("a2", PAY), "+OK");
-    platform.wait_state("a2", "failed");
+    platform.wait_notice("a2", "failed");
     let connections: Vec<usize> = endpoint.requests().iter().map(|r| r.connection).collect();
     assert_eq!(connections, [0, 1]);
 }
 
 #[test]
-fn a_kept_connection_that_is_reset_at_its_next_request_is_a_lesson() {
-    // The endpoint drops every connection unseen after an answer: the next request on it is reset.
+fn idle_connections_that_are_reset_at_their_next_request_fail_at_most_one_message() {
+    // The endpoint closes each connection at the second request on it, without an answer.
     let seen = std::sync::Mutex::new(std::collections::HashSet::new());
-    let (endpoint, platform, sender) = one(move |r| {
+    let (endpoint, platform, sender) = sender_with_endpoint(move |r| {
         let fresh = seen.lock().unwrap().insert(r.connection);
-        if fresh { status(200) } else { Act::Break }
+        if fresh { status(200) } else { StubResponse::Close }
     });
     let mut client = sender.client();
     for n in 0..5 {
@@ -359,5 +390,5 @@
         std::thread::sleep(Duration::from_millis(300));
     }
     let failed = platform.notices().len();
-    assert!(failed <= 1, "{failed} unsafe messages met a dropped connection");
+    assert!(failed <= 1, "{failed} unsafe messages failed on reset connections, expected at most 1");
 }
