--- a/crates/sender/benches/limit.rs
+++ b/crates/sender/benches/limit.rs
@@ -1,7 +1,9 @@
-//! At which rate one daemon begins to lose service, and what holds it back: CPU, slots, room or the journal.
+//! Measures the rate at which one daemon begins to lose service, and the resource that limits it: CPU, slots, memory or
+//! the journal's size.
 //!
-//! Receivers are fast and have no limit. Steps up until a tenth of the worth is lost. Bounded in rate and time;
-//! loopback only. `cargo bench -p embershore --bench limit`
+//! The receivers are fast and have no rate limit. The rate is raised in steps until more than a tenth of the worth is
+//! lost. Rate and duration are bounded, and all traffic stays on loopback.
+//! Run it with `cargo bench -p embershore --bench limit`.
 
 use embershore_rehearsal::report::report;
 use embershore_rehearsal::rig::{self, Options, Progress, Subject};
@@ -10,11 +12,13 @@
 use std::path::Path;
 use std::rc::Rc;
 
-const SECONDS: u32 = 5;
-const RATES: [u32; 6] = [400, 800, 1600, 3200, 6400, 9600];
+/// Duration of each run in seconds.
+const RUN_SECONDS: u32 = 5;
+/// Rates of the steps, in messages per second.
+const RATES_PER_SECOND: [u32; 6] = [400, 800, 1600, 3200, 6400, 9600];
 
-/// CPU seconds and resident memory in MB of a child of this process that runs the daemon.
-fn child() -> Option<(f64, f64)> {
+/// Returns the CPU seconds and the resident memory in MB of the daemon, which is a child process of this one.
+fn daemon_usage() -> Option<(f64, f64)> {
     let own = std::process::id().to_string();
     let entries = std::fs::read_dir("/proc").ok()?.flatten();
     entries.into_iter().find_map(|entry| {
@@ -29,16 +33,17 @@
     })
 }
 
-fn scenario(rate: u32, slots: u32, disk: f64) -> Scenario {
+/// Builds the scenario of one step: 40 destinations, one sender and steady traffic of two classes.
+fn scenario(rate: u32, slots: u32, disk_mb: f64) -> Scenario {
     let text = format!(
-        "name = \"limit\"\nlength = \"{SECONDS}s\"\n\
+        "name = \"limit\"\nlength = \"{RUN_SECONDS}s\"\n\
          [network]\nsame = \"1ms\"\ncross = \"1ms\"\n[clients]\nretries = 0\n\
          [[class]]\nname = \"sync\"\nshare = 1\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"4s\"\n\
          [[class]]\nname = \"pay\"\nshare = 1\neffect = \"unsafe\"\naim = \"1s\"\ndeadline = \"4s\"\n\
          [[kind]]\nname = \"hook\"\n\
          [[receiver]]\nnumber = 1\ncount = 40\nkind = \"hook\"\nendpoints = 2\ncapacity = 2000\n\
          latency = {{ median = \"10ms\", p99 = \"30ms\" }}\nqueue = 1000\n\
-         [[sender]]\nname = \"n0\"\nslots = {slots}\nmax_open = 20000\ndisk_mb = {disk}\nsockets = 4096\n\
+         [[sender]]\nname = \"n0\"\nslots = {slots}\nmax_open = 20000\ndisk_mb = {disk_mb}\nsockets = 4096\n\
          [[traffic]]\nshape = \"steady\"\nrate = {rate}\n"
     );
     Scenario::parse("limit", &text, Path::new(".")).unwrap()
@@ -49,38 +54,41 @@
         "{:>6} {:>8} {:>7} {:>8} {:>9} {:>9} {:>9} {:>9} {:>9}",
         "slots", "disk MB", "rate/s", "served", "refused", "p99 ms", "CPU", "memory MB", "lag p99"
     );
-    for (slots, disk) in [(16, 3.0), (64, 3.0), (256, 3.0), (256, 64.0)] {
-        for rate in RATES {
+    for (slots, disk_mb) in [(16, 3.0), (64, 3.0), (256, 3.0), (256, 64.0)] {
+        for rate in RATES_PER_SECOND {
             let folder = tempfile::tempdir().unwrap();
             let subject = Subject::Spawn(env!("CARGO_BIN_EXE_embershore").into());
             let path = folder.path().to_path_buf();
             let options = Options { subject, folder: path, control: None, serve_only: false, stall: None };
-            let seen: Rc<RefCell<Vec<(i64, f64, f64)>>> = Rc::default();
-            let samples = seen.clone();
+            // Each sample: time in microseconds, CPU seconds, memory in MB.
+            let samples: Rc<RefCell<Vec<(i64, f64, f64)>>> = Rc::default();
+            let recorded = samples.clone();
             let watch = move |p: Progress| {
-                if let Some((cpu, memory)) = child().filter(|_| p.t < p.length) {
-                    samples.borrow_mut().push((p.t, cpu, memory));
+                if let Some((cpu, memory)) = daemon_usage().filter(|_| p.t < p.length) {
+                    recorded.borrow_mut().push((p.t, cpu, memory));
                 }
             };
-            let history = rig::run(scenario(rate, slots, disk), &options, watch).unwrap();
+            let history = rig::run(scenario(rate, slots, disk_mb), &options, watch).unwrap();
             let (report, _) = report(&history).unwrap();
-            let seen = seen.borrow();
-            let cpu = match (seen.first(), seen.last()) {
-                (Some(a), Some(b)) if b.0 > a.0 => (b.1 - a.1) / ((b.0 - a.0) as f64 / 1e6),
+            let samples = samples.borrow();
+            let cpu = match (samples.first(), samples.last()) {
+                (Some(first), Some(last)) if last.0 > first.0 => {
+                    (last.1 - first.1) / ((last.0 - first.0) as f64 / 1e6)
+                }
                 _ => 0.0,
             };
-            let memory = seen.iter().map(|s| s.2).fold(0.0, f64::max);
-            let s = &report.judgement.service.whole;
+            let memory = samples.iter().map(|sample| sample.2).fold(0.0, f64::max);
+            let service = &report.judgement.service.whole;
             let p99 = report.latencies.last().map_or(0.0, |l| l.p99_ms);
             println!(
-                "{slots:>6} {disk:>8.0} {rate:>7} {:>8.4} {:>9} {p99:>9.1} {:>8.0}% {memory:>9.1} {:>9.1}{}",
-                s.share,
-                s.refused,
+                "{slots:>6} {disk_mb:>8.0} {rate:>7} {:>8.4} {:>9} {p99:>9.1} {:>8.0}% {memory:>9.1} {:>9.1}{}",
+                service.share,
+                service.refused,
                 cpu * 100.0,
                 report.judgement.lateness.p99_us as f64 / 1e3,
                 if report.judgement.broken() { "  a rule was broken" } else { "" }
             );
-            if s.share < 0.9 {
+            if service.share < 0.9 {
                 break;
             }
         }
--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -1,4 +1,5 @@
-//! Calls and probes to endpoints: the idle connections to them, one call per connection at a time, and the outcomes.
+//! Makes calls and probes to endpoints and determines their outcomes. Holds the idle connections; a connection carries
+//! one call at a time.
 
 use crate::connection::{Connection, Traffic};
 use crate::endpoint_table::EndpointTable;
@@ -16,25 +17,28 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, oneshot};
 
+/// Limit of a response's body.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// Minimum age of a new connection, and minimum idle time of a reused one, before a request is written. Stray bytes
-/// after a response arrive in this time, which would be read as the next response; so does the reset of a new
-/// connection.
+/// Minimum age of a new connection, and minimum idle time of a reused one, before a request is written. In this time
+/// the reset of a new connection arrives, and so do stray bytes after a response, which would otherwise be read as the
+/// next response.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
-/// A reused connection that is reset within this time after a request was written had been dropped before it.
+/// A reused connection that is reset within this time after a request was written counts as dropped by the peer before
+/// that request.
 const IMMEDIATE_RESET: Duration = Duration::from_millis(100);
 /// Connections idle for no longer than this are always reused.
 const MIN_IDLE_LIFETIME: Duration = Duration::from_millis(50);
 /// Time for which resets of reused connections shorten the idle lifetime.
 const STALE_RETENTION: Duration = Duration::from_secs(10);
-/// Number of such resets that are remembered.
+/// Maximum number of resets of reused connections that are recorded.
 const MAX_STALE_RECORDS: usize = 64;
-/// Share of the endpoints' idle timeout for which connections are kept idle. The endpoint may close at any time up to
-/// its timeout, and a request that crosses the close is reset.
+/// Share of the endpoints' idle timeout for which an idle connection stays open. The endpoint may close the connection
+/// at any time up to its timeout, and a request that is sent at that moment is reset.
 pub const IDLE_LIFETIME_SHARE: f64 = 0.8;
-/// Idle connections while another process of this sender runs: both processes share one process's descriptor limit.
+/// Maximum number of idle connections while another process of this sender runs: both processes share the descriptor
+/// limit of one.
 const MAX_IDLE_DURING_HANDOVER: usize = 24;
-/// Concurrent probes; each takes a descriptor besides those of the calls.
+/// Maximum number of concurrent probes. Each uses a descriptor in addition to those of the calls.
 pub const MAX_PROBES: usize = 8;
 
 /// One message in a call.
@@ -65,7 +69,7 @@
     Route(EndpointId),
 }
 
-/// What a response reports: for all messages of the call alike, or for each one in `states`.
+/// The content of a response: one outcome for all messages of the call, or the state of each message in `states`.
 #[derive(Clone)]
 struct ResponseSummary {
     outcome: Outcome,
@@ -96,7 +100,7 @@
 /// The progress of a call in flight.
 #[derive(Default)]
 struct CallProgress {
-    /// Messages not sent with the call, since they had ended before it began.
+    /// Messages that were not sent with the call because they had ended before it began.
     left_out: RefCell<Vec<MsgId>>,
     /// The connection's traffic, and the bytes written on it before this call.
     traffic: RefCell<Option<(Rc<Traffic>, u64)>>,
@@ -119,8 +123,8 @@
         if self.may_be_written() { Outcome::ConnectFailed } else { Outcome::Unreached }
     }
 
-    /// Summarises a response that was not read to its end. A status line with 200 delivers a single message, whatever
-    /// becomes of the rest. Any other incomplete response proves nothing, but a wait in its head applies.
+    /// Summarises a response that was not read to its end. Status 200 confirms the delivery of a single message even if
+    /// the rest of the response is lost. Any other incomplete response proves nothing, but a wait in its head applies.
     fn incomplete(&self, spec: &CallSpec, outcome: Outcome) -> ResponseSummary {
         let head = self.head.take().unwrap_or_else(|| ResponseSummary::without_response(outcome));
         let status = self.traffic.borrow().as_ref().and_then(|(t, _)| t.status.get());
@@ -150,7 +154,7 @@
     idle: RefCell<HashMap<EndpointId, Vec<Connection>>>,
     waits: RefCell<HashMap<Lane, Instant>>,
     max_idle: usize,
-    /// Descriptors are shared with another process of this sender: fewer connections are kept idle.
+    /// Whether descriptors are shared with another process of this sender, so that fewer connections may be idle.
     two_processes: Rc<Cell<bool>>,
     probes: Semaphore,
     max_idle_time: Duration,
@@ -158,8 +162,8 @@
 }
 
 impl Calls {
-    /// Creates the caller. `max_idle_time` is the longest time for which a connection is kept idle, `max_idle` the
-    /// number of such connections.
+    /// Creates the caller. `max_idle_time` is the longest time for which a connection may be idle, and `max_idle` the
+    /// maximum number of idle connections.
     pub fn new(
         endpoints: Rc<RefCell<EndpointTable>>,
         metrics: Rc<Metrics>,
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Whether a call may begin now: a drain or a wait may have become known since it was decided.
+    /// Whether a call may begin now. A drain or a wait may have been reported since the dispatcher decided on the call.
     fn may_begin(&self, endpoint: EndpointId, lane: Lane) -> bool {
         let ready = self.endpoints.borrow().get(endpoint).is_some_and(|e| e.ready);
         let waits = self.waits.borrow().get(&lane).is_some_and(|until| Instant::now() < *until);
@@ -222,10 +226,10 @@
     }
 
     /// Returns how long a connection to the endpoint may be idle and still be reused. Guards against connections that
-    /// the endpoint or the network has dropped unnoticed: the reset comes at the next request, which may then have run,
-    /// so that an unsafe message can't be repeated and is lost. For a while after such resets the lifetime is half of
-    /// the shortest idle time that ended in one, at the cost of new connections; for the endpoint alone, or for all
-    /// endpoints if several had resets.
+    /// the endpoint or the network has dropped unnoticed: the next request is reset and may or may not have run, so an
+    /// unsafe message can't be repeated and is lost. For [`STALE_RETENTION`] after such a reset the lifetime is half
+    /// of the shortest idle time that ended in a reset, at the cost of more new connections. This applies to the
+    /// endpoint alone, or to all endpoints if several had resets.
     fn idle_lifetime(&self, endpoint: EndpointId) -> Duration {
         let mut stale = self.stale.borrow_mut();
         stale.retain(|s| s.at.elapsed() < STALE_RETENTION);
@@ -256,7 +260,7 @@
         None
     }
 
-    /// Keeps a connection for reuse; if there are too many, the longest idle one of some endpoint is closed.
+    /// Keeps a connection for reuse. At the limit, the connection that has been idle longest is closed first.
     fn put_idle(&self, endpoint: EndpointId, connection: Connection) {
         let Some(mut connection) = connection.if_usable() else { return };
         connection.idle_since = Instant::now();
@@ -278,8 +282,8 @@
     }
 
     /// Makes a call. Right before the first byte is written, `begin` returns the messages to send: some may have ended
-    /// while the connection was opening. With none the call is not made. `cancelled` ends the call by closing its
-    /// connection.
+    /// while the connection was opening. If `begin` returns none, nothing is sent. `cancelled` ends the call by closing
+    /// its connection.
     pub async fn call(
         &self,
         spec: &CallSpec,
@@ -301,12 +305,12 @@
             }
         };
         let outcomes = spec.items.iter().map(|item| {
-            let (outcome, over) = match &response.states {
+            let (outcome, closes_message) = match &response.states {
                 _ if progress.left_out.borrow().contains(&item.id) => (Outcome::Skipped, true),
                 None => (response.outcome, response.closes_message),
                 Some(states) => outcome_of_state(states.get(&item.request_id).map(String::as_str)),
             };
-            MessageOutcome { id: item.id, attempt: item.attempt, outcome, closes_message: over }
+            MessageOutcome { id: item.id, attempt: item.attempt, outcome, closes_message }
         });
         let elapsed = start.elapsed().as_micros() as Micros;
         let ResponseSummary { wait, report, .. } = response;
@@ -324,7 +328,7 @@
         let reused = self.take_idle(endpoint, spec.addr);
         let idle_for = reused.as_ref().map(|c| c.idle_since.elapsed());
         let opened = match reused {
-            Some(c) => Some(c),
+            Some(connection) => Some(connection),
             None => tokio::time::timeout(self.connect_timeout, open_settled(spec.addr)).await.ok().flatten(),
         };
         let Some(mut connection) = opened else {
@@ -367,8 +371,8 @@
                 response
             }
             None if !progress.fully_written() => ResponseSummary::without_response(Outcome::ConnectFailed),
-            // A closed connection says something about the endpoint. A response that can't be read on a connection that
-            // stays open is only malformed itself.
+            // A closed connection is evidence about the endpoint's health. A response that can't be parsed on a
+            // connection that stays open is not.
             None if traffic.closed_by_peer.get() || traffic.response_began.get().is_none() => {
                 progress.incomplete(spec, Outcome::Reset)
             }
@@ -407,12 +411,12 @@
 
     /// Probes an endpoint's health, on an idle connection or a new one.
     pub async fn probe(&self, endpoint: EndpointId, addr: SocketAddr) -> (Outcome, Option<LoadReport>) {
-        let Ok(_one) = self.probes.try_acquire() else { return (Outcome::Skipped, None) };
+        let Ok(_permit) = self.probes.try_acquire() else { return (Outcome::Skipped, None) };
         let work = async {
             let mut connection = match self.take_idle(endpoint, addr) {
-                Some(c) => c,
+                Some(connection) => connection,
                 None => match Connection::open(addr).await {
-                    Ok(c) => c,
+                    Ok(connection) => connection,
                     Err(_) => return (Outcome::ConnectFailed, None),
                 },
             };
@@ -431,8 +435,8 @@
     }
 }
 
-/// Opens a connection and waits for a reset that comes at once; None if it came. Nothing has been written by then, so
-/// that the message has certainly not run.
+/// Opens a connection and waits [`SETTLE_TIME`] for an immediate reset. Returns None if the connection was reset: since
+/// nothing had been written, the message has certainly not run.
 async fn open_settled(addr: SocketAddr) -> Option<Connection> {
     let connection = Connection::open(addr).await.ok()?;
     tokio::time::sleep(SETTLE_TIME).await;
--- a/crates/sender/src/check.rs
+++ b/crates/sender/src/check.rs
@@ -39,7 +39,7 @@
     json: bool,
 }
 
-/// What the rules do with the messages of one receiver, class and reason.
+/// The effect of the rules on the messages of one receiver, class and reason.
 #[derive(Debug, PartialEq, Serialize)]
 struct RuleEffect {
     /// The receiver, if a rule names it; None stands for all others.
--- a/crates/sender/src/class_table.rs
+++ b/crates/sender/src/class_table.rs
@@ -10,9 +10,9 @@
 /// Which messages use a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RowUse {
-    /// New messages of the class, and those accepted under the row.
+    /// New messages of the class, and messages accepted under the row.
     Current,
-    /// The same until this time: the class is no longer in the configuration.
+    /// As `Current` until this time: the class is no longer in the configuration.
     Dropped(Micros),
     /// Only messages accepted under the row.
     MessagesOnly,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Adds a row, in the place of one that no message uses if there is one.
+    /// Adds a row, in place of a row that no message uses if there is one.
     fn insert(&mut self, name: &str, class: ClassSettings, used: RowUse, now: Micros) -> usize {
         let row = Row { name: name.to_string(), class, used, open: 0 };
         let free = self.rows.iter().position(|row| {
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -19,42 +19,44 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 
+/// Minimum free space of a connection's buffer before each read.
 const READ_AHEAD: usize = 4096;
-/// A connection's buffer may grow beyond this only with a permit: most commands are shorter, and the memory would not
-/// suffice for all connections' buffers at full length.
+/// Size up to which a connection's buffer may grow without a permit. Most commands are shorter, and the memory would
+/// not suffice if all connections had a buffer for the longest command.
 const USUAL_COMMAND_BYTES: usize = 8 * 1024;
 /// Upper bound of an unanswered message's memory besides its body, in bytes.
 const PUT_OVERHEAD: usize = 1024;
-/// Pipelined requests of one connection that are processed together.
+/// Maximum number of pipelined requests of one connection that are processed together.
 const MAX_PIPELINE: usize = 64;
 /// Time after which a connection without an open request is closed, including one that never sent anything.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Longest pause within a command: below the 3 s after which a useless client must be rejected, and above the time that
-/// a slow client takes between two parts.
+/// Longest pause within a command. It is below the 3 s after which a client that sends nothing useful must be
+/// disconnected, and above the pause of a slow client between two parts.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2400);
-/// Longest time for a whole command: enough for the longest one at 16 KiB a second.
+/// Longest time for receiving a command: enough for the longest command at 16 KiB a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(8);
 /// At the connection limit, a connection that has been silent for this long before its first command or within a
 /// command is evicted first.
 const EVICT_SILENT_AFTER: Duration = Duration::from_millis(300);
-/// Next is a connection that has been served and has sent no request for this long.
+/// A connection that has been served and has sent no request for this long is evicted next.
 const EVICT_SERVED_AFTER: Duration = Duration::from_millis(1000);
 /// Time that a new connection gets for its first command while connections are being closed.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(300);
 /// Time for writing replies; a client that does not read them in this time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Input that is read and discarded of a connection that is being closed.
+/// Maximum number of bytes that are read and discarded on a connection that is being closed.
 const MAX_DRAIN_BYTES: usize = 256 * 1024;
-/// Time for which it is read.
+/// Maximum time for reading and discarding input on a connection that is being closed.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The reply to a command, or the channel on which it will come. The permit counts the message's bytes until then.
+/// The reply to a command, or the channel on which the reply will arrive. The permit counts the message's bytes until
+/// the reply has arrived.
 enum PendingReply {
     Text(String),
     Ping,
     FromDriver(oneshot::Receiver<Reply>, OwnedSemaphorePermit),
-    /// From another owner. It is awaited even after the client has ended its sending: a message that the owner has
-    /// accepted can't be withdrawn.
+    /// The reply of another owner. It is awaited even after the client has closed its sending side: a message that the
+    /// owner has accepted can't be withdrawn.
     Forwarded(oneshot::Receiver<Reply>, OwnedSemaphorePermit),
 }
 
@@ -67,11 +69,11 @@
 /// Limits for all connections of one server together.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Connections; half as many while another process of this sender runs.
+    /// Maximum number of connections. It is halved while another process of this sender runs.
     pub connections: usize,
-    /// Bytes of incomplete commands that are longer than [`USUAL_COMMAND_BYTES`].
+    /// Maximum total bytes of incomplete commands that are longer than [`USUAL_COMMAND_BYTES`].
     pub buffers: usize,
-    /// Bytes of messages that have been read and have no reply yet.
+    /// Maximum total bytes of messages that have been read and have no reply yet.
     pub bodies: usize,
 }
 
@@ -91,7 +93,7 @@
 pub struct Shared {
     /// Clients' connections of this process.
     pub connections: Rc<Cell<usize>>,
-    /// Other members' connections of this process, at its forward address.
+    /// Other members' connections to the forward address of this process.
     pub forwarding: Rc<Cell<usize>>,
     /// Whether descriptors are shared with another process of this sender, the predecessor.
     pub two_processes: Rc<Cell<bool>>,
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Returns the reply to a connection above the limit. On `-BUSY` a member goes on to the next owner.
+    /// Returns the reply to a connection above the limit. On `-BUSY` a member tries the next owner.
     fn rejection(&self) -> &'static [u8] {
         match self {
             Origin::Clients | Origin::Routed(..) => b"-ERR max number of clients reached\r\n",
@@ -155,17 +157,17 @@
     }
 }
 
-/// A connection's state, as far as the eviction of others depends on it.
+/// The state of a connection on which the order of eviction depends.
 struct ClientEntry {
-    /// One of its requests has been answered.
+    /// Whether a request on the connection has been answered.
     served: Cell<bool>,
-    /// A request is being processed.
+    /// Whether a request is being processed.
     busy: Cell<bool>,
     /// When the last request was answered, or the connection was accepted.
     idle_since: Cell<Instant>,
     /// When input was last read.
     last_read: Cell<Instant>,
-    /// Part of a command has been read.
+    /// Whether an incomplete command has been read.
     partial: Cell<bool>,
     task: OnceCell<AbortHandle>,
 }
@@ -177,10 +179,10 @@
         let silent_for = now.saturating_duration_since(last);
         let awaits_input = self.partial.get() || !self.served.get();
         let rank = match awaits_input {
-            // No command yet, or stalled within one.
+            // The client has not sent a complete command, and has sent nothing for a while.
             true if silent_for >= EVICT_SILENT_AFTER => 0,
             false if silent_for >= EVICT_SERVED_AFTER => 1,
-            // The rest may be in transit: a message that is cut off here is lost.
+            // The rest of the command may be in transit: a message whose connection is closed now is lost.
             true => 2,
             false => 3,
         };
@@ -240,9 +242,9 @@
     buf: BytesMut,
     /// When the first byte of the command at the start of `buf` was read.
     command_begun: Instant,
-    /// The client has closed its sending side; it may still read.
+    /// Whether the client has closed its sending side. It may still read.
     ended: bool,
-    /// The permit for a buffer above [`USUAL_COMMAND_BYTES`].
+    /// The permit for a buffer larger than [`USUAL_COMMAND_BYTES`].
     long_command: Option<OwnedSemaphorePermit>,
     driver: mpsc::Sender<Input>,
     status: watch::Receiver<ProcessStatus>,
@@ -297,9 +299,9 @@
         }
     }
 
-    /// Reads more input. Returns false once the connection is to close.
+    /// Reads more input. Returns false if the connection is to be closed.
     async fn read(&mut self) -> std::io::Result<bool> {
-        // The sender's stop closes connections only between requests; a partly read one is awaited.
+        // A stopping sender closes connections only between requests, and awaits the rest of a partly read request.
         let between = self.buf.is_empty();
         let until = if between {
             self.guard.entry.idle_since.get() + IDLE_TIMEOUT
@@ -396,9 +398,9 @@
         }
     }
 
-    /// Returns the reply's text, or None once the connection is broken; the driver notices by the dropped channel. A
-    /// client that has closed its sending side may have left or may still read: a message not accepted yet is withdrawn
-    /// and refused, which is harmless in both cases, and one accepted before is answered.
+    /// Returns the reply's text, or None if the connection has failed; the dropped channel then notifies the driver. A
+    /// client that has closed its sending side may have left or may still read. A message of it that has not been
+    /// accepted yet is withdrawn and refused, which is harmless in both cases. An accepted message is answered.
     async fn wait(&mut self, answer: PendingReply) -> Option<String> {
         let (mut answer, _counted, wait_to_end) = match answer {
             PendingReply::Text(text) => return Some(text),
@@ -435,7 +437,7 @@
 }
 
 /// Accepts and serves connections until the sender stops and its connections close. A lame duck still accepts
-/// connections: the load balancer in front polls its readiness, and connections sent before it knows are served.
+/// connections: the load balancer sends new ones until its next poll of the sender's readiness.
 pub async fn serve(
     listener: TcpListener,
     limits: ClientLimits,
--- a/crates/sender/src/clock.rs
+++ b/crates/sender/src/clock.rs
@@ -3,8 +3,8 @@
 use heronroute::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Wall-clock microseconds as of the start plus the monotonic time since, so that they never go back. The journal and
-/// the dispatcher share them.
+/// A clock that counts microseconds from the wall clock's time at the start, by the monotonic clock, so that it never
+/// goes back. The journal and the dispatcher share it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     wall: Micros,
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// Reads the wall clock, once.
+    /// Starts the clock at the wall clock's current time.
     pub fn start() -> Self {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { wall: wall.as_micros() as Micros, start: Instant::now() }
--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -1,5 +1,5 @@
-//! An HTTP/1.1 client connection to an endpoint, discovery, the platform or a control agent, with a record of what has
-//! passed on its socket.
+//! An HTTP/1.1 client connection to an endpoint, discovery, the platform or a control agent, with a record of the
+//! traffic on its socket.
 
 use bytes::{Bytes, BytesMut};
 use embershore_protocol::call::parse_status;
@@ -25,7 +25,7 @@
 /// until its timeout.
 const COMPLETION_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What has passed on a socket, as far as a call's outcome depends on it and hyper does not report it.
+/// The traffic on a socket, as far as a call's outcome depends on it and hyper does not report it.
 #[derive(Default)]
 pub struct Traffic {
     pub written: Cell<u64>,
@@ -33,13 +33,13 @@
     pub flushed: Cell<u64>,
     /// Called once the next request has been written.
     on_written: Cell<Option<Box<dyn FnOnce()>>>,
-    /// A request is in flight whose response's status line has not been read.
+    /// Whether a request is in flight and its response's status line has not been read.
     awaiting_response: Cell<bool>,
     /// When the current response's first byte, or that of an unfinished 1xx response, was read.
     pub response_began: Cell<Option<Instant>>,
     /// The status in the response's status line.
     pub status: Cell<Option<u16>>,
-    /// The peer has closed or reset the connection.
+    /// Whether the peer has closed or reset the connection.
     pub closed_by_peer: Cell<bool>,
 }
 
@@ -55,7 +55,7 @@
         self.status.set(None);
     }
 
-    /// Waits until a response that has begun exceeds its time to complete. To be polled together with the read.
+    /// Waits until a response that has begun exceeds [`COMPLETION_TIMEOUT`]. To be polled together with the read.
     pub async fn response_overdue(&self) {
         loop {
             let began =
@@ -68,14 +68,14 @@
     }
 }
 
-/// A socket that records when a request's last byte has been written and what the response's status line says, which
-/// decides a call's outcome even if the rest can't be read. The last byte is known from the flush: hyper flushes once
-/// its buffer is empty, and a request's head and body enter that buffer together. 1xx responses are dropped here: hyper
-/// would treat a 101 as the end of HTTP on the connection.
+/// A socket that records when a request's last byte has been written, and the status in the response's status line,
+/// which decides a call's outcome even if the rest can't be read. The flush shows that the last byte has been written:
+/// hyper flushes once its buffer is empty, and a request's head and body enter that buffer together. The socket drops
+/// 1xx responses, since hyper would treat a 101 as the end of HTTP on the connection.
 struct Socket<S = TcpStream> {
     stream: S,
     traffic: Rc<Traffic>,
-    /// Bytes read and not passed on to hyper: an incomplete status line or an incomplete 1xx response.
+    /// Bytes that were read and not passed on to hyper: an incomplete status line or an incomplete 1xx response.
     unread: BytesMut,
 }
 
@@ -171,7 +171,7 @@
     driver: Option<Driver>,
     pub traffic: Rc<Traffic>,
     addr: SocketAddr,
-    /// When the last exchange on it ended.
+    /// When the last exchange on this connection ended.
     pub idle_since: Instant,
 }
 
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -40,9 +40,9 @@
 const FINAL_WRITE_TIME: Duration = Duration::from_millis(20);
 /// Time that a start waits for discovery's list before it uses the one in the configuration.
 const FIRST_LIST_WAIT: Duration = Duration::from_millis(500);
-/// Interval of checking whether it has arrived.
+/// Interval at which a start checks whether a list has arrived.
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Inputs queued for the driver; a sender of more waits.
+/// Capacity of the driver's input queue. A task that sends to the full queue waits.
 const MAX_QUEUED_INPUTS: usize = 1024;
 /// Descriptors for everything except clients and endpoints: the standard streams, the event queue and its signals, the
 /// listener and a client that is being rejected, the journal and its compacted copy, the configuration, discovery's
@@ -142,7 +142,7 @@
         let mut value: Value = serde_json::from_str(&text).map_err(|e| at(&e))?;
         let config = Self::of(value.clone()).map_err(|e| at(&e))?;
         if let Some(Value::Object(known)) = value.get_mut("known") {
-            // A reload compares whether there was a list, but not its content, which may be long.
+            // A reload checks only whether the field `known` is present, and its content may be long.
             known.clear();
         }
         Ok((config, value))
@@ -204,7 +204,7 @@
     }
 }
 
-/// The receivers of a reloaded configuration's parts.
+/// The file to reload, the running configuration, and the channels for the reloaded parts.
 struct Reload {
     path: PathBuf,
     /// The running configuration.
@@ -221,8 +221,8 @@
         match ReloadedConfig::read(&to.path, &to.running) {
             Ok(ReloadedConfig { discovery, classes, value }) => {
                 to.running = value;
-                // Before discovery's address: a busy driver must not get listings from the new address without the new
-                // classes.
+                // The classes are sent before discovery's address is changed: a busy driver must not get listings from
+                // the new address without the new classes.
                 _ = to.inputs.send(Input::ClassesReloaded(classes)).await;
                 let moved = to.discovery.send_if_modified(|addr| {
                     let before = std::mem::replace(addr, discovery);
@@ -251,9 +251,9 @@
     }
 }
 
-/// How this process obtains its journal and its clients' socket.
+/// How this process obtains its journal and the clients' listening socket.
 enum Startup {
-    /// It opens both itself, at once.
+    /// It opens both at once.
     Standalone(Box<journal::Journal>, TcpListener),
     /// It inherits the socket from the platform; the journal may still belong to another process.
     InheritedSocket(std::net::TcpListener),
@@ -294,7 +294,7 @@
     }
 }
 
-/// Returns the part of a list that this sender keeps.
+/// Returns the part of a list that this sender retains.
 fn owned_part(mut list: Listing, placement: Option<&Placement>) -> Listing {
     if let Some(placement) = placement {
         list.endpoints.retain(|line| placement.retains(line.group));
@@ -354,7 +354,7 @@
         _ => None,
     };
 
-    // The dispatcher prefers endpoints with an open connection, so it must know the time for which one really is kept.
+    // The dispatcher prefers endpoints with an open connection, so it must know how long idle connections stay open.
     settings.idle_close = (settings.idle_close.max(0) as f64 * calls::IDLE_LIFETIME_SHARE) as i64;
     let endpoints = Rc::new(RefCell::new(endpoint_table::EndpointTable::new(names.clone())));
     let metrics = Rc::new(Metrics::default());
@@ -441,7 +441,7 @@
     let (journal, handover, listener) = match startup {
         Startup::Standalone(journal, listener) => (*journal, None, listener),
         Startup::InheritedSocket(socket) => {
-            // What needs no journal is done first, to shorten the time in which no process serves.
+            // Steps that need no journal come first, to shorten the time in which no process serves.
             let begun = tokio::time::Instant::now();
             while inbox.is_empty() && begun.elapsed() < list_wait {
                 tokio::time::sleep(LIST_POLL_INTERVAL).await;
@@ -512,8 +512,8 @@
             });
         }
     }
-    // If discovery has sent nothing yet, the list is applied once more, without the endpoints that drain by the
-    // journal.
+    // If discovery has sent nothing yet, the configured list is applied once more, without the endpoints that the
+    // journal records as draining.
     let known = match taken {
         Some(entries) if !inbox.is_empty() => InitialList::Applied(entries),
         _ => known,
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -20,21 +20,21 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// A watch on which nothing complete arrives for this long is dead, even if single bytes do: discovery sends something
-/// every 2 s. A change that a silent watch misses must be heeded 6 s after the silence began. The limit leaves time for
-/// a poll that hangs and a further one that is answered.
+/// A watch on which nothing complete arrives for this long counts as dead, even if single bytes arrive: discovery sends
+/// something every 2 s. A change that a silent watch misses must be applied within 6 s of the start of the silence. The
+/// timeout leaves time for one poll that hangs and another that is answered.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Timeout for a response's head, which comes at once unless discovery is down. When discovery returns, a drain that it
-/// reports must be heeded at once, so no poll may hang for longer than that leaves.
+/// Timeout for a response's head, which arrives at once unless discovery is down. When discovery is back, a drain that
+/// it reports must be applied at once, so that no poll may hang for long.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
-/// The same where polls cost discovery work: a poll may be queued that long before discovery answers.
+/// Timeout for a response's head where polls cost discovery work: a poll may be queued that long.
 const COSTLY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time for reading a listing of which only the owned part is kept; the listing may be long.
+/// Time for reading a listing of which only the owned part is stored; the listing may be long.
 const FILTERED_LIST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Follows the listing for ever. The endpoint table is updated as soon as a line is read, so that a drain stops calls
-/// that have not begun; the driver receives the changes in order. When discovery's address changes, the new one is
-/// polled at once, and for the complete listing: it may not know the version that the old one last sent.
+/// that have not begun; the driver receives the changes in order. When discovery's address changes, the new address is
+/// polled at once for the complete listing, since it may not know the version that the old address last sent.
 ///
 /// `index` is the version of the known listing, if there is one.
 pub async fn follow(
@@ -67,13 +67,13 @@
                 }
                 (None, Ok(_)) => {}
             }
-            // A failing watch may still send one line without a change, which does not make it useful. Nor was a poll
-            // useful that hung, or after which the version was dropped.
+            // A watch counts as useful if it brought a new version or stayed open for longer than the stall timeout.
+            // One line without a change, a poll that hung, or a version that was dropped does not make it useful.
             let (took, advanced) = (begun.elapsed(), index.is_some() && index != before);
             let useful = opened && (advanced || took > STALL_TIMEOUT);
             if rejected.is_some() {
-                // If the complete listing is too long, the changes since the last accepted one may be short enough, and
-                // the other way round. The next poll tries the other.
+                // If the complete listing is too long, the changes since the last accepted listing may be short enough,
+                // and the other way round. The next poll requests the form that was not rejected.
                 index = if before.is_some() { None } else { in_force };
                 WatchEnd::Rejected(took)
             } else if timed_out {
@@ -107,15 +107,15 @@
 
 /// How a watch, or the attempt to open one, has ended.
 enum WatchEnd {
-    /// It was open and received nothing complete within the stall timeout.
+    /// The watch was open and received nothing complete within the stall timeout.
     Stalled,
-    /// It was useful, and its connection broke.
+    /// The watch was useful, and its connection broke.
     Broken,
-    /// It was useful, and discovery ended it.
+    /// The watch was useful, and discovery ended it.
     Closed,
-    /// It failed, this long after it was begun.
+    /// The watch failed, this long after it was begun.
     Failed(Duration),
-    /// It received a listing that is too long, this long after it was begun.
+    /// The watch received a listing that is too long, this long after it was begun.
     Rejected(Duration),
     /// The complete listing has to be read again, since this sender owns other destinations now.
     RereadRequested,
@@ -129,13 +129,13 @@
     RereadRequested,
 }
 
-/// Receives the listings, and decides which part of them is kept.
+/// Receives the listings, and decides which part of them is stored.
 pub struct ListingSink {
     pub endpoints: Rc<RefCell<EndpointTable>>,
     pub driver: mpsc::Sender<Input>,
     pub metrics: Rc<Metrics>,
     pub limit: ListLimit,
-    /// Present if only the destinations that this sender owns are kept.
+    /// Present if only the destinations that this sender owns are stored.
     pub placement: Option<Rc<Placement>>,
 }
 
@@ -192,7 +192,7 @@
     body: Incoming,
     listings: ListReader,
     limit: ListLimit,
-    /// When the stream last was between two listings: nothing incomplete was pending.
+    /// When the stream was last between two listings, without an incomplete one.
     last_progress: Instant,
 }
 
@@ -237,8 +237,8 @@
         match self.listings {
             ListReader::All(_) => self.read_text().await,
             ListReader::Filtered(..) => {
-                let kept = tokio::time::timeout(FILTERED_LIST_TIMEOUT, self.read_filtered());
-                kept.await.map_err(timed_out)?
+                let filtered = tokio::time::timeout(FILTERED_LIST_TIMEOUT, self.read_filtered());
+                filtered.await.map_err(timed_out)?
             }
         }
     }
@@ -338,7 +338,8 @@
         }
     };
     *opened = true;
-    // The same for a version after which discovery sends nothing, unless it may be short of time.
+    // A version after which discovery sends nothing must not be requested again either, unless polls cost discovery
+    // work and it may only have been slow.
     *index = index.filter(|_| costly);
     let mut known = since;
     let mut reread_requested = std::pin::pin!(sink.until_requested(spread));
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -1,6 +1,6 @@
-//! The driver: passes events to the decision module (the dispatcher) in rounds and executes the actions that it
-//! returns. `start` holds the start from a journal or a predecessor, `handover` the replacement of one process by
-//! another, `recovered` the count of messages that a restart recovered unattempted.
+//! The driver passes events to the decision module (the dispatcher) in rounds, and executes the actions that the
+//! dispatcher returns. The submodule `start` restores the state from a journal or a predecessor, `handover` replaces
+//! one process by another, and `recovered` counts the messages that a restart recovered unattempted.
 
 mod handover;
 mod recovered;
@@ -36,11 +36,11 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// After SIGTERM the process stays for at least this long, even if it has nothing to do.
+/// Minimum time from SIGTERM until the process exits, even if it has nothing to do.
 const MIN_STAY_US: Micros = 900_000;
 /// Time from SIGTERM until all calls must have ended.
 const CALL_DEADLINE_US: Micros = 3_300_000;
-/// Time from SIGTERM until the process exits whatever is left: it is killed soon after.
+/// Time from SIGTERM until the process exits even with open messages: the platform kills it soon after.
 const EXIT_DEADLINE_US: Micros = 3_500_000;
 /// Interval of closing expired idle connections; also the longest time between two rounds.
 const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
@@ -65,11 +65,11 @@
     reply: oneshot::Sender<Reply>,
 }
 
-/// The parts from which [`Driver::new`] builds a driver.
+/// The arguments of [`Driver::new`].
 pub struct Parts {
     pub clock: Clock,
     pub seed: u64,
-    /// How long to wait for discovery's listing before the one in the configuration is used.
+    /// How long to wait for discovery's listing before the configuration's listing is used.
     pub list_wait: Duration,
     pub settings: Settings,
     pub names: Names,
@@ -82,7 +82,7 @@
     pub metrics: Rc<Metrics>,
     pub shared: Shared,
     pub handover: Option<HandoverContext>,
-    /// Present if placement is on: other senders then own some of the destinations.
+    /// Present if placement is on, so that other senders own some of the destinations.
     pub placement: Option<Rc<Placement>>,
 }
 
@@ -92,12 +92,12 @@
     dispatcher: Dispatcher,
     names: Names,
     kinds: Vec<KindSettings>,
-    /// The classes' rules; a row number is the class index that the dispatcher knows.
+    /// The classes' rules. A row's number is the class index that the dispatcher uses.
     class_table: ClassTable,
     quantum: Micros,
     list_wait: Duration,
     max_open: usize,
-    /// Retry time in the reply to a client that finds no room; the same as in the dispatcher's refusals.
+    /// Retry time in the reply to a client whose message finds no room; equal to the dispatcher's in its refusals.
     retry_after_ms: u64,
     journal: Rc<RefCell<Journal>>,
     endpoints: Rc<RefCell<EndpointTable>>,
@@ -121,7 +121,7 @@
     next_call: u64,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
     unconfirmed_notices: usize,
-    /// When SIGTERM came.
+    /// When SIGTERM was received.
     stopping: Option<Micros>,
 }
 
@@ -187,7 +187,8 @@
         loop {
             let timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
             let pending_events = if self.events.is_empty() { Micros::MAX } else { last_round };
-            // At most one round per quantum; also one while no event comes, for what depends on the clock alone.
+            // There is at most one round per quantum. Rounds also run without events, for conditions that depend on the
+            // clock alone.
             let wake = timer.min(pending_events).max(last_round + self.quantum);
             let wake = wake.min(last_round + IDLE_SWEEP_INTERVAL_US).min(self.next_exit_check(last_round));
             tokio::select! {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Queues an input as an event for the next round, and updates what does not wait for it.
+    /// Queues an input as an event for the next round, and updates the state that does not depend on that round.
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Put(put, reply) => self.handle_put(put, reply),
@@ -277,8 +278,8 @@
     /// Queues a new message as an event, or rejects it at once.
     fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
-            // The same message on a second connection. Until it is in the journal it may still be rejected, so it
-            // must not be reported as accepted: the client would not send it again.
+            // The client has sent the message on a second connection. Until the message is in the journal it may still
+            // be rejected, so it must not be reported as accepted: the client would not send it again.
             let written = self.journal.borrow().get(id.0).is_some();
             _ = reply.send(if written { Reply::Accepted } else { Reply::Busy { retry_after_ms: 0 } });
             return;
@@ -373,7 +374,7 @@
                     && outcome == Outcome::Done
                     && deadline.is_some_and(|at| at < self.clock.now())
                 {
-                    // Delivered after its deadline, which may not count as delivered: the client gets a notice.
+                    // A delivery after the deadline may not count as delivered, so the client gets a notice of failure.
                     self.end_undelivered(id, End::Failed);
                 } else if closes_message {
                     if outcome == Outcome::Done
@@ -400,7 +401,7 @@
         }
     }
 
-    /// Removes a message from the pending ones. Returns false if it was not pending.
+    /// Removes a message from the pending messages. Returns false if it was not pending.
     fn remove_pending(&mut self, id: MsgId) -> bool {
         let pending = self.pending.remove(&id);
         if let Some(placement) = &self.placement {
@@ -451,9 +452,9 @@
         self.metrics.outstanding.set(self.pending.len() - self.unanswered_puts.len());
     }
 
-    /// Sets each new message's remaining time as of this round, which may come a quantum after the message was read,
-    /// or later at a start that has much to read. With the time as of reading, the dispatcher would end the message
-    /// too late, and an answer that came then would not count.
+    /// Sets each new message's remaining time as of this round. The round may run a quantum after the message was read,
+    /// or later at a start with a long journal. With the remaining time as of reading, the dispatcher would end the
+    /// message too late, and a response after the deadline would not count.
     fn set_time_left(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
         for event in events {
@@ -650,12 +651,13 @@
             (self.calls.clone(), self.journal.clone(), self.inputs.clone(), self.clock);
         tokio::task::spawn_local(async move {
             let begin = || {
-                // A repeat must not go out after the key window, in which the destination recognises the key, even
-                // if the connection took long to open.
+                // A repeat must not be sent after the key window, in which the destination recognises the key, even if
+                // the connection took long to open.
                 if clock.now() >= key_window_end {
                     return Vec::new();
                 }
-                // Nor a message that ended while the connection was opening: its client may have the notice.
+                // A message that ended while the connection was opening must not be sent either: its client may already
+                // have been notified of the end.
                 let open =
                     |id: &MsgId| journal.borrow().get(id.0).is_some_and(|entry| entry.progress.end.is_none());
                 let wanted: Vec<MsgId> = spec.items.iter().map(|i| i.id).filter(open).collect();
@@ -722,8 +724,8 @@
         }
     }
 
-    /// Returns the next time at which [`Driver::can_exit`] may change by the clock alone. Without it the process could
-    /// notice its exit time only at its next round, and be killed before.
+    /// Returns the next time at which the result of [`Driver::can_exit`] may change by the clock alone. Without this
+    /// wake-up the process could notice its exit time too late, at a later round, and be killed before.
     fn next_exit_check(&self, last_round: Micros) -> Micros {
         let phases = self.stopping.into_iter().flat_map(|t| [t + MIN_STAY_US, t + EXIT_DEADLINE_US]);
         phases.filter(|at| *at > last_round).min().unwrap_or(Micros::MAX)
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -1,5 +1,5 @@
-//! The driver's part in replacing one process by another: it handles the frames of its predecessor, hands its state to
-//! a successor, and afterwards passes on what still arrives.
+//! The driver's part in replacing one process by another. The driver handles frames from its predecessor, hands its own
+//! state to a successor, and then forwards to the successor the puts and outcomes that still arrive.
 
 use super::{Driver, EXIT_DEADLINE_US};
 use crate::calls::Lane;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Rounds that a sender runs before it hands over, to process its queued events: each round may leave some to the next.
+/// Maximum number of rounds that process the queued events before the handover: a round may queue new events.
 const MAX_FINAL_ROUNDS: usize = 8;
 /// Time for sending the last outcomes to the successor before exiting.
 const FINAL_SEND_TIMEOUT: Duration = Duration::from_millis(200);
@@ -25,14 +25,14 @@
     pub lock: Lock,
     /// The state that the predecessor has handed over, and the link to it.
     pub predecessor: Option<(Box<State>, Link)>,
-    /// Successors that ask for the journal.
+    /// Successors that have requested the journal.
     pub takeover_requests: mpsc::Receiver<(Owner, Link)>,
 }
 
-/// The process that this one has replaced, while it still has calls or clients.
+/// The process that this one has replaced, while that process still has calls or clients.
 pub(super) struct Predecessor {
     pub(super) send: mpsc::UnboundedSender<Frame>,
-    /// Its attempts in flight, each with the number of its call and the endpoint.
+    /// The predecessor's attempts in flight, each with the number of its call and the endpoint.
     pub(super) attempts_in_flight: BTreeMap<(MsgId, u32), (u64, EndpointId)>,
 }
 
@@ -60,7 +60,7 @@
         Predecessor { send, attempts_in_flight: attempts_in_flight.collect() }
     }
 
-    /// Handles a put or an outcome that the predecessor passes on.
+    /// Handles a put or a call's outcomes that the predecessor forwards.
     pub(super) fn handle_predecessor_frame(&mut self, frame: Frame) {
         let Some(predecessor) = &mut self.predecessor else { return };
         match frame {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Ends the predecessor's attempts in flight when it has exited: those that had begun may have run.
+    /// Ends the predecessor's attempts in flight after it has exited. Attempts that had begun may have run.
     pub(super) fn handle_predecessor_gone(&mut self) {
         self.shared.two_processes.set(false);
         let Some(predecessor) = self.predecessor.take() else { return };
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Hands the journal to a successor that asks for it. Returns the link to it once it has the journal; None if it
-    /// failed to take over and this process serves on.
+    /// Hands the journal to a successor that requested it. Returns the link once the successor has the journal, or None
+    /// if the successor failed to take over and this process continues to serve.
     pub(super) async fn hand_over(&mut self, mut owner: Owner, mut link: Link) -> Option<Link> {
         for _ in 0..MAX_FINAL_ROUNDS {
             self.round();
@@ -126,7 +126,7 @@
         }
         let state = Frame::State(Box::new(self.handover_state()));
         let lock = &self.handover.as_ref()?.lock;
-        // With the journal closed, calls whose connections are still opening can't begin: none goes out unrecorded.
+        // With the journal closed, calls whose connections are still opening can't begin: no call is made unrecorded.
         self.journal.borrow_mut().set_closed(true);
         let released = lock.release();
         let mut step = owner.on(OwnerEvent::Released);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns the state that the successor needs beside the journal.
+    /// Returns the state that the successor needs in addition to the journal.
     pub(super) fn handover_state(&self) -> State {
         let (inherited, in_flight) = self.dispatcher.handover_state();
         let endpoints = self.endpoints.borrow();
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Runs after a successor has taken over: passes on puts, replies and outcomes, and returns with the last call and
-    /// the last client, or at the exit deadline.
+    /// Runs after a successor has taken over, and forwards puts, replies and outcomes between clients, calls and the
+    /// successor. Returns once no call and no client connection is left, or at the exit deadline.
     pub(super) async fn forward_until_idle(mut self, mut inbox: mpsc::Receiver<Input>, link: Link) {
         _ = self.status.change(Change::HandedOver);
         self.calls.close_all();
@@ -226,7 +226,7 @@
     }
 }
 
-/// Waits for the next successor that asks for the journal; for ever where handover is not set up.
+/// Waits for the next successor that requests the journal; waits for ever if handover is not set up.
 pub(super) async fn next_takeover_request(handover: &mut Option<HandoverContext>) -> Option<(Owner, Link)> {
     match handover {
         Some(handover) => handover.takeover_requests.recv().await,
--- a/crates/sender/src/driver/recovered.rs
+++ b/crates/sender/src/driver/recovered.rs
@@ -1,22 +1,24 @@
 //! Counts the messages that a restart recovers from the journal and that were never attempted, or only by attempts that
-//! certainly did not run. Each is to get a call before its deadline. The counts are logged once the last of them has
-//! had a call or has ended.
+//! certainly did not run. Each such message must get a call before its deadline. The counts are logged once the last
+//! such message has had a call or has ended.
 
 use heronroute::{Micros, MsgId};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The recovered messages that wait for their first call, and the outcomes of the others. Bounded by the journal.
+/// The recovered messages that wait for their first call, and counts of the others. Their number is bounded by the
+/// journal's size.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct RecoveredMessages {
-    /// The deadline of each, and the calls with it that had begun before the start.
+    /// The deadline of each waiting message, and the number of its calls that had begun before the start.
     waiting: BTreeMap<MsgId, (Micros, u32)>,
-    /// Past their deadline at the start.
+    /// Messages whose deadline had passed at the start.
     late: usize,
+    /// Messages that have had a call since the start.
     called: usize,
-    /// Ended at their deadline without a call.
+    /// Messages that ended at their deadline without a call.
     expired: usize,
-    /// Ended before their deadline without a call.
+    /// Messages that ended before their deadline without a call.
     given_up: usize,
 }
 
@@ -30,7 +32,8 @@
         }
     }
 
-    /// Records that `begun` calls with a message have begun in all. Returns whether it was the last one waiting.
+    /// Records the total number of calls with a message that have begun. Returns whether the message was the last one
+    /// waiting.
     pub(super) fn record_calls(&mut self, id: MsgId, begun: u32) -> bool {
         let waited = self.waiting.get(&id).is_some_and(|(_, before)| begun > *before);
         if waited {
@@ -40,8 +43,8 @@
         waited && self.waiting.is_empty()
     }
 
-    /// Records that a message has ended; within `slack` before its deadline it counts as expired. Returns whether it
-    /// was the last one waiting.
+    /// Records that a message has ended. A message that ends within `slack` before its deadline counts as expired.
+    /// Returns whether it was the last waiting message.
     pub(super) fn record_end(&mut self, id: MsgId, now: Micros, slack: Micros) -> bool {
         let Some((deadline, _)) = self.waiting.remove(&id) else { return false };
         if deadline - now <= slack {
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -1,4 +1,4 @@
-//! The driver's start: obtaining the endpoint listing, and restoring what the journal or the predecessor holds.
+//! The driver's start: obtaining the endpoint listing, and restoring the state of the journal or the predecessor.
 
 use super::{Driver, PendingMessage, SET_IN_ROUND};
 use crate::endpoint_table::EndpointTable;
@@ -14,11 +14,12 @@
 
 /// The endpoint listing given with the configuration.
 pub enum InitialList {
-    /// The configuration has none.
+    /// The configuration has no listing.
     Missing,
-    /// Not applied to the endpoint table yet.
+    /// The configuration's listing, not applied to the endpoint table yet.
     Configured(Listing),
-    /// Applied to the endpoint table. Discovery's listing may have been applied since, so it must not be applied again.
+    /// The entries of the configuration's listing, already applied to the endpoint table. It must not be applied again:
+    /// discovery's listing may have been applied since.
     Applied(Vec<EndpointEntry>),
 }
 
@@ -30,9 +31,9 @@
 }
 
 impl Driver {
-    /// Waits for an endpoint listing, which is needed before anything is sent. The configuration's may be old, so
-    /// discovery's is awaited; after `list_wait` the configuration's is used. Returns the inputs that arrived
-    /// meanwhile, to be handled after the restored messages; None if the stop signal came.
+    /// Waits for an endpoint listing, without which nothing can be sent. The configuration's listing may be old, so it
+    /// is used only if discovery sends none within `list_wait`. Returns the inputs that arrived meanwhile, which are to
+    /// be handled after the restored messages, or None if the stop signal was received.
     pub(super) async fn wait_for_list(
         &mut self,
         inbox: &mut mpsc::Receiver<Input>,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Passes to the dispatcher what an earlier run left in the journal, and what the predecessor has handed over.
+    /// Passes to the dispatcher the state that an earlier run left in the journal or the predecessor has handed over.
     pub(super) fn restore(&mut self) {
         let handed_over = self.handover.as_mut().and_then(|handover| handover.predecessor.take());
         let mut restored = Vec::new();
@@ -91,7 +92,8 @@
             }
             let names: HashMap<EndpointId, String> = names.into_iter().collect();
             let endpoints = self.endpoints.borrow();
-            // An endpoint with calls in flight that is no longer listed gets a number that no listed one will have.
+            // An endpoint that has calls in flight and is no longer listed gets a number that no listed endpoint will
+            // have.
             let unlisted: BTreeSet<EndpointId> = calls.iter().map(InFlightCall::endpoint).collect();
             let number = |id: EndpointId| {
                 let known = names.get(&id).and_then(|name| endpoints.number(name));
@@ -132,7 +134,7 @@
             }
             // An endpoint that is no longer listed has no number; an unused one takes its place.
             let number = |name: &str| endpoints.number(name).unwrap_or(EndpointId(u32::MAX));
-            // The rules under which the message was accepted apply, whatever the configuration has now.
+            // The rules under which the message was accepted still apply, even if the configuration has changed.
             let rules = journal.rules(entry);
             let row =
                 self.class_table.row_for_restored(&message.class, rules.as_ref(), now).unwrap_or(usize::MAX);
@@ -145,8 +147,8 @@
                 dest: DestId(message.dest),
                 time_left: SET_IN_ROUND,
                 attempts,
-                // The journal records the attempts that began. The outcome of one in flight that has not is still to
-                // come from the predecessor.
+                // The journal records only attempts that have begun. If an attempt in flight has not begun, its outcome
+                // is still to be received from the predecessor.
                 unreached: attempts
                     .saturating_sub(progress.attempts)
                     .saturating_sub(u32::from(call.is_some() && progress.in_flight.is_none())),
@@ -181,8 +183,9 @@
     }
 }
 
-/// Returns the receivers' health as of the earlier run. A journal of an earlier version has no records of it: receivers
-/// for which it holds messages, or whose endpoints were failing, may be down or warming up, and count as unknown.
+/// Returns the receivers' health as of the earlier run. A journal of an earlier version does not record it: receivers
+/// that have messages in that journal, or whose endpoints were failing, may be down or warming up. Their health is
+/// restored as unknown.
 fn restored_receivers(journal: &Journal, endpoints: &EndpointTable) -> Vec<Event> {
     let mut unknown = BTreeSet::new();
     if !journal.has_receiver_records() {
--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time for which a gone endpoint keeps its number, in case it is listed again. Where endpoints are replaced all the
-/// time, gone ones make up most of the table.
+/// Time for which a gone endpoint keeps its number, in case it is listed again. The time is short because gone
+/// endpoints make up most of the table where endpoints are replaced all the time.
 const GONE_RETENTION: Duration = Duration::from_secs(60);
 /// Time for which a destination stays known after its last endpoint has gone.
 const DESTINATION_RETENTION: Duration = Duration::from_secs(3600);
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -15,26 +15,27 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// Time for an expected frame of the other process. In it the owner processes its queued events and writes the state,
-/// or the newcomer acquires the lock.
+/// Timeout for an expected frame from the other process. Within it the owner processes its queued events and writes
+/// the state, or the successor acquires the lock.
 pub const FRAME_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Interval of the attempts to acquire a lock.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which a newcomer without the journal reports ready all the same. The platform then ends the unresponsive
-/// owner, which frees the lock. Until then clients' connections wait to be accepted.
+/// Time after which a successor reports ready although it does not own the journal yet. The platform then ends the
+/// unresponsive owner, which releases the lock. Clients' connections wait to be accepted until the owner has ended.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(4500);
+/// Minimum free space of the receive buffer before each read.
 const READ_AHEAD: usize = 16 * 1024;
 
-/// The file lock by which one process owns the journal. The process's end releases it.
+/// The file lock by which one process owns the journal. The lock is released when its process ends.
 pub struct Lock {
     file: File,
-    /// Locked by the newcomer that asks for the lock: when the owner releases the lock for one newcomer, another that
-    /// starts at that moment must not acquire it without the state.
+    /// Locked by the successor that requests the journal: when the owner releases `file` for one successor, another
+    /// process that starts at that moment must not acquire `file` without the state.
     turn: File,
     folder: Folder,
 }
 
-/// The state folder, by a path short enough for a Unix socket's name.
+/// The state folder, addressed by a path that is short enough for a Unix socket's name.
 pub struct Folder {
     _open: File,
     path: PathBuf,
@@ -68,7 +69,7 @@
         try_lock(&self.file)
     }
 
-    /// Waits until no other newcomer is asking. The turn ends with the process or [`Lock::end_turn`].
+    /// Waits until no other successor requests the journal. The turn ends with the process or [`Lock::end_turn`].
     async fn wait_for_turn(&self) -> io::Result<()> {
         while !try_lock(&self.turn)? {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -85,8 +86,8 @@
         self.file.unlock()
     }
 
-    /// Creates the socket at which newcomers ask, replacing one that an earlier process left. Only the lock's holder
-    /// may call it.
+    /// Creates the socket at which successors request the journal, and replaces the socket file of an earlier process.
+    /// Only the lock's holder may call this function.
     pub fn listen(&self) -> io::Result<UnixListener> {
         let path = self.folder.socket();
         match std::fs::remove_file(&path) {
@@ -104,10 +105,10 @@
     }
 }
 
-/// What was received from the other process within [`FRAME_TIMEOUT`].
+/// The result of waiting up to [`FRAME_TIMEOUT`] for a frame from the other process.
 pub enum Received {
     Frame(Frame),
-    /// Nothing yet.
+    /// No complete frame arrived in time.
     Timeout,
     /// The link has ended, or its data is invalid.
     Closed,
@@ -130,13 +131,13 @@
     decoder: Decoder,
 }
 
-/// A link that a task reads and writes. The channels are unbounded, but what they carry is not: clients' messages are
-/// limited by the connections, the ends of calls by the slots.
+/// A link that a task reads and writes. The channels have no bound of their own, but their content is bounded: clients'
+/// messages by the number of connections, and the ends of calls by the number of slots.
 pub struct BackgroundLink {
     pub send: mpsc::UnboundedSender<Frame>,
-    /// The frames received; ends with the link.
+    /// The frames received. The channel closes when the link ends.
     pub frames: mpsc::UnboundedReceiver<Frame>,
-    /// Ends once all frames are written, after `send` has been dropped.
+    /// The task. It ends once `send` has been dropped and all its frames have been written.
     pub task: JoinHandle<()>,
 }
 
@@ -207,8 +208,8 @@
     }
 }
 
-/// Accepts newcomers one at a time and passes each that asks for the journal to the driver. Ends when the driver has
-/// dropped its end of the channel, after it has handed the journal over.
+/// Accepts successors one at a time, and passes each that requests the journal to the driver. Ends when the driver has
+/// handed the journal over and dropped its end of the channel.
 pub async fn accept_takeovers(listener: UnixListener, requests: mpsc::Sender<(Owner, Link)>) {
     loop {
         let mut link = match listener.accept().await {
@@ -237,7 +238,7 @@
                 }
                 _ => {
                     eprintln!(
-                        "handover: a new process left, or uses another protocol version than {}",
+                        "handover: a new process disconnected, or uses another protocol version than {}",
                         embershore_handover::VERSION
                     );
                     break;
@@ -247,13 +248,14 @@
     }
 }
 
-/// The lock that a newcomer has acquired, with the predecessor's state and the link to it if it still runs.
+/// The lock that this process has acquired. If its predecessor still runs, also the predecessor's state and the link to
+/// the predecessor.
 pub struct Acquired {
     pub lock: Lock,
     pub predecessor: Option<(Box<State>, Link)>,
 }
 
-/// Waits until this process owns the journal; None if it receives the stop signal before.
+/// Waits until this process owns the journal. Returns None if it receives the stop signal first.
 pub async fn take_over(folder: &Path, status: &SharedStatus) -> io::Result<Option<Acquired>> {
     let lock = Lock::new(Folder::open(folder)?)?;
     let mut follow = status.subscribe();
@@ -284,8 +286,8 @@
 }
 
 async fn become_owner(lock: &Lock) -> io::Result<Option<(Box<State>, Link)>> {
-    let (mut newcomer, mut link, mut received_state) = (Successor::default(), None::<Link>, None);
-    let mut step = newcomer.on(SuccessorEvent::LockTried(lock.try_acquire()?));
+    let (mut successor, mut link, mut received_state) = (Successor::default(), None::<Link>, None);
+    let mut step = successor.on(SuccessorEvent::LockTried(lock.try_acquire()?));
     loop {
         step = match step {
             SuccessorAction::Start => return Ok(None),
@@ -297,18 +299,18 @@
                 _ = link.send(&Frame::Taken).await;
                 return Ok(Some((state, link)));
             }
-            SuccessorAction::TryLock => newcomer.on(SuccessorEvent::LockTried(lock.try_acquire()?)),
+            SuccessorAction::TryLock => successor.on(SuccessorEvent::LockTried(lock.try_acquire()?)),
             SuccessorAction::RetryLater => {
                 (link, received_state) = (None, None);
                 tokio::time::sleep(POLL_INTERVAL).await;
-                newcomer.on(SuccessorEvent::LockTried(lock.try_acquire()?))
+                successor.on(SuccessorEvent::LockTried(lock.try_acquire()?))
             }
             SuccessorAction::Connect => {
                 link = UnixStream::connect(lock.folder.socket()).await.ok().map(Link::new);
                 let hello = Frame::Hello { version: embershore_handover::VERSION };
-                send_or_lost(&mut newcomer, &mut link, &hello).await
+                send_or_lost(&mut successor, &mut link, &hello).await
             }
-            SuccessorAction::RequestJournal => send_or_lost(&mut newcomer, &mut link, &Frame::Take).await,
+            SuccessorAction::RequestJournal => send_or_lost(&mut successor, &mut link, &Frame::Take).await,
             SuccessorAction::Wait => {
                 let frame = match &mut link {
                     Some(link) => match link.receive_soon().await {
@@ -318,7 +320,7 @@
                     None => None,
                 };
                 let step =
-                    newcomer.on(frame.as_ref().map_or(SuccessorEvent::OwnerLost, SuccessorEvent::Received));
+                    successor.on(frame.as_ref().map_or(SuccessorEvent::OwnerLost, SuccessorEvent::Received));
                 if let Some(Frame::State(state)) = frame {
                     received_state = Some(state);
                 }
@@ -328,11 +330,12 @@
     }
 }
 
-/// Sends a frame to the owner and returns the next step: to wait for the response, or what follows if sending failed.
-async fn send_or_lost(newcomer: &mut Successor, link: &mut Option<Link>, frame: &Frame) -> SuccessorAction {
+/// Sends a frame to the owner. Returns the next step: waiting for the response, or the step after a lost owner if
+/// sending failed.
+async fn send_or_lost(successor: &mut Successor, link: &mut Option<Link>, frame: &Frame) -> SuccessorAction {
     let sent = match link {
         Some(link) => link.send(frame).await.is_ok(),
         None => false,
     };
-    if sent { SuccessorAction::Wait } else { newcomer.on(SuccessorEvent::OwnerLost) }
+    if sent { SuccessorAction::Wait } else { successor.on(SuccessorEvent::OwnerLost) }
 }
--- a/crates/sender/src/inherited_socket.rs
+++ b/crates/sender/src/inherited_socket.rs
@@ -14,7 +14,7 @@
 /// before anything else opens files.
 ///
 /// # Errors
-/// The variable is no descriptor number, or the descriptor is no listening TCP socket; the message says what it is.
+/// The variable is not a descriptor number, or the descriptor is not a listening TCP socket.
 pub fn listener() -> Result<Option<TcpListener>, String> {
     match std::env::var(NAME) {
         Ok(text) if !text.is_empty() => read(&text).map(Some),
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -25,7 +25,7 @@
     PredecessorFrame(Frame),
     /// The predecessor has exited.
     PredecessorGone,
-    /// SIGTERM.
+    /// SIGTERM was received.
     Stop,
 }
 
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -1,8 +1,8 @@
-//! A property test of random interleavings of events, against the dispatcher and the real journal: with a kill after
-//! any step, a journal truncated at any byte, and a restart from what is left.
+//! A property test of random interleavings of events, against the dispatcher and the real journal. A kill may come
+//! after any step and truncate the journal at any byte; the sender then restarts from the rest of the journal.
 //!
-//! The model, [`World`], knows what no sender can know: which calls have run. It executes the dispatcher's actions in
-//! the driver's order, step by step, and a kill may come between any two steps.
+//! The model, [`World`], records which calls have run, which no sender can know. It executes the dispatcher's actions
+//! in the driver's order, step by step, and a kill may come between any two steps.
 
 use crate::journal::{Accepted, Journal, Receiver};
 use embershore_protocol::notice::End;
@@ -51,8 +51,8 @@
     }
 }
 
-/// Destination 0 has endpoints 1, 3 and 5 and accepts single messages; destination 1 has 2 and 4 and accepts four per
-/// call.
+/// Returns the destination of an endpoint. Destination 0 has endpoints 1, 3 and 5 and accepts single messages;
+/// destination 1 has endpoints 2 and 4 and accepts four messages per call.
 fn destination_of(endpoint: u32) -> i64 {
     i64::from((endpoint + 1) % 2)
 }
@@ -87,7 +87,7 @@
         endpoint: u32,
         status: Status,
     },
-    /// SIGTERM; the process goes on.
+    /// The process receives SIGTERM and continues to run.
     Stop,
     /// SIGKILL after `after` steps, with `torn` bytes of an incomplete record left, and `away` until the next start.
     Kill {
@@ -134,33 +134,34 @@
 struct Truth {
     class: usize,
     deadline: Micros,
-    /// Its client has received `+OK`.
+    /// Whether the client has received `+OK`.
     acknowledged: bool,
-    /// When the calls began that may have had an effect.
+    /// The start times of the calls that may have had an effect.
     possible_runs: Vec<Micros>,
-    /// How often it took effect.
+    /// How often the message took effect.
     runs: usize,
-    /// Calls begun by this process.
+    /// Number of calls with the message that this process has begun.
     calls: usize,
     delivered: bool,
-    /// This process knows of the delivery. One that is killed while it records it may not know it any more.
+    /// Whether this process knows of the delivery. After a kill while the delivery is being recorded, the next process
+    /// may not know of it.
     known_delivered: bool,
     /// The end in the notice.
     notice: Option<End>,
-    /// When a restart found it unattempted; from then on it must get a call before its deadline.
+    /// When a restart found the message unattempted. It must get a call after that and before its deadline.
     recovered: Option<Micros>,
 }
 
 /// A call in flight.
 struct InFlightCall {
     endpoint: u32,
-    /// The messages, each with its attempt's number.
+    /// The messages, each with the number of its attempt.
     items: Vec<(u64, u32)>,
     begun_at: Option<Micros>,
     decided_at: Micros,
 }
 
-/// The process has been killed.
+/// The error of a step that was not done because the process has been killed.
 struct Killed;
 
 /// The sender process: the dispatcher, the journal and the driver's state.
@@ -172,7 +173,7 @@
     events: Vec<Event>,
     /// Submitted messages that no round has processed.
     submitted: BTreeMap<u64, Accepted>,
-    /// Steps until it is killed.
+    /// Steps until the process is killed.
     steps_left: Option<usize>,
 }
 
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Picks a call in flight, begun or not begun.
+    /// Picks a call in flight that has begun or has not, as given.
     fn pick(&self, which: usize, begun: bool) -> Option<usize> {
         let fit: Vec<usize> = (0..self.process.in_flight.len())
             .filter(|at| self.process.in_flight[*at].begun_at.is_some() == begun)
@@ -294,7 +295,8 @@
             deadline,
             body: vec![7; 300].into(),
         };
-        // A number may be reused if the previous process had not recorded its message, which then was never accepted.
+        // A number may be reused if the previous process was killed before it recorded the message. That message was
+        // never accepted.
         self.truth.insert(id, Truth { class, deadline, ..Truth::default() });
         self.process.submitted.insert(id, accepted);
         self.process.attempts.insert(id, 0);
@@ -397,7 +399,8 @@
         Ok(())
     }
 
-    /// Opens a call's connection. The attempts are recorded before the first byte, for the messages that still may go.
+    /// Opens a call's connection. Before the first byte, the attempts of the messages that may still be sent are
+    /// recorded.
     fn connect(&mut self, at: usize, up: bool) -> Result<(), Killed> {
         let now = self.now;
         if self.process.in_flight[at].begun_at.is_some() {
@@ -461,7 +464,7 @@
         Ok(())
     }
 
-    /// Ends a call, which took effect if `runs`.
+    /// Ends a call with this outcome; `runs` is whether the call took effect.
     fn end(&mut self, at: usize, outcome: Outcome, runs: bool, wait: Micros) -> Result<(), Killed> {
         let call = self.process.in_flight.remove(at);
         for (id, attempt) in call.items {
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -1,8 +1,8 @@
-//! The journal: every accepted message that has not ended, its attempts, the notices not yet confirmed, and the
-//! health of endpoints and receivers. It survives the process.
+//! The journal stores every accepted message that has not ended, its attempts, the notices not yet confirmed, and the
+//! health of endpoints and receivers, for the next process of this sender.
 //!
-//! An append-only file of records, each `length (u32 LE), CRC-32 of the payload (u32 LE), payload`, the payload a
-//! [`Record`] encoded by postcard. Replaying the records at the next start rebuilds the same [`Journal`].
+//! The journal is an append-only file of records, each `length (u32 LE), CRC-32 of the payload (u32 LE), payload`. The
+//! payload is a [`Record`] encoded by postcard. The next start replays the records and rebuilds the same [`Journal`].
 
 use bytes::Bytes;
 use embershore_protocol::notice::End;
@@ -14,14 +14,14 @@
 use std::path::{Path, PathBuf};
 
 const HEADER_BYTES: usize = 8;
-/// A longer record counts as damaged: a record holds one message of at most 64 KiB.
+/// Maximum length of a record; a longer one counts as damaged. A record holds one message of at most 64 KiB.
 const MAX_RECORD_BYTES: usize = 1 << 20;
 /// A journal below this size is not compacted, unless space runs out.
 const MIN_COMPACT_BYTES: u64 = 256 * 1024;
 /// Share of the size limit that new messages leave free, for the progress records of the accepted ones.
 const OUTCOME_RESERVE: f64 = 0.1;
 
-/// Upper bound of a rules record.
+/// Upper bound of a rules record's size.
 const MAX_RULES_BYTES: u64 = 96;
 /// Number of draining or gone endpoints that are recorded.
 const MAX_NOT_READY: usize = 500;
@@ -38,12 +38,12 @@
     pub body: Bytes,
 }
 
-/// The class rules under which messages were accepted, encoded independently of the dispatcher's types.
+/// The class rules under which messages were accepted, in a stored form that is independent of the dispatcher's types.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
     aim: Micros,
     deadline: Micros,
-    /// 0 safe, 1 keyed, 2 unsafe.
+    /// The class's effect: 0 safe, 1 keyed, 2 unsafe.
     effect: u8,
     /// Deduplication scope: 0 all endpoints, 1 one zone, 2 one endpoint.
     group: u8,
@@ -123,6 +123,7 @@
     }
 }
 
+/// The stored form of [`EndpointHealth`], independent of the dispatcher's types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct EndpointCondition {
     bad_since: Option<Micros>,
@@ -137,7 +138,7 @@
     Route(i64, String),
 }
 
-/// [`ReceiverHealth`] encoded independently of the dispatcher's types.
+/// The stored form of [`ReceiverHealth`], independent of the dispatcher's types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ReceiverCondition {
     bad_since: Option<Micros>,
@@ -176,6 +177,7 @@
     }
 }
 
+/// A record of the journal. The order of the variants is part of the file format.
 #[derive(Debug, Serialize, Deserialize)]
 enum Record {
     Message(u64, Accepted, Progress),
@@ -185,12 +187,12 @@
     NoticesConfirmed(Vec<u64>),
     EndpointHealth(String, Option<EndpointCondition>),
     EndpointListed(String, Option<u64>),
-    /// Rules and their number; precedes the first message under them.
+    /// Class rules and their number. Written before the first message that is accepted under them.
     Rules(u32, Rules),
     /// Like `Message`, with the number of its rules.
     MessageUnderRules(u32, u64, Accepted, Progress),
     ReceiverHealth(Receiver, Option<ReceiverCondition>),
-    /// From this record on receivers' health is recorded: a receiver without a record was healthy.
+    /// Marks that receivers' health is recorded from here on: a receiver without a record was healthy.
     ReceiversRecorded,
 }
 
@@ -199,7 +201,7 @@
 pub struct Entry {
     pub accepted: Accepted,
     pub progress: Progress,
-    /// The number of its rules; None for a message from a journal version without rules records.
+    /// The number of the message's rules; None for a message from a journal version without rules records.
     rules: Option<u32>,
     size: u64,
 }
@@ -214,16 +216,16 @@
     entries: BTreeMap<u64, Entry>,
     health: BTreeMap<String, EndpointCondition>,
     receivers: BTreeMap<Receiver, ReceiverCondition>,
-    /// Whether the journal records receivers' health; earlier versions did not. If so, one without a record was
-    /// healthy.
+    /// Whether the journal records receivers' health, so that a receiver without a record was healthy. Journals of
+    /// earlier versions do not.
     receivers_recorded: bool,
     /// Endpoints listed as draining or gone, with the version of that listing.
     not_ready: BTreeMap<String, u64>,
-    /// Rules by number. Compaction drops those without messages.
+    /// Rules by number. Compaction drops rules that no message refers to.
     rules: BTreeMap<u32, Rules>,
     live_bytes: u64,
     next_number: u64,
-    /// Set while another process owns the journal: nothing is written.
+    /// Whether another process owns the journal, so that this process must not write to it.
     closed: bool,
 }
 
@@ -301,30 +303,32 @@
             Record::Rules(number, rules) => _ = self.rules.insert(number, rules),
             Record::AttemptStarted(ids, attempt) => {
                 for id in ids {
-                    let Some(p) = self.entries.get_mut(&id).map(|e| &mut e.progress) else { continue };
-                    p.attempts += 1;
-                    p.in_flight = Some(attempt.clone());
+                    let Some(entry) = self.entries.get_mut(&id) else { continue };
+                    entry.progress.attempts += 1;
+                    entry.progress.in_flight = Some(attempt.clone());
                 }
             }
             Record::AttemptSettled(id, may_have_run) => {
-                if let Some(p) = self.entries.get_mut(&id).map(|e| &mut e.progress) {
-                    let in_flight = p.in_flight.take().filter(|_| may_have_run);
-                    p.may_have_run = p.may_have_run.take().or(in_flight);
+                if let Some(progress) = self.entries.get_mut(&id).map(|entry| &mut entry.progress) {
+                    let in_flight = progress.in_flight.take().filter(|_| may_have_run);
+                    progress.may_have_run = progress.may_have_run.take().or(in_flight);
                 }
             }
             Record::Ended(id, End::Closed) => self.remove_entry(id),
             Record::Ended(id, end) => {
-                if let Some(e) = self.entries.get_mut(&id) {
-                    e.progress.end = Some(end);
-                    let body = std::mem::take(&mut e.accepted.body).len() as u64;
-                    e.size = e.size.saturating_sub(body);
+                if let Some(entry) = self.entries.get_mut(&id) {
+                    entry.progress.end = Some(end);
+                    let body = std::mem::take(&mut entry.accepted.body).len() as u64;
+                    entry.size = entry.size.saturating_sub(body);
                     self.live_bytes = self.live_bytes.saturating_sub(body);
                 }
             }
             Record::NoticesConfirmed(ids) => ids.into_iter().for_each(|id| self.remove_entry(id)),
-            Record::EndpointHealth(name, Some(a)) => _ = self.health.insert(name, a),
+            Record::EndpointHealth(name, Some(condition)) => _ = self.health.insert(name, condition),
             Record::EndpointHealth(name, None) => _ = self.health.remove(&name),
-            Record::ReceiverHealth(receiver, Some(c)) => _ = self.receivers.insert(receiver, c),
+            Record::ReceiverHealth(receiver, Some(condition)) => {
+                _ = self.receivers.insert(receiver, condition);
+            }
             Record::ReceiverHealth(receiver, None) => _ = self.receivers.remove(&receiver),
             Record::ReceiversRecorded => self.receivers_recorded = true,
             Record::EndpointListed(name, Some(index)) => _ = self.not_ready.insert(name, index),
@@ -340,8 +344,8 @@
     }
 
     fn remove_entry(&mut self, id: u64) {
-        if let Some(e) = self.entries.remove(&id) {
-            self.live_bytes = self.live_bytes.saturating_sub(e.size);
+        if let Some(entry) = self.entries.remove(&id) {
+            self.live_bytes = self.live_bytes.saturating_sub(entry.size);
         }
     }
 
@@ -351,14 +355,15 @@
         self.live_bytes + 160 * self.entries.len() as u64 + 96 * (names + self.rules.len()) as u64
     }
 
-    /// Appends a record if the old and the new file together stay below the size limit at any later compaction.
+    /// Appends a record if the file and its compacted copy together stay below the size limit. `reserve` is the number
+    /// of bytes to be left free for other records.
     fn append(&mut self, record: Record, reserve: u64) -> io::Result<()> {
         let frame = encode(&record)?;
         self.make_room(frame.len() as u64, reserve)?;
         self.write(frame, record)
     }
 
-    /// Compacts the journal if that is due or needed, and fails if `size` more bytes do not fit.
+    /// Compacts the journal if it is due or space is short, and fails if `size` more bytes do not fit.
     fn make_room(&mut self, size: u64, reserve: u64) -> io::Result<()> {
         if self.closed {
             return Err(io::Error::other("another process owns the journal"));
@@ -400,9 +405,9 @@
         for (number, rules) in self.rules.iter().filter(|(number, _)| used.contains(number)) {
             bytes.extend_from_slice(&encode(&Record::Rules(*number, rules.clone()))?);
         }
-        for (id, e) in &self.entries {
-            let (accepted, progress) = (e.accepted.clone(), e.progress.clone());
-            let frame = encode(&match e.rules {
+        for (id, entry) in &self.entries {
+            let (accepted, progress) = (entry.accepted.clone(), entry.progress.clone());
+            let frame = encode(&match entry.rules {
                 Some(rules) => Record::MessageUnderRules(rules, *id, accepted, progress),
                 None => Record::Message(*id, accepted, progress),
             })?;
@@ -462,7 +467,7 @@
         self.next_number - 1
     }
 
-    /// Skips the numbers below `next`, which the predecessor has given.
+    /// Skips the message numbers below `next`, which the predecessor has assigned.
     pub fn reserve_numbers_below(&mut self, next: u64) {
         self.next_number = self.next_number.max(next);
     }
@@ -472,7 +477,7 @@
         self.next_number
     }
 
-    /// Closes or opens the journal for writing: closed while another process owns it.
+    /// Closes or opens the journal for writing. The journal is closed while another process owns it.
     pub fn set_closed(&mut self, closed: bool) {
         self.closed = closed;
     }
@@ -490,7 +495,8 @@
         self.append(Record::AttemptSettled(id, may_have_run), 0)
     }
 
-    /// Records a message's end. [`End::Closed`] removes it; after any other end its notice is still to be confirmed.
+    /// Records a message's end. [`End::Closed`] removes the message; after any other end the message stays until the
+    /// platform has confirmed its notice.
     pub fn record_message_ended(&mut self, id: u64, end: End) -> io::Result<()> {
         if self.entries.contains_key(&id) { self.append(Record::Ended(id, end), 0) } else { Ok(()) }
     }
@@ -508,7 +514,7 @@
             (name.clone(), Some(EndpointCondition { bad_since, trouble, warm_since }))
         });
         let changes: Vec<_> =
-            recovered.chain(unhealthy.filter(|(n, a)| self.health.get(n) != a.as_ref())).collect();
+            recovered.chain(unhealthy.filter(|(name, c)| self.health.get(name) != c.as_ref())).collect();
         for (name, condition) in changes {
             self.append(Record::EndpointHealth(name, condition), 0)?;
         }
@@ -531,8 +537,8 @@
         Ok(())
     }
 
-    /// Records which endpoints are listed as draining or gone. A restarted sender may be given an older list, and must
-    /// not send to them while discovery does not answer.
+    /// Records which endpoints are listed as draining or gone. A restarted sender may be configured with an older list,
+    /// and must not send to these endpoints while discovery does not answer.
     pub fn record_endpoints_listed(&mut self, index: u64, lines: &[(String, bool)]) -> io::Result<()> {
         let mut changes: Vec<(String, Option<u64>)> = Vec::new();
         for (name, ready) in lines {
@@ -542,7 +548,7 @@
                 _ => {}
             }
         }
-        // The oldest entries are dropped: endpoints gone for long are in no list that this sender may be given.
+        // The oldest entries are dropped: a configured list is not so old that it still has their endpoints.
         let surplus = self.not_ready.len().saturating_sub(MAX_NOT_READY);
         let mut by_age: Vec<(u64, String)> = self.not_ready.iter().map(|(n, i)| (*i, n.clone())).collect();
         by_age.sort();
@@ -560,8 +566,8 @@
 
     /// Returns the endpoints' recorded health, by name.
     pub fn health(&self) -> impl Iterator<Item = (&str, EndpointHealth)> {
-        self.health.iter().map(|(name, a)| {
-            let EndpointCondition { bad_since, trouble, warm_since } = *a;
+        self.health.iter().map(|(name, condition)| {
+            let EndpointCondition { bad_since, trouble, warm_since } = *condition;
             (
                 name.as_str(),
                 EndpointHealth { failing_since: bad_since, unhealthy: trouble, warming_since: warm_since },
@@ -574,7 +580,8 @@
         self.receivers.iter().map(|(receiver, condition)| (receiver, ReceiverHealth::from(*condition)))
     }
 
-    /// Whether receivers' health is recorded, so that one without a record was healthy. Earlier versions did not.
+    /// Whether receivers' health is recorded, so that a receiver without a record was healthy. Journals of earlier
+    /// versions do not record it.
     pub fn has_receiver_records(&self) -> bool {
         self.receivers_recorded
     }
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -6,9 +6,9 @@
 use std::io;
 
 /// Share of the sender's memory that the text of a list may take. Measured with 24,000 endpoints of 123 bytes and one
-/// destination each, a byte of the text costs 13 bytes resident, 22 once a list of other endpoints has replaced it (the
-/// old ones are retained for a minute), and 27 if the first one was given with the configuration. So a list takes at
-/// most 27 / 48 of the memory.
+/// destination each, a byte of the text costs 13 bytes of resident memory. It costs 22 bytes once a list of other
+/// endpoints has replaced the first one (the old endpoints are retained for a minute), and 27 bytes if the first list
+/// was given with the configuration. So a list takes at most 27 / 48 of the memory.
 const MEMORY_SHARE: f64 = 1.0 / 48.0;
 /// A list up to this size is accepted whatever the memory: some 500 endpoints, 2 MB resident.
 const MIN_LIMIT_BYTES: usize = 64 * 1024;
@@ -52,7 +52,7 @@
     }
 }
 
-/// A writer that counts the bytes.
+/// A writer that only counts the bytes written.
 struct Length(usize);
 
 impl io::Write for Length {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Notes an accepted list, and logs it if the one before was rejected.
+/// Records an accepted list, and logs it if the list before was rejected.
 pub fn accept(metrics: &Metrics) {
     if metrics.lists.accept() {
         eprintln!("discovery's list is within its limit again and in force");
--- a/crates/sender/src/matrix.rs
+++ b/crates/sender/src/matrix.rs
@@ -29,7 +29,7 @@
     /// Numbers of senders; the load and the total of slots stay the same.
     #[arg(long, value_delimiter = ',', default_values_t = [1, 2, 3, 6, 12, 24])]
     senders: Vec<usize>,
-    /// Seeds.
+    /// The seeds with which each scenario is run.
     #[arg(long, value_delimiter = ',', default_values_t = [1])]
     seeds: Vec<u64>,
     /// The folder for the runs; runs that it holds already are not repeated.
@@ -59,7 +59,7 @@
     failed: Option<String>,
 }
 
-/// Runs what has no report yet, prints the table and returns the exit code.
+/// Runs the cells that have no report yet, prints the table and returns the exit code.
 ///
 /// # Errors
 /// An argument, a scenario or the folder is invalid, or a run failed.
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -7,21 +7,21 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// Limit of the classes with counters of their own. One configuration has far fewer, but each reload may add some.
+/// Maximum number of classes with counters of their own. One configuration has far fewer, but each reload may add some.
 const MAX_CLASSES: usize = 1000;
 
 /// How a message ended, as the metrics distinguish it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageEnd {
-    /// An endpoint has accepted it (status 200, or state `ok` in a batch response).
+    /// An endpoint has accepted the message (status 200, or state `ok` in a batch response).
     Delivered,
-    /// Its client got the reply `-BUSY` in place of `+OK`.
+    /// The client got the reply `-BUSY` in place of `+OK`.
     Refused,
-    /// It was accepted, and its client gets a notice that it may submit it again.
+    /// The message was accepted, and the client gets a notice that it may submit the message again.
     Returned,
-    /// Its client got the reply `-ERR` in place of `+OK`.
+    /// The client got the reply `-ERR` in place of `+OK`.
     Wrong,
-    /// It was accepted, and its client gets a notice that it failed.
+    /// The message was accepted, and the client gets a notice that it failed.
     Failed,
 }
 
@@ -67,7 +67,7 @@
     list_bound_bytes: usize,
     list_bytes: usize,
     list_endpoints: usize,
-    /// Only while placement is on.
+    /// The metrics of placement; present only while placement is on.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub placement: Option<PlacementMetrics>,
 }
@@ -91,7 +91,7 @@
         !self.is_rejected.replace(true)
     }
 
-    /// Notes an accepted list. Returns true for the first one after a rejected list.
+    /// Records an accepted list. Returns true for the first one after a rejected list.
     pub fn accept(&self) -> bool {
         self.is_rejected.replace(false)
     }
@@ -105,7 +105,7 @@
 /// The live metrics. The driver counts the messages' ends, the calls count what they have written.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// By class: delivered, declined, aborted.
+    /// For each class the counters of the ends succeeded, declined and aborted.
     ends_by_class: RefCell<BTreeMap<String, [u64; 3]>>,
     /// Messages written completely to endpoints.
     pub forwards: Cell<u64>,
--- a/crates/sender/src/mgmt.rs
+++ b/crates/sender/src/mgmt.rs
@@ -22,12 +22,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Concurrent connections. A request is answered as soon as it is complete, so open connections have not sent a
-/// complete request yet; at the limit the oldest is closed for a new one.
+/// Maximum number of concurrent connections. A request is answered as soon as it is complete, so open connections have
+/// not sent a complete request yet. At the limit the oldest connection is closed for a new one.
 pub const MAX_CALLERS: usize = 24;
 /// Time for reading a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for a connection in all, response included.
+/// Total time for a connection, including the response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Limit of a request's head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -11,17 +11,17 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Notices in one request.
+/// Maximum number of notices in one request.
 const MAX_BATCH: usize = 200;
-/// Response timeout of the first attempt; it doubles with each further one. The platform answers at once, and a notice
-/// is due 0.3 s after its message's deadline: one without a response is repeated on a new connection.
+/// Response timeout of the first attempt; it doubles with each further attempt. The platform answers at once, and a
+/// notice is due 0.3 s after its message's deadline. A request without a response is repeated on a new connection.
 const FIRST_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Pause after the first failed attempt; it doubles with each further one.
+/// Pause after the first failed attempt; it doubles with each further attempt.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(20);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Sends notices for ever. The queue is bounded by what the journal holds. When the platform's address changes, a
+/// Sends notices for ever. The size of the journal bounds the queue. When the platform's address changes, a
 /// request in flight is repeated at the new address: reporting an end twice is harmless.
 pub async fn send(
     mut addr: watch::Receiver<SocketAddr>,
--- a/crates/sender/src/placement/endpoint_list.rs
+++ b/crates/sender/src/placement/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Requests to read the complete endpoint list again. A sender keeps only the part that it owns, so that it must read
-//! the list again when it gains shards.
+//! Requests to read the complete endpoint list again. A sender stores only the endpoints of destinations that it owns,
+//! and so must read the list again when it gains shards.
 
 use embershore_placement::ShardId;
 use std::cell::{Cell, RefCell};
@@ -12,8 +12,7 @@
 pub struct ListRereads {
     requested: watch::Sender<u64>,
     mark_read: Cell<u64>,
-    /// Owned shards whose endpoints are not known, with the request that they wait for. Bounded by the number of
-    /// shards.
+    /// Owned shards whose endpoints are not known, each with the number of the request that it waits for.
     unread: RefCell<HashMap<ShardId, u64>>,
     /// The version of the last listing applied.
     last_version: Cell<u64>,
@@ -61,7 +60,7 @@
         _ = follow.wait_for(|number| *number > self.mark_read.get()).await;
     }
 
-    /// Notes a completed reading that began when `number` was the last request.
+    /// Records a completed reading that began when `number` was the last request.
     pub fn mark_read(&self, number: u64) {
         self.mark_read.set(self.mark_read.get().max(number));
         self.unread.borrow_mut().retain(|_, waits_for| *waits_for > number);
@@ -82,7 +81,7 @@
         self.last_version.get()
     }
 
-    /// Notes the version of a listing that has been applied.
+    /// Records the version of a listing that has been applied.
     pub fn set_last_version(&self, last_version: u64) {
         self.last_version.set(last_version);
     }
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -17,7 +17,8 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-/// Time for forwarding a message. The client waits 400 ms for its reply; the rest is for the client's network path.
+/// Time limit for forwarding a message. The client waits 400 ms for its reply; the remaining 100 ms are for the network
+/// path between client and sender.
 const FORWARD_BUDGET_US: Micros = 300_000;
 
 /// Forwards messages to other owners.
@@ -28,9 +29,9 @@
 
 /// The deadlines of an attempt at one owner.
 struct Deadlines {
-    /// For writing the first byte.
+    /// The time by which the first byte must have been written.
     begin_by: Instant,
-    /// For the reply.
+    /// The time by which the reply must have been read.
     answer_by: Instant,
 }
 
@@ -55,9 +56,9 @@
         tokio::task::spawn_local(async move {
             tokio::select! {
                 biased;
-                verdict = forwarder.forward(&put, to, read_at) => {
-                    forwarder.count(&verdict);
-                    _ = reply.send(reply_of(verdict));
+                client_reply = forwarder.forward(&put, to, read_at) => {
+                    forwarder.count(&client_reply);
+                    _ = reply.send(reply_of(client_reply));
                 }
                 () = reply.closed() => {}
             }
@@ -69,7 +70,7 @@
         let mut step = forwarding.start(clock::now());
         loop {
             match step {
-                Step::Reply(verdict) => return verdict,
+                Step::Reply(client_reply) => return client_reply,
                 Step::Send { to, write_timeout, answer_timeout } => {
                     let outcome = match self.placement.address_of(to) {
                         Some(owner) => {
@@ -120,9 +121,9 @@
         &self.placement.counters.forwarded
     }
 
-    fn count(&self, verdict: &ClientReply) {
+    fn count(&self, client_reply: &ClientReply) {
         let counters = self.counters();
-        count(match verdict {
+        count(match client_reply {
             ClientReply::Accepted => &counters.taken,
             ClientReply::Busy { .. } => &counters.busy,
             ClientReply::Failed | ClientReply::Invalid(_) => &counters.failed,
@@ -140,7 +141,7 @@
 }
 
 impl Exchange {
-    /// Writes the rest and reads the reply.
+    /// Writes the rest of the command and reads the reply.
     async fn finish(&mut self) -> io::Result<Reply> {
         self.stream.write_all(&self.command[self.written..]).await?;
         while !self.answer.ends_with(b"\r\n") {
@@ -158,9 +159,9 @@
     }
 }
 
-fn deadlines_from_now(begin_within: Micros, patience: Micros) -> Deadlines {
+fn deadlines_from_now(begin_within: Micros, answer_within: Micros) -> Deadlines {
     let now = Instant::now();
-    Deadlines { begin_by: now + span(begin_within), answer_by: now + span(patience) }
+    Deadlines { begin_by: now + span(begin_within), answer_by: now + span(answer_within) }
 }
 
 fn span(micros: Micros) -> Duration {
@@ -176,8 +177,8 @@
     }
 }
 
-fn reply_of(verdict: ClientReply) -> Reply {
-    match verdict {
+fn reply_of(client_reply: ClientReply) -> Reply {
+    match client_reply {
         ClientReply::Accepted => Reply::Accepted,
         ClientReply::Busy { retry_after_ms } => Reply::Busy { retry_after_ms },
         ClientReply::Failed => Reply::Failed,
--- a/crates/sender/src/placement/member_list.rs
+++ b/crates/sender/src/placement/member_list.rs
@@ -1,4 +1,4 @@
-//! Follows the member list: polls a control agent at regular intervals. Each valid response renews the lease.
+//! Follows the member list by polling a control agent at regular intervals. Each valid response renews the lease.
 
 use super::metrics::count;
 use super::{Placement, clock};
@@ -18,14 +18,14 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Limit of a response: a list with the largest number of seats and 250 bytes for each.
+/// Limit of a response's size: a list with the maximum number of seats and 250 bytes for each.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// Minimum of the response timeout; otherwise it is the poll interval.
+/// Minimum response timeout. The timeout is the poll interval if that is longer.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Interval of removing endpoints of destinations that are no longer kept.
+/// Interval at which endpoints of destinations that this sender no longer retains are removed.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The client of the control agents, with the parts that it updates.
+/// The client of the control agents, with the parts of the daemon that it updates.
 pub struct MemberListFollower {
     pub placement: Rc<Placement>,
     pub endpoints: Rc<RefCell<EndpointTable>>,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Removes endpoints of destinations that are no longer kept.
+    /// Removes endpoints of destinations that this sender no longer retains.
     async fn drop_endpoints(&self) {
         // The channel's slot is reserved first: the table must not be ahead of the driver.
         let Ok(slot) = self.inputs.reserve().await else { return };
@@ -68,10 +68,10 @@
     addresses: Vec<SocketAddr>,
     /// Index of the agent that answered last.
     current: usize,
-    /// Whether to request the complete list next, since the last changes were for another epoch.
+    /// Whether to request the complete list next, because the last changes were for another epoch.
     full: bool,
     response_timeout: Duration,
-    /// The last failure that was logged; a repeated one is logged once.
+    /// The last failure that was logged. A repeated failure is logged only once.
     last_logged: Option<String>,
 }
 
@@ -118,13 +118,13 @@
     fn log_failure(&mut self, error: &dyn Error) {
         let line = format!("placement: control agent {}: {error}", self.addresses[self.current]);
         if self.last_logged.as_ref() != Some(&line) {
-            eprintln!("{line}; the member list in force stays");
+            eprintln!("{line}; the current member list stays in force");
             self.last_logged = Some(line);
         }
     }
 }
 
-/// Requests the changes since an epoch from one agent; since 0, the complete list.
+/// Requests from one agent the changes since an epoch, or the complete list if `since` is 0.
 async fn fetch(agent: SocketAddr, since: u64) -> Result<Bytes, Box<dyn Error>> {
     let mut connection = Connection::open(agent).await?;
     let request = Request::get(format!("/v1/members?since={since}"))
@@ -140,8 +140,8 @@
     Ok(body.to_bytes())
 }
 
-/// Applies a response. A new table is built on another thread than the sender's, since it takes the time of many
-/// rounds. Until it is complete the current table and its lease stay in force.
+/// Applies a response. The new table is built on a thread of its own, since building it takes as long as many rounds.
+/// The current table and its lease stay in force until the new table is complete.
 async fn apply_answer(
     placement: &Placement,
     polled_at: Micros,
@@ -157,7 +157,7 @@
     Ok(update)
 }
 
-/// Parses a response and returns the view that results from it, with what changed.
+/// Parses a response and returns the ownership that results from it, with the changes.
 fn process_answer(
     mut ownership: Ownership,
     polled_at: Micros,
--- a/crates/sender/src/placement/metrics.rs
+++ b/crates/sender/src/placement/metrics.rs
@@ -18,7 +18,7 @@
 pub struct ForwardedCounters {
     pub taken: Cell<u64>,
     pub busy: Cell<u64>,
-    /// An owner may have accepted it without confirming, or no sender can accept it.
+    /// Messages that an owner may have accepted without confirming, or that no sender can accept.
     pub failed: Cell<u64>,
     /// Attempts to forward whose outcome is unknown, whatever the reply to the client was.
     pub unknown: Cell<u64>,
@@ -40,7 +40,7 @@
     pub owned_shards: usize,
     /// Owned shards whose endpoints have not been read yet.
     pub unread_shards: usize,
-    /// Time in milliseconds until nothing is on hold.
+    /// Time in milliseconds until no destination is on hold any more.
     pub on_hold_ms: u64,
     /// Responses of control agents that were rejected.
     pub lists_refused: u64,
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -1,8 +1,8 @@
-//! Placement in the daemon: this sender owns some destinations, and forwards messages for those of other owners. Off
-//! without the section `[placement]` of the operator's options; then no object of this module is created.
+//! Placement in the daemon: this sender owns some destinations, and forwards messages for destinations of other owners.
+//! Placement is off without the section `[placement]` of the operator's options; no object of this module exists then.
 //!
-//! The daemon's parts share a [`Placement`]: it decides who owns a message, which endpoints are kept, and holds the
-//! metrics. `member_list` keeps it up to date, `forward` forwards messages. The rules are in `embershore_placement`.
+//! The daemon's parts share a [`Placement`], which decides who owns a message and which endpoints are stored, and holds
+//! the metrics. `member_list` updates it, and `forward` forwards messages. The rules are in `embershore_placement`.
 
 pub mod clock;
 mod endpoint_list;
@@ -31,7 +31,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Clients send a message's time in whole milliseconds, which may exceed the class's deadline by one.
+/// Clients send a message's remaining time in whole milliseconds, which may exceed the class's deadline by one.
 const DEADLINE_ROUNDING: Micros = 1_000;
 /// Longest retry time sent to a client, however long a destination is on hold: another owner may accept the message.
 const MAX_HOLD_WAIT_MS: u64 = 1_000;
@@ -46,9 +46,9 @@
 /// The route of a client's message.
 #[derive(Debug)]
 pub enum Routing {
-    /// To this sender's own driver, which may refuse it.
+    /// The message is passed to this sender's own driver, which may refuse it.
     Local,
-    /// To one of these owners, the preferred one first.
+    /// The message is forwarded to one of these owners.
     Forward(Forwarded),
     /// No owner is known; the client is to retry.
     Unowned,
@@ -67,7 +67,7 @@
 pub struct Placement {
     pub options: PlacementOptions,
     ownership: RefCell<Ownership>,
-    /// Classes by name. One that a reload drops stays: clients may be notified of the new configuration later.
+    /// Classes by name. A class that a reload drops is retained, since clients may be reconfigured after the sender.
     classes: RefCell<HashMap<String, ClassRule>>,
     pending: RefCell<PendingMessages>,
     pub endpoint_list: ListRereads,
@@ -132,7 +132,7 @@
         self.reading.get()
     }
 
-    /// Puts a new view in force, which was derived from the current one.
+    /// Puts in force a new ownership, which was derived from the current one.
     fn put_in_force(&self, ownership: Ownership, update: &EpochUpdate) {
         // Saved before anything is done under the new list.
         self.save(&ownership);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns the route of a client's message. One of an unknown class stays here, and the driver rejects it.
+    /// Returns the route of a client's message. A message of an unknown class is local, and the driver rejects it.
     pub fn route(&self, put: &Put) -> Routing {
         let Some(rule) = self.rule_of(put) else { return Routing::Local };
         let route = self.ownership.borrow().route(clock::now(), &request_of(put, rule));
@@ -194,7 +194,7 @@
         self.endpoint_list.is_requested()
     }
 
-    /// Whether this sender keeps the destination's endpoints.
+    /// Whether this sender stores the destination's endpoints.
     pub fn retains(&self, dest: i64) -> bool {
         self.ownership.borrow().needs_destination(dest) || self.pending.borrow().contains(dest)
     }
@@ -209,17 +209,18 @@
         }
     }
 
-    /// Notes an open message, whose destination is retained until it ends.
+    /// Records an open message. Its destination is retained until the message ends.
     pub fn add_pending(&self, id: MsgId, dest: i64) {
         self.pending.borrow_mut().insert(id, dest);
     }
 
-    /// Notes the end of a message.
+    /// Records the end of a message.
     pub fn remove_pending(&self, id: MsgId) {
         self.pending.borrow_mut().remove(id);
     }
 
-    /// Requests the complete endpoint list if there are open messages for destinations that were not kept from it.
+    /// Requests the complete endpoint list if there are open messages for destinations whose endpoints were not stored
+    /// from it.
     pub fn request_pending_destinations(&self) {
         let ownership = self.ownership.borrow();
         if self.pending.borrow().destinations().any(|dest| !ownership.needs_destination(dest)) {
--- a/crates/sender/src/placement/pool.rs
+++ b/crates/sender/src/placement/pool.rs
@@ -12,7 +12,7 @@
 /// Idle time after which a connection is not reused: the member closes it after 2 s, and a message that crosses the
 /// close would have an unknown outcome.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(1);
-/// One member gets at most this fraction (1 / divisor, rounded up) of all connections, so that a member that does not
+/// One member gets at most the total number of connections divided by this, rounded up, so that a member that does not
 /// answer can't block forwarding to the others.
 const MEMBER_SHARE_DIVISOR: usize = 4;
 
--- a/crates/sender/src/placement/reader.rs
+++ b/crates/sender/src/placement/reader.rs
@@ -1,4 +1,4 @@
-//! Reads endpoint listings from a stream: all endpoints, or with placement only those that this sender keeps.
+//! Reads endpoint listings from a stream: all endpoints, or with placement only those that this sender stores.
 
 use super::Placement;
 use embershore_protocol::listing::{Listing, ListingError, ListingReader};
@@ -9,12 +9,12 @@
 pub enum ListReader {
     /// Keeps all endpoints.
     All(ListingReader),
-    /// Drops the endpoints of destinations that this sender does not keep.
+    /// Drops the endpoints of destinations that this sender does not retain.
     Filtered(FilteredListingReader, Rc<Placement>),
 }
 
 impl ListReader {
-    /// Creates a reader that keeps what this sender owns, or everything without placement.
+    /// Creates a reader that keeps the endpoints of this sender's destinations, or all endpoints without placement.
     pub fn new(placement: Option<&Rc<Placement>>) -> Self {
         match placement {
             Some(placement) => ListReader::Filtered(FilteredListingReader::default(), placement.clone()),
--- a/crates/sender/src/placement/saved_state.rs
+++ b/crates/sender/src/placement/saved_state.rs
@@ -1,5 +1,5 @@
-//! The member list's state that is saved in the state folder. With it a restarted owner does not have to wait like a
-//! new one, and does not take a larger share of a limit than its last run had.
+//! The placement state that is saved in the state folder. With it a restarted owner does not have to wait like a new
+//! owner, and does not take a larger share of a limit than its last run had.
 
 use embershore_placement::PersistedPlacement;
 use std::cell::RefCell;
@@ -25,7 +25,7 @@
         SavedState { folder: folder.into(), written: RefCell::new(state) }
     }
 
-    /// Returns the state that an earlier run left or this one has written.
+    /// Returns the state that this process has written last, or else the state of an earlier run.
     pub fn get(&self) -> Option<PersistedPlacement> {
         self.written.borrow().clone()
     }
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -1,9 +1,9 @@
 //! The schedule of polls to discovery: computes the pauses, without I/O.
 //!
-//! One sender that polls at its start and again after 100 ms does no harm. A hundred senders released together do where
-//! a poll costs discovery work: discovery takes seconds to answer one poll of each, answers those that waited longer
-//! with an error, and all of them retry at once. So each sender waits for a random part of the polling interval in the
-//! settings, and retries after a random part of a growing one.
+//! One sender that polls at its start and again after 100 ms does no harm. A hundred senders that are started together
+//! overload discovery where a poll costs it work: discovery takes seconds to answer one poll of each, answers polls
+//! that waited longer with an error, and all senders retry at once. So each sender waits for a random part of the
+//! polling interval in the settings, and retries after a random part of a growing interval.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// Time within which a stalled watch is reopened, even where a poll costs discovery work: the changes that it misses
-/// must be heeded soon.
+/// must be applied soon.
 const STALL_REOPEN_WITHIN: Duration = Duration::from_secs(1);
-/// Upper bound of a failed poll and the pause after it together, whatever the settings allow. Changes must be heeded
-/// 6 s after discovery can be reached again, and the next poll and its response take time as well.
+/// Upper bound of a failed poll and the pause after it together, even if the settings allow more. Changes must be
+/// applied within 6 s after discovery can be reached again, and the next poll and its response take time as well.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(4500);
-/// Pause after a list that was too long, much of which is sent in vain each time. Short enough for a shorter list to be
-/// read within the 6 s after which its changes must be heeded.
+/// Pause after a list that was too long. Such a list costs traffic each time although it is rejected. The pause is
+/// short enough for a shorter list to be read within the 6 s in which its changes must be applied.
 const REJECTED_LIST_PAUSE: Duration = Duration::from_secs(2);
-/// Share of the polling interval over which the first polls of many senders are spread. The rest is for those that must
-/// poll twice.
+/// Share of the polling interval over which the first polls of many senders are spread. The rest is for senders that
+/// must poll twice.
 const FIRST_POLL_SPREAD: f64 = 0.8;
 /// Share of the polling interval after which a failed poll is first repeated.
 const FIRST_RETRY_SHARE: f64 = 0.4;
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Time after a lame-duck command or a stop for which clients are served as before: the load balancer in front polls
-/// readiness every 0.1 s and sends new connections for 0.2 s more. After it connections close between requests.
+/// Time after a lame-duck command or a stop for which clients are served as before: the load balancer polls readiness
+/// every 0.1 s and sends new connections for 0.2 s more. After this time connections close between requests.
 const CLIENT_GRACE: Duration = Duration::from_millis(450);
 /// Time after a lame-duck command from which messages are refused: a client that still submits one uses outdated
 /// information, and its message would keep the sender from being empty when it should be.
@@ -15,17 +15,17 @@
 /// The phase that a process is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has no endpoint list yet, or has not restored the messages of an earlier run.
+    /// The process has no endpoint list yet, or has not restored the messages of an earlier run.
     Starting,
-    /// Its start waits for a predecessor that does not answer and is about to be ended.
+    /// The process waits at its start for a predecessor that does not answer and is about to be ended.
     Standby,
-    /// It accepts messages.
+    /// The process accepts messages.
     Serving,
-    /// It drains: it delivers what it has, for the operator.
+    /// The process drains at the operator's command: it delivers the messages that it has.
     LameDuck,
-    /// A successor has taken over: this process exits with its last call and client.
+    /// A successor has taken over: this process exits after its last call and client.
     HandedOver,
-    /// It has received SIGTERM.
+    /// The process has received SIGTERM.
     Stopping,
 }
 
@@ -38,9 +38,9 @@
     LameDuck(bool),
     /// The predecessor does not release the journal.
     Standby,
-    /// The successor has the journal.
+    /// The successor owns the journal.
     HandedOver,
-    /// SIGTERM.
+    /// SIGTERM was received.
     Stop,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whether new clients are accepted: what `PING` and `/_ready` report.
+    /// Whether new clients are accepted. `PING` and `/_ready` report this.
     pub fn ready(&self) -> bool {
         matches!(self.phase(), Phase::Serving | Phase::Standby)
     }
@@ -84,7 +84,7 @@
         draining.map(|since| since + CLIENT_GRACE).into_iter().chain(self.handed_over).min()
     }
 
-    /// Whether a message submitted at `now` is refused: the lame duck should have no clients any more.
+    /// Whether a message submitted at `now` is refused, because a lame duck should have no clients any more.
     pub fn refuses_messages(&self, now: Instant) -> bool {
         self.lame_duck.is_some_and(|since| now >= since + LATE_MESSAGE_CUTOFF)
     }
