--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -19,9 +19,9 @@
 
 /// Limit of a response's body.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// Minimum age of a new connection, and minimum idle time of a reused one, before a request is written. In this time
-/// the reset of a new connection arrives, and so do stray bytes after a response, which would otherwise be read as the
-/// next response.
+/// Minimum age of a new connection, and minimum idle time of a reused connection, before a request is written. The
+/// pause leaves time for the reset of a new connection, and for stray bytes after a response, which would otherwise be
+/// read as the next response.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
 /// A reused connection that is reset within this time after a request was written counts as dropped by the peer before
 /// that request.
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -399,8 +399,8 @@
     }
 
     /// Returns the reply's text, or None if the connection has failed; the dropped channel then notifies the driver. A
-    /// client that has closed its sending side may have left or may still read. A message of it that has not been
-    /// accepted yet is withdrawn and refused, which is harmless in both cases. An accepted message is answered.
+    /// client that has closed its sending side may have left or may still read. Its message is withdrawn and refused if
+    /// it has not been accepted yet, which is harmless in both cases. An accepted message is answered.
     async fn wait(&mut self, answer: PendingReply) -> Option<String> {
         let (mut answer, _counted, wait_to_end) = match answer {
             PendingReply::Text(text) => return Some(text),
@@ -516,7 +516,7 @@
     fn order_of_eviction() {
         let (start, second) = (Instant::now(), Duration::from_secs(1));
         let now = start + 10 * second;
-        // Whether it was served, whether a command is incomplete, and for how long it has been silent.
+        // Creates a connection's entry, from whether it was served, has an incomplete command, and its time of silence.
         let entry = |served: bool, partial: bool, silent_for: Duration| ClientEntry {
             served: Cell::new(served),
             busy: Cell::new(false),
--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -213,8 +213,8 @@
         let mut driver = self.driver.take();
         let mut answer = pin!(answer);
         let result = std::future::poll_fn(|cx| {
-            // Polled twice: driving the connection takes up the request that the first poll passed to it, and the
-            // response may be complete by then.
+            // The request is polled twice: the connection's driver writes the request that the first poll passed to it,
+            // and the response may be complete after that.
             if let Poll::Ready(r) = answer.as_mut().poll(cx) {
                 return Poll::Ready(r);
             }
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -382,7 +382,7 @@
         config.known = None;
     }
     let (discovery, follow_discovery) = watch::channel(config.discovery);
-    // Version 0 means that there is no list yet, unless endpoints were given with it.
+    // Version 0 in the configuration means that there is no list yet, unless it has endpoints and polls cost work.
     let index =
         config.known.as_ref().filter(|l| l.index > 0 || (ask_every.is_some() && !l.endpoints.is_empty()));
     let index = index.map(|l| l.index);
@@ -412,7 +412,7 @@
         settings.senders = placement.fix_sharers();
     }
     // A process that waits for the journal may get discovery's list long before. The configuration's older list is
-    // applied now, so that it does not overwrite discovery's later.
+    // applied now, so that it can't overwrite discovery's list later.
     let known = InitialList::from_config(config.known.map(|list| owned_part(list, placement.as_deref())));
     let taken = match &known {
         InitialList::Configured(list) if matches!(startup, Startup::InheritedSocket(_)) => {
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Reads one listing and keeps the owned part, however long the rest is. The stall timeout applies to each part of
-    /// the body, not to the whole.
+    /// Reads one listing of any length and keeps the endpoints that this sender owns. The stall timeout applies to each
+    /// part of the body, not to the complete body.
     async fn read_filtered(mut self) -> io::Result<Listing> {
         let mut listing = None;
         loop {
@@ -329,8 +329,8 @@
     let mut stream = match ListStream::open(open().await?, &path, costly, sink).await {
         Ok(stream) => stream,
         Err(e) => {
-            // A version that discovery does not know must not be requested again and again. If it rejected the request
-            // for lack of time it has not checked the version, and the complete listing would cost it more.
+            // A version that discovery does not know must not be requested again and again. If discovery was too busy
+            // to answer, it has not checked the version, and the complete listing would cost it even more work.
             let version_checked =
                 e.kind() != io::ErrorKind::ResourceBusy && !(costly && e.kind() == io::ErrorKind::TimedOut);
             *index = index.filter(|_| !version_checked);
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -20,10 +20,10 @@
 /// Interval at which a replaced sender checks whether it has anything left to do.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The lock on the journal and the links to the processes before and after this one.
+/// The lock on the journal, and the links to the predecessor and to successors.
 pub struct HandoverContext {
     pub lock: Lock,
-    /// The state that the predecessor has handed over, and the link to it.
+    /// The state that the predecessor has handed over, and the link to the predecessor.
     pub predecessor: Option<(Box<State>, Link)>,
     /// Successors that have requested the journal.
     pub takeover_requests: mpsc::Receiver<(Owner, Link)>,
@@ -77,7 +77,7 @@
                 let removed =
                     outcomes.iter().map(|o| predecessor.attempts_in_flight.remove(&(o.id, o.attempt)));
                 let endpoint = removed.flatten().map(|(_, endpoint)| endpoint).last();
-                // Calls of this process whose connections are still opening must respect the wait too.
+                // The wait also applies to calls of this process whose connections are still opening.
                 let (endpoints, journal) = (self.endpoints.borrow(), self.journal.borrow());
                 let listed = endpoint.and_then(|id| Some(self.lane(id, endpoints.get(id)?)));
                 let dest = || Some(journal.get(outcomes.first()?.id.0)?.accepted.dest);
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -132,7 +132,7 @@
                 _ = self.notices.send(Notice { id, request_id, end });
                 continue;
             }
-            // An endpoint that is no longer listed has no number; an unused one takes its place.
+            // An endpoint that is no longer listed has no number; an unused number stands for it.
             let number = |name: &str| endpoints.number(name).unwrap_or(EndpointId(u32::MAX));
             // The rules under which the message was accepted still apply, even if the configuration has changed.
             let rules = journal.rules(entry);
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -545,7 +545,7 @@
     fn restart(&mut self) {
         let (torn, away) = self.kill;
         if torn > 0 {
-            // The beginning of a record whose rest was never written.
+            // Appends the first bytes of a record that was not written completely.
             let path = self.folder.path().join("journal");
             let mut file = std::fs::OpenOptions::new().append(true).open(path).unwrap();
             let record: Vec<u8> = [200u8, 0, 0, 0].into_iter().chain(std::iter::repeat_n(9, torn)).collect();
@@ -630,7 +630,7 @@
         Process { dispatcher, journal, attempts, in_flight, events, submitted, steps_left: None }
     }
 
-    /// Counts a step with a lasting effect, before it is done; fails if the process is killed before it.
+    /// Counts a step with a lasting effect before the step is done. Fails if the process is killed before the step.
     fn step(&mut self) -> Result<(), Killed> {
         match &mut self.steps_left {
             Some(0) => Err(Killed),
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -18,7 +18,7 @@
 const MAX_RECORD_BYTES: usize = 1 << 20;
 /// A journal below this size is not compacted, unless space runs out.
 const MIN_COMPACT_BYTES: u64 = 256 * 1024;
-/// Share of the size limit that new messages leave free, for the progress records of the accepted ones.
+/// Share of the size limit that new messages leave free for the progress records of accepted messages.
 const OUTCOME_RESERVE: f64 = 0.1;
 
 /// Upper bound of a rules record's size.
@@ -548,7 +548,7 @@
                 _ => {}
             }
         }
-        // The oldest entries are dropped: a configured list is not so old that it still has their endpoints.
+        // The oldest entries are dropped: a configured list is not old enough to contain their endpoints.
         let surplus = self.not_ready.len().saturating_sub(MAX_NOT_READY);
         let mut by_age: Vec<(u64, String)> = self.not_ready.iter().map(|(n, i)| (*i, n.clone())).collect();
         by_age.sort();
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -10,7 +10,7 @@
 /// endpoints has replaced the first one (the old endpoints are retained for a minute), and 27 bytes if the first list
 /// was given with the configuration. So a list takes at most 27 / 48 of the memory.
 const MEMORY_SHARE: f64 = 1.0 / 48.0;
-/// A list up to this size is accepted whatever the memory: some 500 endpoints, 2 MB resident.
+/// Minimum of the limit, however little memory the sender has: some 500 endpoints, 2 MB of resident memory.
 const MIN_LIMIT_BYTES: usize = 64 * 1024;
 
 /// The longest list that is accepted, in bytes of its text.
@@ -28,10 +28,10 @@
         self.0
     }
 
-    /// Checks the text of a list, as far as it has been read.
+    /// Checks the length of the part of a list's text that has been read so far.
     ///
     /// # Errors
-    /// The list is too long; `endpoints` then counts those that begin in the part read.
+    /// The list is too long; `endpoints` is then called to count the endpoints that begin in the part read.
     pub fn check(self, bytes_read: usize, endpoints: impl FnOnce() -> usize) -> Result<(), TooLong> {
         if bytes_read <= self.0 {
             return Ok(());
@@ -82,7 +82,7 @@
     pub limit: usize,
     /// The bytes that were read before the list was rejected.
     pub bytes: usize,
-    /// The endpoints that begin in those bytes.
+    /// The number of endpoints that begin in the bytes read.
     pub endpoints: usize,
 }
 
@@ -117,7 +117,8 @@
     error.get_ref()?.downcast_ref::<TooLong>().copied()
 }
 
-/// Counts a rejected list. The first one after an accepted one is logged, with the list that stays in force.
+/// Counts a rejected list. The first rejected list after an accepted one is logged, with whether another list stays in
+/// force.
 pub fn reject(metrics: &Metrics, too_long: TooLong, in_force: bool) {
     if metrics.lists.reject(too_long) {
         let stays = if in_force { "the last good list stays" } else { "no list is in force: not ready" };
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// The live metrics. The driver counts the messages' ends, the calls count what they have written.
+/// The current metrics. The driver counts the messages' ends, and the calls count the messages that they have written.
 #[derive(Debug, Default)]
 pub struct Metrics {
     /// For each class the counters of the ends succeeded, declined and aborted.
--- a/crates/sender/src/mgmt.rs
+++ b/crates/sender/src/mgmt.rs
@@ -1,7 +1,7 @@
 //! The management interface: HTTP/1.1 at an address of its own, one request per connection.
 //!
-//! It runs on the sender's only thread. A response waits for that thread's current work, so that a hanging event loop
-//! is never reported as ready.
+//! The interface runs on the sender's only thread. A response waits for that thread's current work, so that a hanging
+//! event loop is never reported as ready.
 
 use crate::endpoint_table::EndpointTable;
 use crate::metrics::Metrics;
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -104,7 +104,7 @@
         outcome_of(reply)
     }
 
-    /// Connects and writes the first bytes. If it is cancelled, nothing has been written.
+    /// Connects and writes the first bytes. If this future is dropped before it completes, nothing has been written.
     async fn begin(&self, owner: SocketAddr, put: &Put, read_at: Micros) -> io::Result<Exchange> {
         let mut reservation = self.pool.reserve(owner).await;
         let mut stream = reservation.connect().await?;
@@ -131,7 +131,7 @@
     }
 }
 
-/// A message of which at least one byte has been written.
+/// The exchange of a message with an owner, after at least one byte has been written.
 struct Exchange {
     reservation: Reservation,
     stream: TcpStream,
--- a/crates/sender/src/placement/metrics.rs
+++ b/crates/sender/src/placement/metrics.rs
@@ -20,7 +20,7 @@
     pub busy: Cell<u64>,
     /// Messages that an owner may have accepted without confirming, or that no sender can accept.
     pub failed: Cell<u64>,
-    /// Attempts to forward whose outcome is unknown, whatever the reply to the client was.
+    /// Attempts to forward a message whose outcome is unknown, with any reply to the client.
     pub unknown: Cell<u64>,
 }
 
@@ -34,7 +34,7 @@
 pub struct PlacementMetrics {
     /// The epoch in force; null before the first list.
     pub epoch: Option<u64>,
-    /// The rest of the lease in milliseconds; 0 once it has expired.
+    /// The remaining time of the lease in milliseconds; 0 if the lease has expired.
     pub lease_left_ms: u64,
     /// Shards that this sender owns.
     pub owned_shards: usize,
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -48,7 +48,7 @@
 pub enum Routing {
     /// The message is passed to this sender's own driver, which may refuse it.
     Local,
-    /// The message is forwarded to one of these owners.
+    /// The message is forwarded to one of these candidate owners.
     Forward(Forwarded),
     /// No owner is known; the client is to retry.
     Unowned,
--- a/crates/sender/src/placement/pool.rs
+++ b/crates/sender/src/placement/pool.rs
@@ -9,8 +9,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Idle time after which a connection is not reused: the member closes it after 2 s, and a message that crosses the
-/// close would have an unknown outcome.
+/// Idle time after which a connection is not reused. The member closes it after 2 s, and a message that is sent at that
+/// moment would have an unknown outcome.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(1);
 /// One member gets at most the total number of connections divided by this, rounded up, so that a member that does not
 /// answer can't block forwarding to the others.
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -68,13 +68,13 @@
         wait
     }
 
-    /// Returns the pause after discovery has ended a useful watch, possibly those of all senders.
+    /// Returns the pause after discovery has ended a useful watch, and possibly the watches of all senders.
     pub fn after_end(&mut self) -> Duration {
         self.reset();
         if self.is_costly() { self.spread_delay() } else { self.after_failure(Duration::ZERO) }
     }
 
-    /// Returns the pause after a useful watch's connection broke, possibly those of all senders.
+    /// Returns the pause after a useful watch's connection broke, and possibly the connections of all senders.
     pub fn after_break(&mut self) -> Duration {
         self.reset();
         if self.is_costly() {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Returns the pause after an open watch stalled, possibly those of all senders.
+    /// Returns the pause after an open watch stalled, and possibly the watches of all senders.
     pub fn after_stall(&mut self) -> Duration {
         self.reset();
         if self.is_costly() {
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -1,5 +1,5 @@
 //! The process's status: whether it serves, drains, hands over or stops. The servers, the driver and the management
-//! interface all read it here.
+//! interface share it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,8 +8,8 @@
 /// Time after a lame-duck command or a stop for which clients are served as before: the load balancer polls readiness
 /// every 0.1 s and sends new connections for 0.2 s more. After this time connections close between requests.
 const CLIENT_GRACE: Duration = Duration::from_millis(450);
-/// Time after a lame-duck command from which messages are refused: a client that still submits one uses outdated
-/// information, and its message would keep the sender from being empty when it should be.
+/// Time after a lame-duck command from which messages are refused. A client that still submits messages uses outdated
+/// information, and its messages would keep the sender from having delivered everything in time.
 const LATE_MESSAGE_CUTOFF: Duration = Duration::from_millis(1400);
 
 /// The phase that a process is in.
