--- a/crates/sender/src/placement/metrics.rs
+++ b/crates/sender/src/placement/metrics.rs
@@ -18,9 +18,9 @@
 pub struct ForwardedCounters {
     pub taken: Cell<u64>,
     pub busy: Cell<u64>,
-    /// An owner may have accepted it without confirming, or no sender can accept it.
+    /// Messages that an owner may have accepted without confirming, or that no sender can accept.
     pub failed: Cell<u64>,
-    /// Attempts to forward whose outcome is unknown, whatever the reply to the client was.
+    /// Attempts to forward a message whose outcome is unknown, with any reply to the client.
     pub unknown: Cell<u64>,
 }
 
@@ -34,13 +34,13 @@
 pub struct PlacementMetrics {
     /// The epoch in force; null before the first list.
     pub epoch: Option<u64>,
-    /// The rest of the lease in milliseconds; 0 once it has expired.
+    /// The remaining time of the lease in milliseconds; 0 if the lease has expired.
     pub lease_left_ms: u64,
     /// Shards that this sender owns.
     pub owned_shards: usize,
     /// Owned shards whose endpoints have not been read yet.
     pub unread_shards: usize,
-    /// Time in milliseconds until nothing is on hold.
+    /// Time in milliseconds until no destination is on hold any more.
     pub on_hold_ms: u64,
     /// Responses of control agents that were rejected.
     pub lists_refused: u64,
