--- a/crates/scale/src/budget.rs
+++ b/crates/scale/src/budget.rs
@@ -5,21 +5,21 @@
 /// An upper bound for the median of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Budget {
-    /// Name on the command line, in the report and in `docs/CAPACITY.md`.
+    /// Name of the budget on the command line, in the report and in `docs/CAPACITY.md`.
     pub name: &'static str,
-    /// Largest permitted value, in the unit of the metric.
+    /// Largest permitted value, in the metric's unit.
     pub limit: f64,
     /// Reason for the limit.
     pub reason: &'static str,
 }
 
-/// Memory that control may use at a sender.
+/// Memory that a sender may use for control.
 pub const SENDER_MEMORY: Budget =
     Budget { name: "sender-memory", limit: 32e6, reason: "target: 32 MB per sender for control" };
-/// Processor time of the decision module's idle rounds at a sender.
+/// Processor time that a sender may use for the decision module's idle rounds.
 pub const SENDER_CPU: Budget =
     Budget { name: "sender-cpu", limit: 0.036, reason: "target: 3.6% of a core per sender for control" };
-/// Control traffic to or from one sender.
+/// Control traffic to or from a single sender.
 pub const SENDER_TRAFFIC: Budget =
     Budget { name: "sender-traffic", limit: 5_000.0, reason: "target: 5 KB/s per sender for control" };
 /// Time from a change until it is in force at every sender.
@@ -34,7 +34,7 @@
     limit: 10.0,
     reason: "target: nine in ten restarted senders are ready within 10 s",
 };
-/// Processor time that messages take of a sender's single thread.
+/// Processor time that messages may take of a sender's single thread.
 pub const MESSAGE_CPU: Budget = Budget {
     name: "message-cpu",
     limit: 0.5,
@@ -70,29 +70,29 @@
 /// Time of one lookup in the placement table.
 pub const TABLE_LOOKUP: Budget =
     Budget { name: "table-lookup", limit: 1e-6, reason: "1 us, a hundredth of the cost of a message" };
-/// Load of the busiest owner over the mean of its region.
+/// Load of the busiest owner divided by the mean of its region.
 pub const BUSIEST_OWNER: Budget =
     Budget { name: "busiest-owner", limit: 1.15, reason: "evenness of the placement" };
-/// Positions that one lost or added member moves, over its own share.
+/// Number of positions moved by the loss or addition of one member, divided by the member's own share.
 pub const MOVEMENT: Budget =
     Budget { name: "movement", limit: 1.3, reason: "a change moves little more than it must" };
 /// Positions moved between members that were neither added nor removed.
 pub const MOVED_BETWEEN_OTHERS: Budget =
     Budget { name: "moved-between-others", limit: 0.0, reason: "no handover without need" };
-/// Load of the busiest owner after the loss of a zone, over the new mean of its region.
+/// Load of the busiest owner after the loss of a zone, divided by the new mean of its region.
 pub const ZONE_LOST: Budget =
     Budget { name: "zone-lost", limit: 1.35, reason: "evenness with a zone of a region lost" };
 /// Number of shards without an owner.
 pub const SHARDS_WITHOUT_OWNER: Budget =
     Budget { name: "shards-without-owner", limit: 0.0, reason: "every destination has an owner" };
-/// Relative deviation of a simulated result from that of real processes.
+/// Relative deviation of a simulated result from the result of real processes.
 pub const SIMULATED_AGAINST_REAL: Budget = Budget {
     name: "hollow-against-real",
     limit: 0.2,
     reason: "a fifth; docs/CAPACITY.md explains any larger deviation",
 };
 
-/// Every budget.
+/// All budgets.
 pub const ALL: [Budget; 19] = [
     SENDER_MEMORY,
     SENDER_CPU,
@@ -115,17 +115,17 @@
     SIMULATED_AGAINST_REAL,
 ];
 
-/// Limits from the command line, which replace those of the budgets.
+/// Limits from the command line, which replace the limits of the budgets.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides(Vec<(&'static str, f64)>);
 
-/// An invalid override.
+/// A `--budget` argument that is not valid.
 #[derive(Debug, thiserror::Error)]
 pub enum OverrideError {
-    /// It is not a pair of a name and a number.
+    /// The argument is not a name and a number.
     #[error("'{0}' is not NAME=LIMIT, as in table-bytes=8e6")]
     Form(String),
-    /// No budget has this name.
+    /// There is no budget with this name.
     #[error("there is no budget '{name}'; the budgets are: {}", ALL.map(|budget| budget.name).join(", "))]
     Name {
         /// The unknown name.
@@ -137,7 +137,7 @@
     /// Parses `NAME=LIMIT` pairs.
     ///
     /// # Errors
-    /// Fails for a pair that can't be parsed or a budget that does not exist.
+    /// Fails for a pair that can't be parsed, or a name that no budget has.
     pub fn parse(pairs: &[String]) -> Result<Self, OverrideError> {
         let read = |pair: &String| {
             let (name, limit) = pair.split_once('=').ok_or_else(|| OverrideError::Form(pair.clone()))?;
@@ -148,7 +148,7 @@
         Ok(Overrides(pairs.iter().map(read).collect::<Result<_, OverrideError>>()?))
     }
 
-    /// Returns the budget with the last override of its name applied.
+    /// Returns the budget with the limit of the last override of its name, if there is one.
     pub fn applied(&self, budget: Budget) -> Budget {
         let limit = self.0.iter().rev().find(|(name, _)| *name == budget.name);
         Budget { limit: limit.map_or(budget.limit, |(_, limit)| *limit), ..budget }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,6 +1,6 @@
-//! Measures the slopes behind `docs/CAPACITY.md` (how costs grow with size): with real daemon processes where they
-//! fit on one machine, otherwise with hollow, that is simulated, senders, which run the real decision code and its
-//! messages without clients and endpoints.
+//! Measures the slopes behind `docs/CAPACITY.md` (how costs grow with size): with real daemon processes if they fit on
+//! one machine, otherwise with simulated senders ("hollow" in reports and names), which run the real decision code and
+//! its messages without clients and endpoints.
 //!
 //! Each subcommand prints its inputs and its metrics with their spread and budget, and fails with the name of every
 //! budget that a metric exceeds.
@@ -25,11 +25,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Measures how state, processor time and messages grow with the fleet and its list.
+/// Measure how memory, processor time and traffic grow with the fleet and its list.
 #[derive(Parser)]
 #[command(name = "embershore-scale", version)]
 struct Arguments {
-    /// Use small sizes that take a few seconds in all, as CI does.
+    /// Use small sizes that take a few seconds in all; CI runs these.
     #[arg(long, global = true)]
     small: bool,
     /// Print one JSON object per slope instead of text.
@@ -50,27 +50,27 @@
 
 #[derive(Clone, Copy, Subcommand)]
 enum Slope {
-    /// Memory and time to readiness of a real daemon by the length of its list.
+    /// Memory and time to readiness of a real daemon, by the length of its list.
     ListMemory,
-    /// Processor time per message of a real daemon by the length of its list.
+    /// Processor time per message of a real daemon, by the length of its list.
     MessageCpu,
-    /// Processor time of the decision module's idle rounds by the length of its list.
+    /// Processor time of the decision module's idle rounds, by the length of its list.
     ModuleRound,
-    /// Memory, journal size and restart time of a real daemon by the number of queued messages.
+    /// Memory, journal size and restart time of a real daemon, by the number of queued messages.
     Held,
-    /// Datagrams and bytes of the membership gossip by the number of members.
+    /// Datagrams and bytes of the membership gossip, by the number of members.
     Membership,
     /// Times, size, evenness and movement of the placement table.
     Placement,
-    /// Owned destinations, load and control traffic of each of 15,000 hollow (simulated) senders.
+    /// Owned destinations, load and control traffic of each of 15,000 simulated senders.
     Fleet,
     /// Time and memory to read the full list as a stream.
     ListStream,
-    /// Cost of a message in a hollow (simulated) sender against real processes.
+    /// Cost of a message in a simulated sender, compared with real processes.
     HollowCheck,
-    /// Destinations owned by hollow (simulated) senders against those kept by real processes.
+    /// Number of destinations that simulated senders own, compared with those kept by real processes.
     OwnersCheck,
-    /// All slopes in turn.
+    /// All slopes, one after another.
     All,
 }
 
@@ -118,7 +118,7 @@
     Ok(())
 }
 
-/// Measures and prints the chosen slopes. Reports whether every metric is within its budget.
+/// Measures and prints the chosen slopes. Returns whether every metric is within its budget.
 fn measure(arguments: &Arguments) -> Result<bool> {
     let setup = Setup {
         small: arguments.small,
--- a/crates/scale/src/process/client.rs
+++ b/crates/scale/src/process/client.rs
@@ -1,4 +1,4 @@
-//! Clients that put messages over RESP2, and a client of the management interface.
+//! Clients that put messages over RESP2, and a function that calls the management interface.
 
 use anyhow::{Context, Result};
 use bytes::BytesMut;
@@ -8,21 +8,21 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, MissedTickBehavior, timeout};
 
-/// Time limit for an answer; the measurement fails without one.
+/// Time-out for an answer; the measurement fails after it.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Body of every message; changing its length makes results incomparable with earlier ones.
+/// Body of every message. With another length, results can't be compared with earlier ones.
 const BODY: [u8; 200] = [b'm'; 200];
-/// Unanswered messages per connection; the daemon processes this many at a time.
+/// Number of unanswered messages per connection; the daemon processes this many at a time.
 pub const PIPELINE: usize = 64;
 /// Number of connections that share a paced load.
 const CONNECTIONS: usize = 8;
 
-/// Numbers of messages by the daemon's reply.
+/// Number of messages by the daemon's reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PutCounts {
-    /// Messages answered with `+OK`.
+    /// Number of messages answered with `+OK`.
     pub accepted: u64,
-    /// Messages answered with anything else.
+    /// Number of messages answered with anything else.
     pub refused: u64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A client's connection.
+/// Connection of a client.
 pub struct Client {
     stream: BufReader<TcpStream>,
     prefix: String,
@@ -41,7 +41,7 @@
 }
 
 impl Client {
-    /// Connects; the ids of its messages begin with `prefix`.
+    /// Connects to the daemon; the ids of the client's messages begin with `prefix`.
     ///
     /// # Errors
     /// Fails if nothing listens at the address.
@@ -54,7 +54,7 @@
     /// Puts one message for each destination in a single write and reads all answers. `time_left` is in milliseconds.
     ///
     /// # Errors
-    /// Fails if the connection ends or an answer does not come in time.
+    /// Fails if the connection ends, or an answer does not arrive in time.
     pub async fn put(&mut self, class: &str, time_left: u64, destinations: &[usize]) -> Result<PutCounts> {
         let mut commands = BytesMut::new();
         for destination in destinations {
@@ -91,11 +91,11 @@
     }
 }
 
-/// Offers `rate` messages per second for `span` over several connections, to the destinations `0..destinations` in
-/// turn.
+/// Offers `rate` messages per second for `span` over several connections, to each of the destinations `0..destinations`
+/// in turn.
 ///
 /// # Errors
-/// Fails if a connection ends or an answer does not come in time.
+/// Fails if a connection ends, or an answer does not arrive in time.
 pub async fn offer(
     address: SocketAddr,
     prefix: &str,
@@ -127,7 +127,8 @@
     Ok(counts)
 }
 
-/// Requests a path of the management interface. Returns the status and body, or nothing without a valid answer in time.
+/// Requests a path of the management interface. Returns the status and the body, or `None` without a valid answer in
+/// time.
 pub async fn get(management_address: SocketAddr, path: &str) -> Option<(u16, String)> {
     let call = async {
         let mut stream = TcpStream::connect(management_address).await.ok()?;
--- a/crates/scale/src/process/control.rs
+++ b/crates/scale/src/process/control.rs
@@ -10,23 +10,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// A running stand-in; it serves until it is dropped.
+/// A running stand-in, which serves requests until it is dropped.
 pub struct ControlAgent {
-    /// Address on which it listens.
+    /// Address on which the stand-in listens.
     pub address: SocketAddr,
     serving: JoinHandle<()>,
 }
 
-/// The two possible answers.
+/// The two possible answers of the stand-in.
 struct Answers {
-    /// Part of the request line of a sender that has the current list.
+    /// Part of the request line that a sender with the current list sends.
     known_epoch: String,
     unchanged: Bytes,
     full_list: Bytes,
 }
 
 impl ControlAgent {
-    /// Starts to serve this list.
+    /// Starts to serve the list.
     ///
     /// # Errors
     /// Fails if no port is free.
@@ -41,7 +41,7 @@
         });
         let serving = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // Bounded by the number of started senders: each has one open request.
+                // The number of tasks is bounded by the number of started senders: each has one open request.
                 tokio::spawn(serve(stream, answers.clone()));
             }
         });
--- a/crates/scale/src/process/daemon.rs
+++ b/crates/scale/src/process/daemon.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpSocket;
 use tokio::process::{Child, Command};
 
-/// Interval at which readiness is polled.
+/// Interval at which the daemon's readiness is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Time limit of messages of the class `kept`: ten hours, so that none expires during a measurement.
 pub const KEPT_CLASS_TTL_MS: u64 = 36_000_000;
@@ -20,24 +20,24 @@
 /// The part of the configuration that differs between measurements.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Maximum number of open messages.
+    /// Maximum number of open messages of the daemon.
     pub max_open: u64,
-    /// Memory limit, in MB.
+    /// Memory limit of the daemon, in MB.
     pub memory_mb: u64,
-    /// Journal limit, in MB.
+    /// Limit of the daemon's journal, in MB.
     pub disk_mb: u64,
-    /// The section `[placement]`, for one sender among several.
+    /// Section `[placement]`, for a sender in a fleet.
     pub placement: Option<PlacementOptions>,
 }
 
-/// The section `[placement]` of a sender's options.
+/// Values of the section `[placement]` of a sender's options.
 #[derive(Clone, Debug)]
 pub struct PlacementOptions {
-    /// The sender's name in the member list.
+    /// Name of the sender in the member list.
     pub name: String,
-    /// Address on which it accepts forwarded requests.
+    /// Address on which the sender accepts forwarded requests.
     pub listen: SocketAddr,
-    /// Address of the control agent.
+    /// Address of the sender's control agent.
     pub control: SocketAddr,
 }
 
@@ -73,9 +73,9 @@
     })
 }
 
-/// A daemon process with its state directory. The process is killed when this is dropped.
+/// A daemon process with its state directory. Dropping it kills the process.
 pub struct Daemon {
-    /// Address for clients.
+    /// Address on which the daemon accepts clients.
     pub address: SocketAddr,
     binary: PathBuf,
     management_address: SocketAddr,
@@ -83,13 +83,13 @@
     child: Child,
 }
 
-/// Number of the next free address.
+/// Number of the next free address; see [`free_address`].
 static NEXT_ADDRESS: AtomicU16 = AtomicU16::new(1);
 
-/// Returns an address with an IP address that no other process listens on or connects from.
+/// Returns an address whose IP address no other process listens on or connects from.
 ///
 /// # Errors
-/// Fails if no port is free there.
+/// Fails if no port of the IP address is free.
 pub fn free_address() -> Result<SocketAddr> {
     let [.., low] = std::process::id().to_be_bytes();
     let [third, fourth] = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed).to_be_bytes();
@@ -103,7 +103,7 @@
     /// Starts a daemon that polls this discovery address.
     ///
     /// # Errors
-    /// Fails if its directory can't be written or the binary can't be started.
+    /// Fails if the daemon's directory can't be written or the binary can't be started.
     pub fn start(binary: &Path, discovery: SocketAddr, options: &Options) -> Result<Self> {
         let (address, management_address) = (free_address()?, free_address()?);
         let folder = tempfile::tempdir()?;
@@ -125,7 +125,7 @@
         self.child.id().context("the daemon has exited")
     }
 
-    /// Waits until the daemon is ready and has this many endpoints. Returns how long that took.
+    /// Waits until the daemon is ready and has this many endpoints. Returns the time that this took.
     ///
     /// # Errors
     /// Fails if the daemon exits or is not ready within the time limit.
@@ -153,10 +153,10 @@
         }
     }
 
-    /// Waits until the daemon has read the endpoints of all shards that it owns. Returns the number of endpoints.
+    /// Waits until the daemon has read the endpoints of all shards that it owns. Returns the number of these endpoints.
     ///
     /// # Errors
-    /// Fails if that does not happen within the time limit.
+    /// Fails if the daemon has not read them within the time limit.
     pub async fn wait_until_owned_read(&self, time_limit: Duration) -> Result<u64> {
         let started = Instant::now();
         loop {
@@ -183,12 +183,12 @@
         serde_json::from_str(&text).ok()
     }
 
-    /// Returns a number from `/_vars`.
+    /// Returns the number with this name in `/_vars`.
     pub async fn variable(&self, name: &str) -> Option<u64> {
         self.variables().await?.get(name)?.as_u64()
     }
 
-    /// Returns the resident memory in bytes.
+    /// Returns the resident memory of the process in bytes.
     ///
     /// # Errors
     /// Fails if the process has exited.
@@ -196,7 +196,7 @@
         usage::resident_bytes(self.pid()?)
     }
 
-    /// Returns the processor time since the start of the process, in seconds.
+    /// Returns the processor time that the process has used since its start, in seconds.
     ///
     /// # Errors
     /// Fails if the process has exited.
@@ -204,7 +204,7 @@
         usage::cpu_seconds(self.pid()?)
     }
 
-    /// Returns the size of the journal in bytes.
+    /// Returns the size of the daemon's journal in bytes.
     ///
     /// # Errors
     /// Fails if there is no journal.
@@ -218,7 +218,7 @@
         text.lines().last().unwrap_or("(the log is empty)").to_string()
     }
 
-    /// Kills the process and starts a new one on the same directory.
+    /// Kills the process and starts a new one with the same directory.
     ///
     /// # Errors
     /// Fails if the process can't be killed or started.
--- a/crates/scale/src/process/directory.rs
+++ b/crates/scale/src/process/directory.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: discovery with a list that never changes, and a receiver of notices.
+//! A stand-in for the platform: discovery with a list that never changes, and an interface that accepts notices.
 
 use super::http::request_line;
 use anyhow::Result;
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Interval of the heartbeats of a watch.
+/// Interval of the heartbeats on a watch.
 const HEARTBEAT: Duration = Duration::from_secs(1);
 
 /// A list of one endpoint for each destination, all at one address.
@@ -26,7 +26,7 @@
     /// Returns the full list as discovery sends it.
     ///
     /// # Errors
-    /// Never fails in practice: the list can always be encoded.
+    /// Never fails in practice, since the list can always be encoded.
     pub fn to_json(self) -> Result<Vec<u8>> {
         let address = self.address.to_string();
         let line = |n: usize| {
@@ -38,17 +38,17 @@
     }
 }
 
-/// A running stand-in; it serves until it is dropped.
+/// A running stand-in, which serves requests until it is dropped.
 pub struct Directory {
-    /// Address on which it listens.
+    /// Address on which the stand-in listens.
     pub address: SocketAddr,
-    /// Length of its list in bytes.
+    /// Length of the served list in bytes.
     pub list_bytes: usize,
     serving: JoinHandle<()>,
 }
 
 impl Directory {
-    /// Starts to serve this list.
+    /// Starts to serve the list.
     ///
     /// # Errors
     /// Fails if no port is free.
@@ -58,7 +58,7 @@
         let list_bytes = list.len();
         let serving = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // Bounded by the daemon's own connections: its poll, its watch and its notices.
+                // The number of tasks is bounded by the daemon's connections: its poll, its watch and its notices.
                 tokio::spawn(serve(stream, list.clone()));
             }
         });
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// Serves a watch without changes.
+/// Serves a watch on which nothing changes.
 async fn watch(mut stream: BufReader<TcpStream>) -> io::Result<()> {
     stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await?;
     chunk(&mut stream, "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n").await?;
--- a/crates/scale/src/process/receiver.rs
+++ b/crates/scale/src/process/receiver.rs
@@ -8,9 +8,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::JoinHandle;
 
-/// A receiver that answers every call with 200; it serves until it is dropped.
+/// A receiver that answers every call with 200, until it is dropped.
 pub struct Receiver {
-    /// Address on which it listens.
+    /// Address on which the receiver listens.
     pub address: SocketAddr,
     serving: JoinHandle<()>,
 }
@@ -25,7 +25,7 @@
         let address = listener.local_addr()?;
         let serving = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // Bounded by the daemon's limit on sockets.
+                // The number of tasks is bounded by the daemon's limit on sockets.
                 tokio::spawn(serve(stream));
             }
         });
@@ -49,15 +49,15 @@
     Ok(())
 }
 
-/// An address that refuses connections: it is bound, so that no other process gets it, and nothing listens on it.
+/// An address that refuses connections: it is bound, so that no other process gets it, but nothing listens on it.
 pub struct RefusingAddress {
-    /// The refusing address.
+    /// The address that refuses connections.
     pub address: SocketAddr,
     _socket: TcpSocket,
 }
 
 impl RefusingAddress {
-    /// Reserves an address.
+    /// Reserves an address on loopback.
     ///
     /// # Errors
     /// Fails if no port is free.
--- a/crates/scale/src/process/usage.rs
+++ b/crates/scale/src/process/usage.rs
@@ -3,9 +3,9 @@
 use anyhow::{Context, Result};
 use std::fs;
 
-/// Clock ticks per second in `/proc/PID/stat`: user space sees 100 on every Linux.
+/// Clock ticks per second in `/proc/PID/stat`: every Linux reports 100 to user space.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Positions of user and system time in `/proc/PID/stat`, counted after the command's name.
+/// Positions of user and system time in `/proc/PID/stat`, counted from the field after the command's name.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -7,19 +7,19 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The unit of a metric.
+/// Unit of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unit {
-    /// Bytes.
+    /// Number of bytes.
     Bytes,
     /// Bytes per second.
     BytesPerSecond,
     /// Seconds.
     Seconds,
-    /// Cores of a processor.
+    /// Processor cores.
     Cores,
-    /// A plain count.
+    /// Number without a unit.
     Count,
     /// Events per second.
     PerSecond,
@@ -63,56 +63,56 @@
     }
 }
 
-/// Whether a metric is within its budget.
+/// Result of the comparison of a metric with its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
     /// The median is at most the budget's limit.
     Within,
-    /// The median exceeds the limit: the command fails.
+    /// The median exceeds the budget's limit, so the command fails.
     Over,
 }
 
 /// One measured metric.
 #[derive(Clone, Debug, Serialize)]
 pub struct Metric {
-    /// What was measured.
+    /// Name of the metric.
     pub name: String,
     /// Unit of the values.
     pub unit: Unit,
-    /// Spread of the repeated measurements.
+    /// Spread of the values of repeated measurements.
     pub spread: Spread,
-    /// Upper bound of the median.
+    /// Budget of the median, if the metric has one.
     pub budget: Option<Budget>,
-    /// Whether the median is within the budget.
+    /// Whether the median is within the budget, if there is one.
     pub verdict: Option<Verdict>,
 }
 
 /// All measurements of one slope.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Name of the subcommand.
+    /// Name of the slope's subcommand.
     pub slope: &'static str,
-    /// Parameters of the measurement.
+    /// Parameters of the measurement, by name.
     pub inputs: BTreeMap<&'static str, String>,
     /// The measured metrics.
     #[serde(rename = "figures")]
     pub metrics: Vec<Metric>,
-    /// Notes that a reader of the metrics needs.
+    /// Remarks that a reader of the metrics needs.
     pub remarks: Vec<String>,
     #[serde(skip)]
     overrides: Overrides,
-    /// Factor by which budgets of times are widened.
+    /// Factor by which the limits of budgets of times are multiplied.
     #[serde(skip)]
     time_margin: f64,
 }
 
-/// Factor for the small sizes: their code is not optimised and the machine is busy with other tests, so a time can only
-/// reveal a gross fault.
+/// Factor for the limits of times at small sizes: the code is not optimised then and the machine is busy with other
+/// tests, so a time can only reveal a gross fault.
 const SMALL_TIME_MARGIN: f64 = 30.0;
 
 impl Report {
-    /// Creates an empty report.
+    /// Creates an empty report of a slope.
     pub fn new(slope: &'static str, setup: &Setup) -> Self {
         Report {
             slope,
@@ -144,12 +144,12 @@
         self.metrics.push(Metric { name: name.into(), unit, spread, budget: Some(budget), verdict });
     }
 
-    /// Adds a remark.
+    /// Adds a remark to the report.
     pub fn remark(&mut self, text: impl Into<String>) {
         self.remarks.push(text.into());
     }
 
-    /// Returns the name of each exceeded budget with the name of the metric.
+    /// Returns the name of each exceeded budget together with the name of the metric.
     pub fn crossed(&self) -> impl Iterator<Item = (&'static str, &str)> {
         let over = self.metrics.iter().filter(|f| f.verdict == Some(Verdict::Over));
         over.filter_map(|f| Some((f.budget?.name, f.name.as_str())))
--- a/crates/scale/src/simulated_fleet.rs
+++ b/crates/scale/src/simulated_fleet.rs
@@ -1,27 +1,28 @@
-//! Member lists of simulated fleets: real lists and tables for senders that are not running.
+//! Member lists of simulated fleets: real lists and placement tables for senders that do not run.
 
 use crate::target::{RACK, REPLICAS, ZONES_BY_REGION};
 use anyhow::Result;
 use embershore_placement::wire::{ListForm, MemberForm, RegionForm, SeatForm};
 use embershore_placement::{Change, Changes, MemberList, SCHEME, SeatId, Table, shard};
 
-/// The port that every member's address has.
+/// Port of every member's address.
 const MEMBER_PORT: u16 = 7001;
 
-/// Returns the region of each zone and the zone's number in it.
+/// Returns the region of each zone, and the zone's number in its region.
 fn zones() -> Vec<(usize, u32)> {
     let zones = ZONES_BY_REGION.iter().enumerate();
     zones.flat_map(|(region, &count)| (0..count).map(move |zone| (region, zone))).collect()
 }
 
-/// Returns the member that fills a seat in this incarnation, counted from 0.
+/// Returns the member that fills a seat; `incarnation` counts the members of the seat from 0.
 pub fn member(seat: usize, incarnation: usize) -> MemberForm {
     let [_, high, middle, low] = (seat as u32 + 1).to_be_bytes();
     let address = format!("127.{}.{middle}.{low}:{MEMBER_PORT}", usize::from(high) + incarnation);
     MemberForm { name: format!("sender-{seat:05}-{incarnation}"), address }
 }
 
-/// Returns one seat of the fleet. Seats alternate between zones, and fill one rack after another within each.
+/// Returns one seat of the fleet. Consecutive seats are in different zones; within a zone, one rack after another is
+/// filled.
 pub fn seat(number: usize) -> SeatForm {
     let zones = zones();
     let (region, zone) = zones[number % zones.len()];
@@ -35,7 +36,7 @@
     }
 }
 
-/// Returns the member list of a fleet with every seat filled, in its wire form.
+/// Returns the wire form of the member list of a fleet in which every seat is filled.
 pub fn list_form(senders: usize) -> ListForm {
     let region =
         |(number, zones): (usize, &u32)| RegionForm { name: format!("region-{number}"), share: *zones };
@@ -50,10 +51,10 @@
     }
 }
 
-/// Returns the validated member list of a fleet with every seat filled.
+/// Returns the validated member list of a fleet in which every seat is filled.
 ///
 /// # Errors
-/// Fails if there are too few senders for each region to have all replicas.
+/// Fails if there are too few senders for all replicas in each region.
 pub fn list(senders: usize) -> Result<MemberList> {
     Ok(MemberList::from_form(list_form(senders))?)
 }
@@ -70,7 +71,7 @@
     following(list, seats.into_iter().map(change).collect())
 }
 
-/// Returns these changes as those from the list's epoch to the next.
+/// Returns these changes as the step from the list's epoch to the next one.
 pub fn following(list: &MemberList, changes: Vec<Change>) -> Changes {
     Changes { epoch: list.epoch() + 1, since: list.epoch(), changes }
 }
@@ -87,7 +88,7 @@
     (0..senders).filter(|seat| seat % zones == 0).collect()
 }
 
-/// Returns by seat the destinations that each simulated sender owns, of those numbered from 0.
+/// Returns for each seat the destinations that its simulated sender owns, of those numbered from 0.
 pub fn owned_destinations(table: &Table, seats: usize, destinations: u64) -> Vec<Vec<u32>> {
     let mut owned = vec![Vec::new(); seats];
     for destination in 0..destinations {
--- a/crates/scale/src/simulated_module.rs
+++ b/crates/scale/src/simulated_module.rs
@@ -8,14 +8,14 @@
 };
 use std::time::Duration;
 
-/// Simulated time between two rounds, as in the daemon's settings.
+/// Simulated time between two rounds, in microseconds; the daemon's settings have the same value.
 pub const QUANTUM: Micros = 5_000;
-/// Simulated time that a call takes.
+/// Simulated duration of a call, in microseconds.
 const CALL_DURATION: Micros = 1_000;
-/// Time until a message's deadline; all messages are delivered long before.
+/// Time until a message's deadline, in microseconds; all messages are delivered long before.
 const TIME_LEFT: Micros = 20_000_000;
 
-/// A module with one endpoint for each destination.
+/// A decision module whose list has one endpoint for each destination.
 pub struct Module {
     dispatcher: Dispatcher,
     now: Micros,
@@ -70,7 +70,7 @@
 
     fn run_round(&mut self) {
         self.dispatcher.round(self.now, &self.events, &mut self.actions);
-        // The daemon reads every endpoint's health after each round.
+        // The daemon, too, reads every endpoint's health after each round.
         std::hint::black_box(self.dispatcher.endpoint_health().count());
     }
 }
@@ -114,7 +114,7 @@
     Event::Message { id, class: 0, tenant: 0, key: None, dest, time_left: TIME_LEFT, resubmitted: false }
 }
 
-/// Returns the outcome of a started call: every call is a first attempt and delivers its message.
+/// Returns the outcome of a started call; every call is a first attempt and delivers its message.
 fn delivery(action: Action) -> Option<Event> {
     let Action::Send { id, endpoint, .. } = action else { return None };
     let (attempt, outcome) = (0, Outcome::Done);
--- a/crates/scale/src/slopes/fleet.rs
+++ b/crates/scale/src/slopes/fleet.rs
@@ -20,9 +20,9 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Instant;
 
-/// Exponents of Zipf's law that are measured.
+/// Exponents of Zipf's law for which the load is measured.
 const EXPONENTS: [f64; 3] = [0.8, 1.0, 1.15];
-/// A destination is split until no part of it has more messages per second than this.
+/// Maximum messages per second of a part: busier destinations are split into several parts.
 const MAX_PART_RATE: f64 = 100.0;
 /// Default interval, in seconds, at which a sender polls its control agent: a quarter of the lease of 10 s.
 const POLL_INTERVAL_S: f64 = 2.5;
@@ -35,9 +35,9 @@
 /// Assumed duration of a rolling restart of all senders.
 const ROLLING_RESTART_S: f64 = 6.0 * HOUR_S;
 
-/// The load of a fleet.
+/// Load of a fleet.
 struct Load {
-    /// Messages per second, by destination.
+    /// Messages per second of each destination.
     rates: Vec<f64>,
 }
 
@@ -53,7 +53,7 @@
         self.rates.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Returns the width of each destination that is split into more than one part.
+    /// Returns the widths of the destinations that are split into more than one part.
     fn wide(&self) -> Vec<WideForm> {
         let rates = self.rates.iter().enumerate().filter(|(_, rate)| **rate > MAX_PART_RATE);
         let form = |(dest, rate): (usize, &f64)| WideForm {
@@ -63,8 +63,7 @@
         rates.map(form).collect()
     }
 
-    /// Returns the messages per second of each seat, where the parts and replicas of a destination share its load
-    /// evenly.
+    /// Returns the messages per second of each seat. The parts and replicas of a destination share its load evenly.
     fn by_seat(&self, table: &Table, list: &MemberList) -> Vec<f64> {
         let mut load = vec![0.0; list.seat_count()];
         for (destination, rate) in self.rates.iter().enumerate() {
@@ -106,7 +105,7 @@
     Ok(())
 }
 
-/// The control traffic to each sender for one event, and the time over which it is sent.
+/// Control traffic to each sender for one event, and the time over which it is sent.
 struct EventTraffic {
     name: &'static str,
     bytes: f64,
@@ -117,7 +116,7 @@
     changes.to_json().len() as f64
 }
 
-/// Returns the length of one endpoint's list entry, which stands for a configuration change.
+/// Returns the length of one endpoint's list entry in bytes; a configuration change is assumed to send one entry.
 fn entry_bytes() -> Result<f64> {
     let entry = ListedEndpoint {
         name: "endpoint-1234567".into(),
@@ -176,7 +175,7 @@
     ])
 }
 
-/// Measures the time that a control agent needs to encode an answer with the loss of a zone.
+/// Measures the time that a control agent needs to encode an answer that reports the loss of a zone.
 fn answer_times(list: &MemberList, repeats: usize) -> Vec<f64> {
     let changes = vacated(list, first_zone(list.seat_count()));
     let time = |_| {
@@ -241,7 +240,7 @@
     Ok(())
 }
 
-/// Runs the measurement.
+/// Measures the slope `fleet`.
 ///
 /// # Errors
 /// Fails if a list or a change is invalid.
--- a/crates/scale/src/slopes/held.rs
+++ b/crates/scale/src/slopes/held.rs
@@ -12,14 +12,14 @@
 use anyhow::{Result, ensure};
 use std::time::Duration;
 
-/// Number of destinations, all of which are down.
+/// Number of destinations; all of them are down.
 const DESTINATIONS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// Refused batches that are tolerated: the daemon refuses a message if its destination's queue is full.
+/// Number of refused batches that is tolerated: the daemon refuses a message if its destination's queue is full.
 const MAX_REFUSED_BATCHES: u64 = 10;
 
-/// Measurements of one daemon.
+/// Measurements of a single daemon.
 struct Sample {
     queued: f64,
     resident: f64,
@@ -27,7 +27,7 @@
     restart: f64,
 }
 
-/// Puts messages until this many are accepted.
+/// Puts messages until the daemon has accepted this many.
 async fn fill(daemon: &Daemon, count: usize) -> Result<PutCounts> {
     let mut client = Client::connect(daemon.address, "held").await?;
     let mut counts = PutCounts::default();
@@ -64,7 +64,7 @@
     Ok(Sample { queued, resident, journal, restart })
 }
 
-/// Runs the measurement.
+/// Measures the slope `held`.
 ///
 /// # Errors
 /// Fails if the daemon can't be started or accepts too few messages.
--- a/crates/scale/src/slopes/hollow_check.rs
+++ b/crates/scale/src/slopes/hollow_check.rs
@@ -1,5 +1,5 @@
-//! A simulated result against real processes: how the processor time of a message grows with the length of the list, in
-//! the decision module alone and in the daemon.
+//! Compares a simulated result with real processes: how the processor time of a message grows with the length of the
+//! list, in the decision module alone and in the daemon.
 
 use super::{Setup, message_cpu};
 use crate::budget::SIMULATED_AGAINST_REAL;
@@ -10,7 +10,7 @@
 use anyhow::Result;
 use std::time::Duration;
 
-/// Rounds per second: one each quantum of 5 ms.
+/// Rounds per second: one round per quantum of 5 ms.
 const ROUNDS_PER_SECOND: usize = 200;
 
 /// Measures the processor time per message, in seconds, of the module alone at the load of the real measurement.
@@ -28,7 +28,7 @@
     Ok(used.as_secs_f64() / offered as f64)
 }
 
-/// Runs the measurement.
+/// Measures the slope `hollow-check`.
 ///
 /// # Errors
 /// Fails if the daemon can't be started or refuses messages.
--- a/crates/scale/src/slopes/list_stream.rs
+++ b/crates/scale/src/slopes/list_stream.rs
@@ -1,4 +1,4 @@
-//! Reading the list of all destinations as a stream and keeping only the entries that one sender owns.
+//! Measures how a sender reads the list of all destinations as a stream and keeps only the entries that it owns.
 
 use super::Setup;
 use crate::budget::{CHANGE_TIME, SENDER_MEMORY};
@@ -9,9 +9,9 @@
 use embershore_protocol::listing_stream::FilteredListingReader;
 use std::io::{Read, Write};
 
-/// One entry in this many is the sender's own: each destination has two owners.
+/// Of this many entries, the sender owns one: each destination has two owners.
 const DESTINATIONS_PER_OWNED: u64 = SENDERS as u64 / 2;
-/// Number of bytes read at a time.
+/// Number of bytes per read.
 const READ_BYTES: usize = 16 * 1024;
 
 /// Writes the full list as discovery sends it.
@@ -31,12 +31,12 @@
 /// Result of reading the list once.
 struct ReadResult {
     count: usize,
-    /// Largest number of bytes that the reader buffered, as reported by itself.
+    /// Largest number of bytes that the reader buffered, as reported by the reader.
     max_buffered: usize,
     seconds: f64,
 }
 
-/// Reads the list with the daemon's reader, in pieces as from a socket.
+/// Reads the list with the daemon's reader, piece by piece as from a socket.
 fn read_owned(mut source: impl Read) -> Result<ReadResult> {
     let owns = |destination: i64| destination.unsigned_abs().is_multiple_of(DESTINATIONS_PER_OWNED);
     let started = thread_cpu_time()?;
@@ -62,7 +62,7 @@
     Ok(line.trim().trim_end_matches(" kB").parse::<f64>()? * 1024.0)
 }
 
-/// Runs the measurement.
+/// Measures the slope `list-stream`.
 ///
 /// # Errors
 /// Fails if the list can't be written to a file or read back.
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -1,4 +1,4 @@
-//! Datagrams and bytes of the membership gossip: the protocol logic of `embershore-peer` with its real encoding over a
+//! Datagrams and bytes of the membership gossip: the protocol code of `embershore-peer` with its real encoding over a
 //! simulated network.
 
 use super::Setup;
@@ -12,18 +12,18 @@
 use std::net::SocketAddr;
 
 const SECOND: Micros = 1_000_000;
-/// Simulated time between two steps of the members.
+/// Simulated time between two steps of the members, in microseconds.
 const STEP: Micros = 10_000;
-/// Longest delay of a datagram.
+/// Maximum delay of a datagram, in microseconds.
 const MAX_DELAY: Micros = 5_000;
-/// Port of every member.
+/// Port of every member's address.
 const PORT: u16 = 7100;
 
 const REPEATS: u64 = 3;
-/// Number of members from which one run takes minutes and is not repeated.
+/// Number of members from which on a run takes minutes and is not repeated.
 const SINGLE_RUN_FROM: usize = 500;
 
-/// The members and their network in simulated time.
+/// Members and their network in simulated time.
 struct Network {
     now: Micros,
     members: Vec<Peers>,
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Runs the next `seconds` and returns the datagrams and bytes per second that each member sent.
+    /// Runs for `seconds` and returns the datagrams and bytes per second that each member sent.
     fn rates(&mut self, seconds: i64) -> Result<(f64, f64)> {
         let before = (self.datagrams, self.bytes);
         self.advance(seconds * SECOND)?;
@@ -111,7 +111,7 @@
     }
 }
 
-/// Runs the measurement.
+/// Measures the slope `membership`.
 ///
 /// # Errors
 /// Fails if the member list is invalid.
--- a/crates/scale/src/slopes/message_cpu.rs
+++ b/crates/scale/src/slopes/message_cpu.rs
@@ -9,13 +9,13 @@
 use anyhow::{Result, ensure};
 use std::time::Duration;
 
-/// Messages offered per second.
+/// Number of messages offered per second.
 pub const MESSAGE_RATE: f64 = 300.0;
-/// Number of destinations that get messages if more are listed. Separates the cost of a listed idle destination from
-/// that of a connection.
+/// Number of destinations that get messages if more are listed. This separates the cost of a listed idle destination
+/// from the cost of a connection.
 pub const ACTIVE_DESTINATIONS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// The load that opens the connections before the measurement takes the measured span divided by this.
+/// Before the measurement, the load runs for the measured span divided by this, to open the connections.
 const WARM_UP_DIVISOR: u32 = 4;
 
 /// Measures the processor time per accepted message, in seconds.
@@ -39,7 +39,7 @@
     Ok(used / counts.accepted as f64)
 }
 
-/// Runs the measurement.
+/// Measures the slope `message-cpu`.
 ///
 /// # Errors
 /// Fails if the daemon can't be started or refuses more than one message in twenty.
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -1,4 +1,4 @@
-//! The slopes, one module each. Each returns a [`Report`].
+//! The slopes, one module for each. Each module has a function `run` that returns a [`Report`].
 
 pub mod fleet;
 pub mod held;
@@ -17,11 +17,11 @@
 /// Options common to all slopes.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Use sizes that take seconds in all, with wide margins on budgets of times.
+    /// Whether to use sizes that take seconds in all, with wide margins on budgets of times.
     pub small: bool,
     /// Path of the daemon's binary.
     pub binary: PathBuf,
-    /// Budgets that the command line overrides.
+    /// Limits of budgets from the command line.
     pub overrides: Overrides,
     /// Seed of all random numbers.
     pub seed: u64,
--- a/crates/scale/src/slopes/module_round.rs
+++ b/crates/scale/src/slopes/module_round.rs
@@ -1,4 +1,4 @@
-//! Processor time of the decision module's idle rounds, without a process around it.
+//! Processor time of the decision module's idle rounds, measured without a process around the module.
 
 use super::Setup;
 use crate::budget::{BUSIEST_OWNER, SENDER_CPU};
@@ -9,14 +9,14 @@
 use anyhow::Result;
 use std::time::{Duration, Instant};
 
-/// Highest number of rounds per second in the daemon: one each quantum of 5 ms.
+/// Maximum number of rounds per second in the daemon: one round per quantum of 5 ms.
 const ROUNDS_PER_SECOND: f64 = 200.0;
-/// Rounds that are timed together: a single one is too short for the clock.
+/// Number of rounds that are timed together: a single one is too short for the clock.
 const BATCH: u32 = 20;
-/// Time after which the measurement of one size ends.
+/// Time after which the measurement of one list size ends.
 const MAX_MEASURING_TIME: Duration = Duration::from_secs(10);
 
-/// Runs the measurement.
+/// Measures the slope `module-round`.
 ///
 /// # Errors
 /// Fails if the module rejects its settings.
--- a/crates/scale/src/slopes/owners_check.rs
+++ b/crates/scale/src/slopes/owners_check.rs
@@ -1,4 +1,4 @@
-//! Simulated senders against real ones: the number of destinations that each keeps of the list, in real processes with
+//! Compares simulated senders with real ones: the number of listed destinations that each keeps, in real processes with
 //! `[placement]` and in as many simulated senders with the same member list.
 
 use super::Setup;
@@ -15,11 +15,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Number of listed destinations; the list stays below the limit for a list that is read in one piece.
+/// Number of listed destinations; the list is shorter than the limit for a list that is read in one piece.
 const DESTINATIONS: usize = 10_000;
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Returns the member list of senders with these addresses.
+/// Returns the member list of senders that have these addresses.
 fn member_list(addresses: &[SocketAddr]) -> Result<MemberList> {
     let mut form = list_form(addresses.len());
     for (seat, address) in form.seats.iter_mut().zip(addresses) {
@@ -64,7 +64,7 @@
     Ok(ProcessResults { destinations, resident, cpu, seconds })
 }
 
-/// Runs the measurement.
+/// Measures the slope `owners-check`.
 ///
 /// # Errors
 /// Fails if a daemon can't be started or does not read the endpoints of its shards in time.
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -1,4 +1,4 @@
-//! Times, size, evenness and movement of the placement table, with the real `embershore-placement`.
+//! Times, size, evenness and movement of the placement table of `embershore-placement`.
 
 use super::Setup;
 use crate::budget::{
@@ -19,9 +19,9 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Lookups that are timed together: a single one is too short for the clock.
+/// Number of lookups that are timed together: a single one is too short for the clock.
 const LOOKUPS: usize = 1_000;
-/// Lists in memory at once when the memory of one is measured.
+/// Number of lists that are in memory at once when the memory of one list is measured.
 const COPIES: usize = 8;
 
 /// Numbers of shards and destinations that each seat owns.
@@ -42,7 +42,8 @@
     owned
 }
 
-/// Returns the load of the busiest filled seat over the mean of its region's filled seats, the largest of all regions.
+/// Returns the load of the busiest filled seat divided by the mean of its region's filled seats, as the maximum over
+/// all regions.
 fn busiest_by_region(list: &MemberList, counts: &[u32]) -> f64 {
     let mut regions: HashMap<u16, (f64, f64, f64)> = HashMap::new();
     for seat in list.seat_ids().filter(|seat| list.member(*seat).is_some()) {
@@ -58,8 +59,8 @@
     f64::from(largest) * counts.len() as f64 / counts.iter().map(|c| f64::from(*c)).sum::<f64>()
 }
 
-/// Returns the load of the busiest seat during the hold of new owners, over the mean of all seats before: each shard is
-/// shared by those of its owners that had it before.
+/// Returns the load of the busiest seat during the hold of new owners, divided by the mean of all seats before. Each
+/// shard is shared by those of its owners that owned it before.
 fn busiest_during_hold(before: &Table, after: &Table, seats: usize) -> f64 {
     let mut load = vec![0.0; seats];
     for number in 0..SHARDS {
@@ -82,12 +83,12 @@
     busiest_by_region(&placement.list, &counts)
 }
 
-/// Positions that moved between two tables.
+/// Positions that changed their seat between two tables.
 #[derive(Default)]
 struct Movement {
-    /// Positions gained by any seat.
+    /// Number of positions that any seat gained.
     gained: usize,
-    /// Gained positions that moved neither from nor to the changed seats.
+    /// Number of gained positions that moved neither from nor to the changed seats.
     between_others: usize,
 }
 
@@ -105,7 +106,7 @@
     movement
 }
 
-/// The member list and the table of one epoch.
+/// The member list and the placement table of one epoch.
 struct Placement {
     list: MemberList,
     table: Table,
@@ -129,7 +130,7 @@
     (0..repeats).map(time).collect()
 }
 
-/// Measures the application of a change in JSON: the processor time of the table's part and of all of it.
+/// Measures the processor time to apply a change given as JSON: the table's part, and the total.
 fn change_times(placement: &Placement, text: &[u8]) -> Result<(f64, f64)> {
     let mut table = placement.table.clone();
     let started = thread_cpu_time()?;
@@ -156,7 +157,7 @@
     Ok(times.seconds().scaled(1.0 / LOOKUPS as f64))
 }
 
-/// Measures the resident bytes of one parsed list.
+/// Measures the resident bytes that one parsed list needs.
 fn list_memory(text: &[u8]) -> Result<f64> {
     let before = resident_bytes(std::process::id())?;
     let lists = (0..COPIES).map(|_| MemberList::parse_json(text)).collect::<Result<Vec<_>, _>>()?;
@@ -201,7 +202,7 @@
             table.push(table_part);
             total.push(all);
         }
-        // A zone is 1,364 changes at once, to which the budget of a single change does not apply.
+        // The loss of a zone is 1,364 changes at once, to which the budget of a single change does not apply.
         if changes.changes.len() == 1 {
             report.bounded_metric(format!("{name}: table"), Unit::Seconds, Spread::of(&table), TABLE_CHANGE);
         } else {
@@ -251,7 +252,7 @@
     );
 }
 
-/// Removes members and appends seats one by one and measures what each change moves.
+/// Removes members and appends seats one at a time, and measures the movement of each change.
 fn measure_movement(report: &mut Report, setup: &Setup, placement: &Placement) -> Result<()> {
     let mut random = ChaCha8Rng::seed_from_u64(setup.seed);
     let (senders, samples) = (placement.list.seat_count(), if setup.small { 3 } else { 20 });
@@ -283,7 +284,7 @@
     Ok(())
 }
 
-/// Runs the measurement.
+/// Measures the slope `placement`.
 ///
 /// # Errors
 /// Fails if a list or a change is invalid.
--- a/crates/scale/src/spread.rs
+++ b/crates/scale/src/spread.rs
@@ -5,18 +5,18 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The spread of repeated measurements of one metric.
+/// Spread of repeated measurements of one metric.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Spread {
     /// Number of measurements.
     pub samples: u64,
-    /// The smallest value.
+    /// Smallest value.
     pub min: f64,
-    /// The median.
+    /// Median of the values.
     pub median: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the values.
     pub p99: f64,
-    /// The largest value.
+    /// Largest value.
     pub max: f64,
 }
 
@@ -26,7 +26,7 @@
         Spread { samples: 1, min: value, median: value, p99: value, max: value }
     }
 
-    /// Returns the spread of a few values; it is all zero if there are none.
+    /// Returns the spread of a few values; all its fields are zero if there are no values.
     pub fn of(values: &[f64]) -> Self {
         let mut sorted = values.to_vec();
         sorted.sort_by(f64::total_cmp);
@@ -37,14 +37,14 @@
         Spread { samples: sorted.len() as u64, min: at(0.0), median: at(0.5), p99: at(0.99), max: at(1.0) }
     }
 
-    /// Multiplies all values by a factor, to change the unit.
+    /// Multiplies all values by a factor, for example to change the unit.
     pub fn scaled(self, factor: f64) -> Self {
         let Spread { samples, min, median, p99, max } = self;
         Spread { samples, min: min * factor, median: median * factor, p99: p99 * factor, max: max * factor }
     }
 }
 
-/// Returns the processor time that this thread has used. Unlike wall-clock time it does not depend on the machine's
+/// Returns the processor time that this thread has used. Unlike wall-clock time, it does not depend on the machine's
 /// other load.
 ///
 /// # Errors
@@ -53,12 +53,12 @@
     Ok(clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)?.into())
 }
 
-/// A histogram of many short times, in nanoseconds.
+/// Histogram of many short times, in nanoseconds.
 pub struct Times(Histogram<u64>);
 
-/// Significant digits of the histogram: finer than the agreement of any two runs.
+/// Significant digits of the histogram: finer than the differences between any two runs.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Longest time that the histogram distinguishes; longer ones count as this.
+/// Longest time that the histogram can represent; longer times count as this time.
 const MAX_NANOSECONDS: u64 = 60_000_000_000;
 
 impl Times {
@@ -70,12 +70,12 @@
         Ok(Times(Histogram::new_with_max(MAX_NANOSECONDS, SIGNIFICANT_DIGITS)?))
     }
 
-    /// Records one time.
+    /// Records a time; times above the maximum count as the maximum.
     pub fn record(&mut self, time: Duration) {
         self.0.saturating_record(u64::try_from(time.as_nanos()).unwrap_or(u64::MAX));
     }
 
-    /// Returns the spread in seconds.
+    /// Returns the spread of the recorded times in seconds.
     pub fn seconds(&self) -> Spread {
         let at = |quantile: f64| self.0.value_at_quantile(quantile) as f64 / 1e9;
         let (min, max) = (self.0.min() as f64 / 1e9, self.0.max() as f64 / 1e9);
@@ -83,7 +83,7 @@
     }
 }
 
-/// A straight line `intercept + slope * x`.
+/// The straight line `intercept + slope * x`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     /// Growth per unit of `x`.
@@ -93,7 +93,7 @@
 }
 
 impl Line {
-    /// Fits a least-squares line to the points; it is flat if they have a single `x`.
+    /// Fits a least-squares line to the points; the line is flat if all points have the same `x`.
     pub fn through(points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|p| p.0).sum::<f64>() / count;
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -1,24 +1,24 @@
-//! The target size for which `docs/CAPACITY.md` is calculated. All numbers are requirements, none is measured.
+//! The target size that `docs/CAPACITY.md` assumes. All numbers are requirements; none is measured.
 
-/// Senders in the fleet.
+/// Number of senders in the fleet.
 pub const SENDERS: u32 = 15_000;
-/// Destinations in the full list.
+/// Number of destinations in the full list.
 pub const DESTINATIONS: u64 = 4_100_000;
-/// Messages accepted per second by the fleet.
+/// Messages per second that the fleet accepts.
 pub const MESSAGES_PER_SECOND: f64 = 8_900_000.0;
-/// Messages queued in the fleet in the largest backlog.
+/// Number of messages queued in the fleet in the largest backlog.
 pub const BACKLOG: f64 = 30e9;
 /// Number of zones in each region.
 pub const ZONES_BY_REGION: [u32; 4] = [3, 3, 3, 2];
-/// Senders in one rack.
+/// Number of senders in a rack.
 pub const RACK: u32 = 40;
 /// Number of owners of each destination.
 pub const REPLICAS: u8 = 2;
-/// Configuration changes per day.
+/// Number of configuration changes per day.
 pub const CHANGES_PER_DAY: u32 = 27_000;
-/// Senders that fail per day and return only by a replacement.
+/// Number of senders per day that fail and only return by a replacement.
 pub const LOST_PER_DAY: u32 = 36;
-/// Senders restarted or replaced per day.
+/// Number of senders that are restarted or replaced per day.
 pub const REPLACED_PER_DAY: u32 = 2_600;
 /// Mean number of messages that one sender accepts per second.
 pub const SENDER_MESSAGES_PER_SECOND: f64 = MESSAGES_PER_SECOND / SENDERS as f64;
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -1,4 +1,4 @@
-//! Every slope at its small size, and the exit code and message for an exceeded budget.
+//! Runs every slope at its small size, and checks the exit code and message for an exceeded budget.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,7 +1,7 @@
-//! Developer tasks.
+//! Developer tasks of this repository.
 //!
 //! `cargo run -p xtask -- guards` removes each guard of `scripts/guards.toml` from a copy of the sources, one at a
-//! time, and checks that the test or scenario named there fails. This takes long, so it is run by hand;
+//! time, and checks that the test or scenario named there fails. This takes long, so developers run it by hand;
 //! `docs/design/guards.md` contains the last result.
 
 use anyhow::{Context, Result, bail, ensure};
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode, Output};
 
-/// Paths that are copied; a build needs nothing else.
+/// Paths that are copied for a build, which needs nothing else.
 const COPIED_PATHS: [&str; 9] = [
     "Cargo.toml",
     "Cargo.lock",
@@ -24,7 +24,7 @@
     "deploy",
     "README.md",
 ];
-/// Number of failing tests that the table names for a guard; the others are counted.
+/// Maximum number of failing tests that the table names for a guard; further tests are only counted.
 const MAX_NAMED_TESTS: usize = 3;
 
 #[derive(Parser)]
@@ -52,19 +52,19 @@
     },
 }
 
-/// The file with the list of guards.
+/// Contents of the file with the list of guards.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct List {
     guard: Vec<Guard>,
 }
 
-/// A guard in the sources, the edit that removes it, and the check that must fail without it.
+/// A guard in the sources, the edit that removes it, and the check that must fail after its removal.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Guard {
     name: String,
-    /// Number of the rule that it enforces, 1 to 6.
+    /// Number of the rule that the guard enforces, 1 to 6.
     rule: u8,
     #[serde(default = "default_file")]
     file: String,
@@ -74,7 +74,7 @@
     /// Arguments of a `cargo test` that must fail without the guard.
     #[serde(default)]
     test: Vec<String>,
-    /// A shipped scenario that must break the rule without the guard.
+    /// Name of a shipped scenario that must break the rule without the guard.
     #[serde(default)]
     scenario: Option<String>,
 }
@@ -83,15 +83,15 @@
     "src/logic.rs".into()
 }
 
-/// Result of the removal of a guard.
+/// Result of the removal of one guard.
 enum Outcome {
-    /// These tests, or this scenario, failed.
+    /// Names of the tests, or of the scenario, that failed.
     Detected(Vec<String>),
-    /// Everything passed.
+    /// All tests, or the scenario, passed.
     Undetected,
     /// The sources do not build without the guard.
     BuildFailed,
-    /// The rehearsal was void because its rig was late; repeat it on a less busy machine.
+    /// The rehearsal was void because its rig was late; it must be repeated on a less busy machine.
     Void,
 }
 
@@ -157,7 +157,7 @@
     for part in COPIED_PATHS {
         sync(&root.join(part), &work.join(part)).with_context(|| format!("{part} can't be copied"))?;
     }
-    // The sources may have changed since the first check.
+    // The sources may have changed since the whole list was checked.
     check(work, guard)?;
     let path = work.join(&guard.file);
     let text = std::fs::read_to_string(&path)?;
@@ -225,7 +225,7 @@
     lines[lines.len().saturating_sub(5)..].join("; ")
 }
 
-/// Copies files that differ and deletes those that no longer exist, so that unchanged files are not built again.
+/// Copies files that differ and deletes those that no longer exist, so that cargo does not rebuild unchanged files.
 fn sync(from: &Path, to: &Path) -> Result<()> {
     if from.is_dir() {
         std::fs::create_dir_all(to)?;
@@ -265,7 +265,7 @@
 
 fn table(results: &[(&Guard, Outcome)]) -> String {
     let mut out = String::new();
-    // Writing to a string can't fail.
+    // Writing to a string can't fail, so the results are ignored.
     _ = writeln!(out, "| rule | removed guard | detected by |\n| --- | --- | --- |");
     let mut sorted: Vec<_> = results.iter().collect();
     sorted.sort_by_key(|(g, _)| g.rule);
--- a/crates/xtask/tests/guards.rs
+++ b/crates/xtask/tests/guards.rs
@@ -1,17 +1,17 @@
-//! Checks that the list of guards matches the sources: the text of each guard occurs exactly once in its file, so that
-//! the edit removes that guard and nothing else.
+//! Checks that the list of guards matches the sources: the text of each guard must occur exactly once in its file, so
+//! that the edit removes that guard and nothing else.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Text that no guard's name contains: the list is checked, and no guard is removed.
+/// Text that no guard's name contains: the list is checked, but no guard is removed.
 const NO_GUARD: &str = "(the name of no guard)";
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Runs the check of the list that `xtask guards` does first. Returns its error output if it fails.
+/// Runs the check of the list with which `xtask guards` begins. Returns its error output if it fails.
 fn check(list: &Path) -> Result<(), String> {
     let output = Command::new(env!("CARGO_BIN_EXE_xtask"))
         .current_dir(repository())
@@ -22,7 +22,7 @@
     if output.status.success() { Ok(()) } else { Err(String::from_utf8(output.stderr).unwrap()) }
 }
 
-/// Checks a list with one guard.
+/// Checks a list that contains only this guard.
 fn check_one(name: &str, file: &str, find: &str) -> Result<(), String> {
     let list = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
     let text = format!(
