--- a/crates/rehearsal/src/html/even.rs
+++ b/crates/rehearsal/src/html/even.rs
@@ -24,9 +24,9 @@
         return Ok(String::new());
     }
     let mut calls: BTreeMap<i64, BTreeMap<&str, Vec<Micros>>> = BTreeMap::new();
-    for c in table.calls.values() {
-        let Some(receiver) = c.receiver else { continue };
-        calls.entry(receiver).or_default().entry(&c.endpoint).or_default().push(c.t);
+    for call in table.calls.values() {
+        let Some(receiver) = call.receiver else { continue };
+        calls.entry(receiver).or_default().entry(&call.endpoint).or_default().push(call.t);
     }
     for (name, (receiver, _)) in &table.endpoints {
         calls.entry(*receiver).or_default().entry(name).or_default();
@@ -40,11 +40,11 @@
         "<h2>Evenness</h2><p>A row for each endpoint, a column for each second. White had no call, grey a mean part of \
          that second's, darker more; red is three times the mean and more.</p>",
     );
-    for e in busiest.iter().take(MAX_PICTURES) {
-        let Some(rows) = calls.get(&e.receiver) else { continue };
-        let svg =
-            draw_heat_map(rows, table.end).map_err(|error| format!("evenness of {}: {error}", e.receiver))?;
-        let summaries = e.spreads.iter().filter_map(|s| {
+    for evenness in busiest.iter().take(MAX_PICTURES) {
+        let Some(rows) = calls.get(&evenness.receiver) else { continue };
+        let svg = draw_heat_map(rows, table.end)
+            .map_err(|error| format!("evenness of {}: {error}", evenness.receiver))?;
+        let summaries = evenness.spreads.iter().filter_map(|s| {
             let (busiest, idlest) = (s.busiest?, s.idlest?);
             let window = s.window as f64 / 1e6;
             Some(format!(
@@ -55,7 +55,7 @@
         let summaries: Vec<String> = summaries.collect();
         out += &format!(
             "<h3>Receiver {}</h3><p class=\"legend\">{}</p>{svg}",
-            e.receiver,
+            evenness.receiver,
             escape(&summaries.join("; "))
         );
     }
--- a/crates/rehearsal/src/html/mod.rs
+++ b/crates/rehearsal/src/html/mod.rs
@@ -53,10 +53,12 @@
     add(&format!("Messages held, all senders (room for {room})"), open_messages(table, seconds), None)?;
     let mut busiest: Vec<_> = report.receivers.iter().collect();
     busiest.sort_by_key(|r| (std::cmp::Reverse(r.calls), r.number));
-    for r in busiest.iter().take(MAX_LISTED_RECEIVERS) {
-        let title =
-            format!("Receiver {} ({}): calls a second against its rate of {:.1}", r.number, r.kind, r.rate);
-        add(&title, calls(table, r.number, seconds), Some(r.rate))?;
+    for receiver in busiest.iter().take(MAX_LISTED_RECEIVERS) {
+        let title = format!(
+            "Receiver {} ({}): calls a second against its rate of {:.1}",
+            receiver.number, receiver.kind, receiver.rate
+        );
+        add(&title, calls(table, receiver.number, seconds), Some(receiver.rate))?;
     }
     let marks: String = table
         .marks
@@ -66,21 +68,21 @@
             format!("<tr><td>{}</td><td>{:.1} s</td><td>{}</td></tr>", n + 1, *t as f64 / 1e6, escape(text))
         })
         .collect();
-    let rules: String = report.judgement.rules.iter().map(|r| {
-        let class = match r.verdict {
+    let rules: String = report.judgement.rules.iter().map(|ruling| {
+        let class = match ruling.verdict {
             Verdict::Kept => "kept",
             Verdict::Broken => "broken",
             Verdict::Untested => "untested",
         };
-        let violations: String = r.violations.iter().map(|o| {
-            let of = [o.message.as_deref(), o.endpoint.as_deref()];
+        let violations: String = ruling.violations.iter().map(|violation| {
+            let of = [violation.message.as_deref(), violation.endpoint.as_deref()];
             let of: Vec<&str> = of.into_iter().flatten().collect();
-            format!("<li>{:.3} s {}: {}</li>", o.t as f64 / 1e6, escape(&of.join(" at ")), escape(&o.what))
+            format!("<li>{:.3} s {}: {}</li>", violation.t as f64 / 1e6, escape(&of.join(" at ")), escape(&violation.what))
         }).collect();
-        let margin = r.margin.as_ref().map_or(String::new(), |m| format!("<br>{}", escape(&m.to_string())));
+        let margin = ruling.margin.as_ref().map_or(String::new(), |m| format!("<br>{}", escape(&m.to_string())));
         format!(
             "<tr><td>{}</td><td class=\"{class}\">{}</td><td>{} times ({}){margin}<ul>{violations}</ul></td></tr>",
-            escape(&r.rule.to_string()), r.verdict, r.tested, escape(&r.test)
+            escape(&ruling.rule.to_string()), ruling.verdict, ruling.tested, escape(&ruling.test)
         )
     }).collect();
     let void = report.judgement.void.as_ref().map_or(String::new(), |w| {
@@ -133,12 +135,12 @@
         line("failed", CRIMSON),
     ];
     let mut ends: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-    for m in &table.messages {
-        let end = ends.entry(&m.origin).or_insert((second(m.offered), 3));
-        if table.delivered(m).is_some() {
+    for message in &table.messages {
+        let end = ends.entry(&message.origin).or_insert((second(message.offered), 3));
+        if table.delivered(message).is_some() {
             end.1 = 1;
         } else if end.1 != 1 {
-            end.1 = if m.refused() { 2 } else { 3 };
+            end.1 = if message.refused() { 2 } else { 3 };
         }
     }
     for (at, which) in ends.into_values().filter(|e| e.0 < seconds) {
--- a/crates/rehearsal/src/html/returns.rs
+++ b/crates/rehearsal/src/html/returns.rs
@@ -52,7 +52,7 @@
 fn draw_chart(table: &Table, this_return: &Return) -> Result<String, Box<dyn std::error::Error>> {
     let warm = table.receiver(this_return.receiver).map_or(0, |x| x.warm_up);
     let (from, to) = (-(LEAD_US as f64) / 1e6, (warm + TRAIL_US) as f64 / 1e6);
-    let s = |t: Micros| (t - this_return.back_at) as f64 / 1e6;
+    let seconds = |t: Micros| (t - this_return.back_at) as f64 / 1e6;
     let step = (warm / 100).max(1);
     let limit = |share: f64| -> Vec<(f64, f64)> {
         let at = |n: Micros| (n * step) as f64 / 1e6;
@@ -80,8 +80,8 @@
         // ones leave the window.
         let mut line: Vec<(f64, f64)> = Vec::new();
         for l in &this_return.loads {
-            line.extend(line.last().map(|(_, y)| (s(l.t), *y)));
-            line.push((s(l.t), l.sent));
+            line.extend(line.last().map(|(_, y)| (seconds(l.t), *y)));
+            line.push((seconds(l.t), l.sent));
         }
         chart.draw_series(LineSeries::new(line, SLATE.stroke_width(2)))?;
         let mut chart = ChartBuilder::on(&lower)
@@ -113,7 +113,7 @@
         let points = before.chain(after.map(|p| (p.t, p.sender, colour(p.end))));
         chart.draw_series(points.map(|(t, sender, colour)| {
             let y = sender.min(rows - 1) as f64 + 0.5;
-            Circle::new((s(t), y), 2, colour.filled())
+            Circle::new((seconds(t), y), 2, colour.filled())
         }))?;
         area.present()?;
     }
--- a/crates/rehearsal/src/judge/even.rs
+++ b/crates/rehearsal/src/judge/even.rs
@@ -101,7 +101,7 @@
     first: Micros,
     last: Micros,
 ) -> Spread {
-    let mut s = Spread { window, ..Spread::default() };
+    let mut result = Spread { window, ..Spread::default() };
     let (mut busiest, mut idlest, mut variance, mut significant) = (0.0, 0.0, 0.0, 0usize);
     let mut at = first;
     let mut from = 0;
@@ -116,24 +116,25 @@
         let counts: Vec<f64> =
             (0..listed.len()).filter(listed_throughout).map(|n| counts[n] as f64).collect();
         at = until;
-        let (k, sum) = (counts.len() as f64, counts.iter().sum::<f64>());
+        let (endpoints, sum) = (counts.len() as f64, counts.iter().sum::<f64>());
         if counts.len() < 2 || sum < 1.0 {
             continue;
         }
-        let mean = sum / k;
-        s.windows += 1;
-        variance += counts.iter().map(|c| (c - mean).powi(2)).sum::<f64>() / (mean * (k - 1.0));
+        let mean = sum / endpoints;
+        result.windows += 1;
+        variance += counts.iter().map(|c| (c - mean).powi(2)).sum::<f64>() / (mean * (endpoints - 1.0));
         if mean >= MIN_MEAN_CALLS {
             significant += 1;
             busiest += counts.iter().copied().fold(0.0, f64::max) / mean;
             idlest += counts.iter().copied().fold(f64::INFINITY, f64::min) / mean;
         }
     }
-    s.variance = variance / s.windows.max(1) as f64;
+    result.variance = variance / result.windows.max(1) as f64;
     if significant > 0 {
-        (s.busiest, s.idlest) = (Some(busiest / significant as f64), Some(idlest / significant as f64));
+        (result.busiest, result.idlest) =
+            (Some(busiest / significant as f64), Some(idlest / significant as f64));
     }
-    s
+    result
 }
 
 /// Returns the longest time that an endpoint was idle while another queued. For each endpoint, adds up the time since
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -166,20 +166,20 @@
     let mut buckets: HashMap<usize, (f64, Micros)> = HashMap::new();
     let mut client_messages: Vec<ClientMessage> = Vec::new();
     let mut by_origin: BTreeMap<&str, usize> = BTreeMap::new();
-    for m in &table.messages {
-        let Some(class) = table.class(m) else { continue };
-        let at = *by_origin.entry(m.origin.as_str()).or_insert_with(|| {
-            let quota = table.parameters.tenants.get(m.tenant).map_or(f64::MAX, |t| t.quota);
-            let (left, since) = buckets.get(&m.tenant).copied().unwrap_or((quota, m.offered));
-            let left = (left + quota * (m.offered - since) as f64 / 1e6).min(quota.max(1.0));
+    for put in &table.messages {
+        let Some(class) = table.class(put) else { continue };
+        let at = *by_origin.entry(put.origin.as_str()).or_insert_with(|| {
+            let quota = table.parameters.tenants.get(put.tenant).map_or(f64::MAX, |t| t.quota);
+            let (left, since) = buckets.get(&put.tenant).copied().unwrap_or((quota, put.offered));
+            let left = (left + quota * (put.offered - since) as f64 / 1e6).min(quota.max(1.0));
             let within = left >= 1.0;
-            buckets.insert(m.tenant, (if within { left - 1.0 } else { left }, m.offered));
+            buckets.insert(put.tenant, (if within { left - 1.0 } else { left }, put.offered));
             let asked = class.worth * if within { 1.0 } else { table.parameters.over_share_worth };
-            let (at, end, worth) = (m.offered, End::Failed, 0.0);
+            let (at, end, worth) = (put.offered, End::Failed, 0.0);
             client_messages.push(ClientMessage {
                 at,
-                class: m.class,
-                tenant: m.tenant,
+                class: put.class,
+                tenant: put.tenant,
                 within,
                 asked,
                 worth,
@@ -191,7 +191,7 @@
         if matches!(message.end, End::InTime | End::Late) {
             continue;
         }
-        let took = table.delivered(m).map(|t| t - message.at);
+        let took = table.delivered(put).map(|t| t - message.at);
         match took {
             Some(took) if took <= class.aim => (message.end, message.worth) = (End::InTime, message.asked),
             Some(took) => {
@@ -201,7 +201,7 @@
                 let left = if took > class.deadline { 0.0 } else { 1.0 - late * (1.0 - class.late_share) };
                 (message.end, message.worth) = (End::Late, message.asked * left);
             }
-            None if m.refused() => message.end = End::Refused,
+            None if put.refused() => message.end = End::Refused,
             None => message.end = End::Failed,
         }
     }
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -223,9 +223,9 @@
     /// Indexes a history; `None` if it has no `run` record.
     pub fn new(records: &[Record]) -> Option<Table> {
         let mut order: Vec<(Micros, u8, String, &Event)> = Vec::with_capacity(records.len());
-        for r in records {
+        for record in records {
             // The content is serialized below, only for the few records with equal time and kind.
-            order.push((r.t, rank(&r.event), String::new(), &r.event));
+            order.push((record.t, rank(&record.event), String::new(), &record.event));
         }
         order.sort_by_key(|o| (o.0, o.1));
         let mut at = 0;
@@ -447,8 +447,8 @@
     /// Returns when each message was put first, by its first id.
     pub fn first_offers(&self) -> BTreeMap<&str, Micros> {
         let mut first = BTreeMap::new();
-        for m in &self.messages {
-            first.entry(m.origin.as_str()).or_insert(m.offered);
+        for message in &self.messages {
+            first.entry(message.origin.as_str()).or_insert(message.offered);
         }
         first
     }
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -92,9 +92,9 @@
     };
     let penalty = |name: &str| {
         mean(&|r| {
-            let s = &r.judgement.service;
-            let count = s.penalties.iter().find(|p| p.name.starts_with(name)).map_or(0.0, |p| p.count);
-            count / s.whole.messages.max(1) as f64
+            let service = &r.judgement.service;
+            let count = service.penalties.iter().find(|p| p.name.starts_with(name)).map_or(0.0, |p| p.count);
+            count / service.whole.messages.max(1) as f64
         })
     };
     let (mut broken, mut margins) = (BTreeMap::new(), BTreeMap::new());
@@ -171,25 +171,25 @@
         "p50 p90 ms"
     )?;
     let seconds = |t: Option<f64>| t.map_or("-".into(), |t| format!("{t:.2}"));
-    for r in rows {
-        let [min, mean, max] = r.service;
-        let [late, refused, failed] = r.late_refused_failed;
-        let broken: Vec<String> = r.broken.iter().map(|(rule, n)| format!("{rule} ({n})")).collect();
-        let spread = if r.runs == 0 { "-".into() } else { format!("{min:.3} to {max:.3}") };
+    for row in rows {
+        let [min, mean, max] = row.service;
+        let [late, refused, failed] = row.late_refused_failed;
+        let broken: Vec<String> = row.broken.iter().map(|(rule, n)| format!("{rule} ({n})")).collect();
+        let spread = if row.runs == 0 { "-".into() } else { format!("{min:.3} to {max:.3}") };
         writeln!(
             out,
             "{:<20} {:>7} {:>5} {:>5} {mean:>7.3} {spread:>15} {:>13} {:>7} {:>7} {late:>6.3} {refused:>7.3} {failed:>6.3} \
              {:>6.3} {:>15} {:>11}  {}",
-            r.scenario,
-            r.senders,
-            r.runs,
-            r.void,
-            format!("{:.2} / {:.2}", r.share_of_fall[0], r.share_of_fall[1]),
-            seconds(r.back[0]),
-            seconds(r.back[1]),
-            r.connections,
-            r.uneven.map(|v| v.map_or("-".into(), |v| format!("{v:.2}"))).join(" "),
-            r.latency_ms.map(|v| format!("{v:.0}")).join(" "),
+            row.scenario,
+            row.senders,
+            row.runs,
+            row.void,
+            format!("{:.2} / {:.2}", row.share_of_fall[0], row.share_of_fall[1]),
+            seconds(row.back[0]),
+            seconds(row.back[1]),
+            row.connections,
+            row.uneven.map(|v| v.map_or("-".into(), |v| format!("{v:.2}"))).join(" "),
+            row.latency_ms.map(|v| format!("{v:.0}")).join(" "),
             broken.join(", ")
         )?;
     }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -155,14 +155,14 @@
 
 fn receivers(table: &Table) -> Vec<ReceiverStats> {
     let mut stats: BTreeMap<i64, ReceiverStats> = BTreeMap::new();
-    for r in &table.parameters.receivers {
-        let overloaded = table.overloaded.iter().any(|(_, n)| *n == r.number);
+    for receiver in &table.parameters.receivers {
+        let overloaded = table.overloaded.iter().any(|(_, n)| *n == receiver.number);
         stats.insert(
-            r.number,
+            receiver.number,
             ReceiverStats {
-                number: r.number,
-                kind: r.kind.clone(),
-                rate: r.rate,
+                number: receiver.number,
+                kind: receiver.kind.clone(),
+                rate: receiver.rate,
                 calls: 0,
                 messages: 0,
                 delivered: 0,
@@ -220,29 +220,38 @@
             writeln!(out, "VOID: {why}; what follows proves nothing")?;
         }
         writeln!(out, "\nrules")?;
-        for r in &judgement.rules {
-            let times =
-                if r.verdict == Verdict::Broken { format!("{} offences, ", r.broken) } else { String::new() };
+        for ruling in &judgement.rules {
+            let times = if ruling.verdict == Verdict::Broken {
+                format!("{} offences, ", ruling.broken)
+            } else {
+                String::new()
+            };
             writeln!(
                 out,
                 "  {:<38} {:<10} {times}tested {} times ({})",
-                r.rule.to_string(),
-                r.verdict,
-                r.tested,
-                r.test
+                ruling.rule.to_string(),
+                ruling.verdict,
+                ruling.tested,
+                ruling.test
             )?;
-            for o in &r.violations {
-                let message = o.message.as_ref().map_or(String::new(), |m| format!(" message {m}"));
-                let endpoint = o.endpoint.as_ref().map_or(String::new(), |e| format!(" endpoint {e}"));
-                writeln!(out, "      {:>9.3} s{message}{endpoint}: {}", o.t as f64 / 1e6, o.what)?;
+            for violation in &ruling.violations {
+                let message = violation.message.as_ref().map_or(String::new(), |m| format!(" message {m}"));
+                let endpoint =
+                    violation.endpoint.as_ref().map_or(String::new(), |e| format!(" endpoint {e}"));
+                writeln!(
+                    out,
+                    "      {:>9.3} s{message}{endpoint}: {}",
+                    violation.t as f64 / 1e6,
+                    violation.what
+                )?;
             }
-            if let Some(margin) = &r.margin {
+            if let Some(margin) = &ruling.margin {
                 writeln!(out, "      {margin}")?;
             }
-            for (what, n) in &r.counts {
+            for (what, n) in &ruling.counts {
                 writeln!(out, "      {n} x {what}")?;
             }
-            for remark in &r.remarks {
+            for remark in &ruling.remarks {
                 writeln!(out, "      {remark}")?;
             }
         }
@@ -252,19 +261,20 @@
                 "\n  {:<20} {:>8} {:>6} {:>6} {:>13} {:>9} {:>8} {:>8}",
                 "return", "at s", "knew", "pushes", "share of fall", "after ms", "half s", "full s"
             )?;
-            let s = |t: Option<Micros>| t.map_or("never".to_string(), |t| format!("{:.2}", t as f64 / 1e6));
-            for r in judgement.returns.iter().take(MAX_LISTED_RETURNS) {
-                let name = r.route.clone().unwrap_or_else(|| r.receiver.to_string());
+            let seconds =
+                |t: Option<Micros>| t.map_or("never".to_string(), |t| format!("{:.2}", t as f64 / 1e6));
+            for summary in judgement.returns.iter().take(MAX_LISTED_RETURNS) {
+                let name = summary.route.clone().unwrap_or_else(|| summary.receiver.to_string());
                 writeln!(
                     out,
                     "  {name:<20} {:>8.3} {:>6} {:>6} {:>13.2} {:>9} {:>8} {:>8}",
-                    r.back as f64 / 1e6,
-                    r.aware,
-                    r.arrivals,
-                    r.peak,
-                    r.peak_after / 1000,
-                    s(r.half_load_after),
-                    s(r.full_load_after)
+                    summary.back as f64 / 1e6,
+                    summary.aware,
+                    summary.arrivals,
+                    summary.peak,
+                    summary.peak_after / 1000,
+                    seconds(summary.half_load_after),
+                    seconds(summary.full_load_after)
                 )?;
             }
             if judgement.returns.len() > MAX_LISTED_RETURNS {
@@ -282,8 +292,8 @@
         for (name, weight, share) in terms {
             writeln!(out, "  {weight:.2} x {share:.4}  {name}")?;
         }
-        for p in &service.penalties {
-            writeln!(out, "      - {:.4}  {} ({} times)", p.off, p.name, p.count)?;
+        for penalty in &service.penalties {
+            writeln!(out, "      - {:.4}  {} ({} times)", penalty.off, penalty.name, penalty.count)?;
         }
         writeln!(
             out,
@@ -291,11 +301,11 @@
             "part", "messages", "in time", "late", "refused", "failed", "served"
         )?;
         let parts = std::iter::once(&service.whole).chain(&service.classes).chain(&service.tenants);
-        for p in parts {
+        for part in parts {
             writeln!(
                 out,
                 "  {:<20} {:>8} {:>8} {:>7} {:>8} {:>7} {:>7.4}",
-                p.name, p.messages, p.in_time, p.late, p.refused, p.failed, p.share
+                part.name, part.messages, part.in_time, part.late, part.refused, part.failed, part.share
             )?;
         }
         writeln!(
@@ -303,11 +313,11 @@
             "\n  {:<20} {:>8} {:>9} {:>9} {:>9} {:>9}",
             "latency, ms", "count", "p50", "p90", "p99", "longest"
         )?;
-        for l in &self.latencies {
+        for latency in &self.latencies {
             writeln!(
                 out,
                 "  {:<20} {:>8} {:>9.1} {:>9.1} {:>9.1} {:>9.1}",
-                l.name, l.count, l.p50_ms, l.p90_ms, l.p99_ms, l.max_ms
+                latency.name, latency.count, latency.p50_ms, latency.p90_ms, latency.p99_ms, latency.max_ms
             )?;
         }
         writeln!(
@@ -318,12 +328,23 @@
         // Lists the receivers with the most calls first.
         let mut busiest: Vec<&ReceiverStats> = self.receivers.iter().collect();
         busiest.sort_by_key(|r| (std::cmp::Reverse(r.calls), r.number));
-        for r in busiest.iter().take(MAX_LISTED_RECEIVERS) {
-            let name = format!("{} {}{}", r.number, r.kind, if r.overloaded { " (fell)" } else { "" });
+        for receiver in busiest.iter().take(MAX_LISTED_RECEIVERS) {
+            let name = format!(
+                "{} {}{}",
+                receiver.number,
+                receiver.kind,
+                if receiver.overloaded { " (fell)" } else { "" }
+            );
             writeln!(
                 out,
                 "  {name:<20} {:>7.1} {:>7} {:>8} {:>9} {:>8} {:>10} {:>10}",
-                r.rate, r.calls, r.messages, r.delivered, r.refused, r.unanswered, r.max_per_second
+                receiver.rate,
+                receiver.calls,
+                receiver.messages,
+                receiver.delivered,
+                receiver.refused,
+                receiver.unanswered,
+                receiver.max_per_second
             )?;
         }
         if busiest.len() > MAX_LISTED_RECEIVERS {
@@ -355,13 +376,17 @@
     }
     writeln!(out, " {:>12}", "idle, ms")?;
     let number = |v: Option<f64>| v.map_or("-".to_string(), |v| format!("{v:.2}"));
-    for e in all.iter().take(MAX_LISTED_RECEIVERS) {
-        write!(out, "  {:<20} {:>9}", e.receiver, e.endpoints)?;
-        for s in &e.spreads {
-            let variance = number((s.windows > 0).then_some(s.variance));
-            write!(out, " {:>20}", format!("{} {} {variance}", number(s.busiest), number(s.idlest)))?;
+    for evenness in all.iter().take(MAX_LISTED_RECEIVERS) {
+        write!(out, "  {:<20} {:>9}", evenness.receiver, evenness.endpoints)?;
+        for spread in &evenness.spreads {
+            let variance = number((spread.windows > 0).then_some(spread.variance));
+            write!(
+                out,
+                " {:>20}",
+                format!("{} {} {variance}", number(spread.busiest), number(spread.idlest))
+            )?;
         }
-        writeln!(out, " {:>12.0}", e.longest_idle as f64 / 1e3)?;
+        writeln!(out, " {:>12.0}", evenness.longest_idle as f64 / 1e3)?;
     }
     if all.len() > MAX_LISTED_RECEIVERS {
         writeln!(out, "  and {} more", all.len() - MAX_LISTED_RECEIVERS)?;
@@ -391,14 +416,14 @@
     row("worst 10 s", service.worst_window.share, other_service.worst_window.share)?;
     row("worst class", service.worst_class, other_service.worst_class)?;
     row("worst tenant", service.worst_tenant, other_service.worst_tenant)?;
-    for p in &service.penalties {
-        let other = other_service.penalties.iter().find(|q| q.name == p.name).map_or(0.0, |q| q.off);
-        row(&format!("off: {}", p.name), p.off, other)?;
+    for penalty in &service.penalties {
+        let other = other_service.penalties.iter().find(|q| q.name == penalty.name).map_or(0.0, |q| q.off);
+        row(&format!("off: {}", penalty.name), penalty.off, other)?;
     }
-    for l in &a.latencies {
-        let Some(m) = b.latencies.iter().find(|m| m.name == l.name) else { continue };
-        row(&format!("p50 ms, {}", l.name), l.p50_ms, m.p50_ms)?;
-        row(&format!("p99 ms, {}", l.name), l.p99_ms, m.p99_ms)?;
+    for latency in &a.latencies {
+        let Some(m) = b.latencies.iter().find(|m| m.name == latency.name) else { continue };
+        row(&format!("p50 ms, {}", latency.name), latency.p50_ms, m.p50_ms)?;
+        row(&format!("p99 ms, {}", latency.name), latency.p99_ms, m.p99_ms)?;
     }
     writeln!(out)?;
     for rule in Rule::ALL {
--- a/crates/rehearsal/src/rig/control.rs
+++ b/crates/rehearsal/src/rig/control.rs
@@ -58,11 +58,11 @@
 
 fn answer(rig: &Rc<Rig>, line: &str) -> Result<String, String> {
     if line == "status" {
-        let p = rig.world.progress.get();
-        let (t, offered, delivered) = (p.t as f64 / 1e6, p.offered, p.delivered);
+        let progress = rig.world.progress.get();
+        let (t, offered, delivered) = (progress.t as f64 / 1e6, progress.offered, progress.delivered);
         return Ok(format!(
             "t={t:.1}s offered={offered} delivered={delivered} refused={} failed={}",
-            p.refused, p.failed
+            progress.refused, progress.failed
         ));
     }
     let event = RawEvent::from_line(line)?;
