--- a/crates/rehearsal/benches/load.rs
+++ b/crates/rehearsal/benches/load.rs
@@ -14,7 +14,7 @@
 use stub::Fault;
 
 /// Length of each step in seconds.
-const SECONDS: u32 = 4;
+const STEP_SECONDS: u32 = 4;
 const RATES: [u32; 5] = [500, 2000, 4000, 8000, 12_000];
 /// Maximum lag at the 99th percentile for a rate to count as sustained, in microseconds.
 const MAX_LAG_US: i64 = 5_000;
@@ -27,7 +27,7 @@
 
 fn scenario(endpoints: usize, rate: u32) -> Scenario {
     let text = format!(
-        "name = \"load\"\nlength = \"{SECONDS}s\"\n\
+        "name = \"load\"\nlength = \"{STEP_SECONDS}s\"\n\
          [network]\nsame = \"0s\"\ncross = \"0s\"\n\
          [[class]]\nname = \"sync\"\nshare = 1\neffect = \"safe\"\naim = \"2s\"\ndeadline = \"4s\"\n\
          [[kind]]\nname = \"hook\"\n\
@@ -63,12 +63,12 @@
     let arguments: Vec<String> = std::env::args().collect();
     if let Some(at) = arguments.iter().position(|a| a == "--step") {
         let number = |n: usize| arguments.get(at + n).and_then(|a| a.parse::<u32>().ok()).unwrap();
-        let fault = if number(1) == 0 { Fault::Null } else { Fault::None };
+        let fault = if number(1) == 0 { Fault::SendsNothing } else { Fault::None };
         std::process::exit(i32::from(!step(fault, number(2) as usize, number(3))));
     }
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     println!(
-        "{cores} cores; {SECONDS} s a step, each in a process of its own, with the stub sender on a second thread"
+        "{cores} cores; {STEP_SECONDS} s a step, each in a process of its own, with the stub sender on a second thread"
     );
     println!(
         "{:>9} {:>9} {:>9} {:>10} {:>10} {:>10} {:>10}",
--- a/crates/rehearsal/src/html/even.rs
+++ b/crates/rehearsal/src/html/even.rs
@@ -12,7 +12,7 @@
 /// Maximum number of endpoints with a row; further ones are left out.
 const MAX_ROWS: usize = 60;
 /// Height of a row in pixels.
-const ROW_HEIGHT: u32 = 14;
+const ROW_HEIGHT_PX: u32 = 14;
 /// Time that a column covers.
 const COLUMN_US: Micros = 1_000_000;
 /// Calls divided by the mean from which on a cell has the strongest colour.
@@ -76,7 +76,7 @@
         calls.iter().for_each(|t| row[((t / COLUMN_US).max(0) as usize).min(columns - 1)] += 1.0);
         counts.push((name, row));
     }
-    let height = 34 + ROW_HEIGHT * counts.len() as u32;
+    let height = 34 + ROW_HEIGHT_PX * counts.len() as u32;
     let names: Vec<String> = counts.iter().map(|(name, _)| (*name).to_string()).collect();
     let mut svg = String::new();
     {
--- a/crates/rehearsal/src/html/mod.rs
+++ b/crates/rehearsal/src/html/mod.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// Size of a chart in pixels.
-const SIZE: (u32, u32) = (900, 260);
+const CHART_SIZE_PX: (u32, u32) = (900, 260);
 /// Maximum number of receivers with their own chart: those with the most calls.
 const MAX_LISTED_RECEIVERS: usize = 8;
 /// Maximum number of labelled marks in a chart; further marks are lines only.
@@ -168,7 +168,7 @@
 }
 
 /// Returns the maximum number of spans that were open in each second.
-fn at_once(spans: impl Iterator<Item = (Micros, Micros)>, seconds: usize) -> Vec<f64> {
+fn max_open(spans: impl Iterator<Item = (Micros, Micros)>, seconds: usize) -> Vec<f64> {
     let mut steps: Vec<(Micros, i64)> = spans.flat_map(|(a, b)| [(a, 1), (b, -1)]).collect();
     steps.sort_unstable();
     let (mut values, mut open, mut at) = (vec![0.0; seconds], 0, 0);
@@ -187,7 +187,7 @@
 
 fn slots_used(table: &Table, seconds: usize) -> Vec<Line> {
     let spans = table.calls.values().map(|c| (c.t, c.end.as_ref().map_or(table.end, |e| e.0)));
-    vec![Line { name: "calls out".into(), colour: SLATE, values: at_once(spans, seconds) }]
+    vec![Line { name: "calls out".into(), colour: SLATE, values: max_open(spans, seconds) }]
 }
 
 fn open_messages(table: &Table, seconds: usize) -> Vec<Line> {
@@ -196,7 +196,7 @@
         let end = notified.into_iter().chain(table.delivered(m)).min().unwrap_or(table.end);
         Some((m.accepted()?, end))
     });
-    vec![Line { name: "messages held".into(), colour: SLATE, values: at_once(spans, seconds) }]
+    vec![Line { name: "messages held".into(), colour: SLATE, values: max_open(spans, seconds) }]
 }
 
 fn calls(table: &Table, number: i64, seconds: usize) -> Vec<Line> {
@@ -224,7 +224,7 @@
     let max = lines.iter().flat_map(|l| &l.values).copied().chain(limit).fold(1.0, f64::max) * 1.08;
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, CHART_SIZE_PX).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
--- a/crates/rehearsal/src/html/returns.rs
+++ b/crates/rehearsal/src/html/returns.rs
@@ -9,7 +9,7 @@
 /// Maximum number of charts on a page; further returns are listed in the tables only.
 const MAX_PICTURES: usize = 24;
 /// Size of a chart in pixels.
-const SIZE: (u32, u32) = (900, 420);
+const CHART_SIZE_PX: (u32, u32) = (900, 420);
 /// Maximum number of rows for senders; further senders share the last row.
 const MAX_ROWS: usize = 100;
 /// How long before the return a chart starts.
@@ -63,7 +63,7 @@
     let rows = table.parameters.senders.len().clamp(1, MAX_ROWS);
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, CHART_SIZE_PX).into_drawing_area();
         area.fill(&WHITE)?;
         let (upper, lower) = area.split_vertically(230);
         let mut chart = ChartBuilder::on(&upper)
--- a/crates/rehearsal/src/judge/even.rs
+++ b/crates/rehearsal/src/judge/even.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// Lengths of the windows over which calls are counted, in microseconds.
-pub const WINDOWS: [Micros; 3] = [100_000, 1_000_000, 10_000_000];
+pub const WINDOWS_US: [Micros; 3] = [100_000, 1_000_000, 10_000_000];
 /// Minimum mean of calls per endpoint for a window's busiest and idlest endpoint to be significant.
 const MIN_MEAN_CALLS: f64 = 1.0;
 /// Number of calls in flight from which on an endpoint counts as queueing.
@@ -39,7 +39,7 @@
     pub receiver: i64,
     /// Number of the receiver's endpoints over the whole run.
     pub endpoints: usize,
-    /// One entry for each length in [`WINDOWS`].
+    /// One entry for each length in [`WINDOWS_US`].
     pub spreads: Vec<Spread>,
     /// The longest total time between two calls of an endpoint during which another had two or more in flight.
     pub longest_idle: Micros,
@@ -85,7 +85,7 @@
             .collect();
         calls.sort_unstable();
         let spans: Vec<Listed> = endpoints.iter().map(|e| e.1).collect();
-        let spreads = WINDOWS.iter().map(|w| spread(&calls, &spans, *w, first, last)).collect();
+        let spreads = WINDOWS_US.iter().map(|w| spread(&calls, &spans, *w, first, last)).collect();
         let longest_idle = longest_idle(&calls, spans.len());
         all.push(Evenness { receiver, endpoints: spans.len(), spreads, longest_idle });
     }
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -22,7 +22,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-pub use even::{Evenness, Spread, WINDOWS};
+pub use even::{Evenness, Spread, WINDOWS_US};
 pub use returns::{Arrival, ArrivalEnd, Load, Return, returns};
 pub use service::{Penalty, Served, Service};
 pub use table::{Absence, Attempt, Call, CallEnd, Lane, Message, Outage, Table};
--- a/crates/rehearsal/src/judge/order.rs
+++ b/crates/rehearsal/src/judge/order.rs
@@ -45,7 +45,7 @@
                     found.violation(first.t, Some(&later.id), Some(&first.endpoint), what);
                     continue;
                 }
-                check_rest(table, before, later, &mut found);
+                check_settle_time(table, before, later, &mut found);
             }
             found.tested += usize::from(tested);
         }
@@ -56,7 +56,7 @@
 
 /// Checks that no message of the key was sent for the settle time after an attempt that ended by a time-out, reset or
 /// cancellation.
-fn check_rest(table: &Table, before: &Message, later: &Message, found: &mut Findings) {
+fn check_settle_time(table: &Table, before: &Message, later: &Message, found: &mut Findings) {
     let settle = table.class(before).map_or(0, |c| c.order_settle);
     let Some((first, ..)) = table.attempts(later).next() else { return };
     for (call, known_at, outcome) in table.attempts(before) {
--- a/crates/rehearsal/src/judge/twice.rs
+++ b/crates/rehearsal/src/judge/twice.rs
@@ -10,16 +10,16 @@
     let mut found = Findings::new();
     let mut margin = Margin::lowest("shortest part of a window left at a resend", "ms", 0.0);
     for message in &table.messages {
-        attempts(table, message, &mut found, &mut margin);
-        refusals(table, message, &mut found);
+        check_attempts(table, message, &mut found, &mut margin);
+        check_refusals(table, message, &mut found);
     }
-    ledger(table, &mut found);
+    check_effects(table, &mut found);
     found.margin = margin.observed();
     found
 }
 
 /// Checks repeated attempts of a message against the limits of its class.
-fn attempts(table: &Table, message: &Message, found: &mut Findings, margin: &mut Margin) {
+fn check_attempts(table: &Table, message: &Message, found: &mut Findings, margin: &mut Margin) {
     let Some(class) = table.class(message) else { return };
     // Start of the first attempt that may have run.
     let mut may_have_run: Option<Micros> = None;
@@ -77,7 +77,7 @@
 }
 
 /// Checks refusals of unsafe messages: a refusal tells the client that a retry is safe, so no attempt may have run.
-fn refusals(table: &Table, message: &Message, found: &mut Findings) {
+fn check_refusals(table: &Table, message: &Message, found: &mut Findings) {
     if !table.is_unsafe(message) {
         return;
     }
@@ -92,7 +92,7 @@
 }
 
 /// Checks how often each message took effect, over all ids under which its client put it.
-fn ledger(table: &Table, found: &mut Findings) {
+fn check_effects(table: &Table, found: &mut Findings) {
     let mut effects: BTreeMap<&str, Vec<(Micros, &Message)>> = BTreeMap::new();
     for message in &table.messages {
         // A client without a reply puts the message again, and the outcome of the old id does not count.
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -249,7 +249,7 @@
 }
 
 fn colour(n: usize) -> RGBColor {
-    const MORE: [RGBColor; 8] = [
+    const EXTRA_COLOURS: [RGBColor; 8] = [
         SLATE,
         GREEN,
         AMBER,
@@ -259,7 +259,7 @@
         RGBColor(0, 131, 143),
         RGBColor(121, 85, 72),
     ];
-    MORE[n % MORE.len()]
+    EXTRA_COLOURS[n % EXTRA_COLOURS.len()]
 }
 
 fn draw_chart(rows: &[Row], names: &[&str], value: RowValue) -> Result<String, Box<dyn std::error::Error>> {
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -180,13 +180,13 @@
         let rng = ChaCha8Rng::seed_from_u64(
             scenario.parameters.seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         );
-        piece(scenario, traffic, rng, &mut all)?;
+        plan_traffic(scenario, traffic, rng, &mut all)?;
     }
     all.sort_by_key(|p| p.at);
     Ok(all)
 }
 
-fn piece(
+fn plan_traffic(
     scenario: &Scenario,
     traffic: &Traffic,
     mut rng: ChaCha8Rng,
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,7 +1,9 @@
 //! The report of a rehearsal: the judge's result with statistics by class and receiver, as text and as JSON.
 
 use crate::history::{Record, read};
-use crate::judge::{Attempt, CallEnd, Evenness, Judgement, Margin, Rule, Table, Verdict, WINDOWS, verdict};
+use crate::judge::{
+    Attempt, CallEnd, Evenness, Judgement, Margin, Rule, Table, Verdict, WINDOWS_US, verdict,
+};
 use crate::span::Micros;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -371,7 +373,7 @@
         return Ok(());
     }
     write!(out, "\n  {:<20} {:>9}", "evenness", "endpoints")?;
-    for window in WINDOWS {
+    for window in WINDOWS_US {
         write!(out, " {:>20}", format!("busy idle var, {:.1}s", window as f64 / 1e6))?;
     }
     writeln!(out, " {:>12}", "idle, ms")?;
--- a/crates/rehearsal/src/rig/receivers/endpoint.rs
+++ b/crates/rehearsal/src/rig/receivers/endpoint.rs
@@ -2,8 +2,8 @@
 //! identifies its sender.
 
 use super::fault::Fault;
+use super::first_byte::FirstByteRecorder;
 use super::request::Exchange;
-use super::tap::Tap;
 use super::{Receiver, Receivers};
 use crate::event::EventKind;
 use crate::history::Event;
@@ -115,7 +115,11 @@
             let (receivers, receiver, endpoint) = (self.clone(), receiver.clone(), endpoint.clone());
             tokio::task::spawn_local(async move {
                 let first_byte = Rc::new(Cell::new(None));
-                let tap = Tap { stream, world: receivers.world.clone(), first_byte: first_byte.clone() };
+                let connection = FirstByteRecorder {
+                    stream,
+                    world: receivers.world.clone(),
+                    first_byte: first_byte.clone(),
+                };
                 let new_connection = Rc::new(Cell::new(true));
                 let service = service_fn(move |request| {
                     let exchange = Exchange {
@@ -131,7 +135,7 @@
                 let mut server = http1::Builder::new();
                 server.timer(TokioTimer::new()).header_read_timeout(idle_close);
                 // A sender that gives up a call breaks the connection, which is no error here.
-                _ = server.serve_connection(TokioIo::new(tap), service).await;
+                _ = server.serve_connection(TokioIo::new(connection), service).await;
             });
         }
     }
--- a/crates/rehearsal/src/rig/receivers/tap.rs
+++ b/crates/rehearsal/src/rig/receivers/first_byte.rs
@@ -11,13 +11,13 @@
 use tokio::net::TcpStream;
 
 /// Wraps a connection and records when the first byte of a request arrived.
-pub(super) struct Tap {
+pub(super) struct FirstByteRecorder {
     pub(super) stream: TcpStream,
     pub(super) world: Rc<World>,
     pub(super) first_byte: Rc<Cell<Option<Micros>>>,
 }
 
-impl AsyncRead for Tap {
+impl AsyncRead for FirstByteRecorder {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -32,7 +32,7 @@
     }
 }
 
-impl AsyncWrite for Tap {
+impl AsyncWrite for FirstByteRecorder {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
--- a/crates/rehearsal/src/rig/receivers/mod.rs
+++ b/crates/rehearsal/src/rig/receivers/mod.rs
@@ -3,11 +3,11 @@
 
 mod endpoint;
 mod fault;
+mod first_byte;
 mod keys;
 mod load;
 mod replacement;
 mod request;
-mod tap;
 
 use super::World;
 use super::directory::{Change, Directory};
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -164,8 +164,8 @@
         let log = log.map_err(RigError::io(path.display().to_string()))?;
         let mut command = Command::new(executable);
         // The process gets no arguments and none of this process's own settings, as when the platform starts it.
-        let mine = |name: &str| name.starts_with("LB_");
-        for (name, _) in std::env::vars().filter(|(n, _)| mine(n)) {
+        let is_own_setting = |name: &str| name.starts_with("LB_");
+        for (name, _) in std::env::vars().filter(|(n, _)| is_own_setting(n)) {
             command.env_remove(name);
         }
         let io = RigError::io(format!("starting {}", executable.display()));
--- a/crates/rehearsal/src/scenario/class.rs
+++ b/crates/rehearsal/src/scenario/class.rs
@@ -50,7 +50,7 @@
 }
 
 /// Default range of the size of a message's body in bytes.
-const SIZE: [u32; 2] = [120, 400];
+const DEFAULT_BODY_BYTES: [u32; 2] = [120, 400];
 /// Default number of distinct order keys.
 const DEFAULT_ORDER_KEYS: u32 = 20;
 /// Default of `order_settle`: no message of the key is sent for 1 s after an attempt that may still be running.
@@ -129,7 +129,7 @@
     }
 
     fn checked_size(&self, checks: &mut Checks<'_>) -> [u32; 2] {
-        let Some(given) = &self.size else { return SIZE };
+        let Some(given) = &self.size else { return DEFAULT_BODY_BYTES };
         let size = *given.get_ref();
         let fits = size[0] <= size[1] && size[1] as usize <= MAX_BODY_BYTES;
         checks.require(fits, given.span(), "'size' must be [from, to] with from <= to <= 65536 bytes");
--- a/crates/rehearsal/src/scenario/sender.rs
+++ b/crates/rehearsal/src/scenario/sender.rs
@@ -52,11 +52,11 @@
 /// Default slots of a sender, as a multiple of the mean number of calls in flight that its share of the traffic causes.
 const SLOTS_PER_MEAN_CALL: f64 = 1.75;
 /// Minimum of the default slots.
-const MIN_SLOTS: u32 = 4;
+const MIN_DEFAULT_SLOTS: u32 = 4;
 /// Default limit on open messages, in seconds of the sender's share of the traffic.
-const ROOM_S: f64 = 9.0;
+const DEFAULT_OPEN_SPAN_S: f64 = 9.0;
 /// Minimum of the default limit on open messages.
-const MIN_ROOM: u32 = 8;
+const MIN_DEFAULT_MAX_OPEN: u32 = 8;
 
 /// Checks the senders. `rate` is the total rate in messages per second and `mean_latency` the mean latency of a call in
 /// seconds: the default slots and open messages of a sender follow from them.
@@ -93,8 +93,10 @@
         let part = rate * share / total.max(f64::MIN_POSITIVE);
         let slots = raw_sender
             .slots
-            .unwrap_or(((SLOTS_PER_MEAN_CALL * part * mean_latency).ceil() as u32).max(MIN_SLOTS));
-        let max_open = raw_sender.max_open.unwrap_or(((ROOM_S * part).ceil() as u32).max(MIN_ROOM));
+            .unwrap_or(((SLOTS_PER_MEAN_CALL * part * mean_latency).ceil() as u32).max(MIN_DEFAULT_SLOTS));
+        let max_open = raw_sender
+            .max_open
+            .unwrap_or(((DEFAULT_OPEN_SPAN_S * part).ceil() as u32).max(MIN_DEFAULT_MAX_OPEN));
         for n in 0..count {
             // Without a named zone, identical senders are spread over all zones in turn.
             let zone = named_zone.unwrap_or(n % zones.len().max(1));
--- a/crates/rehearsal/src/scenario/split.rs
+++ b/crates/rehearsal/src/scenario/split.rs
@@ -28,8 +28,8 @@
             return Err(SplitError::Named(name));
         }
         let slots: u32 = self.parameters.senders.iter().map(|s| s.slots).sum();
-        let room: u32 = self.parameters.senders.iter().map(|s| s.max_open).sum();
-        let like = self.senders[0].clone();
+        let max_open: u32 = self.parameters.senders.iter().map(|s| s.max_open).sum();
+        let template = self.senders[0].clone();
         let part = |all: u32, min: u32| ((f64::from(all) / senders as f64).round() as u32).max(min);
         let zones = &self.network.zones;
         let zone = |n: usize| n % zones.len().max(1);
@@ -38,11 +38,11 @@
                 name: format!("n{n}"),
                 zone: zones.get(zone(n)).cloned().unwrap_or_default(),
                 slots: part(slots, 2),
-                max_open: part(room, 8),
+                max_open: part(max_open, 8),
             })
             .collect();
-        let of = |n| Sender { share: 1.0 / senders as f64, zone: zone(n), ..like.clone() };
-        self.senders = (0..senders).map(of).collect();
+        let sender = |n| Sender { share: 1.0 / senders as f64, zone: zone(n), ..template.clone() };
+        self.senders = (0..senders).map(sender).collect();
         Ok(())
     }
 }
--- a/crates/rehearsal/tests/common/stub.rs
+++ b/crates/rehearsal/tests/common/stub.rs
@@ -23,27 +23,27 @@
 pub enum Fault {
     None,
     /// Forgets every tenth accepted message, unless it is in an ordered class.
-    Forgets,
+    LosesMessages,
     /// Sends the notices of undelivered messages one second too late.
-    TellsLate,
+    SendsLateNotices,
     /// Closes the connection without a reply on some messages, however often they are put.
-    HangsUp,
+    ClosesWithoutReply,
     /// Repeats unsafe messages regardless of the outcome.
-    Repeats,
+    RepeatsUnsafe,
     /// Sends every tenth message to two endpoints at once.
-    Copies,
+    SendsCopies,
     /// Returns unsafe messages that may have run as safe to retry.
-    Refuses,
+    RefusesAfterRun,
     /// Keeps using the first list of endpoints.
     IgnoresDrains,
     /// Sends a returning receiver everything that it holds at once.
-    Stampedes,
+    OverloadsReturning,
     /// Sends messages of one key without waiting for each other.
-    Overtakes,
+    IgnoresOrder,
     /// Ignores advertised waits.
     IgnoresWaits,
     /// Accepts everything and sends nothing, to measure the rig.
-    Null,
+    SendsNothing,
 }
 
 /// Time-out of a call to a receiver.
@@ -172,13 +172,14 @@
                 let number = self.taken.get();
                 // The client puts the message once more on a new connection, under the same id, and gets no reply
                 // either.
-                if self.fault == Fault::HangsUp && put.request_id.ends_with("07") {
+                if self.fault == Fault::ClosesWithoutReply && put.request_id.ends_with("07") {
                     return;
                 }
                 _ = stream.write_all(b"+OK\r\n").await;
-                let forgets =
-                    self.fault == Fault::Forgets && number.is_multiple_of(10) && !self.classes[&put.class].1;
-                if forgets || self.fault == Fault::Null {
+                let forgets = self.fault == Fault::LosesMessages
+                    && number.is_multiple_of(10)
+                    && !self.classes[&put.class].1;
+                if forgets || self.fault == Fault::SendsNothing {
                     continue;
                 }
                 tokio::task::spawn_local(self.clone().deliver(put, number));
@@ -191,7 +192,7 @@
 
     async fn deliver(self: Rc<Self>, put: Put, number: u64) {
         let until = Instant::now() + Duration::from_micros(put.time_left as u64) - GIVE_UP_LEAD;
-        let ordered = self.classes[&put.class].1 && self.fault != Fault::Overtakes;
+        let ordered = self.classes[&put.class].1 && self.fault != Fault::IgnoresOrder;
         // The lock is fair, so messages of a key are sent in the order of their arrival.
         let key = ordered.then(|| {
             let name = format!("{}/{}", put.class, put.order_key);
@@ -215,7 +216,7 @@
     }
 
     async fn notice(&self, id: &str, state: &str, until: Instant) {
-        if self.fault == Fault::TellsLate {
+        if self.fault == Fault::SendsLateNotices {
             tokio::time::sleep_until((until + GIVE_UP_LEAD + Duration::from_secs(1)).into()).await;
         }
         let line = format!("{}\n", json!({"id": id, "state": state}));
@@ -238,12 +239,12 @@
         let (effect, _, window) = &self.classes[&put.class];
         let mut may_have_run: Option<Instant> = None;
         let refused = |ran: bool| match effect.as_str() {
-            "single_shot" if ran && self.fault != Fault::Refuses => Some("failed"),
+            "single_shot" if ran && self.fault != Fault::RefusesAfterRun => Some("failed"),
             _ => Some("returned"),
         };
         for _ in 0..6 {
             match (may_have_run, effect.as_str()) {
-                (Some(_), "single_shot") if self.fault != Fault::Repeats => break,
+                (Some(_), "single_shot") if self.fault != Fault::RepeatsUnsafe => break,
                 _ => {}
             }
             // Waits for an endpoint only as long as a repeat is still allowed.
@@ -253,7 +254,7 @@
             };
             let Some(endpoint) = self.endpoint(put.dest, last).await else { break };
             let started = Instant::now();
-            if self.fault == Fault::Copies && number.is_multiple_of(10) {
+            if self.fault == Fault::SendsCopies && number.is_multiple_of(10) {
                 let (stub, put, endpoint) = (self.clone(), put.clone(), endpoint.clone());
                 tokio::task::spawn_local(async move {
                     _ = stub.call(&put, &endpoint, CALL_TIMEOUT).await;
@@ -296,7 +297,7 @@
                 return None;
             }
             r.on_trial = true;
-        } else if r.warm_until.is_some_and(|t| now < t) && self.fault != Fault::Stampedes {
+        } else if r.warm_until.is_some_and(|t| now < t) && self.fault != Fault::OverloadsReturning {
             if r.next.is_some_and(|t| now < t) {
                 return None;
             }
--- a/crates/rehearsal/tests/faults.rs
+++ b/crates/rehearsal/tests/faults.rs
@@ -12,7 +12,7 @@
 use stub::Fault;
 
 /// A scenario of seven seconds that tests all six rules.
-const EVENING: &str = r#"
+const SCENARIO: &str = r#"
 name = "all six"
 length = "7s"
 [clients]
@@ -102,7 +102,7 @@
 
 fn rehearse(fault: Fault) -> Report {
     let folder = tempfile::tempdir().unwrap();
-    let scenario = Scenario::parse("all six", EVENING, Path::new(".")).unwrap();
+    let scenario = Scenario::parse("all six", SCENARIO, Path::new(".")).unwrap();
     let addr = stub::start(fault, folder.path().join("n0/config.json"));
     let subject = Subject::External(vec![addr]);
     let (folder_path, control) = (folder.path().to_path_buf(), None);
@@ -133,32 +133,32 @@
 
 #[test]
 fn a_sender_that_forgets_messages_is_caught() {
-    caught(Fault::Forgets, Rule::NoMessageLost);
+    caught(Fault::LosesMessages, Rule::NoMessageLost);
 }
 
 #[test]
 fn a_sender_with_late_notices_is_caught() {
-    caught(Fault::TellsLate, Rule::NoMessageLost);
+    caught(Fault::SendsLateNotices, Rule::NoMessageLost);
 }
 
 #[test]
 fn a_sender_that_closes_connections_without_a_reply_is_caught() {
-    caught(Fault::HangsUp, Rule::NoMessageLost);
+    caught(Fault::ClosesWithoutReply, Rule::NoMessageLost);
 }
 
 #[test]
 fn a_sender_that_repeats_unsafe_messages_is_caught() {
-    caught(Fault::Repeats, Rule::NoEffectTwice);
+    caught(Fault::RepeatsUnsafe, Rule::NoEffectTwice);
 }
 
 #[test]
 fn a_sender_that_sends_copies_is_caught() {
-    caught(Fault::Copies, Rule::NoEffectTwice);
+    caught(Fault::SendsCopies, Rule::NoEffectTwice);
 }
 
 #[test]
 fn a_sender_that_refuses_messages_that_may_have_run_is_caught() {
-    caught(Fault::Refuses, Rule::NoEffectTwice);
+    caught(Fault::RefusesAfterRun, Rule::NoEffectTwice);
 }
 
 #[test]
@@ -168,12 +168,12 @@
 
 #[test]
 fn a_sender_that_overloads_a_returning_receiver_is_caught() {
-    caught(Fault::Stampedes, Rule::ReturnNotPushedOver);
+    caught(Fault::OverloadsReturning, Rule::ReturnNotPushedOver);
 }
 
 #[test]
 fn a_sender_that_breaks_the_order_is_caught() {
-    caught(Fault::Overtakes, Rule::OrderKept);
+    caught(Fault::IgnoresOrder, Rule::OrderKept);
 }
 
 #[test]
@@ -184,7 +184,7 @@
 #[test]
 fn a_stalled_rig_makes_the_run_void() {
     let folder = tempfile::tempdir().unwrap();
-    let scenario = Scenario::parse("all six", EVENING, Path::new(".")).unwrap();
+    let scenario = Scenario::parse("all six", SCENARIO, Path::new(".")).unwrap();
     let addr = stub::start(Fault::None, folder.path().join("n0/config.json"));
     let subject = Subject::External(vec![addr]);
     let (folder_path, control, stall) = (folder.path().to_path_buf(), None, Some((2_000_000, 600_000)));
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -7,7 +7,7 @@
 use embershore_rehearsal::shipped;
 use std::path::Path;
 
-const GOOD: &str = r#"name = "good"
+const VALID: &str = r#"name = "good"
 length = "10s"
 
 [[class]]
@@ -41,8 +41,8 @@
 
 /// Checks that the scenario with one line changed has a finding at this position whose message contains `correction`.
 fn rejected(line: &str, changed: &str, place: (usize, usize), correction: &str) {
-    assert!(GOOD.contains(line), "{line}");
-    let error = parse(&GOOD.replacen(line, changed, 1)).unwrap_err();
+    assert!(VALID.contains(line), "{line}");
+    let error = parse(&VALID.replacen(line, changed, 1)).unwrap_err();
     let ScenarioError::Invalid { findings, .. } = &error else { panic!("{error}") };
     let found = findings.iter().find(|f| f.message.contains(correction));
     let found = found.unwrap_or_else(|| panic!("{correction}: {error}"));
@@ -52,7 +52,7 @@
 
 #[test]
 fn the_valid_scenario_is_accepted() {
-    let scenario = parse(GOOD).unwrap();
+    let scenario = parse(VALID).unwrap();
     assert_eq!(scenario.receivers.len(), 1);
     assert!(!plan(&scenario).unwrap().is_empty());
 }
@@ -120,7 +120,7 @@
 
 #[test]
 fn all_findings_are_reported_at_once() {
-    let text = GOOD.replace("endpoints = 2", "endpoints = 0").replace("capacity = 20", "capacity = 0");
+    let text = VALID.replace("endpoints = 2", "endpoints = 0").replace("capacity = 20", "capacity = 0");
     let ScenarioError::Invalid { findings, .. } = parse(&text).unwrap_err() else { panic!() };
     assert_eq!(findings.len(), 2, "{findings:?}");
 }
@@ -132,11 +132,11 @@
         scenario.parameters.seed = seed;
         plan(&scenario).unwrap()
     };
-    assert_eq!(plan_with(GOOD, 1), plan_with(GOOD, 1));
-    assert_ne!(plan_with(GOOD, 1), plan_with(GOOD, 2));
+    assert_eq!(plan_with(VALID, 1), plan_with(VALID, 1));
+    assert_ne!(plan_with(VALID, 1), plan_with(VALID, 2));
     // A second piece of traffic does not change the plan of the first.
-    let two = format!("{GOOD}\n[[traffic]]\nshape = \"clumps\"\nclump = 3\nperiod = \"4s\"\n");
-    let (alone, both) = (plan_with(GOOD, 1), plan_with(&two, 1));
+    let two = format!("{VALID}\n[[traffic]]\nshape = \"clumps\"\nclump = 3\nperiod = \"4s\"\n");
+    let (alone, both) = (plan_with(VALID, 1), plan_with(&two, 1));
     assert_eq!(both.len(), alone.len() + 9);
     assert!(alone.iter().all(|p| both.contains(p)));
 }
@@ -149,7 +149,7 @@
 #[test]
 fn traffic_follows_its_shape() {
     let shaped = |traffic: &str| {
-        plan(&parse(&GOOD.replace("shape = \"steady\"\nrate = 20", traffic)).unwrap()).unwrap()
+        plan(&parse(&VALID.replace("shape = \"steady\"\nrate = 20", traffic)).unwrap()).unwrap()
     };
     let steady = shaped("shape = \"steady\"\nrate = 500");
     assert!((4_700..5_300).contains(&steady.len()), "{}", steady.len());
@@ -171,7 +171,7 @@
 #[test]
 fn zipf_gives_the_first_receivers_the_most() {
     let text =
-        GOOD.replace("number = 3", "number = 3\ncount = 10").replace("rate = 20", "rate = 500\nzipf = 1.2");
+        VALID.replace("number = 3", "number = 3\ncount = 10").replace("rate = 20", "rate = 500\nzipf = 1.2");
     let plan = plan(&parse(&text).unwrap()).unwrap();
     let plan_with = |n: usize| plan.iter().filter(|p| p.receiver == n).count();
     assert!(
@@ -187,7 +187,7 @@
 fn a_trace_is_replayed_as_captured_and_rejected_where_it_is_invalid() {
     let folder = tempfile::tempdir().unwrap();
     let text =
-        GOOD.replace("shape = \"steady\"\nrate = 20", "shape = \"replay\"\nfile = \"t.jsonl\"\nspeed = 2");
+        VALID.replace("shape = \"steady\"\nrate = 20", "shape = \"replay\"\nfile = \"t.jsonl\"\nspeed = 2");
     let line = |at: u64, class: &str| {
         format!("{{\"at_ms\":{at},\"class\":\"{class}\",\"tenant\":\"all\",\"receiver\":3,\"size\":77}}\n")
     };
@@ -240,7 +240,7 @@
 
 #[test]
 fn identical_senders_are_numbered_and_spread_over_all_zones() {
-    let scenario = parse(&GOOD.replace("name = \"n0\"", "name = \"n\"\ncount = 3\nslots = 10")).unwrap();
+    let scenario = parse(&VALID.replace("name = \"n0\"", "name = \"n\"\ncount = 3\nslots = 10")).unwrap();
     let senders = &scenario.parameters.senders;
     let names: Vec<(&str, &str)> = senders.iter().map(|s| (s.name.as_str(), s.zone.as_str())).collect();
     assert_eq!(names, [("n0", "a"), ("n1", "b"), ("n2", "a")]);
@@ -253,7 +253,7 @@
 
 #[test]
 fn another_number_of_senders_keeps_the_load_and_the_total_slots() {
-    let text = GOOD.replace("name = \"n0\"", "name = \"n\"\ncount = 4\nslots = 30\nmax_open = 120");
+    let text = VALID.replace("name = \"n0\"", "name = \"n\"\ncount = 4\nslots = 30\nmax_open = 120");
     let mut scenario = parse(&text).unwrap();
     scenario.split(12).unwrap();
     assert_eq!((scenario.senders.len(), scenario.parameters.senders.len()), (12, 12));
--- a/crates/scale/src/process/client.rs
+++ b/crates/scale/src/process/client.rs
@@ -13,7 +13,7 @@
 /// Body of every message. With another length, results can't be compared with earlier ones.
 const BODY: [u8; 200] = [b'm'; 200];
 /// Number of unanswered messages per connection; the daemon processes this many at a time.
-pub const PIPELINE: usize = 64;
+pub const MAX_UNANSWERED: usize = 64;
 /// Number of connections that share a paced load.
 const CONNECTIONS: usize = 8;
 
--- a/crates/scale/src/process/mod.rs
+++ b/crates/scale/src/process/mod.rs
@@ -8,7 +8,7 @@
 mod receiver;
 mod usage;
 
-pub use client::{Client, PIPELINE, PutCounts, offer};
+pub use client::{Client, MAX_UNANSWERED, PutCounts, offer};
 pub use control::ControlAgent;
 pub use daemon::{Daemon, KEPT_CLASS_TTL_MS, Options, PlacementOptions, free_address};
 pub use directory::{Directory, Endpoints};
--- a/crates/scale/src/simulated_fleet.rs
+++ b/crates/scale/src/simulated_fleet.rs
@@ -1,6 +1,6 @@
 //! Member lists of simulated fleets: real lists and placement tables for senders that do not run.
 
-use crate::target::{RACK, REPLICAS, ZONES_BY_REGION};
+use crate::target::{REPLICAS, SENDERS_PER_RACK, ZONES_BY_REGION};
 use anyhow::Result;
 use embershore_placement::wire::{ListForm, MemberForm, RegionForm, SeatForm};
 use embershore_placement::{Change, Changes, MemberList, SCHEME, SeatId, Table, shard};
@@ -26,7 +26,7 @@
 pub fn seat(number: usize) -> SeatForm {
     let zones = zones();
     let (region, zone) = zones[number % zones.len()];
-    let rack = number / zones.len() / RACK as usize;
+    let rack = number / zones.len() / SENDERS_PER_RACK as usize;
     SeatForm {
         region: format!("region-{region}"),
         zone: format!("zone-{region}-{zone}"),
@@ -79,7 +79,7 @@
 /// Returns the seats of the first rack.
 pub fn first_rack(senders: usize) -> Vec<usize> {
     let zones = zones().len();
-    (0..senders).filter(|seat| seat % zones == 0 && seat / zones < RACK as usize).collect()
+    (0..senders).filter(|seat| seat % zones == 0 && seat / zones < SENDERS_PER_RACK as usize).collect()
 }
 
 /// Returns the seats of the first zone.
--- a/crates/scale/src/simulated_module.rs
+++ b/crates/scale/src/simulated_module.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 /// Simulated time between two rounds, in microseconds; the daemon's settings have the same value.
-pub const QUANTUM: Micros = 5_000;
+pub const QUANTUM_US: Micros = 5_000;
 /// Simulated duration of a call, in microseconds.
-const CALL_DURATION: Micros = 1_000;
+const CALL_DURATION_US: Micros = 1_000;
 /// Time until a message's deadline, in microseconds; all messages are delivered long before.
-const TIME_LEFT: Micros = 20_000_000;
+const TIME_LEFT_US: Micros = 20_000_000;
 
 /// A decision module whose list has one endpoint for each destination.
 pub struct Module {
@@ -43,7 +43,7 @@
     pub fn idle_rounds(&mut self, count: u32) -> Result<Duration> {
         let started = thread_cpu_time()?;
         for _ in 0..count {
-            self.now += QUANTUM;
+            self.now += QUANTUM_US;
             self.run_round();
         }
         Ok(thread_cpu_time()? - started)
@@ -55,7 +55,7 @@
     /// # Errors
     /// Fails if the system does not provide a thread's processor time.
     pub fn round(&mut self, destinations: &[i64]) -> Result<Duration> {
-        self.now += QUANTUM;
+        self.now += QUANTUM_US;
         for destination in destinations {
             self.next_message += 1;
             self.events.push(message(self.next_message, *destination));
@@ -83,11 +83,11 @@
         cancel: true,
         probes: true,
         max_retry_after: 2_000_000,
-        quantum: QUANTUM,
+        quantum: QUANTUM_US,
         drain_grace: 1_000_000,
         classes: vec![ClassSettings {
             aim: 2_500_000,
-            deadline: TIME_LEFT,
+            deadline: TIME_LEFT_US,
             effect: Effect::Safe,
             late_share: 0.5,
             ..ClassSettings::default()
@@ -111,7 +111,7 @@
 
 fn message(id: u64, destination: i64) -> Event {
     let (id, dest) = (MsgId(id), DestId(destination));
-    Event::Message { id, class: 0, tenant: 0, key: None, dest, time_left: TIME_LEFT, resubmitted: false }
+    Event::Message { id, class: 0, tenant: 0, key: None, dest, time_left: TIME_LEFT_US, resubmitted: false }
 }
 
 /// Returns the outcome of a started call; every call is a first attempt and delivers its message.
@@ -124,7 +124,7 @@
         endpoint,
         outcome,
         closes_message: true,
-        elapsed: CALL_DURATION,
+        elapsed: CALL_DURATION_US,
         wait: 0,
         report: None,
     })
--- a/crates/scale/src/slopes/fleet.rs
+++ b/crates/scale/src/slopes/fleet.rs
@@ -29,7 +29,7 @@
 /// Assumed length of the HTTP/1.1 heads of a poll and its answer.
 const HTTP_HEAD_BYTES: f64 = 300.0;
 /// Seconds within which a change must be in force at every sender.
-const CHANGE_S: f64 = 18.0;
+const MAX_CHANGE_S: f64 = 18.0;
 const DAY_S: f64 = 86_400.0;
 const HOUR_S: f64 = 3_600.0;
 /// Assumed duration of a rolling restart of all senders.
@@ -156,11 +156,11 @@
             bytes: f64::from(CHANGES_PER_DAY) * entry * f64::from(REPLICAS) / senders as f64,
             seconds: HOUR_S,
         },
-        EventTraffic { name: "a rack lost", bytes: json_bytes(&vacated(list, rack)), seconds: CHANGE_S },
+        EventTraffic { name: "a rack lost", bytes: json_bytes(&vacated(list, rack)), seconds: MAX_CHANGE_S },
         EventTraffic {
             name: "a zone lost",
             bytes: json_bytes(&vacated(list, zone.clone())),
-            seconds: CHANGE_S,
+            seconds: MAX_CHANGE_S,
         },
         EventTraffic {
             name: "a zone back, each member told as it is ready over 60 s",
--- a/crates/scale/src/slopes/held.rs
+++ b/crates/scale/src/slopes/held.rs
@@ -3,8 +3,8 @@
 use super::Setup;
 use crate::budget::{HELD_BYTES, HELD_JOURNAL, READY_TIME};
 use crate::process::{
-    Client, Daemon, Directory, Endpoints, KEPT_CLASS_TTL_MS, Options, PIPELINE, PutCounts, RefusingAddress,
-    on_this_thread,
+    Client, Daemon, Directory, Endpoints, KEPT_CLASS_TTL_MS, MAX_UNANSWERED, Options, PutCounts,
+    RefusingAddress, on_this_thread,
 };
 use crate::report::{Report, Unit};
 use crate::spread::{Line, Spread};
@@ -33,12 +33,13 @@
     let mut counts = PutCounts::default();
     while (counts.accepted as usize) < count {
         let first = counts.accepted as usize;
-        let batch: Vec<usize> = (first..count.min(first + PIPELINE)).map(|n| n % DESTINATIONS).collect();
+        let batch: Vec<usize> =
+            (first..count.min(first + MAX_UNANSWERED)).map(|n| n % DESTINATIONS).collect();
         let part = client.put("kept", KEPT_CLASS_TTL_MS, &batch).await?;
         counts =
             PutCounts { accepted: counts.accepted + part.accepted, refused: counts.refused + part.refused };
         ensure!(
-            counts.refused <= counts.accepted + MAX_REFUSED_BATCHES * PIPELINE as u64,
+            counts.refused <= counts.accepted + MAX_REFUSED_BATCHES * MAX_UNANSWERED as u64,
             "the daemon refused {} messages and accepted {}",
             counts.refused,
             counts.accepted
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -11,13 +11,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-const SECOND: Micros = 1_000_000;
+const SECOND_US: Micros = 1_000_000;
 /// Simulated time between two steps of the members, in microseconds.
-const STEP: Micros = 10_000;
+const STEP_US: Micros = 10_000;
 /// Maximum delay of a datagram, in microseconds.
-const MAX_DELAY: Micros = 5_000;
+const MAX_DELAY_US: Micros = 5_000;
 /// Port of every member's address.
-const PORT: u16 = 7100;
+const MEMBER_PORT: u16 = 7100;
 
 const REPEATS: u64 = 3;
 /// Number of members from which on a run takes minutes and is not repeated.
@@ -34,7 +34,7 @@
 }
 
 fn address(number: usize) -> SocketAddr {
-    ([127, 0, (number >> 8) as u8, number as u8], PORT).into()
+    ([127, 0, (number >> 8) as u8, number as u8], MEMBER_PORT).into()
 }
 
 /// Returns the number of the member with this address.
@@ -69,7 +69,7 @@
     fn advance(&mut self, span: Micros) -> Result<()> {
         let end = self.now + span;
         while self.now < end {
-            self.now += STEP;
+            self.now += STEP_US;
             self.deliver();
             self.run_members()?;
         }
@@ -93,7 +93,7 @@
             while let Some((to, datagram)) = member.next_datagram() {
                 self.datagrams += 1;
                 self.bytes += datagram.len() as u64;
-                let at = self.now + 1 + self.random.random_range(0..MAX_DELAY);
+                let at = self.now + 1 + self.random.random_range(0..MAX_DELAY_US);
                 let to =
                     number(to).with_context(|| format!("datagram to {to}, which is no member's address"))?;
                 self.in_transit.insert((at, self.datagrams), (to, datagram.to_vec()));
@@ -105,7 +105,7 @@
     /// Runs for `seconds` and returns the datagrams and bytes per second that each member sent.
     fn rates(&mut self, seconds: i64) -> Result<(f64, f64)> {
         let before = (self.datagrams, self.bytes);
-        self.advance(seconds * SECOND)?;
+        self.advance(seconds * SECOND_US)?;
         let each = self.members.len() as f64 * seconds as f64;
         Ok(((self.datagrams - before.0) as f64 / each, (self.bytes - before.1) as f64 / each))
     }
@@ -129,9 +129,9 @@
         let (mut starting, mut steady) = (Vec::new(), Vec::new());
         for repeat in 0..if size < SINGLE_RUN_FROM { REPEATS } else { 1 } {
             let mut network = Network::new(size, setup.seed + repeat)?;
-            network.advance(10 * SECOND)?;
+            network.advance(10 * SECOND_US)?;
             starting.push(network.rates(span)?);
-            let rest = settle * SECOND - network.now;
+            let rest = settle * SECOND_US - network.now;
             network.advance(rest.max(0))?;
             steady.push(network.rates(span)?);
         }
--- a/crates/scale/src/slopes/module_round.rs
+++ b/crates/scale/src/slopes/module_round.rs
@@ -12,7 +12,7 @@
 /// Maximum number of rounds per second in the daemon: one round per quantum of 5 ms.
 const ROUNDS_PER_SECOND: f64 = 200.0;
 /// Number of rounds that are timed together: a single one is too short for the clock.
-const BATCH: u32 = 20;
+const ROUNDS_PER_BATCH: u32 = 20;
 /// Time after which the measurement of one list size ends.
 const MAX_MEASURING_TIME: Duration = Duration::from_secs(10);
 
@@ -29,7 +29,7 @@
     report.input("destinations", format!("{sizes:?}, one endpoint each"));
     report.input(
         "rounds",
-        format!("{batches} times {BATCH}, {MAX_MEASURING_TIME:?} at the most; processor time"),
+        format!("{batches} times {ROUNDS_PER_BATCH}, {MAX_MEASURING_TIME:?} at the most; processor time"),
     );
     let mut points = Vec::new();
     for &count in sizes {
@@ -37,12 +37,12 @@
         let mut times = Times::new()?;
         let started = Instant::now();
         for _ in 0..batches {
-            times.record(module.idle_rounds(BATCH)?);
+            times.record(module.idle_rounds(ROUNDS_PER_BATCH)?);
             if started.elapsed() > MAX_MEASURING_TIME {
                 break;
             }
         }
-        let spread = times.seconds().scaled(1.0 / f64::from(BATCH));
+        let spread = times.seconds().scaled(1.0 / f64::from(ROUNDS_PER_BATCH));
         points.push((count as f64, spread.median));
         report.metric(format!("idle round at {count}"), Unit::Seconds, spread);
         if count == owned {
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -20,9 +20,9 @@
 use std::time::Instant;
 
 /// Number of lookups that are timed together: a single one is too short for the clock.
-const LOOKUPS: usize = 1_000;
+const LOOKUPS_PER_BATCH: usize = 1_000;
 /// Number of lists that are in memory at once when the memory of one list is measured.
-const COPIES: usize = 8;
+const LIST_COPIES: usize = 8;
 
 /// Numbers of shards and destinations that each seat owns.
 struct OwnedCounts {
@@ -147,23 +147,23 @@
     let (mut random, mut times) = (ChaCha8Rng::seed_from_u64(seed), Times::new()?);
     for _ in 0..batches {
         let destinations: Vec<i64> =
-            (0..LOOKUPS).map(|_| random.random_range(0..DESTINATIONS as i64)).collect();
+            (0..LOOKUPS_PER_BATCH).map(|_| random.random_range(0..DESTINATIONS as i64)).collect();
         let started = Instant::now();
         for destination in &destinations {
             black_box(table.owners(shard(*destination)));
         }
         times.record(started.elapsed());
     }
-    Ok(times.seconds().scaled(1.0 / LOOKUPS as f64))
+    Ok(times.seconds().scaled(1.0 / LOOKUPS_PER_BATCH as f64))
 }
 
 /// Measures the resident bytes that one parsed list needs.
 fn list_memory(text: &[u8]) -> Result<f64> {
     let before = resident_bytes(std::process::id())?;
-    let lists = (0..COPIES).map(|_| MemberList::parse_json(text)).collect::<Result<Vec<_>, _>>()?;
+    let lists = (0..LIST_COPIES).map(|_| MemberList::parse_json(text)).collect::<Result<Vec<_>, _>>()?;
     let growth = resident_bytes(std::process::id())? - before;
     drop(black_box(lists));
-    Ok(growth / COPIES as f64)
+    Ok(growth / LIST_COPIES as f64)
 }
 
 fn parse_times(text: &[u8], repeats: usize) -> Result<Vec<f64>> {
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -7,11 +7,11 @@
 /// Messages per second that the fleet accepts.
 pub const MESSAGES_PER_SECOND: f64 = 8_900_000.0;
 /// Number of messages queued in the fleet in the largest backlog.
-pub const BACKLOG: f64 = 30e9;
+pub const BACKLOG_MESSAGES: f64 = 30e9;
 /// Number of zones in each region.
 pub const ZONES_BY_REGION: [u32; 4] = [3, 3, 3, 2];
 /// Number of senders in a rack.
-pub const RACK: u32 = 40;
+pub const SENDERS_PER_RACK: u32 = 40;
 /// Number of owners of each destination.
 pub const REPLICAS: u8 = 2;
 /// Number of configuration changes per day.
@@ -23,6 +23,6 @@
 /// Mean number of messages that one sender accepts per second.
 pub const SENDER_MESSAGES_PER_SECOND: f64 = MESSAGES_PER_SECOND / SENDERS as f64;
 /// Mean number of messages that one sender queues in the largest backlog.
-pub const SENDER_BACKLOG: f64 = BACKLOG / SENDERS as f64;
+pub const SENDER_BACKLOG: f64 = BACKLOG_MESSAGES / SENDERS as f64;
 /// Mean number of destinations that one sender owns.
 pub const SENDER_DESTINATIONS: f64 = DESTINATIONS as f64 * REPLICAS as f64 / SENDERS as f64;
