--- a/crates/rehearsal/src/capture.rs
+++ b/crates/rehearsal/src/capture.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Runs the proxy and writes the trace to `path`; returns the number of recorded messages. `ready` is called with the
-/// address on which it listens.
+/// Runs the proxy and writes the trace to `path`; returns the number of recorded messages.
+/// `ready` is called with the address on which the proxy listens.
 ///
 /// # Errors
 /// Fails if the proxy cannot listen on its address, or the trace cannot be written.
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -1,8 +1,8 @@
 //! The history of a run: one JSON record per line, in the order in which the stand-ins recorded the events.
 //!
 //! The history is written before it is judged. A separate thread streams it to disk from a queue of at most
-//! [`MAX_QUEUED_RECORDS`] records, so that memory stays bounded with a slow disk or a long run. A disk that can't keep
-//! up blocks the rig, which the history records as lateness and which makes the run void.
+//! [`MAX_QUEUED_RECORDS`] records, so that memory stays bounded with a slow disk or a long run.
+//! A disk that can't keep up blocks the rig, which the history records as lateness and which makes the run void.
 //!
 //! Tags, fields and values are a stored format: a renamed member keeps its old name by a serde attribute.
 
@@ -238,7 +238,7 @@
     },
     /// A receiver ran a message.
     Ran {
-        /// Number of the call that carried it.
+        /// Number of the call that carried the message.
         call: u64,
         /// Id of the message.
         id: String,
--- a/crates/rehearsal/src/html/returns.rs
+++ b/crates/rehearsal/src/html/returns.rs
@@ -1,5 +1,5 @@
-//! A chart of each return from an outage: the load of all senders on the receiver against its overload limit, and below
-//! it the calls of each sender.
+//! A chart of each return from an outage: the load of all senders on the receiver against its overload limit.
+//! Below it, the chart shows the calls of each sender.
 
 use super::{AMBER, CRIMSON, GREEN, SLATE, escape};
 use crate::judge::{ArrivalEnd, Return, Table, returns};
@@ -76,8 +76,8 @@
         for dash in limit(0.85).chunks(4).filter_map(|c| c.get(..2)) {
             chart.draw_series(LineSeries::new(dash.iter().copied(), CRIMSON))?;
         }
-        // The load is drawn with one step per arrival, which is exact enough: between arrivals it only falls as older
-        // ones leave the window.
+        // The load is drawn with one step per arrival, which is exact enough:
+        // between arrivals the load only falls as older arrivals leave the window.
         let mut line: Vec<(f64, f64)> = Vec::new();
         for l in &this_return.loads {
             line.extend(line.last().map(|(_, y)| (seconds(l.t), *y)));
--- a/crates/rehearsal/src/judge/drains.rs
+++ b/crates/rehearsal/src/judge/drains.rs
@@ -1,5 +1,5 @@
-//! Rule 3: once the drain grace has passed after the notification that an endpoint drains or is gone, a sender starts
-//! no call to it.
+//! Rule 3: a sender starts no call to an endpoint of which it was notified that it drains or is gone,
+//! once the drain grace after the notification has passed.
 
 use super::{Findings, Margin, SOCKET_ALLOWANCE_US, Table};
 use crate::history::EndpointStatus;
--- a/crates/rehearsal/src/judge/even.rs
+++ b/crates/rehearsal/src/judge/even.rs
@@ -45,8 +45,8 @@
     pub longest_idle: Micros,
 }
 
-/// When an endpoint was listed: from the first notification as ready to any sender until the first removal at any
-/// sender.
+/// When an endpoint was listed: from the first notification to any sender that it is ready,
+/// until the first notification to any sender that it drains or is gone.
 type Listed = (Micros, Micros);
 
 /// Returns the evenness of each receiver with at least two endpoints, in order of their numbers.
--- a/crates/rehearsal/src/judge/lost.rs
+++ b/crates/rehearsal/src/judge/lost.rs
@@ -33,8 +33,7 @@
         let overdue = |t: Micros| {
             t > limit
                 && table.away_at(message.sender, limit, RESTART_GRACE_US).is_none_or(|a| {
-                    // The sender was unavailable at the limit: the notice is due this long after the sender is ready
-                    // again.
+                    // The sender was unavailable at the limit: the grace starts when the sender is ready again.
                     a.ready.is_some_and(|r| t > r + RESTART_GRACE_US + SOCKET_ALLOWANCE_US)
                 })
         };
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -1,5 +1,5 @@
-//! The judge: derives the verdict on the six rules and the service from a history. It does no I/O, and its only input
-//! is what the stand-ins recorded.
+//! The judge: derives the verdict on the six rules and the service from a history.
+//! It does no I/O, and its only input is what the stand-ins recorded.
 //!
 //! Records are sorted by time first. Records of the same instant are sorted by kind, then by content, so that a verdict
 //! does not depend on which of them was written first.
@@ -31,8 +31,8 @@
 pub const SOCKET_ALLOWANCE_US: Micros = 50_000;
 /// Maximum number of violations of a rule that are reported with their evidence; further ones are only counted.
 pub const MAX_REPORTED_VIOLATIONS: usize = 10;
-/// The run is void if puts were later than planned by more than this at the 99th percentile: the rig then measured
-/// itself and not the senders.
+/// The run is void if the 99th percentile of the puts' delays against the plan exceeds this:
+/// the rig then measured itself and not the senders.
 pub const MAX_LATE_P99_US: Micros = 50_000;
 /// The run is void if the rig once stalled for longer than this.
 pub const MAX_STALL_US: Micros = 250_000;
--- a/crates/rehearsal/src/judge/order.rs
+++ b/crates/rehearsal/src/judge/order.rs
@@ -1,6 +1,6 @@
 //! Rule 5: in an ordered class, messages of one key are sent one at a time and in the order in which the sender
-//! accepted them; after an attempt that may still be running, no message of that key is sent for the class's settle
-//! time.
+//! accepted them. After an attempt that may still be running, the settle time of the class must pass before the next
+//! message of that key is sent.
 
 use super::{Attempt, CallEnd, Findings, Margin, Message, SOCKET_ALLOWANCE_US, Table};
 use crate::span::Micros;
@@ -27,8 +27,8 @@
     for list in keys.values() {
         for later in list {
             let Some((first, ..)) = table.attempts(later).next() else { continue };
-            // Only messages accepted before this one was put count as earlier: if two puts overlap, either message may
-            // have been accepted first.
+            // Only messages accepted before this one was put count as earlier:
+            // if two puts overlap, either message may have been accepted first.
             let earlier = list.iter().filter(|message| message.accepted().is_some_and(|t| t < later.offered));
             let mut tested = false;
             for before in earlier {
@@ -54,8 +54,8 @@
     found
 }
 
-/// Checks that no message of the key was sent for the settle time after an attempt that ended by a time-out, reset or
-/// cancellation.
+/// Checks that the settle time passed before the next message of the key was sent,
+/// if an attempt of the previous message ended by a time-out, reset or cancellation.
 fn check_settle_time(table: &Table, before: &Message, later: &Message, found: &mut Findings) {
     let settle = table.class(before).map_or(0, |c| c.order_settle);
     let Some((first, ..)) = table.attempts(later).next() else { return };
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -126,8 +126,8 @@
             || self.notices.iter().any(|n| n.1 == NoticeState::Returned)
     }
 
-    /// Returns whether the client got no reply. The outcome under this id then does not count, since the client may put
-    /// the message again under another id.
+    /// Returns whether the client got no reply. The outcome under this id then does not count,
+    /// since the client may put the message again under another id.
     pub fn unacknowledged(&self) -> bool {
         matches!(
             self.reply,
@@ -139,8 +139,8 @@
     }
 }
 
-/// The unit with one limit, one wait and one outage: a receiver's number, and the endpoint's name if routes are
-/// separate.
+/// The unit with one limit, one wait and one outage: the receiver's number, and the endpoint's name if routes are
+/// separate (see [`Receiver::separate_routes`]).
 pub type Lane = (i64, Option<String>);
 /// Start of an outage, and its end unless it still lasts.
 pub type Outage = (Micros, Option<Micros>);
@@ -198,8 +198,8 @@
     pub end: Micros,
 }
 
-/// Returns the position of an event's kind among records of one instant: information that a sender or client received
-/// is sorted before its actions.
+/// Returns the position of an event's kind among records of one instant:
+/// information that a sender or client received is sorted before its actions.
 fn rank(event: &Event) -> u8 {
     match event {
         Event::Run { .. } => 0,
--- a/crates/rehearsal/src/judge/twice.rs
+++ b/crates/rehearsal/src/judge/twice.rs
@@ -26,8 +26,8 @@
     let mut ends: Vec<Option<Micros>> = Vec::new();
     for (n, (call, known_at, outcome)) in table.attempts(message).enumerate() {
         let endpoint = Some(call.endpoint.as_str());
-        // A sender may send a message again as soon as it has given up a call; the receiver may see the two in either
-        // order.
+        // A sender may send a message again as soon as it has given up a call.
+        // The receiver may see the two in either order.
         let in_flight = ends.iter().any(|ended| ended.is_none_or(|t| t > call.t + SOCKET_ALLOWANCE_US));
         if in_flight && !table.parameters.rules.second_copies {
             let what = "it was sent while an earlier attempt was still out".to_string();
--- a/crates/rehearsal/src/judge/waits.rs
+++ b/crates/rehearsal/src/judge/waits.rs
@@ -1,5 +1,4 @@
-//! Rule 6: after a receiver's answer that advertises a wait, a sender sends no message to that lane until the wait
-//! ends.
+//! Rule 6: after an answer that advertises a wait, a sender sends no message to that lane until the wait ends.
 
 use super::table::Lane;
 use super::{CallEnd, Findings, Margin, Table};
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -1,5 +1,5 @@
-//! Aggregates the reports of many runs by scenario and number of senders, as a table and as a page with charts. It does
-//! no I/O.
+//! Aggregates the reports of many runs by scenario and number of senders, as a table and as a page with charts.
+//! This module does no I/O.
 
 use crate::html::{AMBER, CRIMSON, GREEN, SLATE, escape, legend};
 use crate::judge::{Rule, Spread, Verdict};
@@ -54,8 +54,8 @@
     /// Refused calls per message.
     pub refused_calls: f64,
     /// Evenness of the worst receiver in windows of 10 s, as the mean over the runs: busiest endpoint over the mean,
-    /// idlest over the mean, and variance over that of random choices; `None` if no receiver has enough endpoints and
-    /// calls.
+    /// idlest over the mean, and variance over that of random choices. `None` if no receiver has enough endpoints and
+    /// calls to compute the evenness.
     #[serde(default)]
     pub uneven: [Option<f64>; 3],
     /// Median and 90th percentile of the latency in ms, each as the mean over the runs.
--- a/crates/rehearsal/src/parameters.rs
+++ b/crates/rehearsal/src/parameters.rs
@@ -1,5 +1,5 @@
-//! Parameters of a run: everything besides the recorded events that the judge needs. The history's first record has
-//! them.
+//! Parameters of a run: everything besides the recorded events that the judge needs.
+//! The first record of the history contains them.
 
 use crate::span::Micros;
 use serde::{Deserialize, Serialize};
@@ -94,8 +94,7 @@
 }
 
 impl Rules {
-    /// Lower bound of the overload limit: below it, one call of each sender would be enough to overload a small
-    /// receiver.
+    /// Lower bound of the overload limit. Below it, one call of each sender would overload a small receiver.
     pub const MIN_OVERLOAD_LIMIT: f64 = 6.0;
 
     /// Returns the load in one [`Rules::fall_window`] above which a receiver is overloaded whose current capacity is
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -1,5 +1,5 @@
-//! The plan: which messages clients put and when. It depends only on the scenario and its seed, and is complete before
-//! anything starts.
+//! The plan: which messages clients put and when.
+//! It depends only on the scenario and its seed, and is complete before anything starts.
 
 use crate::scenario::Scenario;
 use crate::span::Micros;
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -423,9 +423,9 @@
         row(&format!("off: {}", penalty.name), penalty.off, other)?;
     }
     for latency in &a.latencies {
-        let Some(m) = b.latencies.iter().find(|m| m.name == latency.name) else { continue };
-        row(&format!("p50 ms, {}", latency.name), latency.p50_ms, m.p50_ms)?;
-        row(&format!("p99 ms, {}", latency.name), latency.p99_ms, m.p99_ms)?;
+        let Some(other) = b.latencies.iter().find(|other| other.name == latency.name) else { continue };
+        row(&format!("p50 ms, {}", latency.name), latency.p50_ms, other.p50_ms)?;
+        row(&format!("p99 ms, {}", latency.name), latency.p99_ms, other.p99_ms)?;
     }
     writeln!(out)?;
     for rule in Rule::ALL {
--- a/crates/rehearsal/src/rig/clients.rs
+++ b/crates/rehearsal/src/rig/clients.rs
@@ -1,5 +1,5 @@
-//! The clients: they put messages at the planned times, whether or not earlier replies have arrived, and retry after
-//! refusals as the scenario defines.
+//! The clients: they put messages at the planned times, whether or not earlier replies have arrived.
+//! After refusals they retry as the scenario defines.
 
 use super::World;
 use super::senders::Senders;
@@ -249,8 +249,7 @@
             connection.open.set(connection.open.get() - 1);
             match outcome {
                 Ok(Some(RequestOutcome::Replied(reply))) => return reply,
-                // The sender closed the connection between requests, so the client sends the request once more on a new
-                // one.
+                // The sender closed the connection between requests: the client sends the request again on a new one.
                 Ok(Some(RequestOutcome::Closed) | None) if used && !retry => {}
                 Ok(Some(RequestOutcome::Closed) | None) => return reply(PutOutcome::Closed),
                 Err(_) => {
--- a/crates/rehearsal/src/rig/directory.rs
+++ b/crates/rehearsal/src/rig/directory.rs
@@ -1,5 +1,5 @@
-//! The stand-in directory: one agent per sender. An agent receives changes after a lag, and accepts the notices of
-//! messages' ends.
+//! The stand-in directory: one agent per sender.
+//! An agent receives changes after a lag, and accepts the notices of messages' ends.
 
 use super::World;
 use crate::event::RawEvent;
--- a/crates/rehearsal/src/rig/mod.rs
+++ b/crates/rehearsal/src/rig/mod.rs
@@ -32,8 +32,8 @@
 
 /// Period of the timer that measures the lateness of the rig itself.
 const LAG_CHECK_INTERVAL_US: Micros = 5_000;
-/// Capacity of the queue of refused messages for their clients; while it is full, senders wait for the answers to their
-/// notices.
+/// Capacity of the queue of refused messages for their clients.
+/// While it is full, senders wait for the answers to their notices.
 const MAX_PENDING_REFUSALS: usize = 1024;
 /// Time-out for senders to become ready.
 const READY_TIMEOUT_US: Micros = 30_000_000;
--- a/crates/rehearsal/src/rig/receivers/endpoint.rs
+++ b/crates/rehearsal/src/rig/receivers/endpoint.rs
@@ -1,5 +1,5 @@
-//! An endpoint of a stand-in receiver. It listens on a separate address for each sender, so that every connection
-//! identifies its sender.
+//! An endpoint of a stand-in receiver.
+//! It listens on a separate address for each sender, so that every connection identifies its sender.
 
 use super::fault::Fault;
 use super::first_byte::FirstByteRecorder;
@@ -57,8 +57,8 @@
             addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
-        // The endpoint has enough workers for its part of the capacity at the mean latency, so that the receiver as a
-        // whole handles the scenario's capacity.
+        // The endpoint has enough workers for its part of the capacity at the mean latency,
+        // so that all endpoints of the receiver together handle the scenario's capacity.
         let part = receiver.spec.capacity / receiver.spec.endpoints.max(1) as f64;
         let workers = (part * receiver.spec.latency.mean()).ceil().max(1.0) as usize;
         let seed = scenario.parameters.seed ^ ((receiver.spec.number as u64) << 20) ^ u64::from(number);
--- a/crates/rehearsal/src/rig/receivers/fault.rs
+++ b/crates/rehearsal/src/rig/receivers/fault.rs
@@ -37,8 +37,8 @@
         named.map(|r| (r.clone(), selected(r))).collect()
     }
 
-    /// Applies a fault to receivers for the event's duration. A receiver is in an outage while all its endpoints are,
-    /// and is cold when it returns.
+    /// Applies a fault to receivers for the event's duration.
+    /// A receiver is in an outage while all its endpoints are, and is cold when it returns.
     pub async fn inject(&self, event: &RawEvent) {
         let targets = self.targets(event);
         let now = self.world.now();
--- a/crates/rehearsal/src/rig/receivers/replacement.rs
+++ b/crates/rehearsal/src/rig/receivers/replacement.rs
@@ -13,8 +13,8 @@
 const WAVES: usize = 4;
 
 impl Receivers {
-    /// Drains endpoints, removes them after a while, and opens new endpoints in their place if the event is a
-    /// replacement.
+    /// Drains endpoints and removes them after a while.
+    /// If the event is a replacement, opens new endpoints in their place.
     pub async fn replace(self: &Rc<Self>, event: &RawEvent) {
         let share = event.share.unwrap_or(1.0);
         let mut old: Vec<(Rc<Receiver>, Rc<Endpoint>)> = Vec::new();
--- a/crates/rehearsal/src/rig/receivers/request.rs
+++ b/crates/rehearsal/src/rig/receivers/request.rs
@@ -234,8 +234,8 @@
         let spec = &self.receiver.spec;
         let tells = self.endpoint.chance(spec.tells_waits);
         let random_wait = self.endpoint.rng.borrow_mut().random_range(spec.wait[0].0..=spec.wait[1].0);
-        // A limit with windows advertises the rest of its window; a rate limit at least the time until a call is
-        // allowed.
+        // A limit with windows advertises the rest of its window.
+        // A rate limit advertises at least the time until a call is allowed.
         let wait = if spec.limit.is_some_and(|l| l.window.is_some()) {
             wait_for_room
         } else {
@@ -245,8 +245,8 @@
     }
 }
 
-/// Runs a call: waits for a worker and for the simulated time. `items` gives for each message whether its key was
-/// known, or `None` if the message is not to run.
+/// Runs a call: waits for a worker and for the simulated time.
+/// `items` gives for each message whether its key was known, or `None` if the message is not to run.
 async fn run_call(
     world: &World,
     receiver: &Receiver,
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -426,8 +426,8 @@
     }
 }
 
-/// Makes the configuration invalid by a negative deadline, and changes the directory and the class names too: a sender
-/// that applied any part of it could not continue.
+/// Makes the configuration invalid by a negative deadline, and also changes the directory and the class names:
+/// a sender that applied any part of the configuration could not continue.
 fn invalid_config(config: &mut Value) {
     config["discovery"] = json!("127.0.0.1:9");
     for class in config["settings"]["Profiles"].as_array_mut().into_iter().flatten() {
@@ -436,8 +436,8 @@
     }
 }
 
-/// Reserves a port on loopback. The socket is bound but does not listen, so that each process of the sender can listen
-/// there.
+/// Reserves a port on loopback. The socket is bound but does not listen,
+/// so that each process of the sender can listen on the port.
 fn reserve_port() -> std::io::Result<(SocketAddr, TcpSocket)> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
--- a/crates/rehearsal/src/scenario/checks.rs
+++ b/crates/rehearsal/src/scenario/checks.rs
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Returns the index of a name among `known`, the names of the tables `[[what]]`; adds a finding if it is not
-    /// there.
+    /// Returns the index of a name among `known`, the names of the tables `[[what]]`.
+    /// Adds a finding if the name is not known.
     pub(super) fn index<'k>(
         &mut self,
         name: &Spanned<String>,
--- a/crates/rehearsal/src/scenario/receiver.rs
+++ b/crates/rehearsal/src/scenario/receiver.rs
@@ -150,8 +150,8 @@
     (receivers, all_parameters)
 }
 
-/// Sets how long receivers remember keys: at least the longest window of the keyed classes, since otherwise repeats
-/// would take effect.
+/// Sets how long receivers remember keys: at least the longest window of the keyed classes.
+/// With a shorter time, repeats would take effect.
 fn set_key_memory(raw: &Raw, checks: &mut Checks<'_>, receivers: &mut [Receiver]) {
     let keyed = raw.class.get_ref().iter().filter(|k| k.effect == Effect::Keyed);
     let windows = keyed.filter_map(|k| k.window.as_ref()).map(|w| w.get_ref().0);
--- a/crates/rehearsal/tests/common/stub.rs
+++ b/crates/rehearsal/tests/common/stub.rs
@@ -170,8 +170,7 @@
                 let Ok(put) = decode_put(&args) else { return };
                 self.taken.set(self.taken.get() + 1);
                 let number = self.taken.get();
-                // The client puts the message once more on a new connection, under the same id, and gets no reply
-                // either.
+                // The client puts the message again on a new connection under the same id, and gets no reply either.
                 if self.fault == Fault::ClosesWithoutReply && put.request_id.ends_with("07") {
                     return;
                 }
@@ -228,8 +227,8 @@
         }
     }
 
-    /// Repeats attempts until the message is delivered or given up; returns the state of the notice, if one is due, and
-    /// whether an attempt may still be running.
+    /// Repeats attempts until the message is delivered or given up.
+    /// Returns the state of the notice, if one is due, and whether an attempt may still be running.
     async fn attempts(
         self: &Rc<Self>,
         put: &Put,
@@ -361,8 +360,7 @@
                 let stream = TcpStream::connect(addr).await?;
                 stream.set_nodelay(true)?;
                 let mut stream = BufReader::new(stream);
-                // A connection that is reset at once has not carried the request, so the error is reported as "not
-                // connected".
+                // A connection that is reset at once has not carried the request: it counts as not connected.
                 let ended = tokio::time::timeout(Duration::from_millis(3), stream.fill_buf()).await;
                 if ended.is_ok() {
                     return Err(io::ErrorKind::NotConnected.into());
--- a/crates/rehearsal/tests/even.rs
+++ b/crates/rehearsal/tests/even.rs
@@ -44,8 +44,8 @@
 
 #[test]
 fn an_endpoint_is_idle_only_while_another_queues() {
-    // With one call in flight at a time no endpoint queues. Calls of 250 ms, one every 100 ms, put two or three in
-    // flight.
+    // With one call in flight at a time no endpoint queues.
+    // Calls of 250 ms, one every 100 ms, put two or three calls in flight at e1.
     assert_eq!(calls(100, 50, |_| "e1").longest_idle, 0);
     // The last call starts after the last message was put, so it does not count.
     assert_eq!(calls(100, 250, |_| "e1").longest_idle, 9_850_000);
--- a/crates/rehearsal/tests/faults.rs
+++ b/crates/rehearsal/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Runs faulty stub senders through the whole rig, on sockets: each breaks the rule that forbids its fault, and no
-//! other.
+//! Runs faulty stub senders through the whole rig, on sockets.
+//! Each sender breaks the rule that forbids its fault, and no other rule.
 
 #[path = "common/stub.rs"]
 mod stub;
--- a/crates/rehearsal/tests/judge.rs
+++ b/crates/rehearsal/tests/judge.rs
@@ -262,8 +262,8 @@
 }
 
 // Rule 4, a returning receiver. It handles 10 messages per second when warm, a fifth of them right after its return,
-// and is warm after 10 s. The overload limit is twice its capacity over 2 s plus one standard deviation, and at least
-// 6.
+// and is warm after 10 s.
+// The overload limit is twice the capacity over 2 s plus one standard deviation, and at least 6.
 
 /// Returns a history with an outage of receiver 1 from 1 s to 5 s, which the senders `aware` see. `loads` gives each
 /// sender and its number of messages, which are sent 10 ms apart from `from` on.
@@ -363,8 +363,8 @@
 
 #[test]
 fn separate_routes_have_returns_of_their_own() {
-    // Each route has half the capacity: 1.08 per second at 5.2 s. Twice that over 2 s is 4.3, and 2.1 is added for
-    // chance.
+    // Each route has half the capacity: 1.08 per second at 5.2 s.
+    // Twice that over 2 s is 4.3, and 2.1 is added for chance.
     let routed = |count: usize, endpoint: &str| {
         let mut h = History::new();
         h.at(1_000, Event::Down { receiver: 3, endpoint: Some("f1".into()) });
@@ -652,8 +652,8 @@
 
 #[test]
 fn recovery_ends_when_the_usual_load_is_back() {
-    // The receiver gets ten messages per second before the outage, then one every 200 ms, and one every 100 ms from the
-    // third second on.
+    // The receiver gets ten messages per second before the outage, then one every 200 ms.
+    // From the third second on it gets one every 100 ms.
     let mut h = History::new();
     let send = |h: &mut History, ms: i64, n: usize| {
         let id = format!("m{n}");
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -1,5 +1,5 @@
-//! Tests of scenarios: findings in invalid files and their positions, plans as a function of file and seed, and the
-//! shipped scenarios.
+//! Tests of scenarios: findings in invalid files and their positions, and the shipped scenarios.
+//! A plan is tested to be a function of file and seed.
 
 use embershore_rehearsal::event::{RawEvent, Targets};
 use embershore_rehearsal::plan::{Planned, plan};
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -2,8 +2,8 @@
 //! one machine, otherwise with simulated senders ("hollow" in reports and names), which run the real decision code and
 //! its messages without clients and endpoints.
 //!
-//! Each subcommand prints its inputs and its metrics with their spread and budget, and fails with the name of every
-//! budget that a metric exceeds.
+//! Each subcommand prints its inputs and its metrics with their spread and budget.
+//! It fails with the name of every budget that a metric exceeds.
 
 #![forbid(unsafe_code)]
 
--- a/crates/scale/src/process/client.rs
+++ b/crates/scale/src/process/client.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// Offers `rate` messages per second for `span` over several connections, to each of the destinations `0..destinations`
-/// in turn.
+/// Offers `rate` messages per second for `span` over several connections.
+/// The destinations `0..destinations` get messages in turn.
 ///
 /// # Errors
 /// Fails if a connection ends, or an answer does not arrive in time.
@@ -127,8 +127,8 @@
     Ok(counts)
 }
 
-/// Requests a path of the management interface. Returns the status and the body, or `None` without a valid answer in
-/// time.
+/// Requests a path of the management interface.
+/// Returns the status and the body, or `None` if there is no valid answer in time.
 pub async fn get(management_address: SocketAddr, path: &str) -> Option<(u16, String)> {
     let call = async {
         let mut stream = TcpStream::connect(management_address).await.ok()?;
--- a/crates/scale/src/simulated_fleet.rs
+++ b/crates/scale/src/simulated_fleet.rs
@@ -21,8 +21,8 @@
     MemberForm { name: format!("sender-{seat:05}-{incarnation}"), address }
 }
 
-/// Returns one seat of the fleet. Consecutive seats are in different zones; within a zone, one rack after another is
-/// filled.
+/// Returns one seat of the fleet.
+/// Consecutive seats are in different zones; within a zone, one rack after another is filled.
 pub fn seat(number: usize) -> SeatForm {
     let zones = zones();
     let (region, zone) = zones[number % zones.len()];
--- a/crates/scale/src/simulated_module.rs
+++ b/crates/scale/src/simulated_module.rs
@@ -49,8 +49,8 @@
         Ok(thread_cpu_time()? - started)
     }
 
-    /// Runs one round with a message for each of these destinations and the outcomes of the previous round's calls, and
-    /// returns its processor time.
+    /// Runs one round with a message for each of these destinations and the outcomes of the previous round's calls.
+    /// Returns the processor time of the round.
     ///
     /// # Errors
     /// Fails if the system does not provide a thread's processor time.
--- a/crates/scale/src/skew.rs
+++ b/crates/scale/src/skew.rs
@@ -2,8 +2,8 @@
 
 use crate::target::MESSAGES_PER_SECOND;
 
-/// Returns the messages per second of each destination, the busiest first. They are proportional to `rank^-exponent`,
-/// and their sum is `total`.
+/// Returns the messages per second of each destination, the busiest first.
+/// They are proportional to `rank^-exponent`, and their sum is `total`.
 pub fn zipf_rates(destinations: u64, exponent: f64, total: f64) -> Vec<f64> {
     let weights: Vec<f64> = (1..=destinations).map(|rank| (rank as f64).powf(-exponent)).collect();
     let sum: f64 = weights.iter().sum();
--- a/crates/scale/src/slopes/message_cpu.rs
+++ b/crates/scale/src/slopes/message_cpu.rs
@@ -11,8 +11,8 @@
 
 /// Number of messages offered per second.
 pub const MESSAGE_RATE: f64 = 300.0;
-/// Number of destinations that get messages if more are listed. This separates the cost of a listed idle destination
-/// from the cost of a connection.
+/// Number of destinations that get messages if more are listed.
+/// This separates the cost of a listed idle destination from the cost of a connection.
 pub const ACTIVE_DESTINATIONS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Before the measurement, the load runs for the measured span divided by this, to open the connections.
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -1,4 +1,4 @@
-//! The slopes, one module for each. Each module has a function `run` that returns a [`Report`].
+//! The slopes, one module for each. Each module has a function `run` that returns a [`Report`](crate::report::Report).
 
 pub mod fleet;
 pub mod held;
--- a/crates/scale/src/slopes/owners_check.rs
+++ b/crates/scale/src/slopes/owners_check.rs
@@ -92,8 +92,8 @@
             SIMULATED_AGAINST_REAL,
         );
         report.metric(format!("{size} real: resident"), Unit::Bytes, Spread::of(&real.resident));
-        // All processes build their tables at once on one machine, so the budget applies to a sender's own processor
-        // time.
+        // All processes build their tables at once on one machine,
+        // so the budget applies to a sender's own processor time.
         let all = Spread::exact(real.seconds);
         report.metric(format!("{size} real: until all have read what they own"), Unit::Seconds, all);
         let name = format!("{size} real: processor time of each until then");
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -42,8 +42,8 @@
     owned
 }
 
-/// Returns the load of the busiest filled seat divided by the mean of its region's filled seats, as the maximum over
-/// all regions.
+/// Returns the load of the busiest filled seat divided by the mean of its region's filled seats.
+/// The result is the maximum over all regions.
 fn busiest_by_region(list: &MemberList, counts: &[u32]) -> f64 {
     let mut regions: HashMap<u16, (f64, f64, f64)> = HashMap::new();
     for seat in list.seat_ids().filter(|seat| list.member(*seat).is_some()) {
--- a/crates/scale/src/spread.rs
+++ b/crates/scale/src/spread.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// Returns the processor time that this thread has used. Unlike wall-clock time, it does not depend on the machine's
-/// other load.
+/// Returns the processor time that this thread has used.
+/// Unlike wall-clock time, it does not depend on the machine's other load.
 ///
 /// # Errors
 /// Fails if the system has no such clock.
