--- a/crates/rehearsal/benches/load.rs
+++ b/crates/rehearsal/benches/load.rs
@@ -1,7 +1,7 @@
 //! Measures the load that the rig can sustain, with a stub sender that delivers at once and receivers without latency.
 //!
-//! Increases the rate until the plan's lag exceeds 5 ms at the 99th percentile. Bounded in rate and time; uses
-//! loopback only.
+//! Increases the rate until the plan's lag exceeds 5 ms at the 99th percentile. The rate and the time are bounded, and
+//! the benchmark uses loopback only. Run it with:
 //! `cargo bench -p embershore-rehearsal --bench load`
 
 #[path = "../tests/common/stub.rs"]
@@ -14,9 +14,9 @@
 use stub::Fault;
 
 /// Length of each step in seconds.
-const SECONDS: u32 = 4;
+const STEP_SECONDS: u32 = 4;
 const RATES: [u32; 5] = [500, 2000, 4000, 8000, 12_000];
-/// Maximum lag at which a rate counts as sustained, in microseconds.
+/// Maximum lag at the 99th percentile for a rate to count as sustained, in microseconds.
 const MAX_LAG_US: i64 = 5_000;
 
 fn memory_kb() -> u64 {
@@ -27,7 +27,7 @@
 
 fn scenario(endpoints: usize, rate: u32) -> Scenario {
     let text = format!(
-        "name = \"load\"\nlength = \"{SECONDS}s\"\n\
+        "name = \"load\"\nlength = \"{STEP_SECONDS}s\"\n\
          [network]\nsame = \"0s\"\ncross = \"0s\"\n\
          [[class]]\nname = \"sync\"\nshare = 1\neffect = \"safe\"\naim = \"2s\"\ndeadline = \"4s\"\n\
          [[kind]]\nname = \"hook\"\n\
@@ -63,18 +63,18 @@
     let arguments: Vec<String> = std::env::args().collect();
     if let Some(at) = arguments.iter().position(|a| a == "--step") {
         let number = |n: usize| arguments.get(at + n).and_then(|a| a.parse::<u32>().ok()).unwrap();
-        let fault = if number(1) == 0 { Fault::Null } else { Fault::None };
+        let fault = if number(1) == 0 { Fault::SendsNothing } else { Fault::None };
         std::process::exit(i32::from(!step(fault, number(2) as usize, number(3))));
     }
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     println!(
-        "{cores} cores; {SECONDS} s a step, each in a process of its own, with the stub sender on a second thread"
+        "{cores} cores; {STEP_SECONDS} s a step, each in a process of its own, with the stub sender on a second thread"
     );
     println!(
         "{:>9} {:>9} {:>9} {:>10} {:>10} {:>10} {:>10}",
         "endpoints", "rate/s", "delivered", "lag p50 ms", "lag p99 ms", "stall ms", "memory MB"
     );
-    // Each step runs in a process of its own, so that the memory measured is that of the step.
+    // Each step runs in a separate process, so that the measured memory is that of the step.
     for (fault, what) in [("0", "takes on, sends nothing"), ("1", "delivers all")] {
         println!("stub sender: {what}");
         for endpoints in ["200", "2000"] {
--- a/crates/rehearsal/src/html/even.rs
+++ b/crates/rehearsal/src/html/even.rs
@@ -1,5 +1,5 @@
-//! A heat map of each receiver's load: a row for each endpoint, a column for each second, shaded by its calls over the
-//! mean of that second.
+//! A heat map of each receiver's load: a row per endpoint, a column per second, shaded by the endpoint's calls divided
+//! by the mean of all endpoints in that second.
 
 use super::escape;
 use crate::judge::{Evenness, Table};
@@ -7,26 +7,26 @@
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 
-/// Receivers with a heat map: those with the most calls.
+/// Maximum number of receivers with a heat map: those with the most calls.
 const MAX_PICTURES: usize = 8;
-/// Endpoints with a row; further ones are left out.
+/// Maximum number of endpoints with a row; further ones are left out.
 const MAX_ROWS: usize = 60;
 /// Height of a row in pixels.
-const ROW_HEIGHT: u32 = 14;
+const ROW_HEIGHT_PX: u32 = 14;
 /// Time that a column covers.
 const COLUMN_US: Micros = 1_000_000;
-/// Calls over the mean from which on a cell has the strongest colour.
+/// Calls divided by the mean from which on a cell has the strongest colour.
 const DARKEST_TIMES_MEAN: f64 = 3.0;
 
-/// Returns the section of the page; empty if no receiver has several endpoints.
+/// Returns the evenness section of the page; empty if no receiver has several endpoints.
 pub(super) fn section(table: &Table, all: &[Evenness]) -> Result<String, String> {
     if all.is_empty() {
         return Ok(String::new());
     }
     let mut calls: BTreeMap<i64, BTreeMap<&str, Vec<Micros>>> = BTreeMap::new();
-    for c in table.calls.values() {
-        let Some(receiver) = c.receiver else { continue };
-        calls.entry(receiver).or_default().entry(&c.endpoint).or_default().push(c.t);
+    for call in table.calls.values() {
+        let Some(receiver) = call.receiver else { continue };
+        calls.entry(receiver).or_default().entry(&call.endpoint).or_default().push(call.t);
     }
     for (name, (receiver, _)) in &table.endpoints {
         calls.entry(*receiver).or_default().entry(name).or_default();
@@ -40,11 +40,11 @@
         "<h2>Evenness</h2><p>A row for each endpoint, a column for each second. White had no call, grey a mean part of \
          that second's, darker more; red is three times the mean and more.</p>",
     );
-    for e in busiest.iter().take(MAX_PICTURES) {
-        let Some(rows) = calls.get(&e.receiver) else { continue };
-        let svg =
-            draw_heat_map(rows, table.end).map_err(|error| format!("evenness of {}: {error}", e.receiver))?;
-        let summaries = e.spreads.iter().filter_map(|s| {
+    for evenness in busiest.iter().take(MAX_PICTURES) {
+        let Some(rows) = calls.get(&evenness.receiver) else { continue };
+        let svg = draw_heat_map(rows, table.end)
+            .map_err(|error| format!("evenness of {}: {error}", evenness.receiver))?;
+        let summaries = evenness.spreads.iter().filter_map(|s| {
             let (busiest, idlest) = (s.busiest?, s.idlest?);
             let window = s.window as f64 / 1e6;
             Some(format!(
@@ -55,7 +55,7 @@
         let summaries: Vec<String> = summaries.collect();
         out += &format!(
             "<h3>Receiver {}</h3><p class=\"legend\">{}</p>{svg}",
-            e.receiver,
+            evenness.receiver,
             escape(&summaries.join("; "))
         );
     }
@@ -76,7 +76,7 @@
         calls.iter().for_each(|t| row[((t / COLUMN_US).max(0) as usize).min(columns - 1)] += 1.0);
         counts.push((name, row));
     }
-    let height = 34 + ROW_HEIGHT * counts.len() as u32;
+    let height = 34 + ROW_HEIGHT_PX * counts.len() as u32;
     let names: Vec<String> = counts.iter().map(|(name, _)| (*name).to_string()).collect();
     let mut svg = String::new();
     {
@@ -105,7 +105,7 @@
     Ok(svg)
 }
 
-/// Returns a cell's colour: light grey to dark, and red from [`DARKEST_TIMES_MEAN`] on.
+/// Returns a cell's colour: light to dark grey, and red from [`DARKEST_TIMES_MEAN`] on.
 fn shade(times: f64) -> RGBColor {
     if times >= DARKEST_TIMES_MEAN {
         return super::CRIMSON;
--- a/crates/rehearsal/src/html/mod.rs
+++ b/crates/rehearsal/src/html/mod.rs
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 
 /// Size of a chart in pixels.
-const SIZE: (u32, u32) = (900, 260);
-/// Receivers with a chart of their own: those with the most calls.
+const CHART_SIZE_PX: (u32, u32) = (900, 260);
+/// Maximum number of receivers with their own chart: those with the most calls.
 const MAX_LISTED_RECEIVERS: usize = 8;
-/// Marks that are labelled in a chart; further ones are lines only.
+/// Maximum number of labelled marks in a chart; further marks are lines only.
 const MAX_LABELLED_MARKS: usize = 24;
 
 pub(crate) const GREEN: RGBColor = RGBColor(46, 125, 50);
@@ -21,14 +21,14 @@
 pub(crate) const CRIMSON: RGBColor = RGBColor(183, 28, 28);
 pub(crate) const SLATE: RGBColor = RGBColor(55, 71, 79);
 
-/// A line of a chart: its name, its colour, and a value for each second.
+/// A curve of a chart: its name, its colour, and a value for each second.
 struct Line {
     name: String,
     colour: RGBColor,
     values: Vec<f64>,
 }
 
-/// Returns the page.
+/// Returns the whole report as an HTML page.
 ///
 /// # Errors
 /// Fails if a chart cannot be drawn; names the chart and the cause.
@@ -53,10 +53,12 @@
     add(&format!("Messages held, all senders (room for {room})"), open_messages(table, seconds), None)?;
     let mut busiest: Vec<_> = report.receivers.iter().collect();
     busiest.sort_by_key(|r| (std::cmp::Reverse(r.calls), r.number));
-    for r in busiest.iter().take(MAX_LISTED_RECEIVERS) {
-        let title =
-            format!("Receiver {} ({}): calls a second against its rate of {:.1}", r.number, r.kind, r.rate);
-        add(&title, calls(table, r.number, seconds), Some(r.rate))?;
+    for receiver in busiest.iter().take(MAX_LISTED_RECEIVERS) {
+        let title = format!(
+            "Receiver {} ({}): calls a second against its rate of {:.1}",
+            receiver.number, receiver.kind, receiver.rate
+        );
+        add(&title, calls(table, receiver.number, seconds), Some(receiver.rate))?;
     }
     let marks: String = table
         .marks
@@ -66,21 +68,21 @@
             format!("<tr><td>{}</td><td>{:.1} s</td><td>{}</td></tr>", n + 1, *t as f64 / 1e6, escape(text))
         })
         .collect();
-    let rules: String = report.judgement.rules.iter().map(|r| {
-        let class = match r.verdict {
+    let rules: String = report.judgement.rules.iter().map(|ruling| {
+        let class = match ruling.verdict {
             Verdict::Kept => "kept",
             Verdict::Broken => "broken",
             Verdict::Untested => "untested",
         };
-        let violations: String = r.violations.iter().map(|o| {
-            let of = [o.message.as_deref(), o.endpoint.as_deref()];
+        let violations: String = ruling.violations.iter().map(|violation| {
+            let of = [violation.message.as_deref(), violation.endpoint.as_deref()];
             let of: Vec<&str> = of.into_iter().flatten().collect();
-            format!("<li>{:.3} s {}: {}</li>", o.t as f64 / 1e6, escape(&of.join(" at ")), escape(&o.what))
+            format!("<li>{:.3} s {}: {}</li>", violation.t as f64 / 1e6, escape(&of.join(" at ")), escape(&violation.what))
         }).collect();
-        let margin = r.margin.as_ref().map_or(String::new(), |m| format!("<br>{}", escape(&m.to_string())));
+        let margin = ruling.margin.as_ref().map_or(String::new(), |m| format!("<br>{}", escape(&m.to_string())));
         format!(
             "<tr><td>{}</td><td class=\"{class}\">{}</td><td>{} times ({}){margin}<ul>{violations}</ul></td></tr>",
-            escape(&r.rule.to_string()), r.verdict, r.tested, escape(&r.test)
+            escape(&ruling.rule.to_string()), ruling.verdict, ruling.tested, escape(&ruling.test)
         )
     }).collect();
     let void = report.judgement.void.as_ref().map_or(String::new(), |w| {
@@ -112,7 +114,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// Returns a legend of the names in their lines' colours.
+/// Returns a legend of the chart's lines, each name in its line's colour.
 pub(crate) fn legend<'a>(lines: impl Iterator<Item = (&'a str, RGBColor)>) -> String {
     let entry = |(name, RGBColor(r, g, b))| {
         format!("<span style=\"color:rgb({r},{g},{b})\">&#9632; {}</span> ", escape(name))
@@ -133,12 +135,12 @@
         line("failed", CRIMSON),
     ];
     let mut ends: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-    for m in &table.messages {
-        let end = ends.entry(&m.origin).or_insert((second(m.offered), 3));
-        if table.delivered(m).is_some() {
+    for message in &table.messages {
+        let end = ends.entry(&message.origin).or_insert((second(message.offered), 3));
+        if table.delivered(message).is_some() {
             end.1 = 1;
         } else if end.1 != 1 {
-            end.1 = if m.refused() { 2 } else { 3 };
+            end.1 = if message.refused() { 2 } else { 3 };
         }
     }
     for (at, which) in ends.into_values().filter(|e| e.0 < seconds) {
@@ -166,13 +168,13 @@
 }
 
 /// Returns the maximum number of spans that were open in each second.
-fn at_once(spans: impl Iterator<Item = (Micros, Micros)>, seconds: usize) -> Vec<f64> {
+fn max_open(spans: impl Iterator<Item = (Micros, Micros)>, seconds: usize) -> Vec<f64> {
     let mut steps: Vec<(Micros, i64)> = spans.flat_map(|(a, b)| [(a, 1), (b, -1)]).collect();
     steps.sort_unstable();
     let (mut values, mut open, mut at) = (vec![0.0; seconds], 0, 0);
     for (t, step) in steps {
         let now = second(t).min(seconds - 1);
-        // The number stays through the seconds in which nothing changes.
+        // The number stays the same in seconds without a change.
         while at < now {
             at += 1;
             values[at] = open as f64;
@@ -185,7 +187,7 @@
 
 fn slots_used(table: &Table, seconds: usize) -> Vec<Line> {
     let spans = table.calls.values().map(|c| (c.t, c.end.as_ref().map_or(table.end, |e| e.0)));
-    vec![Line { name: "calls out".into(), colour: SLATE, values: at_once(spans, seconds) }]
+    vec![Line { name: "calls out".into(), colour: SLATE, values: max_open(spans, seconds) }]
 }
 
 fn open_messages(table: &Table, seconds: usize) -> Vec<Line> {
@@ -194,7 +196,7 @@
         let end = notified.into_iter().chain(table.delivered(m)).min().unwrap_or(table.end);
         Some((m.accepted()?, end))
     });
-    vec![Line { name: "messages held".into(), colour: SLATE, values: at_once(spans, seconds) }]
+    vec![Line { name: "messages held".into(), colour: SLATE, values: max_open(spans, seconds) }]
 }
 
 fn calls(table: &Table, number: i64, seconds: usize) -> Vec<Line> {
@@ -222,7 +224,7 @@
     let max = lines.iter().flat_map(|l| &l.values).copied().chain(limit).fold(1.0, f64::max) * 1.08;
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, CHART_SIZE_PX).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
--- a/crates/rehearsal/src/html/returns.rs
+++ b/crates/rehearsal/src/html/returns.rs
@@ -1,23 +1,23 @@
-//! A chart of each return: the load of all senders on a returning receiver against its overload limit, and below it
-//! the calls of each sender.
+//! A chart of each return from an outage: the load of all senders on the receiver against its overload limit.
+//! Below it, the chart shows the calls of each sender.
 
 use super::{AMBER, CRIMSON, GREEN, SLATE, escape};
 use crate::judge::{ArrivalEnd, Return, Table, returns};
 use crate::span::Micros;
 use plotters::prelude::*;
 
-/// Charts on a page; further returns are in the tables only.
+/// Maximum number of charts on a page; further returns are listed in the tables only.
 const MAX_PICTURES: usize = 24;
 /// Size of a chart in pixels.
-const SIZE: (u32, u32) = (900, 420);
-/// Senders with a row of their own; the rest share the last.
+const CHART_SIZE_PX: (u32, u32) = (900, 420);
+/// Maximum number of rows for senders; further senders share the last row.
 const MAX_ROWS: usize = 100;
-/// Time before the return at which a chart starts.
+/// How long before the return a chart starts.
 const LEAD_US: Micros = 1_000_000;
-/// Time after the receiver is warm at which a chart ends.
+/// How long after the receiver is warm a chart ends.
 const TRAIL_US: Micros = 500_000;
 
-/// Returns the section of the page; empty if nothing returned.
+/// Returns the section of the page about returns from outages; empty if there were none.
 pub(super) fn section(table: &Table) -> Result<String, String> {
     let all = returns(table);
     if all.is_empty() {
@@ -52,7 +52,7 @@
 fn draw_chart(table: &Table, this_return: &Return) -> Result<String, Box<dyn std::error::Error>> {
     let warm = table.receiver(this_return.receiver).map_or(0, |x| x.warm_up);
     let (from, to) = (-(LEAD_US as f64) / 1e6, (warm + TRAIL_US) as f64 / 1e6);
-    let s = |t: Micros| (t - this_return.back_at) as f64 / 1e6;
+    let seconds = |t: Micros| (t - this_return.back_at) as f64 / 1e6;
     let step = (warm / 100).max(1);
     let limit = |share: f64| -> Vec<(f64, f64)> {
         let at = |n: Micros| (n * step) as f64 / 1e6;
@@ -63,7 +63,7 @@
     let rows = table.parameters.senders.len().clamp(1, MAX_ROWS);
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, CHART_SIZE_PX).into_drawing_area();
         area.fill(&WHITE)?;
         let (upper, lower) = area.split_vertically(230);
         let mut chart = ChartBuilder::on(&upper)
@@ -76,12 +76,12 @@
         for dash in limit(0.85).chunks(4).filter_map(|c| c.get(..2)) {
             chart.draw_series(LineSeries::new(dash.iter().copied(), CRIMSON))?;
         }
-        // The load is drawn as steps at the arrivals only, which is exact enough: in between it falls as older arrivals
-        // leave the window.
+        // The load is drawn with one step per arrival, which is exact enough:
+        // between arrivals the load only falls as older arrivals leave the window.
         let mut line: Vec<(f64, f64)> = Vec::new();
         for l in &this_return.loads {
-            line.extend(line.last().map(|(_, y)| (s(l.t), *y)));
-            line.push((s(l.t), l.sent));
+            line.extend(line.last().map(|(_, y)| (seconds(l.t), *y)));
+            line.push((seconds(l.t), l.sent));
         }
         chart.draw_series(LineSeries::new(line, SLATE.stroke_width(2)))?;
         let mut chart = ChartBuilder::on(&lower)
@@ -113,7 +113,7 @@
         let points = before.chain(after.map(|p| (p.t, p.sender, colour(p.end))));
         chart.draw_series(points.map(|(t, sender, colour)| {
             let y = sender.min(rows - 1) as f64 + 0.5;
-            Circle::new((s(t), y), 2, colour.filled())
+            Circle::new((seconds(t), y), 2, colour.filled())
         }))?;
         area.present()?;
     }
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -1,5 +1,5 @@
-//! Aggregates the reports of many runs by scenario and number of senders, as a table and as a page with charts. It does
-//! no I/O.
+//! Aggregates the reports of many runs by scenario and number of senders, as a table and as a page with charts.
+//! This module does no I/O.
 
 use crate::html::{AMBER, CRIMSON, GREEN, SLATE, escape, legend};
 use crate::judge::{Rule, Spread, Verdict};
@@ -17,12 +17,12 @@
     pub scenario: String,
     /// Number of senders.
     pub senders: usize,
-    /// Seed.
+    /// Seed of the run.
     pub seed: u64,
 }
 
 impl Cell {
-    /// Returns the name of the folder for its evidence.
+    /// Returns the name of the folder for the run's evidence.
     pub fn folder(&self) -> String {
         format!("{}-n{}-s{}", self.scenario, self.senders, self.seed)
     }
@@ -37,7 +37,7 @@
     pub senders: usize,
     /// Number of runs that are not void.
     pub runs: usize,
-    /// Number of void runs, on which the rig itself was late.
+    /// Number of void runs, in which the rig itself was late.
     pub void: usize,
     /// Broken rules, with the number of runs that broke each.
     pub broken: BTreeMap<String, usize>,
@@ -45,7 +45,7 @@
     pub service: [f64; 3],
     /// Highest load on a returning receiver as a share of its overload limit: mean and maximum over the runs.
     pub share_of_fall: [f64; 2],
-    /// Mean time in seconds from a return to half of the usual load, and to nine tenths; `None` if one never reached it.
+    /// Mean seconds from a return to half of the usual load, and to nine tenths; `None` if a return never reached it.
     pub back: [Option<f64>; 2],
     /// Shares of messages that were late, refused in the end, and failed.
     pub late_refused_failed: [f64; 3],
@@ -53,14 +53,15 @@
     pub connections: f64,
     /// Refused calls per message.
     pub refused_calls: f64,
-    /// Mean over the runs of the worst receiver's evenness in windows of 10 s: busiest endpoint over the mean, idlest
-    /// over the mean, and variance over that of random choices; `None` if no receiver has enough endpoints and calls.
+    /// Evenness of the worst receiver in windows of 10 s, as the mean over the runs: busiest endpoint over the mean,
+    /// idlest over the mean, and variance over that of random choices. `None` if no receiver has enough endpoints and
+    /// calls to compute the evenness.
     #[serde(default)]
     pub uneven: [Option<f64>; 3],
-    /// Median and 90th percentile of the latency in ms: means over the runs.
+    /// Median and 90th percentile of the latency in ms, each as the mean over the runs.
     #[serde(default)]
     pub latency_ms: [f64; 2],
-    /// For each rule with an observed margin, its worst value, in its own unit.
+    /// Worst observed value of each rule that has a margin, in the margin's own unit.
     pub margins: BTreeMap<String, f64>,
 }
 
@@ -91,9 +92,9 @@
     };
     let penalty = |name: &str| {
         mean(&|r| {
-            let s = &r.judgement.service;
-            let count = s.penalties.iter().find(|p| p.name.starts_with(name)).map_or(0.0, |p| p.count);
-            count / s.whole.messages.max(1) as f64
+            let service = &r.judgement.service;
+            let count = service.penalties.iter().find(|p| p.name.starts_with(name)).map_or(0.0, |p| p.count);
+            count / service.whole.messages.max(1) as f64
         })
     };
     let (mut broken, mut margins) = (BTreeMap::new(), BTreeMap::new());
@@ -141,7 +142,7 @@
     }
 }
 
-/// Returns the table as text.
+/// Returns the rows as a text table.
 pub fn text(rows: &[Row]) -> String {
     let mut out = String::new();
     // Writing to a string cannot fail.
@@ -170,35 +171,35 @@
         "p50 p90 ms"
     )?;
     let seconds = |t: Option<f64>| t.map_or("-".into(), |t| format!("{t:.2}"));
-    for r in rows {
-        let [min, mean, max] = r.service;
-        let [late, refused, failed] = r.late_refused_failed;
-        let broken: Vec<String> = r.broken.iter().map(|(rule, n)| format!("{rule} ({n})")).collect();
-        let spread = if r.runs == 0 { "-".into() } else { format!("{min:.3} to {max:.3}") };
+    for row in rows {
+        let [min, mean, max] = row.service;
+        let [late, refused, failed] = row.late_refused_failed;
+        let broken: Vec<String> = row.broken.iter().map(|(rule, n)| format!("{rule} ({n})")).collect();
+        let spread = if row.runs == 0 { "-".into() } else { format!("{min:.3} to {max:.3}") };
         writeln!(
             out,
             "{:<20} {:>7} {:>5} {:>5} {mean:>7.3} {spread:>15} {:>13} {:>7} {:>7} {late:>6.3} {refused:>7.3} {failed:>6.3} \
              {:>6.3} {:>15} {:>11}  {}",
-            r.scenario,
-            r.senders,
-            r.runs,
-            r.void,
-            format!("{:.2} / {:.2}", r.share_of_fall[0], r.share_of_fall[1]),
-            seconds(r.back[0]),
-            seconds(r.back[1]),
-            r.connections,
-            r.uneven.map(|v| v.map_or("-".into(), |v| format!("{v:.2}"))).join(" "),
-            r.latency_ms.map(|v| format!("{v:.0}")).join(" "),
+            row.scenario,
+            row.senders,
+            row.runs,
+            row.void,
+            format!("{:.2} / {:.2}", row.share_of_fall[0], row.share_of_fall[1]),
+            seconds(row.back[0]),
+            seconds(row.back[1]),
+            row.connections,
+            row.uneven.map(|v| v.map_or("-".into(), |v| format!("{v:.2}"))).join(" "),
+            row.latency_ms.map(|v| format!("{v:.0}")).join(" "),
             broken.join(", ")
         )?;
     }
     Ok(())
 }
 
-/// Selects the value of a row that a chart shows.
+/// Function that returns the value of a row that a chart shows.
 type RowValue = fn(&Row) -> f64;
 
-/// Returns the table and its charts as one HTML page.
+/// Returns the rows as an HTML page with a table and charts.
 ///
 /// # Errors
 /// Fails if a chart cannot be drawn; names the chart and the cause.
@@ -248,7 +249,7 @@
 }
 
 fn colour(n: usize) -> RGBColor {
-    const MORE: [RGBColor; 8] = [
+    const EXTRA_COLOURS: [RGBColor; 8] = [
         SLATE,
         GREEN,
         AMBER,
@@ -258,7 +259,7 @@
         RGBColor(0, 131, 143),
         RGBColor(121, 85, 72),
     ];
-    MORE[n % MORE.len()]
+    EXTRA_COLOURS[n % EXTRA_COLOURS.len()]
 }
 
 fn draw_chart(rows: &[Row], names: &[&str], value: RowValue) -> Result<String, Box<dyn std::error::Error>> {
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,7 +1,9 @@
-//! The report of a rehearsal: the judge's result with values by class and receiver, as text and as JSON.
+//! The report of a rehearsal: the judge's result with statistics by class and receiver, as text and as JSON.
 
 use crate::history::{Record, read};
-use crate::judge::{Attempt, CallEnd, Evenness, Judgement, Margin, Rule, Table, Verdict, WINDOWS, verdict};
+use crate::judge::{
+    Attempt, CallEnd, Evenness, Judgement, Margin, Rule, Table, Verdict, WINDOWS_US, verdict,
+};
 use crate::span::Micros;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -9,12 +11,12 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Upper bound of recorded latencies, one day in microseconds; they are kept to three significant digits.
+/// Upper bound of recorded latencies: one day in microseconds. The histogram has three significant digits.
 const DAY_US: u64 = 24 * 3600 * 1_000_000;
 
-/// Returns that the text lists; the JSON has all.
+/// Maximum number of returns that the text lists; the JSON has all.
 const MAX_LISTED_RETURNS: usize = 30;
-/// Receivers that the text lists; the JSON has all.
+/// Maximum number of receivers that the text lists; the JSON has all.
 const MAX_LISTED_RECEIVERS: usize = 20;
 
 /// Distribution of a latency, in milliseconds.
@@ -22,15 +24,15 @@
 pub struct Latency {
     /// Name of the class, or `all`.
     pub name: String,
-    /// Number of values.
+    /// Number of deliveries.
     pub count: u64,
-    /// Median.
+    /// Median latency.
     pub p50_ms: f64,
-    /// 90th percentile.
+    /// 90th percentile of the latency.
     pub p90_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile of the latency.
     pub p99_ms: f64,
-    /// Maximum.
+    /// Maximum latency.
     pub max_ms: f64,
 }
 
@@ -59,22 +61,22 @@
     pub number: i64,
     /// Name of its kind.
     pub kind: String,
-    /// Calls per second that it accepts.
+    /// Calls per second that the receiver accepts.
     pub rate: f64,
-    /// Calls that arrived.
+    /// Number of calls that arrived.
     pub calls: usize,
-    /// Messages in these calls.
+    /// Number of messages in these calls.
     pub messages: usize,
-    /// Messages delivered.
+    /// Number of messages delivered.
     pub delivered: usize,
-    /// Calls that it rejected with 429 or 503.
+    /// Number of calls that the receiver rejected with 429 or 503.
     pub refused: usize,
-    /// Calls without an answer, or with another error.
+    /// Number of calls without an answer, or with another error.
     pub unanswered: usize,
-    /// Maximum number of calls in a second.
+    /// Highest number of calls in one second.
     #[serde(rename = "most")]
     pub max_per_second: usize,
-    /// Whether it was overloaded.
+    /// Whether the receiver was overloaded.
     #[serde(rename = "fell")]
     pub overloaded: bool,
 }
@@ -91,15 +93,15 @@
     /// The judge's result.
     #[serde(flatten)]
     pub judgement: Judgement,
-    /// Latencies from a message's first put to its delivery, by class.
+    /// Latencies by class, from a message's first put to its delivery.
     pub latencies: Vec<Latency>,
-    /// Counts by receiver.
+    /// Counts of each receiver.
     pub receivers: Vec<ReceiverStats>,
-    /// Path of the evidence.
+    /// Path of the history or its folder.
     pub evidence: String,
 }
 
-/// A report that cannot be made.
+/// Reason why no report can be made.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// The history cannot be read.
@@ -110,7 +112,7 @@
     Judge(#[from] crate::judge::JudgeError),
 }
 
-/// Reads a history, judges it, and makes the report. `path` is the history, or the folder that contains it.
+/// Reads and judges a history, and makes the report. `path` is the history, or the folder that contains it.
 ///
 /// # Errors
 /// Fails if the history cannot be read or judged.
@@ -155,14 +157,14 @@
 
 fn receivers(table: &Table) -> Vec<ReceiverStats> {
     let mut stats: BTreeMap<i64, ReceiverStats> = BTreeMap::new();
-    for r in &table.parameters.receivers {
-        let overloaded = table.overloaded.iter().any(|(_, n)| *n == r.number);
+    for receiver in &table.parameters.receivers {
+        let overloaded = table.overloaded.iter().any(|(_, n)| *n == receiver.number);
         stats.insert(
-            r.number,
+            receiver.number,
             ReceiverStats {
-                number: r.number,
-                kind: r.kind.clone(),
-                rate: r.rate,
+                number: receiver.number,
+                kind: receiver.kind.clone(),
+                rate: receiver.rate,
                 calls: 0,
                 messages: 0,
                 delivered: 0,
@@ -220,29 +222,38 @@
             writeln!(out, "VOID: {why}; what follows proves nothing")?;
         }
         writeln!(out, "\nrules")?;
-        for r in &judgement.rules {
-            let times =
-                if r.verdict == Verdict::Broken { format!("{} offences, ", r.broken) } else { String::new() };
+        for ruling in &judgement.rules {
+            let times = if ruling.verdict == Verdict::Broken {
+                format!("{} offences, ", ruling.broken)
+            } else {
+                String::new()
+            };
             writeln!(
                 out,
                 "  {:<38} {:<10} {times}tested {} times ({})",
-                r.rule.to_string(),
-                r.verdict,
-                r.tested,
-                r.test
+                ruling.rule.to_string(),
+                ruling.verdict,
+                ruling.tested,
+                ruling.test
             )?;
-            for o in &r.violations {
-                let message = o.message.as_ref().map_or(String::new(), |m| format!(" message {m}"));
-                let endpoint = o.endpoint.as_ref().map_or(String::new(), |e| format!(" endpoint {e}"));
-                writeln!(out, "      {:>9.3} s{message}{endpoint}: {}", o.t as f64 / 1e6, o.what)?;
+            for violation in &ruling.violations {
+                let message = violation.message.as_ref().map_or(String::new(), |m| format!(" message {m}"));
+                let endpoint =
+                    violation.endpoint.as_ref().map_or(String::new(), |e| format!(" endpoint {e}"));
+                writeln!(
+                    out,
+                    "      {:>9.3} s{message}{endpoint}: {}",
+                    violation.t as f64 / 1e6,
+                    violation.what
+                )?;
             }
-            if let Some(margin) = &r.margin {
+            if let Some(margin) = &ruling.margin {
                 writeln!(out, "      {margin}")?;
             }
-            for (what, n) in &r.counts {
+            for (what, n) in &ruling.counts {
                 writeln!(out, "      {n} x {what}")?;
             }
-            for remark in &r.remarks {
+            for remark in &ruling.remarks {
                 writeln!(out, "      {remark}")?;
             }
         }
@@ -252,19 +263,20 @@
                 "\n  {:<20} {:>8} {:>6} {:>6} {:>13} {:>9} {:>8} {:>8}",
                 "return", "at s", "knew", "pushes", "share of fall", "after ms", "half s", "full s"
             )?;
-            let s = |t: Option<Micros>| t.map_or("never".to_string(), |t| format!("{:.2}", t as f64 / 1e6));
-            for r in judgement.returns.iter().take(MAX_LISTED_RETURNS) {
-                let name = r.route.clone().unwrap_or_else(|| r.receiver.to_string());
+            let seconds =
+                |t: Option<Micros>| t.map_or("never".to_string(), |t| format!("{:.2}", t as f64 / 1e6));
+            for summary in judgement.returns.iter().take(MAX_LISTED_RETURNS) {
+                let name = summary.route.clone().unwrap_or_else(|| summary.receiver.to_string());
                 writeln!(
                     out,
                     "  {name:<20} {:>8.3} {:>6} {:>6} {:>13.2} {:>9} {:>8} {:>8}",
-                    r.back as f64 / 1e6,
-                    r.aware,
-                    r.arrivals,
-                    r.peak,
-                    r.peak_after / 1000,
-                    s(r.half_load_after),
-                    s(r.full_load_after)
+                    summary.back as f64 / 1e6,
+                    summary.aware,
+                    summary.arrivals,
+                    summary.peak,
+                    summary.peak_after / 1000,
+                    seconds(summary.half_load_after),
+                    seconds(summary.full_load_after)
                 )?;
             }
             if judgement.returns.len() > MAX_LISTED_RETURNS {
@@ -282,8 +294,8 @@
         for (name, weight, share) in terms {
             writeln!(out, "  {weight:.2} x {share:.4}  {name}")?;
         }
-        for p in &service.penalties {
-            writeln!(out, "      - {:.4}  {} ({} times)", p.off, p.name, p.count)?;
+        for penalty in &service.penalties {
+            writeln!(out, "      - {:.4}  {} ({} times)", penalty.off, penalty.name, penalty.count)?;
         }
         writeln!(
             out,
@@ -291,11 +303,11 @@
             "part", "messages", "in time", "late", "refused", "failed", "served"
         )?;
         let parts = std::iter::once(&service.whole).chain(&service.classes).chain(&service.tenants);
-        for p in parts {
+        for part in parts {
             writeln!(
                 out,
                 "  {:<20} {:>8} {:>8} {:>7} {:>8} {:>7} {:>7.4}",
-                p.name, p.messages, p.in_time, p.late, p.refused, p.failed, p.share
+                part.name, part.messages, part.in_time, part.late, part.refused, part.failed, part.share
             )?;
         }
         writeln!(
@@ -303,11 +315,11 @@
             "\n  {:<20} {:>8} {:>9} {:>9} {:>9} {:>9}",
             "latency, ms", "count", "p50", "p90", "p99", "longest"
         )?;
-        for l in &self.latencies {
+        for latency in &self.latencies {
             writeln!(
                 out,
                 "  {:<20} {:>8} {:>9.1} {:>9.1} {:>9.1} {:>9.1}",
-                l.name, l.count, l.p50_ms, l.p90_ms, l.p99_ms, l.max_ms
+                latency.name, latency.count, latency.p50_ms, latency.p90_ms, latency.p99_ms, latency.max_ms
             )?;
         }
         writeln!(
@@ -315,15 +327,26 @@
             "\n  {:<20} {:>7} {:>7} {:>8} {:>9} {:>8} {:>10} {:>10}",
             "receiver", "rate/s", "calls", "messages", "delivered", "refused", "unanswered", "most in 1s"
         )?;
-        // Receivers with the most calls come first.
+        // Lists the receivers with the most calls first.
         let mut busiest: Vec<&ReceiverStats> = self.receivers.iter().collect();
         busiest.sort_by_key(|r| (std::cmp::Reverse(r.calls), r.number));
-        for r in busiest.iter().take(MAX_LISTED_RECEIVERS) {
-            let name = format!("{} {}{}", r.number, r.kind, if r.overloaded { " (fell)" } else { "" });
+        for receiver in busiest.iter().take(MAX_LISTED_RECEIVERS) {
+            let name = format!(
+                "{} {}{}",
+                receiver.number,
+                receiver.kind,
+                if receiver.overloaded { " (fell)" } else { "" }
+            );
             writeln!(
                 out,
                 "  {name:<20} {:>7.1} {:>7} {:>8} {:>9} {:>8} {:>10} {:>10}",
-                r.rate, r.calls, r.messages, r.delivered, r.refused, r.unanswered, r.max_per_second
+                receiver.rate,
+                receiver.calls,
+                receiver.messages,
+                receiver.delivered,
+                receiver.refused,
+                receiver.unanswered,
+                receiver.max_per_second
             )?;
         }
         if busiest.len() > MAX_LISTED_RECEIVERS {
@@ -343,25 +366,29 @@
     }
 }
 
-/// Writes the evenness of each receiver: for each window the busiest and idlest endpoint over the mean, and the
+/// Writes the evenness of each receiver: for each window length the busiest and idlest endpoint over the mean, and the
 /// variance over that of random choices.
 fn write_evenness(out: &mut String, all: &[Evenness]) -> std::fmt::Result {
     if all.is_empty() {
         return Ok(());
     }
     write!(out, "\n  {:<20} {:>9}", "evenness", "endpoints")?;
-    for window in WINDOWS {
+    for window in WINDOWS_US {
         write!(out, " {:>20}", format!("busy idle var, {:.1}s", window as f64 / 1e6))?;
     }
     writeln!(out, " {:>12}", "idle, ms")?;
     let number = |v: Option<f64>| v.map_or("-".to_string(), |v| format!("{v:.2}"));
-    for e in all.iter().take(MAX_LISTED_RECEIVERS) {
-        write!(out, "  {:<20} {:>9}", e.receiver, e.endpoints)?;
-        for s in &e.spreads {
-            let variance = number((s.windows > 0).then_some(s.variance));
-            write!(out, " {:>20}", format!("{} {} {variance}", number(s.busiest), number(s.idlest)))?;
+    for evenness in all.iter().take(MAX_LISTED_RECEIVERS) {
+        write!(out, "  {:<20} {:>9}", evenness.receiver, evenness.endpoints)?;
+        for spread in &evenness.spreads {
+            let variance = number((spread.windows > 0).then_some(spread.variance));
+            write!(
+                out,
+                " {:>20}",
+                format!("{} {} {variance}", number(spread.busiest), number(spread.idlest))
+            )?;
         }
-        writeln!(out, " {:>12.0}", e.longest_idle as f64 / 1e3)?;
+        writeln!(out, " {:>12.0}", evenness.longest_idle as f64 / 1e3)?;
     }
     if all.len() > MAX_LISTED_RECEIVERS {
         writeln!(out, "  and {} more", all.len() - MAX_LISTED_RECEIVERS)?;
@@ -391,14 +418,14 @@
     row("worst 10 s", service.worst_window.share, other_service.worst_window.share)?;
     row("worst class", service.worst_class, other_service.worst_class)?;
     row("worst tenant", service.worst_tenant, other_service.worst_tenant)?;
-    for p in &service.penalties {
-        let other = other_service.penalties.iter().find(|q| q.name == p.name).map_or(0.0, |q| q.off);
-        row(&format!("off: {}", p.name), p.off, other)?;
+    for penalty in &service.penalties {
+        let other = other_service.penalties.iter().find(|q| q.name == penalty.name).map_or(0.0, |q| q.off);
+        row(&format!("off: {}", penalty.name), penalty.off, other)?;
     }
-    for l in &a.latencies {
-        let Some(m) = b.latencies.iter().find(|m| m.name == l.name) else { continue };
-        row(&format!("p50 ms, {}", l.name), l.p50_ms, m.p50_ms)?;
-        row(&format!("p99 ms, {}", l.name), l.p99_ms, m.p99_ms)?;
+    for latency in &a.latencies {
+        let Some(other) = b.latencies.iter().find(|other| other.name == latency.name) else { continue };
+        row(&format!("p50 ms, {}", latency.name), latency.p50_ms, other.p50_ms)?;
+        row(&format!("p99 ms, {}", latency.name), latency.p99_ms, other.p99_ms)?;
     }
     writeln!(out)?;
     for rule in Rule::ALL {
--- a/crates/rehearsal/src/rig/receivers/endpoint.rs
+++ b/crates/rehearsal/src/rig/receivers/endpoint.rs
@@ -1,9 +1,9 @@
-//! An endpoint of a stand-in receiver. It listens on a separate address for each sender, so that every connection
-//! identifies its sender.
+//! An endpoint of a stand-in receiver.
+//! It listens on a separate address for each sender, so that every connection identifies its sender.
 
 use super::fault::Fault;
+use super::first_byte::FirstByteRecorder;
 use super::request::Exchange;
-use super::tap::Tap;
 use super::{Receiver, Receivers};
 use crate::event::EventKind;
 use crate::history::Event;
@@ -45,7 +45,7 @@
 }
 
 impl Receivers {
-    /// Opens another endpoint of a receiver.
+    /// Opens a new endpoint of a receiver.
     pub(super) async fn open(self: &Rc<Self>, receiver: &Rc<Receiver>) -> io::Result<Rc<Endpoint>> {
         let number = receiver.opened_endpoints.get();
         receiver.opened_endpoints.set(number + 1);
@@ -57,8 +57,8 @@
             addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
-        // Enough workers for the endpoint's part of the capacity at the mean latency, so that the receiver as a whole
-        // handles the scenario's capacity.
+        // The endpoint has enough workers for its part of the capacity at the mean latency,
+        // so that all endpoints of the receiver together handle the scenario's capacity.
         let part = receiver.spec.capacity / receiver.spec.endpoints.max(1) as f64;
         let workers = (part * receiver.spec.latency.mean()).ceil().max(1.0) as usize;
         let seed = scenario.parameters.seed ^ ((receiver.spec.number as u64) << 20) ^ u64::from(number);
@@ -108,14 +108,18 @@
             _ = stream.set_nodelay(true);
             if receiver.resets_connections(&endpoint) {
                 self.world.record(Event::Refused { sender, endpoint: endpoint.name.clone() });
-                // With a linger time of zero, closing resets the connection.
+                // Closing a connection with a linger time of zero resets it.
                 _ = stream.set_zero_linger();
                 continue;
             }
             let (receivers, receiver, endpoint) = (self.clone(), receiver.clone(), endpoint.clone());
             tokio::task::spawn_local(async move {
                 let first_byte = Rc::new(Cell::new(None));
-                let tap = Tap { stream, world: receivers.world.clone(), first_byte: first_byte.clone() };
+                let connection = FirstByteRecorder {
+                    stream,
+                    world: receivers.world.clone(),
+                    first_byte: first_byte.clone(),
+                };
                 let new_connection = Rc::new(Cell::new(true));
                 let service = service_fn(move |request| {
                     let exchange = Exchange {
@@ -130,8 +134,8 @@
                 });
                 let mut server = http1::Builder::new();
                 server.timer(TokioTimer::new()).header_read_timeout(idle_close);
-                // A sender that gives a call up breaks the connection, which is no error here.
-                _ = server.serve_connection(TokioIo::new(tap), service).await;
+                // A sender that gives up a call breaks the connection, which is no error here.
+                _ = server.serve_connection(TokioIo::new(connection), service).await;
             });
         }
     }
--- a/crates/rehearsal/src/scenario/class.rs
+++ b/crates/rehearsal/src/scenario/class.rs
@@ -36,27 +36,27 @@
     pub(super) size: Option<Spanned<[u32; 2]>>,
 }
 
-/// A class of messages, as clients put them.
+/// Properties of a class of messages that the clients need.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Share of the traffic.
+    /// Share of the traffic that the class has.
     pub share: f64,
-    /// Number of order keys, in an ordered class.
+    /// Number of distinct order keys, in an ordered class.
     pub order_keys: u32,
-    /// Indices of the kinds of receiver that get it; all kinds if empty.
+    /// Indices of the kinds of receiver to which the class is sent; all kinds if empty.
     pub kinds: Vec<usize>,
-    /// Range of the body's size in bytes.
+    /// Range of the size of a message's body in bytes.
     pub size: [u32; 2],
 }
 
-/// Default range of the body's size in bytes.
-const SIZE: [u32; 2] = [120, 400];
-/// Default number of order keys.
+/// Default range of the size of a message's body in bytes.
+const DEFAULT_BODY_BYTES: [u32; 2] = [120, 400];
+/// Default number of distinct order keys.
 const DEFAULT_ORDER_KEYS: u32 = 20;
-/// Default time for which a key of an ordered class rests after an attempt that may still be running: 1 s.
+/// Default of `order_settle`: no message of the key is sent for 1 s after an attempt that may still be running.
 const DEFAULT_ORDER_SETTLE_US: Micros = 1_000_000;
 
-/// Checks the classes; returns what clients and judge need of each.
+/// Checks the classes; returns the properties that the clients need, and the parameters for the judge.
 pub(super) fn classes(
     raw: &Raw,
     checks: &mut Checks<'_>,
@@ -129,7 +129,7 @@
     }
 
     fn checked_size(&self, checks: &mut Checks<'_>) -> [u32; 2] {
-        let Some(given) = &self.size else { return SIZE };
+        let Some(given) = &self.size else { return DEFAULT_BODY_BYTES };
         let size = *given.get_ref();
         let fits = size[0] <= size[1] && size[1] as usize <= MAX_BODY_BYTES;
         checks.require(fits, given.span(), "'size' must be [from, to] with from <= to <= 65536 bytes");
--- a/crates/rehearsal/src/scenario/split.rs
+++ b/crates/rehearsal/src/scenario/split.rs
@@ -3,7 +3,7 @@
 use super::{MAX_SENDERS, Scenario, Sender};
 use crate::parameters;
 
-/// A scenario that cannot be played with another number of senders.
+/// Reason why a scenario cannot run with another number of senders.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SplitError {
     /// An event names one of the senders.
@@ -15,8 +15,8 @@
 }
 
 impl Scenario {
-    /// Replaces the senders by this many identical ones. The load stays, and so do the totals of slots and open
-    /// messages; each sender keeps the memory, descriptor and disk limits of the scenario's first.
+    /// Replaces the senders by this many identical ones. The load and the totals of slots and open messages stay the
+    /// same; each sender keeps the memory, descriptor and disk limits of the scenario's first sender.
     ///
     /// # Errors
     /// Fails if the number is out of range, or an event is for one sender only.
@@ -28,8 +28,8 @@
             return Err(SplitError::Named(name));
         }
         let slots: u32 = self.parameters.senders.iter().map(|s| s.slots).sum();
-        let room: u32 = self.parameters.senders.iter().map(|s| s.max_open).sum();
-        let like = self.senders[0].clone();
+        let max_open: u32 = self.parameters.senders.iter().map(|s| s.max_open).sum();
+        let template = self.senders[0].clone();
         let part = |all: u32, min: u32| ((f64::from(all) / senders as f64).round() as u32).max(min);
         let zones = &self.network.zones;
         let zone = |n: usize| n % zones.len().max(1);
@@ -38,11 +38,11 @@
                 name: format!("n{n}"),
                 zone: zones.get(zone(n)).cloned().unwrap_or_default(),
                 slots: part(slots, 2),
-                max_open: part(room, 8),
+                max_open: part(max_open, 8),
             })
             .collect();
-        let of = |n| Sender { share: 1.0 / senders as f64, zone: zone(n), ..like.clone() };
-        self.senders = (0..senders).map(of).collect();
+        let sender = |n| Sender { share: 1.0 / senders as f64, zone: zone(n), ..template.clone() };
+        self.senders = (0..senders).map(sender).collect();
         Ok(())
     }
 }
--- a/crates/rehearsal/tests/common/stub.rs
+++ b/crates/rehearsal/tests/common/stub.rs
@@ -23,51 +23,51 @@
 pub enum Fault {
     None,
     /// Forgets every tenth accepted message, unless it is in an ordered class.
-    Forgets,
+    LosesMessages,
     /// Sends the notices of undelivered messages one second too late.
-    TellsLate,
+    SendsLateNotices,
     /// Closes the connection without a reply on some messages, however often they are put.
-    HangsUp,
+    ClosesWithoutReply,
     /// Repeats unsafe messages regardless of the outcome.
-    Repeats,
+    RepeatsUnsafe,
     /// Sends every tenth message to two endpoints at once.
-    Copies,
+    SendsCopies,
     /// Returns unsafe messages that may have run as safe to retry.
-    Refuses,
+    RefusesAfterRun,
     /// Keeps using the first list of endpoints.
     IgnoresDrains,
     /// Sends a returning receiver everything that it holds at once.
-    Stampedes,
+    OverloadsReturning,
     /// Sends messages of one key without waiting for each other.
-    Overtakes,
+    IgnoresOrder,
     /// Ignores advertised waits.
     IgnoresWaits,
     /// Accepts everything and sends nothing, to measure the rig.
-    Null,
+    SendsNothing,
 }
 
-/// Time-out of a call.
+/// Time-out of a call to a receiver.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time before its deadline at which a message is given up.
+/// How long before its deadline a message is given up.
 const GIVE_UP_LEAD: Duration = Duration::from_millis(250);
-/// Interval of calls to a receiver that came back recently.
+/// Interval between calls to a receiver that returned recently.
 const PACE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// An endpoint.
+/// An endpoint of a receiver.
 struct Endpoint {
     addr: SocketAddr,
 }
 
-/// The stub's state of a receiver.
+/// The stub's state for one receiver.
 #[derive(Default)]
 struct Receiver {
     endpoints: Vec<Rc<Endpoint>>,
     turn: usize,
     wait_until: Option<Instant>,
-    /// Whether it failed; then one trial call at a time checks whether it is back.
+    /// Whether the receiver failed; then one trial call at a time checks whether it works again.
     failing: bool,
     on_trial: bool,
-    /// End of the time in which calls to it are paced.
+    /// End of the time in which calls to the receiver are paced.
     warm_until: Option<Instant>,
     next: Option<Instant>,
 }
@@ -84,7 +84,7 @@
     frozen: Cell<bool>,
 }
 
-/// Starts a stub in a thread of its own, which ends with the process, and returns its address. The stub reads its
+/// Starts a stub in a separate thread, which ends with the process, and returns its address. The stub reads its
 /// configuration from this file as soon as the rig has written it.
 pub fn start(fault: Fault, config: PathBuf) -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Polls the complete list again and again.
+    /// Polls the complete list repeatedly.
     async fn follow(self: Rc<Self>) {
         loop {
             if let Ok((200, _, body)) = self.request(self.discovery, "GET /v1/servers", &[], b"").await
@@ -170,14 +170,15 @@
                 let Ok(put) = decode_put(&args) else { return };
                 self.taken.set(self.taken.get() + 1);
                 let number = self.taken.get();
-                // The client puts the message once more on a new connection, under the same id.
-                if self.fault == Fault::HangsUp && put.request_id.ends_with("07") {
+                // The client puts the message again on a new connection under the same id, and gets no reply either.
+                if self.fault == Fault::ClosesWithoutReply && put.request_id.ends_with("07") {
                     return;
                 }
                 _ = stream.write_all(b"+OK\r\n").await;
-                let forgets =
-                    self.fault == Fault::Forgets && number.is_multiple_of(10) && !self.classes[&put.class].1;
-                if forgets || self.fault == Fault::Null {
+                let forgets = self.fault == Fault::LosesMessages
+                    && number.is_multiple_of(10)
+                    && !self.classes[&put.class].1;
+                if forgets || self.fault == Fault::SendsNothing {
                     continue;
                 }
                 tokio::task::spawn_local(self.clone().deliver(put, number));
@@ -190,8 +191,8 @@
 
     async fn deliver(self: Rc<Self>, put: Put, number: u64) {
         let until = Instant::now() + Duration::from_micros(put.time_left as u64) - GIVE_UP_LEAD;
-        let ordered = self.classes[&put.class].1 && self.fault != Fault::Overtakes;
-        // The lock is fair: messages of a key are sent in the order of their arrival.
+        let ordered = self.classes[&put.class].1 && self.fault != Fault::IgnoresOrder;
+        // The lock is fair, so messages of a key are sent in the order of their arrival.
         let key = ordered.then(|| {
             let name = format!("{}/{}", put.class, put.order_key);
             self.keys.borrow_mut().entry(name).or_default().clone()
@@ -207,14 +208,14 @@
         if let Some(turn) = turn.as_deref_mut().filter(|_| unknown) {
             *turn = Some(Instant::now() + self.settle);
         }
-        // A message of an ordered key has ended only once the platform has its notice.
+        // A message with an order key has ended only when the platform has received its notice.
         if let Some(state) = end {
             self.notice(&put.request_id, state, until).await;
         }
     }
 
     async fn notice(&self, id: &str, state: &str, until: Instant) {
-        if self.fault == Fault::TellsLate {
+        if self.fault == Fault::SendsLateNotices {
             tokio::time::sleep_until((until + GIVE_UP_LEAD + Duration::from_secs(1)).into()).await;
         }
         let line = format!("{}\n", json!({"id": id, "state": state}));
@@ -226,8 +227,8 @@
         }
     }
 
-    /// Repeats attempts until the message is delivered or given up; returns the state of the notice, if one is due, and
-    /// whether an attempt may still be running.
+    /// Repeats attempts until the message is delivered or given up.
+    /// Returns the state of the notice, if one is due, and whether an attempt may still be running.
     async fn attempts(
         self: &Rc<Self>,
         put: &Put,
@@ -237,22 +238,22 @@
         let (effect, _, window) = &self.classes[&put.class];
         let mut may_have_run: Option<Instant> = None;
         let refused = |ran: bool| match effect.as_str() {
-            "single_shot" if ran && self.fault != Fault::Refuses => Some("failed"),
+            "single_shot" if ran && self.fault != Fault::RefusesAfterRun => Some("failed"),
             _ => Some("returned"),
         };
         for _ in 0..6 {
             match (may_have_run, effect.as_str()) {
-                (Some(_), "single_shot") if self.fault != Fault::Repeats => break,
+                (Some(_), "single_shot") if self.fault != Fault::RepeatsUnsafe => break,
                 _ => {}
             }
-            // An endpoint is awaited only as long as a repeat is still allowed.
+            // Waits for an endpoint only as long as a repeat is still allowed.
             let last = match may_have_run.filter(|_| effect == "guarded") {
                 Some(first) => until.min(first + *window - CALL_TIMEOUT),
                 None => until,
             };
             let Some(endpoint) = self.endpoint(put.dest, last).await else { break };
             let started = Instant::now();
-            if self.fault == Fault::Copies && number.is_multiple_of(10) {
+            if self.fault == Fault::SendsCopies && number.is_multiple_of(10) {
                 let (stub, put, endpoint) = (self.clone(), put.clone(), endpoint.clone());
                 tokio::task::spawn_local(async move {
                     _ = stub.call(&put, &endpoint, CALL_TIMEOUT).await;
@@ -271,7 +272,7 @@
         (refused(may_have_run.is_some()), may_have_run.is_some())
     }
 
-    /// Waits for an endpoint that may be called now; `None` once the time is up.
+    /// Waits for an endpoint that may be called now; returns `None` if none is free until then.
     async fn endpoint(&self, dest: i64, until: Instant) -> Option<Rc<Endpoint>> {
         while Instant::now() < until {
             if let Some(endpoint) = self.next_endpoint(dest) {
@@ -290,12 +291,12 @@
             return None;
         }
         if r.failing {
-            // One trial call at a time; other messages wait.
+            // One trial call runs at a time; other messages wait.
             if r.on_trial || r.next.is_some_and(|t| now < t) {
                 return None;
             }
             r.on_trial = true;
-        } else if r.warm_until.is_some_and(|t| now < t) && self.fault != Fault::Stampedes {
+        } else if r.warm_until.is_some_and(|t| now < t) && self.fault != Fault::OverloadsReturning {
             if r.next.is_some_and(|t| now < t) {
                 return None;
             }
@@ -338,13 +339,13 @@
         match tokio::time::timeout(patience, exchange).await {
             Ok(Ok((status, wait, _))) => CallOutcome::Answered(status, wait),
             Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => CallOutcome::NoConnection,
-            // An endpoint that is down resets connections before it reads anything.
+            // An endpoint that is down resets connections before it reads anything from them.
             Ok(Err(e)) if e.kind() == io::ErrorKind::NotConnected => CallOutcome::NoConnection,
             Ok(Err(_)) | Err(_) => CallOutcome::Broken,
         }
     }
 
-    /// Makes one HTTP request; returns status, advertised wait and body.
+    /// Makes one HTTP request; returns the status, the advertised wait and the body.
     async fn request(
         &self,
         addr: SocketAddr,
@@ -359,7 +360,7 @@
                 let stream = TcpStream::connect(addr).await?;
                 stream.set_nodelay(true)?;
                 let mut stream = BufReader::new(stream);
-                // A connection that is reset at once has not carried the request.
+                // A connection that is reset at once has not carried the request: it counts as not connected.
                 let ended = tokio::time::timeout(Duration::from_millis(3), stream.fill_buf()).await;
                 if ended.is_ok() {
                     return Err(io::ErrorKind::NotConnected.into());
--- a/crates/scale/src/slopes/held.rs
+++ b/crates/scale/src/slopes/held.rs
@@ -3,8 +3,8 @@
 use super::Setup;
 use crate::budget::{HELD_BYTES, HELD_JOURNAL, READY_TIME};
 use crate::process::{
-    Client, Daemon, Directory, Endpoints, KEPT_CLASS_TTL_MS, Options, PIPELINE, PutCounts, RefusingAddress,
-    on_this_thread,
+    Client, Daemon, Directory, Endpoints, KEPT_CLASS_TTL_MS, MAX_UNANSWERED, Options, PutCounts,
+    RefusingAddress, on_this_thread,
 };
 use crate::report::{Report, Unit};
 use crate::spread::{Line, Spread};
@@ -12,14 +12,14 @@
 use anyhow::{Result, ensure};
 use std::time::Duration;
 
-/// Number of destinations, all of which are down.
+/// Number of destinations; all of them are down.
 const DESTINATIONS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// Refused batches that are tolerated: the daemon refuses a message if its destination's queue is full.
+/// Number of refused batches that is tolerated: the daemon refuses a message if its destination's queue is full.
 const MAX_REFUSED_BATCHES: u64 = 10;
 
-/// Measurements of one daemon.
+/// Measurements of a single daemon.
 struct Sample {
     queued: f64,
     resident: f64,
@@ -27,18 +27,19 @@
     restart: f64,
 }
 
-/// Puts messages until this many are accepted.
+/// Puts messages until the daemon has accepted this many.
 async fn fill(daemon: &Daemon, count: usize) -> Result<PutCounts> {
     let mut client = Client::connect(daemon.address, "held").await?;
     let mut counts = PutCounts::default();
     while (counts.accepted as usize) < count {
         let first = counts.accepted as usize;
-        let batch: Vec<usize> = (first..count.min(first + PIPELINE)).map(|n| n % DESTINATIONS).collect();
+        let batch: Vec<usize> =
+            (first..count.min(first + MAX_UNANSWERED)).map(|n| n % DESTINATIONS).collect();
         let part = client.put("kept", KEPT_CLASS_TTL_MS, &batch).await?;
         counts =
             PutCounts { accepted: counts.accepted + part.accepted, refused: counts.refused + part.refused };
         ensure!(
-            counts.refused <= counts.accepted + MAX_REFUSED_BATCHES * PIPELINE as u64,
+            counts.refused <= counts.accepted + MAX_REFUSED_BATCHES * MAX_UNANSWERED as u64,
             "the daemon refused {} messages and accepted {}",
             counts.refused,
             counts.accepted
@@ -64,7 +65,7 @@
     Ok(Sample { queued, resident, journal, restart })
 }
 
-/// Runs the measurement.
+/// Measures the slope `held`.
 ///
 /// # Errors
 /// Fails if the daemon can't be started or accepts too few messages.
