--- a/src/batching.rs
+++ b/src/batching.rs
@@ -1,27 +1,29 @@
-//! Decides how long messages wait for others to share a call. It does no I/O and sees one lane at a time.
+//! Decides how long messages wait for other messages to share a call. Works on one lane at a time, without
+//! I/O.
 //!
-//! When each of many senders has little traffic, such calls carry one message each, and together they exceed
-//! the receiver's limit, above all one that is cut without notice. A sender that learns of it from refusals
-//! learns too late; a sender that always waits loses time in normal operation. So calls are spaced only when
-//! there are signs that the limit is short (`docs/design/even.md`).
+//! When each of many senders has little traffic, its calls carry one message each, and the calls of all
+//! senders together exceed the receiver's limit, above all if the limit is cut without notice. Reacting only
+//! to refusals is too late, and always waiting costs time in normal operation. So calls are spaced only when
+//! there are signs that the limit is nearly used up (`docs/design/even.md`).
 
-/// Calls are spaced to this share of an equal share of the limit. That fills them, and keeps the fleet within
-/// even half the limit.
+/// Pace of spaced calls as a share of an equal share of the limit. Spacing fills the calls, and keeps the
+/// fleet within the limit even if the limit is halved.
 const SPACING_SHARE: f64 = 0.45;
-/// Below this ratio of own traffic to an equal share of the limit no calls are spaced. If all senders are
-/// alike, even a limit cut by almost half takes such a fleet's calls; a sender with less traffic than others
-/// adds too little.
+/// Up to this ratio of own traffic to an equal share of the limit, calls are not spaced. If all senders have
+/// equal traffic, a limit that is cut by almost half still accepts the fleet's calls. A sender with less
+/// traffic than the others adds too little load to matter.
 const NO_SPACING_RATIO: f64 = 0.6;
 /// Ratio of own traffic to an equal share of the limit at which the spacing is as wide as after a refusal.
 const FULL_SPACING_RATIO: f64 = 0.9;
-/// Maximum spacing after a refusal, as a multiple of the shortest aim; a message waits half of it on average.
+/// Maximum time between calls after a refusal, in multiples of the shortest aim. On average a message waits
+/// half of that time.
 const MAX_SPACING_AIMS: f64 = 2.0;
-/// Maximum spacing at the smallest ratio that spaces calls, without a refusal.
+/// Maximum time between calls at `NO_SPACING_RATIO` without a refusal, in multiples of the shortest aim.
 const MAX_SPACING_AIMS_CALM: f64 = 0.7;
-/// Share of a call that a sender with much traffic fills.
+/// Share of a call's capacity that a sender with much traffic fills.
 const FILL_SHARE: f64 = 0.7;
 
-/// Returns the calls a second that carry `messages_per_s` when each call is filled as far as usual.
+/// Returns the calls a second that carry `messages_per_s` if each call is filled up to `FILL_SHARE`.
 pub(crate) fn filled_calls(messages_per_s: f64, max_batch: f64) -> f64 {
     messages_per_s / (max_batch * FILL_SHARE)
 }
@@ -29,23 +31,23 @@
 /// A sender's view of the demand on a lane whose calls carry several messages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LaneDemand {
-    /// Equal share of the limit, in calls a second.
+    /// Each sender's equal share of the limit, in calls a second.
     pub(crate) equal_share: f64,
-    /// The sender's current messages a second.
+    /// The sender's current traffic, in messages a second.
     pub(crate) own_rate: f64,
-    /// Lower bound of the sender's messages a second over a longer time.
+    /// Lower bound of the sender's traffic over a longer time, in messages a second.
     pub(crate) long_term_rate: f64,
-    /// Messages that one call takes.
+    /// Maximum number of messages in one call.
     pub(crate) max_batch: f64,
-    /// The shortest aim of all classes.
+    /// The shortest aim of all classes, in microseconds.
     pub(crate) shortest_aim_us: f64,
-    /// A call was refused recently.
+    /// Whether a call was refused recently.
     pub(crate) recently_refused: bool,
 }
 
 impl LaneDemand {
-    /// Returns the calls a second to which the lane is spaced; `None` without signs that calls could be too
-    /// many.
+    /// Returns the calls a second to which the lane is spaced, or `None` if there is no sign that the fleet's
+    /// calls could exceed the limit.
     pub(crate) fn spacing(&self) -> Option<f64> {
         let ratio = self.long_term_rate / self.equal_share;
         if !self.recently_refused && ratio <= NO_SPACING_RATIO {
@@ -81,7 +83,7 @@
     fn calls_are_not_spaced_below_the_limit_and_are_after_a_refusal() {
         assert_eq!(LOW_DEMAND.spacing(), None);
         assert_eq!(LaneDemand { recently_refused: true, ..LOW_DEMAND }.spacing(), Some(0.45));
-        // With a small share of a limit the spacing is bounded by twice the shortest aim.
+        // If the sender's share of the limit is small, the spacing is at most twice the shortest aim.
         assert_eq!(
             LaneDemand { recently_refused: true, equal_share: 0.1, ..LOW_DEMAND }.spacing(),
             Some(0.25)
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,34 +1,34 @@
-//! The state that a dispatcher hands over to one in another process: what it has measured, and its calls in
-//! flight. The decisions that use it are in `src/logic.rs`.
+//! The state that a dispatcher hands over to the dispatcher of another process: its measurements and its
+//! calls in flight. `src/logic.rs` makes the decisions that use this state.
 
 use crate::interface::*;
 use crate::logic::Dispatcher;
 use crate::state::*;
 
-/// What a dispatcher knows of destinations and endpoints: rates, latencies, budgets, pools, waits, outages
-/// and warm-ups. Endpoints have the numbers of the sender that exported the state until
-/// [`DispatcherState::renumber`].
+/// A dispatcher's state of destinations and endpoints: rates, latencies, budgets, pools, waits, outages and
+/// warm-ups. Endpoints have the numbers of the sender that exported the state until
+/// [`DispatcherState::renumber`] replaces them.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct DispatcherState {
-    /// For each destination: its arrival rate and its traffic over a longer time.
+    /// Each destination's arrival rate and its traffic over a longer time.
     dests: Vec<(DestId, Rate, Rate)>,
     lanes: Vec<(LaneKey, Lane)>,
     endpoints: Vec<(EndpointId, Endpoint)>,
-    /// For each order key: until when it must settle.
+    /// Each order key with the time before which its next message must not be sent.
     keys: Vec<(String, Micros)>,
 }
 
-/// A call in flight, as handed over.
+/// A call in flight that is handed over to the next process.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct InFlightCall {
     call: Call,
-    /// The messages in it, each with the number of the attempt that this call is.
+    /// The messages in the call, each with the number of its attempt.
     messages: Vec<(MsgId, u32, CallMessage)>,
 }
 
-/// What the next dispatcher must know of a message in a call if the message itself has ended already.
+/// The data of a message in a call that the next dispatcher needs if the message itself has already ended.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 struct CallMessage {
@@ -44,7 +44,8 @@
         self.endpoints.iter().map(|(id, _)| *id)
     }
 
-    /// Gives endpoints the numbers of the next dispatcher's sender; drops endpoints that have none.
+    /// Replaces endpoint numbers with those of the next dispatcher's sender, and drops endpoints for which
+    /// `number` returns `None`.
     pub fn renumber(&mut self, number: impl Fn(EndpointId) -> Option<EndpointId>) {
         let lane_key = |key: LaneKey| match key {
             LaneKey::Route(id) => number(id).map(LaneKey::Route),
@@ -61,7 +62,7 @@
 }
 
 impl InFlightCall {
-    /// Returns the messages in the call, each with the number of the attempt that this call is.
+    /// Returns the messages in the call, each with the number of its attempt.
     pub fn messages(&self) -> impl Iterator<Item = (MsgId, u32)> {
         self.messages.iter().map(|(id, attempt, _)| (*id, *attempt))
     }
@@ -71,14 +72,15 @@
         self.call.endpoint
     }
 
-    /// Gives the endpoint another number.
+    /// Replaces the number of the endpoint that was called.
     pub fn renumber(&mut self, number: EndpointId) {
         self.call.endpoint = number;
     }
 }
 
 impl Dispatcher {
-    /// Returns what the next dispatcher needs, for [`Event::StateInherited`] and [`Event::CallsInherited`].
+    /// Returns the state and calls that the next dispatcher receives as [`Event::StateInherited`] and
+    /// [`Event::CallsInherited`].
     pub fn handover_state(&self) -> (DispatcherState, Vec<InFlightCall>) {
         let state = DispatcherState {
             dests: self.destinations.iter().map(|(id, d)| (*id, d.arrival_rate, d.traffic)).collect(),
@@ -97,8 +99,9 @@
         (state, calls.collect())
     }
 
-    /// Takes over the state of another dispatcher for what the list names. Its calls in flight follow with
-    /// [`Dispatcher::inherit_calls`].
+    /// Applies another dispatcher's state to destinations, lanes and endpoints that are listed, and adds
+    /// unlisted endpoints that still have calls in flight. [`Dispatcher::inherit_calls`] adds those calls
+    /// afterwards.
     pub(crate) fn inherit_state(&mut self, state: &DispatcherState) {
         for (id, arrival_rate, traffic) in &state.dests {
             if let Some(destination) = self.destinations.get_mut(id) {
@@ -117,7 +120,7 @@
                 let inherited = inherited.clone();
                 *endpoint =
                     Endpoint { lane, dest, kind, zone, listed, in_flight: 0, connections: 0, ..inherited };
-                // The call itself shows whether a trial is in flight.
+                // `inherit_calls` sets `trial_sent` again if a trial is in flight.
                 endpoint.unhealthy.iter_mut().for_each(|u| (u.trial_sent, u.probing) = (None, false));
             } else if inherited.in_flight > 0 {
                 let endpoint = Endpoint { listed: false, in_flight: 0, connections: 0, ..inherited.clone() };
@@ -133,8 +136,8 @@
         self.ready.extend(self.destinations.keys());
     }
 
-    /// Counts another process's calls in flight: their slots, permits and trials, and the messages that wait
-    /// for their outcomes. Messages that still need a final answer have been restored before.
+    /// Adds another process's calls in flight: the slots, permits and trials that they use, and the messages
+    /// that wait for their outcomes. Messages that still need a final answer have been restored before this.
     pub(crate) fn inherit_calls(&mut self, calls: &[InFlightCall]) {
         for InFlightCall { call, messages } in calls {
             let endpoint = self.endpoints.get_mut(&call.endpoint).filter(|_| !messages.is_empty());
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,16 +1,17 @@
-//! The health that a sender persists over a restart and returns with [`Event::EndpointHealthRestored`] and
-//! [`Event::ReceiverHealthRestored`]. The decisions that use it are in `src/logic.rs`.
+//! The health that a sender persists over a restart and restores with [`Event::EndpointHealthRestored`] and
+//! [`Event::ReceiverHealthRestored`]. `src/logic.rs` makes the decisions that use it.
 
 use crate::interface::*;
 use crate::logic::{Dispatcher, REFUSAL_MEMORY_US};
 use crate::state::{Lane, LaneKey};
 
-/// Waits are rounded up to a multiple of this, so that a receiver that refuses many calls causes few writes.
+/// Persisted waits are rounded up to a multiple of this, so that many refusals by a receiver cause few
+/// writes.
 const WAIT_STEP_US: Micros = 100_000;
 
 impl Dispatcher {
-    /// Returns the endpoints whose health is to be persisted: those that are failing, unhealthy or warming
-    /// up.
+    /// Returns the health of the endpoints for which it must be persisted: those that are failing, unhealthy
+    /// or warming up.
     pub fn endpoint_health(&self) -> impl Iterator<Item = (EndpointId, EndpointHealth)> {
         self.endpoints.iter().filter_map(|(id, endpoint)| {
             let lane_warm_up = self.lanes.get(&endpoint.lane).and_then(|l| l.warm_up.as_ref());
@@ -22,9 +23,9 @@
         })
     }
 
-    /// Returns the receivers whose health is to be persisted: those that are failing, have refused calls,
-    /// asked for a wait or are warming up. Each comes as its destination, the endpoint if it is a separate
-    /// route, and its health.
+    /// Returns the health of the receivers for which it must be persisted: those that are failing, have
+    /// refused calls, have asked for a wait or are warming up. Each item holds the destination, the endpoint
+    /// if the receiver is a separate route, and the health.
     pub fn receiver_health(&self) -> impl Iterator<Item = (DestId, Option<EndpointId>, ReceiverHealth)> {
         self.lanes.iter().filter_map(|(key, lane)| {
             let health = self.lane_health(lane);
@@ -42,7 +43,7 @@
         })
     }
 
-    /// Returns the lanes of a destination, or only that of a route.
+    /// Returns the lanes of a destination, or only the lane of `route` if it is given.
     pub(crate) fn lanes_of(&self, dest: DestId, route: Option<EndpointId>) -> Vec<LaneKey> {
         let matches = |key: &LaneKey| route.is_none_or(|id| *key == LaneKey::Route(id));
         let lanes = self.lanes.iter().filter(|(key, lane)| lane.dest == dest && matches(key));
@@ -69,7 +70,7 @@
     (time + WAIT_STEP_US - 1) / WAIT_STEP_US * WAIT_STEP_US
 }
 
-/// Keeps only the two highest bits of a number, so that a slowly changing value is seldom written.
+/// Rounds a number down to its two highest bits, so that a slowly changing value is rarely persisted again.
 fn round_down(number: u32) -> u32 {
     match number.checked_ilog2() {
         Some(highest) if highest > 0 => number & (3 << (highest - 1)),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -6,7 +6,7 @@
 /// A time on the sender's own clock or a span of time, in microseconds.
 pub type Micros = i64;
 
-/// The sender's number for a message. No number is used twice.
+/// The sender's number for a message. A sender never uses a number twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct MsgId(pub u64);
@@ -24,11 +24,11 @@
 /// The effect of delivering a message a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Effect {
-    /// A repeat does no harm.
+    /// A second delivery does no harm.
     Safe,
     /// The message has an idempotency key, by which the destination drops repeats within the class's window.
     Keyed,
-    /// A repeat takes effect again.
+    /// A second delivery takes effect again.
     #[default]
     Unsafe,
 }
@@ -41,17 +41,17 @@
     All,
     /// The endpoints in one zone.
     Zone,
-    /// None: each endpoint remembers its own.
+    /// No endpoints share it: each remembers only the keys that it received itself.
     Endpoint,
 }
 
 /// How the worth of a message decays after its aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum LateDecay {
-    /// Linearly, to the late share at the deadline.
+    /// Worth falls linearly, down to the late share at the deadline.
     #[default]
     Linear,
-    /// By half with each further span of the aim, to the late share at least.
+    /// Worth halves with each further time of the aim's length, and does not fall below the late share.
     Halving,
 }
 
@@ -62,13 +62,13 @@
     pub aim: Micros,
     /// The age up to which a message may be delivered.
     pub deadline: Micros,
-    /// The effect of a repeated delivery.
+    /// The effect of delivering a message of this class a second time.
     pub effect: Effect,
     /// For keyed classes: which endpoints share the memory of idempotency keys.
     pub dedup_scope: DedupScope,
     /// For keyed classes: how long the destination drops repeats, from the first attempt that may have run.
     pub window: Micros,
-    /// Messages with the same order key are delivered one at a time, in order.
+    /// Whether messages with the same order key are delivered one at a time, in order.
     pub ordered: bool,
     /// The worth of a message delivered up to its aim.
     pub worth: f64,
@@ -99,11 +99,11 @@
 pub struct KindSettings {
     /// Maximum messages in one call.
     pub max_batch: u32,
-    /// Each endpoint is a separate route with its own limit, pace and outages.
+    /// Whether each endpoint is a separate route with its own limit, pace and outages.
     pub separate_routes: bool,
 }
 
-/// A tenant; its messages beyond the quota are worth less.
+/// The settings of a tenant. Its messages beyond the quota are worth less.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
     /// The tenant's messages a second through all senders together that are worth the full amount.
@@ -113,12 +113,12 @@
 /// The meaning of the weights in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum WeightMeaning {
-    /// None: weights are ignored.
+    /// Weights have no meaning and are ignored.
     #[default]
     Ignored,
-    /// The calls a second that the destination or route takes from all senders together.
+    /// A weight is the calls a second that the destination or route accepts from all senders together.
     Nominal,
-    /// The same, with an error of up to one half in either direction.
+    /// Like `Nominal`, but a weight may be wrong by up to one half in either direction.
     Approximate,
 }
 
@@ -129,25 +129,25 @@
     pub senders: u32,
     /// This sender's zone.
     pub zone: usize,
-    /// Maximum calls in flight.
+    /// Maximum number of calls in flight.
     pub slots: u32,
-    /// Maximum open messages, sent or not.
+    /// Maximum number of open messages, both sent and not yet sent.
     pub max_open: u32,
-    /// Maximum attempts for one message.
+    /// Maximum number of attempts for one message.
     pub max_attempts: u32,
-    /// A message may have two attempts in flight.
+    /// Whether a message may have two attempts in flight.
     pub second_copies: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Endpoints may be probed.
+    /// Whether endpoints may be probed.
     pub probes: bool,
-    /// Notes may be broadcast to the other senders.
+    /// Whether notes may be broadcast to the other senders.
     pub peers: bool,
-    /// The longest retry-after that clients observe.
+    /// The longest retry-after time that clients observe.
     pub max_retry_after: Micros,
-    /// Idle connections are closed after this span.
+    /// Idle time after which a connection is closed.
     pub idle_close: Micros,
-    /// Concurrent calls on one connection.
+    /// Maximum number of concurrent calls on one connection.
     pub streams_per_conn: u32,
     /// Minimum time between two rounds.
     pub quantum: Micros,
@@ -155,20 +155,20 @@
     pub drain_grace: Micros,
     /// Multiple of its present capacity at which a cold destination is overloaded and fails.
     pub fall_multiple: f64,
-    /// Span over which that load is counted.
+    /// Time window over which the load for `fall_multiple` is counted.
     pub fall_window: Micros,
-    /// Share of its capacity with which a destination returns from an outage.
+    /// Share of its full capacity that a destination has when it returns from an outage.
     pub cold_from: f64,
     /// Time from its return until a destination has its full capacity.
     pub warm_up: Micros,
     /// For ordered classes: how long the next message of a key waits after an attempt that may still be
     /// running.
     pub order_settle: Micros,
-    /// How worth decays after the aim.
+    /// How the worth of a message decays after its aim.
     pub late_decay: LateDecay,
     /// Worth of a message beyond its tenant's quota, as a share of its worth within it.
     pub over_share_worth: f64,
-    /// The meaning of listed weights.
+    /// The meaning of the weights in endpoint lists.
     pub weights: WeightMeaning,
     /// Price of an attempt that crosses zones.
     pub cross_zone_price: f64,
@@ -219,14 +219,14 @@
     }
 }
 
-/// A value in the settings with which a dispatcher cannot work.
+/// A value in the settings that is out of range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     /// The field's name in [`Settings`], or in [`ClassSettings`] if `class` is given.
     pub field: &'static str,
     /// The class that the field belongs to, by index.
     pub class: Option<usize>,
-    /// What the value must be.
+    /// The condition that the value must meet, such as "at least 1".
     pub requirement: &'static str,
 }
 
@@ -244,7 +244,7 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Returns the messages that one call to a kind takes; 1 for an unknown kind.
+    /// Returns the maximum number of messages in one call to a kind; 1 for an unknown kind.
     pub(crate) fn max_batch(&self, kind: usize) -> u32 {
         self.kinds.get(kind).map_or(1, |k| k.max_batch.max(1))
     }
@@ -305,36 +305,37 @@
     }
 }
 
-/// With longer intervals between rounds no message would be in time.
+/// Maximum time between rounds: with a longer one no message would be in time.
 const MAX_QUANTUM_US: Micros = 1_000_000;
-/// Longer spans are rejected as mistakes; this also keeps sums of times from overflowing.
+/// Maximum time span in the settings. Longer spans are rejected as mistakes, which also keeps sums of times
+/// from overflowing.
 pub(crate) const MAX_SPAN_US: Micros = 366 * 24 * 3600 * 1_000_000;
 
 /// An endpoint's status in the list from discovery, which is independent of its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It takes messages.
+    /// The endpoint accepts messages.
     Up,
-    /// It must not be sent new messages.
+    /// No new messages must be sent to the endpoint.
     Draining,
-    /// It no longer exists.
+    /// The endpoint no longer exists.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// The sender's number for the endpoint.
     pub endpoint: EndpointId,
-    /// The destination that it belongs to.
+    /// The destination that the endpoint belongs to.
     pub dest: DestId,
-    /// Its status.
+    /// Whether the endpoint accepts messages, is draining or no longer exists.
     pub status: Status,
-    /// The kind of its destination, by index.
+    /// Index of the destination's kind in [`Settings::kinds`].
     pub kind: usize,
-    /// Its zone, by index.
+    /// Index of the endpoint's zone.
     pub zone: usize,
-    /// Its weight, if one is listed; see [`WeightMeaning`].
+    /// The endpoint's weight, if one is listed; see [`WeightMeaning`].
     pub weight: Option<f64>,
 }
 
@@ -342,42 +343,44 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Outcome {
-    /// Delivered.
+    /// The message was delivered.
     Done,
-    /// Answered with an error; the message may have run.
+    /// The endpoint answered with an error; the message may have run.
     Error,
-    /// Refused without being processed: over a limit, a full queue, shut down or draining.
+    /// The receiver refused the message without processing it, because of a rate limit, a full queue, a
+    /// shutdown or draining.
     Busy,
-    /// No answer in time; the message may have run or may still be running.
+    /// No answer came in time; the message may have run or may still be running.
     TimedOut,
-    /// The connection failed; the message did not run.
+    /// The connection could not be established; the message did not run.
     ConnectFailed,
-    /// The connection broke; the message may have run.
+    /// The connection was lost before the answer; the message may have run.
     Reset,
     /// The answer could not be parsed; the message may have run. The simulator does not report this.
     #[cfg_attr(feature = "serde", serde(rename = "Spoilt"))]
     MalformedAnswer,
-    /// Cancelled; the message may have run.
+    /// The attempt was cancelled; the message may have run.
     Cancelled,
-    /// Not sent: no slot was free, the message was closed, or its attempts were used up.
+    /// The message was not sent: no slot was free, the message was closed, or its attempts were used up.
     Skipped,
-    /// No connection was established and no byte written: no endpoint knows of the attempt, and it does not
-    /// count. The simulator does not report this.
+    /// No connection was established and no byte written. No endpoint received the attempt, so it does not
+    /// count against the maximum. The simulator does not report this.
     Unreached,
 }
 
 impl Outcome {
-    /// Returns whether this outcome proves that the attempt had no effect.
+    /// Returns whether this outcome proves that the message did not run in this attempt.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Busy | Outcome::ConnectFailed | Outcome::Skipped | Outcome::Unreached)
     }
 
-    /// Returns whether no byte of the attempt was written.
+    /// Returns whether no byte of the request was written in this attempt.
     pub fn never_sent(self) -> bool {
         matches!(self, Outcome::Skipped | Outcome::Unreached)
     }
 
-    /// Returns whether no connection was established, or it broke before the request was written.
+    /// Returns whether no connection was established, or the connection was lost before the request was
+    /// written.
     pub(crate) fn is_unconnected(self) -> bool {
         matches!(self, Outcome::ConnectFailed | Outcome::Unreached)
     }
@@ -387,21 +390,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct LoadReport {
-    /// The share of the allowance that remains.
+    /// The share of the limit's calls that is still unused.
     #[cfg_attr(feature = "serde", serde(rename = "left"))]
     pub remaining: Option<f64>,
-    /// The calls a second that the limit allows; 0 if there is no limit.
+    /// The limit in calls a second; 0 if there is no limit.
     pub limit: Option<f64>,
 }
 
 /// The health of an endpoint, which a sender persists over a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointHealth {
-    /// The first failure since the last success, if there is one.
+    /// The time of the first failure since the last success, if there is one.
     pub failing_since: Option<Micros>,
-    /// It receives only single trials.
+    /// Whether the endpoint is unhealthy and receives only single trials.
     pub unhealthy: bool,
-    /// When it returned from an outage, if its warm-up has not ended.
+    /// When the endpoint returned from an outage, if its warm-up has not ended.
     pub warming_since: Option<Micros>,
 }
 
@@ -409,22 +412,22 @@
 /// destination, or one route of it where routes are separate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceiverHealth {
-    /// The first failure since the last success, if there is one.
+    /// The time of the first failure since the last success, if there is one.
     pub failing_since: Option<Micros>,
-    /// It is considered down as a whole.
+    /// Whether the whole receiver is considered down.
     pub down: bool,
-    /// When it returned from an outage, if its warm-up has not ended.
+    /// When the receiver returned from an outage, if its warm-up has not ended.
     pub warming_since: Option<Micros>,
-    /// The end of the wait that it asked for.
+    /// The end of the wait that the receiver asked for.
     pub wait_until: Option<Micros>,
     /// The sender's call budget after refusals, in thousandths of a call a second.
     pub budget_milli_per_s: Option<u32>,
-    /// The sender's own traffic to it, in thousandths of a message a second.
+    /// The sender's own traffic to the receiver, in thousandths of a message a second.
     pub traffic_milli_per_s: Option<u32>,
 }
 
 impl ReceiverHealth {
-    /// The health assumed of a receiver for which nothing was persisted, not even that it was healthy.
+    /// The health that is assumed if it is not known whether the receiver was healthy before the restart.
     pub const UNKNOWN: ReceiverHealth = ReceiverHealth {
         failing_since: None,
         down: true,
@@ -435,126 +438,127 @@
     };
 }
 
-/// An event that a sender reports to its dispatcher. Events that name something unknown are ignored.
+/// An event that a sender reports to its dispatcher. Events that name an unknown message or endpoint are
+/// ignored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list from discovery, or changes to it.
     Listing {
-        /// The list is complete: endpoints missing from `entries` are gone.
+        /// Whether the list is complete, so that endpoints missing from `entries` no longer exist.
         complete: bool,
-        /// The entries.
+        /// All entries of a complete list, or the changed entries.
         entries: Vec<EndpointEntry>,
     },
-    /// A message to deliver. It gets exactly one final answer.
+    /// A message to deliver. Every message gets exactly one final answer.
     Message {
-        /// The message.
+        /// The sender's number for the message.
         id: MsgId,
-        /// Its class, by index.
+        /// Index of the message's class in [`Settings::classes`].
         class: usize,
-        /// Its tenant, by index.
+        /// Index of the message's tenant in [`Settings::tenants`].
         tenant: usize,
-        /// Its order key, in classes that keep order.
+        /// The message's order key, in classes that keep order.
         key: Option<String>,
-        /// Its destination.
+        /// The destination of the message.
         dest: DestId,
-        /// Time until its deadline.
+        /// Time until the message's deadline.
         time_left: Micros,
-        /// It is known to have been put before.
+        /// Whether the message is known to have been put before.
         resubmitted: bool,
     },
     /// A message accepted before a restart of this sender, which still needs its final answer.
     MessageRestored {
-        /// The message.
+        /// The sender's number for the message.
         id: MsgId,
-        /// Its class, by index. A class that no longer exists counts as [`Effect::Unsafe`].
+        /// Index of the message's class. A class that no longer exists counts as [`Effect::Unsafe`].
         class: usize,
-        /// Its order key, in classes that keep order.
+        /// The message's order key, in classes that keep order.
         key: Option<String>,
-        /// Its destination.
+        /// The destination of the message.
         dest: DestId,
-        /// Time until its deadline.
+        /// Time until the message's deadline.
         time_left: Micros,
-        /// Attempts made before the restart.
+        /// Number of attempts made before the restart.
         attempts: u32,
-        /// How many of them reached no endpoint.
+        /// Number of attempts before the restart that reached no endpoint.
         unreached: u32,
-        /// The endpoint and time of the first attempt that may have run. An attempt without a known outcome
-        /// may have.
+        /// The endpoint and time of the first attempt that may have run, which includes attempts without a
+        /// known outcome.
         may_have_run: Option<(EndpointId, Micros)>,
     },
-    /// The health of an endpoint before a restart. Comes after the endpoint has been listed.
+    /// The health of an endpoint before a restart. Must be sent after the endpoint has been listed.
     EndpointHealthRestored {
-        /// The endpoint.
+        /// The sender's number for the endpoint.
         endpoint: EndpointId,
-        /// From [`Dispatcher::endpoint_health`](crate::Dispatcher::endpoint_health).
+        /// The value from [`Dispatcher::endpoint_health`](crate::Dispatcher::endpoint_health).
         health: EndpointHealth,
     },
-    /// The health of a receiver before a restart. Comes after the health of all its endpoints.
+    /// The health of a receiver before a restart. Must be sent after the health of all its endpoints.
     ReceiverHealthRestored {
-        /// The destination.
+        /// The receiver's destination.
         dest: DestId,
-        /// The endpoint, if it is a separate route.
+        /// The receiver's endpoint, if the receiver is a separate route.
         route: Option<EndpointId>,
-        /// From [`Dispatcher::receiver_health`](crate::Dispatcher::receiver_health).
+        /// The value from [`Dispatcher::receiver_health`](crate::Dispatcher::receiver_health).
         health: ReceiverHealth,
     },
-    /// The state of the dispatcher in the process that this one replaces. Comes after its endpoints have
-    /// been listed.
+    /// The state of the dispatcher in the process that this process replaces. Must be sent after the
+    /// endpoints have been listed.
     StateInherited(Box<DispatcherState>),
-    /// The calls that this process's predecessor still has in flight. Comes after its messages have been
-    /// restored; the outcomes follow as [`Event::Outcome`].
+    /// The calls that the replaced process still has in flight. Must be sent after that process's messages
+    /// have been restored. The calls' outcomes follow as [`Event::Outcome`].
     CallsInherited(Vec<InFlightCall>),
-    /// The sender ends at this time: no call may begin that would not end before it.
+    /// The sender stops at the time `at`. No call is started that is expected to end after it.
     Stopping {
-        /// When.
+        /// The time at which the sender stops.
         at: Micros,
     },
-    /// The classes have changed. A message keeps the index of its class and follows the class now at that
-    /// index.
+    /// The class settings have changed. A message keeps the index of its class and follows the new class at
+    /// that index.
     ClassesChanged(Vec<ClassSettings>),
     /// An attempt ended.
     Outcome {
-        /// The message.
+        /// The sender's number for the message.
         id: MsgId,
-        /// Number of the attempt, from 0.
+        /// Number of the message's attempt, counted from 0.
         attempt: u32,
         /// The endpoint that was called.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The message needs no further answer.
+        /// Whether the message needs no further answer.
         closes_message: bool,
         /// Time since the attempt was sent.
         elapsed: Micros,
-        /// For [`Outcome::Busy`]: the wait that the receiver asked for; 0 if none.
+        /// With [`Outcome::Busy`], the wait that the receiver asked for; 0 if it asked for none.
         wait: Micros,
-        /// The report on the limit that came with the answer.
+        /// The endpoint's report on its limit, if the answer contained one.
         report: Option<LoadReport>,
     },
-    /// A message that nobody waits for any more: it needs no final answer.
+    /// The client of a message no longer waits for it. The message needs no final answer.
     MessageAbandoned {
-        /// The message.
+        /// The sender's number for the message.
         id: MsgId,
     },
     /// A timer requested with [`Action::Timer`] has expired.
     Timer {
-        /// Its token.
+        /// The token of the [`Action::Timer`].
         token: u64,
     },
     /// A probe ended.
     Probed {
-        /// The endpoint.
+        /// The endpoint that was probed.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// The report on the limit that came with the answer.
+        /// The endpoint's report on its limit, if the answer contained one.
         report: Option<LoadReport>,
     },
     /// A note from another sender.
     PeerNote {
-        /// Number of the sender it came from.
+        /// Number of the sender that broadcast the note.
         from: u32,
-        /// Its text.
+        /// The note's text.
         text: String,
     },
 }
@@ -564,50 +568,50 @@
 pub enum Action {
     /// Send a message to an endpoint.
     Send {
-        /// The call. Sends of one round with the same number share a call, which ends at the longest of their
-        /// timeouts.
+        /// Number of the call. `Send` actions of one round with the same number share a call, which ends at
+        /// the longest of their timeouts.
         call: u64,
-        /// The message.
+        /// The sender's number for the message.
         id: MsgId,
-        /// The endpoint.
+        /// The endpoint to which the message is sent.
         endpoint: EndpointId,
         /// How long to wait for the answer.
         timeout: Micros,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The message.
+        /// The sender's number for the message.
         id: MsgId,
-        /// Number of the attempt.
+        /// Number of the message's attempt, counted from 0.
         attempt: u32,
     },
-    /// Final answer: refused. Putting the message again does no harm.
+    /// Refuse the message as its final answer. The client may put the message again without harm.
     Refuse {
-        /// The message.
+        /// The sender's number for the message.
         id: MsgId,
-        /// How long the client should wait before it retries.
+        /// How long the client should wait before it puts the message again.
         retry_after: Micros,
     },
-    /// Final answer: the message has failed.
+    /// Fail the message as its final answer.
     Fail {
-        /// The message.
+        /// The sender's number for the message.
         id: MsgId,
     },
-    /// Request an [`Event::Timer`].
+    /// Request an [`Event::Timer`] at a certain time.
     Timer {
-        /// When.
+        /// The time at which the timer expires.
         at: Micros,
         /// The token that the event returns.
         token: u64,
     },
-    /// Probe an endpoint.
+    /// Probe an endpoint, which sends no message.
     Probe {
-        /// The endpoint.
+        /// The endpoint to probe.
         endpoint: EndpointId,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// The endpoint.
+        /// The endpoint whose idle connections are closed.
         endpoint: EndpointId,
     },
     /// Broadcast a note to all other senders.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,13 @@
 //! # heronroute
 //!
 //! Decides, for a sender of notifications to outside receivers, which pending message goes to which endpoint
-//! and when, how long to wait for the answer, and when to retry, refuse or fail the message. It does no I/O:
-//! a sender passes it [`Event`]s with a clock and carries out the [`Action`]s that it returns.
+//! and when, how long to wait for the answer, and when to retry, refuse or fail the message. The crate does
+//! no I/O: a sender passes [`Event`]s and the time to a [`Dispatcher`] and carries out the [`Action`]s that
+//! it returns.
 //!
 //! The mechanism is the bulkhead: every destination owns a bounded pool of permits sized from its own
-//! traffic, so that one slow destination cannot take all slots. `README.md` ("Decisions") lists what was
-//! added to the bulkhead of the source, and when each addition acts.
+//! traffic, so that one slow destination cannot occupy all slots. `README.md` ("Decisions") lists the
+//! additions to this mechanism, and when each of them takes effect.
 //!
 //! ```
 //! use heronroute::{Action, ClassSettings, Dispatcher, DestId, Effect, EndpointEntry, EndpointId, Event};
@@ -59,8 +60,8 @@
 pub use logic::Dispatcher;
 
 impl Dispatcher {
-    /// Returns how many destinations, lanes, endpoints, messages, calls and order keys are in memory, so that
-    /// a sender's memory use can be monitored.
+    /// Returns the total number of destinations, lanes, endpoints, messages, calls and order keys in memory,
+    /// so that a sender's memory use can be monitored.
     pub fn tracked_items(&self) -> usize {
         let listed = self.destinations.len() + self.lanes.len() + self.endpoints.len();
         listed + self.messages.len() + self.calls.len() + self.order_keys.len()
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,10 +1,10 @@
 //! The decisions of heronroute. `src/interface.rs` defines the inputs and outputs, `src/state.rs` the data.
 //!
 //! The core is a bulkhead: each destination owns a pool of permits sized as rate x p99 x safety factor. A
-//! call holds one permit until its outcome; messages wait in the destination's queue, oldest first. Added to
-//! this are a call budget, the health of each endpoint with single trials, and a paced return after an
-//! outage. A *lane* has one rate limit and one pool: it is a destination, or one route of it where routes are
-//! separate.
+//! call holds one permit until its outcome; messages wait in the destination's queue, oldest first. The core
+//! is extended by a call budget, the health of each endpoint with single trials, and a paced return after an
+//! outage. A *lane* is the unit with one rate limit and one pool: a destination, or one route of it where
+//! routes are separate.
 
 use crate::batching::{LaneDemand, filled_calls};
 use crate::interface::*;
@@ -27,119 +27,122 @@
 const MAX_DOUBTFUL_SHARE: f64 = 0.6;
 /// Share of the slots that borrowers leave free.
 const BORROW_RESERVE_SHARE: f64 = 0.15;
-/// With fewer free slots than this share of all, stalled calls are cancelled ...
+/// Stalled calls are cancelled while fewer than this share of the slots are free.
 const RECLAIM_RESERVE_SHARE: f64 = 0.2;
-/// ... once they have been in flight for this multiple of the stall threshold,
+/// Time in flight, as a multiple of the stall threshold, after which a stalled call may be cancelled.
 const RECLAIM_AFTER_STALLS: f64 = 3.0;
-/// or for this one if all their messages may be sent again.
+/// The same multiple of the stall threshold for calls whose messages may all be sent again.
 const RECLAIM_REPEATABLE_AFTER_STALLS: f64 = 2.0;
-/// Answers after which a pool counts as sized.
+/// Number of answers after which a pool counts as sized.
 const MIN_SIZING_SAMPLES: f64 = 8.0;
-/// Memory of arrival rates: long against bursts, short against the swing of a day.
+/// Time constant of arrival rates: long compared with bursts, short compared with daily variation.
 const ARRIVAL_MEMORY_US: f64 = 8e6;
-/// Memory of a sender's part of the traffic: long against the gaps between messages.
+/// Time constant of a sender's part of the traffic: long compared with the gaps between messages.
 const TRAFFIC_MEMORY_US: f64 = 6e7;
 /// A call has stalled when it is unanswered for this multiple of p99, and for at least `MIN_STALL_US`.
 const STALL_P99_FACTOR: f64 = 1.5;
 const MIN_STALL_US: f64 = 4e5;
-/// Weight of one outcome in the share of failures; two failures in a row cross one half.
+/// Weight of one outcome in an endpoint's share of failures: two failures in a row raise it above one half.
 const FAILURE_GAIN: f64 = 0.3;
 /// Share of failures above which an endpoint is unhealthy.
 const MAX_FAILURE_SHARE: f64 = 0.5;
-/// The same, with few senders, for an endpoint that answers with errors: it may answer part of the calls
-/// well. Many senders would all still send at half pace when it returns.
+/// With few senders, an endpoint that answers with errors is unhealthy only above this share of failures,
+/// since it may answer part of the calls well. With many senders, all would still send at half pace when
+/// the endpoint returns.
 const MAX_ERROR_SHARE: f64 = 0.7;
-/// Share of calls that failed and may have run, above which an endpoint gets no unsafe messages.
+/// An endpoint gets no unsafe messages while more than this share of its calls failed and may have run.
 const MAX_AMBIGUOUS_SHARE: f64 = 0.2;
-/// Time constant of that share's decay while no call updates it.
+/// Time constant with which an endpoint's share of ambiguous failures decays while no call updates it.
 const AMBIGUOUS_MEMORY_US: f64 = 8e6;
-/// First time between trials, and the maximum to which the backoff doubles it.
+/// Initial and maximum backoff between trials; each failed trial doubles the backoff.
 const FIRST_TRIAL_BACKOFF_US: Micros = 200_000;
 const MAX_TRIAL_BACKOFF_US: Micros = 1_000_000;
-/// Cost factor of a due trial that can do no harm. It goes first: otherwise a recovered endpoint would stay
-/// idle for as long as the others can take every call.
+/// Cost factor of a due trial that can do no harm. It makes the trial cheaper than other calls: otherwise a
+/// recovered endpoint would stay idle for as long as the other endpoints can take every call.
 const TRIAL_COST_FACTOR: f64 = 0.5;
-/// Cost factor of a trial that may do harm: it waits until the other endpoints are busy.
+/// Cost factor of a trial that may do harm: such a trial waits until the other endpoints are busy.
 const HARMFUL_TRIAL_COST_FACTOR: f64 = 10.0;
-/// A wait beyond this exceeds the span of any limit: the receiver is shut down.
+/// A requested wait longer than any rate limit's window: the receiver is considered shut down.
 const SHUTDOWN_WAIT_US: Micros = 2_000_000;
-/// Trials of all senders together, as a multiple of the load that a cold destination takes.
+/// Load of all senders' trials together, as a multiple of the load that a cold destination can take.
 const TRIAL_LOAD_FACTOR: f64 = 1.0;
-/// An equal share of an advertised limit counts up to this multiple of a sender's own traffic plus
-/// `EQUAL_SHARE_BASE` of itself. So neither a wrong number of senders nor a limit beyond what the destination
-/// can take adds up to much more.
+/// A sender counts an equal share of the advertised limit as its own only up to this multiple of its own
+/// traffic plus `EQUAL_SHARE_BASE` times the equal share. So a wrong number of senders, or a limit beyond
+/// what the destination can take, does not add up to much more load.
 const OWN_TRAFFIC_FACTOR: f64 = 1.25;
 const EQUAL_SHARE_BASE: f64 = 0.1;
-/// The trials of this many senders together do no harm.
+/// Number of senders up to which their trials together do no harm.
 const FEW_SENDERS: f64 = 2.0;
-/// Limit that is assumed of a destination that advertises none, in calls a second.
+/// Limit assumed for a destination that advertises none, in calls a second.
 const DEFAULT_LIMIT_PER_S: f64 = 3.0;
-/// Failures that last this long may have been an outage, so the return is paced.
+/// Failures that last this long may be an outage, so the load is increased gradually afterwards.
 const OUTAGE_AFTER_US: Micros = 1_500_000;
-/// Share of the allowed load that a sender uses on a cold destination.
+/// Share of its allowed load that a sender sends to a cold destination.
 const WARM_UP_SAFETY: f64 = 0.75;
 /// Weight, in calls, of each further message of a batch on a cold destination.
 const WARM_UP_BATCH_WEIGHT: f64 = 0.25;
-/// A repeatable message times out after this multiple of p99, and after `MIN_TIMEOUT_US` at the earliest.
+/// An attempt of a repeatable message times out after this multiple of p99, but not before `MIN_TIMEOUT_US`.
 const TIMEOUT_P99_FACTOR: f64 = 4.0;
 const MIN_TIMEOUT_US: f64 = 1.2e6;
-/// A message's final answer is due this many quanta before its deadline: rounds are one quantum apart.
+/// Quanta before a message's deadline at which its final answer is due. Rounds are one quantum apart.
 const FINAL_ANSWER_LEAD_QUANTA: Micros = 2;
-/// Time within which the platform has received a message's end, even if the first notice is lost.
+/// Time within which the platform receives a message's end even if the first notice is lost.
 const NOTICE_DELIVERY_US: Micros = 150_000;
-/// An attempt ends within this share of a keyed window, so that a resend fits into the window.
+/// Maximum share of a keyed class's window for one attempt, so that a second attempt fits into the window.
 const WINDOW_ATTEMPT_SHARE: f64 = 0.45;
-/// Factor by which a refusal cuts the budget from the accepted rate.
+/// A refusal cuts the budget to this share of the rate of accepted calls.
 const BUDGET_CUT_FACTOR: f64 = 0.75;
-/// Budget growth a second and minimum budget, as shares of this sender's own demand, so that senders with
-/// more traffic get more.
+/// Budget growth per second and minimum budget, as shares of this sender's own demand: senders with more
+/// traffic get a larger budget.
 const BUDGET_GROWTH_SHARE: f64 = 0.2;
 const MIN_BUDGET_SHARE: f64 = 0.4;
-/// With a known limit, the minimum budget stays within this multiple of an equal share of the limit ...
+/// With a known limit, maximum of the minimum budget, as a multiple of an equal share of the limit.
 const MIN_BUDGET_EQUAL_SHARES: f64 = 1.0;
-/// ... and growth goes by at most this multiple of it, so that many senders' budgets leave room in the limit.
+/// With a known limit, maximum base of budget growth, as a multiple of an equal share of the limit, so that
+/// the budgets of many senders together leave room in the limit.
 const BUDGET_GROWTH_EQUAL_SHARES: f64 = 0.5;
 /// Budget growth for each accepted call, as a share of the budget.
 const BUDGET_GROWTH_PER_ACCEPTED: f64 = 0.07;
-/// Without a known limit, a cut starts from this multiple of the accepted rate.
+/// Without a known limit, a refusal cuts the budget from this multiple of the rate of accepted calls.
 const UNKNOWN_LIMIT_FACTOR: f64 = 1.5;
-/// Maximum share of a known limit that is used.
+/// Maximum share of a known limit that this sender's pace may use.
 const MAX_LIMIT_SHARE: f64 = 0.95;
-/// An approximate weight may be too low by this factor; refusals correct one that is too high.
+/// An approximate weight may be too low by this factor. Refusals correct a weight that is too high.
 const APPROXIMATE_WEIGHT_FACTOR: f64 = 1.5;
-/// Calls a second that stand for an unlimited pace.
+/// Calls a second that represent an unlimited pace.
 const UNLIMITED_PER_S: f64 = 1e6;
-/// Maximum of saved-up calls, in seconds of budget.
+/// Maximum burst, in seconds of the lane's pace.
 const BURST_S: f64 = 0.4;
-/// Pause after a refusal that asked for no wait.
+/// Pause after a refusal that did not ask for a wait.
 const REFUSAL_PAUSE_US: Micros = 250_000;
-/// Time after a refused connection during which no connection to that kind is kept idle.
+/// Time after a refused connection during which no idle connection to endpoints of that kind is kept open.
 const CONNECTIONS_SCARCE_US: Micros = 20_000_000;
-/// A connection that is busy for this share of the time is kept nevertheless ...
+/// Connections that are busy for at least this share of the time stay open even after refused connections.
 const MIN_KEPT_UTILIZATION: f64 = 0.3;
-/// ... and with at most this many senders all are kept, since any connection table has room for one of each.
+/// With at most this many senders all idle connections stay open: any connection table has room for one
+/// connection of each sender.
 const MIN_TABLE_CONNECTIONS: f64 = 6.0;
-/// Messages stay in their zone until the load on the zone's endpoints is this multiple of the load on all.
+/// Messages stay in their zone up to this ratio of the load on the zone's endpoints to the load on all.
 const MAX_ZONE_LOAD_FACTOR: f64 = 1.5;
-/// Endpoints that join a destination known for less than this count as part of its first list.
+/// Endpoints listed within this time of a destination's first listing count as part of its first list.
 const FIRST_LIST_SETTLES_US: Micros = 2_000_000;
-/// Factors from prices in the settings to surcharges on the cost of a call.
+/// Factors that convert prices in the settings to surcharges on the cost of a call.
 const CROSS_ZONE_PRICE_FACTOR: f64 = 30.0;
 const HANDSHAKE_PRICE_FACTOR: f64 = 10.0;
 const ZONE_FEE_FACTOR: f64 = 100.0;
-/// Surcharge on the cost of a call to an endpoint that is new in the rotation.
+/// Surcharge on the cost of a call to an endpoint that recently joined the rotation.
 const NEW_ENDPOINT_SURCHARGE: f64 = 1.0;
-/// Calls within the idle time of connections that justify a further connection.
+/// Minimum calls within a connection's idle time that justify opening a further connection.
 const MIN_CALLS_PER_CONNECTION: f64 = 2.0;
-/// Time during which a refusal counts as a sign that a limit is short.
+/// Time during which a past refusal counts as a sign that the limit is nearly used up.
 pub(crate) const REFUSAL_MEMORY_US: Micros = 20_000_000;
-/// Once messages are late, rank goes by the worth that is lost within this wait ...
+/// Late messages are ranked by the worth that they lose if they wait for this long.
 const LATE_HORIZON_US: f64 = 1.5e6;
-/// ... plus this share of the present worth, which is lost for good if the backlog stays.
+/// Share of a late message's present worth that its rank includes, since a lasting backlog loses all of it.
 const PRESENT_WORTH_SHARE: f64 = 0.4;
-/// Share of `max_open` that is kept free, so that nothing is rejected unseen.
+/// Share of `max_open` that is kept free, so that no message is rejected before its worth is compared.
 const FREE_ROOM_SHARE: f64 = 0.06;
-/// Pools are resized this often.
+/// Interval at which permit pools are resized.
 const RESIZE_INTERVAL_US: Micros = 500_000;
 
 impl Latency {
@@ -149,16 +152,16 @@
     }
 }
 
-/// Decides for one sender: takes rounds of events and answers with actions.
+/// Makes the decisions of one sender: each round takes events and returns actions.
 #[derive(Default)]
 pub struct Dispatcher {
     pub(crate) now: Micros,
     random: Random,
-    /// Drawn once, from 0 to 1. The sender prefers its own zone while this is below the zone's part of a
-    /// destination's endpoints, so that only some senders leave a zone that has few.
+    /// Random number from 0 to 1, drawn once. The sender prefers its own zone while this is below the zone's
+    /// part of a destination's endpoints, so that only some senders leave a zone with few endpoints.
     zone_draw: f64,
     pub(crate) settings: Settings,
-    /// The last number given to a message or a call.
+    /// The number last assigned to a message or a call.
     pub(crate) sequence: u64,
     pub(crate) lanes: BTreeMap<LaneKey, Lane>,
     pub(crate) destinations: BTreeMap<DestId, Destination>,
@@ -166,33 +169,33 @@
     pub(crate) messages: BTreeMap<MsgId, Message>,
     pub(crate) calls: BTreeMap<u64, Call>,
     pub(crate) order_keys: BTreeMap<String, OrderKey>,
-    /// Pending checks by time. A round looks only at this and at `ready`, never at everything that exists.
+    /// Pending checks by time. A round examines only these and `ready`, not all messages and endpoints.
     pub(crate) schedule: BTreeSet<(Micros, Check)>,
-    /// Destinations with pending messages for which something has changed, or which wait for a slot.
+    /// Destinations with pending messages whose state has changed or that wait for a free slot.
     pub(crate) ready: BTreeSet<DestId>,
-    /// Stands in for a class that no longer exists.
+    /// Settings used for a class that no longer exists.
     default_class: ClassSettings,
     /// When endpoints of a kind last refused a connection, by kind and lane.
     connections_refused: BTreeMap<(usize, LaneKey), Micros>,
-    /// By kind.
+    /// Estimates of whether connection tables are full, by endpoint kind.
     connection_tables: BTreeMap<usize, ConnectionTables>,
-    /// It replaces a running process, so restored messages do not come from a restart.
+    /// This process replaces a running one, so restored messages do not come from a restart.
     replaces_process: bool,
-    /// Endpoints whose calls ended in this round: their idle connections may be closed.
+    /// Endpoints whose calls ended in this round and whose idle connections may be closed.
     maybe_idle: BTreeSet<EndpointId>,
     open_messages: usize,
     pub(crate) slots_used: u32,
     next_eviction: Micros,
     timer_at: Micros,
-    /// When this sender ends, once that is decided.
+    /// When this sender stops, if [`Event::Stopping`] has been received.
     stop_at: Option<Micros>,
 }
 
 impl Dispatcher {
-    /// Starts a dispatcher.
+    /// Creates a dispatcher whose random numbers depend only on `seed`.
     ///
     /// # Errors
-    /// Returns an error if the settings hold a value with which it cannot work.
+    /// Returns an error if a value in the settings is out of range.
     pub fn new(now: Micros, seed: u64, settings: Settings) -> Result<Self, SettingsError> {
         settings.validate()?;
         let (random, timer_at) = (Random::new(seed), Micros::MIN);
@@ -201,7 +204,7 @@
         Ok(dispatcher)
     }
 
-    /// Applies all that happened by `now`, then decides.
+    /// Applies the events that happened up to `now`, then appends the resulting actions to `out`.
     pub fn round(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         self.now = now.max(self.now);
         for event in events {
@@ -269,7 +272,7 @@
         }
     }
 
-    /// Accepts a message. `is_demand` is false for one that is known to have been counted before.
+    /// Accepts a message. `is_demand` is false if the message has already been counted as demand.
     fn admit(&mut self, id: MsgId, mut message: Message, time_left: Micros, is_demand: bool) {
         if self.messages.contains_key(&id) {
             return;
@@ -283,7 +286,7 @@
             self.order_keys.entry(key.clone()).or_default().queue.insert((sequence, id));
         }
         let destination = self.destination_entry(dest);
-        // Resubmitted messages are no new demand: they must not enlarge the pool.
+        // Resubmitted messages are not new demand and must not enlarge the pool.
         if is_demand {
             destination.arrival_rate.record(now);
             destination.traffic.record(now);
@@ -296,12 +299,12 @@
     }
 
     /// Accepts a message from before a restart. Guards against a second effect: an attempt with no known
-    /// outcome may have run, so an unsafe message fails here, and a keyed one keeps the window of its first
-    /// send.
+    /// outcome may have run, so an unsafe message fails here, and the window of a keyed message still begins
+    /// at its first attempt.
     fn restore(&mut self, id: MsgId, message: Message, time_left: Micros, out: &mut Vec<Action>) {
-        // The first restored message counts as demand: without any, one refusal would leave its destination
-        // without a budget. All of them at one instant would look like a hundred times the traffic, and would
-        // claim as large a part of the limit.
+        // Only the first restored message counts as demand. Without any demand, one refusal would leave the
+        // destination without a budget. All restored messages at one instant would look like a hundred times
+        // the traffic, and the sender would claim as large a part of the limit.
         let is_first = self.destinations.get(&message.dest).is_none_or(|d| d.arrival_rate.value == 0.0);
         self.admit(id, message, time_left, is_first);
         let Some(message) = self.messages.get(&id) else { return };
@@ -319,7 +322,7 @@
     }
 
     /// Restores an endpoint's health from before a restart. Guards against overloading an endpoint that was
-    /// failing then: its return is paced all the same.
+    /// failing before the restart: its load is still increased gradually.
     fn restore_endpoint_health(&mut self, id: EndpointId, health: EndpointHealth) {
         let (now, gap) = (self.now, self.trial_gap(id));
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
@@ -328,9 +331,9 @@
         endpoint.warm_up = health.warming_since.map(|since| WarmUp::new(since.min(now), now));
     }
 
-    /// Restores a lane's health from before a restart. Guards against many restarted senders at once: without
-    /// it, senders that had been refused, or had seen one endpoint of two fail, sent all their pending
-    /// messages.
+    /// Restores a lane's health from before a restart. Guards against many senders restarting at once:
+    /// without the restored health, senders that had been refused, or had seen one endpoint of two fail, sent
+    /// all their pending messages.
     fn restore_receiver_health(&mut self, key: LaneKey, health: ReceiverHealth) {
         let (now, tokens) = (self.now, self.random.next_unit());
         let Some(lane) = self.lanes.get_mut(&key) else { return };
@@ -344,7 +347,7 @@
         lane.warm_up =
             health.warming_since.map(|since| WarmUp { tokens, ..WarmUp::new(since.min(now), now) });
         if let Some(budget) = health.budget_milli_per_s {
-            // With no tokens, all restarted senders would have saved up their first call at the same moment.
+            // The tokens start at random: with 0, all restarted senders would send their first call at once.
             (lane.budget, lane.tokens, lane.budget_cut_at) = (f64::from(budget) / 1e3, tokens, now);
         }
         let failing_since = lane.failing_since;
@@ -372,7 +375,7 @@
             self.endpoints.values_mut().for_each(|e| e.listed = false);
             self.ready.extend(self.destinations.keys());
         }
-        // Right after a start a list may just be a later version of the first one.
+        // Right after a start, a listing may be a later version of the destination's first list.
         let known = self.destinations.iter().filter(|(_, d)| {
             !d.endpoints.is_empty() && self.now - d.arrival_rate.created_at > FIRST_LIST_SETTLES_US
         });
@@ -420,14 +423,14 @@
             };
             let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(new_endpoint);
             endpoint.listed = listed;
-            // Otherwise all senders would try a lane that is down whenever the list names an endpoint of it.
+            // Otherwise all senders would call a lane that is down whenever one of its endpoints is listed.
             if listed && self.lanes.get(&key).is_some_and(|l| l.down) {
                 self.infer_unhealthy(entry.endpoint, false);
             }
         }
     }
 
-    /// Returns where a new endpoint joins the rotation, by this sender's own random numbers.
+    /// Returns the place at which a new endpoint joins the rotation, drawn from this sender's random numbers.
     fn initial_rotation(&mut self, dest: DestId, known: bool) -> RotationPlace {
         let (now, place, delay) = (self.now, self.random.next_unit(), self.random.next_unit());
         if !known {
@@ -438,8 +441,8 @@
         RotationPlace::among(now, others, (place, delay), self.settings.warm_up)
     }
 
-    /// Marks an endpoint unhealthy because its lane is down. It gets a trial at a random time of its own,
-    /// after any wait.
+    /// Marks an endpoint unhealthy because its lane is down. The endpoint gets its first trial after the end
+    /// of the lane's wait plus a random gap.
     fn infer_unhealthy(&mut self, id: EndpointId, nothing_ran: bool) {
         let (now, gap) = (self.now, self.trial_gap(id));
         let wait_until = self.lane_of(id).map_or(now, |l| l.wait_until);
@@ -458,7 +461,7 @@
         let Some(lane) = self.lanes.get_mut(&key) else { return };
         let was_up = !std::mem::replace(&mut lane.down, true);
         lane.failing_since = lane.failing_since.or(Some(self.now));
-        // It refused connections because it was down, not because its connection table was full.
+        // The lane refused connections because it was down, not because its connection table was full.
         self.connections_refused.retain(|(_, lane), _| *lane != key);
         let Some(destination) = self.destinations.get(&endpoint.dest) else { return };
         for other in destination.endpoints.clone() {
@@ -466,7 +469,8 @@
                 self.infer_unhealthy(other, nothing_ran);
                 let (now, gap) = (self.now, self.trial_gap(other));
                 let unhealthy = self.endpoints.get_mut(&other).and_then(|e| e.unhealthy.as_mut());
-                // A stalled endpoint's next trial is soon, which is too much from all senders together.
+                // A stalled endpoint's next trial is due soon: from all senders together, that is too much
+                // load.
                 if let Some(unhealthy) =
                     unhealthy.filter(|u| was_up && u.next_trial <= now + FIRST_TRIAL_BACKOFF_US)
                 {
@@ -476,8 +480,8 @@
         }
     }
 
-    /// Starts the warm-up of a lane that was down: its endpoints whose state was only inferred become
-    /// healthy, and all of them together are loaded gradually.
+    /// Starts the warm-up of a lane that was down. Endpoints whose unhealthy state was only inferred become
+    /// healthy, and the load on all the lane's endpoints together grows gradually.
     fn start_lane_warm_up(&mut self, key: LaneKey) {
         let now = self.now;
         let Some(lane) = self.lanes.get_mut(&key) else { return };
@@ -492,8 +496,9 @@
         }
     }
 
-    /// Frees what is no longer listed, so that a sender can run for months. Its state is kept for a warm-up:
-    /// if it is listed again, its wait and its health still hold.
+    /// Removes endpoints, lanes and destinations that are no longer listed, so that memory stays bounded over
+    /// months. Their state is retained for the length of a warm-up: if they are listed again, their waits and
+    /// health still apply.
     fn evict_stale(&mut self) {
         let (now, retention) = (self.now, self.settings.warm_up.max(RESIZE_INTERVAL_US));
         if now < self.next_eviction {
@@ -527,8 +532,8 @@
         self.endpoints.get(&endpoint).and_then(|e| self.lanes.get_mut(&e.lane))
     }
 
-    /// Ends one attempt: updates the message, its call, and with a call's first outcome the endpoint's
-    /// health.
+    /// Ends one attempt: updates the message and its call. The first outcome of a call also updates the
+    /// endpoint's health.
     fn end_attempt(
         &mut self,
         id: MsgId,
@@ -570,7 +575,7 @@
             self.calls.remove(&attempt.call);
             self.slots_used -= 1;
         }
-        // Each outcome of a batch may ask for a wait of its own: all of them bind, not only the first.
+        // Each outcome of a batch may ask for its own wait; the longest of them applies, not only the first.
         if wait > 0
             && let Some(lane) = self.lane_of(endpoint_id)
         {
@@ -593,7 +598,7 @@
         }
     }
 
-    /// Updates the health of an endpoint and its lane with the end of one call.
+    /// Updates the health of an endpoint and its lane from the first outcome of a call.
     fn update_health(
         &mut self,
         id: EndpointId,
@@ -604,8 +609,8 @@
     ) {
         let AttemptResult { outcome, elapsed, wait, .. } = result;
         let now = self.now;
-        let broke = matches!(outcome, Outcome::Reset | Outcome::TimedOut);
-        if connection_idle > 0 && broke && self.blame_idle_connection(id) {
+        let stalled_or_reset = matches!(outcome, Outcome::Reset | Outcome::TimedOut);
+        if connection_idle > 0 && stalled_or_reset && self.blame_idle_connection(id) {
             return;
         }
         let (gap, few_senders_weight) = (self.trial_gap(id), self.few_senders_weight());
@@ -614,7 +619,7 @@
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let Some(lane) = self.lanes.get_mut(&endpoint.lane) else { return };
         let connect_timed_out = outcome.is_unconnected() && elapsed >= MIN_STALL_US as Micros;
-        // A malformed answer does not count as ambiguous: healthy endpoints send some too.
+        // A malformed answer does not count as an ambiguous failure: healthy endpoints send some too.
         let ambiguous = match outcome {
             Outcome::Done => Some(0.0),
             Outcome::Error | Outcome::TimedOut | Outcome::Reset => Some(1.0),
@@ -641,7 +646,7 @@
             self.connections_refused.insert((endpoint.kind, endpoint.lane), now);
         }
         match outcome {
-            // A malformed answer proves that the endpoint is alive and took the call.
+            // A malformed answer proves that the endpoint is running and accepted the call.
             Outcome::Done | Outcome::MalformedAnswer => {
                 if outcome == Outcome::Done {
                     if lane.latency.samples > 0.0 {
@@ -655,7 +660,7 @@
                 let ends_failures =
                     |since: &Micros| sent >= *since || (!lane.down && now - since < OUTAGE_AFTER_US);
                 let ended_endpoint_failures = endpoint.failing_since.filter(ends_failures).is_some();
-                // With few calls, an outage may have begun as early as right after the last success.
+                // With few calls, an outage may have begun immediately after the last success.
                 let min_outage = if lane.warm_up.is_some() { OUTAGE_AFTER_US / 3 } else { OUTAGE_AFTER_US };
                 let was_long = now - lane.last_success >= min_outage;
                 let ended_lane_failures = lane.failing_since.filter(ends_failures).is_some();
@@ -689,36 +694,37 @@
                 lane.wait_until = lane.wait_until.max(now + pause);
                 if now - lane.budget_cut_at > REFUSAL_PAUSE_US {
                     lane.budget_cut_at = now;
-                    // Without a limit the cause was a full queue, which drains by itself: a smaller cut
-                    // suffices.
+                    // If no limit is known, the refusal came from a full queue, which drains by itself: a
+                    // smaller cut of the budget suffices.
                     let factor = if lane.limit.is_some() { 1.0 } else { UNKNOWN_LIMIT_FACTOR };
                     let limit = lane.limit.unwrap_or(f64::INFINITY);
                     let own = self.destinations.get(&lane.dest).map_or(0.0, |d| d.traffic.per_second(now));
-                    let max_min = limit / self.settings.senders as f64 * MIN_BUDGET_EQUAL_SHARES;
-                    // Filled calls are the fewest that carry this sender's traffic, whatever its equal share
-                    // is.
+                    let max_min_budget = limit / self.settings.senders as f64 * MIN_BUDGET_EQUAL_SHARES;
+                    // The budget never falls below the filled calls that this sender's traffic needs, even if
+                    // they exceed its equal share.
                     let max_batch = self.settings.max_batch(endpoint.kind) as f64;
                     let filled = if max_batch > 1.0 { filled_calls(own, max_batch) } else { 0.0 };
-                    let min_budget = (own * MIN_BUDGET_SHARE).min(max_min).max(filled).max(0.01);
+                    let min_budget = (own * MIN_BUDGET_SHARE).min(max_min_budget).max(filled).max(0.01);
                     let accepted = lane.accepted_rate.per_second(now);
-                    let from = lane.budget.min(limit).min((accepted * factor).max(min_budget));
-                    lane.budget = (from * BUDGET_CUT_FACTOR).max(min_budget);
+                    let cut_from = lane.budget.min(limit).min((accepted * factor).max(min_budget));
+                    lane.budget = (cut_from * BUDGET_CUT_FACTOR).max(min_budget);
                     lane.tokens = lane.tokens.min(0.0);
                 }
             }
-            // A call succeeded after this one was sent: the connection table is full, which is no outage. The
-            // endpoint's idle connections are closed.
+            // Another call succeeded after this call was sent, so the connection table is full and there is
+            // no outage. The endpoint's idle connections are closed.
             _ if outcome.is_unconnected() && endpoint.last_success > sent => {
                 return endpoint.connection_refused_at = Some(now);
             }
             _ => {}
         }
-        // A connection that timed out, unlike one refused at once, is a stall and counts for two failures.
+        // A connection attempt that timed out is a stall and counts as two failures, unlike an immediate
+        // refusal.
         let weight = if connect_timed_out { 2.0 } else { 1.0 };
         endpoint.failure_share += FAILURE_GAIN * weight * (1.0 - endpoint.failure_share);
         // A single refusal may come from a rate limit and needs no warm-up. A long wait means that the
-        // receiver is shut down: all senders that were given the same end would return at once, so each adds
-        // a gap.
+        // receiver is shut down. All senders may have received the same end of the wait, so each adds a
+        // random gap in order not to return together.
         let is_shut_down = wait > SHUTDOWN_WAIT_US;
         let error_allowance = if outcome == Outcome::Error {
             few_senders_weight * (MAX_ERROR_SHARE - MAX_FAILURE_SHARE)
@@ -752,11 +758,11 @@
         }
     }
 
-    /// Attributes a failed call to its idle connection, and returns whether it does. Guards against idle
-    /// connections that were dropped without notice: a stall or reset on one says nothing of the endpoint,
-    /// unless another call has failed recently. For a while no connection to that kind is kept idle, and the
-    /// next call, on a new connection, shows the endpoint's state. The price is that one failed call of an
-    /// outage does not count.
+    /// Attributes a failed call to its idle connection unless another call has failed recently, and returns
+    /// whether it did. Guards against idle connections that were dropped without notice: a stall or reset on
+    /// such a connection is no evidence about the endpoint. For a while no idle connection to that kind stays
+    /// open, and the next call, on a new connection, tests the endpoint. The price is that one failed call of
+    /// an outage does not count.
     fn blame_idle_connection(&mut self, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&id).filter(|e| e.failure_share < FAILURE_GAIN) else {
             return false;
@@ -770,12 +776,13 @@
     }
 
     /// Returns a random time until an endpoint's next trial, in microseconds. Guards against many senders'
-    /// trials adding up: the mean follows this sender's part of the traffic, so that all senders together
-    /// stay near what a cold destination takes. The price is that a return is seen late.
+    /// trials adding up: the more of the traffic this sender has, the shorter the mean gap, so that the
+    /// trials of all senders together stay near the load that a cold destination can take. The price is that
+    /// a recovery is detected late.
     fn trial_gap(&mut self, id: EndpointId) -> f64 {
         let chance = self.random.next_unit();
-        // With few senders the backoff limits trials, and one with little traffic tries as often as the
-        // others.
+        // With few senders the backoff alone limits trials, and a sender with little traffic sends them as
+        // often as the others.
         let few_senders_weight = self.few_senders_weight();
         let trial_share = |e: &Endpoint| {
             self.own_share(e).max(self.equal_share(e) * few_senders_weight) / self.lane_endpoints(e)
@@ -785,12 +792,12 @@
         2.0 * chance * 1e6 / (TRIAL_LOAD_FACTOR * cold_from * fall_multiple * share).max(1e-3)
     }
 
-    /// Returns 1 with two senders at most, and less the more senders there are, down to nearly 0.
+    /// Returns 1 for up to two senders; the value falls towards 0 as the number of senders grows.
     fn few_senders_weight(&self) -> f64 {
         (FEW_SENDERS / self.settings.senders as f64).powi(2).min(1.0)
     }
 
-    /// Returns what this sender may count as its part of the limit of an endpoint's lane, in calls a second.
+    /// Returns the part of the limit of an endpoint's lane that this sender may use, in calls a second.
     fn own_share(&self, endpoint: &Endpoint) -> f64 {
         let (traffic, endpoints) = self
             .destinations
@@ -799,7 +806,7 @@
         let is_route = matches!(endpoint.lane, LaneKey::Route(_));
         let own = if is_route { traffic / endpoints.max(1) as f64 } else { traffic };
         let equal = self.equal_share(endpoint);
-        // Right after a start no traffic has been seen; the equal share is all there is to go by.
+        // Right after a start no traffic has been measured, so the equal share is the only estimate.
         if own == 0.0 {
             equal
         } else {
@@ -813,7 +820,7 @@
         limit / self.settings.senders as f64
     }
 
-    /// Returns the number of endpoints in an endpoint's lane, itself included.
+    /// Returns the number of endpoints in an endpoint's lane, including that endpoint.
     fn lane_endpoints(&self, endpoint: &Endpoint) -> f64 {
         match endpoint.lane {
             LaneKey::Route(_) => 1.0,
@@ -821,7 +828,8 @@
         }
     }
 
-    /// Closes a message: its client needs no further answer. It is remembered until its attempts have ended.
+    /// Closes a message whose client needs no further answer. Its record is kept until its attempts have
+    /// ended.
     fn close(&mut self, id: MsgId) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         if !message.closed {
@@ -857,7 +865,7 @@
         self.class_of(message).max_attempts.unwrap_or(self.settings.max_attempts)
     }
 
-    /// Returns whether a further attempt is allowed now.
+    /// Returns whether a message may get a further attempt now.
     fn may_retry(&self, id: MsgId) -> bool {
         let Some(message) = self.messages.get(&id) else { return false };
         if message.closed || message.counted_attempts() >= self.max_attempts(message) {
@@ -871,7 +879,7 @@
         }
     }
 
-    /// Returns whether a further attempt would be allowed if the next one had an unknown outcome.
+    /// Returns whether a message could be sent again if its next attempt ended with an unknown outcome.
     fn is_repeatable(&self, message: &Message) -> bool {
         let class = self.class_of(message);
         let first_sent = message.may_have_run.map_or(self.now, |m| m.0);
@@ -883,9 +891,10 @@
         effect_allows && message.counted_attempts() + 1 < self.max_attempts(message)
     }
 
-    /// Returns whether the client may be told that resubmitting the message does no harm. A resubmission is a
-    /// new message, and no sender knows that its key is in use; so enough must be left of the time for which
-    /// the destination remembers the key. Without this, a refusal late in the window led to a second effect.
+    /// Returns whether the message may be refused, which promises the client that resubmitting it is
+    /// harmless. A resubmission is a new message, and no sender knows that its key is in use. So enough must
+    /// be left of the time for which the destination remembers the key: without this rule, a refusal late in
+    /// the window led to a second effect.
     fn may_refuse(&self, message: &Message) -> bool {
         let class = self.class_of(message);
         let in_flight = message.in_flight.iter().map(|a| a.sent);
@@ -900,7 +909,7 @@
         }
     }
 
-    /// Gives a message its final answer.
+    /// Ends a message with its final answer: a refusal if resubmitting is harmless, otherwise a failure.
     fn finish(&mut self, id: MsgId, out: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id) else { return };
         out.push(if self.may_refuse(message) {
@@ -908,7 +917,8 @@
         } else {
             Action::Fail { id }
         });
-        // Otherwise the key's next message could reach an endpoint before the platform knows of this end.
+        // Without this delay, the key's next message could reach an endpoint before the platform has
+        // received this message's end.
         if let Some(key) = message.key.as_ref().and_then(|k| self.order_keys.get_mut(k)) {
             key.settle_until = key.settle_until.max(self.now + NOTICE_DELIVERY_US);
         }
@@ -926,8 +936,8 @@
         }
     }
 
-    /// Returns when a message's final answer is due: before its deadline in any case, although rounds are a
-    /// quantum apart. An answer after the deadline may count for nothing.
+    /// Returns when a message's final answer is due: early enough that the answer precedes the deadline
+    /// although rounds are a quantum apart. An answer after the deadline may be worthless.
     fn final_answer_due(&self, message: &Message) -> Micros {
         message.deadline - FINAL_ANSWER_LEAD_QUANTA * self.settings.quantum
     }
@@ -942,7 +952,8 @@
         }
     }
 
-    /// Checks whether a call has stalled, which is a sign of ill health, as is a trial without an answer.
+    /// Checks whether a call has stalled. A stall marks the endpoint unhealthy; a stalled trial is backed
+    /// off.
     fn check_stall(&mut self, number: u64) {
         let now = self.now;
         let Some(&Call { endpoint: id, sent, connection_idle, .. }) = self.calls.get(&number) else {
@@ -981,7 +992,7 @@
         }
     }
 
-    /// Brings the budgets, pools and warm-ups of a destination's lanes and endpoints up to date.
+    /// Updates the budgets, pools and warm-ups of a destination's lanes and endpoints to the current time.
     fn refresh(&mut self, dest: DestId) {
         let now = self.now;
         let Some(destination) = self.destinations.get(&dest) else { return };
@@ -1024,24 +1035,25 @@
                     shortest_aim_us,
                     recently_refused,
                 };
-                // With few senders, calls need hardly any spacing.
+                // With few senders, calls need almost no spacing.
                 (limit * few_senders_weight, demand)
             });
             let spaced = demand.and_then(|(unspaced, demand)| Some(demand.spacing()? + unspaced));
             lane.pace = lane.budget.min(max_pace).min(spaced.unwrap_or(UNLIMITED_PER_S)).min(UNLIMITED_PER_S);
             lane.tokens = (lane.tokens + lane.pace * elapsed_s).min((lane.pace * BURST_S).max(1.0));
             lane.refilled_at = now;
-            // A pool that was sized in good health keeps its size while an endpoint is unhealthy. One that
-            // never was sized, as after a restart that restores bad health, would keep its initial size for
-            // as long.
+            // A pool that was sized while all endpoints were healthy keeps its size while one is unhealthy. A
+            // pool that has never been sized, as after a restart that restores an unhealthy endpoint, is
+            // sized nevertheless: otherwise it would keep its initial size until the endpoint recovers.
             let can_size = lane.latency.samples >= MIN_SIZING_SAMPLES;
             let is_due = now - lane.resized_at >= RESIZE_INTERVAL_US;
             if is_due && !lane.latency.is_slow() && (!is_unhealthy || (can_size && !lane.is_sized)) {
                 lane.is_sized = can_size;
                 lane.resized_at = now;
                 let max_permits = ((self.settings.slots as f64 * MAX_POOL_SHARE).ceil() as u32).max(1);
-                let needed = (own_rate * lane.latency.p99_us() / 1e6 * POOL_SAFETY_FACTOR).ceil() as u32;
-                lane.permits = needed.clamp(1, max_permits);
+                let needed_permits =
+                    (own_rate * lane.latency.p99_us() / 1e6 * POOL_SAFETY_FACTOR).ceil() as u32;
+                lane.permits = needed_permits.clamp(1, max_permits);
             }
             let warm_ups =
                 [(&mut lane.warm_up, own_share), (&mut endpoint.warm_up, own_share / lane_endpoints)];
@@ -1061,11 +1073,12 @@
     }
 
     /// Cancels a stalled call to free its slot. Guards against stalled calls filling the slots: unsafe calls
-    /// to a hung destination would keep theirs until the deadline. While slots are short and messages wait,
-    /// it cancels the call that has stalled longest relative to its lane, sooner if all its messages may be
-    /// sent again. If only a destination's own pool keeps messages waiting, it cancels only a call that later
-    /// calls have overtaken: the endpoint answers, so the connection is dead. It works for any cause of a
-    /// stall, and it fails an unsafe message whose answer was merely late.
+    /// to a hung destination would hold their slots until the deadline. While slots are short and messages
+    /// wait, it cancels the call that has stalled longest relative to its lane's stall threshold, sooner if
+    /// all its messages may be sent again. If only a destination's own pool keeps messages waiting, it
+    /// cancels only a call that later calls have overtaken: the endpoint answers, so the connection is dead.
+    /// The rule covers any cause of a stall. Its price is that an unsafe message fails whose answer was
+    /// merely late.
     fn reclaim_slot(&mut self, out: &mut Vec<Action>) {
         let reserve = (self.settings.slots as f64 * RECLAIM_RESERVE_SHARE).ceil() as u32;
         let has_pending = |d: &DestId| self.destinations.get(d).is_some_and(|d| !d.pending.is_empty());
@@ -1079,7 +1092,7 @@
         if !self.settings.cancel || (!slots_short && blocked.is_empty()) {
             return;
         }
-        // How long a call has stalled, as a multiple of the time after which it may be cancelled.
+        // Returns a call's time in flight as a multiple of the time after which it may be cancelled.
         let stall_ratio = |call: &Call| {
             let endpoint = self.endpoints.get(&call.endpoint)?;
             let threshold_us = self.lanes.get(&endpoint.lane)?.latency.stall_threshold_us();
@@ -1099,12 +1112,12 @@
         }
     }
 
-    /// Returns the number of slots in a share of all, at least one.
+    /// Returns the number of slots in a share of all slots, at least one.
     fn slots_in(&self, share: f64) -> u32 {
         ((self.settings.slots as f64 * share) as u32).max(1)
     }
 
-    /// Returns whether a destination has as many calls in flight as one destination may have.
+    /// Returns whether a destination has the maximum of calls in flight for one destination.
     fn is_at_maximum(&self, destination: &Destination) -> bool {
         let endpoints = destination.endpoints.iter().filter_map(|id| self.endpoints.get(id));
         endpoints.map(|e| e.in_flight).sum::<u32>() >= self.slots_in(MAX_DESTINATION_SHARE)
@@ -1119,7 +1132,7 @@
             && !listed.any(|e| self.is_doubtful(e))
     }
 
-    /// Returns whether a destination's calls in flight keep it from sending more.
+    /// Returns whether a destination's own calls in flight prevent it from sending more calls.
     fn is_blocked_by_own_calls(&self, destination: &Destination) -> bool {
         let mut lanes =
             destination.endpoints.iter().filter_map(|id| self.lanes.get(&self.endpoints.get(id)?.lane));
@@ -1127,36 +1140,36 @@
             || (lanes.any(|l| l.in_flight >= l.permits) && !self.may_borrow(destination))
     }
 
-    /// Probes unhealthy endpoints that are due a trial, if probes are allowed and a trial could harm a
-    /// message.
+    /// Probes unhealthy endpoints whose trial is due, if the settings allow probes and a trial call could
+    /// harm a message.
     fn send_probes(&mut self, dest: DestId, out: &mut Vec<Action>) {
         let Some(destination) = self.destinations.get(&dest).filter(|_| self.settings.probes) else {
             return;
         };
-        // A failing lane gets one call or probe at a time: each is load on it.
+        // A failing lane gets only one call or probe at a time, since probes load it too.
         let is_failing = |key: &LaneKey| self.lanes.get(key).is_some_and(|l| l.failing_since.is_some());
         let endpoints = destination.endpoints.iter().filter_map(|id| self.endpoints.get(id));
         let in_use = endpoints
             .filter(|e| e.listed)
             .filter(|e| e.unhealthy.as_ref().is_none_or(|u| u.probing || u.trial_sent.is_some()));
-        let mut occupied: BTreeSet<LaneKey> = in_use.map(|e| e.lane).filter(is_failing).collect();
+        let mut occupied_lanes: BTreeSet<LaneKey> = in_use.map(|e| e.lane).filter(is_failing).collect();
         for id in &destination.endpoints {
             let Some(endpoint) = self.endpoints.get_mut(id).filter(|e| e.listed) else { continue };
             let must_wait = self.lanes.get(&endpoint.lane).is_none_or(|l| self.now < l.wait_until);
-            let must_wait = must_wait || occupied.contains(&endpoint.lane);
+            let must_wait = must_wait || occupied_lanes.contains(&endpoint.lane);
             let Some(unhealthy) = endpoint.unhealthy.as_mut().filter(|_| !must_wait) else { continue };
             let is_idle = !unhealthy.probing && unhealthy.trial_sent.is_none();
             let needs_probe = !unhealthy.nothing_ran && !unhealthy.probed;
             if needs_probe && is_idle && self.now >= unhealthy.next_trial {
                 unhealthy.probing = true;
-                occupied.extend(Some(endpoint.lane).filter(is_failing));
+                occupied_lanes.extend(Some(endpoint.lane).filter(is_failing));
                 out.push(Action::Probe { endpoint: *id });
             }
         }
     }
 
-    /// Returns the endpoints of a destination that can take a call now, the cheapest first, and when to check
-    /// again.
+    /// Returns the endpoints of a destination that can take a call now, cheapest first, and when to check the
+    /// destination again.
     fn candidates(&self, dest: DestId) -> (Vec<Candidate>, Recheck) {
         let now = self.now;
         let mut candidates = Vec::new();
@@ -1173,12 +1186,12 @@
             now - e.last_used < self.settings.idle_close
                 && e.in_flight < e.connections.saturating_mul(self.settings.streams_per_conn)
         };
-        // A connection that this sender's own traffic keeps in use costs one handshake, not one for each
-        // call.
+        // If this sender's traffic reuses a connection before it is closed as idle, the handshake is paid
+        // once and not for each call.
         let calls_per_idle_time = destination.traffic.per_second(now) * self.settings.idle_close as f64 / 1e6;
         let zones: BTreeSet<usize> = listed.iter().map(|(_, e)| e.zone).collect();
         let in_own_zone = listed.iter().filter(|(_, e)| e.zone == self.settings.zone).count() as f64;
-        // If this zone has few of the destination's endpoints, some of its senders use all zones.
+        // If this zone has few of the destination's endpoints, some of the zone's senders use all zones.
         let stay_chance =
             in_own_zone * zones.len() as f64 * MAX_ZONE_LOAD_FACTOR / listed.len().max(1) as f64;
         let avoids_zone = |e: &Endpoint| e.zone != self.settings.zone && self.zone_draw < stay_chance;
@@ -1188,7 +1201,8 @@
         recheck.on_free_slot = too_many_doubtful;
         for (id, endpoint) in listed {
             let Some(lane) = self.lanes.get(&endpoint.lane) else { continue };
-            // A call that outlasts this process may have run to no avail: the next start sends the message.
+            // A call that may outlast this process is not started, since its outcome would be lost. The next
+            // process sends the message.
             if self.stop_at.is_some_and(|at| now + lane.latency.p99_us() as Micros > at) {
                 continue;
             }
@@ -1241,7 +1255,7 @@
             let excludes_unsafe = trial_may_harm || no_unsafe_until > now;
             candidates.push(Candidate { endpoint: *id, excludes_unsafe, cost, turn_wait });
         }
-        // Of equal cost, the endpoint that has waited longest for its turn comes first.
+        // Among endpoints of equal cost, the one that has waited longest for its turn comes first.
         candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(b.turn_wait.total_cmp(&a.turn_wait)));
         (candidates, recheck)
     }
@@ -1293,14 +1307,14 @@
         class.worth * share
     }
 
-    /// Returns what a destination would send next. If there is nothing, the destination is not ready again
-    /// until that may have changed.
+    /// Returns the message that a destination would send next and the endpoint for it. If there is none, the
+    /// destination is removed from `ready` until the result may change.
     fn choose(&mut self, dest: DestId) -> Option<Choice> {
         self.refresh(dest);
         let (candidates, mut recheck) = self.candidates(dest);
         let pending = self.destinations.get(&dest).map(|d| &d.pending)?;
-        // Oldest first until a message is late; then those that lose most by waiting, oldest first among
-        // equals.
+        // Messages are sent oldest first while none is late. Once one is late, the messages that lose most
+        // worth by waiting are sent first, and the oldest first among equals.
         let mut order: Vec<(f64, MsgId)> = Vec::new();
         if !candidates.is_empty() {
             order.extend(pending.iter().map(|(_, id)| (0.0, *id)));
@@ -1315,7 +1329,8 @@
                 }
                 order.sort_by(|a, b| a.0.total_cmp(&b.0));
             }
-            // Messages restored untried after a restart come before all others, by deadline.
+            // Messages restored after a restart that have not been sent yet come before all others, by
+            // deadline.
             let untried_deadline = |id: &MsgId| {
                 let message = &self.messages[id];
                 if message.restored_untried { message.deadline } else { Micros::MAX }
@@ -1356,7 +1371,7 @@
         None
     }
 
-    /// Sends messages, the highest rank first, while slots are free.
+    /// Sends messages in order of rank, highest first, while slots are free.
     fn dispatch(&mut self, out: &mut Vec<Action>) {
         let mut choices: BTreeMap<DestId, Choice> = BTreeMap::new();
         for dest in self.ready.clone() {
@@ -1372,7 +1387,8 @@
         while self.slots_used < self.settings.slots {
             let best = choices.iter().rev().max_by(|a, b| a.1.rank.total_cmp(&b.1.rank));
             let Some((dest, choice)) = best.map(|(d, c)| (*d, *c)) else { break };
-            // A send only narrows what other destinations may do, so only the best choice is checked again.
+            // Sending a message never gives another destination more choices, so only the best choice is
+            // checked again.
             let current = self.choose(dest);
             if current == Some(choice) {
                 self.send(choice, out);
@@ -1384,9 +1400,10 @@
         }
     }
 
-    /// Closes idle connections where they are scarce. Guards against idle connections keeping other senders
-    /// out of an endpoint that takes few: after a kind has refused one at once, none to it is kept idle for a
-    /// while. That costs a handshake for each call. Refusals while a whole lane was down are not counted.
+    /// Closes idle connections to kinds whose connections are scarce. Guards against idle connections keeping
+    /// other senders out of an endpoint that accepts few: after an endpoint of a kind has refused a
+    /// connection at once, no connection to that kind stays open while idle for a time. That costs a
+    /// handshake for each call. Refusals while a whole lane was down are not counted.
     fn close_idle_connections(&mut self, out: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.maybe_idle) {
             let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
@@ -1407,10 +1424,11 @@
         }
     }
 
-    /// Sends one call with this message and, where the kind batches, with other pending messages that may
-    /// share it. The call lasts for the usual timeout or the shortest time left of its messages, whichever is
-    /// longer. An answer that arrives after one of the messages has ended may be valid for none of them, and
-    /// is valid for none if that message comes first; so the message with the most time left comes first.
+    /// Sends one call with the chosen message and, where the kind batches, other pending messages that may
+    /// share the call. The call lasts for the usual timeout or the shortest time left of its messages,
+    /// whichever is longer. If an answer arrives after one of the messages has ended, the answer may be valid
+    /// for none of them, and it is valid for none if the ended message is the first in the batch. So the
+    /// message with the most time left comes first.
     fn send(&mut self, choice: Choice, out: &mut Vec<Action>) {
         let (now, Choice { id, endpoint: endpoint_id, excludes_unsafe, .. }) = (self.now, choice);
         let endpoint = &self.endpoints[&endpoint_id];
@@ -1479,7 +1497,7 @@
         }
     }
 
-    /// Sheds pending messages when too many are open, those of the least worth first.
+    /// Refuses pending messages while too many are open, those with the least worth first.
     fn shed_excess(&mut self, out: &mut Vec<Action>) {
         let room = ((self.settings.max_open as f64 * FREE_ROOM_SHARE).ceil() as usize).max(1);
         let max_open = (self.settings.max_open as usize).saturating_sub(room).max(1);
@@ -1507,13 +1525,13 @@
 }
 
 impl Endpoint {
-    /// Returns the share of its calls that failed and may have run, as of now.
+    /// Returns the share of the endpoint's calls that failed and may have run, decayed to `now`.
     fn ambiguous_share(&self, now: Micros) -> f64 {
         self.ambiguous_share * (-((now - self.ambiguous_share_at) as f64) / AMBIGUOUS_MEMORY_US).exp()
     }
-    /// Returns until when the endpoint gets no unsafe messages. Guards against losing unsafe messages one by
-    /// one: an endpoint that fails part of its calls answers the others, and looks healthy after each
-    /// success. Repeatable messages test it in the meantime.
+    /// Returns the time until which the endpoint gets no unsafe messages. Guards against losing unsafe
+    /// messages one by one: an endpoint that fails part of its calls answers the others, and looks healthy
+    /// after each success. Repeatable messages test the endpoint in the meantime.
     fn no_unsafe_until(&self) -> Micros {
         let decay_us = (self.ambiguous_share / MAX_AMBIGUOUS_SHARE).max(1.0).ln() * AMBIGUOUS_MEMORY_US;
         if decay_us > 0.0 { self.ambiguous_share_at + decay_us as Micros + 1 } else { Micros::MIN }
@@ -1527,14 +1545,14 @@
         unhealthy.back_off(now, gap);
         unhealthy
     }
-    /// Ends a trial or probe without success and doubles the time until the next one.
+    /// Records a failed trial or probe and doubles the time until the next trial.
     fn back_off(&mut self, now: Micros, gap: f64) {
         (self.trial_sent, self.probed) = (None, false);
         self.backoff = (self.backoff * 2).min(MAX_TRIAL_BACKOFF_US);
         self.next_trial = now + self.backoff.max(gap as Micros);
     }
-    /// Delays the next trial past the end of a wait. Each sender adds a random gap of its own: otherwise all
-    /// senders that were given the same end would return at once.
+    /// Delays the next trial past the end of a wait by a random gap. Without the gap, all senders that
+    /// received the same end of the wait would return at once.
     fn delay_past(&mut self, wait_until: Micros, gap: f64) {
         if self.next_trial < wait_until {
             self.next_trial = wait_until + gap as Micros;
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -1,26 +1,26 @@
-//! Measurements: rates, latencies, and whether refusals point to a full connection table. The decisions that
-//! use them are in `src/logic.rs`.
+//! Measures rates and latencies, and detects from refusals that connection tables are full. `src/logic.rs`
+//! makes the decisions that use these measurements.
 
 use crate::interface::Micros;
 use crate::state::{Latency, Rate};
 
-/// A rate observed for less time than this is scaled down, as if the rest of the span had been empty.
+/// The lower bound of a rate observed for less than this time assumes no events in the rest of the time.
 const FULL_CONFIDENCE_AFTER_US: f64 = 8e6;
 /// Standard deviations subtracted from a rate for its lower bound.
 const LOWER_BOUND_DEVIATIONS: f64 = 1.0;
-/// Weight of a new latency sample once there are many.
+/// Minimum weight of a new latency sample; the first samples weigh more.
 const LATENCY_GAIN: f64 = 0.04;
-/// Assumed p99 before the first sample.
+/// Assumed p99 of the latency before the first sample.
 const DEFAULT_P99_US: f64 = 2e6;
-/// Time constant, in calls, of the decay of refusal counts.
+/// Time constant, in calls, with which the counts of refused calls decay.
 const TABLE_MEMORY_CALLS: f64 = 16.0;
-/// Minimum decayed count of calls on new connections: a few refusals are no evidence.
+/// Minimum decayed count of calls on new connections: fewer are no evidence of a full connection table.
 const MIN_TABLE_CALLS: f64 = 6.0;
-/// Assumed share of refused calls on reused connections before any such call has been seen.
+/// Assumed share of refused calls on reused connections before the first such call.
 const REUSED_REFUSAL_PRIOR: f64 = 0.2;
-/// With a full table, at least this share of the calls on new connections is refused, and at least
-/// `MIN_REFUSAL_RATIO` times the share on reused ones: a rate limit refuses both alike, a full table only new
-/// ones.
+/// A connection table counts as full if at least this share of the calls on new connections is refused, and
+/// at least `MIN_REFUSAL_RATIO` times the share on reused connections. A rate limit refuses calls on both
+/// alike, a full table only calls on new connections.
 const MIN_REFUSED_SHARE: f64 = 0.6;
 const MIN_REFUSAL_RATIO: f64 = 3.0;
 
@@ -28,7 +28,7 @@
     pub(crate) fn new(now: Micros, memory_us: f64) -> Self {
         Rate { created_at: now, updated_at: now, value: 0.0, memory_us }
     }
-    /// Returns a rate as if `per_second` had been observed for the span of its memory.
+    /// Returns a rate as if `per_second` events a second had been observed for the time `memory_us`.
     pub(crate) fn with_history(now: Micros, memory_us: f64, per_second: f64) -> Self {
         Rate {
             created_at: now - memory_us as Micros,
@@ -49,7 +49,8 @@
         self.value * (-((now - self.updated_at) as f64) / self.memory_us).exp()
             / (1.0 - (-age / self.memory_us).exp())
     }
-    /// Returns a rate that the true one most likely exceeds; it is low while few events have been seen.
+    /// Returns a rate that the true rate most likely exceeds. The bound is low while few events have been
+    /// recorded.
     pub(crate) fn lower_bound(&self, now: Micros) -> f64 {
         let rate =
             self.per_second(now) * ((now - self.created_at) as f64 / FULL_CONFIDENCE_AFTER_US).min(1.0);
@@ -63,8 +64,8 @@
         let sample_us = elapsed.max(1_000) as f64;
         self.recent_us =
             if self.samples == 0.0 { sample_us } else { self.recent_us + 0.3 * (sample_us - self.recent_us) };
-        // Samples far above the p99 are capped, so that a slow spell widens the distribution only gradually:
-        // pools are sized for healthy latency.
+        // Samples far above the p99 are capped, so that a period of slow answers widens the distribution only
+        // gradually: pools are sized for healthy latency.
         let log_sample =
             if self.samples < 8.0 { sample_us.ln() } else { sample_us.ln().min(self.p99_us().ln() + 0.7) };
         let gain = (1.0 / (self.samples + 1.0)).max(LATENCY_GAIN);
@@ -86,13 +87,13 @@
             (self.log_mean + self.log_variance / 2.0).exp()
         }
     }
-    /// Returns whether the latest answers took longer than the p99.
+    /// Returns whether the moving average of the latest answers exceeds the p99.
     pub(crate) fn is_slow(&self) -> bool {
         self.samples > 0.0 && self.recent_us > self.p99_us()
     }
 }
 
-/// Decaying counts of calls and of how many of them were refused.
+/// Decaying counts of calls and of refused calls.
 #[derive(Clone, Copy, Debug, Default)]
 struct Refusals {
     calls: f64,
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,16 +1,16 @@
-//! A seeded random number generator. It spreads the senders' decisions; it is not for secrets.
+//! A seeded random number generator that spreads the senders' decisions. It is not suitable for cryptography.
 
 /// An xorshift64 generator.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Random(u64);
 
 impl Random {
-    /// Returns a generator whose first numbers differ even between neighbouring seeds: the seed goes through
-    /// the finalizer of SplitMix64.
+    /// Returns a generator for a seed. The seed is mixed by the finalizer of SplitMix64, so that the first
+    /// numbers differ even between neighbouring seeds.
     pub(crate) fn new(seed: u64) -> Self {
         let mixed = (seed ^ (seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        // A state of 0 would stay 0 for ever.
+        // An xorshift generator with state 0 would return 0 for ever.
         Random((mixed ^ (mixed >> 31)) | 1)
     }
 
--- a/src/rotation.rs
+++ b/src/rotation.rs
@@ -1,40 +1,42 @@
-//! The rotation over endpoints that cost a sender the same: decides which one is next. It does no I/O and
-//! sees one endpoint at a time.
+//! The rotation over endpoints of equal cost: decides which endpoint gets the next call. Works on one
+//! endpoint at a time, without I/O.
 //!
-//! Each sender rotates over its endpoints and starts at a random place, so that the load of many senders adds
-//! up evenly although each sees little of it (`docs/design/even.md`). What is known of an endpoint's speed
-//! decays.
+//! Each sender rotates over its endpoints from a random place, so that the load of many senders adds up
+//! evenly although each sender has little of the traffic (`docs/design/even.md`). Measurements of an
+//! endpoint's latency decay.
 
 use crate::interface::Micros;
 
-/// Endpoints of a first list get a random last turn within this span before now.
+/// Endpoints of a first list start with a random time of their last turn, at most this far in the past.
 const FIRST_LIST_SPAN_US: f64 = 1e7;
 /// Time constant of the decay of an endpoint's measured slowness.
 const SLOWNESS_MEMORY_US: f64 = 3e7;
-/// Slowness up to this logarithm is ignored: single answers differ by as much.
+/// Slowness whose logarithm is below this is ignored, since the latencies of single answers differ by as
+/// much.
 const SLOWNESS_TOLERANCE: f64 = 0.4;
 
 /// An endpoint's place in the rotation: its last turn and how slowly it answers.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct RotationPlace {
-    /// When it last had its turn; initially a random time.
+    /// When the endpoint last had its turn; initially a random time.
     last_turn: Micros,
-    /// Until this time an endpoint that joined others is new and has no full share of turns.
+    /// Until this time an endpoint that joined others counts as new and is used only while the others are
+    /// busy.
     new_until: Micros,
-    /// A first connection to it is worth its price once it is no longer new.
+    /// Whether a first connection to the endpoint is worth its price once the endpoint is no longer new.
     wants_connection: bool,
-    /// Decaying sum of the logarithms of how many times slower than its lane it answered, as of
+    /// Decaying sum of the logarithms of the ratios of the endpoint's latencies to its lane's mean, as of
     /// `slowness_at`.
     log_slowness_sum: f64,
-    /// Decaying number of the answers in that sum.
+    /// Decaying number of the answers in `log_slowness_sum`.
     answers: f64,
     slowness_at: Micros,
 }
 
 impl RotationPlace {
-    /// Places an endpoint of a first list at random, so that senders that receive the same list do not all
-    /// begin with the same endpoint. `place` is a random number from 0 to 1.
+    /// Returns a random place for an endpoint of a first list, so that senders that receive the same list do
+    /// not all begin with the same endpoint. `place` is a random number from 0 to 1.
     pub(crate) fn in_first_list(now: Micros, place: f64) -> RotationPlace {
         RotationPlace {
             last_turn: now - (place * FIRST_LIST_SPAN_US) as Micros,
@@ -43,10 +45,10 @@
         }
     }
 
-    /// Places an endpoint that joins others, given the times of their last turns. It looks idle to all
-    /// senders at the same moment; so each sender places it at random between the others and begins to use it
-    /// at a random time within a warm-up, and some senders open a connection to it although they have
-    /// connections to others. `chances` are two random numbers from 0 to 1.
+    /// Returns the place of an endpoint that joins others, given the times of their last turns. All senders
+    /// see the new endpoint idle at the same moment. So each sender places it at random between the others
+    /// and begins to use it at a random time within a warm-up. Some senders open a connection to it although
+    /// they have connections to others. `chances` are two random numbers from 0 to 1.
     pub(crate) fn among(
         now: Micros,
         mut others: Vec<Micros>,
@@ -56,8 +58,8 @@
         let (place, delay) = chances;
         others.sort_unstable();
         let at = place * (others.len() + 1) as f64;
-        // The others have turns during the delay. The new endpoint's last turn moves with it; otherwise it
-        // would get all turns that it missed at once.
+        // The others have turns during the delay, so the delay is added to the new endpoint's last turn.
+        // Otherwise the endpoint would get all missed turns at once.
         let delay = (delay * warm_up as f64) as Micros;
         let last_turn = others.get(at as usize).map_or(now, |turn| turn - 1) + delay;
         RotationPlace {
@@ -68,35 +70,35 @@
         }
     }
 
-    /// Returns when it last had its turn.
+    /// Returns when the endpoint last had its turn.
     pub(crate) fn last_turn(&self) -> Micros {
         self.last_turn
     }
 
-    /// Returns whether it is still new, and used only while the others are busy.
+    /// Returns whether the endpoint is still new and is used only while the others are busy.
     pub(crate) fn is_new(&self, now: Micros) -> bool {
         now < self.new_until
     }
 
-    /// Returns whether a first connection to it is worth its price now.
+    /// Returns whether a first connection to the endpoint is worth its price now.
     pub(crate) fn wants_connection(&self, now: Micros) -> bool {
         self.wants_connection && !self.is_new(now)
     }
 
-    /// Records that it has its turn.
+    /// Records that the endpoint has its turn now.
     pub(crate) fn take_turn(&mut self, now: Micros) {
         (self.last_turn, self.wants_connection) = (now, false);
     }
 
-    /// Records an answer that took `ratio` times the mean of its lane.
+    /// Records an answer that took `ratio` times the mean latency of the endpoint's lane.
     pub(crate) fn record_latency(&mut self, now: Micros, ratio: f64) {
         let decay = self.decay(now);
         self.log_slowness_sum = self.log_slowness_sum * decay + ratio.max(1e-3).ln();
         (self.answers, self.slowness_at) = (self.answers * decay + 1.0, now);
     }
 
-    /// Returns how long it has waited for its turn, weighted: a slow endpoint has fewer turns, but always
-    /// some.
+    /// Returns the time since the last turn, divided by the cube of the endpoint's slowness: a slow endpoint
+    /// has fewer turns, but always some.
     pub(crate) fn weighted_wait(&self, now: Micros) -> f64 {
         (now - self.last_turn) as f64 / self.slowness(now).powi(3)
     }
@@ -105,8 +107,9 @@
         (-((now - self.slowness_at) as f64) / SLOWNESS_MEMORY_US).exp()
     }
 
-    /// Returns how many times slower than its lane it is assumed to be. Few answers count for little and old
-    /// ones for nothing. A faster endpoint counts as average, so that none attracts all calls.
+    /// Returns the assumed ratio of the endpoint's latency to its lane's mean. Few answers have little
+    /// weight, and old answers none. An endpoint that is faster than the mean counts as average, so that it
+    /// does not attract all calls.
     fn slowness(&self, now: Micros) -> f64 {
         let decay = self.decay(now);
         (self.log_slowness_sum * decay / (self.answers * decay + 1.0) - SLOWNESS_TOLERANCE).max(0.0).exp()
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,8 +1,8 @@
-//! The data behind the decisions in `src/logic.rs`; no decision is made here.
+//! Data types for the decisions in `src/logic.rs`. This module makes no decision.
 //!
-//! The types that derive serde's traits are part of [`DispatcherState`](crate::DispatcherState) and
+//! Types that derive serde's traits are part of [`DispatcherState`](crate::DispatcherState) and
 //! [`InFlightCall`](crate::InFlightCall), which processes exchange at a handover in a format that stores
-//! fields and variants by position: their order and types are that format, their names are not.
+//! fields and variants by position: changing their order or types changes the format, renaming them does not.
 
 use crate::interface::*;
 use crate::rotation::RotationPlace;
@@ -20,13 +20,13 @@
     Route(EndpointId),
 }
 
-/// Events a second, averaged with exponential decay.
+/// A rate in events a second, averaged with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Rate {
     pub(crate) created_at: Micros,
     pub(crate) updated_at: Micros,
-    /// The decayed sum as of `updated_at`.
+    /// Decayed events a second, as of `updated_at`.
     pub(crate) value: f64,
     /// Time constant of the decay, in microseconds.
     pub(crate) memory_us: f64,
@@ -54,15 +54,15 @@
     /// Size of the permit pool.
     pub(crate) permits: u32,
     pub(crate) resized_at: Micros,
-    /// The pool has been sized from enough answers.
+    /// Whether the pool has been sized from enough answers.
     pub(crate) is_sized: bool,
-    /// Calls in flight.
+    /// Number of calls in flight on the lane.
     pub(crate) in_flight: u32,
     /// End of the wait that the receiver asked for.
     pub(crate) wait_until: Micros,
     /// Calls a second that this sender allows itself after refusals; infinite before the first.
     pub(crate) budget: f64,
-    /// Calls that the pace allows now.
+    /// Number of calls that the lane's pace allows now.
     pub(crate) tokens: f64,
     pub(crate) refilled_at: Micros,
     /// Refill rate of `tokens`, in calls a second.
@@ -70,17 +70,17 @@
     /// When a refusal last cut the budget.
     pub(crate) budget_cut_at: Micros,
     pub(crate) accepted_rate: Rate,
-    /// First failure since the last success, at any of the lane's endpoints.
+    /// Time of the first failure since the last success, at any of the lane's endpoints.
     pub(crate) failing_since: Option<Micros>,
     pub(crate) last_success: Micros,
-    /// The whole lane is considered down.
+    /// Whether the whole lane is considered down.
     pub(crate) down: bool,
-    /// The whole lane was down, has returned, and is loaded gradually.
+    /// The gradual increase of load after the whole lane was down.
     pub(crate) warm_up: Option<WarmUp>,
 }
 
 impl Lane {
-    /// Returns a lane whose budget no refusal has cut yet.
+    /// Returns a new lane with an unlimited budget, which no refusal has cut yet.
     pub(crate) fn unrestricted(dest: DestId, now: Micros) -> Self {
         Lane { dest, refilled_at: now, budget: f64::INFINITY, ..Lane::default() }
     }
@@ -89,9 +89,9 @@
 /// A destination's demand and its pending messages.
 #[derive(Default)]
 pub(crate) struct Destination {
-    /// Messages a second, over a short time.
+    /// Messages accepted a second, averaged over a short time.
     pub(crate) arrival_rate: Rate,
-    /// Messages a second, over a longer time: this sender's part of the traffic.
+    /// Messages accepted a second, averaged over a longer time: this sender's part of the traffic.
     pub(crate) traffic: Rate,
     /// Messages that wait to be sent, oldest first.
     pub(crate) pending: BTreeSet<(u64, MsgId)>,
@@ -107,24 +107,24 @@
     /// Earliest time of the next trial or probe.
     pub(crate) next_trial: Micros,
     pub(crate) backoff: Micros,
-    /// When the trial in flight was sent.
+    /// When the trial in flight was sent; `None` without one.
     pub(crate) trial_sent: Option<Micros>,
-    /// All failures prove that nothing ran, so an unsafe message may be the trial.
+    /// Every failure so far proves that no message ran, so an unsafe message may be sent as the trial.
     pub(crate) nothing_ran: bool,
-    /// A probe is in flight.
+    /// Whether a probe is in flight.
     pub(crate) probing: bool,
-    /// The last probe succeeded.
+    /// Whether the last probe succeeded.
     pub(crate) probed: bool,
-    /// Inferred from the state of its lane: no call to this endpoint has failed.
+    /// Whether the state was inferred from the lane: no call to this endpoint itself has failed.
     pub(crate) inferred: bool,
 }
 
-/// The gradual return of an endpoint or a lane after an outage.
+/// The gradual increase of load on an endpoint or a lane after an outage.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct WarmUp {
     pub(crate) since: Micros,
-    /// Calls that the pace allows now.
+    /// Number of calls that the warm-up's pace allows now.
     pub(crate) tokens: f64,
     /// Refill rate of `tokens`, in calls a second.
     pub(crate) pace: f64,
@@ -137,7 +137,7 @@
     }
 }
 
-/// An endpoint's use and health.
+/// An endpoint's lane, calls in flight, connections, health and place in the rotation.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Endpoint {
@@ -145,22 +145,22 @@
     pub(crate) dest: DestId,
     pub(crate) kind: usize,
     pub(crate) zone: usize,
-    /// The endpoint list names it as up.
+    /// Whether the endpoint list names the endpoint with status up.
     pub(crate) listed: bool,
-    /// Calls in flight.
+    /// Number of calls in flight to the endpoint.
     pub(crate) in_flight: u32,
-    /// When a call to it last began or ended.
+    /// When a call to the endpoint last began or ended.
     pub(crate) last_used: Micros,
-    /// Connections that are assumed to be open.
+    /// Number of connections that are assumed to be open.
     pub(crate) connections: u32,
     /// When a connection was last refused while other calls succeeded.
     pub(crate) connection_refused_at: Option<Micros>,
     pub(crate) last_success: Micros,
-    /// First failure or refusal since a success.
+    /// Time of the first failure or refusal since the last success.
     pub(crate) failing_since: Option<Micros>,
     /// Decaying share of failed calls, from 0 to 1.
     pub(crate) failure_share: f64,
-    /// Share of its calls that failed and may have run, as of `ambiguous_share_at`.
+    /// Share of the endpoint's calls that failed and may have run, as of `ambiguous_share_at`.
     pub(crate) ambiguous_share: f64,
     pub(crate) ambiguous_share_at: Micros,
     pub(crate) unhealthy: Option<Unhealthy>,
@@ -168,7 +168,7 @@
     pub(crate) rotation: RotationPlace,
 }
 
-/// An attempt in flight.
+/// An attempt in flight: one message's share in a call.
 pub(crate) struct Attempt {
     pub(crate) number: u32,
     pub(crate) call: u64,
@@ -178,7 +178,7 @@
 /// A message and its attempts.
 #[derive(Default)]
 pub(crate) struct Message {
-    /// Its place in the order of acceptance.
+    /// The message's number in the order of acceptance.
     pub(crate) sequence: u64,
     pub(crate) class: usize,
     /// Order key; set only in classes that keep order.
@@ -186,17 +186,17 @@
     pub(crate) dest: DestId,
     pub(crate) deadline: Micros,
     pub(crate) attempts: u32,
-    /// Attempts that reached no endpoint, which do not count against the maximum.
+    /// Number of attempts that reached no endpoint; they do not count against the maximum.
     pub(crate) unreached: u32,
     pub(crate) in_flight: Vec<Attempt>,
     /// When the first attempt that may have run was sent, and to which endpoint.
     pub(crate) may_have_run: Option<(Micros, EndpointId)>,
-    /// Endpoint of the latest attempt; the next one prefers another.
+    /// Endpoint of the latest attempt; the next attempt prefers another endpoint.
     pub(crate) avoid: Option<EndpointId>,
-    /// The client has its final answer; attempts may still be in flight.
+    /// Whether the client needs no further answer; attempts may still be in flight.
     pub(crate) closed: bool,
-    /// Accepted before a restart, certainly not run, and not sent since: it gets an attempt before it may be
-    /// shed.
+    /// Whether the message was accepted before a restart, has certainly not run and has not been sent since.
+    /// Such a message gets an attempt before it may be shed.
     pub(crate) restored_untried: bool,
 }
 
@@ -213,27 +213,27 @@
 pub(crate) struct Call {
     pub(crate) endpoint: EndpointId,
     pub(crate) sent: Micros,
-    /// Attempts in this call whose outcome is still missing.
+    /// Number of attempts in this call that have no outcome yet.
     pub(crate) open_attempts: u32,
-    /// The first outcome has arrived and has updated the endpoint's health; the others do not.
+    /// Whether the call's first outcome has updated the endpoint's health; later outcomes do not update it.
     pub(crate) health_updated: bool,
     pub(crate) is_trial: bool,
     pub(crate) cancelled: bool,
-    /// All its messages may be sent again if it is cancelled.
+    /// Whether all messages in the call may be sent again if the call is cancelled.
     pub(crate) repeatable: bool,
-    /// How long the reused connection had been idle; 0 for a new connection or a busy one.
+    /// How long the reused connection had been idle when the call began; 0 for a new or busy connection.
     pub(crate) connection_idle: Micros,
 }
 
-/// The order of the messages with one key.
+/// The open messages with one order key, in the order of delivery.
 #[derive(Default)]
 pub(crate) struct OrderKey {
     pub(crate) queue: BTreeSet<(u64, MsgId)>,
-    /// No first attempt before this time: an earlier message may still be running.
+    /// No message is sent for the first time before this time, since an earlier one may still be running.
     pub(crate) settle_until: Micros,
 }
 
-/// How an attempt ended, with what the answer reported.
+/// The outcome of an attempt, with the wait and load report from its answer.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptResult {
     pub(crate) outcome: Outcome,
@@ -242,41 +242,41 @@
     pub(crate) report: Option<LoadReport>,
 }
 
-/// A check on the schedule.
+/// A check that is scheduled for a certain time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Check {
-    /// Whether a message's final answer is due.
+    /// Checks whether a message's final answer is due.
     Message(MsgId),
-    /// Whether a call has stalled.
+    /// Checks whether a call has stalled.
     Call(u64),
-    /// Whether a destination can send again.
+    /// Checks whether a destination can send again.
     Destination(DestId),
 }
 
-/// When a destination that can send nothing is checked again.
+/// The time at which a destination that can send no message now is checked again.
 pub(crate) struct Recheck {
     pub(crate) at: Micros,
-    /// A freed slot may change the result, so the destination stays ready.
+    /// Whether a freed slot may let the destination send, so that it stays ready.
     pub(crate) on_free_slot: bool,
 }
 
 /// An endpoint that can take a call now.
 pub(crate) struct Candidate {
     pub(crate) endpoint: EndpointId,
-    /// It must not receive unsafe messages for now.
+    /// Whether the endpoint must not receive unsafe messages for now.
     pub(crate) excludes_unsafe: bool,
     /// Expected cost of a call; the cheapest candidate is used.
     pub(crate) cost: f64,
-    /// Time since its last turn in the rotation; decides between equal costs.
+    /// Weighted time since the endpoint's last turn in the rotation; decides between endpoints of equal cost.
     pub(crate) turn_wait: f64,
 }
 
-/// What a destination would send next.
+/// The message that a destination would send next, and to which endpoint.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) struct Choice {
     pub(crate) rank: f64,
     pub(crate) id: MsgId,
     pub(crate) endpoint: EndpointId,
-    /// The endpoint must not receive unsafe messages for now.
+    /// Whether the endpoint must not receive unsafe messages for now.
     pub(crate) excludes_unsafe: bool,
 }
