--- a/crates/finding/src/lib.rs
+++ b/crates/finding/src/lib.rs
@@ -1,5 +1,5 @@
-//! Findings: errors in files that people write, with their position. Scenarios and options files report them
-//! alike.
+//! Findings: errors with their position in files that people write. Scenario files and options files share
+//! this format.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -9,14 +9,14 @@
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
-/// An error in a file.
+/// An error at a position in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// The line, counted from 1.
+    /// The line of the error, counted from 1.
     pub line: usize,
-    /// The column in characters, counted from 1.
+    /// The column of the error in characters, counted from 1.
     pub column: usize,
-    /// What is wrong, and how to fix it.
+    /// The fault, and how to fix it.
     #[serde(rename = "what")]
     pub message: String,
 }
@@ -31,19 +31,19 @@
         Finding { line, column, message: message.into() }
     }
 
-    /// Returns the finding for a text that is not valid TOML or lacks the expected structure. Its message is
-    /// on one line, as in all findings.
+    /// Returns the finding for a text that is not valid TOML or does not have the expected structure. Line
+    /// ends in the message are replaced, since all findings are on one line.
     pub fn from_toml_error(text: &str, error: &toml::de::Error) -> Finding {
         Finding::at(text, error.span().map_or(0, |s| s.start), error.message().replace('\n', "; "))
     }
 }
 
-/// An error in a section that a subsystem checks, which knows byte offsets but not lines.
+/// An error at a byte range of a file, from a check that does not know line numbers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpanFinding {
-    /// The byte range.
+    /// The byte range in the file's text.
     pub span: Range<usize>,
-    /// What is wrong, and how to fix it.
+    /// The fault, and how to fix it.
     pub message: String,
 }
 
@@ -58,9 +58,9 @@
 
 /// Displays findings as lines `name:line:column: message`, without a line end after the last.
 pub struct Findings<'a> {
-    /// The file's name.
+    /// The name of the file that the findings refer to.
     pub name: &'a str,
-    /// The findings, in the order of the file.
+    /// The findings, in the order of their position in the file.
     pub findings: &'a [Finding],
 }
 
@@ -80,9 +80,9 @@
     /// The file cannot be read.
     #[error("{}: {error}", path.display())]
     Io {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The cause.
+        /// The error from reading the file.
         error: io::Error,
     },
     /// The content of the file is invalid.
@@ -90,13 +90,13 @@
     Invalid {
         /// The file's name.
         name: String,
-        /// The findings, in the order of the file.
+        /// The findings, in the order of their position in the file.
         findings: Vec<Finding>,
     },
 }
 
-/// Reads a text file of at most `max_bytes`; a longer file is not read. `kind` names the sort of file in
-/// errors.
+/// Reads a text file of at most `max_bytes` bytes; a longer file is not read. `kind` names the sort of file
+/// in the error message.
 ///
 /// # Errors
 /// Returns an error if the file cannot be read, is too long or is not UTF-8.
@@ -104,7 +104,7 @@
     let length = std::fs::metadata(path)?.len();
     if length > max_bytes {
         return Err(io::Error::other(format!(
-            "the file has {length} bytes; {kind} may have {max_bytes} at most"
+            "the file has {length} bytes; {kind} may have at most {max_bytes}"
         )));
     }
     std::fs::read_to_string(path)
--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints: the body of a batch, and the meaning of answers.
+//! Calls to endpoints: encodes and decodes the body of a batch, and reads the outcomes from answers.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// Parses the status code in an answer's first line.
+/// Parses the status code in the first line of an HTTP/1 answer; returns `None` if the line is malformed.
 pub fn parse_status(line: &[u8]) -> Option<u16> {
     let rest = line.strip_prefix(b"HTTP/1.").and_then(|r| r.strip_prefix(b"1").or(r.strip_prefix(b"0")))?;
     let (code, rest) = rest.strip_prefix(b" ")?.split_at_checked(3)?;
@@ -27,7 +27,7 @@
 /// Encodes the body of a batch from each message's id, idempotency key and body.
 ///
 /// # Errors
-/// Returns the errors of the JSON writer, which text and bytes do not cause.
+/// Returns the errors of the JSON writer. Text and bytes cause none.
 pub fn encode_batch<'a>(
     items: impl Iterator<Item = (&'a str, Option<&'a str>, &'a [u8])>,
 ) -> serde_json::Result<Vec<u8>> {
@@ -42,7 +42,7 @@
 /// Decodes the body of a batch into each message's id, idempotency key and body length.
 ///
 /// # Errors
-/// Returns an error if the body is malformed, has no message or has one twice.
+/// Returns an error if the body is malformed, contains no message or contains a message twice.
 pub fn decode_batch(body: &[u8]) -> Result<Vec<(String, Option<String>, usize)>, String> {
     let items: Vec<BatchItem<'_>> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let mut messages: Vec<(String, Option<String>, usize)> = Vec::with_capacity(items.len());
@@ -51,24 +51,24 @@
             .decode(&item.body)
             .map_err(|e| format!("body of message '{}' is not Base64: {e}", item.id))?;
         if messages.iter().any(|(id, ..)| *id == item.id) {
-            return Err(format!("message '{}' is in the batch twice", item.id));
+            return Err(format!("the batch contains message '{}' twice", item.id));
         }
         messages.push((item.id.into_owned(), item.key.map(Cow::into_owned), bytes.len()));
     }
-    if messages.is_empty() { Err("the batch has no message".into()) } else { Ok(messages) }
+    if messages.is_empty() { Err("the batch contains no message".into()) } else { Ok(messages) }
 }
 
 /// The state of one message in the answer to a batch.
 #[derive(Deserialize, Serialize)]
 pub struct BatchState {
-    /// The message's id.
+    /// The id of the message.
     pub id: String,
-    /// `ok`, `error`, `later`, `gone` or `exhausted`.
+    /// The state: `ok`, `error`, `later`, `gone` or `exhausted`.
     pub state: String,
 }
 
-/// Returns the outcome that a message's state in the answer to a batch stands for, and whether the message is
-/// closed. With a missing or unknown state the message may have run.
+/// Returns the outcome for a message's state in the answer to a batch, and whether the message is closed. A
+/// missing or unknown state counts as an error, after which the message may have run.
 pub fn outcome_of_state(state: Option<&str>) -> (Outcome, bool) {
     match state {
         Some("ok") => (Outcome::Done, true),
@@ -79,27 +79,27 @@
     }
 }
 
-/// The content of an answer's head.
+/// The result of a call or a probe, read from the status and headers of its answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerHead {
-    /// How the call ended, for all its messages alike.
+    /// How the call ended for all its messages.
     pub outcome: Outcome,
-    /// The messages need no further answer.
+    /// Whether the call's messages need no further answer.
     pub closes_message: bool,
-    /// The wait that the receiver asked for; 0 if none.
+    /// The wait that the receiver asked for; 0 if it asked for none.
     pub wait: Micros,
-    /// The load report, if there is one.
+    /// The receiver's load report, if the answer contains one.
     pub report: Option<LoadReport>,
 }
 
-/// Reads the head of the answer to a call or a probe.
+/// Reads the outcome, wait and load report from the answer to a call or a probe.
 pub fn read_head(status: u16, headers: &HeaderMap) -> AnswerHead {
     let number = |name: &str| headers.get(name)?.to_str().ok()?.trim().parse::<u32>().ok();
     let outcome = match status {
         200 => Outcome::Done,
         503 if number("x-no-slot") == Some(1) => Outcome::Skipped,
         429 | 503 => Outcome::Busy,
-        // Malformed, batch too large, attempts used up, closed: the messages did not run.
+        // Malformed request, batch too large, attempts used up or message closed: the messages did not run.
         400 | 413 | 504 | 410 => Outcome::Skipped,
         _ => Outcome::Error,
     };
--- a/crates/protocol/src/listing.rs
+++ b/crates/protocol/src/listing.rs
@@ -8,9 +8,9 @@
 /// An endpoint list, or changes to it, as discovery sends them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Listing {
-    /// The list's version.
+    /// The version of the list.
     pub index: u64,
-    /// The list is complete.
+    /// Whether the list is complete; otherwise it contains changes.
     #[serde(default)]
     pub snapshot: bool,
     /// All entries of a complete list, or the changed entries.
@@ -22,15 +22,15 @@
     /// Parses one listing.
     ///
     /// # Errors
-    /// Returns what is wrong in it. A complete list must not name an endpoint twice, since it would be
-    /// unclear which entry holds; among changes the later one holds.
+    /// Returns an error if the text is not a valid listing or a complete list names an endpoint twice, since it
+    /// would be unclear which entry is valid. Among changes the later entry is valid.
     pub fn read(text: &[u8]) -> Result<Self, ListingError> {
         let listing: Listing = serde_json::from_slice(text).map_err(ListingError::InvalidListing)?;
         check_unique_names(listing)
     }
 }
 
-/// Returns the listing, or an error if it is complete and has a name twice.
+/// Returns the listing, or an error if it is complete and names an endpoint twice.
 pub(crate) fn check_unique_names(listing: Listing) -> Result<Listing, ListingError> {
     let mut names = HashSet::new();
     let mut entries = listing.endpoints.iter();
@@ -44,43 +44,43 @@
 /// An endpoint in a listing.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListedEndpoint {
-    /// Its name, which is the same at every sender.
+    /// The endpoint's name, which is the same at every sender.
     pub name: String,
-    /// The address at which this sender reaches it.
+    /// The address at which this sender reaches the endpoint.
     #[serde(default)]
     pub address: String,
-    /// Its zone.
+    /// The name of the endpoint's zone.
     #[serde(default)]
     pub zone: String,
-    /// The kind of its destination.
+    /// The name of the destination's kind.
     #[serde(rename = "type", default)]
     pub kind: String,
-    /// The number of its destination.
+    /// The number of the endpoint's destination.
     #[serde(default)]
     pub group: i64,
-    /// `Ready`, `Terminating` or `Gone`; anything else counts as `Terminating`.
+    /// The status: `Ready`, `Terminating` or `Gone`. Any other text counts as `Terminating`.
     pub status: String,
-    /// The calls a second that its destination takes from all senders, if discovery reports it.
+    /// The calls a second that the destination accepts from all senders together, if discovery reports it.
     #[serde(default)]
     pub weight: Option<f64>,
 }
 
 /// Reads listings from a stream whose bytes arrive in arbitrary pieces. The stream is a sequence of JSON
-/// objects, each on one line or indented over several. Between them is white space, such as the empty lines
-/// that discovery sends as heartbeats.
+/// objects, each on one line or indented over several lines. The objects are separated by white space, such
+/// as the empty lines that discovery sends as heartbeats.
 #[derive(Debug, Default)]
 pub struct ListingReader {
     buffer: Vec<u8>,
-    /// Bytes of white space since the last listing that have been dropped from the buffer.
+    /// Number of white-space bytes after the last listing that have been removed from the buffer.
     dropped_bytes: usize,
-    /// Bytes of the buffer that have been scanned; `nesting` is the state after them.
+    /// Number of bytes of the buffer that have been scanned; `nesting` is the state after those bytes.
     scanned_bytes: usize,
     nesting: Nesting,
 }
 
-/// Counts the endpoints that begin in the text of a listing, which may be incomplete.
+/// Counts the endpoint entries that begin in the text of a listing. The text may be incomplete.
 pub fn endpoints_started(text: &[u8]) -> usize {
-    /// Depth of an entry: an object in an array in an object.
+    /// Nesting depth of an endpoint entry, which is an object in an array in the listing's object.
     const ENDPOINT_DEPTH: usize = 3;
     let (mut depth, mut in_string, mut escaped, mut endpoints) = (0_usize, false, false, 0);
     for byte in text {
@@ -99,19 +99,19 @@
     endpoints
 }
 
-/// An error in a stream of listings. Nothing after it can be parsed.
+/// An error in a stream of listings. Nothing that follows the error can be parsed.
 #[derive(Debug)]
 pub enum ListingError {
-    /// The byte at this position after the last listing, counted from 1, does not begin a listing.
+    /// This byte does not begin a listing; its position after the last listing is counted from 1.
     UnexpectedByte(u8, usize),
-    /// An object is not a valid listing.
+    /// A JSON object in the stream is not a valid listing.
     InvalidListing(serde_json::Error),
     /// The entry with this number, counted from 0, is invalid.
     InvalidEntry(usize, serde_json::Error),
-    /// The byte after this number of entries is neither a comma nor the start of an entry nor the end of the
-    /// list.
+    /// This byte, after this number of entries, is neither a comma nor the start of an entry nor the end of
+    /// the list.
     UnexpectedByteInList(u8, usize),
-    /// A complete list has this name twice.
+    /// A complete list names this endpoint twice.
     DuplicateName(String),
 }
 
@@ -137,12 +137,12 @@
 impl std::error::Error for ListingError {}
 
 impl ListingReader {
-    /// Appends bytes that have been read.
+    /// Appends bytes that have been read from the stream.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the bytes buffered of an incomplete listing.
+    /// Returns the number of buffered bytes of an incomplete listing.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
--- a/crates/protocol/src/listing_stream.rs
+++ b/crates/protocol/src/listing_stream.rs
@@ -1,47 +1,50 @@
-//! Reads listings entry by entry and keeps only a part, so that memory use does not depend on the length of a
-//! list.
+//! Reads listings entry by entry and retains only the entries of wanted destinations, so that memory use does
+//! not depend on the length of a list.
 
 use crate::listing::{ListedEndpoint, Listing, ListingError, check_unique_names};
 use crate::nesting::Nesting;
 
-/// The field of a listing that holds its entries.
+/// Name of the field of a listing that contains the entries.
 const ENTRIES: &[u8] = b"endpoints";
-/// Nesting depths within a listing's object, its array of entries, and an entry.
+/// Nesting depth within a listing's object, outside its array of entries.
 const IN_LISTING: usize = 1;
+/// Nesting depth within the array of entries.
 const IN_ENTRIES: usize = 2;
+/// Nesting depth within an entry.
 const IN_ENTRY: usize = 3;
 
-/// Reads listings like [`crate::listing::ListingReader`], and keeps only the entries of wanted destinations.
-/// At any time it holds one entry, the kept entries and the listing's other fields.
+/// Reads listings like [`crate::listing::ListingReader`], and retains only the entries of wanted
+/// destinations. At any time the reader has at most one other entry, the retained entries and the listing's
+/// other fields in memory.
 ///
-/// A complete list that names a kept entry twice is an error. Entries that are not kept only have to be valid
-/// entries.
+/// A complete list that names a retained endpoint twice is an error. Other entries only have to be valid.
 #[derive(Debug, Default)]
 pub struct FilteredListingReader {
     unread: Vec<u8>,
     nesting: Nesting,
-    /// Bytes of white space since the last listing.
+    /// Number of white-space bytes since the last listing.
     skipped_bytes: usize,
     /// The text of the listing without its entries.
     envelope: Vec<u8>,
-    /// The range in `envelope` of the last string in the listing's object, quotes included.
+    /// The range in `envelope` of the last string in the listing's object, including its quotes.
     last_string: (usize, usize),
-    /// The text of the current entry.
+    /// The text of the entry that is being read.
     entry: Vec<u8>,
-    /// Entries of the current listing that have been read.
+    /// Number of entries of the current listing that have been read.
     entries_read: usize,
     position: Position,
+    /// Entries of wanted destinations in the current listing.
     kept: Vec<ListedEndpoint>,
-    /// Length of the text of the entries in `kept`.
+    /// Total length of the text of the entries in `kept`.
     kept_bytes: usize,
 }
 
-/// The position relative to the array of entries.
+/// The reader's position relative to the array of entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Position {
     #[default]
     Outside,
-    /// After the opening bracket.
+    /// After the opening bracket of the array.
     AfterBracket,
     InEntry,
     AfterEntry,
@@ -49,17 +52,17 @@
 }
 
 impl FilteredListingReader {
-    /// Appends bytes that have been read.
+    /// Appends bytes that have been read from the stream.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.unread.extend_from_slice(bytes);
     }
 
-    /// Returns the bytes held of an incomplete listing.
+    /// Returns the number of bytes in memory of an incomplete listing.
     pub fn buffered_bytes(&self) -> usize {
         self.unread.len() + self.envelope.len() + self.entry.len() + self.kept_bytes
     }
 
-    /// Returns the entries that have been read of an incomplete listing, kept or not.
+    /// Returns the number of entries that have been read of an incomplete listing, wanted or not.
     pub fn entries_read(&self) -> usize {
         self.entries_read
     }
@@ -73,7 +76,7 @@
     /// `None` if more bytes are needed.
     ///
     /// # Errors
-    /// Returns the first error in the stream; nothing after it can be parsed.
+    /// Returns the first error in the stream. Nothing that follows the error can be parsed.
     pub fn next_listing(&mut self, is_wanted: &dyn Fn(i64) -> bool) -> Result<Option<Listing>, ListingError> {
         let unread = std::mem::take(&mut self.unread);
         for (index, byte) in unread.iter().enumerate() {
@@ -85,7 +88,7 @@
         Ok(None)
     }
 
-    /// Processes one byte; returns whether a listing ends with it.
+    /// Processes one byte and returns whether the byte ends a listing.
     fn advance(&mut self, byte: u8, is_wanted: &dyn Fn(i64) -> bool) -> Result<bool, ListingError> {
         let before = self.nesting.depth();
         if before == 0 && byte != b'{' {
@@ -165,14 +168,14 @@
         Ok(())
     }
 
-    /// Returns the listing that has ended, and prepares for the next.
+    /// Returns the listing that has ended, and resets the reader for the next listing.
     fn finish(&mut self, is_wanted: &dyn Fn(i64) -> bool) -> Result<Listing, ListingError> {
         let unread = std::mem::take(&mut self.unread);
         let ended =
             std::mem::replace(self, FilteredListingReader { unread, ..FilteredListingReader::default() });
         let mut listing: Listing =
             serde_json::from_slice(&ended.envelope).map_err(ListingError::InvalidListing)?;
-        // If the field's name was written with escapes, the entries are in the envelope.
+        // If the name of the entries' field contains JSON escapes, the entries are in the envelope.
         listing.endpoints.retain(|entry| is_wanted(entry.group));
         listing.endpoints.extend(ended.kept);
         check_unique_names(listing)
--- a/crates/protocol/src/nesting.rs
+++ b/crates/protocol/src/nesting.rs
@@ -1,6 +1,6 @@
-//! Tracks the nesting depth in a stream of JSON.
+//! Tracks the nesting depth in a stream of JSON, to find where a value ends.
 
-/// Tracks objects, arrays and strings byte by byte. It checks no grammar; it only finds where a value ends.
+/// Tracks the nesting of objects, arrays and strings byte by byte. The JSON grammar is not checked.
 #[derive(Debug, Default)]
 pub(crate) struct Nesting {
     depth: usize,
--- a/crates/protocol/src/notice.rs
+++ b/crates/protocol/src/notice.rs
@@ -6,20 +6,20 @@
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// Delivered, or abandoned by its client; no notice is needed.
+    /// The message was delivered, or its client abandoned it; no notice is needed.
     #[serde(rename = "Over")]
     Closed,
-    /// Failed.
+    /// The message failed.
     Failed,
-    /// Refused; putting it again is harmless.
+    /// The message was refused; the client may put it again without harm.
     Returned {
-        /// After how long to put it again, in milliseconds; 0 if not known.
+        /// Time after which to put the message again, in milliseconds; 0 if not known.
         #[serde(rename = "after_ms")]
         retry_after_ms: u64,
     },
 }
 
-/// Returns the line that reports the end of a message.
+/// Encodes the notice of a message's end as a JSON line.
 pub fn encode(id: &str, end: End) -> String {
     let line = match end {
         End::Returned { retry_after_ms: 0 } => json!({"id": id, "state": "returned"}),
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -1,7 +1,7 @@
 //! The clients' protocol: RESP2 commands, which are arrays of bulk strings, and the replies to them.
 //!
-//! The framing is parsed here rather than by a general RESP crate: requests have only one shape, and parsing
-//! just that shape bounds every length before anything is stored for it, and needs no nesting.
+//! This module parses the framing itself instead of using a general RESP crate. Requests have only one shape:
+//! a parser for that shape needs no nesting and checks every length before it allocates memory.
 
 use bytes::{Bytes, BytesMut};
 use heronroute::Micros;
@@ -9,58 +9,58 @@
 use std::borrow::Cow;
 use std::fmt;
 
-/// Maximum length of a message's body or of any other argument.
+/// Maximum length in bytes of a message's body or of any other argument.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Maximum arguments of a command.
+/// Maximum number of arguments of a command.
 pub const MAX_ARGS: usize = 16;
-/// Maximum length of a command.
+/// Maximum length of a command in bytes, including its framing.
 pub const MAX_COMMAND_BYTES: usize = 2 * MAX_BODY_BYTES;
 
-/// A message as a client puts it.
+/// The content of a `MSG.PUT` command: a message from a client.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Put {
-    /// Its id, new for each put.
+    /// The message's id, which is new for each put.
     pub request_id: String,
-    /// Its order key, in classes that keep order.
+    /// The message's order key, in classes that keep order.
     pub order_key: String,
-    /// Its class's name.
+    /// The name of the message's class.
     pub class: String,
-    /// Its tenant's name.
+    /// The name of the message's tenant.
     pub tenant: String,
-    /// Time until its deadline.
+    /// Time until the message's deadline.
     pub time_left: Micros,
-    /// Its destination's number.
+    /// The number of the message's destination.
     pub dest: i64,
-    /// In a keyed class: the key by which the destination drops repeats.
+    /// In a keyed class, the key by which the destination drops repeated deliveries.
     pub idempotency_key: Option<String>,
-    /// It is known to have been put before.
+    /// Whether the message is known to have been put before.
     #[serde(rename = "again")]
     pub resubmitted: bool,
-    /// The content to deliver: any bytes.
+    /// The bytes to deliver, in any format.
     pub body: Bytes,
 }
 
 /// The reply to a put.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Accepted: the sender is now responsible for the message until its end.
+    /// The message was accepted: the sender is responsible for it until its end.
     #[serde(rename = "Taken")]
     Accepted,
-    /// Refused; putting it again is harmless.
+    /// The message was refused; the client may put it again without harm.
     Busy {
-        /// After how long to put it again, in milliseconds; 0 if not known.
+        /// Time after which to put the message again, in milliseconds; 0 if not known.
         #[serde(rename = "after_ms")]
         retry_after_ms: u64,
     },
-    /// Failed.
+    /// The message failed.
     Failed,
-    /// Invalid: no sender can accept it.
+    /// The put is invalid for this reason, and no sender can accept it.
     #[serde(rename = "Wrong")]
     Invalid(Cow<'static, str>),
 }
 
 impl Reply {
-    /// Returns the line to write to the client.
+    /// Encodes the reply as a RESP2 line.
     pub fn encode(self) -> String {
         match self {
             Reply::Accepted => "+OK\r\n".into(),
@@ -72,7 +72,7 @@
     }
 }
 
-/// A framing error. Nothing that follows it on the connection can be parsed.
+/// A framing error. Nothing that follows the error on the connection can be parsed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct FramingError(&'static str);
 
@@ -84,8 +84,8 @@
 
 impl std::error::Error for FramingError {}
 
-/// Parses `marker`, a number and a line end at `at`. Returns the number and the offset after the line end, or
-/// `None` if more bytes are needed.
+/// Parses a marker byte, a number of at most `max` and a line end at offset `at`. Returns the number and the
+/// offset after the line end, or `None` if more bytes are needed.
 fn parse_header(
     buffer: &[u8],
     at: usize,
@@ -99,19 +99,25 @@
         Some(_) => {}
     }
     let Some(end) = rest.iter().take(16).position(|b| *b == b'\n') else {
-        return if rest.len() < 16 { Ok(None) } else { Err(FramingError("a length is too long")) };
+        return if rest.len() < 16 {
+            Ok(None)
+        } else {
+            Err(FramingError("an argument count or length is too long"))
+        };
     };
     let digits = rest[1..end].strip_suffix(b"\r").unwrap_or_default();
     let digits = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
     let number = digits.and_then(|d| d.parse().ok()).filter(|n| *n <= max);
-    number.map(|n| Some((n, at + end + 1))).ok_or(FramingError("invalid length"))
+    number
+        .map(|n| Some((n, at + end + 1)))
+        .ok_or(FramingError("invalid argument count or length, or one above the maximum"))
 }
 
 /// Removes the first complete command from `buffer` and returns its arguments; returns `None` if it is
 /// incomplete.
 ///
 /// # Errors
-/// Returns a framing error as soon as the bytes show it.
+/// Returns a framing error as soon as the buffered bytes cannot be the start of a valid command.
 pub fn decode_command(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, FramingError> {
     let Some((count, mut at)) = parse_header(buffer, 0, b'*', MAX_ARGS)? else { return Ok(None) };
     let mut spans = Vec::with_capacity(count);
@@ -124,7 +130,7 @@
         match buffer.get(start + len..at) {
             None => return Ok(None),
             Some(b"\r\n") => spans.push(start..start + len),
-            Some(_) => return Err(FramingError("a bulk string does not end with its line")),
+            Some(_) => return Err(FramingError("a bulk string is not followed by CRLF")),
         }
     }
     let command = buffer.split_to(at).freeze();
@@ -134,23 +140,26 @@
 /// Decodes the arguments of a `MSG.PUT`.
 ///
 /// # Errors
-/// Returns which argument or field is wrong.
+/// Returns a message that names the invalid argument or field.
 pub fn decode_put(args: &[Bytes]) -> Result<Put, &'static str> {
     let [_, key, id, fields, body] = args else { return Err("wrong number of arguments for 'MSG.PUT'") };
-    let text =
-        |bytes: &Bytes| std::str::from_utf8(bytes).map(str::to_string).map_err(|_| "a field is not text");
-    // The id and the keys are written into header lines of calls.
+    let text = |bytes: &Bytes| {
+        std::str::from_utf8(bytes).map(str::to_string).map_err(|_| "an argument is not valid UTF-8")
+    };
+    // The id and the idempotency key are written into header lines of calls.
     let plain = |name: String| {
         let is_plain = !name.is_empty() && name.len() <= 128 && name.bytes().all(|b| b.is_ascii_graphic());
-        is_plain.then_some(name).ok_or("a name is not plain text of 1 to 128 characters")
+        is_plain
+            .then_some(name)
+            .ok_or("the id and field 'k' must be 1 to 128 printable ASCII characters without spaces")
     };
     let mut put = Put { order_key: text(key)?, request_id: plain(text(id)?)?, ..Put::default() };
     if put.order_key.len() > 128 {
-        return Err("the key is too long");
+        return Err("the order key is longer than 128 bytes");
     }
     let (mut time_left, mut dest) = (None, None);
     for pair in text(fields)?.split(',').filter(|pair| !pair.is_empty()) {
-        let (name, value) = pair.split_once('=').ok_or("a field has no value")?;
+        let (name, value) = pair.split_once('=').ok_or("a field should have the form name=value")?;
         match name {
             "c" => put.class = value.to_string(),
             "t" => put.tenant = value.to_string(),
@@ -161,8 +170,8 @@
             _ => {}
         }
     }
-    put.time_left = i64::from(time_left.ok_or("field 'd' should be milliseconds")?) * 1000;
-    put.dest = dest.ok_or("field 'dest' should be a number")?;
+    put.time_left = i64::from(time_left.ok_or("field 'd' should be a whole number of milliseconds")?) * 1000;
+    put.dest = dest.ok_or("field 'dest' should be a whole number")?;
     // A slice would keep the connection's whole buffer in memory for as long as the message.
     put.body = Bytes::copy_from_slice(body);
     Ok(put)
--- a/crates/protocol/src/resp_client.rs
+++ b/crates/protocol/src/resp_client.rs
@@ -3,7 +3,7 @@
 use crate::resp::{Put, Reply};
 use std::io::Write;
 
-/// Maximum length of a reply with its line end, in bytes. No sender writes a longer one.
+/// Maximum length in bytes of a reply with its line end. No sender writes a longer reply.
 pub const MAX_REPLY_BYTES: usize = 1024;
 
 /// Encodes a message as the command `MSG.PUT`, which [`crate::resp::decode_put`] decodes to the same message.
@@ -37,7 +37,7 @@
     fields
 }
 
-/// Decodes a reply without its line end; returns `None` if it is not a reply to `MSG.PUT`.
+/// Decodes a reply without its line end. Returns `None` if the line is not a reply to `MSG.PUT`.
 pub fn decode_reply(line: &[u8]) -> Option<Reply> {
     let line = std::str::from_utf8(line).ok()?;
     if line == "+OK" {
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a sender is started with, in the form of the wire and of its configuration.
+//! The settings that a sender is started with, as written in its configuration and on the wire.
 
 use heronroute::{
     ClassSettings, DedupScope, Effect, KindSettings, LateDecay, Micros, Settings, SettingsError,
@@ -88,7 +88,7 @@
     quota_rps: f64,
 }
 
-/// Returns the path, in a configuration's settings, of the value that an error names.
+/// Returns the path in the configuration's settings of the value that caused an error.
 pub fn setting_path(error: &SettingsError) -> String {
     if let Some(class) = error.class {
         let field = match error.field {
@@ -122,17 +122,17 @@
 /// The names of classes, tenants, zones and kinds, in the order of their indices.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Message classes.
+    /// Names of the message classes.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Kinds of destination.
+    /// Names of the kinds of destination.
     pub kinds: Vec<String>,
 }
 
-/// The settings in the form of the wire.
+/// The settings as written in the configuration and on the wire.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct ProfileData {
@@ -153,7 +153,7 @@
 }
 
 impl ProfileData {
-    /// Returns the names to which indices in the settings refer.
+    /// Returns the names of the classes, tenants, zones and kinds that the settings refer to by index.
     pub fn names(&self) -> Names {
         let customers = self.customers.iter().flatten();
         Names {
@@ -164,18 +164,18 @@
         }
     }
 
-    /// Returns how long a connection attempt may take.
+    /// Returns the maximum time for a connection attempt.
     pub fn connect_timeout(&self) -> Option<Micros> {
         self.limits.connect_timeout_us
     }
 
-    /// Returns the minimum interval between polls, if discovery reports changes only to polls. Polls cost it
-    /// work.
+    /// Returns the minimum interval between polls of discovery, or `None` unless discovery reports changes
+    /// only in reply to polls. The interval limits the work that polls cause at discovery.
     pub fn poll_interval(&self) -> Option<Micros> {
         self.rules.ask_every_us.filter(|_| self.discovery == "ask")
     }
 
-    /// Converts the wire's settings to the library's. A missing setting gets the library's default.
+    /// Converts the settings to those of heronroute. A missing setting gets heronroute's default.
     pub fn settings(self) -> Settings {
         let defaults = Settings::default();
         let attempts = self.limits.max_attempts;
--- a/crates/protocol/tests/listing_stream.rs
+++ b/crates/protocol/tests/listing_stream.rs
@@ -1,5 +1,5 @@
-//! The filtering reader: it returns the same as reading everything and dropping the rest, however the text is
-//! split, and holds little more than it keeps.
+//! Tests of the filtering reader. Its result is the same as reading all entries and dropping the unwanted
+//! ones, however the text is split, and it buffers little more than the wanted entries.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
 use embershore_protocol::listing_stream::FilteredListingReader;
@@ -20,13 +20,13 @@
 
 fn listing() -> impl Strategy<Value = Listing> {
     (any::<u64>(), any::<bool>(), vec(entry(), 0..6)).prop_map(|(index, snapshot, mut endpoints)| {
-        // A complete list names each endpoint once.
+        // A valid complete list names each endpoint once.
         endpoints.iter_mut().enumerate().for_each(|(n, entry)| entry.name += &format!("-{n}"));
         Listing { index, snapshot, endpoints }
     })
 }
 
-/// Writes a list on one line or indented, its fields in either order, followed by white space.
+/// Returns a list's JSON on one line or indented, with its fields in either order, followed by white space.
 fn written(listing: &Listing, indented: bool, reversed: bool, white_space: &str) -> String {
     let value = serde_json::to_value(listing).expect("JSON");
     let mut text =
@@ -41,7 +41,7 @@
     text + white_space
 }
 
-/// Splits a text at these places.
+/// Splits a text at the given offsets, taken modulo its length plus one.
 fn split(text: &[u8], mut cuts: Vec<usize>) -> Vec<&[u8]> {
     cuts.iter_mut().for_each(|c| *c %= text.len() + 1);
     cuts.extend([0, text.len()]);
@@ -49,7 +49,7 @@
     cuts.windows(2).map(|w| &text[w[0]..w[1]]).collect()
 }
 
-/// Reads all lists of a text that arrives in these pieces, up to the first error.
+/// Reads the wanted entries of all lists in a text that arrives in pieces, up to the first error.
 fn filtered(pieces: &[&[u8]], is_wanted: &dyn Fn(i64) -> bool) -> (Vec<String>, Option<ListingError>) {
     let (mut listings, mut found) = (FilteredListingReader::default(), Vec::new());
     for bytes in pieces {
@@ -65,7 +65,7 @@
     (found, None)
 }
 
-/// Reads the same text in full.
+/// Reads all lists in a text that arrives in pieces, with all entries, up to the first error.
 fn all(pieces: &[&[u8]]) -> (Vec<Listing>, Option<ListingError>) {
     let (mut listings, mut found) = (ListingReader::default(), Vec::new());
     for bytes in pieces {
@@ -116,7 +116,7 @@
         let (found, error) = filtered(&pieces, &|_| true);
         let (expected, expected_error) = all(&pieces);
         let expected: Vec<String> = expected.iter().map(|list| format!("{list:?}")).collect();
-        // An error within an entry is found before the end of its list.
+        // The filtering reader reports an error within an entry before the end of the entry's list.
         prop_assert!(expected.starts_with(&found) || found == expected, "{found:?} {expected:?}");
         if expected_error.is_some() {
             prop_assert_eq!(found, expected);
@@ -131,7 +131,7 @@
 fn one(text: &str, is_wanted: &dyn Fn(i64) -> bool) -> Result<Vec<String>, String> {
     let mut listings = FilteredListingReader::default();
     listings.extend(text.as_bytes());
-    let list = listings.next_listing(is_wanted).map_err(|error| error.to_string())?.expect("complete");
+    let list = listings.next_listing(is_wanted).map_err(|error| error.to_string())?.expect("a complete list");
     Ok(list.endpoints.into_iter().map(|entry| entry.name).collect())
 }
 
@@ -193,13 +193,14 @@
             .as_bytes(),
         );
         assert!(
-            listings.next_listing(&|dest| dest % 1000 == 0).expect("good").is_none() && listings.is_partial()
+            listings.next_listing(&|dest| dest % 1000 == 0).expect("valid text").is_none()
+                && listings.is_partial()
         );
         max_buffered = max_buffered.max(listings.buffered_bytes());
     }
     assert!(max_buffered < 4096, "{max_buffered} bytes were buffered at a time");
     listings.extend(b"]}\n");
-    let list = listings.next_listing(&|dest| dest % 1000 == 0).expect("good").expect("complete");
+    let list = listings.next_listing(&|dest| dest % 1000 == 0).expect("valid text").expect("a complete list");
     assert_eq!((list.index, list.snapshot, list.endpoints.len()), (1, true, 40));
     assert!(!listings.is_partial());
 }
--- a/crates/protocol/tests/listings.rs
+++ b/crates/protocol/tests/listings.rs
@@ -1,4 +1,4 @@
-//! The stream of a watch: random lists in random form, split at random bytes.
+//! Tests of the stream of a watch, with random lists in random formatting, split at random bytes.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
 use proptest::collection::vec;
@@ -22,18 +22,18 @@
         })
 }
 
-/// A list, whether it is indented, and the white space after it.
+/// Generates a list, whether its JSON is indented, and the white space after the list.
 fn piece() -> impl Strategy<Value = (Listing, bool, String)> {
     let listing =
         (any::<u64>(), any::<bool>(), vec(entry(), 0..4)).prop_map(|(index, snapshot, mut endpoints)| {
-            // A complete list names each endpoint once.
+            // A valid complete list names each endpoint once.
             endpoints.iter_mut().enumerate().for_each(|(n, entry)| entry.name += &format!("-{n}"));
             Listing { index, snapshot, endpoints }
         });
     (listing, any::<bool>(), "[ \r\n\t]{0,4}")
 }
 
-/// Reads all lists of a text that arrives in these pieces, up to the first error.
+/// Reads all lists in a text that arrives in pieces, up to the first error.
 fn read<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> (Vec<String>, Option<ListingError>) {
     let (mut listings, mut found) = (ListingReader::default(), Vec::new());
     for bytes in pieces {
@@ -49,7 +49,7 @@
     (found, None)
 }
 
-/// Splits a text at these places.
+/// Splits a text at the given offsets, taken modulo its length plus one.
 fn split(text: &[u8], mut cuts: Vec<usize>) -> impl Iterator<Item = &[u8]> {
     cuts.iter_mut().for_each(|c| *c %= text.len() + 1);
     cuts.extend([0, text.len()]);
@@ -88,7 +88,7 @@
             text.extend_from_slice(serde_json::to_string(listing).unwrap().as_bytes());
             text.push(b'\n');
         }
-        // Neither white space nor a list begins with this byte.
+        // The byte '!' is neither white space nor the start of a list.
         text.push(b'!');
         text.extend_from_slice(&noise);
         let (found, error) = read(split(&text, cuts));
--- a/crates/protocol/tests/resp_client.rs
+++ b/crates/protocol/tests/resp_client.rs
@@ -1,4 +1,4 @@
-//! Messages and replies survive encoding by one sender and decoding by another.
+//! Tests that messages and replies are unchanged after one sender encodes and another decodes them.
 
 use bytes::{Bytes, BytesMut};
 use embershore_protocol::resp::{MAX_BODY_BYTES, Put, Reply, decode_command, decode_put};
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -1,8 +1,8 @@
-//! The adapter between heronroute and its JSON line protocol. It translates messages and keeps instances
-//! separate; it makes no decisions.
+//! The adapter between heronroute and its JSON line protocol. The adapter translates messages and keeps
+//! instances separate; it makes no decisions.
 //!
-//! Unknown event names, unknown settings and surplus values are ignored, and so are events for an instance
-//! that is not running. Anything else that cannot be parsed is an error that names its position.
+//! Unknown event names, unknown settings, surplus values and events for instances that are not running are
+//! ignored. Any other input that cannot be parsed is an error, and the error message names the position.
 
 use embershore_protocol::settings;
 use heronroute::{
@@ -12,7 +12,7 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// One sender's dispatcher, with its own endpoint numbers.
+/// One sender's dispatcher, with the endpoint numbers of that sender.
 struct Instance {
     dispatcher: Dispatcher,
     numbers: BTreeMap<String, EndpointId>,
@@ -20,7 +20,7 @@
 }
 
 impl Instance {
-    /// Returns the number of an endpoint, a new one for a new name.
+    /// Returns the number of the endpoint with this name, and assigns a new number to a new name.
     fn intern(&mut self, name: &str) -> EndpointId {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -32,7 +32,7 @@
     }
 }
 
-/// An entry of an endpoint list, before an instance gives the endpoint its number.
+/// An entry of an endpoint list, before an instance assigns the endpoint's number.
 struct TableEntry {
     name: String,
     entry: EndpointEntry,
@@ -46,14 +46,14 @@
     msgs: Vec<Value>,
 }
 
-/// All instances of a process. They share only the numbered endpoint lists of the wire.
+/// All instances of a process. Instances share only the numbered endpoint lists from `Table` messages.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<String, Instance>,
     tables: BTreeMap<i64, Vec<TableEntry>>,
 }
 
-/// The values of one message, read by position. Errors name the position.
+/// The values of one message, read by position. Errors name the message and the position.
 struct Fields<'a> {
     name: &'a str,
     values: &'a [Value],
@@ -66,8 +66,8 @@
         Ok(Fields { name, values: &all[1..] })
     }
 
-    /// Returns the error for a value that is not as expected.
-    fn wrong(&self, index: usize, expected: &str) -> String {
+    /// Returns the error message for a missing or invalid value.
+    fn value_error(&self, index: usize, expected: &str) -> String {
         match self.values.get(index) {
             Some(value) => format!("{}: value {} should be {expected}, not {value}", self.name, index + 1),
             None => format!("{}: value {} ({expected}) is missing", self.name, index + 1),
@@ -79,16 +79,16 @@
     }
 
     fn required(&self, index: usize, expected: &str) -> Result<&'a Value, String> {
-        self.optional(index).ok_or_else(|| self.wrong(index, expected))
+        self.optional(index).ok_or_else(|| self.value_error(index, expected))
     }
 
     fn text(&self, index: usize) -> Result<&'a str, String> {
-        self.required(index, "a string")?.as_str().ok_or_else(|| self.wrong(index, "a string"))
+        self.required(index, "a string")?.as_str().ok_or_else(|| self.value_error(index, "a string"))
     }
 
     fn int(&self, index: usize) -> Result<i64, String> {
         whole_number(self.required(index, "a whole number")?)
-            .ok_or_else(|| self.wrong(index, "a whole number"))
+            .ok_or_else(|| self.value_error(index, "a whole number"))
     }
 
     fn int_or(&self, index: usize, default: i64) -> Result<i64, String> {
@@ -96,13 +96,13 @@
     }
 
     fn index_or(&self, index: usize, default: i64) -> Result<usize, String> {
-        usize::try_from(self.int_or(index, default)?).map_err(|_| self.wrong(index, "an index"))
+        usize::try_from(self.int_or(index, default)?).map_err(|_| self.value_error(index, "an index"))
     }
 
     fn flag(&self, index: usize) -> Result<bool, String> {
         match self.optional(index) {
             None => Ok(false),
-            Some(value) => value.as_bool().ok_or_else(|| self.wrong(index, "true or false")),
+            Some(value) => value.as_bool().ok_or_else(|| self.value_error(index, "true or false")),
         }
     }
 
@@ -110,7 +110,7 @@
         let text = self.text(index)?;
         let is_hex = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
         let number = if is_hex { u64::from_str_radix(text, 16).ok() } else { None };
-        number.map(MsgId).ok_or_else(|| self.wrong(index, "16 hex digits"))
+        number.map(MsgId).ok_or_else(|| self.value_error(index, "16 hex digits"))
     }
 
     fn outcome(&self, index: usize) -> Result<Outcome, String> {
@@ -123,20 +123,20 @@
             "econnreset" => Outcome::Reset,
             "ecanceled" => Outcome::Cancelled,
             "skipped" => Outcome::Skipped,
-            _ => return Err(self.wrong(index, "a known outcome")),
+            _ => return Err(self.value_error(index, "an outcome such as 'done' or 'err'")),
         })
     }
 
     fn report(&self, index: usize) -> Result<Option<LoadReport>, String> {
         let Some(value) = self.optional(index) else { return Ok(None) };
         let pairs: &Map<String, Value> =
-            value.as_object().ok_or_else(|| self.wrong(index, "a load report"))?;
+            value.as_object().ok_or_else(|| self.value_error(index, "a load report"))?;
         let number = |name: &str| pairs.get(name).and_then(Value::as_f64);
         Ok(Some(LoadReport { remaining: number("x0"), limit: number("x1") }))
     }
 }
 
-/// Returns a whole number, which may be written with a fraction of zero.
+/// Returns the value as a whole number, or `None` if it is not one. `2.0` counts as a whole number.
 fn whole_number(value: &Value) -> Option<i64> {
     value.as_i64().or_else(|| {
         let float = value.as_f64()?;
@@ -151,11 +151,11 @@
         "up" => Status::Up,
         "draining" => Status::Draining,
         "removed" => Status::Removed,
-        _ => return Err(fields.wrong(0, "a known status")),
+        _ => return Err(fields.value_error(0, "'up', 'draining' or 'removed'")),
     };
     let weight = match fields.optional(2) {
         None => None,
-        Some(weight) => Some(weight.as_f64().ok_or_else(|| fields.wrong(2, "a number"))?),
+        Some(weight) => Some(weight.as_f64().ok_or_else(|| fields.value_error(2, "a number"))?),
     };
     let entry = EndpointEntry {
         endpoint: EndpointId(0),
@@ -172,9 +172,9 @@
     /// Processes one batch line and returns the reply line.
     ///
     /// # Errors
-    /// Returns what could not be parsed and its position.
+    /// Returns a message that names the malformed input and its position.
     pub fn batch(&mut self, line: &str) -> Result<String, String> {
-        let batch: Batch = serde_json::from_str(line).map_err(|error| format!("bad batch: {error}"))?;
+        let batch: Batch = serde_json::from_str(line).map_err(|error| format!("malformed batch: {error}"))?;
         let mut order: Vec<String> = Vec::new();
         let mut queues: BTreeMap<String, Vec<Event>> = BTreeMap::new();
         for (index, value) in batch.msgs.iter().enumerate() {
@@ -194,7 +194,7 @@
         Ok(json!({"seq": batch.seq, "output": output}).to_string())
     }
 
-    /// Applies one message, or queues it as an event for its instance.
+    /// Applies a `Table`, `NewInstance` or `Teardown` message, or queues another message's event for its instance.
     fn apply_message(
         &mut self,
         now: Micros,
@@ -205,8 +205,10 @@
         let fields = Fields::new(value)?;
         match fields.name {
             "Table" => {
-                let entries =
-                    fields.required(1, "a list")?.as_array().ok_or_else(|| fields.wrong(1, "a list"))?;
+                let entries = fields
+                    .required(1, "a list")?
+                    .as_array()
+                    .ok_or_else(|| fields.value_error(1, "a list"))?;
                 self.tables
                     .insert(fields.int(0)?, entries.iter().map(table_entry).collect::<Result<_, _>>()?);
                 return Ok(());
@@ -246,7 +248,7 @@
         let name = fields.text(0)?;
         let seed = fields.required(1, "a whole number")?;
         let seed = seed.as_u64().or_else(|| seed.as_i64().map(|signed| signed as u64));
-        let seed = seed.ok_or_else(|| fields.wrong(1, "a whole number"))?;
+        let seed = seed.ok_or_else(|| fields.value_error(1, "a whole number"))?;
         let data = settings::ProfileData::deserialize(fields.required(2, "the settings")?)
             .map_err(|error| format!("NewInstance {name}: settings: {error}"))?;
         let dispatcher = Dispatcher::new(now, seed, data.settings())
@@ -260,7 +262,7 @@
     }
 }
 
-/// Decodes an event from a message of the wire; returns `None` for a message that is no event.
+/// Decodes a message into an event for an instance; returns `None` for a message that causes no event.
 fn decode_event(
     fields: &Fields<'_>,
     instance: &mut Instance,
@@ -272,7 +274,7 @@
                 "Partial" => false,
                 "Complete" | "Persisted" => true,
                 "Error" => return Ok(None),
-                _ => return Err(fields.wrong(1, "a known kind of list")),
+                _ => return Err(fields.value_error(1, "'Partial', 'Complete', 'Persisted' or 'Error'")),
             };
             let number = fields.int(3)?;
             let entries = tables
@@ -309,7 +311,7 @@
         }
         "Left" => Event::MessageAbandoned { id: fields.msg(1)? },
         "Elapsed" => {
-            let token = u64::try_from(fields.int(1)?).map_err(|_| fields.wrong(1, "a token"))?;
+            let token = u64::try_from(fields.int(1)?).map_err(|_| fields.value_error(1, "a token"))?;
             Event::Timer { token }
         }
         "Pong" => Event::Probed {
@@ -324,7 +326,7 @@
     }))
 }
 
-/// Encodes an action for the wire.
+/// Encodes an action of the named sender as a message.
 fn encode_action(sender: &str, names: &[String], action: &Action) -> Value {
     let hex = |id: &MsgId| format!("{:016x}", id.0);
     let name = |endpoint: &EndpointId| names.get(endpoint.0 as usize).map_or("", String::as_str);
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts many isolated heronroute dispatchers behind JSON lines on standard input and output.
+//! Runs many isolated heronroute dispatchers, which communicate in JSON lines on standard input and output.
 
 use heronroute_wirehost::Host;
 use std::io::{self, BufRead, BufWriter, Write};
--- a/crates/wirehost/tests/host.rs
+++ b/crates/wirehost/tests/host.rs
@@ -11,7 +11,7 @@
 
 fn started(host: &mut Host) -> String {
     let list = r#"["Announce","sender/1","Persisted",1,3]"#;
-    host.batch(&batch(1000, &[START, TABLE, list])).expect("a good batch")
+    host.batch(&batch(1000, &[START, TABLE, list])).expect("a valid batch")
 }
 
 fn inbound(sender: &str, id: &str) -> String {
@@ -22,14 +22,14 @@
 fn a_message_is_issued_and_the_reply_has_the_batch_number() {
     let mut host = Host::default();
     started(&mut host);
-    let reply = host.batch(&batch(2000, &[&inbound("sender/1", "00000000000000ab")])).expect("good");
+    let reply = host.batch(&batch(2000, &[&inbound("sender/1", "00000000000000ab")])).expect("a valid batch");
     assert!(reply.contains(r#"["Issue","sender/1","00000000000000ab","10.0.0.1:80","#), "{reply}");
     assert!(reply.contains(r#""seq":9"#));
 }
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    let reply = Host::default().batch(&batch(1, &[])).expect("good");
+    let reply = Host::default().batch(&batch(1, &[])).expect("a valid batch");
     assert_eq!(reply, r#"{"output":[],"seq":9}"#);
 }
 
@@ -38,7 +38,9 @@
     let mut host = Host::default();
     started(&mut host);
     let unknown = r#"["Novelty","sender/1",1,2,3]"#;
-    let reply = host.batch(&batch(2000, &[unknown, &inbound("sender/2", "00000000000000ab")])).expect("good");
+    let reply = host
+        .batch(&batch(2000, &[unknown, &inbound("sender/2", "00000000000000ab")]))
+        .expect("a valid batch");
     assert!(!reply.contains("Issue"), "{reply}");
 }
 
@@ -47,9 +49,10 @@
     let mut host = Host::default();
     started(&mut host);
     let first = inbound("sender/1", "00000000000000ab");
-    let reply = host.batch(&batch(2000, &[&first, r#"["Teardown","sender/1"]"#, START])).expect("good");
+    let reply =
+        host.batch(&batch(2000, &[&first, r#"["Teardown","sender/1"]"#, START])).expect("a valid batch");
     assert!(!reply.contains("00000000000000ab"), "{reply}");
-    let again = host.batch(&batch(3000, &[&inbound("sender/1", "00000000000000ac")])).expect("good");
+    let again = host.batch(&batch(3000, &[&inbound("sender/1", "00000000000000ac")])).expect("a valid batch");
     assert!(!again.contains("Issue"), "the restarted instance has no endpoint list: {again}");
 }
 
@@ -59,9 +62,9 @@
     let (a, b) = (START.replace("sender/1", "sender/2"), r#"["Announce","sender/1","Persisted",1,3]"#);
     let other = r#"["Table",3,[["up",0,1,null,0,"10.0.0.2:80",7]]]"#;
     let msgs = [START, &a, TABLE, b, other, r#"["Announce","sender/2","Persisted",1,3]"#];
-    host.batch(&batch(1000, &msgs)).expect("good");
+    host.batch(&batch(1000, &msgs)).expect("a valid batch");
     let (x, y) = (inbound("sender/1", "00000000000000a1"), inbound("sender/2", "00000000000000a2"));
-    let reply = host.batch(&batch(2000, &[&x, &y])).expect("good");
+    let reply = host.batch(&batch(2000, &[&x, &y])).expect("a valid batch");
     assert!(reply.contains(r#""00000000000000a1","10.0.0.1:80""#), "{reply}");
     assert!(reply.contains(r#""00000000000000a2","10.0.0.2:80""#), "{reply}");
 }
@@ -69,8 +72,8 @@
 #[test]
 fn errors_name_the_position_of_malformed_input() {
     let cases = [
-        ("{", "bad batch"),
-        (r#"{"TUs":"x","seq":1,"msgs":[]}"#, "bad batch"),
+        ("{", "malformed batch"),
+        (r#"{"TUs":"x","seq":1,"msgs":[]}"#, "malformed batch"),
         (r#"{"TUs":1,"seq":1,"msgs":[7]}"#, "message 1: a message is not an array"),
         (r#"{"TUs":1,"seq":1,"msgs":[["Inbound","sender/1"]]}"#, "Inbound: value 2"),
         (r#"{"TUs":1,"seq":1,"msgs":[["Announce","sender/1","Partial",1,5]]}"#, "no Table 5"),
@@ -95,10 +98,15 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
+        .expect("the program starts");
     let input = format!("{}\n{}\n", batch(1, &[]), r#"{"TUs":2,"seq":2,"msgs":[7]}"#);
-    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("written");
-    let done = child.wait_with_output().expect("ends");
+    child
+        .stdin
+        .take()
+        .expect("standard input is piped")
+        .write_all(input.as_bytes())
+        .expect("the input is written");
+    let done = child.wait_with_output().expect("the program ends");
     let error = String::from_utf8_lossy(&done.stderr);
     assert!(!done.status.success());
     assert_eq!(error.lines().count(), 1, "{error}");
