--- a/tests/common/even.rs
+++ b/tests/common/even.rs
@@ -1,5 +1,5 @@
-//! Simulates one receiver with many endpoints and a fleet of senders, each of which sees little of the traffic: how the
-//! calls spread over the endpoints, and what that costs in connections and time.
+//! Simulates one receiver with many endpoints and a fleet of senders, each of which has little of the traffic. Measures
+//! how the calls spread over the endpoints, and the connections and time that this costs.
 
 use crate::common::{MS, Rng, S, entry, settings};
 use heronroute::*;
@@ -8,44 +8,45 @@
 /// A temporary fault of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It answers slower by this factor.
+    /// The endpoint answers slower by this factor.
     Slow(f64),
-    /// It accepts calls and never answers, like a stopped process.
+    /// The endpoint accepts calls and never answers, like a stopped process.
     Stopped,
-    /// It refuses connections immediately.
+    /// The endpoint refuses connections immediately.
     RefusesConnections,
-    /// It answers every call immediately with an error.
+    /// The endpoint answers every call immediately with an error.
     Errors,
 }
 
-/// One simulated run of a fleet.
+/// The parameters of one simulated run of a fleet.
 #[derive(Clone, Debug)]
 pub struct Simulation {
     pub seed: u64,
     pub senders: usize,
-    /// Number of senders that each sender assumes.
+    /// Number of senders in each sender's settings, which may differ from `senders`.
     pub assumed_senders: u32,
     pub endpoints: usize,
-    /// Number of endpoints in the first zone, the rest being in the second; endpoints alternate if it is not set.
-    /// Senders alternate between both zones.
+    /// Number of endpoints in the first zone; the others are in the second zone. If it is not set, endpoints alternate
+    /// between the zones. Senders always alternate between the zones.
     pub first_zone: Option<usize>,
-    /// Index of the receiver's kind, and its limit in calls per second.
+    /// Index of the receiver's kind.
     pub kind: usize,
+    /// The receiver's limit in calls per second.
     pub limit: f64,
     /// Messages offered per second by all senders together.
     pub demand: f64,
-    /// Traffic of the first sender as a multiple of each other sender's.
+    /// Traffic of the first sender as a multiple of each other sender's traffic.
     pub skew: f64,
-    /// Faults with the endpoint, start and end of each.
+    /// Faults, each with its endpoint, start and end.
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
-    /// Number of endpoints, from the first, that limit their connections, and the limit of each.
+    /// Number of endpoints, from the first, that limit their connections, and the maximum connections of each.
     pub connection_cap: Option<(usize, usize)>,
-    /// Number of endpoints that join, when they are listed, and by how much later a third of the senders receive the
-    /// list.
+    /// Number of endpoints that join, the time at which they are listed, and the delay after which a third of the
+    /// senders receive that list.
     pub joining: Option<(usize, Micros, Micros)>,
-    /// Every n-th sender is restarted at this time without any state.
+    /// `(n, time)`: every n-th sender is restarted at this time without any state.
     pub restart: Option<(usize, Micros)>,
-    /// Whether each sender gets the list in an order of its own.
+    /// Whether each sender gets the endpoint list in a different order.
     pub shuffled: bool,
     /// Endpoint number of the first list entry, and the step from each entry's number to the next.
     pub numbers: (u32, u32),
@@ -75,10 +76,10 @@
     }
 }
 
-/// Results of a run.
+/// The results of one simulated run.
 #[derive(Clone, Debug, Default)]
 pub struct Results {
-    /// Time and endpoint of each call.
+    /// The time and endpoint of each call.
     pub calls: Vec<(Micros, usize)>,
     pub offered: usize,
     pub in_time: usize,
@@ -121,8 +122,8 @@
     }
 }
 
-/// Returns the index of dispersion (variance over mean, 1 for random choices), and the largest and smallest count over
-/// the mean.
+/// Returns three values: the index of dispersion (variance over mean, 1 for random choices), the largest count over the
+/// mean, and the smallest count over the mean.
 pub fn dispersion(counts: &[f64]) -> (f64, f64, f64) {
     let mean = (counts.iter().sum::<f64>() / counts.len() as f64).max(1e-9);
     let var = counts.iter().map(|c| (c - mean).powi(2)).sum::<f64>() / (mean * (counts.len() - 1) as f64);
@@ -138,14 +139,14 @@
     dispatcher: Dispatcher,
     inbox: Vec<Event>,
     timer: Micros,
-    /// Endpoint of each entry of its list.
+    /// The endpoint of each entry in the sender's list.
     endpoints_by_entry: Vec<usize>,
-    /// Since when each idle connection is idle, by endpoint.
+    /// For each endpoint, the times since which its idle connections are idle.
     idle: Vec<Vec<Micros>>,
     attempts: BTreeMap<MsgId, u32>,
     open: BTreeMap<MsgId, Micros>,
     next: Micros,
-    /// Number of restarts; the outcomes of an earlier incarnation's calls are dropped.
+    /// Number of restarts so far. Outcomes of calls of an earlier incarnation are dropped.
     incarnation: u32,
 }
 
@@ -202,7 +203,7 @@
             zone_fees: vec![0.0; 2],
             ..set
         };
-        Dispatcher::new(now, seed, set).expect("settings are good")
+        Dispatcher::new(now, seed, set).expect("valid settings")
     }
 
     /// Runs the simulation; every result follows from the seed.
@@ -234,7 +235,7 @@
                 }
             })
             .collect();
-        // Sender, incarnation and endpoint of a call or probe, and the events that end it.
+        // The sender, incarnation and endpoint of a call or probe, and the events that end it.
         type End = (usize, u32, usize, Vec<Event>);
         type Call = (usize, Micros, Vec<(MsgId, u32)>);
         let mut queue: BTreeMap<(Micros, u64), End> = BTreeMap::new();
@@ -293,7 +294,7 @@
                     .iter()
                     .all(|e| matches!(e, Event::Outcome { outcome: Outcome::Done | Outcome::Error, .. }));
                 if incarnation != sender.incarnation || !answered {
-                    // The call's connection is closed; a probe has none.
+                    // The connection of the call is closed. A probe has no connection.
                     if events.iter().any(
                         |e| matches!(e, Event::Outcome { outcome, .. } if *outcome != Outcome::ConnectFailed),
                     ) {
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -9,27 +9,27 @@
 /// A receiver with one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Receiver {
-    /// Calls accepted per second, which is also the weight in the endpoint list.
+    /// Calls that the receiver accepts per second, which is also its weight in the endpoint list.
     pub limit: f64,
-    /// Index of its kind: kind 1 takes several messages in a call.
+    /// Index of the receiver's kind. Kind 1 accepts several messages in a call.
     pub kind: usize,
     /// Messages offered per second by all senders together.
     pub demand: f64,
 }
 
-/// One simulated run of a fleet.
+/// The parameters of one simulated run of a fleet.
 #[derive(Clone, Debug)]
 pub struct Simulation {
     pub seed: u64,
     pub senders: u32,
-    /// Number of senders that each sender assumes.
+    /// Number of senders in each sender's settings, which may differ from `senders`.
     pub assumed_senders: u32,
     pub receivers: Vec<Receiver>,
     /// Start, end and remaining share of a cut of every limit; the list keeps advertising the old limit.
     pub limit_cut: Option<(Micros, Micros, f64)>,
     /// Share of rejections that report a wait.
     pub wait_share: f64,
-    /// Traffic of the first sender as a multiple of each other sender's.
+    /// Traffic of the first sender as a multiple of each other sender's traffic.
     pub skew: f64,
     pub end: Micros,
 }
@@ -51,14 +51,14 @@
     }
 }
 
-/// Results of a run over all receivers.
+/// The results of one simulated run, summed over all receivers.
 #[derive(Clone, Debug, Default)]
 pub struct Results {
     pub offered: usize,
     pub delivered: usize,
-    /// Delivered within the class's aim.
+    /// Number of messages delivered within their class's aim.
     pub in_time: usize,
-    /// Calls that were rejected.
+    /// Number of calls that receivers rejected.
     pub rejected: usize,
     pub calls: usize,
     /// Time from the end of the cut until 90% of two seconds' demand is delivered within two seconds.
@@ -78,9 +78,9 @@
 }
 
 const SERVICE_TIME: Micros = 60 * MS;
-/// Seconds of its limit that a receiver's bucket holds.
+/// Depth of a receiver's token bucket, in seconds at its limit.
 const BUCKET_DEPTH_S: f64 = 0.5;
-/// Shortest wait, in seconds, that a rejection reports.
+/// Shortest wait that a rejection reports, in seconds.
 const MIN_WAIT_S: f64 = 0.3;
 const MESSAGE_TTL: Micros = 10 * S;
 
@@ -96,8 +96,8 @@
         receiver.limit * part
     }
 
-    /// Admits a call, or returns the wait after which the receiver would accept one; the caller decides whether it is
-    /// reported.
+    /// Admits a call and returns `None`, or returns the wait after which the receiver would accept a call. The caller
+    /// decides whether the rejection reports this wait.
     fn admit(&self, receiver: &Receiver, bucket: &mut Bucket, now: Micros) -> Option<Micros> {
         let limit = self.limit(receiver, now);
         let filled = bucket.tokens + limit * (now - bucket.filled) as f64 / 1e6;
@@ -126,7 +126,7 @@
         });
         let listed: Vec<_> = listed.collect();
         let mut dispatchers: Vec<Dispatcher> = (0..n)
-            .map(|i| Dispatcher::new(0, (self.seed << 8) + i as u64, set.clone()).expect("settings are good"))
+            .map(|i| Dispatcher::new(0, (self.seed << 8) + i as u64, set.clone()).expect("valid settings"))
             .collect();
         let mut inbox: Vec<Vec<Event>> =
             vec![vec![Event::Listing { complete: true, entries: listed.clone() }]; n];
--- a/tests/common/herd.rs
+++ b/tests/common/herd.rs
@@ -1,6 +1,6 @@
-//! Simulates many senders and one receiver that has an outage and returns cold, and compares their load with what
-//! overloads the receiver. The rule: calls within any fall window of 2 s must not exceed the fall multiple of the
-//! receiver's capacity at that moment, plus one standard deviation of as many random arrivals.
+//! Simulates many senders and one receiver that has an outage and returns cold, and compares the senders' load with the
+//! load that overloads the receiver. The rule: calls within any fall window of 2 s must not exceed the fall multiple of
+//! the receiver's capacity at that moment, plus one standard deviation of as many random arrivals.
 
 use crate::common::{MS, Rng, S, entry, settings};
 use heronroute::*;
@@ -9,65 +9,69 @@
 /// How the receiver fails during its outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outage {
-    /// It rejects calls and reports the wait until the outage ends.
+    /// The receiver rejects calls and reports the wait until the outage ends.
     Shut,
-    /// It rejects calls and reports random waits that end before or after the outage does.
+    /// The receiver rejects calls and reports random waits that end before or after the end of the outage.
     ShutUnlike,
-    /// It rejects calls and reports no wait.
+    /// The receiver rejects calls and reports no wait.
     ShutUntold,
-    /// It refuses connections.
+    /// The receiver refuses connections.
     Down,
-    /// It accepts calls and never answers.
+    /// The receiver accepts calls and never answers.
     Silent,
-    /// It fails nine calls in ten.
+    /// The receiver fails nine calls in ten.
     Failing,
 }
 
-/// What a restarted sender has from its previous process.
+/// The state that a restarted sender restores from its previous process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Persisted {
-    /// Its messages and the health of endpoints and receivers.
+    /// The messages and the health of endpoints and receivers.
     All,
-    /// Only its messages, as from a journal of a version that did not record health.
+    /// Only the messages, as from a journal of a version that did not record health.
     Messages,
-    /// Nothing, as on a new machine.
+    /// No state, as on a new machine.
     Nothing,
 }
 
-/// One simulated return of a receiver from an outage.
+/// The parameters of one simulated return of a receiver from an outage.
 #[derive(Clone, Debug)]
 pub struct ReturnCase {
     pub seed: u64,
     pub senders: u32,
-    /// Number of senders that each sender assumes.
+    /// Number of senders in each sender's settings, which may differ from `senders`.
     pub assumed_senders: u32,
     pub slots: u32,
     pub endpoints: u32,
     pub kind: usize,
     pub outage: Outage,
-    /// Messages per second from all clients; the first sender gets `skew` times as many as each other one.
+    /// Messages per second from all clients together.
     pub demand: f64,
+    /// Traffic of the first sender as a multiple of each other sender's traffic.
     pub skew: f64,
-    /// Messages per second that the warm receiver handles, and calls per second that it advertises.
+    /// Messages per second that the warm receiver handles.
     pub capacity: f64,
+    /// Calls per second that the receiver advertises.
     pub limit: f64,
     pub cold_from: f64,
-    /// Start and end of the outage, and how long before its end the first endpoint returns.
+    /// Start of the outage.
     pub outage_start: Micros,
+    /// End of the outage.
     pub outage_end: Micros,
+    /// How long before the end of the outage the first endpoint returns.
     pub first_endpoint_early_by: Micros,
     /// Start and end of a second outage.
     pub second_outage: Option<(Micros, Micros)>,
-    /// Number of senders, from the first, whose clients start only when the receiver is back.
+    /// Number of senders, from the first, whose clients start only after the receiver has returned.
     pub unaware_senders: u32,
-    /// When all senders are restarted.
+    /// Time at which all senders are restarted.
     pub restart_at: Option<Micros>,
-    /// When all senders are restarted again.
+    /// Time at which all senders are restarted a second time.
     pub second_restart_at: Option<Micros>,
-    /// Restarts are staggered over this time, a tenth of the senders at once.
+    /// Time over which the restarts are spread; each tenth of the senders restarts together.
     pub restart_spread: Micros,
     pub persisted: Persisted,
-    /// When the list replaces all endpoints by new ones.
+    /// Time at which the endpoint list replaces all endpoints by new ones.
     pub replaced_at: Option<Micros>,
     pub end: Micros,
 }
@@ -102,42 +106,45 @@
     }
 }
 
-/// Results of a simulated return.
+/// The results of one simulated return.
 #[derive(Clone, Debug, Default)]
 pub struct Results {
-    /// Highest load as a share of the load that overloads the receiver, and how long after the return it came.
+    /// Highest load as a share of the load that overloads the receiver.
     pub peak: f64,
+    /// Time from the return to the highest load.
     pub peak_at: Micros,
-    /// The first overload by the strict bound, which leaves room for chance: where the fall window's budget at that
-    /// moment is N calls, N + 2 sqrt(N) + 2 are allowed.
+    /// The first overload by the strict bound. To allow for chance, the strict bound is N + 2 sqrt(N) + 2 calls if the
+    /// fall window's budget at that moment is N calls.
     pub overload: Option<Overload>,
-    /// The first overload by the wide bound, which allows N + 3 sqrt(N) + 3 calls where N is below 30.
+    /// The first overload by the wide bound, which is N + 3 sqrt(N) + 3 calls if N is below 30, else the strict bound.
     pub overload_by_wide_bound: Option<Overload>,
-    /// Highest load as a multiple of what the strict bound allows.
+    /// Highest load as a multiple of the strict bound.
     pub worst_load_ratio: f64,
-    /// Calls in the second after the first restart.
+    /// Number of calls in the second after the first restart.
     pub after_restart: usize,
-    /// One line for each restarted sender with its restored state, and for each call or probe after the return.
+    /// Trace lines: one for each restarted sender with its restored state, and one for each call or probe after the
+    /// return.
     pub trace: Vec<String>,
-    /// Time from the return until the receiver is sent 50% and 90% of the demand within a second.
+    /// Time from the return until the receiver is sent 50% of the demand within a second.
     pub half_traffic_after: Option<Micros>,
+    /// Time from the return until the receiver is sent 90% of the demand within a second.
     pub full_traffic_after: Option<Micros>,
     pub delivered: usize,
     pub refused: usize,
     pub failed: usize,
     pub offered: usize,
-    /// Calls and probes that reached the receiver during its outage.
+    /// Number of calls and probes that reached the receiver during its outage.
     pub contacts_during_outage: usize,
 }
 
 /// A load that overloaded the receiver.
 #[derive(Clone, Copy, Debug)]
 pub struct Overload {
-    /// Time since the return.
+    /// Time from the receiver's return to the overload.
     pub after: Micros,
     pub load: f64,
     pub allowed: f64,
-    /// Share of the load from senders that had seen a call or probe fail in the outage.
+    /// Share of the load that came from senders with a failed call or probe in the outage.
     pub aware_share: f64,
 }
 
@@ -145,7 +152,7 @@
 struct Arrival {
     at: Micros,
     weight: f64,
-    /// Whether its sender had seen a call or probe fail in the outage.
+    /// Whether the sender of the call or probe had a failed call or probe in the outage.
     aware: bool,
 }
 
@@ -158,7 +165,7 @@
 struct IncomingCall {
     msgs: Vec<(MsgId, u32)>,
     endpoint: EndpointId,
-    /// When the sender's time-out expires.
+    /// Time at which the sender's time-out for the call expires.
     sender_gives_up_at: Micros,
 }
 
@@ -172,13 +179,13 @@
 
     fn listing(&self, now: Micros) -> Event {
         let base = if self.replaced_at.is_some_and(|t| now >= t) { 100 } else { 1 };
-        // Separate routes advertise a limit each.
+        // Each separate route advertises its own limit.
         let limit = if self.kind == 2 { self.limit / self.endpoints as f64 } else { self.limit };
         let endpoint = |n| EndpointEntry { weight: Some(limit), ..entry(base + n, 1, self.kind) };
         Event::Listing { complete: true, entries: (0..self.endpoints).map(endpoint).collect() }
     }
 
-    /// Reports whether the sender is restarted in the step that ends now.
+    /// Returns whether the sender is restarted in the step that ends now.
     fn is_restarted(&self, sender: usize, now: Micros) -> bool {
         let tenth = (10 * sender / self.senders as usize) as Micros;
         let mut times = self.restart_at.into_iter().chain(self.second_restart_at);
@@ -225,7 +232,7 @@
         let mut next: Vec<Micros> = (0..n).map(|i| (rng.unit() * 1e6 / rate(i)) as Micros).collect();
         let mut timers: Vec<Micros> = vec![0; n];
         let mut attempts: BTreeMap<(usize, MsgId), u32> = BTreeMap::new();
-        // Class and deadline of each open message, which a restarted sender gets again.
+        // The class and deadline of each open message, which a restarted sender restores.
         let mut open: BTreeMap<(usize, MsgId), (usize, Micros)> = BTreeMap::new();
         let mut first_attempts: BTreeMap<(usize, MsgId), (EndpointId, Micros)> = BTreeMap::new();
         let mut queue: BTreeMap<(Micros, u64), (usize, Event)> = BTreeMap::new();
@@ -268,7 +275,7 @@
                 );
                 if self.persisted == Persisted::Nothing {
                     open.retain(|(sender, _), _| *sender != i);
-                    // A new machine has seen nothing of the outage.
+                    // A new machine has had no failed call in the outage.
                     aware[i] = false;
                 }
                 for ((_, id), (class, deadline)) in open.iter().filter(|((s, _), _)| *s == i) {
@@ -289,7 +296,7 @@
                     inbox[i].push(restored);
                 }
                 timers[i] = now;
-                // The calls in flight end with their process.
+                // The calls in flight end when their process ends.
                 queue.retain(|_, (sender, event)| {
                     if *sender == i
                         && let Event::Outcome { endpoint, .. } = event
@@ -510,21 +517,22 @@
     }
 }
 
-/// Returns a case with this many senders, which have 240 slots in all.
+/// Returns a case with this number of senders, which have 240 slots together and at least 2 each.
 pub fn with_senders(senders: u32) -> ReturnCase {
     ReturnCase { senders, assumed_senders: senders, slots: (240 / senders).max(2), ..ReturnCase::default() }
 }
 
-/// Returns a case with a receiver of this many calls per second, small enough that a trial from each of thirty senders
-/// overloads it while cold.
+/// Returns a case with a receiver that handles `capacity` calls per second. At small capacities, one trial from each of
+/// thirty senders overloads the receiver while it is cold.
 pub fn small_receiver(sender_count: u32, capacity: f64, outage: Outage) -> ReturnCase {
     let (limit, demand) = (1.2 * capacity, 0.8 * capacity);
     ReturnCase { capacity, limit, demand, endpoints: 2, outage, ..with_senders(sender_count) }
 }
 
-/// Every kind of outage.
+/// All kinds of outage.
 pub const OUTAGES: [Outage; 6] =
     [Outage::Shut, Outage::ShutUnlike, Outage::ShutUntold, Outage::Down, Outage::Silent, Outage::Failing];
 
-/// An overload breaks the rule when a larger share of its load came from senders that had seen the outage.
+/// An overload breaks the rule if more than this share of its load came from senders with a failed call or probe in the
+/// outage.
 pub const MAX_AWARE_SHARE: f64 = 2.0 / 3.0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A sender driven by hand: its settings, the events fed to the decision module and the actions that it returns.
+//! A sender that tests drive step by step: its settings, the events passed to the decision module and the resulting
+//! actions.
 #![allow(dead_code)]
 
 use heronroute::*;
@@ -10,8 +11,8 @@
 pub const UNSAFE: usize = 2;
 pub const ORDERED: usize = 3;
 
-/// Two senders with 12 slots each; classes by the constants above, kinds: 0 single calls, 1 batches of ten, 2 separate
-/// routes.
+/// Returns settings of two senders with 12 slots each. The constants above name the classes. Kind 0 accepts one message
+/// in a call, kind 1 batches of ten, and kind 2 has separate routes.
 pub fn settings() -> Settings {
     let class = |effect, ordered| ClassSettings {
         aim: 2 * S,
@@ -54,23 +55,23 @@
     EndpointEntry { endpoint, dest, status: Status::Up, kind, zone: 0, weight: None }
 }
 
-/// Returns a new message without an order key, with 20 s to live.
+/// Returns a new message without an order key, with 20 s until its deadline.
 pub fn message(id: u64, class: usize, dest: i64) -> Event {
     let (id, dest) = (MsgId(id), DestId(dest));
     Event::Message { id, class, tenant: 0, key: None, dest, time_left: 20 * S, resubmitted: false }
 }
 
-/// Returns a new message of the ordered class with this order key.
+/// Returns a new message of the ordered class with the given order key, with 20 s until its deadline.
 pub fn ordered(id: u64, dest: i64, key: &str) -> Event {
     let (id, dest, key) = (MsgId(id), DestId(dest), Some(key.to_string()));
     Event::Message { id, class: ORDERED, tenant: 0, key, dest, time_left: 20 * S, resubmitted: false }
 }
 
-/// An xorshift generator for the fleet models: every result follows from the seed.
+/// An xorshift generator for the fleet simulations. A seed always gives the same numbers.
 pub struct Rng(pub u64);
 
 impl Rng {
-    /// Returns the next number, uniform in [0, 1).
+    /// Returns the next random number, uniform in [0, 1).
     pub fn unit(&mut self) -> f64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -83,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     pub id: u64,
-    /// Counts the message's attempts from 0.
+    /// The number of the message's attempt, counted from 0.
     pub number: u32,
     pub endpoint: u32,
     pub sent: Micros,
@@ -95,16 +96,16 @@
     pub dispatcher: Dispatcher,
     pub now: Micros,
     pub in_flight: Vec<Attempt>,
-    /// Attempts made so far, by message.
+    /// Number of attempts made so far, by message.
     pub attempts: std::collections::BTreeMap<u64, u32>,
     pub refused: Vec<u64>,
     pub failed: Vec<u64>,
     pub probes: Vec<u32>,
     /// Endpoints whose idle connections were closed.
     pub closed_idle: Vec<u32>,
-    /// Messages and attempts whose calls were cancelled and have not ended yet.
+    /// Attempts, by message and number, whose cancellation was requested and that have not ended yet.
     pub cancels: Vec<(u64, u32)>,
-    /// When each attempt began.
+    /// The time at which each attempt was sent.
     pub send_times: Vec<Micros>,
     pub timer_count: usize,
     pub timer_times: std::collections::BTreeSet<Micros>,
@@ -112,7 +113,7 @@
 
 impl TestSender {
     pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> TestSender {
-        let dispatcher = Dispatcher::new(0, 7, settings).expect("settings are good");
+        let dispatcher = Dispatcher::new(0, 7, settings).expect("valid settings");
         let mut sender = TestSender {
             dispatcher,
             now: 0,
@@ -161,7 +162,7 @@
         started
     }
 
-    /// Advances the clock in steps of 10 ms, ends attempts that time out, and returns the attempts started meanwhile.
+    /// Advances the clock by `span` in steps of 10 ms, ends attempts that time out, and returns the attempts started.
     pub fn advance(&mut self, span: Micros) -> Vec<Attempt> {
         let end = self.now + span;
         let mut started = Vec::new();
@@ -180,7 +181,7 @@
         started
     }
 
-    /// Removes the attempt from those in flight and returns the event that ends it.
+    /// Removes an attempt from `in_flight` and returns the event that reports its outcome.
     pub fn outcome(&mut self, attempt: &Attempt, outcome: Outcome, wait: Micros) -> Event {
         self.in_flight.retain(|other| other != attempt);
         let (id, endpoint) = (MsgId(attempt.id), EndpointId(attempt.endpoint));
@@ -189,14 +190,14 @@
         Event::Outcome { id, attempt, endpoint, outcome, closes_message, elapsed, wait, report: None }
     }
 
-    /// Ends an attempt without a reported wait and returns the attempts that this started.
+    /// Ends an attempt with this outcome and no reported wait, and returns the attempts started as a result.
     pub fn finish(&mut self, attempt: &Attempt, outcome: Outcome) -> Vec<Attempt> {
         let event = self.outcome(attempt, outcome, 0);
         self.round(&[event])
     }
 
-    /// Offers `count` messages, one each `gap`, with ids from `first`, and answers every call with success after 100
-    /// ms.
+    /// Offers `count` messages, one every `gap`, with ids from `first`, and answers every call with success after
+    /// 100 ms.
     pub fn serve_steadily(&mut self, first: u64, count: u64, class: usize, dest: i64, gap: Micros) {
         for i in 0..count {
             self.round(&[message(first + i, class, dest)]);
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Ends the attempts whose cancellation was requested.
+    /// Ends all attempts whose cancellation was requested.
     pub fn answer_cancels(&mut self) {
         for key in std::mem::take(&mut self.cancels) {
             let cancelled =
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -1,4 +1,4 @@
-//! Design points of the decision module, and regressions of known failures.
+//! Tests of the decision module's design, and regression tests for known failures.
 
 mod common;
 use common::*;
@@ -53,7 +53,7 @@
 
 #[test]
 fn many_silent_destinations_do_not_fill_the_slots_for_good() {
-    // Guards against unanswered unsafe calls that occupy all slots until their deadline.
+    // Guards against unsafe calls without an answer that occupy all slots until their deadline.
     let entries = (1..=13).map(|d| entry(d as u32, d, 0)).collect();
     let mut sender = TestSender::new(settings(), entries);
     for d in 1..=13 {
@@ -254,7 +254,7 @@
     assert_eq!(trial.len(), 1, "trials are single");
 }
 
-/// Returns a message for destination 1 with this much time left.
+/// Returns a message for destination 1 with the given time until its deadline.
 fn message_with_time_left(id: u64, class: usize, time_left: Micros) -> Event {
     let Event::Message { id, class, tenant, key, dest, resubmitted, .. } = message(id, class, 1) else {
         unreachable!()
@@ -277,14 +277,14 @@
         [first, first + 1].map(|id| sent.iter().find(|attempt| attempt.id == id).unwrap().timeout)
     };
     assert_eq!(timeouts(1, 5 * S), [1200 * MS, 5 * S]);
-    // Even then the call waits as long as an answer may take.
+    // Even if a message has only 300 ms left, the call lasts for the usual timeout of 1.2 s.
     assert_eq!(timeouts(3, 300 * MS), [300 * MS, 1200 * MS]);
 }
 
 #[test]
 fn the_first_message_of_a_call_is_the_last_to_run_out_of_time() {
     // Guards against batches whose first message ends before the answer: all other messages of the call then counted as
-    // undelivered. If a later message has ended, the answer still counts for the rest.
+    // undelivered. If a later message of the batch has ended, the answer is still valid for the other messages.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 1)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
     let times = [(1, SAFE, 5 * S), (2, KEYED, 12 * S), (3, SAFE, 300 * MS), (4, UNSAFE, 9 * S)];
@@ -296,7 +296,7 @@
 
 #[test]
 fn malformed_answers_prove_an_endpoint_alive() {
-    // Healthy endpoints send them too: five in a row must not make the endpoint unhealthy, as failures would.
+    // Healthy endpoints send malformed answers too: unlike five failures, five of them must not make it unhealthy.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
     for i in 0..5 {
@@ -311,8 +311,8 @@
 
 #[test]
 fn unsafe_messages_wait_where_calls_that_may_have_run_just_failed() {
-    // Guards against endpoints that fail part of their calls: they counted as healthy after each success, and each
-    // failed two or three unsafe messages before it was avoided.
+    // Guards against endpoints that fail part of their calls: each endpoint counted as healthy after each success, and
+    // failed two or three unsafe messages before the sender avoided it.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 2, 0)]);
     for dest in [1, 2] {
         sender.serve_steadily(1000 * dest as u64, 30, SAFE, dest, 100 * MS);
@@ -320,7 +320,7 @@
     let sent = fill(&mut sender, 1, 1, SAFE, 1);
     sender.now += 50 * MS;
     sender.finish(&sent[0], Outcome::Error);
-    // The repeatable message is sent again and the unsafe one waits: for successes ...
+    // After a failure, a repeatable message is sent again and an unsafe message waits until calls succeed.
     let unsafe_sent = fill(&mut sender, 10, 1, UNSAFE, 1);
     assert!(unsafe_sent.is_empty(), "an unsafe message was sent where calls had just failed");
     let mut more = 0;
@@ -336,7 +336,8 @@
         fill(&mut sender, 20 + i, 1, SAFE, 1);
     }
     assert_eq!(more, 1, "it is sent once calls succeed again");
-    // ... or, without further outcomes, for a limited time; and it uses another endpoint if there is one.
+    // An unsafe message is sent at once if the destination has another endpoint. Without further outcomes, it waits for
+    // a limited time.
     let sent = fill(&mut sender, 50, 1, SAFE, 2);
     sender.now += 50 * MS;
     sender.round(&[Event::MessageAbandoned { id: MsgId(50) }]);
@@ -376,7 +377,7 @@
 
 #[test]
 fn an_endpoint_that_answers_part_of_its_calls_stays_in_use() {
-    // Two errors in a row are likely where half of the calls fail, and repeatable messages still profit from the
+    // If half of the calls fail, two errors in a row are likely, and repeatable messages can still be delivered by the
     // endpoint.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
@@ -407,7 +408,8 @@
                 sender.round(&[Event::Probed { endpoint: EndpointId(probed), outcome, report: None }]);
             }
         }
-        // After the recovery, each message is sent at once once the warm-up and three seconds have passed.
+        // After the recovery, messages are offered for 20 s, which is longer than the warm-up plus three seconds. Then
+        // each message is sent at once.
         for i in 0..200u64 {
             sender.round(&[message(5000 + i, SAFE, 1)]);
             sender.advance(100 * MS);
@@ -425,7 +427,7 @@
     }
 }
 
-/// Returns how many calls a destination with this gap between messages may start when it can borrow no slots.
+/// Returns the number of calls that a destination with this gap between messages may start if it cannot borrow slots.
 fn permits_after(gap: Micros) -> usize {
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 3, 0)]);
     sender.serve_steadily(1000, 60, UNSAFE, 1, gap);
@@ -438,13 +440,12 @@
 
 #[test]
 fn a_pool_is_sized_by_rate_times_p99_times_one_and_a_half() {
-    // 5 messages/s x about 0.1 s x 1.5 is one permit; 20 messages/s need more than the two slots left.
+    // 5 messages/s x about 0.1 s x 1.5 need one permit; 20 messages/s need more than the two free slots.
     assert_eq!(permits_after(200 * MS), 1);
     assert_eq!(permits_after(50 * MS), 2);
 }
 
-/// Returns one of this many senders after an endpoint of kind 0 has refused its connection and another has accepted
-/// one.
+/// Returns one of `senders` senders after one endpoint of kind 0 has refused a connection and another has accepted one.
 fn refused_a_connection(senders: u32) -> TestSender {
     let mut sender =
         TestSender::new(Settings { senders, ..settings() }, vec![entry(1, 1, 0), entry(2, 2, 0)]);
@@ -464,8 +465,8 @@
 
 #[test]
 fn idle_connections_are_closed_where_many_senders_share_few() {
-    // Guards against connection tables filled by idle connections: with hundreds of senders that kept one each, most
-    // calls were refused.
+    // Guards against connection tables filled by idle connections: when each of hundreds of senders kept one idle
+    // connection, most calls were refused.
     assert!(
         refused_a_connection(200).closed_idle.contains(&2),
         "no idle connection is kept for a kind that refused one"
@@ -492,8 +493,8 @@
 
 #[test]
 fn the_more_senders_share_a_destination_the_less_often_each_tries_it_in_an_outage() {
-    // Guards against trials whose rate grows with the number of senders: at one each two seconds from each of a hundred
-    // senders, they overloaded a receiver that returned cold.
+    // Guards against trials whose total rate grows with the number of senders: when each of a hundred senders sent one
+    // trial every two seconds, they overloaded a receiver that returned cold.
     let (few, many) = (calls_in_an_outage(2), calls_in_an_outage(200));
     assert!(few >= 5 && many <= 4, "{few} calls with two senders, {many} with two hundred");
 }
@@ -506,7 +507,7 @@
         let sent = fill(&mut sender, 0, 1, UNSAFE, 1);
         sender.timer_count = 0;
         let end = sender.now + 18 * S;
-        // Only timers cause rounds.
+        // In this loop only timers start rounds.
         while let Some(at) = sender.timer_times.iter().copied().find(|at| *at > sender.now && *at < end) {
             sender.now = at;
             sender.round(&[Event::Timer { token: 0 }]);
@@ -518,8 +519,8 @@
 
 #[test]
 fn failures_far_apart_start_a_paced_return_from_the_first_of_them() {
-    // Guards against outages that a sender with rare messages overlooks: two failures shortly before a success did
-    // not count as an outage, and hundreds of such senders overloaded the destination on its return.
+    // Guards against outages that a sender with rare messages does not detect: two failures shortly before a success
+    // did not count as an outage, and hundreds of such senders overloaded the destination on its return.
     let set = Settings { senders: 200, ..settings() };
     let mut sender = TestSender::new(set, vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 10, SAFE, 1, 3 * S);
@@ -530,7 +531,7 @@
     for i in 0..6 {
         sender.round(&[message(10 + i, SAFE, 1)]);
     }
-    // The first success comes two seconds after the only failure.
+    // The first success follows two seconds after the only failure.
     for attempt in sender.in_flight.clone() {
         sender.finish(&attempt, Outcome::Done);
     }
@@ -550,7 +551,7 @@
 
 #[test]
 fn equal_parts_of_a_limit_bound_what_refused_senders_keep_sending() {
-    // Guards against overload that feeds itself: rejected calls used up the limit, and no budget could fall far enough.
+    // Guards against persistent overload: rejected calls used up the limit, and the budgets could not fall far enough.
     let calls = |senders: u32| {
         let limited = EndpointEntry { weight: Some(10.0), ..entry(1, 1, 0) };
         let set = Settings { senders, weights: WeightMeaning::Nominal, ..settings() };
@@ -570,7 +571,7 @@
 
 #[test]
 fn an_idle_connection_that_falls_silent_is_not_taken_for_an_outage() {
-    // Some networks drop connections silently after a second or two without use.
+    // Some networks drop connections silently after one or two seconds without use.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 10, SAFE, 1, 2 * S);
     fill(&mut sender, 0, 1, UNSAFE, 1);
@@ -582,7 +583,7 @@
         (1, 0),
         "the next call starts at once, on a fresh connection"
     );
-    // A stalled call on a fresh connection counts against the endpoint.
+    // A stalled call on a new connection counts as a failure of the endpoint.
     sender.advance(2 * S);
     assert!(
         fill(&mut sender, 2, 1, UNSAFE, 1).is_empty(),
@@ -625,11 +626,11 @@
 
 #[test]
 fn senders_with_the_same_reported_wait_do_not_return_at_the_same_time() {
-    // Guards against senders that all return at the time which a closed destination reported to them.
+    // Guards against senders that all send again at the same time because a destination reported the same wait to them.
     let mut back = std::collections::BTreeSet::new();
     for seed in (1..=8u64).map(|n| n.wrapping_mul(0x9E37_79B9_7F4A_7C15)) {
         let mut dispatcher =
-            Dispatcher::new(0, seed, Settings { senders: 300, ..settings() }).expect("settings are good");
+            Dispatcher::new(0, seed, Settings { senders: 300, ..settings() }).expect("valid settings");
         let (mut actions, mut now) = (Vec::new(), 0);
         dispatcher.round(
             now,
--- a/tests/even.rs
+++ b/tests/even.rs
@@ -1,4 +1,4 @@
-//! A fleet spreads its calls evenly over a receiver's endpoints, although each sender sees little of the traffic.
+//! Tests that a fleet spreads its calls evenly over a receiver's endpoints, although each sender has little traffic.
 
 mod common;
 #[path = "common/even.rs"]
@@ -13,13 +13,13 @@
     Simulation { senders, assumed_senders: senders as u32, ..Simulation::default() }
 }
 
-/// Returns the mean of a result over three seeds.
+/// Returns the mean of a result over the seeds 1 to 3.
 fn mean(simulation: &Simulation, result: impl Fn(&Results) -> f64) -> f64 {
     (1..=3).map(|seed| result(&Simulation { seed, ..simulation.clone() }.run())).sum::<f64>() / 3.0
 }
 
-/// Returns the index of dispersion of the calls, and the busiest and idlest endpoint over the mean, in the steady
-/// state.
+/// Returns, for the steady state, the index of dispersion of the calls, and the calls of the busiest and of the idlest
+/// endpoint over the mean.
 fn steady(simulation: &Simulation) -> (f64, f64, f64) {
     let seeds = simulation.seed..simulation.seed + 3;
     let all: Vec<_> =
@@ -46,7 +46,7 @@
                 mean(&simulation, Results::on_time_share),
                 mean(&simulation, Results::connections_per_message),
             );
-            // Without reuse it would be one connection for each message.
+            // Without connection reuse, the value would be one connection per message.
             assert!(
                 on_time_share > 0.97 && connections < 0.75,
                 "{n} senders, kind {kind}: {on_time_share:.3} in time, {connections:.3} connections per message"
@@ -57,7 +57,7 @@
 
 #[test]
 fn few_calls_over_many_endpoints() {
-    // Each sender has one message in five seconds.
+    // Each sender has one message every five seconds.
     let (variance, _, idlest) = steady(&Simulation { endpoints: 30, demand: 20.0, ..fleet_of(100) });
     assert!(variance < 4.0 && idlest >= 0.0, "variance {variance:.2}, idlest {idlest:.2}");
     assert_even("two endpoints", &Simulation { endpoints: 2, ..fleet_of(100) }, 3.0);
@@ -82,7 +82,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// A fleet's load is as even when each sender's list has an order and endpoint numbers of its own.
+    /// A fleet's load is just as even if each sender's list has a different order and different endpoint numbers.
     #[test]
     fn names_numbers_and_order_change_nothing(
         seed in any::<u32>(),
@@ -94,7 +94,7 @@
         let same_order = Simulation { seed: seed.into(), kind, endpoints, ..fleet_of(senders) };
         let other_orders = Simulation { numbers, shuffled: true, ..same_order.clone() };
         let [same_order, other_orders] = [same_order, other_orders].map(|simulation| steady(&simulation));
-        // An endpoint gets 17 calls or more in 10 s: seeds alone make this much difference.
+        // An endpoint gets 17 calls or more in 10 s. Different seeds alone cause differences of this size.
         let message = format!("same order {same_order:?}, other orders {other_orders:?}");
         prop_assert!(same_order.0 < 6.0 && other_orders.0 < 6.0, "{message}");
         prop_assert!((same_order.0 / other_orders.0).ln().abs() < 1.4, "{message}");
@@ -105,7 +105,7 @@
 fn neighbouring_seeds_choose_different_first_endpoints() {
     let firsts: Vec<u32> = (0..64)
         .map(|seed| {
-            let mut dispatcher = Dispatcher::new(0, seed, settings()).expect("settings are good");
+            let mut dispatcher = Dispatcher::new(0, seed, settings()).expect("valid settings");
             let (entries, mut actions) = ((1..=8).map(|n| entry(n, 1, 0)).collect(), Vec::new());
             dispatcher.round(
                 0,
@@ -168,8 +168,8 @@
 
 #[test]
 fn the_known_latency_of_a_rarely_used_endpoint_decays() {
-    // A minute and a half of slow answers must not count for as long: without the decay the shares here were 0.46 and
-    // 0.19.
+    // After 90 s of slow answers, an endpoint must regain its load share sooner than in 90 s. Without the decay of the
+    // measured latency, the shares here were 0.46 and 0.19.
     for n in [6, 30] {
         let simulation =
             Simulation { faults: vec![(1, Fault::Slow(8.0), 10 * S, 100 * S)], end: 160 * S, ..fleet_of(n) };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Behaviour of a hundred senders at rate-limited receivers. Each sender sees little of the traffic, and calls that are
-//! harmless from one sender can exceed a limit when all make them.
+//! Tests of up to a hundred senders at rate-limited receivers. Each sender has little of the traffic, and calls that
+//! are harmless from one sender can exceed a limit if all senders make them.
 
 mod common;
 #[path = "common/fleet.rs"]
@@ -8,11 +8,11 @@
 use common::*;
 use model::{Receiver, Results, Simulation};
 
-/// Takes several messages in a call; its limit in calls is below the demand in messages.
+/// A receiver that accepts several messages in a call. Its limit in calls is below the demand in messages.
 const LARGE: Receiver = Receiver { limit: 160.0, kind: 1, demand: 200.0 };
 const SMALL: Receiver = Receiver { limit: 30.0, kind: 0, demand: 20.0 };
 
-/// Returns the mean of a result over three seeds.
+/// Returns the mean of a result over the seeds 1 to 3.
 fn mean(simulation: &Simulation, result: impl Fn(&Results) -> f64) -> f64 {
     (1..=3).map(|seed| result(&Simulation { seed, ..simulation.clone() }.run())).sum::<f64>() / 3.0
 }
@@ -81,7 +81,7 @@
         let simulation = Simulation { assumed_senders, ..fleet_of(LARGE, 100) };
         let (delivered_share, on_time_share) =
             (mean(&simulation, Results::delivered_share), mean(&simulation, Results::on_time_share));
-        // Senders that assume too many of themselves let a message wait for up to twice its aim, so the bound is low.
+        // Senders that assume too many senders let a message wait for up to twice its aim, so the bound is low.
         assert!(
             delivered_share > 0.95 && on_time_share > 0.55,
             "{assumed_senders} assumed: {delivered_share:.3} served, {on_time_share:.3} in time"
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -1,4 +1,4 @@
-//! A receiver that returns from an outage is not overloaded, whatever the number of senders waiting for it.
+//! Tests that any number of waiting senders do not overload a receiver that returns from an outage.
 
 mod common;
 #[path = "common/herd.rs"]
@@ -11,14 +11,14 @@
 
 /// Highest load that all senders together may reach, as a share of the load that overloads the receiver.
 const MAX_PEAK: f64 = 0.85;
-/// The same for the mean over seeds where two senders saw nothing of the outage.
+/// Highest mean of the peak load over seeds in cases where two senders had no failed call in the outage.
 const MAX_MEAN_PEAK: f64 = 0.76;
 
 fn assert_not_overloaded(name: &str, case: &ReturnCase) {
     for seed in 1..=2 {
         let results = ReturnCase { seed, ..case.clone() }.run();
         assert!(results.peak <= MAX_PEAK, "{name}, seed {seed}: {results:?}");
-        // Excludes a run in which hardly any calls were made after the return.
+        // Excludes runs with hardly any calls after the return.
         assert!(
             results.peak >= 0.15 && results.half_traffic_after.is_some(),
             "{name}, seed {seed}: {results:?}"
@@ -41,8 +41,8 @@
                 &format!("{outage:?}, {n} senders"),
                 &ReturnCase { outage, ..with_senders(n) },
             );
-            // The load of two senders that saw nothing of the outage is random: of 40 seeds three exceed MAX_PEAK and
-            // none breaks the rule. Therefore the mean over more seeds gets a lower bound.
+            // The load of two senders that had no failed call in the outage is random: of 40 seeds three exceed
+            // MAX_PEAK and none breaks the rule. Therefore the mean over more seeds is compared with a lower maximum.
             let case = ReturnCase { outage, unaware_senders: 2, ..with_senders(n) };
             let peaks: Vec<f64> =
                 (1..=8).map(|seed| ReturnCase { seed, ..case.clone() }.run().peak).collect();
@@ -124,7 +124,7 @@
     );
 }
 
-/// Asserts that the calls of all senders stay within what a cold receiver handles plus a margin for chance.
+/// Asserts that the calls of all senders stay within the load that a cold receiver handles, plus a margin for chance.
 fn assert_within_cold_capacity(name: &str, case: &ReturnCase, seeds: u64) {
     for seed in 1..=seeds {
         let results = ReturnCase { seed, ..case.clone() }.run();
@@ -189,8 +189,8 @@
 
 /// Guards against restarted senders that lose the receiver's budget. A rejection without a wait reduces the budget
 /// and leaves all endpoints healthy; when only endpoint health was persisted, thirty processes restarted 1 s after
-/// the return sent everything they had queued: 43 calls at once where 15.1 are allowed (seed 101; 16 senders had no
-/// restored health, eight knew one unhealthy endpoint of two). The budget is persisted and resumes at a random
+/// the return sent all their queued messages: 43 calls at once where 15.1 are allowed (seed 101; 16 senders had no
+/// restored health, eight restored one unhealthy endpoint of two). The budget is persisted and resumes at a random
 /// fraction of a call, so that the senders do not make their next call at the same moment.
 #[test]
 fn restarted_after_rejections_that_reported_no_wait() {
@@ -201,9 +201,10 @@
     );
 }
 
-/// Guards against the same after a silent outage: 17 calls came within 0.1 s of the start where 16.1 are allowed (seed
-/// 103). Receiver health was derived from that of its endpoints, and an endpoint that no call had reached counted as
-/// healthy. Since when a receiver's answers have been failing is therefore persisted separately.
+/// Guards against overload by restarted senders after a silent outage: 17 calls reached the receiver within 0.1 s of
+/// the start where 16.1 are allowed (seed 103). Receiver health was derived from the health of its endpoints, and an
+/// endpoint that no call had reached counted as healthy. Therefore the time since which a receiver's answers have been
+/// failing is persisted separately.
 #[test]
 fn restarted_after_a_silent_outage() {
     assert_within_cold_capacity(
@@ -215,7 +216,7 @@
 
 /// Guards against trials that keep a fixed time when an outage becomes known. An unanswered call marks its endpoint
 /// unhealthy and sets a first trial 0.2 s later, which suits one slow call. In an outage of the whole receiver that
-/// trial came due with the sender's next message or as its call timed out, and 20 and 30 processes overloaded a
+/// trial was due with the sender's next message or when its call timed out, and 20 and 30 processes overloaded a
 /// receiver of four calls per second without a restart: 11 calls where 10.9 are allowed (also 30 senders, 2 per
 /// second, seed 110). Trials at twice the gap hardly helped: 128 in place of 133 runs of the silent grid were
 /// overloaded. Once an outage is known, such trials are moved to a random time that depends on the sender's share of
--- a/tests/kept.rs
+++ b/tests/kept.rs
@@ -1,4 +1,4 @@
-//! Receiver health that a sender restores at its start.
+//! Tests of the receiver health that a sender restores at its start.
 
 mod common;
 
@@ -21,7 +21,7 @@
     actions.iter().filter(|action| matches!(action, Action::Send { .. })).count()
 }
 
-/// Returns a sender at `SENT_AT` whose only call was rejected with this wait.
+/// Returns a sender at `SENT_AT` whose only call was rejected with the given wait.
 fn sender_after_rejection(wait: Micros) -> Dispatcher {
     let mut sender = Dispatcher::new(0, 1, settings()).unwrap();
     let mut actions = Vec::new();
@@ -45,8 +45,8 @@
     sender
 }
 
-/// Starts the next process of a sender at `SENT_AT` with the previous one's health records and new messages. Asserts
-/// that it sends none of them at once.
+/// Starts the next process of a sender at `SENT_AT` with the previous process's health records and new messages.
+/// Asserts that the new process sends none of the messages at once.
 fn next_process(previous: &Dispatcher, messages: u64) -> Dispatcher {
     let mut sender = Dispatcher::new(SENT_AT, 2, settings()).unwrap();
     let mut events = vec![listed()];
@@ -92,7 +92,7 @@
         health.budget_milli_per_s.is_some() && !health.down && health.failing_since.is_none(),
         "{health:?}"
     );
-    // The restored budget keeps twenty messages from being sent at once.
+    // `next_process` asserts that the restored budget keeps the twenty messages from being sent at once.
     next_process(&previous, 20);
 }
 
@@ -141,7 +141,7 @@
     assert!((1..=2).contains(&calls), "{calls} calls to two endpoints before any answer");
 }
 
-/// One of two endpoints is unhealthy and its trial is overdue when a message arrives that the other one may take.
+/// One of two endpoints is unhealthy and its trial is overdue when a message arrives that the other endpoint may get.
 #[test]
 fn a_call_to_a_failing_receiver_has_no_concurrent_probe() {
     let mut sender = Dispatcher::new(SENT_AT, 4, settings()).unwrap();
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random sequences of events from fixed seeds, with the rules checked on every action.
+//! Tests random sequences of events from fixed seeds and checks the rules on every action.
 
 mod common;
 use common::*;
@@ -14,7 +14,7 @@
     }
 }
 
-/// Model of one message, against which actions are checked.
+/// The expected state of one message, against which actions are checked.
 #[derive(Default)]
 struct MessageState {
     class: usize,
@@ -25,23 +25,23 @@
     closed: bool,
     answers: u32,
     attempts: u32,
-    /// Endpoint and start of each attempt in flight.
+    /// The endpoint and start of each attempt in flight, by the attempt's number.
     in_flight: BTreeMap<u32, (u32, Micros)>,
     may_have_run_since: Option<Micros>,
 }
 
-/// Feeds a dispatcher random events, checks the rules on every action and returns all actions.
+/// Passes random events to a dispatcher, checks the rules on every action and returns all actions.
 fn run_checked(seed: u64) -> Vec<Action> {
     let set = settings();
     let (slots, max_attempts, quantum) = (set.slots as usize, set.max_attempts, set.quantum);
     let classes = set.classes.clone();
-    let mut dispatcher = Dispatcher::new(0, seed, set).expect("settings are good");
+    let mut dispatcher = Dispatcher::new(0, seed, set).expect("valid settings");
     let mut rng = Rng(seed);
     let mut now = 0;
     let mut messages: BTreeMap<u64, MessageState> = BTreeMap::new();
     let mut unavailable: BTreeMap<u32, Micros> = BTreeMap::new();
     let mut waits: BTreeMap<(i64, u32), Micros> = BTreeMap::new();
-    let mut key_rests: BTreeMap<String, Micros> = BTreeMap::new();
+    let mut key_settle_until: BTreeMap<String, Micros> = BTreeMap::new();
     let mut open_probes: Vec<u32> = Vec::new();
     let mut all_actions = Vec::new();
     let dest_of = |e: u32| i64::from(e % 4);
@@ -80,7 +80,7 @@
             use Outcome::*;
             let kinds = [Done, Done, Done, Done, Error, Busy, TimedOut, ConnectFailed, Reset, Skipped];
             let outcome = kinds[rng.next(10) as usize];
-            let state = messages.get_mut(&id).expect("known");
+            let state = messages.get_mut(&id).expect("the message is known");
             let (endpoint, sent) = state.in_flight.remove(&attempt).expect("the attempt is in flight");
             let wait = if outcome == Busy && rng.next(2) == 0 { 300 * MS } else { 0 };
             if wait > 0 {
@@ -90,7 +90,7 @@
             if !outcome.never_ran() && outcome != Done {
                 state.may_have_run_since = Some(state.may_have_run_since.map_or(sent, |m| m.min(sent)));
                 if let (Some(k), true) = (&state.key, outcome != Error) {
-                    key_rests.insert(k.clone(), now + S);
+                    key_settle_until.insert(k.clone(), now + S);
                 }
             }
             let closes_message = state.closed || outcome == Done;
@@ -120,7 +120,7 @@
             let outcome = if rng.next(2) == 0 { Outcome::Done } else { Outcome::TimedOut };
             events.push(Event::Probed { endpoint: EndpointId(e), outcome, report: None });
         }
-        // Events that refer to nothing known must be ignored.
+        // Events that name an unknown message or endpoint must be ignored.
         if rng.next(20) == 0 {
             let (id, endpoint, outcome) = (MsgId(1 << 40), EndpointId(99), Outcome::Busy);
             let (attempt, closes_message, elapsed, wait) = (7, false, -5, Micros::MAX);
@@ -163,8 +163,8 @@
                     );
                     if let (Some(k), 0) = (&state.key, state.attempts) {
                         assert!(
-                            key_rests.get(k).is_none_or(|r| now >= *r),
-                            "seed {seed}: sent while its key rests"
+                            key_settle_until.get(k).is_none_or(|r| now >= *r),
+                            "seed {seed}: sent before its key has settled"
                         );
                     }
                     assert!(
@@ -193,7 +193,7 @@
                     state.attempts += 1;
                 }
                 Action::Refuse { id, .. } | Action::Fail { id } => {
-                    let state = messages.get_mut(&id.0).expect("known");
+                    let state = messages.get_mut(&id.0).expect("the message is known");
                     assert!(!state.closed, "seed {seed}: answered twice");
                     state.closed = true;
                     state.answers += 1;
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,4 @@
-//! State that the decision module restores from an earlier process of its sender, and the sender's stop.
+//! Tests of the state that the decision module restores from an earlier process, and of the sender's stop.
 
 mod common;
 use common::*;
@@ -10,7 +10,7 @@
     Event::MessageRestored { id, class, key: None, dest, time_left, attempts, unreached: 0, may_have_run }
 }
 
-/// Returns a sender 10 s after its start.
+/// Returns a sender with these endpoints, 10 s after its start.
 fn sender_after_10_s(entries: Vec<EndpointEntry>) -> TestSender {
     let mut sender = TestSender::new(settings(), entries);
     sender.advance(10 * S);
@@ -24,7 +24,7 @@
     let sent = sender.round(&[restored(1, UNSAFE, 3, None)]);
     assert_eq!(sent.len(), 1);
     sender.finish(&sent[0], Outcome::Busy);
-    // The fourth of five attempts is used up; the fifth is the last.
+    // The fourth of five attempts has been rejected, so the fifth is the last.
     let last = sender.advance(12 * S);
     assert_eq!((last.len(), last[0].number), (1, 4));
     sender.finish(&last[0], Outcome::Busy);
@@ -36,7 +36,7 @@
     let mut sender = sender_after_10_s(vec![entry(1, 1, 0)]);
     assert!(sender.round(&[restored(1, UNSAFE, 1, Some(9 * S))]).is_empty());
     assert_eq!((sender.failed.as_slice(), sender.refused.len()), (&[1][..], 0));
-    // So does a message of a class that the settings no longer contain.
+    // A message of a class that the settings no longer contain fails too.
     assert!(sender.round(&[restored(2, 77, 1, Some(9 * S))]).is_empty());
     assert_eq!(sender.failed, [1, 2]);
 }
@@ -46,9 +46,10 @@
     let mut sender = sender_after_10_s(vec![entry(1, 1, 0)]);
     assert_eq!(sender.round(&[restored(1, KEYED, 1, Some(3 * S))]).len(), 1);
     assert!(sender.round(&[restored(2, KEYED, 1, Some(2 * S))]).is_empty(), "the window of 8 s is over");
-    // It is failed, not refused: its client must not submit it again, because the receiver may have forgotten the key.
+    // Message 2 fails instead of being refused: its client must not submit it again, because the receiver may have
+    // forgotten the key.
     assert_eq!((sender.failed.as_slice(), sender.refused.len()), (&[2][..], 0));
-    // A message without an endpoint ends when its window does.
+    // A keyed message without an endpoint fails at the end of its window.
     let mut sender = sender_after_10_s(vec![]);
     sender.round(&[restored(3, KEYED, 1, Some(4 * S))]);
     sender.advance(S);
@@ -71,7 +72,7 @@
     assert_eq!(sender.dispatcher.endpoint_health().collect::<Vec<_>>(), [(EndpointId(1), health)]);
     assert!(sender.advance(3 * S).is_empty());
     assert_eq!(sender.probes, [1]);
-    // Once healthy, it warms up.
+    // Once the endpoint is healthy, its warm-up begins.
     let probe_answer = Event::Probed { endpoint: EndpointId(1), outcome: Outcome::Done, report: None };
     let trial = sender.round(&[probe_answer]);
     assert_eq!(trial.len(), 1);
@@ -167,7 +168,7 @@
     assert_eq!(sender.advance(200 * MS).len(), 1);
 }
 
-/// Returns the event of a message that is restored without an attempt, with this time left.
+/// Returns the event that restores a message without an attempt, with the given time until its deadline.
 fn restored_untried(id: u64, class: usize, dest: i64, time_left: Micros) -> Event {
     let (id, dest) = (MsgId(id), DestId(dest));
     Event::MessageRestored {
@@ -182,8 +183,8 @@
     }
 }
 
-/// Restores this many messages without an attempt and offers new ones at the same time; every call succeeds after 100
-/// ms. Returns the restored messages that got no call.
+/// Restores `restored_count` messages without an attempt and offers new messages at the same time. Every call succeeds
+/// after 100 ms. Returns the restored messages that got no call.
 fn messages_without_a_call(restored_count: u64, new_per_second: u64) -> Vec<u64> {
     let time_left_of = |i: u64| 8 * S + (i as Micros * 37 * MS) % (8 * S);
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 1, 0), entry(3, 2, 0)]);
@@ -224,7 +225,7 @@
     }
 }
 
-/// A message whose attempts were all rejected has not run: it gets a call like a message that was never sent.
+/// A message whose attempts were all rejected has not run, so it gets a call like a message that was never sent.
 #[test]
 fn restored_messages_that_were_only_rejected_are_not_shed() {
     let mut sender = TestSender::new(settings(), vec![]);
@@ -235,8 +236,8 @@
     assert_eq!(sender.refused, [200], "the new message is refused in place of a restored one");
 }
 
-/// Guards against restored messages that wait behind new ones with more worth to lose until their time is up, as
-/// happened at a receiver that accepts few calls.
+/// Guards against restored messages that wait until their deadline behind new messages that have more worth to lose.
+/// This happened at a receiver that accepts few calls.
 #[test]
 fn restored_messages_without_an_attempt_go_before_new_ones() {
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
@@ -246,7 +247,7 @@
         Some(2),
         "the message with the least time left is sent first"
     );
-    // With one permit, and the free slots borrowed by the restored messages, the rest waits for its turn.
+    // There is one permit, and the restored messages borrow the free slots, so the other messages wait for their turn.
     let mut sender = TestSender::new(Settings { slots: 2, ..settings() }, vec![entry(1, 1, 0)]);
     let events: Vec<Event> = (10..14).map(|i| restored_untried(i, SAFE, 1, (20 - i as Micros) * S)).collect();
     sender.round(&events);
@@ -261,7 +262,8 @@
     assert_eq!(order, [13, 12, 11, 10, 50, 51]);
 }
 
-/// Sending all inherited messages first lowered the score of a day with replacements under load from 0.965 to 0.934.
+/// Sending all inherited messages first lowered the score of a day with process replacements under load from 0.965 to
+/// 0.934.
 #[test]
 fn messages_that_a_process_hands_over_keep_their_order() {
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -1,9 +1,9 @@
-//! Restarts of all senders around the return of a small receiver, over a grid of outages, numbers of senders,
+//! Tests restarts of all senders around the return of a small receiver, over a grid of outages, numbers of senders,
 //! capacities and restart times.
 //!
-//! Guards against restarted senders that lose what their previous process knew of the receiver: all of them then send
-//! their queues at once and overload a receiver that has just returned. Each run of the tests checks a part of the
-//! grid; `the_whole_grid` prints how many runs of the whole grid overload the receiver.
+//! Guards against restarted senders that lose the receiver's health: all of them then send their queued messages at
+//! once and overload a receiver that has just returned. Most tests check a part of the grid. `the_whole_grid` prints
+//! the number of runs of the whole grid that overload the receiver.
 
 mod common;
 #[path = "common/herd.rs"]
@@ -18,9 +18,9 @@
 use std::thread;
 
 const SENDERS: [u32; 4] = [12, 20, 30, 60];
-/// Calls per second that the warm receiver handles.
+/// Capacities of the warm receiver, in calls per second.
 const CAPACITIES: [f64; 4] = [2.0, 4.0, 10.0, 30.0];
-/// Restart times; the receiver returns at 18 s.
+/// Times at which all senders are restarted. The receiver returns at 18 s.
 const RESTARTS: [Option<Micros>; 8] = [
     None,
     Some(14 * S),
@@ -31,11 +31,12 @@
     Some(21 * S),
     Some(24 * S),
 ];
-/// Seeds of the whole grid, and of the part that runs with the tests.
+/// Seeds of the whole grid.
 const SEEDS: std::ops::RangeInclusive<u64> = 101..=116;
+/// Seeds of the tests that check a part of the grid.
 const TEST_SEEDS: std::ops::RangeInclusive<u64> = 101..=102;
 
-/// One run of a case and its results.
+/// A case that has been run, and its results.
 struct Run {
     case: ReturnCase,
     results: Results,
@@ -76,7 +77,7 @@
     cases.into_iter().zip(runs).map(|(case, (_, results))| Run { case, results }).collect()
 }
 
-/// Returns the cases for every combination of the arguments.
+/// Returns a case for every combination of the given outages, senders, capacities, restarts and seeds.
 fn grid(
     outages: &[Outage],
     senders: &[u32],
@@ -154,7 +155,8 @@
     assert_none_overloaded(grid(&[Outage::Silent], &SENDERS, &[10.0, 30.0], &RESTARTS, TEST_SEEDS));
 }
 
-/// Two restarts, in and after the outage or within one warm-up, and restarts of a tenth of the senders at a time.
+/// Tests two restarts, during and after the outage or within one warm-up, and restarts of a tenth of the senders at a
+/// time.
 #[test]
 fn restarted_twice_and_a_tenth_at_a_time() {
     let mut cases = Vec::new();
@@ -173,7 +175,7 @@
     assert_none_overloaded(cases);
 }
 
-/// A journal of an earlier version contains messages and no receiver health.
+/// Tests a journal of an earlier version, which contains messages and no receiver health.
 #[test]
 fn restarted_without_persisted_receiver_health() {
     let cases = grid(&OUTAGES, &[12, 30], &[10.0], &RESTARTS[1..], TEST_SEEDS);
@@ -182,8 +184,9 @@
     );
 }
 
-/// New machines with empty state replace all senders. They have no messages and cannot know of the outage, so in their
-/// first second they may send as many calls as their clients offer, plus three standard deviations over all runs.
+/// Tests the replacement of all senders by new machines with empty state. The new senders have no messages and cannot
+/// know of the outage, so in their first second they may send as many calls as their clients offer, plus three standard
+/// deviations over all runs.
 #[test]
 fn replaced_by_new_machines() {
     let cases = grid(&OUTAGES, &[12, 30], &[10.0], &RESTARTS[3..], TEST_SEEDS);
@@ -197,13 +200,13 @@
     }
 }
 
-/// All seeds at the capacities for which chance matters little, by the strict and the wide bound.
+/// Tests all seeds at the two largest capacities, where chance has little influence, by the strict and the wide bound.
 #[test]
 fn no_play_of_the_whole_grid_falls_at_ten_calls_a_second_and_more() {
     assert_none_overloaded(grid(&OUTAGES, &SENDERS, &CAPACITIES[2..], &RESTARTS, SEEDS));
 }
 
-/// All seeds and capacities, by the wide bound, which leaves room for chance at few calls.
+/// Tests all seeds and capacities by the wide bound, which allows for chance where calls are few.
 #[test]
 fn no_play_of_the_whole_grid_falls_by_the_wide_bound() {
     let runs = run_all(grid(&OUTAGES, &SENDERS, &CAPACITIES, &RESTARTS, SEEDS));
@@ -218,7 +221,8 @@
     );
 }
 
-/// Prints the trace of the run `GRID_CASE="outage senders capacity restart-in-ms seed"`.
+/// Prints the trace of the run that the environment variable `GRID_CASE` names, which contains "outage senders capacity
+/// restart-in-ms seed".
 #[test]
 #[ignore = "prints the trace of one run; run it by name with --ignored --nocapture"]
 fn print_one_run() {
@@ -278,8 +282,9 @@
     }
 }
 
-/// Prints one row. The columns `half s` and `full s` are the mean times from the return until the receiver is sent 50%
-/// and 90% of the demand within a second; a run in which that does not happen counts with its whole remaining time.
+/// Prints one row of the table. The columns `half s` and `full s` are the mean times from the return until the receiver
+/// is sent 50% and 90% of the demand within a second. A run in which that does not happen counts with its whole
+/// remaining time.
 fn row(name: &str, runs: &[&Run]) {
     let overloaded = runs.iter().filter(|run| run.is_overloaded()).count();
     let wide = runs.iter().filter(|run| run.is_overloaded_by_wide_bound()).count();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The six rules, and the rule on second copies, as far as a single sender can follow them.
+//! Tests of the six rules, and of the rule on second copies, as far as they apply to a single sender.
 
 mod common;
 use common::*;
@@ -70,7 +70,7 @@
     assert!(sender.round(&[message(1, SAFE, 1)]).is_empty());
     sender.round(&[Event::Listing { complete: true, entries: vec![] }]);
     assert!(sender.round(&[message(2, SAFE, 2)]).is_empty() && sender.advance(S).is_empty());
-    // Listed again after its removal, it is used as before.
+    // An endpoint that is listed again after its removal is used as before.
     let back =
         sender.round(&[Event::Listing { complete: true, entries: vec![entry(1, 1, 0), entry(2, 2, 0)] }]);
     assert_eq!(back.len(), 2);
@@ -129,7 +129,7 @@
     sender.round(&[Event::MessageAbandoned { id: MsgId(2) }, reset]);
     assert!(
         sender.advance(980 * MS).iter().all(|attempt| attempt.id != 4),
-        "the key rests for the order settle time"
+        "the key waits for the order settle time"
     );
     assert!(sender.advance(500 * MS).iter().any(|attempt| attempt.id == 4));
 }
@@ -174,13 +174,13 @@
         }
     }
     let back = back.expect("the destination came back");
-    let usual = 10.0;
+    let warm_capacity = 10.0;
     // In each window of two seconds, the calls stay below the fall multiple of the capacity at the window's end.
     for t in 0..8 {
         let (from, to) = (back + t * S, back + (t + 2) * S);
         let calls = sender.calls_between(from, to);
         let share = 0.2 + 0.8 * ((t + 2) as f64 / 10.0);
-        let allowed = 2.0 * share * usual * 2.0 + 1.0;
+        let allowed = 2.0 * share * warm_capacity * 2.0 + 1.0;
         assert!(
             calls as f64 <= allowed,
             "{calls} calls in the 2 s from {t} s after the return, {allowed} allowed"
@@ -202,7 +202,7 @@
             Event::MessageAbandoned { id: MsgId(1) },
             Event::Listing { complete: true, entries: vec![] },
         ]);
-        // Long past a warm-up, so that unlisted state has been swept more than once.
+        // 55 s is longer than several warm-ups, so the state of unlisted endpoints has been swept more than once.
         sender.advance(55 * S);
         sender.round(&[
             Event::Listing { complete: true, entries: vec![entry(1, 1, kind)] },
@@ -213,9 +213,9 @@
     }
 }
 
-/// Sends a message each half second to destination 1, whose endpoints refuse connections as `refuses` (time,
-/// endpoint) returns, then to the healthy destination 2 of the same kind. Returns how often that second phase closed
-/// idle connections.
+/// Sends a message every half second to destination 1, whose endpoints refuse connections if `refuses(time, endpoint)`
+/// is true, then to the healthy destination 2 of the same kind. Returns how often idle connections were closed in the
+/// second phase.
 fn closes_after(refuses: impl Fn(Micros, u32) -> bool) -> usize {
     let set = Settings { senders: 12, ..settings() };
     let mut sender = TestSender::new(set, vec![entry(1, 1, 0), entry(2, 1, 0), entry(3, 2, 0)]);
@@ -245,7 +245,7 @@
 }
 
 /// Connections refused by endpoints that are down are no sign of full connection tables, so idle connections stay open
-/// afterwards. Closing them cost 0.017 of a day's worth in handshakes.
+/// afterwards. Closing those connections cost 0.017 of a day's worth in handshakes.
 #[test]
 fn idle_connections_stay_open_after_an_outage_and_are_closed_where_tables_are_full() {
     assert_eq!(closes_after(|_, _| false), 0, "no refusal");
@@ -256,9 +256,9 @@
     );
 }
 
-/// Guards against rejections that reinforce themselves by longer waits: a sender with twenty times an equal share of
-/// the limit, in batches of ten, of which every fifth is rejected by a full queue, may still send enough calls for
-/// its load.
+/// Guards against rejections that reinforce themselves by longer waits. The sender has twenty times an equal share of
+/// the limit and sends batches of ten. A full queue rejects every fifth batch. The sender may still send enough calls
+/// for its load.
 #[test]
 fn rejections_do_not_keep_a_busy_sender_from_filling_its_calls() {
     let mut sender = TestSender::new(
@@ -292,9 +292,9 @@
     assert!(all > 200 && late * 10 < all, "{late} of {all} messages took more than 2 s");
 }
 
-/// Alternates rejected calls on new connections with calls on a kept connection that end with the given outcome.
-/// Reports whether one of 300 senders closes its idle connection afterwards.
-fn closes_idle_connection(on_kept_connection: Outcome) -> bool {
+/// Alternates rejected calls on new connections with calls on a reused connection that end with the given outcome.
+/// Returns whether one of 300 senders closes its idle connection afterwards.
+fn closes_idle_connection(reused_connection_outcome: Outcome) -> bool {
     let set = Settings { senders: 300, idle_close: 60 * S, ..settings() };
     let entries = (1..=6).map(|i| entry(i, i64::from(i), 0)).chain([entry(50, 50, 0)]);
     let mut sender = TestSender::new(set, entries.collect());
@@ -308,7 +308,7 @@
     call(&mut sender, 1, 50, Outcome::Done);
     for i in 0..12 {
         call(&mut sender, 100 + i, 1 + i as i64 % 6, Outcome::Busy);
-        call(&mut sender, 200 + i, 50, on_kept_connection);
+        call(&mut sender, 200 + i, 50, reused_connection_outcome);
         sender.advance(S);
     }
     sender.closed_idle.clear();
@@ -316,16 +316,17 @@
     !sender.closed_idle.is_empty()
 }
 
-/// Guards against idle connections that fill the tables of endpoints which hold few: a full table answers 503, as a
-/// rate limit does, and closes the connection. With 300 senders, 90% of the calls on new connections were rejected
-/// and 10% of those on kept ones, and a third of the worth was served.
+/// Guards against idle connections that fill the connection tables of endpoints that accept few connections. An
+/// endpoint with a full table answers 503, as a rate limit does, and closes the connection. With 300 senders, 90% of
+/// the calls on new connections and 10% of those on reused connections were rejected, and a third of the worth was
+/// served.
 #[test]
 fn idle_connections_are_closed_where_only_new_ones_are_refused() {
     assert!(closes_idle_connection(Outcome::Done), "only calls on new connections are rejected");
     assert!(!closes_idle_connection(Outcome::Busy), "a rate limit rejects calls on all connections alike");
 }
 
-/// Guards against messages that end after their deadline (1.8 ms late on a recorded day) because the round comes late.
+/// Guards against messages that end after their deadline because the round runs late (by 1.8 ms on a recorded day).
 #[test]
 fn a_message_ends_before_its_time_though_rounds_are_a_quantum_apart_and_late() {
     for phase in (0..6 * MS).step_by(500) {
@@ -334,7 +335,7 @@
         let deadline = sender.now + 200 * MS;
         sender.round(&[message_with_time_left(1, 200 * MS)]);
         sender.now += phase;
-        // Timers fire up to a millisecond late.
+        // Rounds are 6 ms apart: one quantum of 5 ms, and timers fire up to a millisecond late.
         while sender.refused.is_empty() {
             sender.now += 6 * MS;
             sender.round(&[Event::Timer { token: 0 }]);
@@ -363,8 +364,8 @@
     assert_eq!(sender.round(&[listed]).len(), 1);
 }
 
-/// Guards against reordering as the platform sees it: the next message of a key reached its endpoint before the
-/// platform had received the end of the one before it.
+/// Guards against reordering from the platform's point of view: the next message of a key reached its endpoint before
+/// the platform had received the end of the previous message.
 #[test]
 fn the_next_message_of_a_key_waits_until_the_end_before_it_is_reported() {
     let mut sender = TestSender::new(settings(), vec![]);
