--- a/crates/finding/src/lib.rs
+++ b/crates/finding/src/lib.rs
@@ -1,5 +1,5 @@
-//! Findings: errors with their position in files that people write. Scenario files and options files share
-//! this format.
+//! Findings: errors with their position in files that people
+//! write. Scenario files and options files share this format.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -88,15 +88,15 @@
     /// The content of the file is invalid.
     #[error("{}", Findings { name, findings })]
     Invalid {
-        /// The file's name.
+        /// The name of the file with the findings.
         name: String,
         /// The findings, in the order of their position in the file.
         findings: Vec<Finding>,
     },
 }
 
-/// Reads a text file of at most `max_bytes` bytes; a longer file is not read. `kind` names the sort of file
-/// in the error message.
+/// Reads a text file of at most `max_bytes` bytes; a longer file is
+/// not read. `kind` names the sort of file in the error message.
 ///
 /// # Errors
 /// Returns an error if the file cannot be read, is too long or is not UTF-8.
--- a/crates/protocol/src/listing.rs
+++ b/crates/protocol/src/listing.rs
@@ -22,8 +22,8 @@
     /// Parses one listing.
     ///
     /// # Errors
-    /// Returns an error if the text is not a valid listing or a complete list names an endpoint twice, since it
-    /// would be unclear which entry is valid. Among changes the later entry is valid.
+    /// Returns an error if the text is not a valid listing or a complete list names an endpoint
+    /// twice, since it would be unclear which entry is valid. Among changes the later entry is valid.
     pub fn read(text: &[u8]) -> Result<Self, ListingError> {
         let listing: Listing = serde_json::from_slice(text).map_err(ListingError::InvalidListing)?;
         check_unique_names(listing)
@@ -108,8 +108,8 @@
     InvalidListing(serde_json::Error),
     /// The entry with this number, counted from 0, is invalid.
     InvalidEntry(usize, serde_json::Error),
-    /// This byte, after this number of entries, is neither a comma nor the start of an entry nor the end of
-    /// the list.
+    /// This byte, after this number of entries, is neither a
+    /// comma nor the start of an entry nor the end of the list.
     UnexpectedByteInList(u8, usize),
     /// A complete list names this endpoint twice.
     DuplicateName(String),
--- a/crates/protocol/src/listing_stream.rs
+++ b/crates/protocol/src/listing_stream.rs
@@ -13,9 +13,9 @@
 /// Nesting depth within an entry.
 const IN_ENTRY: usize = 3;
 
-/// Reads listings like [`crate::listing::ListingReader`], and retains only the entries of wanted
-/// destinations. At any time the reader has at most one other entry, the retained entries and the listing's
-/// other fields in memory.
+/// Reads listings like [`crate::listing::ListingReader`], and retains only the
+/// entries of wanted destinations. At any time the reader has at most one
+/// other entry, the retained entries and the listing's other fields in memory.
 ///
 /// A complete list that names a retained endpoint twice is an error. Other entries only have to be valid.
 #[derive(Debug, Default)]
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -113,8 +113,8 @@
         .ok_or(FramingError("invalid argument count or length, or one above the maximum"))
 }
 
-/// Removes the first complete command from `buffer` and returns its arguments; returns `None` if it is
-/// incomplete.
+/// Removes the first complete command from `buffer` and
+/// returns its arguments; returns `None` if it is incomplete.
 ///
 /// # Errors
 /// Returns a framing error as soon as the buffered bytes cannot be the start of a valid command.
@@ -172,7 +172,7 @@
     }
     put.time_left = i64::from(time_left.ok_or("field 'd' should be a whole number of milliseconds")?) * 1000;
     put.dest = dest.ok_or("field 'dest' should be a whole number")?;
-    // A slice would keep the connection's whole buffer in memory for as long as the message.
+    // A slice of the connection's buffer would keep the whole buffer in memory as long as the message exists.
     put.body = Bytes::copy_from_slice(body);
     Ok(put)
 }
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -194,7 +194,8 @@
         Ok(json!({"seq": batch.seq, "output": output}).to_string())
     }
 
-    /// Applies a `Table`, `NewInstance` or `Teardown` message, or queues another message's event for its instance.
+    /// Applies a `Table`, `NewInstance` or `Teardown` message,
+    /// or queues another message's event for its instance.
     fn apply_message(
         &mut self,
         now: Micros,
--- a/src/batching.rs
+++ b/src/batching.rs
@@ -1,5 +1,5 @@
-//! Decides how long messages wait for other messages to share a call. Works on one lane at a time, without
-//! I/O.
+//! Decides how long messages wait for other messages to
+//! share a call. Works on one lane at a time, without I/O.
 //!
 //! When each of many senders has little traffic, its calls carry one message each, and the calls of all
 //! senders together exceed the receiver's limit, above all if the limit is cut without notice. Reacting only
@@ -15,8 +15,8 @@
 const NO_SPACING_RATIO: f64 = 0.6;
 /// Ratio of own traffic to an equal share of the limit at which the spacing is as wide as after a refusal.
 const FULL_SPACING_RATIO: f64 = 0.9;
-/// Maximum time between calls after a refusal, in multiples of the shortest aim. On average a message waits
-/// half of that time.
+/// Maximum time between calls after a refusal, in multiples of the
+/// shortest aim. On average a message waits half of that time.
 const MAX_SPACING_AIMS: f64 = 2.0;
 /// Maximum time between calls at `NO_SPACING_RATIO` without a refusal, in multiples of the shortest aim.
 const MAX_SPACING_AIMS_CALM: f64 = 0.7;
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -5,9 +5,9 @@
 use crate::logic::Dispatcher;
 use crate::state::*;
 
-/// A dispatcher's state of destinations and endpoints: rates, latencies, budgets, pools, waits, outages and
-/// warm-ups. Endpoints have the numbers of the sender that exported the state until
-/// [`DispatcherState::renumber`] replaces them.
+/// A dispatcher's state of destinations and endpoints: rates, latencies, budgets,
+/// pools, waits, outages and warm-ups. Endpoints have the numbers of the sender
+/// that exported the state until [`DispatcherState::renumber`] replaces them.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct DispatcherState {
@@ -44,8 +44,8 @@
         self.endpoints.iter().map(|(id, _)| *id)
     }
 
-    /// Replaces endpoint numbers with those of the next dispatcher's sender, and drops endpoints for which
-    /// `number` returns `None`.
+    /// Replaces endpoint numbers with those of the next dispatcher's
+    /// sender, and drops endpoints for which `number` returns `None`.
     pub fn renumber(&mut self, number: impl Fn(EndpointId) -> Option<EndpointId>) {
         let lane_key = |key: LaneKey| match key {
             LaneKey::Route(id) => number(id).map(LaneKey::Route),
@@ -79,8 +79,8 @@
 }
 
 impl Dispatcher {
-    /// Returns the state and calls that the next dispatcher receives as [`Event::StateInherited`] and
-    /// [`Event::CallsInherited`].
+    /// Returns the state and calls that the next dispatcher receives
+    /// as [`Event::StateInherited`] and [`Event::CallsInherited`].
     pub fn handover_state(&self) -> (DispatcherState, Vec<InFlightCall>) {
         let state = DispatcherState {
             dests: self.destinations.iter().map(|(id, d)| (*id, d.arrival_rate, d.traffic)).collect(),
@@ -99,9 +99,9 @@
         (state, calls.collect())
     }
 
-    /// Applies another dispatcher's state to destinations, lanes and endpoints that are listed, and adds
-    /// unlisted endpoints that still have calls in flight. [`Dispatcher::inherit_calls`] adds those calls
-    /// afterwards.
+    /// Applies another dispatcher's state to destinations, lanes and endpoints
+    /// that are listed, and adds unlisted endpoints that still have calls in
+    /// flight. [`Dispatcher::inherit_calls`] adds those calls afterwards.
     pub(crate) fn inherit_state(&mut self, state: &DispatcherState) {
         for (id, arrival_rate, traffic) in &state.dests {
             if let Some(destination) = self.destinations.get_mut(id) {
--- a/src/health.rs
+++ b/src/health.rs
@@ -5,13 +5,13 @@
 use crate::logic::{Dispatcher, REFUSAL_MEMORY_US};
 use crate::state::{Lane, LaneKey};
 
-/// Persisted waits are rounded up to a multiple of this, so that many refusals by a receiver cause few
-/// writes.
+/// Persisted waits are rounded up to a multiple of this,
+/// so that many refusals by a receiver cause few writes.
 const WAIT_STEP_US: Micros = 100_000;
 
 impl Dispatcher {
-    /// Returns the health of the endpoints for which it must be persisted: those that are failing, unhealthy
-    /// or warming up.
+    /// Returns the health of the endpoints for which it must be
+    /// persisted: those that are failing, unhealthy or warming up.
     pub fn endpoint_health(&self) -> impl Iterator<Item = (EndpointId, EndpointHealth)> {
         self.endpoints.iter().filter_map(|(id, endpoint)| {
             let lane_warm_up = self.lanes.get(&endpoint.lane).and_then(|l| l.warm_up.as_ref());
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -26,7 +26,8 @@
 pub enum Effect {
     /// A second delivery does no harm.
     Safe,
-    /// The message has an idempotency key, by which the destination drops repeats within the class's window.
+    /// The message has an idempotency key, by which the destination
+    /// drops repeated deliveries within the class's window.
     Keyed,
     /// A second delivery takes effect again.
     #[default]
@@ -153,7 +154,7 @@
     pub quantum: Micros,
     /// Grace period in which calls to a draining or removed endpoint must end.
     pub drain_grace: Micros,
-    /// Multiple of its present capacity at which a cold destination is overloaded and fails.
+    /// Load, as a multiple of its present capacity, at which a cold destination is overloaded and fails.
     pub fall_multiple: f64,
     /// Time window over which the load for `fall_multiple` is counted.
     pub fall_window: Micros,
@@ -161,8 +162,8 @@
     pub cold_from: f64,
     /// Time from its return until a destination has its full capacity.
     pub warm_up: Micros,
-    /// For ordered classes: how long the next message of a key waits after an attempt that may still be
-    /// running.
+    /// For ordered classes: how long the next message of a
+    /// key waits after an attempt that may still be running.
     pub order_settle: Micros,
     /// How the worth of a message decays after its aim.
     pub late_decay: LateDecay,
@@ -307,8 +308,8 @@
 
 /// Maximum time between rounds: with a longer one no message would be in time.
 const MAX_QUANTUM_US: Micros = 1_000_000;
-/// Maximum time span in the settings. Longer spans are rejected as mistakes, which also keeps sums of times
-/// from overflowing.
+/// Maximum time span in the settings. Longer spans are rejected
+/// as mistakes, which also keeps sums of times from overflowing.
 pub(crate) const MAX_SPAN_US: Micros = 366 * 24 * 3600 * 1_000_000;
 
 /// An endpoint's status in the list from discovery, which is independent of its health.
@@ -347,8 +348,8 @@
     Done,
     /// The endpoint answered with an error; the message may have run.
     Error,
-    /// The receiver refused the message without processing it, because of a rate limit, a full queue, a
-    /// shutdown or draining.
+    /// The receiver refused the message without processing it,
+    /// because of a rate limit, a full queue, a shutdown or draining.
     Busy,
     /// No answer came in time; the message may have run or may still be running.
     TimedOut,
@@ -379,8 +380,8 @@
         matches!(self, Outcome::Skipped | Outcome::Unreached)
     }
 
-    /// Returns whether no connection was established, or the connection was lost before the request was
-    /// written.
+    /// Returns whether no connection was established, or the
+    /// connection was lost before the request was written.
     pub(crate) fn is_unconnected(self) -> bool {
         matches!(self, Outcome::ConnectFailed | Outcome::Unreached)
     }
@@ -438,8 +439,8 @@
     };
 }
 
-/// An event that a sender reports to its dispatcher. Events that name an unknown message or endpoint are
-/// ignored.
+/// An event that a sender reports to its dispatcher. Events
+/// that name an unknown message or endpoint are ignored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list from discovery, or changes to it.
@@ -482,8 +483,8 @@
         attempts: u32,
         /// Number of attempts before the restart that reached no endpoint.
         unreached: u32,
-        /// The endpoint and time of the first attempt that may have run, which includes attempts without a
-        /// known outcome.
+        /// The endpoint and time of the first attempt that may have
+        /// run, which includes attempts without a known outcome.
         may_have_run: Option<(EndpointId, Micros)>,
     },
     /// The health of an endpoint before a restart. Must be sent after the endpoint has been listed.
@@ -502,8 +503,8 @@
         /// The value from [`Dispatcher::receiver_health`](crate::Dispatcher::receiver_health).
         health: ReceiverHealth,
     },
-    /// The state of the dispatcher in the process that this process replaces. Must be sent after the
-    /// endpoints have been listed.
+    /// The state of the dispatcher in the process that this process
+    /// replaces. Must be sent after the endpoints have been listed.
     StateInherited(Box<DispatcherState>),
     /// The calls that the replaced process still has in flight. Must be sent after that process's messages
     /// have been restored. The calls' outcomes follow as [`Event::Outcome`].
@@ -513,8 +514,8 @@
         /// The time at which the sender stops.
         at: Micros,
     },
-    /// The class settings have changed. A message keeps the index of its class and follows the new class at
-    /// that index.
+    /// The class settings have changed. A message keeps the index
+    /// of its class and follows the new class at that index.
     ClassesChanged(Vec<ClassSettings>),
     /// An attempt ended.
     Outcome {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! # heronroute
 //!
-//! Decides, for a sender of notifications to outside receivers, which pending message goes to which endpoint
-//! and when, how long to wait for the answer, and when to retry, refuse or fail the message. The crate does
-//! no I/O: a sender passes [`Event`]s and the time to a [`Dispatcher`] and carries out the [`Action`]s that
-//! it returns.
+//! Decides, for a sender of notifications to outside receivers, which pending message
+//! goes to which endpoint and when, how long to wait for the answer, and when to retry,
+//! refuse or fail the message. The crate does no I/O: a sender passes [`Event`]s and
+//! the time to a [`Dispatcher`] and carries out the [`Action`]s that it returns.
 //!
 //! The mechanism is the bulkhead: every destination owns a bounded pool of permits sized from its own
 //! traffic, so that one slow destination cannot occupy all slots. `README.md` ("Decisions") lists the
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,10 +1,10 @@
 //! The decisions of heronroute. `src/interface.rs` defines the inputs and outputs, `src/state.rs` the data.
 //!
-//! The core is a bulkhead: each destination owns a pool of permits sized as rate x p99 x safety factor. A
-//! call holds one permit until its outcome; messages wait in the destination's queue, oldest first. The core
-//! is extended by a call budget, the health of each endpoint with single trials, and a paced return after an
-//! outage. A *lane* is the unit with one rate limit and one pool: a destination, or one route of it where
-//! routes are separate.
+//! The core is a bulkhead: each destination owns a pool of permits sized as rate x p99 x safety
+//! factor. A call holds one permit until its outcome; messages wait in the destination's queue,
+//! oldest first. The core is extended by a call budget, the health of each endpoint with single
+//! trials, and a paced return after an outage. A *lane* is the unit with one rate limit and one
+//! pool: a destination, or one route of it where routes are separate.
 
 use crate::batching::{LaneDemand, filled_calls};
 use crate::interface::*;
@@ -16,14 +16,14 @@
 
 /// Factor by which a pool exceeds rate x p99.
 const POOL_SAFETY_FACTOR: f64 = 1.5;
-/// Share of the slots for a new pool: enough to measure with, too few to do harm.
+/// Share of the slots for a new pool: enough calls to measure latency with, too few to do harm.
 const INITIAL_POOL_SHARE: f64 = 0.1;
 /// Maximum share of the slots for a sized pool; beyond it a destination can only borrow.
 const MAX_POOL_SHARE: f64 = 0.2;
-/// Maximum share of the slots for one destination, healthy or not: it may stall at any moment.
+/// Maximum share of the slots for one destination, healthy or not, since any destination may stall.
 const MAX_DESTINATION_SHARE: f64 = 0.5;
-/// Maximum share of the slots for all doubtful endpoints together, so that stalled pools cannot fill the
-/// slots.
+/// Maximum share of the slots for all unhealthy or slow
+/// endpoints together: stalled pools must not fill all slots.
 const MAX_DOUBTFUL_SHARE: f64 = 0.6;
 /// Share of the slots that borrowers leave free.
 const BORROW_RESERVE_SHARE: f64 = 0.15;
@@ -46,9 +46,9 @@
 const FAILURE_GAIN: f64 = 0.3;
 /// Share of failures above which an endpoint is unhealthy.
 const MAX_FAILURE_SHARE: f64 = 0.5;
-/// With few senders, an endpoint that answers with errors is unhealthy only above this share of failures,
-/// since it may answer part of the calls well. With many senders, all would still send at half pace when
-/// the endpoint returns.
+/// With few senders, an endpoint that answers with errors is unhealthy only above
+/// this share of failures, since it may answer part of the calls well. With many
+/// senders, all would still send at half pace when the endpoint returns.
 const MAX_ERROR_SHARE: f64 = 0.7;
 /// An endpoint gets no unsafe messages while more than this share of its calls failed and may have run.
 const MAX_AMBIGUOUS_SHARE: f64 = 0.2;
@@ -96,10 +96,10 @@
 /// traffic get a larger budget.
 const BUDGET_GROWTH_SHARE: f64 = 0.2;
 const MIN_BUDGET_SHARE: f64 = 0.4;
-/// With a known limit, maximum of the minimum budget, as a multiple of an equal share of the limit.
+/// Upper bound of the minimum budget if the limit is known, as a multiple of an equal share of the limit.
 const MIN_BUDGET_EQUAL_SHARES: f64 = 1.0;
-/// With a known limit, maximum base of budget growth, as a multiple of an equal share of the limit, so that
-/// the budgets of many senders together leave room in the limit.
+/// Upper bound of the base of budget growth if the limit is known, as a multiple of an equal share of the
+/// limit. So the budgets of many senders together leave room in the limit.
 const BUDGET_GROWTH_EQUAL_SHARES: f64 = 0.5;
 /// Budget growth for each accepted call, as a share of the budget.
 const BUDGET_GROWTH_PER_ACCEPTED: f64 = 0.07;
@@ -119,8 +119,8 @@
 const CONNECTIONS_SCARCE_US: Micros = 20_000_000;
 /// Connections that are busy for at least this share of the time stay open even after refused connections.
 const MIN_KEPT_UTILIZATION: f64 = 0.3;
-/// With at most this many senders all idle connections stay open: any connection table has room for one
-/// connection of each sender.
+/// With at most this many senders all idle connections stay open:
+/// any connection table has room for one connection of each sender.
 const MIN_TABLE_CONNECTIONS: f64 = 6.0;
 /// Messages stay in their zone up to this ratio of the load on the zone's endpoints to the load on all.
 const MAX_ZONE_LOAD_FACTOR: f64 = 1.5;
@@ -298,9 +298,9 @@
         self.messages.insert(id, message);
     }
 
-    /// Accepts a message from before a restart. Guards against a second effect: an attempt with no known
-    /// outcome may have run, so an unsafe message fails here, and the window of a keyed message still begins
-    /// at its first attempt.
+    /// Accepts a message from before a restart. Guards against a second effect:
+    /// an attempt with no known outcome may have run, so an unsafe message fails
+    /// here, and the window of a keyed message still begins at its first attempt.
     fn restore(&mut self, id: MsgId, message: Message, time_left: Micros, out: &mut Vec<Action>) {
         // Only the first restored message counts as demand. Without any demand, one refusal would leave the
         // destination without a budget. All restored messages at one instant would look like a hundred times
@@ -331,9 +331,9 @@
         endpoint.warm_up = health.warming_since.map(|since| WarmUp::new(since.min(now), now));
     }
 
-    /// Restores a lane's health from before a restart. Guards against many senders restarting at once:
-    /// without the restored health, senders that had been refused, or had seen one endpoint of two fail, sent
-    /// all their pending messages.
+    /// Restores a lane's health from before a restart. Guards against many senders
+    /// restarting at once: without the restored health, senders that had been refused,
+    /// or had seen one endpoint of two fail, sent all their pending messages.
     fn restore_receiver_health(&mut self, key: LaneKey, health: ReceiverHealth) {
         let (now, tokens) = (self.now, self.random.next_unit());
         let Some(lane) = self.lanes.get_mut(&key) else { return };
@@ -469,8 +469,8 @@
                 self.infer_unhealthy(other, nothing_ran);
                 let (now, gap) = (self.now, self.trial_gap(other));
                 let unhealthy = self.endpoints.get_mut(&other).and_then(|e| e.unhealthy.as_mut());
-                // A stalled endpoint's next trial is due soon: from all senders together, that is too much
-                // load.
+                // A stalled endpoint's next trial is due soon: from
+                // all senders together, that is too much load.
                 if let Some(unhealthy) =
                     unhealthy.filter(|u| was_up && u.next_trial <= now + FIRST_TRIAL_BACKOFF_US)
                 {
@@ -496,9 +496,9 @@
         }
     }
 
-    /// Removes endpoints, lanes and destinations that are no longer listed, so that memory stays bounded over
-    /// months. Their state is retained for the length of a warm-up: if they are listed again, their waits and
-    /// health still apply.
+    /// Removes endpoints, lanes and destinations that are no longer listed, so that
+    /// memory stays bounded over months. Their state is retained for the length of
+    /// a warm-up: if they are listed again, their waits and health still apply.
     fn evict_stale(&mut self) {
         let (now, retention) = (self.now, self.settings.warm_up.max(RESIZE_INTERVAL_US));
         if now < self.next_eviction {
@@ -532,8 +532,8 @@
         self.endpoints.get(&endpoint).and_then(|e| self.lanes.get_mut(&e.lane))
     }
 
-    /// Ends one attempt: updates the message and its call. The first outcome of a call also updates the
-    /// endpoint's health.
+    /// Ends one attempt: updates the message and its call. The
+    /// first outcome of a call also updates the endpoint's health.
     fn end_attempt(
         &mut self,
         id: MsgId,
@@ -718,8 +718,8 @@
             }
             _ => {}
         }
-        // A connection attempt that timed out is a stall and counts as two failures, unlike an immediate
-        // refusal.
+        // A connection attempt that timed out is a stall and
+        // counts as two failures, unlike an immediate refusal.
         let weight = if connect_timed_out { 2.0 } else { 1.0 };
         endpoint.failure_share += FAILURE_GAIN * weight * (1.0 - endpoint.failure_share);
         // A single refusal may come from a rate limit and needs no warm-up. A long wait means that the
@@ -781,8 +781,8 @@
     /// a recovery is detected late.
     fn trial_gap(&mut self, id: EndpointId) -> f64 {
         let chance = self.random.next_unit();
-        // With few senders the backoff alone limits trials, and a sender with little traffic sends them as
-        // often as the others.
+        // With few senders the backoff alone limits trials, and a
+        // sender with little traffic sends them as often as the others.
         let few_senders_weight = self.few_senders_weight();
         let trial_share = |e: &Endpoint| {
             self.own_share(e).max(self.equal_share(e) * few_senders_weight) / self.lane_endpoints(e)
@@ -828,8 +828,8 @@
         }
     }
 
-    /// Closes a message whose client needs no further answer. Its record is kept until its attempts have
-    /// ended.
+    /// Closes a message whose client needs no further answer.
+    /// Its record is kept until its attempts have ended.
     fn close(&mut self, id: MsgId) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         if !message.closed {
@@ -917,8 +917,8 @@
         } else {
             Action::Fail { id }
         });
-        // Without this delay, the key's next message could reach an endpoint before the platform has
-        // received this message's end.
+        // Without this delay, the key's next message could reach an
+        // endpoint before the platform has received this message's end.
         if let Some(key) = message.key.as_ref().and_then(|k| self.order_keys.get_mut(k)) {
             key.settle_until = key.settle_until.max(self.now + NOTICE_DELIVERY_US);
         }
@@ -942,8 +942,8 @@
         message.deadline - FINAL_ANSWER_LEAD_QUANTA * self.settings.quantum
     }
 
-    /// Finishes a message if its final answer is due, or if no attempt is in flight and no further one is
-    /// allowed.
+    /// Finishes a message if its final answer is due, or if
+    /// no attempt is in flight and no further one is allowed.
     fn finish_if_due(&mut self, id: MsgId, out: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id).filter(|m| !m.closed) else { return };
         let is_due = self.now >= self.final_answer_due(message);
@@ -952,8 +952,8 @@
         }
     }
 
-    /// Checks whether a call has stalled. A stall marks the endpoint unhealthy; a stalled trial is backed
-    /// off.
+    /// Checks whether a call has stalled. A stall marks the
+    /// endpoint unhealthy; a stalled trial is backed off.
     fn check_stall(&mut self, number: u64) {
         let now = self.now;
         let Some(&Call { endpoint: id, sent, connection_idle, .. }) = self.calls.get(&number) else {
@@ -1072,13 +1072,13 @@
         }
     }
 
-    /// Cancels a stalled call to free its slot. Guards against stalled calls filling the slots: unsafe calls
-    /// to a hung destination would hold their slots until the deadline. While slots are short and messages
-    /// wait, it cancels the call that has stalled longest relative to its lane's stall threshold, sooner if
-    /// all its messages may be sent again. If only a destination's own pool keeps messages waiting, it
-    /// cancels only a call that later calls have overtaken: the endpoint answers, so the connection is dead.
-    /// The rule covers any cause of a stall. Its price is that an unsafe message fails whose answer was
-    /// merely late.
+    /// Cancels a stalled call to free its slot. Guards against stalled calls filling the slots:
+    /// unsafe calls to a hung destination would hold their slots until the deadline. While slots
+    /// are short and messages wait, it cancels the call that has stalled longest relative to its
+    /// lane's stall threshold, sooner if all its messages may be sent again. If only a
+    /// destination's own pool keeps messages waiting, it cancels only a call that later calls
+    /// have overtaken: the endpoint answers, so the connection is dead. The rule covers any
+    /// cause of a stall. Its price is that an unsafe message fails whose answer was merely late.
     fn reclaim_slot(&mut self, out: &mut Vec<Action>) {
         let reserve = (self.settings.slots as f64 * RECLAIM_RESERVE_SHARE).ceil() as u32;
         let has_pending = |d: &DestId| self.destinations.get(d).is_some_and(|d| !d.pending.is_empty());
@@ -1140,8 +1140,8 @@
             || (lanes.any(|l| l.in_flight >= l.permits) && !self.may_borrow(destination))
     }
 
-    /// Probes unhealthy endpoints whose trial is due, if the settings allow probes and a trial call could
-    /// harm a message.
+    /// Probes unhealthy endpoints whose trial is due, if the
+    /// settings allow probes and a trial call could harm a message.
     fn send_probes(&mut self, dest: DestId, out: &mut Vec<Action>) {
         let Some(destination) = self.destinations.get(&dest).filter(|_| self.settings.probes) else {
             return;
@@ -1168,8 +1168,8 @@
         }
     }
 
-    /// Returns the endpoints of a destination that can take a call now, cheapest first, and when to check the
-    /// destination again.
+    /// Returns the endpoints of a destination that can take a call
+    /// now, cheapest first, and when to check the destination again.
     fn candidates(&self, dest: DestId) -> (Vec<Candidate>, Recheck) {
         let now = self.now;
         let mut candidates = Vec::new();
@@ -1201,8 +1201,8 @@
         recheck.on_free_slot = too_many_doubtful;
         for (id, endpoint) in listed {
             let Some(lane) = self.lanes.get(&endpoint.lane) else { continue };
-            // A call that may outlast this process is not started, since its outcome would be lost. The next
-            // process sends the message.
+            // A call that may outlast this process is not started, since its
+            // outcome would be lost. The next process sends the message.
             if self.stop_at.is_some_and(|at| now + lane.latency.p99_us() as Micros > at) {
                 continue;
             }
@@ -1329,8 +1329,8 @@
                 }
                 order.sort_by(|a, b| a.0.total_cmp(&b.0));
             }
-            // Messages restored after a restart that have not been sent yet come before all others, by
-            // deadline.
+            // Messages restored after a restart that have not
+            // been sent yet come before all others, by deadline.
             let untried_deadline = |id: &MsgId| {
                 let message = &self.messages[id];
                 if message.restored_untried { message.deadline } else { Micros::MAX }
@@ -1387,8 +1387,8 @@
         while self.slots_used < self.settings.slots {
             let best = choices.iter().rev().max_by(|a, b| a.1.rank.total_cmp(&b.1.rank));
             let Some((dest, choice)) = best.map(|(d, c)| (*d, *c)) else { break };
-            // Sending a message never gives another destination more choices, so only the best choice is
-            // checked again.
+            // Sending a message never gives another destination more
+            // choices, so only the best choice is checked again.
             let current = self.choose(dest);
             if current == Some(choice) {
                 self.send(choice, out);
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -49,8 +49,8 @@
         self.value * (-((now - self.updated_at) as f64) / self.memory_us).exp()
             / (1.0 - (-age / self.memory_us).exp())
     }
-    /// Returns a rate that the true rate most likely exceeds. The bound is low while few events have been
-    /// recorded.
+    /// Returns a rate that the true rate most likely exceeds.
+    /// The bound is low while few events have been recorded.
     pub(crate) fn lower_bound(&self, now: Micros) -> f64 {
         let rate =
             self.per_second(now) * ((now - self.created_at) as f64 / FULL_CONFIDENCE_AFTER_US).min(1.0);
--- a/src/rotation.rs
+++ b/src/rotation.rs
@@ -1,9 +1,9 @@
 //! The rotation over endpoints of equal cost: decides which endpoint gets the next call. Works on one
 //! endpoint at a time, without I/O.
 //!
-//! Each sender rotates over its endpoints from a random place, so that the load of many senders adds up
-//! evenly although each sender has little of the traffic (`docs/design/even.md`). Measurements of an
-//! endpoint's latency decay.
+//! Each sender rotates over its endpoints from a random place, so that the load
+//! of many senders adds up evenly although each sender has little of the traffic
+//! (`docs/design/even.md`). Measurements of an endpoint's latency decay.
 
 use crate::interface::Micros;
 
@@ -11,8 +11,8 @@
 const FIRST_LIST_SPAN_US: f64 = 1e7;
 /// Time constant of the decay of an endpoint's measured slowness.
 const SLOWNESS_MEMORY_US: f64 = 3e7;
-/// Slowness whose logarithm is below this is ignored, since the latencies of single answers differ by as
-/// much.
+/// Slowness whose logarithm is below this is ignored, since
+/// the latencies of single answers differ by as much.
 const SLOWNESS_TOLERANCE: f64 = 0.4;
 
 /// An endpoint's place in the rotation: its last turn and how slowly it answers.
@@ -21,13 +21,13 @@
 pub(crate) struct RotationPlace {
     /// When the endpoint last had its turn; initially a random time.
     last_turn: Micros,
-    /// Until this time an endpoint that joined others counts as new and is used only while the others are
-    /// busy.
+    /// Until this time an endpoint that joined others counts
+    /// as new and is used only while the others are busy.
     new_until: Micros,
     /// Whether a first connection to the endpoint is worth its price once the endpoint is no longer new.
     wants_connection: bool,
-    /// Decaying sum of the logarithms of the ratios of the endpoint's latencies to its lane's mean, as of
-    /// `slowness_at`.
+    /// Decaying sum of the logarithms of the ratios of the
+    /// endpoint's latencies to its lane's mean, as of `slowness_at`.
     log_slowness_sum: f64,
     /// Decaying number of the answers in `log_slowness_sum`.
     answers: f64,
--- a/src/state.rs
+++ b/src/state.rs
@@ -65,7 +65,7 @@
     /// Number of calls that the lane's pace allows now.
     pub(crate) tokens: f64,
     pub(crate) refilled_at: Micros,
-    /// Refill rate of `tokens`, in calls a second.
+    /// Rate at which `tokens` is refilled, in calls a second.
     pub(crate) pace: f64,
     /// When a refusal last cut the budget.
     pub(crate) budget_cut_at: Micros,
@@ -126,7 +126,7 @@
     pub(crate) since: Micros,
     /// Number of calls that the warm-up's pace allows now.
     pub(crate) tokens: f64,
-    /// Refill rate of `tokens`, in calls a second.
+    /// Rate at which `tokens` is refilled, in calls a second.
     pub(crate) pace: f64,
     pub(crate) refilled_at: Micros,
 }
@@ -145,7 +145,7 @@
     pub(crate) dest: DestId,
     pub(crate) kind: usize,
     pub(crate) zone: usize,
-    /// Whether the endpoint list names the endpoint with status up.
+    /// Whether the endpoint list contains the endpoint with status `Up`.
     pub(crate) listed: bool,
     /// Number of calls in flight to the endpoint.
     pub(crate) in_flight: u32,
@@ -181,7 +181,7 @@
     /// The message's number in the order of acceptance.
     pub(crate) sequence: u64,
     pub(crate) class: usize,
-    /// Order key; set only in classes that keep order.
+    /// The message's order key, which is set only in classes that keep order.
     pub(crate) key: Option<String>,
     pub(crate) dest: DestId,
     pub(crate) deadline: Micros,
--- a/tests/common/even.rs
+++ b/tests/common/even.rs
@@ -41,8 +41,8 @@
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
     /// Number of endpoints, from the first, that limit their connections, and the maximum connections of each.
     pub connection_cap: Option<(usize, usize)>,
-    /// Number of endpoints that join, the time at which they are listed, and the delay after which a third of the
-    /// senders receive that list.
+    /// Number of endpoints that join, the time at which they are listed,
+    /// and the delay after which a third of the senders receive that list.
     pub joining: Option<(usize, Micros, Micros)>,
     /// `(n, time)`: every n-th sender is restarted at this time without any state.
     pub restart: Option<(usize, Micros)>,
--- a/tests/common/herd.rs
+++ b/tests/common/herd.rs
@@ -122,8 +122,8 @@
     pub worst_load_ratio: f64,
     /// Number of calls in the second after the first restart.
     pub after_restart: usize,
-    /// Trace lines: one for each restarted sender with its restored state, and one for each call or probe after the
-    /// return.
+    /// Trace lines: one for each restarted sender with its restored
+    /// state, and one for each call or probe after the return.
     pub trace: Vec<String>,
     /// Time from the return until the receiver is sent 50% of the demand within a second.
     pub half_traffic_after: Option<Micros>,
@@ -533,6 +533,6 @@
 pub const OUTAGES: [Outage; 6] =
     [Outage::Shut, Outage::ShutUnlike, Outage::ShutUntold, Outage::Down, Outage::Silent, Outage::Failing];
 
-/// An overload breaks the rule if more than this share of its load came from senders with a failed call or probe in the
-/// outage.
+/// An overload breaks the rule if more than this share of its load
+/// came from senders with a failed call or probe in the outage.
 pub const MAX_AWARE_SHARE: f64 = 2.0 / 3.0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A sender that tests drive step by step: its settings, the events passed to the decision module and the resulting
-//! actions.
+//! A sender that tests drive step by step: its settings, the
+//! events passed to the decision module and the resulting actions.
 #![allow(dead_code)]
 
 use heronroute::*;
@@ -196,8 +196,8 @@
         self.round(&[event])
     }
 
-    /// Offers `count` messages, one every `gap`, with ids from `first`, and answers every call with success after
-    /// 100 ms.
+    /// Offers `count` messages, one every `gap`, with ids from
+    /// `first`, and answers every call with success after 100 ms.
     pub fn serve_steadily(&mut self, first: u64, count: u64, class: usize, dest: i64, gap: Micros) {
         for i in 0..count {
             self.round(&[message(first + i, class, dest)]);
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -336,8 +336,8 @@
         fill(&mut sender, 20 + i, 1, SAFE, 1);
     }
     assert_eq!(more, 1, "it is sent once calls succeed again");
-    // An unsafe message is sent at once if the destination has another endpoint. Without further outcomes, it waits for
-    // a limited time.
+    // An unsafe message is sent at once if the destination has another
+    // endpoint. Without further outcomes, it waits for a limited time.
     let sent = fill(&mut sender, 50, 1, SAFE, 2);
     sender.now += 50 * MS;
     sender.round(&[Event::MessageAbandoned { id: MsgId(50) }]);
@@ -377,8 +377,8 @@
 
 #[test]
 fn an_endpoint_that_answers_part_of_its_calls_stays_in_use() {
-    // If half of the calls fail, two errors in a row are likely, and repeatable messages can still be delivered by the
-    // endpoint.
+    // If half of the calls fail, two errors in a row are likely, and
+    // repeatable messages can still be delivered by the endpoint.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
     for (i, is_sent) in [true, true, true, true, false].into_iter().enumerate() {
--- a/tests/even.rs
+++ b/tests/even.rs
@@ -18,8 +18,8 @@
     (1..=3).map(|seed| result(&Simulation { seed, ..simulation.clone() }.run())).sum::<f64>() / 3.0
 }
 
-/// Returns, for the steady state, the index of dispersion of the calls, and the calls of the busiest and of the idlest
-/// endpoint over the mean.
+/// Returns, for the steady state, the index of dispersion of the calls,
+/// and the calls of the busiest and of the idlest endpoint over the mean.
 fn steady(simulation: &Simulation) -> (f64, f64, f64) {
     let seeds = simulation.seed..simulation.seed + 3;
     let all: Vec<_> =
--- a/tests/handed.rs
+++ b/tests/handed.rs
@@ -1,5 +1,5 @@
-//! Tests of a handover between two dispatchers: inherited state stays in force, and inherited calls are counted and
-//! not repeated.
+//! Tests of a handover between two dispatchers: inherited state
+//! stays in force, and inherited calls are counted and not repeated.
 
 mod common;
 use common::*;
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -201,10 +201,10 @@
     );
 }
 
-/// Guards against overload by restarted senders after a silent outage: 17 calls reached the receiver within 0.1 s of
-/// the start where 16.1 are allowed (seed 103). Receiver health was derived from the health of its endpoints, and an
-/// endpoint that no call had reached counted as healthy. Therefore the time since which a receiver's answers have been
-/// failing is persisted separately.
+/// Guards against overload by restarted senders after a silent outage: 17 calls reached the receiver
+/// within 0.1 s of the start where 16.1 are allowed (seed 103). Receiver health was derived from the
+/// health of its endpoints, and an endpoint that no call had reached counted as healthy. Therefore
+/// the time since which a receiver's answers have been failing is persisted separately.
 #[test]
 fn restarted_after_a_silent_outage() {
     assert_within_cold_capacity(
@@ -217,10 +217,9 @@
 /// Guards against trials that keep a fixed time when an outage becomes known. An unanswered call marks its endpoint
 /// unhealthy and sets a first trial 0.2 s later, which suits one slow call. In an outage of the whole receiver that
 /// trial was due with the sender's next message or when its call timed out, and 20 and 30 processes overloaded a
-/// receiver of four calls per second without a restart: 11 calls where 10.9 are allowed (also 30 senders, 2 per
-/// second, seed 110). Trials at twice the gap hardly helped: 128 in place of 133 runs of the silent grid were
-/// overloaded. Once an outage is known, such trials are moved to a random time that depends on the sender's share of
-/// the traffic.
+/// receiver of four calls per second without a restart: 11 calls where 10.9 are allowed (also 30 senders, 2 per second,
+/// seed 110). Trials at twice the gap hardly helped: 128 in place of 133 runs of the silent grid were overloaded. Once
+/// an outage is known, such trials are moved to a random time that depends on the sender's share of the traffic.
 #[test]
 fn a_receiver_of_four_calls_a_second_after_a_silent_outage() {
     for n in [20, 30] {
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -46,8 +46,8 @@
     let mut sender = sender_after_10_s(vec![entry(1, 1, 0)]);
     assert_eq!(sender.round(&[restored(1, KEYED, 1, Some(3 * S))]).len(), 1);
     assert!(sender.round(&[restored(2, KEYED, 1, Some(2 * S))]).is_empty(), "the window of 8 s is over");
-    // Message 2 fails instead of being refused: its client must not submit it again, because the receiver may have
-    // forgotten the key.
+    // Message 2 fails instead of being refused: its client must not
+    // submit it again, because the receiver may have forgotten the key.
     assert_eq!((sender.failed.as_slice(), sender.refused.len()), (&[2][..], 0));
     // A keyed message without an endpoint fails at the end of its window.
     let mut sender = sender_after_10_s(vec![]);
@@ -118,8 +118,8 @@
 
 #[test]
 fn restored_endpoint_health_does_not_keep_a_new_permit_pool_at_its_initial_size() {
-    // Guards against a permit pool that stayed at one permit where one of two endpoints was unhealthy before the
-    // restart.
+    // Guards against a permit pool that stayed at one permit where
+    // one of two endpoints was unhealthy before the restart.
     let mut sender = sender_after_10_s(vec![entry(1, 1, 0), entry(2, 1, 0)]);
     let health =
         EndpointHealth { failing_since: Some(sender.now - 5 * S), unhealthy: true, warming_since: None };
@@ -262,8 +262,8 @@
     assert_eq!(order, [13, 12, 11, 10, 50, 51]);
 }
 
-/// Sending all inherited messages first lowered the score of a day with process replacements under load from 0.965 to
-/// 0.934.
+/// Sending all inherited messages first lowered the score of a
+/// day with process replacements under load from 0.965 to 0.934.
 #[test]
 fn messages_that_a_process_hands_over_keep_their_order() {
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -1,5 +1,5 @@
-//! Tests restarts of all senders around the return of a small receiver, over a grid of outages, numbers of senders,
-//! capacities and restart times.
+//! Tests restarts of all senders around the return of a small receiver, over
+//! a grid of outages, numbers of senders, capacities and restart times.
 //!
 //! Guards against restarted senders that lose the receiver's health: all of them then send their queued messages at
 //! once and overload a receiver that has just returned. Most tests check a part of the grid. `the_whole_grid` prints
@@ -155,8 +155,8 @@
     assert_none_overloaded(grid(&[Outage::Silent], &SENDERS, &[10.0, 30.0], &RESTARTS, TEST_SEEDS));
 }
 
-/// Tests two restarts, during and after the outage or within one warm-up, and restarts of a tenth of the senders at a
-/// time.
+/// Tests two restarts, during and after the outage or within one
+/// warm-up, and restarts of a tenth of the senders at a time.
 #[test]
 fn restarted_twice_and_a_tenth_at_a_time() {
     let mut cases = Vec::new();
@@ -184,9 +184,9 @@
     );
 }
 
-/// Tests the replacement of all senders by new machines with empty state. The new senders have no messages and cannot
-/// know of the outage, so in their first second they may send as many calls as their clients offer, plus three standard
-/// deviations over all runs.
+/// Tests the replacement of all senders by new machines with empty state. The new senders
+/// have no messages and cannot know of the outage, so in their first second they may send
+/// as many calls as their clients offer, plus three standard deviations over all runs.
 #[test]
 fn replaced_by_new_machines() {
     let cases = grid(&OUTAGES, &[12, 30], &[10.0], &RESTARTS[3..], TEST_SEEDS);
@@ -221,8 +221,8 @@
     );
 }
 
-/// Prints the trace of the run that the environment variable `GRID_CASE` names, which contains "outage senders capacity
-/// restart-in-ms seed".
+/// Prints the trace of the run that the environment variable `GRID_CASE`
+/// names, which contains "outage senders capacity restart-in-ms seed".
 #[test]
 #[ignore = "prints the trace of one run; run it by name with --ignored --nocapture"]
 fn print_one_run() {
@@ -282,9 +282,9 @@
     }
 }
 
-/// Prints one row of the table. The columns `half s` and `full s` are the mean times from the return until the receiver
-/// is sent 50% and 90% of the demand within a second. A run in which that does not happen counts with its whole
-/// remaining time.
+/// Prints one row of the table. The columns `half s` and `full s` are the mean times
+/// from the return until the receiver is sent 50% and 90% of the demand within a
+/// second. A run in which that does not happen counts with its whole remaining time.
 fn row(name: &str, runs: &[&Run]) {
     let overloaded = runs.iter().filter(|run| run.is_overloaded()).count();
     let wide = runs.iter().filter(|run| run.is_overloaded_by_wide_bound()).count();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -213,9 +213,9 @@
     }
 }
 
-/// Sends a message every half second to destination 1, whose endpoints refuse connections if `refuses(time, endpoint)`
-/// is true, then to the healthy destination 2 of the same kind. Returns how often idle connections were closed in the
-/// second phase.
+/// Sends a message every half second to destination 1, whose endpoints refuse
+/// connections if `refuses(time, endpoint)` is true, then to the healthy destination 2
+/// of the same kind. Returns how often idle connections were closed in the second phase.
 fn closes_after(refuses: impl Fn(Micros, u32) -> bool) -> usize {
     let set = Settings { senders: 12, ..settings() };
     let mut sender = TestSender::new(set, vec![entry(1, 1, 0), entry(2, 1, 0), entry(3, 2, 0)]);
@@ -256,9 +256,9 @@
     );
 }
 
-/// Guards against rejections that reinforce themselves by longer waits. The sender has twenty times an equal share of
-/// the limit and sends batches of ten. A full queue rejects every fifth batch. The sender may still send enough calls
-/// for its load.
+/// Guards against rejections that reinforce themselves by longer waits. The sender has
+/// twenty times an equal share of the limit and sends batches of ten. A full queue
+/// rejects every fifth batch. The sender may still send enough calls for its load.
 #[test]
 fn rejections_do_not_keep_a_busy_sender_from_filling_its_calls() {
     let mut sender = TestSender::new(
@@ -316,10 +316,10 @@
     !sender.closed_idle.is_empty()
 }
 
-/// Guards against idle connections that fill the connection tables of endpoints that accept few connections. An
-/// endpoint with a full table answers 503, as a rate limit does, and closes the connection. With 300 senders, 90% of
-/// the calls on new connections and 10% of those on reused connections were rejected, and a third of the worth was
-/// served.
+/// Guards against idle connections that fill the connection tables of endpoints that accept
+/// few connections. An endpoint with a full table answers 503, as a rate limit does, and
+/// closes the connection. With 300 senders, 90% of the calls on new connections and 10% of
+/// those on reused connections were rejected, and a third of the worth was served.
 #[test]
 fn idle_connections_are_closed_where_only_new_ones_are_refused() {
     assert!(closes_idle_connection(Outcome::Done), "only calls on new connections are rejected");
