--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -99,18 +99,12 @@
         Some(_) => {}
     }
     let Some(end) = rest.iter().take(16).position(|b| *b == b'\n') else {
-        return if rest.len() < 16 {
-            Ok(None)
-        } else {
-            Err(FramingError("an argument count or length is too long"))
-        };
+        return if rest.len() < 16 { Ok(None) } else { Err(FramingError("a length is too long")) };
     };
     let digits = rest[1..end].strip_suffix(b"\r").unwrap_or_default();
     let digits = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
     let number = digits.and_then(|d| d.parse().ok()).filter(|n| *n <= max);
-    number
-        .map(|n| Some((n, at + end + 1)))
-        .ok_or(FramingError("invalid argument count or length, or one above the maximum"))
+    number.map(|n| Some((n, at + end + 1))).ok_or(FramingError("invalid length"))
 }
 
 /// Removes the first complete command from `buffer` and
@@ -130,7 +124,7 @@
         match buffer.get(start + len..at) {
             None => return Ok(None),
             Some(b"\r\n") => spans.push(start..start + len),
-            Some(_) => return Err(FramingError("a bulk string is not followed by CRLF")),
+            Some(_) => return Err(FramingError("a bulk string does not end with its line")),
         }
     }
     let command = buffer.split_to(at).freeze();
@@ -143,23 +137,20 @@
 /// Returns a message that names the invalid argument or field.
 pub fn decode_put(args: &[Bytes]) -> Result<Put, &'static str> {
     let [_, key, id, fields, body] = args else { return Err("wrong number of arguments for 'MSG.PUT'") };
-    let text = |bytes: &Bytes| {
-        std::str::from_utf8(bytes).map(str::to_string).map_err(|_| "an argument is not valid UTF-8")
-    };
+    let text =
+        |bytes: &Bytes| std::str::from_utf8(bytes).map(str::to_string).map_err(|_| "a field is not text");
     // The id and the idempotency key are written into header lines of calls.
     let plain = |name: String| {
         let is_plain = !name.is_empty() && name.len() <= 128 && name.bytes().all(|b| b.is_ascii_graphic());
-        is_plain
-            .then_some(name)
-            .ok_or("the id and field 'k' must be 1 to 128 printable ASCII characters without spaces")
+        is_plain.then_some(name).ok_or("a name is not plain text of 1 to 128 characters")
     };
     let mut put = Put { order_key: text(key)?, request_id: plain(text(id)?)?, ..Put::default() };
     if put.order_key.len() > 128 {
-        return Err("the order key is longer than 128 bytes");
+        return Err("the key is too long");
     }
     let (mut time_left, mut dest) = (None, None);
     for pair in text(fields)?.split(',').filter(|pair| !pair.is_empty()) {
-        let (name, value) = pair.split_once('=').ok_or("a field should have the form name=value")?;
+        let (name, value) = pair.split_once('=').ok_or("a field has no value")?;
         match name {
             "c" => put.class = value.to_string(),
             "t" => put.tenant = value.to_string(),
@@ -170,8 +161,8 @@
             _ => {}
         }
     }
-    put.time_left = i64::from(time_left.ok_or("field 'd' should be a whole number of milliseconds")?) * 1000;
-    put.dest = dest.ok_or("field 'dest' should be a whole number")?;
+    put.time_left = i64::from(time_left.ok_or("field 'd' should be milliseconds")?) * 1000;
+    put.dest = dest.ok_or("field 'dest' should be a number")?;
     // A slice of the connection's buffer would keep the whole buffer in memory as long as the message exists.
     put.body = Bytes::copy_from_slice(body);
     Ok(put)
