--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -1,9 +1,9 @@
-//! The base table of one region. It has a row of seats for each shard, owners first and spares after them, whether the
-//! seats are filled or not.
+//! The base table of one region. It has a row of seats for each shard: the owners' seats first, then the spares. Vacant
+//! seats are included.
 //!
-//! The table is built by consistent hashing with bounded loads, seat by seat. Each added seat takes its quota of
-//! positions from seats that hold more than their new target, so that adding a seat moves positions to it and never
-//! between others.
+//! The table is built by consistent hashing with bounded loads, one seat after another. Each added seat takes its quota
+//! of positions from seats that hold more than their new target. Adding a seat therefore moves positions only to that
+//! seat, never between other seats.
 
 use std::cmp::Reverse;
 
@@ -20,7 +20,7 @@
     pub(crate) weight: u32,
 }
 
-/// The two kinds of positions in a row. Each seat has a quota of either kind.
+/// The two kinds of positions in a row. Each seat has a separate quota for each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PositionKind {
     Owner,
@@ -32,8 +32,8 @@
 enum Donors {
     /// Seats that hold more than their target, in rows whose cost does not rise.
     AboveTarget,
-    /// Seats that afterwards still hold at least as many as the added seat, relative to their weights, in rows whose
-    /// cost does not rise.
+    /// Seats that hold at least as many positions for their weight as the added seat, even after the transfer, in rows
+    /// whose cost does not rise.
     MoreLoaded,
     /// Seats that hold more than 15/16 of their target, in rows whose cost falls.
     NearTarget,
@@ -44,13 +44,13 @@
 /// The order in which an added seat searches for donors.
 const DONOR_ORDER: [Donors; 3] = [Donors::AboveTarget, Donors::MoreLoaded, Donors::Overloaded];
 
-/// A search ends after this number of consecutive probes that found nothing.
+/// A search ends after this number of consecutive probes that found no position to take.
 const MAX_PROBE_MISSES: u32 = 64;
 
-/// Number of consecutive rows that a probe visits: at two replicas, those of a cache line.
+/// Number of consecutive rows that one probe visits. At two replicas their seats total 64 bytes, as a cache line does.
 const ROWS_PER_PROBE: u32 = 8;
 
-/// An added seat may exceed its quota by one part in this number, in rows whose owners would otherwise share a zone.
+/// An added seat may exceed its quota by the quota divided by this number, in rows whose owners share a zone.
 const EXTRA_QUOTA_DIVISOR: u32 = 16;
 
 /// A search of the conflict rows ends after this number of consecutive rows that the seat can't improve.
@@ -62,11 +62,11 @@
     layout: Layout,
     /// The seats of each row, by ordinal (their order within the region).
     rows: Vec<[u16; ROW_LENGTH]>,
-    /// The seats' properties by ordinal, in one array each, so that those that a probe reads stay in the fastest cache.
+    /// The ids of the seats, by ordinal. Each property has its own array, so that a probe's data fit into the L1 cache.
     ids: Vec<SeatId>,
     domains: Vec<Domain>,
     weights: Vec<u32>,
-    /// Number of positions that each seat holds, by kind and ordinal.
+    /// Number of positions that each seat holds, by [`PositionKind`] and ordinal.
     loads: [Vec<u32>; 2],
     total: Weights,
     zones: Vec<u16>,
@@ -82,7 +82,7 @@
 struct FoundPosition {
     row: u32,
     position: usize,
-    /// Whether the row's cost is higher afterwards.
+    /// Whether taking the position raises the row's cost.
     increases_cost: bool,
 }
 
@@ -98,7 +98,7 @@
     target: u32,
     /// Number of positions that the seat has yet to take.
     missing: u32,
-    /// Start of the pseudo-random sequence of probes.
+    /// The key that the pseudo-random sequence of probes is derived from.
     key: u64,
     probes: u64,
 }
@@ -131,7 +131,7 @@
         self.rows.len() as u32
     }
 
-    /// Returns the seats by ordinal. Their numbers ascend.
+    /// Returns the ids of the region's seats by ordinal, in ascending order.
     pub(crate) fn seats(&self) -> &[SeatId] {
         &self.ids
     }
@@ -147,7 +147,7 @@
         &self.changed_rows
     }
 
-    /// Returns the memory that the table takes, in bytes.
+    /// Returns the size of the table in memory, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.rows.capacity() * size_of::<[u16; ROW_LENGTH]>()
             + self.ids.capacity() * size_of::<BaseSeat>()
@@ -156,7 +156,7 @@
             + self.changed_rows.capacity() * size_of::<u32>()
     }
 
-    /// Releases memory that only building needs.
+    /// Releases memory that is needed only while the table is built.
     pub(crate) fn shrink(&mut self) {
         self.changed_rows = Vec::new();
         self.conflicts.iter_mut().for_each(ConflictRows::shrink);
@@ -190,7 +190,7 @@
         self.take_quota(ordinal as u16, PositionKind::Spare);
     }
 
-    /// Adds one of the first seats. As each row has an empty position, each row gets the seat.
+    /// Adds one of the first seats. Each row still has an empty position, so the seat is added to every row.
     fn append_to_open_rows(&mut self, ordinal: usize) {
         let seat = ordinal as u16;
         if ordinal >= self.layout.owners {
@@ -207,7 +207,7 @@
         self.changed_rows.extend(0..self.rows());
     }
 
-    /// Rebuilds the lists of rows whose cost could be lower.
+    /// Rebuilds the lists of conflict rows, whose cost could be lower.
     fn rebuild_conflicts(&mut self) {
         let min_cost = self.layout.min_cost(self.zones.len());
         for (conflicts, scope) in self.conflicts.iter_mut().zip([ConflictScope::Owners, ConflictScope::Any]) {
@@ -229,7 +229,7 @@
             self.take_by_probing(&mut search, donors);
         }
         if kind == PositionKind::Owner {
-            // As quotas are rounded, a few rows can be left whose owners share a zone.
+            // Quotas are rounded, so the owners of a few rows may still share a zone: exceed the quota for these rows.
             search.missing += quota.div_ceil(EXTRA_QUOTA_DIVISOR);
             self.take_from_conflicts(&mut search, ConflictScope::Owners, Donors::NearTarget);
         }
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Takes positions in rows whose cost falls by it.
+    /// Takes positions in listed conflict rows, where this lowers the row's cost.
     fn take_from_conflicts(&mut self, search: &mut Search, scope: ConflictScope, donors: Donors) {
         let mut misses = 0;
         while search.missing > 0 && misses < MAX_CONFLICT_MISSES && !self.conflicts[scope as usize].is_empty()
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Lists a row as a conflict if its cost could be lower.
+    /// Adds a row to the conflict rows if its cost could be lower.
     fn list_if_improvable(&mut self, row: u32) {
         let cost = self.row_cost(row);
         for conflicts in &mut self.conflicts {
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Returns the position of a row that lowers its cost most if the seat takes it.
+    /// Returns the position at which the searching seat would lower the row's cost most.
     fn best_improvement(
         &self,
         row: u32,
@@ -319,9 +319,9 @@
         }
     }
 
-    /// Returns the first position that may be taken in the rows of one probe.
+    /// Returns the first position that the searching seat may take in the rows of one probe, starting at row `first`.
     fn find_position(&self, first: u32, donors: Donors, search: &Search) -> Option<FoundPosition> {
-        // The first kind of donors has a loop of its own, as it runs millions of times.
+        // `AboveTarget` has its own specialised loop, because it runs millions of times per table.
         match donors {
             Donors::AboveTarget => {
                 self.find_position_where(first, false, search, |donor| self.is_above_target(donor, search))
@@ -369,8 +369,8 @@
         search.shares.exceeds(load, search.positions, weight, 16)
     }
 
-    /// Returns the cost of the domains that a seat shares with a row's owners except one; a zone counts more than a
-    /// rack.
+    /// Returns the cost of the failure domains that a seat shares with a row's owners, not counting the owner `except`.
+    /// A shared zone costs more than a shared rack.
     pub(crate) fn shared_domains(&self, seat: u16, owners: &[u16], except: u16) -> u32 {
         let others = owners.iter().filter(|&&owner| owner != except);
         others.map(|&owner| pair_cost(self.domain(seat), self.domain(owner), 1)).sum()
@@ -412,7 +412,7 @@
         self.layout.cost(&self.rows[row as usize].map(|seat| self.domain(seat)))
     }
 
-    /// Returns the change of a row's cost if `seat` takes the position; `None` if the row has the seat already.
+    /// Returns the change of a row's cost if `seat` takes the position. Returns `None` if the row already has the seat.
     #[inline]
     fn cost_change(&self, seats: &[u16; ROW_LENGTH], position: usize, seat: u16) -> Option<i32> {
         if seats.contains(&seat) {
--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -9,7 +9,7 @@
 pub struct Changes {
     /// Epoch that the changes lead to.
     pub epoch: u64,
-    /// Epoch that they begin at.
+    /// Epoch of the list that the changes apply to.
     pub since: u64,
     /// The changes, in order.
     pub changes: Vec<Change>,
@@ -32,16 +32,16 @@
     },
     /// A seat is appended to the list.
     Append(SeatForm),
-    /// A destination's width changes; 1 makes it a plain destination again.
+    /// A destination's width changes. Width 1 makes the destination plain again.
     SetWidth(WideForm),
 }
 
 impl MemberList {
-    /// Returns the list that `changes` lead to. This list is not modified.
+    /// Applies `changes` to a copy of this list and returns the copy.
     ///
     /// # Errors
-    /// Fails if the changes begin at another epoch than this list's or do not raise it, if a change does not apply to
-    /// the list as the changes before it left it, or if a region has fewer members than replicas afterwards.
+    /// Fails if the changes do not begin at this list's epoch or do not raise it, if one of them is invalid after those
+    /// before it, or if a region then has fewer members than each shard has replicas.
     pub fn apply(&self, changes: &Changes) -> Result<Self, ListError> {
         self.check_epochs(changes)?;
         let mut next = self.successor(changes.epoch);
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -15,7 +15,7 @@
 
 /// Cost of two seats of a row that share a rack.
 const SHARED_RACK_COST: u32 = 1;
-/// Cost of two seats of a row that share a zone, added to the cost of a shared rack.
+/// Cost of two seats of a row that share a zone. If they share a rack too, the costs add up.
 const SHARED_ZONE_COST: u32 = 1 << 3;
 
 /// Weight of a pair of owners in the cost. It outweighs all other pairs: a row has at most six pairs of owners, and 15
@@ -37,7 +37,7 @@
     /// Returns the least amount by which a row's cost falls when such a conflict is resolved.
     pub(crate) const fn min_gain(self) -> i32 {
         match self {
-            // Half, as lesser conflicts may replace the resolved one.
+            // Half of the conflict's cost, because smaller conflicts may replace the resolved one.
             Self::Owners => (OWNER_PAIR_WEIGHT * SHARED_ZONE_COST / 2) as i32,
             Self::Any => 1,
         }
@@ -81,7 +81,7 @@
         Self { owners, positions: owners + SPARES, pair_weights }
     }
 
-    /// Returns the weights of the pairs of a position with each position; 0 with itself.
+    /// Returns the weight of the pair that a position forms with each position of the row; 0 with itself.
     pub(crate) fn pair_weights(&self, position: usize) -> &[u32; ROW_LENGTH] {
         &self.pair_weights[position]
     }
@@ -119,7 +119,7 @@
     if first.max(second) < owners { OWNER_PAIR_WEIGHT } else { OTHER_PAIR_WEIGHT }
 }
 
-/// Returns what two seats of a row add to its cost.
+/// Returns the cost that a pair of seats adds to its row, multiplied by `weight`.
 pub(crate) fn pair_cost(first: Domain, second: Domain, weight: u32) -> u32 {
     let difference = first.0 ^ second.0;
     let shared_zone = if difference >> u16::BITS == 0 { SHARED_ZONE_COST } else { 0 };
@@ -127,11 +127,11 @@
     (shared_zone + shared_rack) * weight
 }
 
-/// The rows whose cost is above a threshold. A row whose cost has fallen stays listed until it is visited.
+/// The rows whose cost is above a threshold. A row whose cost has fallen remains listed until a search visits it.
 #[derive(Clone, Debug)]
 pub(crate) struct ConflictRows {
     rows: Vec<u32>,
-    /// A bit per row: whether it is listed.
+    /// One bit per row, set if the row is in `rows`.
     listed: Vec<u64>,
     threshold: u32,
 }
--- a/crates/placement/src/domains.rs
+++ b/crates/placement/src/domains.rs
@@ -1,4 +1,4 @@
-//! Failure domains by number. Each name is stored once, and comparing two seats' zones compares two numbers.
+//! Zones and racks by number. Each name is stored only once, and the zones of two seats are compared by their numbers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     name: Arc<str>,
 }
 
-/// The zones and racks of a list. There are never more of either than seats.
+/// The zones and racks of a list. There are never more zones, or more racks, than seats.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Domains {
     zones: Vec<Zone>,
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a member list, or a change to one, is rejected. Each error names the place of the fault and how to correct it.
+//! Why a member list, or a change to one, is rejected. Each error names the invalid entry and how to correct it.
 
 /// The reason why a member list, or changes to one, were rejected. The list in force stays in force.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -35,7 +35,7 @@
     TooMany {
         /// Name of the field.
         what: &'static str,
-        /// Number of its entries.
+        /// Number of entries in the field.
         count: usize,
         /// The maximum.
         max: usize,
@@ -51,9 +51,9 @@
     DuplicateRegion {
         /// The name.
         name: String,
-        /// Index of its first appearance.
+        /// Index of the first region with this name.
         first: usize,
-        /// Index of its second appearance.
+        /// Index of the second region with this name.
         second: usize,
     },
     /// A region has share 0, and so would own no shards.
@@ -61,7 +61,7 @@
     ZeroShare {
         /// Index of the region.
         index: usize,
-        /// Its name.
+        /// Name of the region.
         name: String,
     },
     /// A seat is in a region that the list does not have.
@@ -175,7 +175,7 @@
     EpochNotRaised {
         /// Epoch that the changes begin at.
         since: u64,
-        /// Epoch that they lead to.
+        /// Epoch that the changes lead to.
         epoch: u64,
     },
     /// A change names a seat that the list does not have.
@@ -191,7 +191,7 @@
     SeatFilled {
         /// The seat.
         seat: usize,
-        /// Its member.
+        /// The member that fills the seat.
         member: String,
     },
     /// A change vacates a seat that has no member.
--- a/crates/placement/src/fallback.rs
+++ b/crates/placement/src/fallback.rs
@@ -1,6 +1,6 @@
-//! The order in which a shard falls back to seats beyond its base row. Each shard has its own pseudo-random
-//! permutation, so that the shards of lost seats spread over all others, and adding or removing a seat changes no other
-//! seat's rank.
+//! The order in which a shard falls back to seats that are not in its base row. Each shard has its own pseudo-random
+//! permutation, so that the shards of lost seats are spread over all other seats. Adding or removing a seat changes no
+//! other seat's rank.
 
 use crate::hash::{mix_pair, scale};
 use crate::shard::ShardId;
@@ -18,7 +18,7 @@
 
 impl FallbackOrder {
     pub(crate) fn of(shard: ShardId) -> Self {
-        // Sets this hash apart from other hashes of shard numbers; part of the scheme.
+        // Separates this hash from other hashes of shard numbers. The value is part of the scheme.
         const DOMAIN_TAG: u64 = 0x7761_6c6b;
         let hash = mix_pair(DOMAIN_TAG, u64::from(shard.0));
         Self { keys: [hash as u16, (hash >> 16) as u16, (hash >> 32) as u16, (hash >> 48) as u16] }
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -1,15 +1,15 @@
-//! The state machine of one forwarded request: which owner it goes to next, how long each owner has, and what the
-//! client is answered.
+//! The state machine of one forwarded request: which owner the request is sent to next, the timeouts of each owner, and
+//! the reply to the client.
 //!
 //! The machine does no I/O. It returns [`Step::Send`], is given the [`ForwardOutcome`], and ends with [`Step::Reply`].
-//! Its one rule: a request that an owner may have accepted goes to a second owner only if a repeat does no harm. The
-//! caller must therefore distinguish whether the first byte of the request was written:
+//! Its main rule: a request that one owner may have accepted is sent to another owner only if a repeat does no harm.
+//! The caller must therefore report whether the first byte of the request was written:
 //!
 //! | event | outcome | next step |
 //! | --- | --- | --- |
-//! | `+OK` | [`ForwardOutcome::Accepted`] | the client is answered so |
+//! | `+OK` | [`ForwardOutcome::Accepted`] | the client is answered `+OK` |
 //! | `-BUSY ms` | [`ForwardOutcome::Busy`] | next candidate; after the last, busy with the shortest wait reported |
-//! | `-ERR` | [`ForwardOutcome::Invalid`] | the client is answered so |
+//! | `-ERR` | [`ForwardOutcome::Invalid`] | the client is answered `-ERR` |
 //! | connection refused, not connected in time, closed before the first byte, or the seat has become vacant | [`ForwardOutcome::NotSent`] | next candidate |
 //! | after the first byte: timeout, reset, close, or an unreadable answer | [`ForwardOutcome::Unknown`] | [`Effect::Safe`]: next candidate; otherwise failed at once |
 //!
@@ -19,28 +19,28 @@
 use crate::SeatId;
 use heronroute::{Effect, Micros};
 
-/// The shortest time that a candidate is given; with less time left none is tried. On a loaded machine the answer would
-/// come too late, and the outcome would be unknown without need.
+/// The shortest answer timeout. With less time left, no further candidate is tried: on a loaded machine the answer
+/// would arrive too late, and the outcome would be unknown unnecessarily.
 pub const MIN_ANSWER_TIMEOUT_US: Micros = 20_000;
 
-/// The wait that a client is told, in milliseconds, if no owner reported one.
+/// The wait that is reported to a client, in milliseconds, if no owner reported one.
 pub const DEFAULT_WAIT_MS: u64 = 250;
 
 /// The outcome of sending a request to one owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardOutcome {
-    /// The owner answered `+OK`: it is responsible for the message until its end.
+    /// The owner answered `+OK`, and is responsible for the message from now on.
     Accepted,
-    /// The owner answered `-BUSY`: it certainly has not accepted the request.
+    /// The owner answered `-BUSY`, so it has certainly not accepted the request.
     Busy {
-        /// The wait that it reported, in milliseconds; 0 if it reported none.
+        /// The wait that the owner reported, in milliseconds; 0 if it reported none.
         retry_after_ms: u64,
     },
     /// The owner answered `-ERR` with this reason: no sender can accept the request.
     Invalid(String),
-    /// No byte of the request was written: it certainly was not accepted.
+    /// No byte of the request was written, so no owner has accepted it.
     NotSent,
-    /// At least one byte was written and no valid answer came: the owner may have accepted the request.
+    /// At least one byte was written and no valid answer was received: the owner may have accepted the request.
     Unknown,
 }
 
@@ -51,10 +51,10 @@
     Accepted,
     /// No owner has accepted the request, or a repeat does no harm: the client may submit it again.
     Busy {
-        /// How long the client is to wait before that, in milliseconds.
+        /// How long the client is to wait before it submits the request again, in milliseconds.
         retry_after_ms: u64,
     },
-    /// An owner may have accepted the request, and a repeat could have its effect twice.
+    /// An owner may have accepted the request, and a repeat could take effect twice.
     Failed,
     /// No sender can accept the request, for this reason.
     Invalid(String),
@@ -107,8 +107,8 @@
         self.try_next(now)
     }
 
-    /// Records the outcome of the last [`Step::Send`] and returns the next step. Once there is a reply it never
-    /// changes.
+    /// Records the outcome of the last [`Step::Send`] and returns the next step. Once the reply is decided, later
+    /// outcomes do not change it.
     pub fn record_outcome(&mut self, now: Micros, outcome: ForwardOutcome) -> Step {
         if let Some(reply) = &self.reply {
             return Step::Reply(reply.clone());
@@ -130,7 +130,7 @@
         self.deadline
     }
 
-    /// The owner may have accepted the request: a second owner is tried only if a repeat does no harm.
+    /// Handles an unknown outcome. Another owner is tried only if a repeat of the request does no harm.
     fn after_unknown(&mut self, now: Micros) -> Step {
         match self.effect {
             Effect::Safe => self.try_next(now),
@@ -148,7 +148,7 @@
         let equal_share = (time_left / untried).max(MIN_ANSWER_TIMEOUT_US);
         let answer_timeout = match self.effect {
             Effect::Safe => equal_share,
-            // If no answer comes, no other owner is tried, so this one may use all the time that is left.
+            // If this owner does not answer, no other owner is tried, so it may use all the remaining time.
             Effect::Keyed | Effect::Unsafe => time_left,
         };
         Step::Send { to, write_timeout: equal_share, answer_timeout }
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -10,7 +10,7 @@
     value ^ (value >> 31)
 }
 
-/// Hashes two numbers; their order matters.
+/// Hashes two numbers. Swapping them gives another hash.
 pub const fn mix_pair(first: u64, second: u64) -> u64 {
     mix(mix(first.wrapping_add(FIBONACCI_MULTIPLIER)).wrapping_add(second))
 }
@@ -25,7 +25,7 @@
 pub struct Digest(u64);
 
 impl Digest {
-    /// Creates a digest. `start` separates digests of different kinds of things.
+    /// Creates a digest. `start` is a tag that separates digests of different types of data.
     pub const fn new(start: u64) -> Self {
         Self(mix(start.wrapping_add(FIBONACCI_MULTIPLIER)))
     }
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -1,9 +1,10 @@
-//! Tracks which parts of this sender's ownership are new, and until when it must wait for former owners to finish.
+//! Tracks the shards and keys that this sender has newly gained, and until when it must wait for their former owners to
+//! finish.
 //!
-//! Everything that an epoch gives to this sender, and that another sender may have had before, is on hold for
-//! [`LeaseTimes::hold`](crate::LeaseTimes::hold), counted from when this sender received the epoch: a shard; an order
-//! key that preferred another owner; a part of a wide destination; a larger share of a destination's limit. Only what
-//! is on hold is stored, so that a sender without changes stores nothing here.
+//! The following are on hold for [`LeaseTimes::hold`](crate::LeaseTimes::hold), counted from when this sender received
+//! the epoch, because another sender may still be using them: a gained shard; an order key that preferred another
+//! owner; a new part of a wide destination; a larger share of a destination's limit. Only current holds are stored, so
+//! this state is empty while ownership does not change.
 
 use std::collections::BTreeMap;
 
@@ -13,11 +14,11 @@
 use crate::shard::ShardId;
 use heronroute::Micros;
 
-/// Maximum number of superseded owner lists stored for a shard. Each epoch that changes its owners within a hold adds
-/// one. With more, the whole shard is put on hold instead.
+/// Maximum number of superseded owner lists stored for a shard. Each epoch that changes the shard's owners during a
+/// hold adds one. If there are more, the whole shard is put on hold instead.
 const MAX_SUPERSEDED_OWNER_LISTS: usize = 16;
 
-/// A value that an epoch has replaced, and the time until which other senders may still act upon it.
+/// A value that an epoch has replaced, and the time until which other senders may still use it.
 #[derive(Clone, Debug)]
 struct Superseded<T> {
     value: T,
@@ -27,9 +28,9 @@
 /// The holds of one owned shard.
 #[derive(Clone, Debug, Default)]
 struct ShardHold {
-    /// Before this time another sender may own the shard in place of this one.
+    /// Until this time another sender may still act as an owner of the shard.
     ready_at: Option<Micros>,
-    /// Earlier owners, this sender among them, under which keys may have preferred another owner.
+    /// Earlier owner lists that include this sender. Under them, keys may have preferred another owner.
     superseded: Vec<Superseded<Vec<SeatId>>>,
 }
 
@@ -73,7 +74,7 @@
 }
 
 impl OwnershipDiff {
-    /// Compares the shards owned before and after; without `before`, all owned shards are gained.
+    /// Compares the shards owned before and after. Without `before`, all owned shards count as gained.
     pub(crate) fn between(before: Option<SeatedPlacement<'_>>, after: SeatedPlacement<'_>) -> Self {
         let owned_before = |shard: ShardId| before.is_some_and(|before| before.owns(shard));
         let mut gained = after.shards();
@@ -86,12 +87,12 @@
     }
 }
 
-/// The holds on shards that this sender owns, and the shards that it lost and may still be delivering for.
+/// The holds on this sender's shards, and the lost shards whose messages it may still be delivering.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Holds {
     all_until: Option<Micros>,
     shards: BTreeMap<ShardId, ShardHold>,
-    /// Shards that were lost, with the time until which their messages may be delivered.
+    /// Lost shards, with the time until which this sender may still deliver messages of them.
     lost: BTreeMap<ShardId, Micros>,
 }
 
@@ -118,17 +119,17 @@
         until.max(self.shard_hold(shard, now))
     }
 
-    /// Returns whether messages of a lost shard may still be delivered by this sender.
+    /// Returns whether this sender has lost the shard but may still be delivering messages of it.
     pub(crate) fn recently_lost(&self, shard: ShardId) -> bool {
         self.lost.contains_key(&shard)
     }
 
-    /// Puts everything on hold until the given time.
+    /// Puts all shards and keys on hold until the given time.
     pub(crate) fn hold_all(&mut self, until: Micros) {
         self.all_until = self.all_until.max(Some(until));
     }
 
-    /// Accounts for the step to the next placement: puts gained shards on hold, and keys that now prefer this sender.
+    /// Updates the holds for the next placement: puts gained shards on hold, and keys that now prefer this sender.
     pub(crate) fn advance(&mut self, before: SeatedPlacement<'_>, after: SeatedPlacement<'_>, until: Micros) {
         let diff = OwnershipDiff::between(Some(before), after);
         for shard in diff.gained {
@@ -146,7 +147,7 @@
             }
         }
         if before.seat != after.seat {
-            // Keys prefer seats, not members: in another seat everything is new to a sender.
+            // Keys prefer seats, not members: a sender that changes its seat gains other keys in each shard.
             self.hold_all(until);
         }
     }
@@ -168,7 +169,7 @@
     }
 }
 
-/// Superseded numbers of owners that share a destination's limit, as long as other senders may still act upon them.
+/// Superseded replica counts and widths, which determine how many owners share a limit while senders still use them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentSharing {
     replicas: Vec<Superseded<usize>>,
@@ -176,7 +177,7 @@
 }
 
 impl RecentSharing {
-    /// Records what changes from one list to the next.
+    /// Records the replica count and the widths that the next list replaces.
     pub(crate) fn advance(&mut self, before: &MemberList, after: &MemberList, until: Micros) {
         if before.replicas() != after.replicas() {
             self.replicas.push(Superseded { value: before.replicas(), until });
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Restores what the last run persisted.
+    /// Restores the replica count and the widths that the last run persisted.
     pub(crate) fn restore(&mut self, replicas: usize, wide: &BTreeMap<i64, u16>, until: Micros) {
         self.replicas.push(Superseded { value: replicas, until });
         for (&dest, &width) in wide {
@@ -232,7 +233,7 @@
         self.superseded_widths(dest, now).filter(moved).map(|superseded| superseded.until).max()
     }
 
-    /// Removes values that no sender acts upon any more.
+    /// Removes superseded values that no sender uses any more.
     pub(crate) fn prune(&mut self, now: Micros) {
         self.replicas.retain(|superseded| now < superseded.until);
         self.widths.retain(|_, widths| {
@@ -241,7 +242,7 @@
         });
     }
 
-    /// Returns the latest time after `now` until which a superseded value may be acted upon.
+    /// Returns the latest time after `now` until which a superseded value may be in use.
     pub(crate) fn last_end(&self, now: Micros) -> Option<Micros> {
         let widths = self.widths.values().flatten().map(|superseded| superseded.until);
         let replicas = self.replicas.iter().map(|superseded| superseded.until);
--- a/crates/placement/src/list.rs
+++ b/crates/placement/src/list.rs
@@ -1,5 +1,5 @@
-//! The member list of one epoch. A list is validated when it is constructed, so that its users need no checks of their
-//! own.
+//! The member list of one epoch. [`MemberList`] is validated when it is constructed, so code that uses it needs no
+//! further checks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,16 +15,16 @@
 /// Maximum number of replicas.
 pub const MAX_REPLICAS: usize = 4;
 
-/// Maximum number of seats: a seat's number takes two bytes, and one value is left for "none".
+/// Maximum number of seats: a seat number has 16 bits, and one of its values is reserved for "no seat".
 pub const MAX_SEATS: usize = u16::MAX as usize;
 
-/// Maximum number of regions; a fleet has a few.
+/// Maximum number of regions. A real fleet has only a few.
 pub const MAX_REGIONS: usize = 256;
 
 /// Maximum width of a wide destination.
 pub const MAX_WIDTH: u16 = 1024;
 
-/// Maximum number of wide destinations. They are exceptions, and each sender holds all of them (24 bytes each).
+/// Maximum number of wide destinations. Each sender stores all of them, at 24 bytes each.
 pub const MAX_WIDE_DESTINATIONS: usize = 65_536;
 
 /// Number of a seat: its index in the member list.
@@ -63,12 +63,12 @@
         &self.name
     }
 
-    /// Returns its part of the shards, relative to the sum of all shares.
+    /// Returns the region's share of the shards, relative to the sum of all regions' shares.
     pub const fn share(&self) -> u32 {
         self.share
     }
 
-    /// Returns the number of its filled seats.
+    /// Returns the number of filled seats in the region.
     pub const fn filled(&self) -> usize {
         self.filled
     }
@@ -87,13 +87,13 @@
         &self.name
     }
 
-    /// Returns the address at which it accepts forwarded requests.
+    /// Returns the address at which the member accepts forwarded requests.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// A numbered place in the list. Its failure domain and weight never change; its member does.
+/// A seat: a numbered place for a member. Its failure domain and weight are fixed, while its member may change.
 #[derive(Clone, Debug)]
 struct Seat {
     rack: RackId,
@@ -101,7 +101,7 @@
     member: Option<Member>,
 }
 
-/// The members of one epoch, by seats.
+/// The validated member list of one epoch: regions, seats and wide destinations.
 #[derive(Clone, Debug)]
 pub struct MemberList {
     epoch: u64,
@@ -123,7 +123,7 @@
     /// Validates a list.
     ///
     /// # Errors
-    /// Returns the first fault found, with its place and how to correct it.
+    /// Returns the first invalid entry found, with its position and a correction.
     pub fn from_form(form: ListForm) -> Result<Self, ListError> {
         if form.scheme != SCHEME {
             return Err(ListError::UnknownScheme { scheme: form.scheme, known: SCHEME });
@@ -153,12 +153,12 @@
         Ok(list)
     }
 
-    /// Returns the number of the list, which grows with each change.
+    /// Returns the epoch: the version number of the list, which grows with each change.
     pub const fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Returns whether this is a new fleet's first list, before which no sender owned anything.
+    /// Returns whether this is the first list of a new fleet: no sender owned any shard before it.
     pub const fn is_first(&self) -> bool {
         self.first
     }
@@ -173,8 +173,8 @@
         &self.regions
     }
 
-    /// Returns a digest of all that placement depends on, except the epoch. A list that was received in full and one
-    /// that was reached by changes have the same digest if their contents are the same.
+    /// Returns a digest of all contents that placement depends on, except the epoch. Lists with the same contents have
+    /// the same digest, whether they were received in full or built by applying changes.
     pub fn digest(&self) -> u64 {
         let mut digest = Digest::new(u64::from(SCHEME)).number(self.replicas as u64);
         for region in &self.regions {
@@ -209,12 +209,12 @@
         found.ok().map(|index| self.by_name[index])
     }
 
-    /// Returns the number of shards over which a destination's requests are spread; 1 for most.
+    /// Returns the number of shards over which a destination's requests are spread; 1 unless the destination is wide.
     pub fn width(&self, dest: i64) -> u16 {
         self.wide.get(&dest).copied().unwrap_or(1)
     }
 
-    /// Returns the wide destinations with their widths, in the order of their numbers.
+    /// Returns the wide destinations with their widths, in ascending order of destination.
     pub fn wide_destinations(&self) -> impl Iterator<Item = (i64, u16)> + '_ {
         self.wide.iter().map(|(&dest, &width)| (dest, width))
     }
@@ -268,12 +268,12 @@
         Ok(())
     }
 
-    /// Returns a copy of this list under another epoch, as the start of a change.
+    /// Returns a copy of this list with another epoch, to which changes are then applied.
     pub(crate) fn successor(&self, epoch: u64) -> Self {
         Self { epoch, first: false, ..self.clone() }
     }
 
-    /// Checks that each region has at least as many members as replicas.
+    /// Checks that each region has at least as many members as each shard has replicas.
     pub(crate) fn check_members(&self) -> Result<(), ListError> {
         let lacking_members = self.regions.iter().find(|region| region.filled < self.replicas);
         lacking_members.map_or(Ok(()), |region| {
@@ -285,7 +285,7 @@
         })
     }
 
-    /// Appends a seat, with its member if it has one.
+    /// Appends a seat to the list, with its member if the form names one.
     pub(crate) fn append(&mut self, form: &SeatForm) -> Result<(), ListError> {
         check_count("seats", self.seats.len() + 1, MAX_SEATS)?;
         let seat = self.append_vacant(form)?;
@@ -329,7 +329,7 @@
         Ok(())
     }
 
-    /// Sets a destination's width, which the caller has checked; 1 makes it a plain destination again.
+    /// Sets a destination's width, which the caller has validated. Width 1 makes the destination plain again.
     pub(crate) fn set_width(&mut self, dest: i64, width: u16) -> Result<(), ListError> {
         if let Some(before) = self.wide.remove(&dest) {
             self.contents_digest = self.contents_digest.wrapping_sub(wide_digest(dest, before));
@@ -360,7 +360,7 @@
         Ok(seat)
     }
 
-    /// Assigns the members of a full list. The indices are sorted once; assigning one member after another would take
+    /// Assigns the members of a full list and sorts the indices once. Calling [`Self::fill`] for each member would take
     /// quadratic time.
     fn fill_all(&mut self, forms: &[SeatForm]) -> Result<(), ListError> {
         for (seat, form) in self.seat_ids().zip(forms) {
@@ -414,7 +414,7 @@
         Err(ListError::SeatOutOfRange { seat: u64::from(seat.0), seats: self.seats.len() })
     }
 
-    /// Sets the member of a seat, and updates the counts and the digest that depend on it.
+    /// Sets the member of a seat, and updates the counts and the digest accordingly.
     fn set_member(&mut self, seat: SeatId, member: Option<Member>) {
         let region = self.region(seat).index();
         let before = self.seat_digest(seat);
@@ -455,7 +455,7 @@
 }
 
 fn wide_digest(dest: i64, width: u16) -> u64 {
-    // No seat's digest begins with this number.
+    // Digests of seats begin with the seat's number, which is never this value.
     const WIDE: u64 = u64::MAX;
     Digest::new(WIDE).number(dest as u64).number(u64::from(width)).value()
 }
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -12,7 +12,7 @@
 
 /// Maximum length of a member's name.
 const MAX_NAME_BYTES: usize = 128;
-/// Maximum number of control agents. More than a few only lengthen the search for one that answers.
+/// Maximum number of control agents. A longer list only lengthens the search for an agent that answers.
 const MAX_CONTROL_AGENTS: usize = 8;
 /// A shorter lease would expire between two polls on a busy machine; a longer one would keep gained shards on hold for
 /// longer than most outages last.
@@ -24,12 +24,12 @@
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// A longer lag of an agent would keep gained shards on hold for longer than most outages last.
 const MAX_AGENT_LAG: Duration = Duration::from_secs(300);
-/// Persistent connections to other members. They reduce the number of descriptors that are left for connections to
-/// endpoints.
+/// Allowed numbers of persistent connections to other members. Each uses a descriptor that is then not available for
+/// connections to endpoints.
 const OWNER_CONNECTIONS_BOUNDS: RangeInclusive<usize> = 1..=1024;
 const DEFAULT_OWNER_CONNECTIONS: usize = 64;
 
-/// The section as it is written. [`Section::check`] validates it and returns [`PlacementOptions`].
+/// The section as written in the file. [`Section::check`] validates it and returns [`PlacementOptions`].
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
@@ -50,7 +50,7 @@
 pub struct PlacementOptions {
     /// This sender's name in the member list.
     pub name: String,
-    /// The address at which it listens for requests that other members forward.
+    /// The address at which this sender listens for requests that other members forward.
     pub listen: SocketAddr,
     /// The control agents that serve the member list. If one does not answer, the next is polled.
     pub control_agents: Vec<SocketAddr>,
@@ -201,7 +201,7 @@
     }
 }
 
-/// Converts to microseconds. The spans of the section are at most minutes, so they fit.
+/// Converts a duration to microseconds. The durations of the section are minutes at most, so they can't overflow.
 fn micros(span: Duration) -> Micros {
     Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX)
 }
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -1,4 +1,4 @@
-//! One sender's view of the placement: the epoch in force, where a request goes, and which requests this sender may
+//! One sender's view of the placement: the epoch in force, the routing of requests, and which requests this sender may
 //! accept.
 //!
 //! # What a sender may do
@@ -9,33 +9,33 @@
 //! | lease valid | what it owns by its own epoch and is not on hold | yes | by its own table |
 //! | lease expired | nothing | yes | by its last table |
 //!
-//! Another sender's epoch does not matter: the owner decides by its own epoch, and answers busy for what it does not
-//! own.
+//! The epochs of other senders do not matter: an owner decides by its own epoch, and answers busy to requests for
+//! shards that it does not own.
 //!
 //! # Why holds are long enough
 //!
 //! Let epoch `g` first be sent to any sender at time `t`. An agent answers with an earlier epoch until `t + agent_lag`
 //! at most, so a lease under an earlier epoch ends by `t + agent_lag + lease`, and messages accepted under it end
-//! within `longest_deadline` of that. A sender that `g` makes an owner receives `g` at `t` or later and waits for the
-//! sum of the three. Therefore, at no instant do members of two epochs' owner sets act for one shard, except those that
-//! are in both. This requires that a sender which keeps a shard without a hold owned it *in each epoch* between the two
-//! that it compares:
+//! within `longest_deadline` of that. A sender that becomes an owner in epoch `g` receives `g` at `t` or later, and
+//! then waits for `agent_lag + lease + longest_deadline`. Therefore members of the owner sets of two epochs never act
+//! for one shard at the same time, except members of both sets. This requires that a sender which keeps a shard without
+//! a hold owned the shard *in each epoch* between the two epochs that it compares:
 //!
-//! - From one epoch to the next, it compares the two.
-//! - Changes over several epochs are replayed one change at a time (they list each change that was made, in order).
-//!   What this sender did not own after any of them is new to it.
-//! - A full list over several epochs, or more changes than [`MAX_REPLAYED_CHANGES`], gives no information on the epochs
-//!   between: everything is new.
+//! - A step to the next epoch: the sender compares the owners under both epochs.
+//! - Changes over several epochs: the sender replays them one by one, in the order in which they were made. A shard
+//!   that this sender did not own after one of the changes is new to this sender.
+//! - A full list that skips epochs, or more changes than [`MAX_REPLAYED_CHANGES`]: the epochs in between are unknown,
+//!   so all shards are treated as new.
 //!
 //! # Order
 //!
-//! All messages of an order key go to one owner, the preferred one of its shard ([`crate::Request`]). There is no
-//! fallback: if that owner rejects the message or can't be reached, the client is answered busy. Another owner accepts
-//! messages of the key only after an epoch makes it the preferred one and the hold has ended; by then each message of
-//! the key that the former owner accepted has ended. The owner checks the preference itself, by its own epoch, and
-//! rejects messages that prefer another owner, so that a forwarder on an older epoch can't spread a key over two
-//! owners. The price: while its preferred owner is down, a key waits until an epoch without that owner has been
-//! received and the hold has ended.
+//! All messages of an order key are sent to one owner, the key's preferred owner of the shard ([`crate::Request`]).
+//! There is no fallback: if that owner rejects the message or can't be reached, the client is answered busy. Another
+//! owner accepts messages of the key only after an epoch makes it the preferred owner and the hold has ended; by then
+//! each message of the key that the former owner accepted has ended. The owner checks the preference itself, by its own
+//! epoch, and rejects messages that prefer another owner, so that a forwarder on an older epoch can't spread a key over
+//! two owners. The cost: if the preferred owner is down, messages of the key are rejected until an epoch without that
+//! owner has been received and the hold has ended.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -54,15 +54,16 @@
 use crate::wire::AgentAnswer;
 use heronroute::Micros;
 
-/// Maximum number of changes over several epochs that are replayed one by one. Each takes up to 5 ms at full size.
+/// Maximum number of changes that are replayed one by one. Each replay takes up to 5 ms with 15,000 seats.
 pub const MAX_REPLAYED_CHANGES: usize = 32;
 
-/// Where a request goes.
+/// Where a client's request is processed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// To this sender itself: it accepts the request if [`Ownership::admission`] allows it, and answers busy otherwise.
+    /// By this sender, which accepts the request if [`Ownership::admission`] allows it, and otherwise answers busy.
     Local,
-    /// To these owners, the preferred one first, through [`crate::Forwarding`]. An ordered request has exactly one.
+    /// By one of these owners, to which [`crate::Forwarding`] sends it, preferred owner first. An ordered request has
+    /// one.
     Forward(Vec<SeatId>),
     /// No list has been received yet, or the destination has no owner.
     Unknown,
@@ -77,20 +78,20 @@
     NotOwner,
     /// A former owner may still be delivering until this time.
     OnHold(Micros),
-    /// No answer of a control agent has renewed the lease in time, or none has come yet.
+    /// The lease has expired, or no answer of a control agent has been received yet.
     LeaseExpired,
 }
 
-/// The changes by an answer of the control agent.
+/// The effect of a control agent's answer on this sender's ownership.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EpochUpdate {
     /// The epoch in force.
     pub epoch: u64,
-    /// Whether it differs from the epoch before the answer.
+    /// Whether the answer changed the epoch.
     pub changed: bool,
     /// The shards that this sender owns now and did not own before, in order.
     pub gained: Vec<ShardId>,
-    /// The shards that it owned before and does not own now, in order.
+    /// The shards that this sender owned before and does not own now, in order.
     pub lost: Vec<ShardId>,
 }
 
@@ -99,11 +100,11 @@
 pub struct PersistedPlacement {
     /// The epoch in force.
     pub epoch: u64,
-    /// The [`MemberList::digest`] of its list.
+    /// The [`MemberList::digest`] of the list in force.
     pub digest: u64,
-    /// Whether all holds had ended.
+    /// Whether all holds had ended when the state was written.
     pub settled: bool,
-    /// The maximum number of replicas that limits were shared by.
+    /// The maximum number of replicas among which a destination's limit was shared.
     pub replicas: usize,
     /// The destinations that were wide, with their maximum width.
     pub wide: BTreeMap<i64, u16>,
@@ -120,7 +121,7 @@
 #[derive(Clone, Debug)]
 pub struct Ownership {
     name: String,
-    /// This process's address for forwarded requests; `None` if a member of this name is always this process.
+    /// This process's address for forwarded requests. `None` skips the check that the listed address is this one.
     address: Option<SocketAddr>,
     times: LeaseTimes,
     lease: Lease,
@@ -184,7 +185,7 @@
         self.apply_answer_with(&mut UnsharedPlacements, polled_at, now, answer)
     }
 
-    /// Does the same as [`Self::apply_answer`], with placements that other senders in this process may share.
+    /// Like [`Self::apply_answer`], but takes tables from `placements`, which senders in one process may share.
     ///
     /// # Errors
     /// Fails as [`Self::apply_answer`] does.
@@ -236,13 +237,13 @@
         self.lease
     }
 
-    /// Returns the end of the last hold; `None` if nothing is on hold.
+    /// Returns the time at which the last hold ends; `None` if no shard or key is on hold.
     pub fn holds_end(&self, now: Micros) -> Option<Micros> {
         self.holds.last_end(now).max(self.recent_sharing.last_end(now))
     }
 
-    /// Returns the state to persist. The caller writes it whenever it has changed; if replicas or widths have changed,
-    /// before it acts under the new list.
+    /// Returns the state to persist. The caller writes it whenever it has changed. If replicas or widths have changed,
+    /// the state must be on disk before this sender acts under the new list.
     pub fn persisted_state(&self, now: Micros) -> Option<PersistedPlacement> {
         let list = self.list()?;
         Some(PersistedPlacement {
@@ -254,8 +255,8 @@
         })
     }
 
-    /// Returns where a client's request goes. A request from another sender is never routed: [`Self::admission`]
-    /// accepts or rejects it.
+    /// Returns where a client's request is processed. A request that another sender forwarded is never routed again:
+    /// [`Self::admission`] accepts or rejects it.
     pub fn route(&self, now: Micros, request: &Request<'_>) -> Route {
         let Some(view) = &self.view else { return Route::Unknown };
         let spread_hash = request.spread_hash();
@@ -296,7 +297,7 @@
         self.admission_under_lease(now, by_owners.max(by_width))
     }
 
-    /// Returns whether this sender accepts requests for the destination that need no order.
+    /// Returns whether this sender accepts unordered requests for the destination.
     pub fn unordered_admission(&self, now: Micros, dest: i64) -> Admission {
         let Some(view) = &self.view else { return Admission::LeaseExpired };
         let owned = view.parts(dest).filter(|&part| view.seated().owns(sub_shard(dest, part)));
@@ -304,21 +305,21 @@
             let by_shard = self.holds.shard_hold(sub_shard(dest, part), now);
             by_shard.max(self.recent_sharing.part_hold(dest, part, now))
         });
-        // `None` is less than any time: one part that is not on hold is enough.
+        // `None` is the minimum: the request is accepted if at least one owned part is not on hold.
         hold_ends.min().map_or(Admission::NotOwner, |hold_end| self.admission_under_lease(now, hold_end))
     }
 
-    /// Returns whether this sender needs the endpoints of a destination: it owns a part of the destination, or did and
-    /// may still be delivering to it. The caller must retain the destinations of restored messages itself.
+    /// Returns whether this sender needs the endpoints of a destination, because it owns a part of the destination, or
+    /// lost one and may still be delivering to it. The caller must retain the destinations of restored messages itself.
     pub fn needs_destination(&self, dest: i64) -> bool {
         let Some(view) = &self.view else { return false };
         let needs = |shard: ShardId| view.seated().owns(shard) || self.holds.recently_lost(shard);
         view.parts(dest).any(|part| needs(sub_shard(dest, part)))
     }
 
-    /// Returns the number of owners that share a destination's limit equally. While senders may still act upon an epoch
-    /// with more owners, it is that epoch's number; before the first list, it is the number that the last run
-    /// persisted.
+    /// Returns the number of owners that share a destination's limit equally. While other senders may still act under
+    /// an epoch with more owners, this is the number of that epoch. Before the first list, it is the number that the
+    /// last run persisted.
     pub fn limit_sharers(&self, now: Micros, dest: i64) -> usize {
         match (self.list(), &self.persisted) {
             (Some(list), _) => self.recent_sharing.max_sharers(list, dest, now),
@@ -372,8 +373,8 @@
         Ok(self.activate(after))
     }
 
-    /// Sets the holds for this process's first list. Everything is on hold, unless all holds of the last run had ended
-    /// under the same list, or the list is the first of a new fleet.
+    /// Sets the holds for this process's first list. All shards are put on hold, unless all holds of the last run had
+    /// ended under the same list, or the list is the first of a new fleet.
     fn hold_for_first_list(&mut self, now: Micros, list: &MemberList) -> Result<(), ListError> {
         let until = self.hold_end(now);
         if let Some(last) = &self.persisted {
@@ -415,8 +416,8 @@
         Ok(self.activate(after))
     }
 
-    /// Accounts for changes over several epochs one by one. Returns false if they are too many, or if one can't be
-    /// applied alone.
+    /// Replays changes over several epochs one by one and records their holds. Returns false if there are too many
+    /// changes, or if one can't be applied alone.
     fn replay(
         &mut self,
         placements: &mut impl PlacementSource,
@@ -427,7 +428,7 @@
         if changes.len() > MAX_REPLAYED_CHANGES {
             return false;
         }
-        // Numbered from 0 on: the epochs between are not known, and may be fewer than the changes.
+        // Replayed steps get epochs from 0 on: the epoch of each change is unknown, as one epoch may have several.
         let mut before = Arc::new(before.with_epoch(0));
         for (since, change) in changes.iter().enumerate() {
             let since = since as u64;
@@ -439,7 +440,7 @@
         true
     }
 
-    /// Puts on hold what the step from one epoch to the next gives to this sender.
+    /// Puts on hold the shards, keys and limit shares that this sender gains by the step from one epoch to the next.
     fn account_for_step(&mut self, now: Micros, before: &Placement, after: &Placement) {
         let until = self.hold_end(now);
         let [seated_before, seated_after] = [before, after].map(|placement| self.seated(placement));
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -1,4 +1,4 @@
-//! A member list with the table computed from it, and the step from one placement to the next.
+//! A member list with the table computed from it, and the derivation of the next placement from changes.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 pub struct Placement {
     list: MemberList,
     table: Arc<Table>,
-    /// The only shards that [`Self::shards_of`] returns, for models; `None` for all.
+    /// The only shards that [`Self::shards_of`] returns, for simulations; `None` for all.
     visible_shards: Option<Arc<[ShardId]>>,
 }
 
@@ -29,15 +29,15 @@
         Placement { list, table, visible_shards: None }
     }
 
-    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in those that changes lead to. It is
-    /// for models of many senders that look at a few shards only.
+    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in those derived from it. Simulations
+    /// with many senders use it to examine only a few shards.
     #[must_use]
     pub fn restricted_to(mut self, shards: Arc<[ShardId]>) -> Self {
         self.visible_shards = Some(shards);
         self
     }
 
-    /// Returns the placement that changes lead to.
+    /// Returns the placement after `changes` to this one.
     ///
     /// # Errors
     /// Fails if the changes do not apply to the list, see [`MemberList::apply`].
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the same placement under another epoch, as the start of changes that are replayed one by one.
+    /// Returns the same placement with another epoch, to which changes are then replayed one by one.
     pub(crate) fn with_epoch(&self, epoch: u64) -> Self {
         Placement { list: self.list.successor(epoch), ..self.clone() }
     }
@@ -84,7 +84,7 @@
     /// Returns the placement of a full list.
     fn build(&mut self, list: MemberList) -> Arc<Placement>;
 
-    /// Returns the placement that changes lead to.
+    /// Returns the placement after `changes` to `before`.
     ///
     /// # Errors
     /// Fails if the changes do not apply to the list.
--- a/crates/placement/src/preference.rs
+++ b/crates/placement/src/preference.rs
@@ -4,9 +4,10 @@
 //! All senders must agree on the preference, whatever their versions: it is part of the scheme ([`crate::SCHEME`]) and
 //! pinned by a test.
 //!
-//! An ordered request is hashed by its order key, any other by its id. The preference depends on the set of owners
-//! alone, not on their order in the table, and each request has its own order of fallbacks. So the requests of a lost
-//! owner are spread over all others, and a key whose preferred owner stays changes it only in favour of a new owner.
+//! An ordered request is hashed by its order key, any other request by its id. The preference depends only on the set
+//! of owners, not on their order in the table, and each request ranks the owners in its own order. When an owner is
+//! lost, its requests are therefore spread over all other owners. A key whose preferred owner remains can only move to
+//! a newly added owner.
 
 use crate::hash::{Digest, mix_pair, scale};
 use crate::list::SeatId;
@@ -23,7 +24,7 @@
 }
 
 impl Request<'_> {
-    /// Returns whether messages of its key are delivered one at a time, in order.
+    /// Returns whether the request has an order key, whose messages are delivered one at a time, in order.
     pub fn is_ordered(&self) -> bool {
         self.order_key.is_some()
     }
@@ -40,7 +41,7 @@
 
     /// Returns the hash by which requests to one destination are spread over its parts and owners.
     pub(crate) fn spread_hash(&self) -> u64 {
-        // Separates this digest from digests of other things; part of the scheme.
+        // Separates this digest from digests of other data. The value is part of the scheme.
         const DOMAIN_TAG: u64 = 0x7370_7265_6164;
         Digest::new(DOMAIN_TAG).text(self.order_key.unwrap_or(self.request_id)).value()
     }
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -1,4 +1,4 @@
-//! One region's part of the table: the base rows, which seats are filled, and the owners that result from both.
+//! One region's part of the table: the base rows, which seats are filled, and the owners resolved from both.
 
 use crate::base::{BaseSeat, BaseTable};
 use crate::conflicts::EMPTY;
@@ -11,7 +11,7 @@
 const NO_SEAT: SeatId = SeatId(u16::MAX);
 
 /// Up to this number of filled seats, the next seat of a shard's fallback order is found by comparing the ranks of all
-/// of them; above it, by iterating over the ranks. Either way takes at most this number of steps on average.
+/// filled seats; above it, by iterating over the ranks. Both methods take at most this number of steps on average.
 const MAX_SEATS_TO_COMPARE_RANKS: usize = 256;
 
 /// The shards of a region and their owners.
@@ -26,7 +26,7 @@
     /// Ordinals of the filled seats, in order.
     members: Vec<u16>,
     owners: Vec<SeatId>,
-    /// Whether each row has an owner from beyond its base row.
+    /// Whether each row has an owner that is not in its base row, by row.
     uses_fallback: Vec<bool>,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl RegionTable {
-    /// Creates a region without seats that owns `rows` shards from `first_position` on.
+    /// Creates a region without seats. It owns the `rows` shards that begin at `first_position`.
     pub(crate) fn new(first_position: u32, rows: u32, replicas: usize) -> Self {
         Self {
             first_position,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Returns whether a row that has owners from beyond its base row may now get other ones.
+    /// Returns whether the toggled seats may change the owners that a row has from its fallback order.
     fn fallback_may_change(&self, row: u32, toggled: &[u16]) -> bool {
         if !self.uses_fallback[row as usize] {
             return false;
@@ -190,9 +190,9 @@
         seat != EMPTY && self.filled[usize::from(seat)]
     }
 
-    /// Selects a filled spare for each missing owner: the one that shares the fewest domains with the row's other base
-    /// owners. These count whether filled or not, so that vacating or filling a seat does not change which spare is
-    /// preferred for another.
+    /// Selects a filled spare for each missing owner: the spare that shares the fewest domains with the row's other
+    /// base owners. Vacant base owners count too, so that vacating or filling one seat does not change which spare
+    /// replaces another seat.
     fn add_spares(&self, row: u32, owner_count: usize, selection: &mut OwnerSelection) {
         let (owners, spares) = self.base.row(row);
         for missing in owners.iter().filter(|&&owner| !self.is_filled(owner)) {
@@ -231,7 +231,7 @@
         self.owners.iter().fold(digest, |digest, owner| digest.number(u64::from(owner.0)))
     }
 
-    /// Returns the memory that the region's table takes, in bytes.
+    /// Returns the size of the region's table in memory, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.base.bytes()
             + self.owners.capacity() * size_of::<SeatId>()
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -10,7 +10,8 @@
 use crate::region::RegionTable;
 use crate::shard::{SHARDS, ShardId};
 
-/// The owners of all shards under one member list. It takes some 4 MB at two replicas, whatever the number of members.
+/// The owners of all shards under one member list. The table takes about 4 MB at two replicas, for any number of
+/// members.
 #[derive(Clone, Debug)]
 pub struct Table {
     regions: Vec<RegionTable>,
@@ -26,11 +27,11 @@
 }
 
 impl Table {
-    /// Builds the table of a list. It depends on nothing but the list, and is the same on each machine and in each
-    /// version that supports the scheme.
+    /// Builds the table of a list. The table depends on nothing but the list, and is the same on each machine and in
+    /// each version that supports the scheme.
     pub fn build(list: &MemberList) -> Self {
         let mut regions = empty_regions(list);
-        // Region by region, as the rows of one region fit into a processor's cache.
+        // Builds one region after another, because the rows of a single region fit into a processor's cache.
         for (region, number) in regions.iter_mut().zip(0..) {
             for seat in list.seat_ids().filter(|&seat| list.region(seat) == RegionId(number)) {
                 append(region, list, seat);
@@ -81,7 +82,7 @@
         self.regions.iter().fold(Digest::new(TABLE), |digest, region| region.digest(digest)).value()
     }
 
-    /// Returns the memory that the table takes, in bytes.
+    /// Returns the size of the table in memory, in bytes.
     pub fn memory_bytes(&self) -> usize {
         let seats = self.seats.capacity() * size_of::<(RegionId, u16)>();
         self.regions.iter().map(RegionTable::bytes).sum::<usize>() + seats
--- a/crates/placement/src/target.rs
+++ b/crates/placement/src/target.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Weights {
     total: Units,
-    /// The greatest weights, in descending order. No more than these can exceed what one seat may hold.
+    /// The greatest weights, in descending order. At most this many seats can have more weight than one seat may use.
     greatest: [Units; MAX_REPLICAS],
 }
 
@@ -25,9 +25,9 @@
         }
     }
 
-    /// Returns what part of all positions each weight is entitled to, where the `replicas` positions of a shard go to
-    /// different seats. As a seat can't hold more than one position per shard, a weight counts only up to `1 /
-    /// replicas` of the sum.
+    /// Returns the share of all positions that each weight is entitled to. The `replicas` positions of a shard must be
+    /// on different seats, so a seat holds at most one of them, and a weight counts only up to `1 / replicas` of the
+    /// sum.
     pub(crate) fn shares(&self, replicas: usize) -> Shares {
         let mut rest = self.total;
         for capped in 0..replicas {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The part of all positions that each weight is entitled to: the weight, up to `cap`, over `total`.
+/// The share of all positions that each weight is entitled to: the weight, limited to `cap`, divided by `total`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shares {
     cap: Units,
--- a/crates/placement/src/weight.rs
+++ b/crates/placement/src/weight.rs
@@ -1,4 +1,4 @@
-//! A seat's capacity as an integer. A table computed with floating point numbers could differ between machines.
+//! A seat's capacity as an integer: a table computed with floating-point numbers could differ between machines.
 
 /// Maximum weight of a seat.
 pub const MAX_WEIGHT: u32 = 100;
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -1,5 +1,5 @@
-//! The JSON forms in which a control agent sends member lists and changes. They are parsed and written here, and
-//! validated by [`MemberList`].
+//! The JSON forms in which a control agent sends member lists and changes. This module parses and writes them;
+//! [`MemberList`] validates them.
 
 use serde::{Deserialize, Deserializer, Serialize};
 
@@ -10,13 +10,13 @@
 /// A full member list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListForm {
-    /// Number of the list, which grows with each change.
+    /// Version number of the list, which grows with each change.
     pub epoch: u64,
     /// Placement scheme, see [`crate::SCHEME`].
     pub scheme: u16,
     /// Number of owners of each shard.
     pub replicas: u64,
-    /// Whether this is a new fleet's first list, before which no sender owned anything.
+    /// Whether this is the first list of a new fleet: no sender owned any shard before it.
     #[serde(default)]
     pub first: bool,
     /// Regions and their shares of the shards.
@@ -33,18 +33,18 @@
 pub struct RegionForm {
     /// Name, which no other region of the list has.
     pub name: String,
-    /// Its part of the shards, relative to the sum of all shares.
+    /// The region's share of the shards, relative to the sum of all regions' shares.
     pub share: u32,
 }
 
 /// A seat: a numbered place for a member, with a fixed failure domain and weight.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SeatForm {
-    /// Name of its region.
+    /// Name of the seat's region.
     pub region: String,
-    /// Name of its zone, unique within the region.
+    /// Name of the seat's zone, unique within the region.
     pub zone: String,
-    /// Name of its rack, unique within the zone.
+    /// Name of the seat's rack, unique within the zone.
     pub rack: String,
     /// Capacity relative to a usual machine, which has weight 1.
     pub weight: f64,
@@ -75,7 +75,7 @@
 pub struct ChangesForm {
     /// Epoch that the changes lead to.
     pub epoch: u64,
-    /// Epoch that they begin at.
+    /// Epoch of the list that the changes apply to.
     pub since: u64,
     /// The changes, in order.
     pub changes: Vec<ChangeForm>,
@@ -98,7 +98,7 @@
     pub wide: Option<WideForm>,
 }
 
-/// Reads `null` as `Some(None)`, which distinguishes it from a missing field.
+/// Parses `null` as `Some(None)`, so that it differs from a missing field.
 fn present<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Option<MemberForm>>, D::Error> {
     Option::deserialize(deserializer).map(Some)
 }
@@ -112,7 +112,7 @@
     Changes(Changes),
     /// The list of epoch `since` is still in force.
     Unchanged {
-        /// Its epoch.
+        /// The epoch of the list in force.
         epoch: u64,
     },
 }
@@ -262,8 +262,8 @@
     }
 }
 
-/// Serializes a form. This can't fail, as the forms hold nothing that JSON can't express (a weight that is not finite
-/// becomes `null`).
+/// Serializes a form. This can't fail: JSON can express all values of the forms (a weight that is not finite becomes
+/// `null`).
 fn to_json<T: Serialize>(form: &T) -> Vec<u8> {
     serde_json::to_vec(form).unwrap_or_default()
 }
