--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -6,105 +6,106 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The version of the frames and of the state that is handed over. Processes of different versions do not hand over to
-/// each other: the successor waits until the owner has exited.
+/// The version of the frames and of the handed-over state. Processes of different versions do not hand over to each
+/// other: the successor waits until the owner has exited.
 pub const VERSION: u16 = 3;
 /// The maximum length of a frame's payload in bytes. The longest frame carries the state of every endpoint, about 500
 /// bytes each, and a body of 64 KiB.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// The state of the owner that is not in the journal.
+/// The state of the owner that the journal does not contain.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// The number that the next message would have had.
+    /// The number of the next message, which the successor continues from.
     pub next_message: u64,
-    /// The number that the next call would have had.
+    /// The number of the next call, which the successor continues from.
     pub next_call: u64,
-    /// The sender is in lame-duck mode: it drains and accepts no new messages.
+    /// Whether the sender is in lame-duck mode, in which it drains and accepts no new messages.
     pub lame_duck: bool,
     /// The number of attempts of each pending message, including those that failed before their first byte was sent.
     pub attempts: Vec<(MsgId, u32)>,
-    /// The names of the endpoints that `inherited` and `in_flight` refer to by number.
+    /// The names of the endpoints to which `inherited` and `in_flight` refer by number.
     pub names: Vec<(EndpointId, String)>,
-    /// What the decision module has measured of destinations, lanes and endpoints.
+    /// The decision module's measurements of destinations, lanes and endpoints.
     #[serde(rename = "learnt")]
     pub inherited: DispatcherState,
-    /// The calls in flight.
+    /// The calls of the owner that are in flight.
     #[serde(rename = "out")]
     pub in_flight: Vec<InFlightCall>,
-    /// The call that carries each pending message that has one in flight.
+    /// The number of the call in flight that carries the message, for each message that has one.
     pub calls: Vec<(MsgId, u64)>,
 }
 
 /// The outcome of a call for one of its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageOutcome {
-    /// The message.
+    /// The number of the message.
     pub id: MsgId,
     /// The number of the attempt, from 0.
     pub attempt: u32,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// The message needs no further attempt.
+    /// Whether the message needs no further attempt.
     #[serde(rename = "over")]
     pub closes_message: bool,
 }
 
-/// A message from one process to the other.
+/// A frame that one process sends to the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Sent by both sides, first on every connection. Its encoding never changes, so that any two versions can compare.
+    /// The first frame on every connection, sent by both sides. Its encoding never changes, so that processes of any
+    /// two versions can compare them.
     Hello {
-        /// The sending process's [`VERSION`].
+        /// The [`VERSION`] of the process that sends the frame.
         version: u16,
     },
-    /// Successor: requests the journal. It has done everything that can be done without the journal.
+    /// Sent by the successor to request the journal, after it has done everything that it can do without the journal.
     Take,
-    /// Owner: declines the request; nothing can be handed over now.
+    /// Sent by the owner to decline the request, because it can't hand over now.
     Later,
-    /// Owner: the journal is complete and the lock is released.
+    /// Sent by the owner after it has completed the journal and released the lock.
     State(Box<State>),
-    /// Successor: it has acquired the lock.
+    /// Sent by the successor after it has acquired the lock.
     Taken,
-    /// Owner, after it has handed over: a client has sent it a message.
+    /// Sent by the former owner after the handover, to forward a message that a client has sent to it.
     Put {
-        /// Matches the reply to this message.
+        /// A number that the reply to this message repeats.
         number: u64,
-        /// The message.
+        /// The message of the client.
         put: Put,
     },
-    /// Successor: the reply to the client's message.
+    /// Sent by the successor with the reply to a forwarded message.
     Reply {
         /// The number of the [`Frame::Put`] that this answers.
         number: u64,
-        /// The reply.
+        /// The reply for the client.
         reply: Reply,
     },
-    /// Owner, after it has handed over: one of its calls has ended.
+    /// Sent by the former owner after the handover, when one of its calls has ended.
     Ended {
         /// The number of the call.
         call: u64,
-        /// The outcome for each of its messages.
+        /// The outcome for each message of the call.
         #[serde(rename = "fates")]
         outcomes: Vec<MessageOutcome>,
         /// The time from the start of the call to its end.
         elapsed: Micros,
-        /// The wait that the response advertised, 0 if none.
+        /// The wait that the response advertised; 0 if it advertised none.
         wait: Micros,
         /// The load report that the response carried.
         report: Option<LoadReport>,
     },
-    /// Successor: asks the owner to cancel one of its calls.
+    /// Sent by the successor to make the former owner cancel one of its calls.
     Cancel {
         /// The number of the call.
         call: u64,
     },
 }
 
-/// A frame that can't be encoded or decoded. Nothing after it on the same connection can be decoded either.
+/// Why a frame can't be encoded or decoded. No later frame on the same connection can be decoded either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The payload, of this many bytes, is longer than [`MAX_FRAME_BYTES`].
+    /// The payload is longer than [`MAX_FRAME_BYTES`]: this many bytes.
     TooLong(usize),
     /// The payload is not a valid frame.
     Malformed,
@@ -142,7 +143,7 @@
 /// Decodes frames from a stream of bytes.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    /// Bytes that have been read but not decoded yet.
+    /// Received bytes that have not been decoded yet.
     pub buf: BytesMut,
 }
 
--- a/crates/handover/src/owner.rs
+++ b/crates/handover/src/owner.rs
@@ -1,4 +1,4 @@
-//! The side that owns the journal and hands it over.
+//! The state machine of the owner, the process that owns the journal and hands it over.
 
 use crate::frame::{Frame, VERSION};
 
@@ -8,15 +8,15 @@
     /// The successor has connected but has not sent Hello.
     #[default]
     AwaitingHello,
-    /// The successor has the same version.
+    /// The successor has sent Hello with the same version.
     VersionAgreed,
     /// The successor has requested the journal; the owner is finishing pending work.
     Finishing,
     /// The lock is released and the state has been sent.
     Released,
-    /// The lock is released, and the successor has disconnected without saying whether it has taken the lock.
+    /// The lock is released, and the successor has disconnected without reporting whether it has acquired the lock.
     SuccessorLost,
-    /// The successor owns the journal. There is no way back.
+    /// The successor owns the journal. This state is final.
     Retired,
     /// The handover has failed; the owner keeps serving.
     Aborted,
@@ -33,7 +33,7 @@
     TimedOut,
     /// The connection to the successor has ended.
     Disconnected,
-    /// An attempt to reclaim the lock, as requested by [`OwnerAction::Reclaim`]; true if it succeeded.
+    /// The result of an attempt to reclaim the lock, see [`OwnerAction::Reclaim`]; true if it succeeded.
     Reclaimed(bool),
 }
 
@@ -46,13 +46,13 @@
     SendHello,
     /// Finishes pending work, releases the lock and sends the state.
     Release,
-    /// Tries to acquire the lock again. If this fails, another process has it.
+    /// Tries to acquire the lock again. A failure means that another process holds it.
     Reclaim,
     /// Keeps serving as if no successor had connected.
     KeepServing,
-    /// Stops owning the journal: it forwards what still arrives and exits after its last call.
+    /// Stops owning the journal: the process forwards messages that it still receives, and exits after its last call.
     Retire,
-    /// Processes the received frame: a reply for a client, or a call to cancel.
+    /// Processes the received frame: sends a reply to a client, or cancels a call.
     Forward,
 }
 
@@ -66,7 +66,7 @@
             }
             (Owner::VersionAgreed, Received(Frame::Take)) => (Owner::Finishing, OwnerAction::Release),
             (Owner::Finishing, Released) => (Owner::Released, OwnerAction::Wait),
-            // Only the lock shows who owns the journal: the Taken frame may be late or never arrive.
+            // Only the lock decides which process owns the journal: the Taken frame may be late or never arrive.
             (Owner::Released, Received(Frame::Taken)) => (Owner::Retired, OwnerAction::Retire),
             (Owner::Released, Received(_) | TimedOut) => (Owner::Released, OwnerAction::Reclaim),
             (Owner::Released | Owner::SuccessorLost, Disconnected) => {
@@ -75,8 +75,8 @@
             (Owner::Released | Owner::SuccessorLost, Reclaimed(true)) => {
                 (Owner::Aborted, OwnerAction::KeepServing)
             }
-            // Another process owns the journal, and no connection is left on which it could say so. Waiting any longer
-            // would serve no client.
+            // Another process owns the journal, but is not connected and so can't report it. Waiting any longer would
+            // serve no client.
             (Owner::SuccessorLost, Reclaimed(false)) => (Owner::Retired, OwnerAction::Retire),
             (Owner::Released, Released | Reclaimed(false)) => (Owner::Released, OwnerAction::Wait),
             (Owner::Retired, Received(Frame::Reply { .. } | Frame::Cancel { .. })) => {
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -1,27 +1,27 @@
-//! The side that requests the journal.
+//! The state machine of the successor, the process that requests the journal.
 
 use crate::frame::{Frame, VERSION};
 
 /// The progress of this process towards owning the journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Successor {
-    /// It does not know whether another process owns the journal.
+    /// The successor does not know yet whether another process owns the journal.
     #[default]
     Searching,
-    /// Another process owns the journal; it has sent Hello.
+    /// Another process owns the journal, and the successor has sent Hello to it.
     Connecting,
-    /// It has requested the journal.
+    /// The successor has requested the journal.
     Requested,
-    /// It has received the owner's state; the lock is released.
+    /// The successor has received the owner's state, and the owner has released the lock.
     StateReceived,
-    /// It owns the journal.
+    /// The successor owns the journal.
     Owning,
 }
 
 /// An input of [`Successor`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SuccessorEvent<'a> {
-    /// An attempt to acquire the lock; true if it succeeded.
+    /// The result of an attempt to acquire the lock; true if it succeeded.
     LockTried(bool),
     /// A frame from the owner.
     Received(&'a Frame),
@@ -42,10 +42,10 @@
     Connect,
     /// Requests the journal.
     RequestJournal,
-    /// Starts as the owner, without a predecessor's state: it is the first process of this sender, or its predecessor
-    /// has exited.
+    /// Starts as the owner without a predecessor's state, because this is the first process of the sender, or the
+    /// predecessor has exited.
     Start,
-    /// Starts as the owner with the predecessor's state, and tells the predecessor that it has the lock.
+    /// Starts as the owner with the predecessor's state, and notifies the predecessor that it has acquired the lock.
     Resume,
 }
 
@@ -63,12 +63,12 @@
                 (Successor::StateReceived, SuccessorAction::TryLock)
             }
             (Successor::StateReceived, LockTried(true)) => (Successor::Owning, SuccessorAction::Resume),
-            // The owner may have died after it sent its state: the lock is free all the same.
+            // The owner may have died after it sent its state. It has released the lock in any case.
             (Successor::StateReceived, OwnerLost | Received(_)) => {
                 (Successor::StateReceived, SuccessorAction::TryLock)
             }
             (Successor::Owning, _) => (Successor::Owning, SuccessorAction::Wait),
-            // Starts over in all other cases: a state received so far will be out of date at the next try.
+            // Starts over in all other cases, because a state received so far would be out of date at the next try.
             _ => (Successor::Searching, SuccessorAction::RetryLater),
         };
         *self = next;
--- a/crates/handover/tests/handover.rs
+++ b/crates/handover/tests/handover.rs
@@ -35,7 +35,7 @@
     let mut successor = Successor::default();
     successor.on(SuccessorEvent::LockTried(false));
     assert_eq!(successor.on(SuccessorEvent::Received(&other)), SuccessorAction::RetryLater);
-    // Once the owner has exited, the successor starts without its state.
+    // After the owner has exited, the successor starts without the owner's state.
     assert_eq!(successor.on(SuccessorEvent::LockTried(true)), SuccessorAction::Start);
 }
 
@@ -51,7 +51,7 @@
         } else {
             assert_eq!(action, OwnerAction::Reclaim);
             assert!(!owner.owns());
-            // The successor does hold the lock: the owner must not write until the lock is free.
+            // The successor holds the lock, so the owner must not write until the lock is free.
             assert_eq!(owner.on(OwnerEvent::Reclaimed(false)), OwnerAction::Wait);
             assert!(!owner.owns());
             assert_eq!(owner.on(OwnerEvent::TimedOut), OwnerAction::Reclaim);
@@ -78,7 +78,7 @@
     let mut successor = Successor::StateReceived;
     assert_eq!(successor.on(SuccessorEvent::LockTried(false)), SuccessorAction::RetryLater);
     assert_eq!(successor, Successor::Searching);
-    // An owner that dies after it has sent its state leaves the lock free.
+    // The lock is free if the owner dies after it has sent its state.
     let mut successor = Successor::StateReceived;
     assert_eq!(successor.on(SuccessorEvent::OwnerLost), SuccessorAction::TryLock);
     assert_eq!(successor.on(SuccessorEvent::LockTried(true)), SuccessorAction::Resume);
@@ -148,7 +148,7 @@
 
     fn successor(&mut self, event: SuccessorEvent<'_>) {
         match self.successor.on(event) {
-            // Opens a new connection.
+            // A new connection has no frames in transit except the successor's Hello.
             SuccessorAction::Connect => (self.to_owner, self.to_successor) = (vec![HELLO], Vec::new()),
             SuccessorAction::RequestJournal => self.to_owner.push(Frame::Take),
             SuccessorAction::TryLock => {
@@ -161,9 +161,9 @@
         }
     }
 
-    /// Performs the numbered step, if it is possible in the current state.
-    fn step(&mut self, what: u8) {
-        match what {
+    /// Performs the step with this number, if it is possible in the current state.
+    fn step(&mut self, number: u8) {
+        match number {
             0 if !self.to_owner.is_empty() => {
                 let frame = self.to_owner.remove(0);
                 self.owner(OwnerEvent::Received(&frame));
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// The maximum size of the file in bytes: several times the size of 256 rules of a few hundred bytes each.
+/// The maximum size of the file in bytes. It is several times the size of 256 rules of a few hundred bytes each.
 pub const MAX_FILE_BYTES: u64 = 1 << 20;
 
 #[derive(Deserialize)]
@@ -26,22 +26,22 @@
 /// The subsystems that the operator has enabled.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Options {
-    /// The rules for undeliverable messages. Without them no such message is retained.
+    /// The rules for undeliverable messages. Without this section no undeliverable message is retained.
     pub owed: Option<Rules>,
-    /// The fleet of senders. Without it no other sender is known.
+    /// The fleet of senders. Without this section no other sender is known.
     pub fleet: Option<FleetOptions>,
-    /// The placement of destinations on senders. Without it this sender owns all of them.
+    /// The placement of destinations on senders. Without this section, this sender owns all destinations.
     pub placement: Option<PlacementOptions>,
 }
 
-/// An options file that is rejected. None of it has taken effect.
+/// Why an options file is rejected. No part of the file has taken effect.
 pub use embershore_finding::FileError as OptionsError;
 
 impl Options {
     /// Reads a file and checks it against the message classes of the daemon's settings.
     ///
     /// # Errors
-    /// When the file can't be read, or when it has any finding.
+    /// When the file can't be read, or has any finding.
     pub fn read(path: &Path, classes: &[ClassFacts]) -> Result<Options, OptionsError> {
         let io = |error| OptionsError::Io { path: path.into(), error };
         let text = embershore_finding::read(path, MAX_FILE_BYTES, "an options file").map_err(io)?;
@@ -49,7 +49,7 @@
             .map_err(|findings| OptionsError::Invalid { name: path.display().to_string(), findings })
     }
 
-    /// Checks the text of a file.
+    /// Parses and checks the text of an options file.
     ///
     /// # Errors
     /// Returns all findings, in the order of the file.
--- a/crates/owed/benches/cost.rs
+++ b/crates/owed/benches/cost.rs
@@ -1,6 +1,6 @@
-//! Measures the cost of a debt: on disk, in memory, when the store is opened, and in lists. Run it with `cargo bench -p
-//! embershore-owed`, with numbers of debts as arguments after `--`. One process fills each store and another measures
-//! it, so that the memory is that of an open store alone.
+//! Measures the cost of a debt: its size on disk and in memory, and the time to open the store and to list debts. Run
+//! it with `cargo bench -p embershore-owed`, with numbers of debts as arguments after `--`. One process fills each
+//! store and another measures it, so that the measured memory is only that of an open store.
 
 use bytes::Bytes;
 use embershore_owed::store::Filter;
@@ -10,11 +10,11 @@
 use std::time::Instant;
 
 const RECEIVERS: u64 = 200;
-const BODY: usize = 200;
-const BATCH: u64 = 1000;
+const BODY_BYTES: usize = 200;
+const DEBTS_PER_TRANSACTION: u64 = 1000;
 
 /// Returns the anonymous resident memory of this process in bytes.
-fn anonymous() -> u64 {
+fn anonymous_memory_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("RssAnon:"));
     let kb = line.and_then(|l| l.trim().split(' ').next()).and_then(|n| n.parse::<u64>().ok());
@@ -30,14 +30,14 @@
         dest: (n % RECEIVERS) as i64,
         key: format!("survey-{}", n % 1000),
         order: n,
-        body: Bytes::from(vec![b'x'; BODY]),
+        body: Bytes::from(vec![b'x'; BODY_BYTES]),
     };
     let attempt = |at| Attempt { endpoint: "s-5be2a07c".into(), at, outcome: AttemptOutcome::NoConnection };
     let attempts = (1..=3).map(|k| attempt(n as i64 + k)).collect();
     Debt::new(message, attempts, Reason::ALL[n as usize % 6], n as i64)
 }
 
-/// Returns a size limit of the store that has room for this number of debts.
+/// Returns a size limit in bytes that is large enough for this number of debts.
 fn max_bytes(size: u64) -> u64 {
     64_000_000 + size * 8_000
 }
@@ -47,19 +47,22 @@
     let store = Store::open(path, max_bytes(size))?;
     let mut n = 0;
     while n < size {
-        let batch: Vec<Debt> = (n..size.min(n + BATCH)).map(debt).collect();
+        let batch: Vec<Debt> = (n..size.min(n + DEBTS_PER_TRANSACTION)).map(debt).collect();
         n += batch.len() as u64;
         for result in store.insert_all(batch.iter().map(|d| (d, Some(d.given_up_at))))? {
             result?;
         }
     }
-    eprintln!("{size} debts inserted, {BATCH} per transaction, in {:.1} s", started.elapsed().as_secs_f64());
+    eprintln!(
+        "{size} debts inserted, {DEBTS_PER_TRANSACTION} per transaction, in {:.1} s",
+        started.elapsed().as_secs_f64()
+    );
     Ok(())
 }
 
 fn measure(path: &Path, size: u64) -> Result<(), Box<dyn std::error::Error>> {
     let disk = std::fs::metadata(path)?.len();
-    let before = anonymous();
+    let before = anonymous_memory_bytes();
     let started = Instant::now();
     let store = Store::open(path, max_bytes(size))?;
     let opened = started.elapsed();
@@ -78,7 +81,7 @@
     let single = store.insert(&debt(size + 1), None);
     let inserted = started.elapsed();
     single?;
-    let memory = anonymous().saturating_sub(before);
+    let memory = anonymous_memory_bytes().saturating_sub(before);
     println!(
         "{size:>9} {:>9.0} {:>9.0} {:>8.2} {:>9.1} {:>9.1} {:>9.1} {:>9.1} {:>9.2}",
         disk as f64 / size as f64,
--- a/crates/owed/src/debt.rs
+++ b/crates/owed/src/debt.rs
@@ -1,13 +1,13 @@
-//! An undeliverable message and its history.
+//! A debt: an undeliverable message that is kept for the operator, with its history.
 
 use bytes::Bytes;
 use heronroute::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How many attempts are retained in full. Of older ones only the earliest that may have run is remembered, which is
-/// what decides about a second effect. A message has a handful of attempts, and each resend adds a few.
+/// How many attempts are retained in full. Of older attempts, only the time of the earliest that may have run is kept,
+/// which decides whether a resend could have a second effect. A message has a few attempts, and each resend adds some.
 pub const MAX_RETAINED_ATTEMPTS: usize = 32;
-/// How many resolutions of one debt are retained. More than this on one message come from a faulty program.
+/// The maximum number of resolutions of one debt. A higher number indicates a faulty client program.
 pub const MAX_RESOLUTIONS: usize = 16;
 
 /// The number of a debt in the store. Numbers are never reused.
@@ -18,18 +18,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptOutcome {
-    /// The receiver rejected it without processing it.
+    /// The receiver rejected the message without processing it.
     #[serde(rename = "turned-away")]
     Rejected,
-    /// No connection was established, so it did not run.
+    /// No connection was established, so the message did not run.
     NoConnection,
-    /// The receiver answered with an error or a malformed answer; it may have run.
+    /// The receiver answered with an error or a malformed answer. The message may have run.
     Error,
-    /// The connection broke; it may have run.
+    /// The connection broke. The message may have run.
     Reset,
-    /// There was no answer in time; it may have run, or may still run.
+    /// There was no answer in time. The message may have run, or may still run.
     TimedOut,
-    /// The sender died while the attempt was in flight; it may have run.
+    /// The sender died while the attempt was in flight. The message may have run.
     Unknown,
 }
 
@@ -56,14 +56,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// Its deadline passed before the first attempt.
+    /// The deadline of the message passed before the first attempt.
     Unsent,
-    /// The receiver rejected it until its deadline passed.
+    /// The receiver rejected the message until its deadline passed.
     #[serde(rename = "turned-away")]
     Rejected,
-    /// The receiver was unreachable until its deadline passed.
+    /// The receiver was unreachable until the message's deadline passed.
     Down,
-    /// An attempt may have run, and the class allows no further one.
+    /// An attempt may have run, and the class allows no further attempt.
     MayHaveRun,
     /// The maximum number of attempts was reached.
     AttemptsUsedUp,
@@ -82,7 +82,7 @@
         Reason::Gone,
     ];
 
-    /// Returns the name used in rules, filters and lists.
+    /// Returns the name of the reason in rules, filters and lists.
     pub fn name(self) -> &'static str {
         match self {
             Reason::Unsent => "unsent",
@@ -119,7 +119,7 @@
 pub struct Message {
     /// The client's id of the message.
     pub request_id: String,
-    /// For a keyed class: the key by which the receiver recognizes a repeat.
+    /// The key by which the receiver recognizes a repeat, in a keyed class.
     pub idempotency_key: Option<String>,
     /// The name of the class in the settings.
     pub class: String,
@@ -129,10 +129,10 @@
     pub dest: i64,
     /// The subject of the message. A newer message with the same key supersedes it if its rule says so.
     pub key: String,
-    /// The position in the order in which this sender accepted messages. A higher one is newer, whatever the clock
-    /// showed.
+    /// The position of the message in the order in which this sender accepted messages. It decides which of two
+    /// messages is newer, because the clock may have been set back.
     pub order: u64,
-    /// The body.
+    /// The body of the message, as the client sent it.
     pub body: Bytes,
 }
 
@@ -140,25 +140,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It took effect.
+    /// The message took effect.
     Ran,
-    /// It did not take effect, and none of its attempts still will.
+    /// The message did not take effect, and none of its attempts will still do so.
     NeverRan,
 }
 
-/// A verdict with its author, justification and time. It is retained as long as the debt is.
+/// A verdict with its author, justification and time. It is retained as long as the debt itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resolution {
-    /// The verdict.
+    /// Whether the message ran, according to the author.
     #[serde(rename = "word")]
     pub verdict: Verdict,
     /// Who gave the verdict.
     #[serde(rename = "by")]
     pub author: String,
-    /// Why.
+    /// The author's reason for the verdict.
     #[serde(rename = "why")]
     pub justification: String,
-    /// When.
+    /// When the verdict was given, in microseconds since the Unix epoch.
     pub at: Micros,
 }
 
@@ -166,15 +166,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Settled {
-    /// Delivered by a resend.
+    /// A resend delivered the message.
     Delivered,
-    /// It had run before, by a verdict.
+    /// A verdict reported that the message had run.
     Ran,
-    /// Replaced by a newer message with the same receiver, class and key.
+    /// A newer message with the same receiver, class and key replaced the message.
     Superseded,
-    /// Its rule's time limit passed.
+    /// The time limit of the rule passed.
     Expired,
-    /// Dropped by an operator.
+    /// An operator dropped the message.
     Dropped,
 }
 
@@ -182,57 +182,57 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Not being sent. The rules decide on the next step.
+    /// The message is not being sent. The rules decide on the next step.
     Owed,
-    /// Handed to the decision module: it may be sent at any moment.
+    /// The message has been handed to the decision module, and may be sent at any moment.
     #[serde(rename = "out")]
     InFlight,
-    /// Closed, and retained for inspection only.
+    /// The debt is closed, and retained for inspection only.
     Settled(Settled),
 }
 
-/// A message that is owed, or was.
+/// A message that is owed, or was owed until it was settled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debt {
-    /// The message.
+    /// The undeliverable message.
     pub message: Message,
     /// The latest attempts, oldest first, at most [`MAX_RETAINED_ATTEMPTS`].
     pub attempts: Vec<Attempt>,
-    /// The time of the first attempt that may have run, unless a verdict says that it did not.
+    /// The time of the first attempt that may have run; `None` if there is none, or a verdict reports that it did not.
     pub may_have_run: Option<Micros>,
-    /// Why delivery was given up first.
+    /// Why delivery was given up for the first time.
     pub reason: Reason,
-    /// When delivery was given up first.
+    /// When delivery was given up for the first time.
     #[serde(rename = "since")]
     pub given_up_at: Micros,
     /// When the state last changed.
     #[serde(rename = "last")]
     pub changed_at: Micros,
-    /// The number of resends.
+    /// The number of resends so far.
     pub resends: u32,
-    /// The state.
+    /// Whether the message is owed, in flight or settled.
     pub state: State,
     /// The verdicts given so far.
     #[serde(rename = "words")]
     pub resolutions: Vec<Resolution>,
 }
 
-/// Why a verdict is refused.
+/// Why a verdict is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResolveError {
-    /// No attempt may have run.
+    /// No attempt may have run, so there is no doubt to resolve.
     #[error("no attempt of the message may have run: there is nothing to resolve")]
     NotInDoubt,
-    /// The message is being sent.
+    /// The message is being resent.
     #[error("the message is being sent now: try again when this resend has ended")]
     InFlight,
-    /// The debt is settled.
+    /// The debt has been settled.
     #[error("the debt is already settled as {0:?}")]
     Settled(Settled),
     /// The author or the justification is missing.
-    #[error("author or justification missing: both are stored with the verdict")]
+    #[error("author or justification is empty: give both, as they are stored with the verdict")]
     Unsigned,
-    /// The debt has [`MAX_RESOLUTIONS`] resolutions.
+    /// The debt already has [`MAX_RESOLUTIONS`] resolutions.
     #[error(
         "the debt already has the maximum of {MAX_RESOLUTIONS} resolutions: drop it, or deliver it by hand"
     )]
@@ -257,20 +257,20 @@
         }
     }
 
-    /// Returns the latest time in the history. A clock that shows an earlier time has been set back.
+    /// Returns the latest time in the debt's history. If the clock shows an earlier time, it has been set back.
     pub fn latest_time(&self) -> Micros {
         let attempts = self.attempts.iter().map(|a| a.at);
         let times = attempts.chain([self.given_up_at, self.changed_at]).chain(self.may_have_run);
         times.max().unwrap_or(self.changed_at)
     }
 
-    /// Records a resend. It must be stored before the message is handed to the decision module.
+    /// Records the start of a resend. The debt must be stored before the message is handed to the decision module.
     pub fn start_resend(&mut self, now: Micros) {
         (self.state, self.changed_at) = (State::InFlight, now);
         self.resends = self.resends.saturating_add(1);
     }
 
-    /// Records a resend that ended without delivery, with its attempts.
+    /// Records that a resend ended without delivery, and adds its attempts.
     pub fn resend_failed(&mut self, attempts: impl IntoIterator<Item = Attempt>, now: Micros) {
         for attempt in attempts {
             if attempt.outcome.may_have_run() {
@@ -290,7 +290,8 @@
     /// Applies a verdict on whether the message ran. Repeating the same verdict changes nothing.
     ///
     /// # Errors
-    /// When no attempt may have run, when the message is in flight or settled, or when the verdict is not signed.
+    /// When no attempt may have run, when the message is in flight or settled, when it has too many resolutions, or
+    /// when the author or the justification is empty.
     pub fn resolve(
         &mut self,
         verdict: Verdict,
--- a/crates/owed/src/lib.rs
+++ b/crates/owed/src/lib.rs
@@ -1,9 +1,8 @@
-//! Undeliverable messages: they are retained, open to inspection, and resent by the operator's rules.
+//! Undeliverable messages (debts): retains them, lists them for inspection, and resends them by the operator's rules.
 //!
-//! [`debt`] defines the data and [`rules`] the operator's rules and their checks. [`plan`] derives the next step of one
-//! message at one time from both, and [`pace`] limits how many are resent at once. None of them does I/O or reads a
-//! clock. [`store`] persists debts on disk. Every resend goes through the decision module: a debt that is due is handed
-//! to it as a message.
+//! [`debt`] defines the data, and [`rules`] the operator's rules and their checks. [`plan`] derives the next step of a
+//! debt from both, and [`pace`] limits the rate of resends. None of these modules does I/O or reads a clock. [`store`]
+//! persists debts on disk. The decision module makes all resends: a debt that is due is handed to it as a message.
 #![warn(missing_docs)]
 
 pub mod debt;
--- a/crates/owed/src/pace.rs
+++ b/crates/owed/src/pace.rs
@@ -1,12 +1,13 @@
-//! The pace of resends: they have a rate limit of their own, go only to healthy receivers, and yield to fresh messages.
+//! The pace of resends. Resends have a rate limit of their own, are sent only to healthy receivers, and wait while
+//! fresh messages are pending.
 
 use heronroute::Micros;
 use std::collections::BTreeMap;
 
-/// How many receivers are tracked: those with the latest calls. A receiver that is evicted counts as one without any
-/// call.
+/// The maximum number of receivers tracked. The receiver with the oldest call is evicted, and then counts as a receiver
+/// without any call.
 pub const MAX_RECEIVERS: usize = 10_000;
-/// How many resends may accumulate, in seconds of the rate. A pause must not be followed by a large burst.
+/// The burst limit, in seconds of the rate, so that a pause is not followed by a large burst of resends.
 const BURST_SECONDS: f64 = 1.0;
 /// The minimum time without a call after which a receiver whose last call failed may be tried again.
 const MIN_SILENCE_US: Micros = 10_000_000;
@@ -23,20 +24,20 @@
     fn refill(&mut self, now: Micros, rate: f64) {
         let span = (now - self.refilled_at).max(0) as f64 / 1e6;
         self.tokens = (self.tokens + span * rate).min((rate * BURST_SECONDS).max(1.0));
-        // A clock that was set back must not refill the same time twice.
+        // Prevents a clock that was set back from refilling the bucket twice for the same time.
         self.refilled_at = now.max(self.refilled_at);
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Receiver {
-    /// The time of the first success after the last failure, if the last call succeeded.
+    /// The time of the first successful call since the last failed call; `None` if the last call failed.
     healthy_since: Option<Micros>,
     last_call: Micros,
     bucket: Bucket,
 }
 
-/// Paces resends, from the results of calls to receivers.
+/// Decides when resends may be sent, based on the rate limit and the results of calls to receivers.
 #[derive(Clone, Debug)]
 pub struct Pacer {
     rate: f64,
@@ -69,9 +70,9 @@
     }
 
     /// Returns whether a receiver has been healthy for at least `healthy_for`. A receiver without any call, or without
-    /// one since its last failure, may be tried after the same time without calls; otherwise a receiver that gets no
-    /// fresh messages would never be tried. Each try restarts that time, so that debts are tried one by one and not all
-    /// at once.
+    /// a call since its last failure, may be tried after the same time without calls; otherwise a receiver that gets no
+    /// fresh messages would never be tried. Each resend to such a receiver restarts that time, so that its debts are
+    /// tried one by one and not all at once.
     pub fn is_healthy(&self, dest: i64, healthy_for: Micros, now: Micros) -> bool {
         match self.receivers.get(&dest) {
             Some(Receiver { healthy_since: Some(since), .. }) => now - since >= healthy_for,
@@ -80,10 +81,10 @@
         }
     }
 
-    /// Takes a token for one resend to a receiver. Returns whether there was one.
+    /// Takes a token for one resend to a receiver. Returns whether the resend may be sent now.
     ///
-    /// `fresh_pending` tells whether fresh messages for that receiver are pending: they go first. `others_due` tells
-    /// whether debts to other receivers are due: then no receiver gets more than its share of the rate.
+    /// `fresh_pending` means that fresh messages for the receiver are pending, which are sent first. `others_due` means
+    /// that debts to other receivers are due, so that this receiver is limited to its maximum share of the rate.
     pub fn try_take(&mut self, dest: i64, fresh_pending: bool, others_due: bool, now: Micros) -> bool {
         self.total.refill(now, self.rate);
         if fresh_pending || self.total.tokens < 1.0 {
--- a/crates/owed/src/plan.rs
+++ b/crates/owed/src/plan.rs
@@ -3,17 +3,17 @@
 //! | effect of the class | no attempt may have run | an attempt may have run |
 //! | --- | --- | --- |
 //! | safe to repeat | resend by the rule | resend by the rule |
-//! | keyed | resend by the rule | resend by the rule while the receiver remembers the key; then in doubt |
+//! | keyed | resend by the rule | resend by the rule while the receiver remembers the key; afterwards in doubt |
 //! | unsafe | resend by the rule | in doubt |
 //!
-//! Only a verdict ends the doubt, see [`Debt::resolve`].
+//! A message in doubt is not resent until an operator gives a verdict, see [`Debt::resolve`].
 
 use crate::debt::{Debt, Settled, State};
 use crate::rules::{ExpiryAction, Rule, Rules};
 use heronroute::{Effect, Micros};
 
-/// The part of the time for which a receiver remembers a key in which a repeat may still begin. A later repeat may
-/// arrive after the key is forgotten. The decision module has the same bound for its own repeats.
+/// A repeat may begin only within this share of the time for which a receiver remembers a key: a later repeat may
+/// arrive after the receiver has forgotten the key. The decision module has the same bound for its own repeats.
 const REPEAT_WINDOW_SHARE: f64 = 0.45;
 
 /// The settings of a message class that matter for resends.
@@ -23,48 +23,49 @@
     pub name: String,
     /// The effect of a second delivery.
     pub effect: Effect,
-    /// For a keyed class: how long a receiver remembers a key.
+    /// How long a receiver remembers a key, in a keyed class.
     pub window: Micros,
-    /// The time that a message has until its deadline. A resend has the same.
+    /// The time from the acceptance of a message to its deadline. A resend has the same time.
     pub deadline: Micros,
 }
 
 /// Why a debt is not resent unless something changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleReason {
-    /// No rule matches it any longer.
+    /// No rule matches the debt any longer.
     NoRule,
-    /// Its rule has no resends.
+    /// The matching rule has no resends.
     NotResent,
-    /// It has been resent as often as its rule allows.
+    /// The debt has been resent as often as the matching rule allows.
     ResendsUsedUp,
-    /// Its class is no longer in the settings, so the effect of a repeat is unknown.
+    /// The class of the debt is no longer in the settings, so the effect of a repeat is unknown.
     UnknownClass,
-    /// It is settled.
+    /// The debt is settled.
     Settled(Settled),
 }
 
 /// The next step of a debt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// None: the decision module is delivering it.
+    /// No step: the decision module is delivering the message.
     InFlight,
-    /// Wait for a verdict: it may have run and must not be sent again.
+    /// Wait for a verdict: the message may have run and must not be sent again.
     InDoubt,
-    /// Resend it.
+    /// Resend the message.
     Resend {
-        /// The earliest time.
+        /// The earliest time of the resend.
         at: Micros,
-        /// How long the receiver must have been healthy.
+        /// How long the receiver must have been healthy by then.
         healthy_for: Micros,
     },
-    /// None: it stays as it is.
+    /// No step: the debt is retained unchanged.
     Idle(IdleReason),
-    /// Settle it as expired.
+    /// Settle the debt as expired.
     Expired(ExpiryAction),
 }
 
-/// Returns the next step of a debt. If the clock was set back, times count from the latest time in the debt's history.
+/// Returns the next step of a debt at `now`, by the first rule that matches it. If the clock was set back, the wait for
+/// a resend is not extended, and a keyed message that may have run is in doubt.
 pub fn next_step(debt: &Debt, rules: &Rules, classes: &[ClassFacts], now: Micros) -> Step {
     match debt.state {
         State::InFlight => return Step::InFlight,
@@ -75,7 +76,7 @@
     if let Some(rule) = rule
         && rule.owed_for.is_some_and(|span| now >= debt.given_up_at.saturating_add(span))
     {
-        // Time does not end a doubt: the debt must still be there for whoever looks into it later.
+        // An expired debt in doubt is kept, so that an operator can still find out whether the message ran.
         let on_expiry = if in_doubt(debt, classes, now) { ExpiryAction::Keep } else { rule.on_expiry };
         return Step::Expired(on_expiry);
     }
@@ -93,8 +94,8 @@
     Step::Resend { at: resend_time(debt, rule, now), healthy_for: resend.healthy_for }
 }
 
-/// Returns when a rule resends a debt. If the clock was set back, the gap counts from now, because counting from the
-/// debt's times would extend the wait by as much.
+/// Returns when a rule resends a debt. If the clock was set back, the gap counts from `now`, because counting from the
+/// debt's times would lengthen the wait by the amount that the clock was set back.
 fn resend_time(debt: &Debt, rule: &Rule, now: Micros) -> Micros {
     let Some(resend) = &rule.resend else { return Micros::MAX };
     let set_back = now < debt.changed_at;
@@ -109,8 +110,7 @@
     let Some(first) = debt.may_have_run else { return false };
     match classes.iter().find(|c| c.name == debt.message.class) {
         Some(class) if class.effect == Effect::Safe => false,
-        // A clock that shows less than the latest known time was set back. It does not tell how long a key is
-        // remembered.
+        // If the clock was set back, it is unknown how long the receiver still remembers the key: the debt is in doubt.
         Some(class) if class.effect == Effect::Keyed => {
             let repeat_window = (class.window as f64 * REPEAT_WINDOW_SHARE) as Micros;
             now < debt.latest_time() || now >= first.saturating_add(repeat_window)
@@ -120,8 +120,8 @@
     }
 }
 
-/// Returns whether a newly accepted or delivered message supersedes a debt. It must have the same receiver, class and
-/// key, and this sender must have accepted it later, whatever the clock showed.
+/// Returns whether a newly accepted or delivered message supersedes a debt. The message must have the same receiver,
+/// class and key, and a higher `order`; the clock does not matter.
 pub fn is_superseded(debt: &Debt, rules: &Rules, dest: i64, class: &str, key: &str, order: u64) -> bool {
     let message = &debt.message;
     debt.state == State::Owed
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -1,7 +1,9 @@
-//! The operator's rules: which undeliverable messages are retained, and when each is resent. The first match applies.
+//! The operator's rules: which undeliverable messages are retained, and when each is resent. The first rule that
+//! matches a message applies to it.
 //!
-//! They are the section `[owed]` of the options file, in TOML. The complete section is checked, and every finding gives
-//! its position and a remedy. A rule that could break one of the sender's six rules is rejected with the reason.
+//! The rules are the section `[owed]` of the options file, in TOML. The complete section is checked, and every finding
+//! reports its position and a remedy. A rule that could break one of the sender's six rules is rejected with the
+//! reason.
 
 use crate::debt::{Debt, Reason};
 use crate::plan::ClassFacts;
@@ -13,7 +15,7 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The maximum number of rules. Each debt is compared with them one after the other.
+/// The maximum number of rules. Each debt is compared with the rules one after the other.
 pub const MAX_RULES: usize = 256;
 /// The longest time in a rule, ten years, so that sums of times can't overflow.
 const MAX_SPAN: Duration = Duration::from_secs(3650 * 24 * 3600);
@@ -28,7 +30,7 @@
     /// The rate of resends per second, to all receivers together.
     #[serde(default = "default_resends_per_s")]
     resends_per_s: Spanned<f64>,
-    /// The rules, in order.
+    /// The rules, in the order of the file.
     #[serde(default)]
     rule: Vec<Spanned<RawRule>>,
 }
@@ -83,40 +85,41 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ExpiryAction {
-    /// It is retained for inspection.
+    /// The debt is retained for inspection.
     #[default]
     Keep,
-    /// It is removed from the store.
+    /// The debt is removed from the store.
     Drop,
 }
 
-/// When a debt is resent.
+/// The settings of a rule for resends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resend {
-    /// How long the receiver must have been healthy.
+    /// How long the receiver must have been healthy before a resend, in microseconds.
     pub healthy_for: Micros,
-    /// The start and the end of the daily window, in minutes of the day, UTC. It spans midnight if the end is smaller.
+    /// The start and the end of the daily window for resends, in minutes of the day, UTC. If the end is smaller than
+    /// the start, the window spans midnight.
     pub window: Option<(u32, u32)>,
-    /// The minimum time since delivery was given up.
+    /// The minimum time between giving up delivery and a resend, in microseconds.
     pub not_before: Micros,
-    /// The maximum number of resends.
+    /// The maximum number of resends of a debt.
     pub times: u32,
     /// The gap before the second resend. Each further gap is longer by the factor `growth`, up to `max_gap`.
     pub gap: Micros,
-    /// The factor by which the gap grows.
+    /// The factor by which the gap grows with each resend.
     pub growth: f64,
-    /// The longest gap.
+    /// The maximum gap between two resends, in microseconds.
     pub max_gap: Micros,
 }
 
 impl Resend {
-    /// Returns the gap before the next resend, given the number of resends so far. There is none before the first.
+    /// Returns the gap before the next resend, given the number of resends so far. There is no gap before the first.
     pub fn gap_after(&self, resends: u32) -> Micros {
         let grown = self.gap as f64 * self.growth.powi(resends.saturating_sub(1).min(1000) as i32);
         if resends == 0 { 0 } else { grown.min(self.max_gap as f64) as Micros }
     }
 
-    /// Returns the first time in the daily window, not before `at`.
+    /// Returns the first time at or after `at` that is in the daily window.
     pub fn in_window(&self, at: Micros) -> Micros {
         const MINUTE: Micros = 60_000_000;
         let Some((from, until)) = self.window else { return at };
@@ -144,7 +147,7 @@
     pub keep: bool,
     /// When debts are resent; never if `None`.
     pub resend: Option<Resend>,
-    /// How long after being given up a debt expires; never if `None`.
+    /// How long after delivery was given up a debt expires; never if `None`.
     pub owed_for: Option<Micros>,
     /// What happens to a debt that expires.
     pub on_expiry: ExpiryAction,
@@ -168,26 +171,26 @@
     pub max_bytes: u64,
     /// The rate of resends per second, to all receivers together.
     pub resends_per_s: f64,
-    /// The rules, in order.
+    /// The checked rules, in the order of the file.
     pub rules: Vec<Rule>,
 }
 
-/// Rules that are rejected. None of them has taken effect.
+/// Why a section of rules is rejected. None of its rules has taken effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RulesError {
-    /// The text is not TOML, or not a section of this form.
+    /// The text is not TOML, or does not have the form of a section `[owed]`.
     #[error("{0}")]
     Unreadable(String),
-    /// All findings.
+    /// The section has these findings.
     #[error("{}", .0.iter().map(|f| f.message.as_str()).collect::<Vec<_>>().join("; "))]
     Invalid(Vec<Finding>),
 }
 
 impl Rules {
-    /// Parses and checks the text of a section on its own.
+    /// Parses and checks the text of a section, without the rest of the options file.
     ///
     /// # Errors
-    /// When it can't be parsed, or has any finding.
+    /// When the text can't be parsed, or has any finding.
     pub fn parse(text: &str, classes: &[ClassFacts]) -> Result<Rules, RulesError> {
         let section: Section = toml::from_str(text).map_err(|e| RulesError::Unreadable(e.to_string()))?;
         section.check(classes).map_err(RulesError::Invalid)
@@ -198,7 +201,7 @@
         self.rules.iter().find(|r| r.matches(dest, class, reason))
     }
 
-    /// Returns the receivers named in any rule. The same rules apply to all others.
+    /// Returns the receivers named in any rule. The same rules apply to all other receivers.
     pub fn named_receivers(&self) -> BTreeSet<i64> {
         self.rules.iter().filter_map(|r| r.receivers.as_ref()).flatten().copied().collect()
     }
@@ -208,7 +211,7 @@
         self.rule_for(debt.message.dest, &debt.message.class, debt.reason)
     }
 
-    /// Returns whether a message given up for this reason is retained. It is not if no rule matches.
+    /// Returns whether a message given up for this reason is retained. A message that no rule matches is not retained.
     pub fn keeps(&self, dest: i64, class: &str, reason: Reason) -> bool {
         self.rule_for(dest, class, reason).is_some_and(|rule| rule.keep)
     }
@@ -228,7 +231,7 @@
     fn span(&mut self, place: &Range<usize>, name: &str, span: Option<Duration>, default: Micros) -> Micros {
         let Some(span) = span else { return default };
         if span > MAX_SPAN {
-            self.report(place.clone(), format!("'{name}' must be at most ten years"));
+            self.report(place.clone(), format!("'{name}' must be at most ten years, got {span:?}"));
         }
         span.min(MAX_SPAN).as_micros() as Micros
     }
@@ -269,11 +272,11 @@
             if !names.insert(rule.name.clone()) {
                 check.report(raw.span(), format!("two rules are named '{}': rename one of them", rule.name));
             }
-            // A rule is never reached if an earlier one matches everything that it does.
+            // A rule never applies if an earlier rule matches every message that it matches.
             if let Some(earlier) = rules.iter().find(|earlier| covers(earlier, &rule)) {
                 let message = format!(
-                    "this rule never applies: rule '{}' before it matches all that it does. Move this rule before it, or \
-                     remove it",
+                    "this rule never applies: rule '{}' before it matches every message that this rule matches. Move this \
+                     rule before that one, or remove it",
                     earlier.name
                 );
                 check.report(raw.span(), message);
@@ -289,7 +292,7 @@
     }
 }
 
-/// Returns whether `earlier` matches everything that `later` does.
+/// Returns whether `earlier` matches every message that `later` matches.
 fn covers(earlier: &Rule, later: &Rule) -> bool {
     fn all<T: Ord>(earlier: &Option<BTreeSet<T>>, later: &Option<BTreeSet<T>>) -> bool {
         match (earlier, later) {
@@ -336,11 +339,14 @@
         {
             self.report(
                 place.clone(),
-                "'keep = false' stands alone: remove 'resend', 'owed_for', 'then' and 'supersede'",
+                "'keep = false' can't be combined with other settings: remove 'resend', 'owed_for', 'then' and 'supersede'",
             );
         }
         if raw.then.is_some() && raw.owed_for.is_none() {
-            self.report(place.clone(), "'then' applies when 'owed_for' has passed: set that too");
+            self.report(
+                place.clone(),
+                "'then' has no effect without 'owed_for': set 'owed_for' too, or remove 'then'",
+            );
         }
         let resend = raw.resend.as_ref().map(|r| self.resend(r));
         let classes = self.classes;
@@ -350,15 +356,15 @@
             && let Some(class) = matched_classes().find(|c| c.effect != Effect::Safe)
         {
             let message = format!(
-                "'supersede' drops a message for a newer one, but class '{}' does not overwrite: each of its messages \
-                 has an effect of its own. List only classes that are safe to repeat",
+                "'supersede' drops a message for a newer one, but class '{}' does not overwrite earlier messages: each \
+                 message has an effect of its own. List only classes that are safe to repeat",
                 class.name
             );
             self.report(place.clone(), message);
         }
-        // An operator who lists 'may-have-run' expects such messages to be resent, which could give a second effect:
-        // the second of the six rules forbids it. A rule without a list of reasons is accepted, and `plan` does not
-        // resend messages in doubt.
+        // An operator who lists 'may-have-run' expects such messages to be resent. A resend could have a second effect,
+        // which the second of the sender's six rules forbids. A rule without a list of reasons is accepted, because
+        // `plan` does not resend messages in doubt.
         let lists_doubt = raw.reason.as_ref().is_some_and(|r| r.contains(&Reason::MayHaveRun));
         if let (true, Some(resend), Some(raw_resend)) = (lists_doubt, &resend, &raw.resend) {
             for class in matched_classes() {
@@ -385,7 +391,7 @@
         {
             self.report(
                 place.clone(),
-                "'not_before' is not shorter than 'owed_for': the message would never be sent again",
+                "'not_before' is not shorter than 'owed_for', so the message would never be sent again: shorten 'not_before'",
             );
         }
         Rule {
@@ -420,7 +426,7 @@
         let gap = self.span(&place, "gap", Some(raw.gap), 0);
         let max_gap = self.span(&place, "gap_most", raw.gap_most, gap.max(24 * 3_600_000_000));
         if max_gap < gap {
-            self.report(place.clone(), "'gap_most' is shorter than 'gap'");
+            self.report(place.clone(), "'gap_most' is shorter than 'gap': raise it, or leave it out");
         }
         let window = raw.window.as_ref().and_then(|w| {
             let parsed = parse_window(w.get_ref());
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -2,8 +2,8 @@
 //!
 //! | table | key | value |
 //! | --- | --- | --- |
-//! | `debts` | number | [`Debt`] without its body, and its due time, encoded with postcard |
-//! | `bodies` | number | the body |
+//! | `debts` | number | the [`Debt`] without its body, and its due time, encoded with postcard |
+//! | `bodies` | number | the body of the message |
 //! | `requests` | request id | number; a message is owed only once |
 //! | `due` | time, number | none; the order in which debts are due |
 //! | `facets` | receiver, class, reason, number | none; the index for lists |
@@ -31,27 +31,27 @@
 
 /// The version of the stored format. A file with a later version is rejected rather than misread.
 const FORMAT_VERSION: u64 = 1;
-/// The bytes that a debt takes in addition to its own, over all tables: keys and its share of the pages.
+/// The bytes booked for a debt in addition to its row and body: its keys in all tables, and page overhead.
 const ENTRY_OVERHEAD_BYTES: u64 = 256;
-/// The maximum ratio of the file size to the live bytes: until a commit old pages coexist with new ones, and pages are
+/// The maximum ratio of the file size to the live bytes: until a commit, old pages coexist with new ones, and pages are
 /// only partly filled.
 const FILE_SIZE_FACTOR: u64 = 2;
 /// The size of an empty file.
 const EMPTY_FILE_BYTES: u64 = 1 << 20;
-/// The size of the page cache: what a daemon on 32 MB of memory can spare.
+/// The size of the page cache. It is small enough for a daemon that runs in 32 MB of memory.
 const CACHE_BYTES: usize = 1 << 20;
 
-/// Why an operation of the store failed. Nothing has changed then.
+/// Why an operation of the store failed. A failed operation changes nothing.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// There is no room for a new debt.
+    /// The store has no room for a new debt.
     #[error(
         "the store of owed messages is full: {live} of {max} bytes in use; raise 'max_mb', or settle some debts"
     )]
     Full {
-        /// The live bytes.
+        /// The number of live bytes.
         live: u64,
-        /// The maximum of live bytes, which follows from the operator's limit on the file.
+        /// The maximum number of live bytes, derived from the operator's limit on the file size.
         max: u64,
     },
     /// The file was written by a later release.
@@ -60,18 +60,18 @@
          start the release that wrote it"
     )]
     Version {
-        /// The version of the file.
+        /// The format version of the file.
         found: u64,
     },
-    /// A debt can't be read. Others still can.
+    /// A stored debt can't be read. Other debts still can be.
     #[error("owed message {number} can't be read: {cause}")]
     Damaged {
         /// The number of the debt.
         number: u64,
-        /// The cause.
+        /// The cause, as reported by the decoder.
         cause: String,
     },
-    /// There is no such debt.
+    /// No debt has this number.
     #[error("no message is owed under number {number}")]
     Unknown {
         /// The requested number.
@@ -91,7 +91,7 @@
 #[derive(Serialize, Deserialize)]
 struct Row {
     debt: Debt,
-    /// When the debt is due to be examined next.
+    /// The time at which the plan of the debt is due to be checked next; `None` if never.
     due: Option<Micros>,
 }
 
@@ -128,22 +128,22 @@
 pub struct DebtList {
     /// The debts, without bodies.
     pub debts: Vec<(DebtId, Debt)>,
-    /// The errors of debts that can't be read.
+    /// The errors for the stored debts that can't be read.
     pub damaged: Vec<StoreError>,
 }
 
 /// The number of debts with the same receiver, class, reason and state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Count {
-    /// The receiver.
+    /// The number of the receiver.
     pub receiver: i64,
-    /// The class.
+    /// The name of the message class.
     pub class: String,
-    /// The reason.
+    /// The reason why delivery was given up.
     pub reason: Reason,
-    /// The state: `owed`, `out` (in flight) or `settled`.
+    /// The state of the debts: `owed`, `out` (in flight) or `settled`.
     pub state: &'static str,
-    /// The number of debts.
+    /// The number of debts with these properties.
     pub debts: u64,
 }
 
@@ -183,9 +183,9 @@
 }
 
 /// Adds a debt to the counts or removes it from them.
-fn adjust_count(w: &WriteTransaction, debt: &Debt, add: bool) -> Result<(), StoreError> {
+fn adjust_count(transaction: &WriteTransaction, debt: &Debt, add: bool) -> Result<(), StoreError> {
     let (dest, class, reason) = facets_of(debt);
-    let mut counts = w.open_table(COUNTS)?;
+    let mut counts = transaction.open_table(COUNTS)?;
     let key = (dest, class, reason, state_index(debt));
     let n = counts.get(key)?.map_or(0, |n| n.value());
     match if add { n + 1 } else { n.saturating_sub(1) } {
@@ -195,17 +195,17 @@
     Ok(())
 }
 
-/// Creates all tables, so that reading need not handle a missing one.
+/// Creates all tables, so that read transactions need not handle missing tables.
 fn create_tables(db: &Database) -> Result<(), StoreError> {
-    let w = db.begin_write()?;
-    w.open_table(META)?.insert("version", FORMAT_VERSION)?;
-    w.open_table(DEBTS)?;
-    w.open_table(BODIES)?;
-    w.open_table(REQUESTS)?;
-    w.open_table(DUE)?;
-    w.open_table(FACETS)?;
-    w.open_table(COUNTS)?;
-    w.commit()?;
+    let transaction = db.begin_write()?;
+    transaction.open_table(META)?.insert("version", FORMAT_VERSION)?;
+    transaction.open_table(DEBTS)?;
+    transaction.open_table(BODIES)?;
+    transaction.open_table(REQUESTS)?;
+    transaction.open_table(DUE)?;
+    transaction.open_table(FACETS)?;
+    transaction.open_table(COUNTS)?;
+    transaction.commit()?;
     Ok(())
 }
 
@@ -229,7 +229,7 @@
         Store::from_database(builder().create(path)?, max_bytes)
     }
 
-    /// Opens or creates the store on another storage backend. Tests use one that fails on command.
+    /// Opens or creates the store on another storage backend. Tests use a backend that fails on command.
     ///
     /// # Errors
     /// As for [`Store::open`].
@@ -237,7 +237,7 @@
         Store::from_database(builder().create_with_backend(backend)?, max_bytes)
     }
 
-    /// Opens a database. An existing one is only read, since writing would cost a sync.
+    /// Opens a database. An existing database is only read, because a write would cost a sync.
     fn from_database(db: Database, max_bytes: u64) -> Result<Store, StoreError> {
         match db.begin_read()?.open_table(META) {
             Ok(meta) => match meta.get("version")?.map_or(FORMAT_VERSION, |v| v.value()) {
@@ -250,104 +250,104 @@
         Ok(Store { db, max_live_bytes: max_bytes.saturating_sub(EMPTY_FILE_BYTES) / FILE_SIZE_FACTOR })
     }
 
-    /// Stores the debt of a message; it is synced when this returns. A message that is already owed is left unchanged:
-    /// a transfer into the store that was interrupted is repeated at the next start.
+    /// Stores the debt of a message and syncs it to disk. A message that is already owed is left unchanged, because an
+    /// interrupted transfer into the store is repeated at the next start.
     ///
     /// # Errors
-    /// When there is no room, or the disk fails: then the message is not owed.
+    /// When there is no room, or the disk fails. The message is not stored then.
     pub fn insert(&self, debt: &Debt, due: Option<Micros>) -> Result<Inserted, StoreError> {
-        let w = self.db.begin_write()?;
-        let inserted = self.insert_in(&w, debt, due)?;
-        w.commit()?;
+        let transaction = self.db.begin_write()?;
+        let inserted = self.insert_in(&transaction, debt, due)?;
+        transaction.commit()?;
         Ok(inserted)
     }
 
-    /// Stores many debts in one transaction with one sync, and returns the result of each in the same order. A debt for
-    /// which there is no room does not prevent the others.
+    /// Stores many debts in one transaction with one sync, and returns the result of each in the same order. If there
+    /// is no room for one of them, the others are still stored.
     ///
     /// # Errors
-    /// When the disk fails: then none of the messages is owed.
+    /// When the disk fails. None of the debts is stored then.
     pub fn insert_all<'a>(
         &self,
         debts: impl IntoIterator<Item = (&'a Debt, Option<Micros>)>,
     ) -> Result<Vec<Result<Inserted, StoreError>>, StoreError> {
-        let w = self.db.begin_write()?;
+        let transaction = self.db.begin_write()?;
         let mut results = Vec::new();
         for (debt, due) in debts {
-            match self.insert_in(&w, debt, due) {
+            match self.insert_in(&transaction, debt, due) {
                 Err(e @ StoreError::Full { .. }) => results.push(Err(e)),
                 other => results.push(Ok(other?)),
             }
         }
-        w.commit()?;
+        transaction.commit()?;
         Ok(results)
     }
 
-    /// Inserts a debt within a transaction. The room is checked first, so that a debt that finds none leaves no trace.
+    /// Inserts a debt within a transaction. The room is checked first, so a rejected debt leaves no partial entry.
     fn insert_in(
         &self,
-        w: &WriteTransaction,
+        transaction: &WriteTransaction,
         debt: &Debt,
         due: Option<Micros>,
     ) -> Result<Inserted, StoreError> {
         let request = debt.message.request_id.as_str();
-        if let Some(number) = w.open_table(REQUESTS)?.get(request)?.map(|n| n.value()) {
+        if let Some(number) = transaction.open_table(REQUESTS)?.get(request)?.map(|n| n.value()) {
             return Ok(Inserted::Existing(DebtId(number)));
         }
-        let number = w.open_table(META)?.get("next")?.map_or(1, |n| n.value());
-        self.put(w, number, debt, due, None)?;
-        w.open_table(META)?.insert("next", number + 1)?;
-        w.open_table(REQUESTS)?.insert(request, number)?;
-        w.open_table(BODIES)?.insert(number, debt.message.body.as_ref())?;
+        let number = transaction.open_table(META)?.get("next")?.map_or(1, |n| n.value());
+        self.put(transaction, number, debt, due, None)?;
+        transaction.open_table(META)?.insert("next", number + 1)?;
+        transaction.open_table(REQUESTS)?.insert(request, number)?;
+        transaction.open_table(BODIES)?.insert(number, debt.message.body.as_ref())?;
         let (dest, class, reason) = facets_of(debt);
-        w.open_table(FACETS)?.insert((dest, class, reason, number), ())?;
+        transaction.open_table(FACETS)?.insert((dest, class, reason, number), ())?;
         Ok(Inserted::New(DebtId(number)))
     }
 
-    /// Replaces a stored debt; it is synced when this returns. Receiver, class, reason and body must not change.
+    /// Replaces a stored debt and syncs it to disk. The receiver, class, reason and body must not change.
     ///
     /// # Errors
-    /// When there is no such debt, or the disk fails: then it is unchanged.
+    /// When there is no such debt, or the disk fails. The stored debt is unchanged then.
     pub fn update(&self, id: DebtId, debt: &Debt, due: Option<Micros>) -> Result<(), StoreError> {
-        let w = self.db.begin_write()?;
-        let before = self.row(&w, id.0)?;
-        self.put(&w, id.0, debt, due, Some(before))?;
-        w.commit()?;
+        let transaction = self.db.begin_write()?;
+        let before = self.row(&transaction, id.0)?;
+        self.put(&transaction, id.0, debt, due, Some(before))?;
+        transaction.commit()?;
         Ok(())
     }
 
-    /// Removes a debt.
+    /// Removes a debt and its index entries.
     ///
     /// # Errors
-    /// When there is no such debt, or the disk fails: then it is unchanged.
+    /// When there is no such debt, or the disk fails. The stored debt is unchanged then.
     pub fn remove(&self, id: DebtId) -> Result<(), StoreError> {
-        let w = self.db.begin_write()?;
-        let StoredRow { row, length } = self.row(&w, id.0)?;
-        w.open_table(DEBTS)?.remove(id.0)?;
-        let body = w.open_table(BODIES)?.remove(id.0)?.map_or(0, |b| b.value().len() as u64);
-        w.open_table(REQUESTS)?.remove(row.debt.message.request_id.as_str())?;
+        let transaction = self.db.begin_write()?;
+        let StoredRow { row, length } = self.row(&transaction, id.0)?;
+        transaction.open_table(DEBTS)?.remove(id.0)?;
+        let body = transaction.open_table(BODIES)?.remove(id.0)?.map_or(0, |b| b.value().len() as u64);
+        transaction.open_table(REQUESTS)?.remove(row.debt.message.request_id.as_str())?;
         let (dest, class, reason) = facets_of(&row.debt);
-        w.open_table(FACETS)?.remove((dest, class, reason, id.0))?;
+        transaction.open_table(FACETS)?.remove((dest, class, reason, id.0))?;
         if let Some(due) = row.due {
-            w.open_table(DUE)?.remove((due, id.0))?;
+            transaction.open_table(DUE)?.remove((due, id.0))?;
         }
-        adjust_count(&w, &row.debt, false)?;
-        self.book_bytes(&w, length + body + ENTRY_OVERHEAD_BYTES, 0)?;
-        w.commit()?;
+        adjust_count(&transaction, &row.debt, false)?;
+        self.book_bytes(&transaction, length + body + ENTRY_OVERHEAD_BYTES, 0)?;
+        transaction.commit()?;
         Ok(())
     }
 
-    fn row(&self, w: &WriteTransaction, number: u64) -> Result<StoredRow, StoreError> {
-        let debts = w.open_table(DEBTS)?;
+    fn row(&self, transaction: &WriteTransaction, number: u64) -> Result<StoredRow, StoreError> {
+        let debts = transaction.open_table(DEBTS)?;
         let bytes = debts.get(number)?.ok_or(StoreError::Unknown { number })?;
         let bytes = bytes.value();
         Ok(StoredRow { row: decode_row(number, bytes)?, length: bytes.len() as u64 })
     }
 
-    /// Replaces `before` by `after` in the count of live bytes. Only a new entry is checked against the limit;
-    /// otherwise nothing in a full store could be settled.
-    fn book_bytes(&self, w: &WriteTransaction, before: u64, after: u64) -> Result<(), StoreError> {
-        let mut meta = w.open_table(META)?;
+    /// Replaces `before` by `after` in the count of live bytes. Only new entries (`before` is 0) are checked against
+    /// the limit, so that debts in a full store can still be updated and settled.
+    fn book_bytes(&self, transaction: &WriteTransaction, before: u64, after: u64) -> Result<(), StoreError> {
+        let mut meta = transaction.open_table(META)?;
         let live = meta.get("live")?.map_or(0, |n| n.value());
         let now = live.saturating_sub(before) + after;
         if before == 0 && now > self.max_live_bytes {
@@ -359,7 +359,7 @@
 
     fn put(
         &self,
-        w: &WriteTransaction,
+        transaction: &WriteTransaction,
         number: u64,
         debt: &Debt,
         due: Option<Micros>,
@@ -370,22 +370,26 @@
         let bytes = postcard::to_stdvec(&row).map_err(damaged(number))?;
         let length = bytes.len() as u64;
         match &before {
-            // The bytes booked for the body stay, because the debt may have been read without its body.
-            Some(before) => self.book_bytes(w, before.length, length)?,
-            None => self.book_bytes(w, 0, length + debt.message.body.len() as u64 + ENTRY_OVERHEAD_BYTES)?,
+            // The bytes booked for the body are unchanged: the caller may have read the debt without its body.
+            Some(before) => self.book_bytes(transaction, before.length, length)?,
+            None => self.book_bytes(
+                transaction,
+                0,
+                length + debt.message.body.len() as u64 + ENTRY_OVERHEAD_BYTES,
+            )?,
         }
-        let mut dues = w.open_table(DUE)?;
+        let mut dues = transaction.open_table(DUE)?;
         if let Some(StoredRow { row: before, .. }) = &before {
-            adjust_count(w, &before.debt, false)?;
+            adjust_count(transaction, &before.debt, false)?;
             if let Some(due) = before.due {
                 dues.remove((due, number))?;
             }
         }
-        adjust_count(w, &row.debt, true)?;
+        adjust_count(transaction, &row.debt, true)?;
         if let Some(due) = due {
             dues.insert((due, number), ())?;
         }
-        w.open_table(DEBTS)?.insert(number, bytes.as_slice())?;
+        transaction.open_table(DEBTS)?.insert(number, bytes.as_slice())?;
         Ok(())
     }
 
@@ -487,7 +491,7 @@
         Ok(list)
     }
 
-    /// Returns the live bytes and their maximum.
+    /// Returns the number of live bytes and its maximum.
     ///
     /// # Errors
     /// When the disk fails.
--- a/crates/owed/tests/common/mod.rs
+++ b/crates/owed/tests/common/mod.rs
@@ -44,7 +44,7 @@
     Debt::new(message("m1", class, 3), attempts, reason, 20 * S)
 }
 
-/// The contents of a disk, and the writes that are not synced yet.
+/// The contents of a simulated disk, and the writes that are not synced yet.
 #[derive(Debug, Default)]
 pub struct Disk {
     synced: Vec<u8>,
@@ -52,14 +52,14 @@
     pending: Vec<(u64, Vec<u8>)>,
     ops: u64,
     /// After this number of writes, syncs and length changes, every operation fails.
-    pub dies_at: Option<u64>,
+    pub fails_after_ops: Option<u64>,
 }
 
-/// A handle on a disk; clones share it.
+/// A handle on a simulated disk. Its clones share the disk.
 #[derive(Clone, Debug, Default)]
-pub struct Faulty(pub Arc<Mutex<Disk>>);
+pub struct FaultyDisk(pub Arc<Mutex<Disk>>);
 
-impl Faulty {
+impl FaultyDisk {
     pub fn disk(&self) -> MutexGuard<'_, Disk> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -68,16 +68,16 @@
         self.disk().ops
     }
 
-    /// Returns the disk as it is after the process was killed: with everything that was written.
-    pub fn after_kill(&self) -> Faulty {
+    /// Returns the disk after the process was killed: with all writes, synced or not.
+    pub fn after_kill(&self) -> FaultyDisk {
         let disk = self.disk();
         let (synced, written) = (disk.written.clone(), disk.written.clone());
-        Faulty(Arc::new(Mutex::new(Disk { synced, written, ..Disk::default() })))
+        FaultyDisk(Arc::new(Mutex::new(Disk { synced, written, ..Disk::default() })))
     }
 
-    /// Returns the disk as it is after a power failure: with everything that was synced, and those of the other writes
-    /// that the bits of the seed select.
-    pub fn after_power_failure(&self, seed: u64) -> Faulty {
+    /// Returns the disk after a power failure: with all synced writes, and with those other writes that the bits of the
+    /// seed select.
+    pub fn after_power_failure(&self, seed: u64) -> FaultyDisk {
         let disk = self.disk();
         let mut bytes = disk.synced.clone();
         bytes.resize(bytes.len().max(disk.written.len()), 0);
@@ -86,7 +86,7 @@
                 bytes[*at as usize..*at as usize + data.len()].copy_from_slice(data);
             }
         }
-        Faulty(Arc::new(Mutex::new(Disk { synced: bytes.clone(), written: bytes, ..Disk::default() })))
+        FaultyDisk(Arc::new(Mutex::new(Disk { synced: bytes.clone(), written: bytes, ..Disk::default() })))
     }
 
     pub fn len(&self) -> u64 {
@@ -97,14 +97,14 @@
 impl Disk {
     fn count_op(&mut self) -> io::Result<()> {
         self.ops += 1;
-        match self.dies_at {
-            Some(at) if self.ops > at => Err(io::Error::other("the disk has died")),
+        match self.fails_after_ops {
+            Some(at) if self.ops > at => Err(io::Error::other("simulated disk failure")),
             _ => Ok(()),
         }
     }
 }
 
-impl StorageBackend for Faulty {
+impl StorageBackend for FaultyDisk {
     fn len(&self) -> io::Result<u64> {
         Ok(self.disk().written.len() as u64)
     }
@@ -126,7 +126,7 @@
         let len = disk.written.len();
         disk.synced.resize(len, 0);
         for (at, data) in std::mem::take(&mut disk.pending) {
-            // Skips writes beyond the length to which the file was truncated since.
+            // Skips a write that is beyond the end of the file, which was truncated after the write.
             if let Some(place) = disk.synced.get_mut(at as usize..at as usize + data.len()) {
                 place.copy_from_slice(&data);
             }
--- a/crates/owed/tests/plan.rs
+++ b/crates/owed/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The next step of a debt. An unsafe message never has a second effect, in any order of events.
+//! Tests of the next step of a debt. An unsafe message never has a second effect, in any order of events.
 
 mod common;
 use common::*;
@@ -36,7 +36,7 @@
             Step::InDoubt,
             "{outcome:?}"
         );
-        // The key is remembered for 10 s from the first attempt that may have run, at 2 s.
+        // The receiver remembers the key for 10 s from the first attempt that may have run, which was at 2 s.
         assert_eq!(
             next_step(&debt("response", &outcomes), &rules, &classes, 20 * S),
             Step::InDoubt,
@@ -44,9 +44,9 @@
         );
     }
     let fresh = |now| {
-        let mut d = debt("response", &[NoConnection, Reset]);
-        (d.given_up_at, d.changed_at) = (3 * S, 3 * S);
-        in_doubt(&d, &classes, now)
+        let mut owed = debt("response", &[NoConnection, Reset]);
+        (owed.given_up_at, owed.changed_at) = (3 * S, 3 * S);
+        in_doubt(&owed, &classes, now)
     };
     assert!(!fresh(3 * S) && !fresh(6 * S + S / 2 - 1) && fresh(6 * S + S / 2));
     assert!(fresh(2 * S), "a clock that was set back does not tell how long a key is remembered");
@@ -63,32 +63,35 @@
 #[test]
 fn a_verdict_ends_the_doubt_and_is_retained_with_its_author_and_justification() {
     let (rules, classes) = (rules(ALL), classes());
-    let mut d = debt("payout", &[AttemptOutcome::TimedOut]);
-    assert_eq!(d.resolve(Verdict::NeverRan, " ", "checked", 30 * S), Err(debt::ResolveError::Unsigned));
-    assert_eq!(d.resolve(Verdict::NeverRan, "ops", "their ledger has none", 30 * S), Ok(()));
-    assert!(matches!(next_step(&d, &rules, &classes, 30 * S), Step::Resend { .. }));
+    let mut owed = debt("payout", &[AttemptOutcome::TimedOut]);
+    assert_eq!(owed.resolve(Verdict::NeverRan, " ", "checked", 30 * S), Err(debt::ResolveError::Unsigned));
+    assert_eq!(owed.resolve(Verdict::NeverRan, "ops", "their ledger has none", 30 * S), Ok(()));
+    assert!(matches!(next_step(&owed, &rules, &classes, 30 * S), Step::Resend { .. }));
     assert_eq!(
-        d.resolve(Verdict::NeverRan, "ops", "said twice", 31 * S),
+        owed.resolve(Verdict::NeverRan, "ops", "said twice", 31 * S),
         Ok(()),
         "repeating the same verdict changes nothing"
     );
-    assert_eq!(d.resolutions.len(), 1);
+    assert_eq!(owed.resolutions.len(), 1);
     assert_eq!(
-        (d.resolutions[0].author.as_str(), d.resolutions[0].justification.as_str()),
+        (owed.resolutions[0].author.as_str(), owed.resolutions[0].justification.as_str()),
         ("ops", "their ledger has none")
     );
-    d.start_resend(60 * S);
-    assert_eq!(d.resolve(Verdict::NeverRan, "ops", "meanwhile", 61 * S), Err(debt::ResolveError::InFlight));
-    d.resend_failed([attempt(60 * S, AttemptOutcome::Reset)], 62 * S);
+    owed.start_resend(60 * S);
     assert_eq!(
-        next_step(&d, &rules, &classes, 99 * S),
+        owed.resolve(Verdict::NeverRan, "ops", "meanwhile", 61 * S),
+        Err(debt::ResolveError::InFlight)
+    );
+    owed.resend_failed([attempt(60 * S, AttemptOutcome::Reset)], 62 * S);
+    assert_eq!(
+        next_step(&owed, &rules, &classes, 99 * S),
         Step::InDoubt,
         "a resend that may have run puts the message in doubt again"
     );
-    assert_eq!(d.resolve(Verdict::Ran, "ops", "their ledger has it", 99 * S), Ok(()));
-    assert_eq!(next_step(&d, &rules, &classes, 999 * S), Step::Idle(IdleReason::Settled(Settled::Ran)));
-    assert_eq!(d.resolve(Verdict::Ran, "ops", "again", 99 * S), Ok(()));
-    let late = d.resolve(Verdict::NeverRan, "ops", "no, it has not", 99 * S);
+    assert_eq!(owed.resolve(Verdict::Ran, "ops", "their ledger has it", 99 * S), Ok(()));
+    assert_eq!(next_step(&owed, &rules, &classes, 999 * S), Step::Idle(IdleReason::Settled(Settled::Ran)));
+    assert_eq!(owed.resolve(Verdict::Ran, "ops", "again", 99 * S), Ok(()));
+    let late = owed.resolve(Verdict::NeverRan, "ops", "no, it has not", 99 * S);
     assert_eq!(
         late,
         Err(debt::ResolveError::Settled(Settled::Ran)),
@@ -100,18 +103,18 @@
 #[test]
 fn gaps_limits_and_expiry_hold_also_with_a_clock_set_back() {
     let (rules, classes) = (rules(&format!("{ALL}\nowed_for = \"1h\"\nthen = \"drop\"")), classes());
-    let mut d = debt("quota", &[AttemptOutcome::NoConnection]);
+    let mut owed = debt("quota", &[AttemptOutcome::NoConnection]);
     for n in 0..3 {
-        let Step::Resend { at, .. } = next_step(&d, &rules, &classes, d.changed_at) else {
+        let Step::Resend { at, .. } = next_step(&owed, &rules, &classes, owed.changed_at) else {
             panic!("resend {n}")
         };
-        assert_eq!(at, if n == 0 { 50 * S } else { d.changed_at + 10 * S });
-        d.start_resend(at);
-        assert_eq!(next_step(&d, &rules, &classes, at), Step::InFlight);
-        d.resend_failed([attempt(at, AttemptOutcome::NoConnection)], at + S);
+        assert_eq!(at, if n == 0 { 50 * S } else { owed.changed_at + 10 * S });
+        owed.start_resend(at);
+        assert_eq!(next_step(&owed, &rules, &classes, at), Step::InFlight);
+        owed.resend_failed([attempt(at, AttemptOutcome::NoConnection)], at + S);
     }
-    assert_eq!(next_step(&d, &rules, &classes, 3600 * S), Step::Idle(IdleReason::ResendsUsedUp));
-    assert_eq!(next_step(&d, &rules, &classes, 3620 * S), Step::Expired(ExpiryAction::Drop));
+    assert_eq!(next_step(&owed, &rules, &classes, 3600 * S), Step::Idle(IdleReason::ResendsUsedUp));
+    assert_eq!(next_step(&owed, &rules, &classes, 3620 * S), Step::Expired(ExpiryAction::Drop));
     let doubt = debt("payout", &[AttemptOutcome::Reset]);
     assert_eq!(
         next_step(&doubt, &rules, &classes, 3620 * S),
@@ -119,24 +122,27 @@
         "a rule never drops a message in doubt"
     );
     // The clock is set back by an hour: the gap counts from now, not from an hour ahead.
-    let mut d = debt("quota", &[AttemptOutcome::NoConnection]);
-    (d.given_up_at, d.changed_at, d.resends) = (7200 * S, 7200 * S, 1);
-    assert_eq!(next_step(&d, &rules, &classes, 3600 * S), Step::Resend { at: 3610 * S, healthy_for: 5 * S });
-    assert!(explain(&d, &rules, &classes, 3600 * S).contains("in 10 s at the earliest"));
+    let mut owed = debt("quota", &[AttemptOutcome::NoConnection]);
+    (owed.given_up_at, owed.changed_at, owed.resends) = (7200 * S, 7200 * S, 1);
+    assert_eq!(
+        next_step(&owed, &rules, &classes, 3600 * S),
+        Step::Resend { at: 3610 * S, healthy_for: 5 * S }
+    );
+    assert!(explain(&owed, &rules, &classes, 3600 * S).contains("in 10 s at the earliest"));
 }
 
 #[test]
 fn a_newer_message_of_an_overwriting_class_supersedes_a_debt() {
     let rules = rules("[[rule]]\nclass = [\"quota\"]\nsupersede = true\n[[rule]]");
-    let d = debt("quota", &[]);
-    let by = |dest, class: &str, key: &str, order| is_superseded(&d, &rules, dest, class, key, order);
+    let owed = debt("quota", &[]);
+    let by = |dest, class: &str, key: &str, order| is_superseded(&owed, &rules, dest, class, key, order);
     assert!(by(3, "quota", "survey-7", 2));
     assert!(
         !by(4, "quota", "survey-7", 2) && !by(3, "payout", "survey-7", 2) && !by(3, "quota", "survey-8", 2)
     );
-    // The order of acceptance counts, because the clock may have been set back between the two messages.
+    // The order of acceptance decides, because the clock may have been set back between the two messages.
     assert!(!by(3, "quota", "survey-7", 1), "the message itself, or an older one that was delivered late");
-    let mut in_flight = d.clone();
+    let mut in_flight = owed.clone();
     in_flight.start_resend(30 * S);
     assert!(
         !is_superseded(&in_flight, &rules, 3, "quota", "survey-7", 2),
@@ -153,9 +159,9 @@
 enum Act {
     Wait(Micros),
     Send,
-    /// The resend in flight ends with this outcome; whether the receiver executes it.
+    /// The resend in flight ends with this outcome; the flag tells whether the receiver executes the message.
     End(AttemptOutcome, bool),
-    /// The process dies; whether the receiver executes the resend in flight.
+    /// The sender's process dies; the flag tells whether the receiver executes the resend in flight.
     Crash(bool),
     Rules(usize),
     /// An operator gives the verdict that the receiver's ledger shows.
@@ -189,8 +195,8 @@
             rules("[[rule]]\nresend = { times = 99, gap = \"1s\" }"),
             rules("[[rule]]\nreceiver = [9]"),
         ];
-        let (mut set, mut now, mut d) = (0, 20 * S, debt(&name, &[]));
-        // The receiver's ledger, on its own correct clock.
+        let (mut set, mut now, mut owed) = (0, 20 * S, debt(&name, &[]));
+        // The receiver's ledger. The receiver has its own clock, which is correct.
         let (mut effects, mut true_now, mut first_run, mut set_back) = (0u32, 0, None::<Micros>, false);
         for act in acts {
             match act {
@@ -201,13 +207,13 @@
                 }
                 Act::Rules(n) => set = n,
                 Act::Send => {
-                    if let Step::Resend { at, .. } = next_step(&d, &sets[set], &classes, now)
+                    if let Step::Resend { at, .. } = next_step(&owed, &sets[set], &classes, now)
                         && now >= at
                     {
-                        d.start_resend(now);
+                        owed.start_resend(now);
                     }
                 }
-                Act::End(outcome, ran) if d.state == State::InFlight => {
+                Act::End(outcome, ran) if owed.state == State::InFlight => {
                     if ran {
                         match classes[class].effect {
                             Effect::Safe => {}
@@ -220,27 +226,27 @@
                             }
                         }
                     }
-                    d.resend_failed([attempt(now, outcome)], now);
+                    owed.resend_failed([attempt(now, outcome)], now);
                 }
-                Act::Crash(ran) if d.state == State::InFlight => {
+                Act::Crash(ran) if owed.state == State::InFlight => {
                     if ran && classes[class].effect == Effect::Unsafe {
                         effects += 1;
                     }
-                    d.resend_failed([attempt(now, AttemptOutcome::Unknown)], now);
+                    owed.resend_failed([attempt(now, AttemptOutcome::Unknown)], now);
                 }
-                Act::Resolve if in_doubt(&d, &classes, now) && classes[class].effect == Effect::Unsafe => {
+                Act::Resolve if in_doubt(&owed, &classes, now) && classes[class].effect == Effect::Unsafe => {
                     let verdict = if effects > 0 { Verdict::Ran } else { Verdict::NeverRan };
-                    _ = d.resolve(verdict, "ops", "their ledger", now);
+                    _ = owed.resolve(verdict, "ops", "their ledger", now);
                 }
                 _ => {}
             }
-            // The sender measures by its clock how long a key is remembered. A clock that is set back unnoticed and
-            // catches up again deceives it.
+            // The sender measures by its own clock how long a key is remembered. If that clock is set back unnoticed
+            // and catches up again, a keyed message can take effect twice, which is not checked here.
             if classes[class].effect == Effect::Unsafe || !set_back {
-                prop_assert!(effects <= 1, "it took effect {effects} times: {d:?}");
+                prop_assert!(effects <= 1, "it took effect {effects} times: {owed:?}");
             }
             // The debt is in flight, owed with a next step, in doubt, or settled by a verdict.
-            let lost = matches!(next_step(&d, &sets[set], &classes, now), Step::Expired(_));
+            let lost = matches!(next_step(&owed, &sets[set], &classes, now), Step::Expired(_));
             prop_assert!(!lost, "expired, but no rule has a time limit");
         }
     }
--- a/crates/owed/tests/rules.rs
+++ b/crates/owed/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rule files: invalid ones are rejected with the reason and the position, valid ones apply as written.
+//! The operator's rules: invalid rules are rejected with the reason and the position, and valid rules apply as written.
 
 mod common;
 use common::*;
@@ -19,10 +19,18 @@
         ("max_mb = 9\nresends_per_s = -1", "resends_per_s", "-1"),
         ("max_mb = 9\n[[rule]]\nclass = [\"pay\"]", "no class is named 'pay'", "\"pay\""),
         ("max_mb = 9\n[[rule]]\nreceiver = []", "matches nothing", "[[rule]]"),
-        ("max_mb = 9\n[[rule]]\nkeep = false\nsupersede = true", "stands alone", "[[rule]]"),
-        ("max_mb = 9\n[[rule]]\nthen = \"drop\"", "set that too", "[[rule]]"),
+        (
+            "max_mb = 9\n[[rule]]\nkeep = false\nsupersede = true",
+            "can't be combined with other settings",
+            "[[rule]]",
+        ),
+        ("max_mb = 9\n[[rule]]\nthen = \"drop\"", "set 'owed_for' too", "[[rule]]"),
         ("max_mb = 9\n[[rule]]\nsupersede = true", "does not overwrite", "[[rule]]"),
-        ("max_mb = 9\n[[rule]]\n[[rule]]\nreceiver = [3]", "matches all that it does", "[[rule]]"),
+        (
+            "max_mb = 9\n[[rule]]\n[[rule]]\nreceiver = [3]",
+            "matches every message that this rule matches",
+            "[[rule]]",
+        ),
         (
             "max_mb = 9\n[[rule]]\nname = \"a\"\nreceiver = [3]\n[[rule]]\nname = \"a\"",
             "two rules are named",
--- a/crates/peer/src/fleet.rs
+++ b/crates/peer/src/fleet.rs
@@ -1,35 +1,35 @@
-//! The member list that the operator has agreed on for the fleet.
+//! The member list of the fleet, as configured by the operator.
 
 use crate::member::MAX_NAME_BYTES;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The maximum number of members. The gossip of a larger fleet would need other times.
+/// The maximum number of members. A larger fleet would need other time settings for its gossip.
 pub const MAX_MEMBERS: usize = 1000;
 
-/// The agreed member list: the address for datagrams of each member, by name. Majorities are counted on it.
+/// The agreed member list: the datagram address of each member, by name. A majority is more than half of its members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fleet {
     members: BTreeMap<String, SocketAddr>,
 }
 
-/// A member list that is rejected. The previous list stays in force.
+/// Why a member list is rejected. The previous list stays in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FleetError {
-    /// The list is empty.
+    /// The list has no members.
     #[error("the fleet's member list is empty; it must contain at least this sender")]
     Empty,
-    /// The list has this many members, more than [`MAX_MEMBERS`].
+    /// The list has more than [`MAX_MEMBERS`] members: this many.
     #[error("the fleet's member list has {0} members; the maximum is {MAX_MEMBERS}")]
     TooMany(usize),
-    /// The name is empty or too long.
+    /// A member's name is empty or too long.
     #[error("member name '{0}' is invalid: it must be 1 to {MAX_NAME_BYTES} bytes long")]
     InvalidName(String),
-    /// The name is on the list twice.
+    /// Two members have this name.
     #[error("the fleet's member list contains '{0}' twice; give each sender a unique name")]
     DuplicateName(String),
     /// Two members have the same address.
-    #[error("members '{0}' and '{1}' have the same address")]
+    #[error("members '{0}' and '{1}' have the same address; give each member its own address")]
     DuplicateAddress(String, String),
     /// This sender's name is not on the list.
     #[error("this sender's name '{0}' is not on the fleet's member list; add it there, or correct 'name'")]
@@ -43,7 +43,7 @@
 }
 
 impl Fleet {
-    /// Checks a member list.
+    /// Validates a member list and creates the fleet from it.
     ///
     /// # Errors
     /// When it is empty or too long, or when a name or address is invalid or used twice.
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Checks that `next` may replace this list on the member `own_name`. Addresses may change at any time, but at most
-    /// one name may be added or removed.
+    /// Checks that `next` may replace this list on the member `own_name`. All addresses may change, but at most one
+    /// name may be added or removed at a time.
     ///
     /// # Errors
     /// When more than one member is added or removed, or the member itself is not on the new list.
@@ -99,7 +99,7 @@
         self.members.len() / 2 + 1
     }
 
-    /// Returns names and addresses, ordered by name.
+    /// Returns the names and addresses of all members, ordered by name.
     pub fn members(&self) -> impl Iterator<Item = (&str, SocketAddr)> {
         self.members.iter().map(|(name, address)| (name.as_str(), *address))
     }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! # embershore-peer
 //!
 //! Tracks the other senders of the fleet: which are alive, suspected or down, and whether a majority of the agreed
-//! member list is reachable. It does no I/O: [`Peers`] takes datagrams and the time, and returns datagrams and the time
-//! of its next call.
+//! member list is reachable. The crate does no I/O: [`Peers`] takes received datagrams and the current time, and
+//! returns datagrams to send and the time of its next call.
 //!
 //! Failure detection is SWIM (Das, Gupta and Motivala, 2002), from the library `foca`. Its results are hints that may
 //! be out of date; a [`View`] reports their age. `docs/design/peer.md` explains the design.
@@ -21,5 +21,5 @@
 pub use peers::{MAX_DATAGRAM_BYTES, Peers, Times};
 pub use view::{Liveness, PeerView, View};
 
-/// Microseconds of a monotonic clock.
+/// A time or duration in microseconds of a monotonic clock.
 pub type Micros = i64;
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -1,4 +1,4 @@
-//! The record that a member publishes about its process.
+//! The record that each member publishes about its own process.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -6,23 +6,24 @@
 /// The maximum length of a name or a failure domain in bytes. Several records must fit into one datagram.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// No process starts or changes its record this often. A record with higher numbers is invalid, and no valid record
-/// could ever replace it.
+/// The maximum incarnation of a valid record. No process restarts this often, and a malformed record with a higher
+/// number could never be replaced by a valid one.
 const MAX_INCARNATION: u64 = 1 << 40;
+/// The maximum revision of a valid record, for the same reason. No process changes its record this often.
 const MAX_REVISION: u32 = 1 << 24;
 
 /// The status of a member's process, as shown on all of its interfaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
-    /// Not serving yet.
+    /// The process has started but is not serving yet.
     Starting,
-    /// Serving.
+    /// The process is serving.
     Serving,
-    /// Draining on request.
+    /// The process is draining on request.
     LameDuck,
-    /// Handing over to another process.
+    /// The process is handing over to another process.
     HandingOver,
-    /// Stopping on request.
+    /// The process is stopping on request.
     Stopping,
 }
 
@@ -31,16 +32,17 @@
 pub struct Member {
     /// The name on the agreed member list, at most [`MAX_NAME_BYTES`] bytes.
     pub name: String,
-    /// The number of the process start on this state folder, from 1 for an empty folder. It is not the incarnation
-    /// number of SWIM, which `foca` keeps itself.
+    /// The number of process starts on this state folder, 1 for the first start. This is not the incarnation number of
+    /// SWIM, which `foca` manages itself.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Grows within an incarnation, with each change of the record and each refutation of a reported death.
+    /// A counter within an incarnation. It grows with each change of the record and each refutation of a reported
+    /// death.
     #[serde(rename = "turn")]
     pub revision: u32,
-    /// The address that datagrams are sent from and to.
+    /// The address from which the member sends datagrams and at which it receives them.
     pub address: SocketAddr,
-    /// The failure domain: a machine, a rack or a building, all members of which may fail together.
+    /// The failure domain, such as a machine, rack or building. All of its members may fail together.
     pub domain: String,
     /// The status of the process.
     #[serde(rename = "standing")]
@@ -48,7 +50,7 @@
 }
 
 impl Member {
-    /// Orders two records of one name, the same way on all members.
+    /// Returns the sort key of the records of one name. All members order records in the same way.
     fn rank(&self) -> (u64, u32, SocketAddr) {
         (self.incarnation, self.revision, self.address)
     }
@@ -72,8 +74,8 @@
 impl foca::Identity for Member {
     type Addr = String;
 
-    /// Refutes a report of its own death with the next revision of the same incarnation. After the last revision the
-    /// report stands.
+    /// Returns the next revision of the record, which refutes a report of this member's death; `None` after the last
+    /// possible revision.
     fn renew(&self) -> Option<Self> {
         Some(Member { revision: self.revision + 1, ..self.clone() })
             .filter(|next| next.revision <= MAX_REVISION)
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The longest time in the section. A failure that is detected later than that is of no use to anybody.
+/// The maximum of each time in the section. Detecting a failure later than that would be useless.
 const MAX_TIME: Duration = Duration::from_secs(600);
-/// The shortest interval between probes. With more frequent ones a fleet of 300 members would do little else.
+/// The minimum interval between probes. With more frequent probes, a fleet of 300 members would do little else.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The section as written in the file. [`Section::check`] turns it into [`FleetOptions`].
@@ -48,7 +48,7 @@
     pub name: String,
     /// This sender's failure domain.
     pub domain: String,
-    /// The address at which it receives datagrams.
+    /// The address at which this sender receives datagrams.
     pub address: SocketAddr,
     /// All members, including this one.
     pub fleet: Fleet,
@@ -59,7 +59,7 @@
 }
 
 impl FleetOptions {
-    /// Returns the failure domain with the most members, and their number: the most that one fault takes down.
+    /// Returns the failure domain with the most members, and the number of its members, which one fault may take down.
     pub fn largest_domain(&self) -> (&str, usize) {
         let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
         self.domains.values().for_each(|domain| *sizes.entry(domain).or_insert(0) += 1);
@@ -72,7 +72,7 @@
     }
 }
 
-/// Collects findings.
+/// Validates the fields of the section and collects the findings.
 #[derive(Default)]
 struct Check {
     findings: Vec<SpanFinding>,
@@ -115,7 +115,7 @@
 }
 
 impl Section {
-    /// Checks the complete section.
+    /// Validates the complete section.
     ///
     /// # Errors
     /// Returns all findings, with their byte ranges in the text.
@@ -132,7 +132,7 @@
         };
         let place = |time: &Option<Spanned<Span>>| time.as_ref().map_or(self.name.span(), Spanned::span);
         if probe_interval < MIN_PROBE_INTERVAL.as_micros() as Micros {
-            check.report(place(&self.probe), "'probe' must be at least 100ms");
+            check.report(place(&self.probe), "'probe' must be at least 100ms; increase it");
         }
         if times.probe_timeout * 2 >= probe_interval {
             check.report(
@@ -166,7 +166,10 @@
             }
             let Some(address) = check.address(&member.address) else { continue };
             if let Some(other) = addresses.insert(address, name) {
-                check.report(member.address.span(), format!("member '{other}' has the same address"));
+                check.report(
+                    member.address.span(),
+                    format!("member '{other}' has the same address; give each member its own address"),
+                );
             }
             if name == self.name.get_ref() {
                 own = Some((domain.clone(), address));
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -18,35 +18,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The maximum size of a datagram in bytes: it fits into one Ethernet frame, with room for headers.
+/// The maximum size of a datagram in bytes, so that it fits into one Ethernet frame with its headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The maximum number of datagrams waiting to be sent. The oldest are dropped first, since any datagram may be lost
-/// anyway.
+/// The maximum number of datagrams waiting to be sent. If there are more, the oldest are dropped, which the protocol
+/// tolerates as it does any lost datagram.
 const MAX_SEND_QUEUE: usize = 1024;
-/// How often members that are not reachable are sent a request to join.
+/// The interval at which requests to join are sent to members that are not active.
 const ANNOUNCE_INTERVAL_US: Micros = 1_000_000;
-/// How many of them are sent one each time.
+/// The number of requests to join that are sent in each interval.
 const ANNOUNCES_PER_INTERVAL: usize = 3;
-/// A member receives datagrams from the members it probes and from those that probe it, at least two a second. A majority
-/// counts as reachable only if this many members, itself included, have sent one within [`Times::recent_window`], or all
-/// of a smaller majority.
+/// A majority counts as reachable only if at least this many members, including this one, or all members of a smaller
+/// majority, have sent a datagram within [`Times::recent_window`]. A member receives datagrams from the members that it
+/// probes and from those that probe it, at least two a second.
 const MIN_RECENT_MEMBERS: usize = 6;
-/// A process that has to refute its own death this often within [`Times::recent_window`] is displaced: the fleet
-/// accepts another process of the same name.
+/// A process that has to refute its own death this often within [`Times::recent_window`] is displaced: the fleet has
+/// accepted another process of the same name.
 const DISPLACING_REFUTATIONS: usize = 3;
-/// Each member repeats an update this many times as often as a fleet without one-way network cuts needs.
+/// The factor by which each member repeats updates more often than the library's default, to tolerate one-way cuts.
 const GOSSIP_FACTOR: u8 = 3;
 
 /// The times of failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// Each member probes one other this often, in microseconds.
+    /// The interval at which each member probes another member, in microseconds.
     pub probe_interval: Micros,
-    /// A probe must be answered within this time, less than half of `probe_interval`.
+    /// The time within which a probe must be answered, less than half of `probe_interval`, in microseconds.
     pub probe_timeout: Micros,
-    /// A longer gap between two calls means that this process was suspended.
+    /// The maximum gap between two calls, in microseconds. A longer gap means that this process was suspended.
     pub max_pause: Micros,
-    /// A datagram within this time counts as recent.
+    /// The time for which a received datagram counts as recent, in microseconds.
     pub recent_window: Micros,
 }
 
@@ -68,17 +68,17 @@
     }
 }
 
-/// State shared with the codec, which alone sees who sent a datagram and which members it names.
+/// State shared with the codec, because only the codec sees the sender of a datagram and the members that it names.
 struct Admission {
     /// The sender of the datagram being decoded.
     source: Option<String>,
     fleet: Rc<Fleet>,
-    /// Names that were received but are not on the list, which may be older than another member's.
+    /// Received names that are not on this member's list. Another member may have a newer list.
     unlisted: BTreeSet<String>,
 }
 
 impl Admission {
-    /// Returns whether a received record is accepted. The number of unlisted names is bounded.
+    /// Returns whether a received record is accepted. It rejects unlisted names beyond a total of [`MAX_MEMBERS`].
     fn admits(&mut self, member: &Member) -> bool {
         if !member.is_valid() {
             return false;
@@ -90,7 +90,7 @@
     }
 }
 
-/// The postcard codec, with a check of each received record.
+/// The postcard codec, extended by a check of each received record.
 #[derive(Clone)]
 struct CheckedCodec(Rc<RefCell<Admission>>);
 
@@ -130,7 +130,7 @@
     }
 }
 
-/// One process's membership state of its fleet.
+/// The membership state of one process: its knowledge of the fleet's other members.
 pub struct Peers {
     foca: Foca<Member, CheckedCodec, SmallRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Member>,
@@ -140,11 +140,11 @@
     /// How long failure detection takes to find the members that went down while this process was suspended.
     settle_time: Micros,
     timers: BTreeMap<(Micros, u64), Timer<Member>>,
-    seq: u64,
+    timer_sequence: u64,
     send_queue: VecDeque<(SocketAddr, Bytes)>,
     /// The time of the last datagram from each member.
     last_received: BTreeMap<String, Micros>,
-    /// The record that was replaced last, by name.
+    /// The last record that another incarnation's record replaced, by name.
     replaced: BTreeMap<String, Member>,
     suspected_since: BTreeMap<String, Micros>,
     /// The addresses of two processes with the same name, by name.
@@ -153,7 +153,7 @@
     refutations: VecDeque<Micros>,
     displaced: bool,
     dropped: u64,
-    /// The time of the last call.
+    /// The time of the last call of [`Peers::receive`] or [`Peers::tick`].
     last_call: Micros,
     stale_until: Micros,
     announce_at: Micros,
@@ -162,11 +162,11 @@
 }
 
 impl Peers {
-    /// Creates the state of a process that has just started and knows of no other member. The random choice of members
-    /// to probe and to gossip to follows from `seed`.
+    /// Creates the state of a process that has just started and knows no other member. `seed` determines the random
+    /// choice of members to probe and to send gossip to.
     ///
     /// # Errors
-    /// When its name is not on the agreed list.
+    /// When the name of `own_record` is not on the agreed list.
     pub fn new(
         own_record: Member,
         fleet: Fleet,
@@ -191,7 +191,7 @@
             times,
             settle_time,
             timers: BTreeMap::new(),
-            seq: 0,
+            timer_sequence: 0,
             send_queue: VecDeque::new(),
             last_received: BTreeMap::new(),
             replaced: BTreeMap::new(),
@@ -207,17 +207,17 @@
         })
     }
 
-    /// Replaces the agreed list.
+    /// Replaces the agreed member list.
     ///
     /// # Errors
-    /// When more than one member is added or removed, or this one is not on it; nothing changes then.
+    /// When more than one member is added or removed, or this one is not on the new list. The old list stays then.
     pub fn set_fleet(&mut self, fleet: Fleet) -> Result<(), FleetError> {
         self.fleet.check_change(&fleet, &self.foca.identity().name)?;
-        // One member more or less changes the configuration only marginally, so a failure to apply it is harmless.
+        // The list differs by at most one member, which changes the configuration marginally: a failure is harmless.
         _ = self.foca.set_config(config(&fleet, self.times));
         self.last_received.retain(|name, _| fleet.contains(name));
         self.fleet = Rc::new(fleet);
-        // Names that were unlisted may now be listed, and the other way round.
+        // Resets the unlisted names, because the new list may contain some of them.
         *self.admission.borrow_mut() =
             Admission { source: None, fleet: self.fleet.clone(), unlisted: BTreeSet::new() };
         Ok(())
@@ -261,7 +261,7 @@
         }
         while let Some(due) = self.timers.first_entry().filter(|t| t.key().0 <= now) {
             let timer = due.remove();
-            // Fails only if there is no member left to probe, or for a timer of an earlier identity.
+            // The library fails only if there is no member left to probe, or for a timer of an earlier identity.
             _ = self.foca.handle_timer(timer, &mut self.runtime);
             self.drain_runtime(now);
         }
@@ -273,11 +273,11 @@
         }
     }
 
-    /// Returns when to call [`Peers::tick`] next: early enough that a suspension of the process can be distinguished
-    /// from idleness.
+    /// Returns the time by which [`Peers::tick`] must be called next. The calls are frequent enough to distinguish a
+    /// suspended process from an idle one.
     pub fn next_tick(&self) -> Micros {
         let pause_check = self.last_call + self.times.max_pause / 2;
-        // A displaced process only keeps track of the time.
+        // A displaced process has no other work than to detect a suspension.
         if self.displaced {
             return pause_check;
         }
@@ -308,7 +308,7 @@
                     Some(State::Alive) => Liveness::Alive,
                     Some(State::Suspect) => Liveness::Suspected,
                     Some(State::Down) => Liveness::Down,
-                    // The library forgets members that are down after a while.
+                    // The library removes members some time after they went down.
                     None if self.last_received.contains_key(name) => Liveness::Down,
                     None => Liveness::Unknown,
                 };
@@ -322,20 +322,20 @@
             })
             .collect();
         let stale = now < self.stale_until || now - self.last_call > self.times.max_pause;
-        let in_sight =
+        let active =
             others.iter().filter(|p| matches!(p.liveness, Liveness::Alive | Liveness::Suspected)).count();
         let is_recent = |p: &&PeerView| p.silent_for.is_some_and(|span| span <= self.times.recent_window);
         let recent = others.iter().filter(is_recent).count();
         let majority = self.fleet.majority();
-        let majority = in_sight + 1 >= majority
+        let majority = active + 1 >= majority
             && recent + 1 >= majority.min(MIN_RECENT_MEMBERS)
             && !stale
             && !self.displaced;
         View { others, majority, stale, displaced: self.displaced, dropped: self.dropped }
     }
 
-    /// Detects by the clock that this process was suspended. Pending timers are postponed by the length of the gap, so
-    /// that no member is declared down because this process did not read its datagrams.
+    /// Detects by the clock whether this process was suspended. If so, pending timers are postponed by the length of
+    /// the gap, so that no member is declared down because this process did not read the member's datagrams.
     fn check_for_pause(&mut self, now: Micros) {
         let gap = now - self.last_call;
         self.last_call = now;
@@ -343,14 +343,17 @@
             return;
         }
         let timers = std::mem::take(&mut self.timers);
-        self.timers = timers.into_iter().map(|((at, seq), timer)| ((at + gap, seq), timer)).collect();
+        self.timers = timers
+            .into_iter()
+            .map(|((at, timer_sequence), timer)| ((at + gap, timer_sequence), timer))
+            .collect();
         (self.stale_until, self.announce_at) = (now + self.settle_time, now);
     }
 
-    /// Ends suspicions that would otherwise last forever: only the member that raised a suspicion runs a timer for it,
-    /// and a suspicion that arrives late, as from a process that was stopped, is outdated for the suspect, which does
-    /// not refute it. If datagrams from the suspect arrived meanwhile, it is suspected again with a higher incarnation
-    /// number, so that it learns of the suspicion and refutes it; otherwise it is declared down.
+    /// Ends suspicions that would otherwise last forever. Only the member that raised a suspicion runs a timer for it.
+    /// A suspicion that arrives late, for example from a process that was stopped, has an outdated incarnation number,
+    /// so the suspect does not refute it. If datagrams from the suspect arrived meanwhile, the suspicion is renewed
+    /// with a higher incarnation number, which makes the suspect refute it; otherwise the suspect is declared down.
     fn renew_stuck_suspicions(&mut self, now: Micros) {
         let suspects: Vec<foca::Member<Member>> =
             self.foca.iter_members().filter(|m| m.state() == State::Suspect).cloned().collect();
@@ -369,13 +372,13 @@
         }
     }
 
-    /// Sends requests to join to some of the listed members that are not in sight, in rotation.
+    /// Sends requests to join to listed members that are not active, a few at a time in rotation.
     fn announce_to_missing(&mut self) {
-        let in_sight: BTreeSet<&str> = self.foca.iter_members().map(|m| m.id().name.as_str()).collect();
+        let active: BTreeSet<&str> = self.foca.iter_members().map(|m| m.id().name.as_str()).collect();
         let own_record = self.foca.identity();
         let missing: Vec<Member> = (self.fleet.members())
-            .filter(|(name, _)| *name != own_record.name && !in_sight.contains(name))
-            // The incarnation need not be known: a request to join is addressed by name.
+            .filter(|(name, _)| *name != own_record.name && !active.contains(name))
+            // A request to join is addressed by name, so any incarnation and revision will do.
             .map(|(name, address)| Member {
                 name: name.into(),
                 incarnation: 1,
@@ -402,8 +405,8 @@
             self.send_queue.push_back((to.address, data));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.seq += 1;
-            self.timers.insert((now + micros(after), self.seq), timer);
+            self.timer_sequence += 1;
+            self.timers.insert((now + micros(after), self.timer_sequence), timer);
         }
         while let Some(notification) = self.runtime.to_notify() {
             match notification {
@@ -419,8 +422,8 @@
         }
     }
 
-    /// Notes that one record of a name has replaced another. After a restart the old record never returns; if it does
-    /// return, two processes use the same name.
+    /// Records that one record of a name has replaced another. After a restart the old record never returns. If it does
+    /// return, two processes use the same name at the same time.
     fn note_replacement(&mut self, before: Member, after: Member) {
         if before.same_incarnation(&after) {
             return;
@@ -450,7 +453,7 @@
             .max_transmissions
             .saturating_mul(NonZeroU8::MIN.saturating_add(GOSSIP_FACTOR - 1)),
         max_packet_size: NonZeroUsize::new(MAX_DATAGRAM_BYTES).unwrap_or(NonZeroUsize::MIN),
-        // Requests to join are sent by the agreed list instead, see `announce_to_missing`.
+        // `announce_to_missing` sends requests to join instead, based on the agreed list.
         periodic_announce: None,
         periodic_announce_to_down_members: None,
         ..lan
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -10,7 +10,7 @@
 pub const S: Micros = 1_000_000;
 const STEP: Micros = 10 * MS;
 
-/// The simulation's random number generator (SplitMix64); every history follows from the seed.
+/// The random number generator of the simulation (SplitMix64). The seed determines the whole history.
 pub struct Rng(pub u64);
 
 impl Rng {
@@ -37,7 +37,7 @@
     pub nodes: Vec<Node>,
     pub fleet: Fleet,
     pub rng: Rng,
-    /// Pairs of members; datagrams from the first to the second are lost.
+    /// Pairs of members. Datagrams from the first to the second member are lost.
     pub cut: BTreeSet<(usize, usize)>,
     pub loss: f64,
     pub duplication: f64,
@@ -62,7 +62,7 @@
 
 impl World {
     pub fn new(size: usize, seed: u64) -> World {
-        let mut w = World {
+        let mut world = World {
             now: 0,
             nodes: Vec::new(),
             fleet: fleet(size),
@@ -77,10 +77,10 @@
             seq: 0,
         };
         for n in 0..size {
-            w.nodes.push(Node { peers: None, incarnation: 0, stopped: false, address: address(n) });
-            w.start(n);
+            world.nodes.push(Node { peers: None, incarnation: 0, stopped: false, address: address(n) });
+            world.start(n);
         }
-        w
+        world
     }
 
     pub fn member(&self, n: usize) -> Member {
@@ -107,7 +107,7 @@
         self.nodes[n].peers = None;
     }
 
-    /// Cuts the network between the parts, in both directions.
+    /// Cuts the network between the given groups of members, in both directions.
     pub fn split(&mut self, parts: &[&[usize]]) {
         for (a, b) in parts.iter().enumerate().flat_map(|(a, _)| (0..parts.len()).map(move |b| (a, b))) {
             if a != b {
@@ -160,7 +160,7 @@
         self.nodes[n].peers.as_ref().unwrap().view(self.now)
     }
 
-    /// Returns how member `of` sees member `n`.
+    /// Returns the state of member `n` in the view of member `of`.
     pub fn liveness(&self, of: usize, n: usize) -> Liveness {
         self.view(of).others.iter().find(|k| k.name == name(n)).unwrap().liveness
     }
--- a/crates/placement/examples/bounds.rs
+++ b/crates/placement/examples/bounds.rs
@@ -1,4 +1,4 @@
-//! Measures the times of placement at 15,000 seats against their budgets. Exits with 1 if one is exceeded.
+//! Compares the times of placement operations at 15,000 seats with their budgets. Exits with 1 if one is exceeded.
 //!
 //! `cargo run --release -p embershore-placement --example bounds`, on an otherwise idle machine.
 
@@ -14,7 +14,7 @@
 
 const ROUNDS: u32 = 5;
 
-/// The time of an operation and its budget; without a budget it is for information only.
+/// The measured times of an operation and their budget. Without a budget they are printed for information only.
 struct Measurement {
     name: &'static str,
     best: Duration,
@@ -22,7 +22,7 @@
     budget: Option<Duration>,
 }
 
-/// Runs `work`, which returns its own time, for [`ROUNDS`] rounds.
+/// Runs `work` [`ROUNDS`] times. `work` returns the time that it measured.
 fn measured(name: &'static str, budget: Option<Duration>, mut work: impl FnMut() -> Duration) -> Measurement {
     let times: Vec<Duration> = (0..ROUNDS).map(|_| work()).collect();
     let best = times.iter().copied().min().unwrap_or_default();
--- a/crates/placement/examples/schemes.rs
+++ b/crates/placement/examples/schemes.rs
@@ -1,6 +1,6 @@
-//! Compares the placement scheme in use with well-known ones, at 15,000 members with two replicas: evenness, the shards
-//! that one lost member moves, time and memory. The others ignore failure domains, which would only make them less
-//! even.
+//! Compares the placement scheme in use with well-known schemes, at 15,000 members with two replicas: evenness, the
+//! shards that the loss of one member moves, time and memory. The well-known schemes ignore failure domains here; with
+//! failure domains they would only be less even.
 //!
 //! `cargo run --release -p embershore-placement --example schemes`
 
@@ -24,7 +24,7 @@
 
 type Owners = [u32; REPLICAS];
 
-/// The measurements of one scheme.
+/// The measurements of one placement scheme.
 struct Measurements {
     name: String,
     build: Duration,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Returns the members with the greatest hashes of (shard, member).
+/// Returns the members with the greatest hashes of the pair (shard, member).
 fn rendezvous_owners(shard: u32, lost: Option<u32>) -> Owners {
     let mut best = [(0, u32::MAX); REPLICAS];
     for member in (0..MEMBERS).filter(|&member| Some(member) != lost) {
@@ -121,7 +121,7 @@
     }
 }
 
-/// A ring of hashes: the members' points, in order.
+/// A consistent hashing ring: the points of all members, sorted by hash.
 struct Ring(Vec<(u64, u32)>);
 
 impl Ring {
@@ -156,7 +156,7 @@
     }
 }
 
-/// The Maglev table: members take turns to claim the next free slot of their own permutation.
+/// The Maglev table: in turn, each member takes the next free slot of its own permutation of the slots.
 struct Maglev(Vec<u32>);
 
 impl Maglev {
@@ -184,7 +184,7 @@
         Self(slots)
     }
 
-    /// Returns the first owner by the shard's hash, and the second by the next hash that gives another member.
+    /// Returns the owners of a shard: the first by its hash, the second by the next hash that selects another member.
     fn owners(&self, shard: u32) -> Owners {
         let slot =
             |attempt: u64| self.0[scale(mix_pair(attempt, u64::from(shard)) as u32, MAGLEV_SLOTS) as usize];
--- a/crates/placement/tests/forwarding.rs
+++ b/crates/placement/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! The state machine of one forwarded request: the step after each outcome, for each effect.
+//! Tests of the state machine of a forwarded request: the step after each outcome, for each effect.
 
 use embershore_placement::{
     ClientReply, DEFAULT_WAIT_MS, ForwardOutcome, Forwarding, MIN_ANSWER_TIMEOUT_US, SeatId, Step,
@@ -123,8 +123,8 @@
 }
 
 proptest! {
-    /// Whatever the owners do: no owner is tried twice, none after a possible acceptance that must not be repeated, the
-    /// reply comes within the budget, and it is "accepted" only if an owner answered so.
+    /// For any outcomes, no owner is tried twice, and no owner is tried after a possible acceptance unless a repeat
+    /// does no harm. The reply is sent within the budget, and is "accepted" only if an owner answered `+OK`.
     #[test]
     fn every_sequence_of_outcomes_ends_in_time_without_a_harmful_repeat(
         effect in prop::sample::select(&EFFECTS[..]),
--- a/crates/placement/tests/full_size.rs
+++ b/crates/placement/tests/full_size.rs
@@ -30,7 +30,7 @@
 });
 
 impl Fleet {
-    /// Returns the fleet after changes, and what they moved.
+    /// Returns the fleet after changes, and the shards that they moved.
     fn changed(&self, entries: Vec<Change>) -> (Self, Moves) {
         let (next, changes) = applied(&self.list, entries);
         let mut table = self.table.clone();
@@ -226,7 +226,7 @@
     );
     println!("table in memory: {} bytes", FULL.table.memory_bytes());
     assert!(FULL.table.memory_bytes() < MAX_TABLE_BYTES);
-    // A change must be in force everywhere within 18 s, the loss of a zone too.
+    // Every change must be in force on all senders within 18 s, even the loss of a zone.
     const SECONDS: usize = 18;
     let zone = support::changes(list, vacate(&FULL.zone("r0", "z0"))).to_json().len();
     println!("a zone lost, sent over {SECONDS} s: {} bytes per second", zone / SECONDS);
--- a/crates/placement/tests/histories.rs
+++ b/crates/placement/tests/histories.rs
@@ -1,6 +1,6 @@
-//! Simulates thousands of histories of a fleet. Whatever happens to its members, its network and its control agents, no
-//! message is lost, none has its effect twice, keys keep their order, and shares never add up to more than a
-//! destination's limit.
+//! Simulates thousands of histories of a fleet with faults of members, network and control agents. In none of them may
+//! a message be lost or take effect twice, a key lose its order, or the shares of a destination's limit exceed the
+//! limit.
 
 mod history;
 #[path = "support/tables.rs"]
@@ -57,11 +57,11 @@
     assert_reached(&counts);
 }
 
-/// Checks that the histories reached the cases under test; without them they would prove nothing.
+/// Checks that the histories reached the cases under test. A history that never reaches them proves nothing.
 fn assert_reached(counts: &Counts) {
     let histories = WORLDS.end * SEEDS_PER_WORLD;
     assert!(counts.promised * 2 > counts.messages, "{counts:?}");
-    for (what, count) in [
+    for (event, count) in [
         ("forwarded", counts.forwarded),
         ("unknown", counts.unknown),
         ("not sent", counts.not_sent),
@@ -71,7 +71,7 @@
         ("answers rejected", counts.answers_rejected),
         ("failed", counts.failed),
     ] {
-        assert!(count > histories, "{what}: {count} in {histories} histories, expected more than one each");
+        assert!(count > histories, "{event}: {count} in {histories} histories, expected more than one each");
     }
     assert!(counts.epochs_skipped > 0, "{counts:?}");
 }
--- a/crates/placement/tests/history/ledger.rs
+++ b/crates/placement/tests/history/ledger.rs
@@ -1,4 +1,5 @@
-//! Records what happens to each message and checks the rules. It is independent of the code under test.
+//! A ledger that records the acceptances and calls of each message and checks the rules, independently of the code
+//! under test.
 
 use heronroute::{Effect, Micros};
 
@@ -6,7 +7,7 @@
 #[derive(Clone, Debug)]
 pub struct Message {
     pub dest: i64,
-    /// The number of its key, in an ordered class.
+    /// The number of the message's order key; `None` for an unordered message.
     pub key: Option<usize>,
     pub effect: Effect,
 }
@@ -16,9 +17,9 @@
 pub struct Job {
     pub message: usize,
     pub member: usize,
-    /// No call may begin from this time on.
+    /// The time from which on no call may begin.
     pub deadline: Micros,
-    /// The receiver may work on a call until this time.
+    /// The time until which the receiver may still process the last call.
     pub call_until: Micros,
     pub effects: u32,
     pub promised: bool,
@@ -26,13 +27,13 @@
 }
 
 impl Job {
-    /// Returns whether a call for it may begin or is in flight.
+    /// Returns whether a call for the job may still begin or is in flight.
     pub fn is_open(&self, now: Micros) -> bool {
         now < self.call_until || (!self.ended && now < self.deadline)
     }
 }
 
-/// Counts of events, which show that the histories reached the cases under test.
+/// Counts of events, by which the tests check that the histories reached the cases under test.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub messages: u64,
@@ -70,7 +71,7 @@
     }
 }
 
-/// Rounding error allowed in a sum of shares, each one part in a small number.
+/// Rounding error allowed in a sum of shares. Each share is one divided by a small integer.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 #[derive(Default)]
@@ -88,8 +89,8 @@
         self.messages.len() - 1
     }
 
-    /// Records that a member accepts a message. `lease_until` is computed from the answers of its control agent that
-    /// reached it.
+    /// Records that a member accepts a message. `lease_until` is computed from the control agent's answers that reached
+    /// the member.
     pub fn accepted(
         &mut self,
         now: Micros,
@@ -121,13 +122,13 @@
         self.jobs.len() - 1
     }
 
-    /// Records that the client receives `+OK`.
+    /// Records that the client receives `+OK` for a job.
     pub fn promised(&mut self, job: usize) {
         self.counts.promised += 1;
         self.jobs[job].promised = true;
     }
 
-    /// Records that the client receives `-BUSY`, after which it submits the message again.
+    /// Records that the client receives `-BUSY`, so that it may submit the message again.
     pub fn answered_busy(&mut self, now: Micros, message: usize) {
         self.counts.busy += 1;
         let accepted = self.jobs.iter().any(|job| job.message == message);
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Records the start of a call. `shares` are the shares of all members that may now begin a call to this
+    /// Records the start of a call. `shares` are the limit shares of all members that may now begin a call to the same
     /// destination.
     pub fn begin_call(&mut self, now: Micros, job: usize, until: Micros, takes_effect: bool, shares: &[f64]) {
         self.counts.calls += 1;
@@ -168,12 +169,12 @@
         for index in 0..self.jobs.len() {
             let job = &self.jobs[index];
             if !job.ended {
-                let what = if job.promised {
+                let failure = if job.promised {
                     "confirmed to its client and lost"
                 } else {
                     "accepted and never ended"
                 };
-                self.violation(now, format!("message {} is {what}: {:?}", job.message, job));
+                self.violation(now, format!("message {} is {failure}: {:?}", job.message, job));
             }
         }
     }
@@ -190,14 +191,14 @@
         if let Some(earlier) = earlier {
             let (first, second) = (&self.jobs[earlier], &self.jobs[job]);
             let members = (second.member, first.member);
-            let what = format!(
+            let description = format!(
                 "key {key} of destination {dest} is out of order at members {members:?}: {second:?} while {first:?}"
             );
-            self.violation(now, what);
+            self.violation(now, description);
         }
     }
 
-    fn violation(&mut self, now: Micros, what: String) {
-        self.violations.push(format!("{:.6} s: {what}", now as f64 / 1e6));
+    fn violation(&mut self, now: Micros, description: String) {
+        self.violations.push(format!("{:.6} s: {description}", now as f64 / 1e6));
     }
 }
--- a/crates/placement/tests/history/mod.rs
+++ b/crates/placement/tests/history/mod.rs
@@ -11,11 +11,11 @@
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-/// How long an answer of a control agent is valid.
+/// The lease: how long an answer of a control agent is valid.
 pub const LEASE: Micros = 10 * SECOND;
-/// How far an agent may lag behind.
+/// The maximum time by which a control agent lags behind.
 pub const AGENT_LAG: Micros = 3 * SECOND;
-/// How long after its acceptance a call for a message may begin.
+/// The time after its acceptance within which a call for a message may begin.
 pub const DEADLINE: Micros = 8 * SECOND;
 /// Maximum duration of a call.
 pub const MAX_CALL_TIME: Micros = 200 * MILLISECOND;
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -1,5 +1,5 @@
-//! The simulated fleet: members that run the real placement code, their clients, and the messages between them, in
-//! simulated time.
+//! The simulated fleet, in simulated time: members that run the real placement code, their clients, and the messages
+//! between them.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -19,7 +19,7 @@
 
 const CLIENTS_STOP_AT: Micros = 70 * SECOND;
 const ENDS_AT: Micros = 100 * SECOND;
-/// A client that has no reply within this time gives up waiting.
+/// The time after which a client stops waiting for a reply.
 const CLIENT_TIMEOUT: Micros = 400 * MILLISECOND;
 const FORWARD_BUDGET: Micros = 300 * MILLISECOND;
 const POLL_INTERVAL: Micros = 2_500 * MILLISECOND;
@@ -34,12 +34,12 @@
 const MAX_CLOCK_ERROR_PPM: Micros = 400;
 
 enum Event {
-    /// A member polls its agent.
+    /// A member polls its control agent.
     Poll {
         member: usize,
     },
-    /// An answer of an agent reaches a member. A `regular` one is what the agent answers; the others are lists that the
-    /// member must reject.
+    /// An answer of a control agent reaches a member. If it is not `regular`, it is an invalid list that the member
+    /// must reject.
     AnswerReceived {
         member: usize,
         incarnation: u32,
@@ -59,7 +59,7 @@
     Submit {
         message: usize,
     },
-    /// The client creates the next message of an ordered stream.
+    /// A client creates the next message of an ordered stream.
     NextOfStream {
         stream: usize,
     },
@@ -116,36 +116,36 @@
 
 struct Member {
     state: State,
-    /// Number of its processes that have been killed.
+    /// Number of this member's processes that have been killed.
     incarnation: u32,
     clock_error_ppm: Micros,
     ownership: Ownership,
     persisted: Option<PersistedPlacement>,
-    /// The highest epoch that it received, and the end of its lease by its own clock; tracked for the ledger,
-    /// independently of the code under test.
+    /// The highest epoch that the member received. It is tracked for the ledger, independently of the code under test,
+    /// and so is `lease_until`, the end of the lease by the member's clock.
     received_epoch: u64,
     lease_until: Option<Micros>,
-    /// Jobs that have not ended, in the order of their acceptance, and whether a call for each is in flight.
+    /// Jobs that have not ended, in the order of acceptance; the flag tells whether a call for the job is in flight.
     jobs: Vec<(usize, bool)>,
 }
 
 impl Member {
-    /// Returns the time by the member's own clock.
+    /// Converts the simulated time to the member's own clock.
     fn local(&self, now: Micros) -> Micros {
         now + now * self.clock_error_ppm / MILLION
     }
 
-    /// Returns the time at which `span` has passed by the member's own clock.
+    /// Returns the simulated time at which `span` has passed by the member's own clock.
     fn after(&self, now: Micros, span: Micros) -> Micros {
         now + span - span * self.clock_error_ppm / MILLION
     }
 }
 
-/// The client's state of a message.
+/// A client's state of one message.
 struct ClientMessage {
     id: String,
     key: Option<String>,
-    /// Number of the current submission; replies to earlier ones are ignored.
+    /// Number of the current submission. Replies to earlier submissions are ignored.
     submission: u32,
     done: bool,
     stream: Option<usize>,
@@ -157,7 +157,7 @@
     message: usize,
     submission: u32,
     forwarding: Forwarding,
-    /// Number of the current send; outcomes of earlier ones are ignored.
+    /// Number of the current send. Outcomes of earlier sends are ignored.
     sends: u32,
 }
 
@@ -175,7 +175,7 @@
     pub ledger: Ledger,
 }
 
-/// Simulates one history.
+/// Simulates the history of a seed in a world and returns its ledger.
 pub fn simulate(world: &World, seed: u64) -> Ledger {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let plan = FaultPlan::generate(&mut rng, world);
@@ -277,8 +277,8 @@
         }
     }
 
-    /// Returns an event that can happen now. An event at a stopped member is postponed until the member continues; one
-    /// for a dead process is dropped.
+    /// Returns the event if it can be handled now. An event at a stopped member is postponed until the member
+    /// continues, and an event for a dead process is dropped.
     fn deliverable(&mut self, event: Event) -> Option<Event> {
         let (member, incarnation) = match &event {
             Event::AnswerReceived { member, incarnation, .. }
@@ -302,7 +302,7 @@
         }
     }
 
-    // Control agents.
+    // Events of control agents.
 
     fn poll(&mut self, member: usize) {
         if self.now < ENDS_AT {
@@ -333,7 +333,7 @@
         self.maybe_send_invalid_list(member, polled_at);
     }
 
-    /// Returns the answer of an agent whose latest epoch is this one.
+    /// Returns the answer to a member of a control agent whose latest epoch is `epoch`.
     fn answer(&mut self, member: usize, epoch: u64) -> AgentAnswer {
         let since = self.members[member].ownership.epoch();
         let full = |world: &World| AgentAnswer::Full(Box::new(world.list(epoch).clone()));
@@ -347,7 +347,7 @@
         }
     }
 
-    /// Sometimes sends an older list, or another list under the same epoch, in addition.
+    /// Sometimes sends an additional list that must be rejected: an older one, or another one under the same epoch.
     fn maybe_send_invalid_list(&mut self, member: usize, polled_at: Micros) {
         let Some(epoch) = self.members[member].ownership.epoch() else { return };
         let list = if epoch > 1 && self.rng.random_bool(0.1) {
@@ -389,7 +389,7 @@
         member.persisted = member.ownership.persisted_state(local).or(member.persisted.take());
     }
 
-    // Faults.
+    // Events of faults.
 
     fn fault(&mut self, number: usize, fault: Fault, until: Micros) {
         match fault {
@@ -403,7 +403,7 @@
         self.at(until, Event::Restart { member: number });
     }
 
-    /// Continues a stopped process, or starts a killed one on its state folder, with the messages of its journal.
+    /// Continues a stopped process, or restarts a killed process on its state folder with the messages of its journal.
     fn restart(&mut self, number: usize) {
         let member = &mut self.members[number];
         let previous = std::mem::replace(&mut member.state, State::Running);
@@ -423,7 +423,7 @@
         }
     }
 
-    // Clients.
+    // Events of clients.
 
     fn random_effect(&mut self) -> Effect {
         *[Effect::Safe, Effect::Keyed, Effect::Unsafe].choose(&mut self.rng).expect("the list is not empty")
@@ -471,7 +471,7 @@
         let safe = self.ledger.messages[message].effect == Effect::Safe;
         let resubmit_after = match reply {
             Some(ClientReply::Accepted) => {
-                self.ledger.promised(job.expect("a member that accepted a message has a job for it"));
+                self.ledger.promised(job.expect("an accepted message has a job"));
                 None
             }
             Some(ClientReply::Busy { retry_after_ms }) => {
@@ -488,7 +488,7 @@
         match resubmit_after.filter(|_| submission < MAX_SUBMISSIONS && self.now < CLIENTS_STOP_AT) {
             Some(wait) => {
                 let wait = wait.min(SECOND) + self.rng.random_range(0..SECOND);
-                // Until the message is submitted again, replies are ignored.
+                // Makes the client ignore further replies until it submits the message again.
                 self.client_messages[message].submission += 1;
                 self.after(wait, Event::Submit { message });
             }
@@ -509,7 +509,7 @@
         self.after(delay, Event::Reply { message, submission, reply: Some(reply), job });
     }
 
-    // Requests.
+    // Events of requests.
 
     fn request(&mut self, number: usize, message: usize, submission: u32) {
         let local = self.members[number].local(self.now);
@@ -546,7 +546,7 @@
         act(&Request { dest, order_key: client_message.key.as_deref(), request_id: &client_message.id })
     }
 
-    /// Lets a member accept a message if its ownership allows it. Returns the job.
+    /// Lets a member accept a message if its ownership allows it. Returns the job, or `None` if it is rejected.
     fn admit(&mut self, number: usize, message: usize) -> Option<usize> {
         let member = &self.members[number];
         let local = member.local(self.now);
@@ -581,13 +581,13 @@
         }
     }
 
-    /// Sends a request to an owner, on a pooled connection or a new one, with the faults of both.
+    /// Sends a request to an owner on a pooled or a new connection, and simulates the faults of the connection.
     fn forward(&mut self, index: usize, to: SeatId, write_timeout: Micros, answer_timeout: Micros) {
         self.forwards[index].sends += 1;
         let (from, send) = (self.forwards[index].member, self.forwards[index].sends);
         let list = self.members[from].ownership.list().expect("the route was computed from this list");
         let Some(owner) = list.member(to).map(|member| member_number(member.name())) else {
-            // The list has changed since the route was computed.
+            // The list has changed since the route was computed, and the seat is now vacant.
             self.outcome_after(0, index, ForwardOutcome::NotSent, None);
             return;
         };
@@ -608,7 +608,7 @@
             let incarnation = self.members[owner].incarnation;
             self.after(delay, Event::Forwarded { member: owner, incarnation, forward_index: index, send });
             if fault_draw == 2 {
-                // The connection is cut after the last byte: the request arrives, its answer does not.
+                // The connection breaks after the last byte: the request arrives, but its answer does not.
                 self.outcome_after(MILLISECOND, index, ForwardOutcome::Unknown, None);
                 return;
             }
@@ -625,7 +625,7 @@
         );
     }
 
-    /// Handles a forwarded request at an owner, which accepts or rejects it, but never routes it.
+    /// Handles a forwarded request at an owner, which accepts or rejects it but never forwards it again.
     fn forwarded(&mut self, owner: usize, index: usize, send: u32) {
         let ForwardedRequest { member, message, sends, .. } = self.forwards[index];
         let outcome = if self.rng.random_bool(0.01) {
@@ -646,7 +646,7 @@
         if self.forwards[index].sends != send {
             return;
         }
-        // Later outcomes of the same send belong to a connection that the member no longer reads.
+        // Ignores later outcomes of the same send: the member no longer reads its connection.
         self.forwards[index].sends += 1;
         self.ledger.counts.unknown += u64::from(outcome == ForwardOutcome::Unknown);
         self.ledger.counts.not_sent += u64::from(outcome == ForwardOutcome::NotSent);
@@ -655,7 +655,7 @@
         self.take_step(index, step, job);
     }
 
-    // Calls.
+    // Events of calls.
 
     fn add_job(&mut self, number: usize, job: usize) {
         self.members[number].jobs.push((job, false));
@@ -696,8 +696,8 @@
             .any(|message| message.dest == dest && message.key == Some(key))
     }
 
-    /// Returns the shares of all members that may now begin a call to a destination, as they accept requests for it or
-    /// have accepted some.
+    /// Returns the limit shares of all members that may now begin a call to a destination, because they accept requests
+    /// for it or have accepted messages for it.
     fn shares(&self, dest: i64) -> Vec<f64> {
         let running = self.members.iter().filter(|member| member.state == State::Running);
         let may_call = running.filter(|member| {
--- a/crates/placement/tests/history/network.rs
+++ b/crates/placement/tests/history/network.rs
@@ -1,4 +1,4 @@
-//! The faults of one history, planned in advance: when agents send each epoch, and which members are cut off, killed or
+//! The fault plan of one history: when control agents send each epoch, and which members are cut off, killed or
 //! stopped.
 
 use heronroute::Micros;
@@ -8,13 +8,13 @@
 use super::world::World;
 use super::{AGENT_LAG, MILLISECOND, SECOND};
 
-/// No fault lasts beyond this time.
+/// The time by which all faults have ended.
 pub const FAULTS_END_AT: Micros = 75 * SECOND;
 
 /// A fault of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is killed, and started again on the same state folder.
+    /// The process is killed, and later restarted on the same state folder.
     Killed,
     /// The process is stopped, and continued later.
     Stopped,
@@ -31,10 +31,10 @@
 pub struct FaultPlan {
     /// When each epoch is first sent to any member.
     pub epochs_sent_at: Vec<Micros>,
-    /// Member, fault, start and end.
+    /// The member, fault, start and end of each process fault.
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
     partitions: Vec<Partition>,
-    /// Whether each member's agent lags behind.
+    /// Whether the control agent of each member lags behind.
     lagging: Vec<bool>,
 }
 
@@ -58,7 +58,7 @@
         plan
     }
 
-    /// Returns the epoch that a member's agent answers with at `now`; `None` if it can't be reached.
+    /// Returns the epoch that a member's control agent answers with at `now`; `None` if the agent can't be reached.
     pub fn agent_epoch(&self, rng: &mut ChaCha8Rng, member: usize, now: Micros) -> Option<u64> {
         if self.partitions.iter().any(|partition| partition.is_active(now) && partition.cut_off[member]) {
             return None;
@@ -79,7 +79,7 @@
             let member = rng.random_range(0..world.members);
             self.add_fault(rng, member, None);
         }
-        // Members that a list removes are mostly those that have failed.
+        // A member that a list removes has usually failed, so most removed members get a fault at about that time.
         for epoch in 2..=self.epochs_sent_at.len() {
             let (before, after) = (&world.lists[epoch - 2], &world.lists[epoch - 1]);
             let removed = before.seat_ids().filter(|&seat| after.member(seat).is_none());
@@ -127,7 +127,7 @@
     }
 }
 
-/// Plans to cut off a region, or a random set of members, for up to 40 s.
+/// Returns a partition that cuts off a region, or a random set of members, for up to 40 s.
 fn random_partition(rng: &mut ChaCha8Rng, world: &World) -> Partition {
     let from = rng.random_range(SECOND..50 * SECOND);
     let until = (from + rng.random_range(SECOND..40 * SECOND)).min(FAULTS_END_AT);
--- a/crates/placement/tests/history/world.rs
+++ b/crates/placement/tests/history/world.rs
@@ -1,4 +1,4 @@
-//! The member lists of a history by epoch, and their tables, which all senders share.
+//! The world of a history: its member lists by epoch, and their tables, which all simulated senders share.
 
 use embershore_placement::wire::{ListForm, MemberForm, RegionForm, SeatForm, WideForm};
 use embershore_placement::{Change, Changes, MemberList, Placement, PlacementSource, SeatId, sub_shard};
@@ -9,18 +9,18 @@
 
 /// Number of destinations in a history.
 pub const DESTINATIONS: usize = 6;
-/// Number of members that fill no seat at first.
+/// Number of members that fill no seat in the first list.
 const SPARE_MEMBERS: usize = 3;
-/// Number of epochs after the first.
+/// Number of epochs after the first one.
 const LATER_EPOCHS: usize = 8;
 const MAX_WIDTH: u16 = 8;
-/// Distance between the destinations of successive worlds, so that these differ.
+/// Distance between the destination numbers of successive worlds, so that each world has other destinations.
 const DEST_STRIDE: i64 = 7_919;
 
-/// The lists by epoch, from 1 on, and the changes that lead to them.
+/// The member lists of epochs 1 and later, the changes between them, and the destinations.
 pub struct World {
     pub lists: Vec<MemberList>,
-    /// The changes that lead to each list; `None` for the first list and for those that can only be sent in full.
+    /// The changes that lead to each list; `None` for the first list and for lists that can only be sent in full.
     pub changes: Vec<Option<Changes>>,
     pub dests: Vec<i64>,
     pub members: usize,
@@ -67,7 +67,7 @@
         &self.lists[epoch as usize - 1]
     }
 
-    /// Returns all changes between two epochs, in order; `None` if one of them can only be sent in full.
+    /// Returns all changes between two epochs, in order; `None` if one of the lists can only be sent in full.
     pub fn changes_between(&self, since: u64, epoch: u64) -> Option<Changes> {
         let steps = &self.changes[since as usize..epoch as usize];
         let all: Option<Vec<Vec<Change>>> =
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns one to three changes that apply to the list.
+    /// Returns one to three random changes that apply to the list of `before`.
     fn random_changes(&self, rng: &mut ChaCha8Rng, before: &Placement) -> Changes {
         let since = before.list().epoch();
         let mut changes = Changes { epoch: since + 1, since, changes: Vec::new() };
@@ -173,7 +173,7 @@
     }
 }
 
-/// Returns the next list, with one replica more or less; `None` if it would be invalid.
+/// Returns the list of the next epoch with one replica more or less; `None` if that list would be invalid.
 fn with_other_replicas(list: &MemberList) -> Option<MemberList> {
     let mut form = list.to_form();
     form.epoch += 1;
--- a/crates/placement/tests/lease.rs
+++ b/crates/placement/tests/lease.rs
@@ -1,4 +1,5 @@
-//! The lease counts from the poll, is never shortened, and is invalid from its end on; the hold covers all its parts.
+//! Tests that the lease counts from the poll, is never shortened, and is invalid from its end on, and that the hold
+//! covers lag, lease and longest deadline.
 
 use embershore_placement::{Lease, LeaseTimes};
 
--- a/crates/placement/tests/options.rs
+++ b/crates/placement/tests/options.rs
@@ -1,9 +1,9 @@
-//! The section `[placement]`: its defaults, its limits, and the lines of its findings.
+//! Tests of the section `[placement]`: its defaults, its limits, and the lines of its findings.
 
 use embershore_finding::SpanFinding;
 use embershore_placement::options::{PlacementOptions, Section};
 
-/// Parses a text; returns the options, or each finding with its line.
+/// Parses the text of a section. Returns the options, or each finding with its line.
 fn read(text: &str) -> Result<PlacementOptions, Vec<(usize, String)>> {
     let section: Section = toml::from_str(text).map_err(|e| vec![(0, e.to_string())])?;
     section.check().map_err(|found| {
@@ -30,7 +30,7 @@
         max_owner_connections: 64,
     };
     assert_eq!(read(MINIMAL), Ok(expected));
-    let options = with("lease = \"2s\"").expect("good");
+    let options = with("lease = \"2s\"").expect("the options are valid");
     assert_eq!(
         (options.lease, options.poll_interval),
         (2_000_000, 500_000),
@@ -42,7 +42,7 @@
 fn all_keys_are_read() {
     let text = "name = \"n1\"\nlisten = \"127.0.0.1:7001\"\ncontrol = [\"127.0.0.2:1\", \"127.0.0.3:1\"]\n\
                 lease = \"4s\"\nask_every = \"500ms\"\nagent_lag = \"3s\"\nowner_connections = 3\n";
-    let options = read(text).expect("good");
+    let options = read(text).expect("the options are valid");
     assert_eq!(options.control_agents, [([127, 0, 0, 2], 1).into(), ([127, 0, 0, 3], 1).into()]);
     assert_eq!((options.lease, options.poll_interval), (4_000_000, 500_000));
     assert_eq!((options.agent_lag, options.max_owner_connections), (3_000_000, 3));
@@ -53,25 +53,26 @@
     let text = "name = \"\"\nlisten = \"0.0.0.0:7001\"\n\
                 control = [\"127.0.0.1:0\",\n\"somewhere:1\",\n\"127.0.0.1:5\",\n\"127.0.0.1:5\"]\n\
                 lease = \"1s\"\nask_every = \"1500ms\"\nowner_connections = 0\n";
-    let lines: Vec<usize> = read(text).expect_err("wrong").into_iter().map(|finding| finding.0).collect();
+    let lines: Vec<usize> =
+        read(text).expect_err("the options are invalid").into_iter().map(|finding| finding.0).collect();
     assert_eq!(lines, [1, 2, 3, 4, 6, 7, 8, 9]);
 }
 
 #[test]
 fn limits_are_checked_at_both_ends() {
-    let wrong = |line: &str, part: &str| {
+    let assert_rejected = |line: &str, part: &str| {
         let found = with(line).expect_err(line);
         assert!(found.len() == 1 && found[0].0 == 4 && found[0].1.contains(part), "{line}: {found:?}");
     };
-    wrong("lease = \"1999ms\"", "must be between 2s and 5m");
-    wrong("lease = \"301s\"", "must be between 2s and 5m");
-    wrong("ask_every = \"99ms\"", "must be at least 100ms");
-    wrong("ask_every = \"5001ms\"", "must be at most half of 'lease'");
-    wrong("agent_lag = \"301s\"", "must be at most 5m");
-    wrong("owner_connections = -1", "must be between 1 and 1024");
-    wrong("owner_connections = 1025", "must be between 1 and 1024");
-    for good in ["lease = \"2s\"", "lease = \"5m\"", "ask_every = \"5s\"", "owner_connections = 1024"] {
-        assert!(with(good).is_ok(), "{good}");
+    assert_rejected("lease = \"1999ms\"", "must be between 2s and 5m");
+    assert_rejected("lease = \"301s\"", "must be between 2s and 5m");
+    assert_rejected("ask_every = \"99ms\"", "must be at least 100ms");
+    assert_rejected("ask_every = \"5001ms\"", "must be at most half of 'lease'");
+    assert_rejected("agent_lag = \"301s\"", "must be at most 5m");
+    assert_rejected("owner_connections = -1", "must be between 1 and 1024");
+    assert_rejected("owner_connections = 1025", "must be between 1 and 1024");
+    for valid_line in ["lease = \"2s\"", "lease = \"5m\"", "ask_every = \"5s\"", "owner_connections = 1024"] {
+        assert!(with(valid_line).is_ok(), "{valid_line}");
     }
 }
 
@@ -82,13 +83,13 @@
         read(&MINIMAL.replace("\"10.0.0.9:7100\"", &control.join(", ")))
     };
     assert!(listed(1).is_ok() && listed(8).is_ok());
-    assert!(listed(0).expect_err("none")[0].1.contains("1 to 8"));
-    assert!(listed(9).expect_err("too many")[0].1.contains("not 9"));
+    assert!(listed(0).expect_err("no control agent is listed")[0].1.contains("1 to 8"));
+    assert!(listed(9).expect_err("nine control agents are listed")[0].1.contains("not 9"));
 }
 
 #[test]
 fn unknown_and_missing_keys_are_rejected() {
-    assert!(with("leases = \"3s\"").expect_err("unknown")[0].1.contains("unknown field"));
+    assert!(with("leases = \"3s\"").expect_err("the field is unknown")[0].1.contains("unknown field"));
     for (field, rest) in [("name", "listen"), ("listen", "control"), ("control", "name")] {
         let text: String =
             MINIMAL.lines().filter(|l| !l.starts_with(field)).map(|l| format!("{l}\n")).collect();
--- a/crates/placement/tests/ownership.rs
+++ b/crates/placement/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! One sender's view of the placement: leases, holds, routes, and rejected answers.
+//! Tests of one sender's view of the placement: leases, holds, routes, and rejected answers.
 
 mod support;
 #[path = "support/tables.rs"]
@@ -51,12 +51,12 @@
     AgentAnswer::Full(Box::new(list.clone()))
 }
 
-/// Returns the member of a seat before it received any list.
+/// Returns the sender that fills a seat, before it has received any list.
 fn new_sender(seat: SeatId) -> Ownership {
     Ownership::new(member_form(seat.index()).name, LEASE, DEADLINE)
 }
 
-/// Returns the member of a seat after it received this list at time 0.
+/// Returns the sender that fills a seat, after it has received this list at time 0.
 fn sender_with_list(seat: SeatId, list: &MemberList) -> Ownership {
     let mut ownership = new_sender(seat);
     receive(&mut ownership, 0, 0, full(list)).unwrap();
@@ -263,8 +263,8 @@
     form
 }
 
-/// A shard that this sender owns in place of a vacant seat is lost while the seat is filled, and its own again
-/// afterwards. It must be on hold, as the other owner may still be delivering.
+/// A sender owns a shard in place of a vacant seat, loses it while the seat is filled, and owns it again afterwards.
+/// The shard must be on hold, because the other owner may still be delivering.
 #[test]
 fn a_shard_that_another_owned_between_two_epochs_is_on_hold() {
     let vacant = list(ListForm { first: true, ..with_vacant(5) });
@@ -292,7 +292,8 @@
     assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::OnHold(SECOND + HOLD));
 }
 
-/// Keys prefer seats, not members: in another seat, even a shard that the member keeps is new to it.
+/// Keys prefer seats, not members: after a member has moved to another seat, even a shard that it still owns is on
+/// hold.
 #[test]
 fn a_member_that_moves_to_another_seat_has_everything_on_hold() {
     let vacant = list(ListForm { first: true, ..with_vacant(5) });
@@ -555,7 +556,7 @@
     assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::OnHold(SECOND + HOLD));
 }
 
-/// Senders of all versions that support scheme 1 agree on these values; another result needs a new scheme number.
+/// Senders of all versions that support scheme 1 must agree on these values. A change needs a new scheme number.
 #[test]
 fn preferences_are_pinned_to_the_scheme() {
     let owners: Vec<SeatId> = [3, 141, 5_926, 53_589].map(SeatId).to_vec();
--- a/crates/placement/tests/properties.rs
+++ b/crates/placement/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Properties of tables over many small fleets with different numbers of regions, zones, racks and replicas, and with
-//! different weights, orders of seats and vacant seats.
+//! Tests properties of tables on many small fleets, which differ in their numbers of regions, zones, racks and
+//! replicas, and in their weights, orders of seats and vacant seats.
 
 mod support;
 
@@ -46,7 +46,7 @@
         Self::new(form)
     }
 
-    /// Applies changes and returns what they moved. Checks that the table is the same as one built from the new list.
+    /// Applies changes and returns the moved shards. Checks that the table is the same as one built from the new list.
     #[track_caller]
     fn change(&mut self, entries: Vec<Change>) -> Moves {
         let (next, changes) = applied(&self.list, entries);
@@ -71,7 +71,7 @@
         support::seats_where(&self.list, |seat| self.list.member(seat).is_some())
     }
 
-    /// Returns the number of shards whose owners share a zone, and of those whose owners share a rack.
+    /// Returns the number of shards whose owners share a zone, and the number of shards whose owners share a rack.
     fn conflicts(&self) -> (usize, usize) {
         let distinct = |domains: BTreeSet<(&str, &str, &str)>, owners: usize| domains.len() == owners;
         let count = |rack: bool| {
@@ -175,7 +175,7 @@
     }
 }
 
-/// In rows with a vacant owner, a new seat can change which spare replaces that owner. Only in these rows may shards
+/// In a row with a vacant owner, a new seat can change which spare replaces that owner. Only in these rows may shards
 /// move between other seats.
 #[test]
 fn a_seat_appended_while_seats_are_vacant_moves_few_shards_between_others() {
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -18,8 +18,8 @@
 /// Number of destinations at full size.
 pub const FULL_DESTINATIONS: i64 = 4_100_000;
 
-/// Returns a fleet of `seats` seats. `zones` gives the number of zones of each region; seats go to the zones in turn,
-/// and fill the racks of a zone one after another.
+/// Returns a fleet of `seats` seats. `zones` is the number of zones of each region. Seats are assigned to the zones in
+/// turn, and within a zone to one rack after another.
 pub fn fleet(zones: &[usize], seats: usize, rack: usize) -> ListForm {
     let all_zones: Vec<(usize, usize)> = zones_in_turn(zones);
     let mut counts = vec![0; all_zones.len()];
@@ -82,12 +82,12 @@
     list.seat_ids().filter(|&seat| chosen(seat)).collect()
 }
 
-/// Returns changes that lead from a list to the next epoch.
+/// Returns changes from a list to the next epoch.
 pub fn changes(list: &MemberList, changes: Vec<Change>) -> Changes {
     Changes { epoch: list.epoch() + 1, since: list.epoch(), changes }
 }
 
-/// Returns the list that changes lead to, and the changes.
+/// Applies changes to a list. Returns the resulting list and the changes.
 pub fn applied(list: &MemberList, entries: Vec<Change>) -> (MemberList, Changes) {
     let changes = changes(list, entries);
     (list.apply(&changes).expect("the changes apply to the list"), changes)
@@ -98,7 +98,7 @@
     seats.iter().map(|&seat| Change::Vacate { seat }).collect()
 }
 
-/// Returns changes that fill seats with the members that `list` has there.
+/// Returns changes that fill seats with the same members as in `list`.
 pub fn refill(list: &MemberList, seats: &[SeatId]) -> Vec<Change> {
     let member = |seat| list.member(seat).expect("the seat is filled in the list");
     seats.iter().map(|&seat| Change::Fill { seat, member: member(seat).into() }).collect()
--- a/crates/placement/tests/support/tables.rs
+++ b/crates/placement/tests/support/tables.rs
@@ -1,4 +1,4 @@
-//! Tables that all senders of a test share. Each is built once, as it depends on the list alone.
+//! Tables that all senders of a test share. Each table is built only once, because it depends on the list alone.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -9,7 +9,7 @@
 #[derive(Default)]
 pub struct SharedTables {
     tables: Mutex<HashMap<u64, Arc<Table>>>,
-    /// The only shards that tests look at; `None` for all.
+    /// The only shards that the placements list as owned; `None` for all.
     visible_shards: Option<Arc<[ShardId]>>,
 }
 
--- a/crates/placement/tests/wire.rs
+++ b/crates/placement/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The JSON forms of docs/design/placement.md are parsed, and written lists and changes are parsed back unchanged.
+//! Tests that the JSON forms of docs/design/placement.md are parsed, and that written lists and changes are parsed back
+//! unchanged.
 
 mod support;
 
