--- a/crates/handover/src/owner.rs
+++ b/crates/handover/src/owner.rs
@@ -75,8 +75,8 @@
             (Owner::Released | Owner::SuccessorLost, Reclaimed(true)) => {
                 (Owner::Aborted, OwnerAction::KeepServing)
             }
-            // Another process owns the journal, but is not connected and so can't report it. Waiting any longer would
-            // serve no client.
+            // Another process owns the journal, but is not connected and so can't report it.
+            // Waiting any longer would serve no client.
             (Owner::SuccessorLost, Reclaimed(false)) => (Owner::Retired, OwnerAction::Retire),
             (Owner::Released, Released | Reclaimed(false)) => (Owner::Released, OwnerAction::Wait),
             (Owner::Retired, Received(Frame::Reply { .. } | Frame::Cancel { .. })) => {
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -42,8 +42,8 @@
     Connect,
     /// Requests the journal.
     RequestJournal,
-    /// Starts as the owner without a predecessor's state, because this is the first process of the sender, or the
-    /// predecessor has exited.
+    /// Starts as the owner without a predecessor's state,
+    /// because this is the first process of the sender, or the predecessor has exited.
     Start,
     /// Starts as the owner with the predecessor's state, and notifies the predecessor that it has acquired the lock.
     Resume,
--- a/crates/handover/tests/handover.rs
+++ b/crates/handover/tests/handover.rs
@@ -208,8 +208,8 @@
                 prop_assert!(world.locked_by_successor);
             }
         }
-        // After the successor has died, the owner either has the journal back or has retired because the successor took
-        // it.
+        // After the successor has died, the owner either owns the journal again,
+        // or has retired because the successor had acquired the lock.
         for step in [5, 3, 6].into_iter().cycle().take(9) {
             world.step(step);
         }
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operator's options file, in TOML. Each section enables one subsystem; a subsystem without a section is off.
 //!
-//! The complete file is checked before any of it takes effect. Unknown keys are errors, and each finding has its line
-//! and column.
+//! The complete file is checked before any of it takes effect.
+//! Unknown keys are errors, and each finding has its line and column.
 #![warn(missing_docs)]
 
 use embershore_finding::{Finding, SpanFinding};
--- a/crates/owed/src/pace.rs
+++ b/crates/owed/src/pace.rs
@@ -1,11 +1,11 @@
-//! The pace of resends. Resends have a rate limit of their own, are sent only to healthy receivers, and wait while
-//! fresh messages are pending.
+//! The pace of resends. Resends have a rate limit of their own,
+//! are sent only to healthy receivers, and wait while fresh messages are pending.
 
 use heronroute::Micros;
 use std::collections::BTreeMap;
 
-/// The maximum number of receivers tracked. The receiver with the oldest call is evicted, and then counts as a receiver
-/// without any call.
+/// The maximum number of receivers tracked. The receiver with the oldest call is evicted,
+/// and then counts as a receiver without any call.
 pub const MAX_RECEIVERS: usize = 10_000;
 /// The burst limit, in seconds of the rate, so that a pause is not followed by a large burst of resends.
 const BURST_SECONDS: f64 = 1.0;
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -1,9 +1,9 @@
 //! The operator's rules: which undeliverable messages are retained, and when each is resent. The first rule that
 //! matches a message applies to it.
 //!
-//! The rules are the section `[owed]` of the options file, in TOML. The complete section is checked, and every finding
-//! reports its position and a remedy. A rule that could break one of the sender's six rules is rejected with the
-//! reason.
+//! The rules are the section `[owed]` of the options file, in TOML.
+//! The complete section is checked, and every finding reports its position and a remedy.
+//! A rule that could break one of the sender's six rules is rejected with the reason.
 
 use crate::debt::{Debt, Reason};
 use crate::plan::ClassFacts;
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -33,8 +33,8 @@
 const FORMAT_VERSION: u64 = 1;
 /// The bytes booked for a debt in addition to its row and body: its keys in all tables, and page overhead.
 const ENTRY_OVERHEAD_BYTES: u64 = 256;
-/// The maximum ratio of the file size to the live bytes: until a commit, old pages coexist with new ones, and pages are
-/// only partly filled.
+/// The maximum ratio of the file size to the live bytes:
+/// until a commit, old pages coexist with new ones, and pages are only partly filled.
 const FILE_SIZE_FACTOR: u64 = 2;
 /// The size of an empty file.
 const EMPTY_FILE_BYTES: u64 = 1 << 20;
@@ -74,7 +74,7 @@
     /// No debt has this number.
     #[error("no message is owed under number {number}")]
     Unknown {
-        /// The requested number.
+        /// The requested number of a debt.
         number: u64,
     },
     /// The disk or the database failed.
@@ -232,7 +232,7 @@
     /// Opens or creates the store on another storage backend. Tests use a backend that fails on command.
     ///
     /// # Errors
-    /// As for [`Store::open`].
+    /// Fails in the same cases as [`Store::open`].
     pub fn with_backend(backend: impl StorageBackend, max_bytes: u64) -> Result<Store, StoreError> {
         Store::from_database(builder().create_with_backend(backend)?, max_bytes)
     }
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -36,8 +36,8 @@
     /// SWIM, which `foca` manages itself.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// A counter within an incarnation. It grows with each change of the record and each refutation of a reported
-    /// death.
+    /// A counter within an incarnation.
+    /// It grows with each change of the record and each refutation of a reported death.
     #[serde(rename = "turn")]
     pub revision: u32,
     /// The address from which the member sends datagrams and at which it receives them.
@@ -74,8 +74,8 @@
 impl foca::Identity for Member {
     type Addr = String;
 
-    /// Returns the next revision of the record, which refutes a report of this member's death; `None` after the last
-    /// possible revision.
+    /// Returns the next revision of the record,
+    /// which refutes a report of this member's death; `None` after the last possible revision.
     fn renew(&self) -> Option<Self> {
         Some(Member { revision: self.revision + 1, ..self.clone() })
             .filter(|next| next.revision <= MAX_REVISION)
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -44,7 +44,7 @@
 /// The checked section `[fleet]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetOptions {
-    /// This sender's name.
+    /// This sender's name on the member list.
     pub name: String,
     /// This sender's failure domain.
     pub domain: String,
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -1,5 +1,5 @@
-//! The base table of one region. It has a row of seats for each shard: the owners' seats first, then the spares. Vacant
-//! seats are included.
+//! The base table of one region. It has a row of seats for each shard:
+//! the owners' seats first, then the spares. Vacant seats are included.
 //!
 //! The table is built by consistent hashing with bounded loads, one seat after another. Each added seat takes its quota
 //! of positions from seats that hold more than their new target. Adding a seat therefore moves positions only to that
--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -25,9 +25,9 @@
     },
     /// A member takes a vacant seat.
     Fill {
-        /// The seat.
+        /// The vacant seat.
         seat: SeatId,
-        /// The member.
+        /// The member that fills the seat.
         member: MemberForm,
     },
     /// A seat is appended to the list.
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -6,8 +6,8 @@
 /// and the shards of a lost zone go to seats in proportion to their quotas.
 pub(crate) const SPARES: usize = 2;
 
-/// Length of the longest row. Shorter rows are filled up with [`EMPTY`]: a fixed length lets the compiler unroll the
-/// hottest loops.
+/// Length of the longest row. Shorter rows are filled up with [`EMPTY`]:
+/// a fixed length lets the compiler unroll the hottest loops.
 pub(crate) const ROW_LENGTH: usize = MAX_REPLICAS + SPARES;
 
 /// Marks a position that no seat holds: the region has fewer seats than a row has positions, or the row is shorter.
@@ -18,8 +18,8 @@
 /// Cost of two seats of a row that share a zone. If they share a rack too, the costs add up.
 const SHARED_ZONE_COST: u32 = 1 << 3;
 
-/// Weight of a pair of owners in the cost. It outweighs all other pairs: a row has at most six pairs of owners, and 15
-/// pairs in all.
+/// Weight of a pair of owners in the cost. It outweighs all other pairs:
+/// a row has at most six pairs of owners, and 15 pairs in all.
 const OWNER_PAIR_WEIGHT: u32 = 1 << 8;
 /// Weight of a pair with a spare in the cost.
 const OTHER_PAIR_WEIGHT: u32 = 1;
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -24,7 +24,7 @@
     Replicas {
         /// The number in the list.
         replicas: u64,
-        /// The maximum.
+        /// The maximum number of replicas.
         max: usize,
     },
     /// The list has no regions.
@@ -37,7 +37,7 @@
         what: &'static str,
         /// Number of entries in the field.
         count: usize,
-        /// The maximum.
+        /// The maximum number of entries.
         max: usize,
     },
     /// A name is empty.
@@ -49,7 +49,7 @@
     /// Two regions have the same name.
     #[error("regions[{second}] repeats the name {name:?} of regions[{first}]: list each region once")]
     DuplicateRegion {
-        /// The name.
+        /// The repeated name.
         name: String,
         /// Index of the first region with this name.
         first: usize,
@@ -71,7 +71,7 @@
     UnknownRegion {
         /// Index of the seat.
         seat: usize,
-        /// The region's name.
+        /// Name of the region that the seat refers to.
         region: String,
     },
     /// A weight is not a number above 0 and up to the maximum.
@@ -83,7 +83,7 @@
         seat: usize,
         /// The weight in the list.
         weight: f64,
-        /// The maximum.
+        /// The maximum weight.
         max: u32,
     },
     /// A member's address is not an IP address with a port.
@@ -99,7 +99,7 @@
         "seats[{second}] repeats the member name {name:?} of seats[{first}]: a member fills only one seat, vacate one of them"
     )]
     DuplicateName {
-        /// The member's name.
+        /// The repeated name.
         name: String,
         /// Index of the seat that has it already.
         first: usize,
@@ -111,7 +111,7 @@
         "seats[{second}] repeats the address {address} of seats[{first}]: give each member its own address"
     )]
     DuplicateAddress {
-        /// The address.
+        /// The repeated address.
         address: std::net::SocketAddr,
         /// Index of the seat that has it already.
         first: usize,
@@ -135,17 +135,17 @@
         "wide destination {dest} has width {width}: must be 2 to {max}, or 1 in a change to make it plain again"
     )]
     Width {
-        /// The destination.
+        /// Number of the destination.
         dest: i64,
         /// The width in the list or the change.
         width: u64,
-        /// The maximum.
+        /// The maximum width.
         max: u16,
     },
     /// A wide destination is listed twice.
     #[error("wide lists destination {dest} twice: list it once")]
     DuplicateWide {
-        /// The destination.
+        /// Number of the destination.
         dest: i64,
     },
     /// The list is older than the one in force.
@@ -159,7 +159,7 @@
     /// The list has the epoch in force but other contents.
     #[error("epoch {epoch} is already in force with another list: raise the epoch with each change")]
     DifferentList {
-        /// The epoch.
+        /// The epoch of both lists.
         epoch: u64,
     },
     /// The changes do not begin at the epoch in force.
@@ -189,7 +189,7 @@
     /// A change fills a seat that has a member.
     #[error("seat {seat} is filled by {member}: vacate it first")]
     SeatFilled {
-        /// The seat.
+        /// Number of the seat.
         seat: usize,
         /// The member that fills the seat.
         member: String,
@@ -197,7 +197,7 @@
     /// A change vacates a seat that has no member.
     #[error("seat {seat} is vacant already: correct the number")]
     SeatVacant {
-        /// The seat.
+        /// Number of the seat.
         seat: usize,
     },
     /// An entry of `changes` is no known change, or several at once.
--- a/crates/placement/src/fallback.rs
+++ b/crates/placement/src/fallback.rs
@@ -1,6 +1,6 @@
-//! The order in which a shard falls back to seats that are not in its base row. Each shard has its own pseudo-random
-//! permutation, so that the shards of lost seats are spread over all other seats. Adding or removing a seat changes no
-//! other seat's rank.
+//! The order in which a shard falls back to seats that are not in its base row.
+//! Each shard has its own pseudo-random permutation, so that the shards of lost seats are spread over all other seats.
+//! Adding or removing a seat changes no other seat's rank.
 
 use crate::hash::{mix_pair, scale};
 use crate::shard::ShardId;
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -65,13 +65,13 @@
 pub enum Step {
     /// Send the request to an owner.
     Send {
-        /// The owner's seat.
+        /// The seat of the owner to send to.
         to: SeatId,
         /// The time from now within which the first byte must be written. If it expires, the caller must not write any,
         /// and the outcome is [`ForwardOutcome::NotSent`].
         write_timeout: Micros,
-        /// The time from now within which the answer must arrive. If it expires, the outcome is
-        /// [`ForwardOutcome::Unknown`].
+        /// The time from now within which the answer must arrive.
+        /// If it expires, the outcome is [`ForwardOutcome::Unknown`].
         answer_timeout: Micros,
     },
     /// Send the reply to the client. The request is finished.
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -30,13 +30,13 @@
         Self(mix(start.wrapping_add(FIBONACCI_MULTIPLIER)))
     }
 
-    /// Adds a number.
+    /// Returns the digest extended by a number.
     pub const fn number(self, value: u64) -> Self {
         Self(mix_pair(self.0, value))
     }
 
-    /// Adds a text with its length, so that two consecutive texts can't be confused with a different split of the same
-    /// bytes.
+    /// Returns the digest extended by a text and its length. The length distinguishes consecutive texts from a different
+    /// split of the same bytes.
     pub fn text(self, text: &str) -> Self {
         let mut digest = self.number(text.len() as u64);
         for chunk in text.as_bytes().chunks(8) {
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -1,5 +1,5 @@
-//! Tracks the shards and keys that this sender has newly gained, and until when it must wait for their former owners to
-//! finish.
+//! Tracks the shards and keys that this sender has newly gained,
+//! and until when it must wait for their former owners to finish.
 //!
 //! The following are on hold for [`LeaseTimes::hold`](crate::LeaseTimes::hold), counted from when this sender received
 //! the epoch, because another sender may still be using them: a gained shard; an order key that preferred another
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -1,8 +1,8 @@
 //! The lease under which a sender accepts requests as an owner, and the times derived from it.
 //!
-//! A sender polls its control agent periodically. An answer to a request that was sent at `polled_at` renews the lease
-//! until `polled_at + lease`. The lease counts from the request, so a delay of the answer shortens the remaining lease
-//! by the same time.
+//! A sender polls its control agent periodically.
+//! An answer to a request that was sent at `polled_at` renews the lease until `polled_at + lease`.
+//! The lease counts from the request, so a delay of the answer shortens the remaining lease by the same time.
 //!
 //! All times are from one monotonic clock of this process, which also advances while the process is stopped and, where
 //! the system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`). Clock readings of different machines are
@@ -55,8 +55,8 @@
         Lease { length, expires_at: None }
     }
 
-    /// Renews the lease by the answer to the poll sent at `polled_at`. An answer to an earlier poll never shortens the
-    /// lease.
+    /// Renews the lease by the answer to the poll sent at `polled_at`.
+    /// An answer to an earlier poll never shortens the lease.
     pub fn renew(&mut self, polled_at: Micros) {
         let expires_at = polled_at + self.length;
         self.expires_at = Some(self.expires_at.map_or(expires_at, |earlier| earlier.max(expires_at)));
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decides which senders own which destinations, by shards, replicas, epochs and leases. The crate does no I/O; time
-//! and randomness are parameters.
+//! Decides which senders own which destinations, by shards, replicas, epochs and leases.
+//! The crate does no I/O; time and randomness are parameters.
 //!
 //! A destination belongs to a shard ([`shard`]), a shard to the seats that own it ([`Table::owners`]), and a seat to
 //! the member that fills it ([`MemberList::member`]). The table is a function of the member list alone.
--- a/crates/placement/src/list.rs
+++ b/crates/placement/src/list.rs
@@ -1,5 +1,5 @@
-//! The member list of one epoch. [`MemberList`] is validated when it is constructed, so code that uses it needs no
-//! further checks.
+//! The member list of one epoch. [`MemberList`] is validated when it is constructed,
+//! so code that uses it needs no further checks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -120,7 +120,7 @@
 }
 
 impl MemberList {
-    /// Validates a list.
+    /// Validates a list that was received in its wire form.
     ///
     /// # Errors
     /// Returns the first invalid entry found, with its position and a correction.
@@ -360,8 +360,8 @@
         Ok(seat)
     }
 
-    /// Assigns the members of a full list and sorts the indices once. Calling [`Self::fill`] for each member would take
-    /// quadratic time.
+    /// Assigns the members of a full list and sorts the indices once.
+    /// Calling [`Self::fill`] for each member would take quadratic time.
     fn fill_all(&mut self, forms: &[SeatForm]) -> Result<(), ListError> {
         for (seat, form) in self.seat_ids().zip(forms) {
             if let Some(form) = &form.member {
@@ -447,8 +447,8 @@
         self.by_name.binary_search_by(|&seat| self.name_at(seat).cmp(name))
     }
 
-    /// Returns the index in `by_address` of the member with this address, or else the index at which it would be
-    /// inserted.
+    /// Returns the index in `by_address` of the member with this address,
+    /// or else the index at which it would be inserted.
     fn find_address(&self, address: SocketAddr) -> Result<usize, usize> {
         self.by_address.binary_search_by_key(&Some(address), |&seat| self.member(seat).map(Member::address))
     }
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -24,8 +24,8 @@
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// A longer lag of an agent would keep gained shards on hold for longer than most outages last.
 const MAX_AGENT_LAG: Duration = Duration::from_secs(300);
-/// Allowed numbers of persistent connections to other members. Each uses a descriptor that is then not available for
-/// connections to endpoints.
+/// Allowed numbers of persistent connections to other members.
+/// Each uses a descriptor that is then not available for connections to endpoints.
 const OWNER_CONNECTIONS_BOUNDS: RangeInclusive<usize> = 1..=1024;
 const DEFAULT_OWNER_CONNECTIONS: usize = 64;
 
@@ -58,8 +58,8 @@
     pub lease: Micros,
     /// The interval between polls of a control agent, in microseconds.
     pub poll_interval: Micros,
-    /// How long an agent may still answer with an epoch after a later one was first sent to any sender, in
-    /// microseconds; see [`crate::LeaseTimes::agent_lag`].
+    /// How long an agent may still answer with an epoch after a later one was first sent to any sender,
+    /// in microseconds; see [`crate::LeaseTimes::agent_lag`].
     pub agent_lag: Micros,
     /// Maximum number of persistent connections to other members.
     pub max_owner_connections: usize,
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -1,5 +1,5 @@
-//! One sender's view of the placement: the epoch in force, the routing of requests, and which requests this sender may
-//! accept.
+//! One sender's view of the placement: the epoch in force,
+//! the routing of requests, and which requests this sender may accept.
 //!
 //! # What a sender may do
 //!
@@ -62,8 +62,8 @@
 pub enum Route {
     /// By this sender, which accepts the request if [`Ownership::admission`] allows it, and otherwise answers busy.
     Local,
-    /// By one of these owners, to which [`crate::Forwarding`] sends it, preferred owner first. An ordered request has
-    /// one.
+    /// By one of these owners, to which [`crate::Forwarding`] sends the request,
+    /// preferred owner first. An ordered request has only one owner.
     Forward(Vec<SeatId>),
     /// No list has been received yet, or the destination has no owner.
     Unknown,
@@ -317,9 +317,9 @@
         view.parts(dest).any(|part| needs(sub_shard(dest, part)))
     }
 
-    /// Returns the number of owners that share a destination's limit equally. While other senders may still act under
-    /// an epoch with more owners, this is the number of that epoch. Before the first list, it is the number that the
-    /// last run persisted.
+    /// Returns the number of owners that share a destination's limit equally.
+    /// While other senders may still act under an epoch with more owners, this is the number of that epoch.
+    /// Before the first list, it is the number that the last run persisted.
     pub fn limit_sharers(&self, now: Micros, dest: i64) -> usize {
         match (self.list(), &self.persisted) {
             (Some(list), _) => self.recent_sharing.max_sharers(list, dest, now),
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -48,12 +48,12 @@
         Ok(Placement { list, table: Arc::new(table), visible_shards: self.visible_shards.clone() })
     }
 
-    /// Returns the member list.
+    /// Returns the member list of the placement's epoch.
     pub fn list(&self) -> &MemberList {
         &self.list
     }
 
-    /// Returns the table.
+    /// Returns the table of shard owners.
     pub fn table(&self) -> &Table {
         &self.table
     }
--- a/crates/placement/src/preference.rs
+++ b/crates/placement/src/preference.rs
@@ -1,13 +1,13 @@
-//! Selects which of a shard's owners a request prefers, by rendezvous hashing (Thaler and Ravishankar, 1998) over the
-//! owners.
+//! Selects which of a shard's owners a request prefers,
+//! by rendezvous hashing (Thaler and Ravishankar, 1998) over the owners.
 //!
-//! All senders must agree on the preference, whatever their versions: it is part of the scheme ([`crate::SCHEME`]) and
-//! pinned by a test.
+//! All senders must agree on the preference, whatever their versions:
+//! it is part of the scheme ([`crate::SCHEME`]) and pinned by a test.
 //!
-//! An ordered request is hashed by its order key, any other request by its id. The preference depends only on the set
-//! of owners, not on their order in the table, and each request ranks the owners in its own order. When an owner is
-//! lost, its requests are therefore spread over all other owners. A key whose preferred owner remains can only move to
-//! a newly added owner.
+//! An ordered request is hashed by its order key, any other request by its id.
+//! The preference depends only on the set of owners, not on their order in the table, and each request
+//! ranks the owners in its own order. When an owner is lost, its requests are therefore spread over all other owners.
+//! A key whose preferred owner remains can only move to a newly added owner.
 
 use crate::hash::{Digest, mix_pair, scale};
 use crate::list::SeatId;
@@ -15,11 +15,11 @@
 /// The fields of a request that placement depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
-    /// The destination's number.
+    /// The number of the destination.
     pub dest: i64,
     /// The order key, in a class that keeps order.
     pub order_key: Option<&'a str>,
-    /// The request's id.
+    /// The id that the client gave the request.
     pub request_id: &'a str,
 }
 
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -69,8 +69,8 @@
         self.base.seats().len()
     }
 
-    /// Appends a vacant seat to the base rows. [`Self::resolve_all`] or [`Self::update`] must follow to update the
-    /// owners.
+    /// Appends a vacant seat to the base rows.
+    /// [`Self::resolve_all`] or [`Self::update`] must follow to update the owners.
     pub(crate) fn append(&mut self, seat: BaseSeat) {
         self.base.append(seat);
         self.filled.push(false);
@@ -190,9 +190,9 @@
         seat != EMPTY && self.filled[usize::from(seat)]
     }
 
-    /// Selects a filled spare for each missing owner: the spare that shares the fewest domains with the row's other
-    /// base owners. Vacant base owners count too, so that vacating or filling one seat does not change which spare
-    /// replaces another seat.
+    /// Selects a filled spare for each missing owner:
+    /// the spare that shares the fewest domains with the row's other base owners. Vacant base owners count too,
+    /// so that vacating or filling one seat does not change which spare replaces another seat.
     fn add_spares(&self, row: u32, owner_count: usize, selection: &mut OwnerSelection) {
         let (owners, spares) = self.base.row(row);
         for missing in owners.iter().filter(|&&owner| !self.is_filled(owner)) {
--- a/crates/placement/src/shard.rs
+++ b/crates/placement/src/shard.rs
@@ -1,5 +1,5 @@
-//! The mapping from destinations to shards. The number of shards is fixed and does not depend on the number of
-//! destinations or members.
+//! The mapping from destinations to shards.
+//! The number of shards is fixed and does not depend on the number of destinations or members.
 
 use crate::hash::{FIBONACCI_MULTIPLIER, mix_pair};
 
@@ -31,8 +31,8 @@
     number.reverse_bits() >> (u32::BITS - SHARD_BITS)
 }
 
-/// Returns the shard of a destination, by multiplicative hashing. Densely numbered destinations are spread almost
-/// perfectly evenly.
+/// Returns the shard of a destination, by multiplicative hashing.
+/// Densely numbered destinations are spread almost perfectly evenly.
 pub const fn shard(dest: i64) -> ShardId {
     ShardId(((dest as u64).wrapping_mul(FIBONACCI_MULTIPLIER) >> (u64::BITS - SHARD_BITS)) as u32)
 }
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -10,8 +10,7 @@
 use crate::region::RegionTable;
 use crate::shard::{SHARDS, ShardId};
 
-/// The owners of all shards under one member list. The table takes about 4 MB at two replicas, for any number of
-/// members.
+/// The owners of all shards under one member list. The table takes about 4 MB at two replicas, however many members.
 #[derive(Clone, Debug)]
 pub struct Table {
     regions: Vec<RegionTable>,
@@ -41,8 +40,8 @@
         Self { seats: seat_locations(list, regions.len()), regions }
     }
 
-    /// Applies `changes`, which lead from this table's list to `next`. Afterwards the table is the same as one built
-    /// from `next`.
+    /// Applies `changes`, which lead from this table's list to `next`.
+    /// Afterwards the table is the same as one built from `next`.
     pub fn apply(&mut self, next: &MemberList, changes: &Changes) {
         let mut pending = vec![Pending::default(); self.regions.len()];
         for change in &changes.changes {
--- a/crates/placement/src/target.rs
+++ b/crates/placement/src/target.rs
@@ -1,5 +1,5 @@
-//! The number of a region's positions that each seat should hold: in proportion to its weight, and at most one position
-//! per shard.
+//! The number of a region's positions that each seat should hold:
+//! in proportion to its weight, and at most one position per shard.
 
 use crate::list::MAX_REPLICAS;
 
@@ -25,9 +25,9 @@
         }
     }
 
-    /// Returns the share of all positions that each weight is entitled to. The `replicas` positions of a shard must be
-    /// on different seats, so a seat holds at most one of them, and a weight counts only up to `1 / replicas` of the
-    /// sum.
+    /// Returns the share of all positions that each weight is entitled to.
+    /// The `replicas` positions of a shard must be on different seats,
+    /// so a seat holds at most one of them, and a weight counts only up to `1 / replicas` of the sum.
     pub(crate) fn shares(&self, replicas: usize) -> Shares {
         let mut rest = self.total;
         for capped in 0..replicas {
--- a/crates/placement/src/weight.rs
+++ b/crates/placement/src/weight.rs
@@ -10,8 +10,8 @@
 pub struct Weight(u32);
 
 impl Weight {
-    /// Converts a decimal number, rounded to the nearest 1/1024. Returns `None` if it is not finite, rounds to 0, or
-    /// exceeds [`MAX_WEIGHT`].
+    /// Converts a decimal number, rounded to the nearest 1/1024.
+    /// Returns `None` if it is not finite, rounds to 0, or exceeds [`MAX_WEIGHT`].
     pub fn new(decimal: f64) -> Option<Self> {
         let in_range = decimal > 0.0 && decimal <= f64::from(MAX_WEIGHT);
         let units = if in_range { (decimal * f64::from(UNITS_PER_ONE)).round() as u32 } else { 0 };
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -1,5 +1,5 @@
-//! The JSON forms in which a control agent sends member lists and changes. This module parses and writes them;
-//! [`MemberList`] validates them.
+//! The JSON forms in which a control agent sends member lists and changes.
+//! This module parses and writes them; [`MemberList`] validates them.
 
 use serde::{Deserialize, Deserializer, Serialize};
 
@@ -118,7 +118,7 @@
 }
 
 impl AgentAnswer {
-    /// Parses an answer.
+    /// Parses the JSON text of an answer.
     ///
     /// # Errors
     /// Fails if the text has none of the three forms, or if a full list is invalid.
@@ -262,8 +262,8 @@
     }
 }
 
-/// Serializes a form. This can't fail: JSON can express all values of the forms (a weight that is not finite becomes
-/// `null`).
+/// Serializes a form. This can't fail:
+/// JSON can express all values of the forms (a weight that is not finite becomes `null`).
 fn to_json<T: Serialize>(form: &T) -> Vec<u8> {
     serde_json::to_vec(form).unwrap_or_default()
 }
--- a/crates/placement/tests/histories.rs
+++ b/crates/placement/tests/histories.rs
@@ -1,6 +1,6 @@
-//! Simulates thousands of histories of a fleet with faults of members, network and control agents. In none of them may
-//! a message be lost or take effect twice, a key lose its order, or the shares of a destination's limit exceed the
-//! limit.
+//! Simulates thousands of histories of a fleet with faults of members, network and control agents.
+//! In none of them may a message be lost or take effect twice,
+//! a key lose its order, or the shares of a destination's limit exceed the limit.
 
 mod history;
 #[path = "support/tables.rs"]
--- a/crates/placement/tests/history/ledger.rs
+++ b/crates/placement/tests/history/ledger.rs
@@ -1,5 +1,5 @@
-//! A ledger that records the acceptances and calls of each message and checks the rules, independently of the code
-//! under test.
+//! A ledger that records the acceptances and calls of each message.
+//! It checks the rules independently of the code under test.
 
 use heronroute::{Effect, Micros};
 
@@ -89,8 +89,8 @@
         self.messages.len() - 1
     }
 
-    /// Records that a member accepts a message. `lease_until` is computed from the control agent's answers that reached
-    /// the member.
+    /// Records that a member accepts a message.
+    /// `lease_until` is computed from the control agent's answers that reached the member.
     pub fn accepted(
         &mut self,
         now: Micros,
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Records the start of a call. `shares` are the limit shares of all members that may now begin a call to the same
-    /// destination.
+    /// Records the start of a call.
+    /// `shares` are the limit shares of all members that may now begin a call to the same destination.
     pub fn begin_call(&mut self, now: Micros, job: usize, until: Micros, takes_effect: bool, shares: &[f64]) {
         self.counts.calls += 1;
         let sum: f64 = shares.iter().sum();
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -1,5 +1,5 @@
-//! The simulated fleet, in simulated time: members that run the real placement code, their clients, and the messages
-//! between them.
+//! The simulated fleet, in simulated time: members that run the real placement code,
+//! their clients, and the messages between them.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -38,8 +38,8 @@
     Poll {
         member: usize,
     },
-    /// An answer of a control agent reaches a member. If it is not `regular`, it is an invalid list that the member
-    /// must reject.
+    /// An answer of a control agent reaches a member.
+    /// If it is not `regular`, it is an invalid list that the member must reject.
     AnswerReceived {
         member: usize,
         incarnation: u32,
--- a/crates/placement/tests/history/network.rs
+++ b/crates/placement/tests/history/network.rs
@@ -1,5 +1,5 @@
-//! The fault plan of one history: when control agents send each epoch, and which members are cut off, killed or
-//! stopped.
+//! The fault plan of one history: when control agents send each epoch,
+//! and which members are cut off, killed or stopped.
 
 use heronroute::Micros;
 use rand::prelude::*;
--- a/crates/placement/tests/properties.rs
+++ b/crates/placement/tests/properties.rs
@@ -175,8 +175,8 @@
     }
 }
 
-/// In a row with a vacant owner, a new seat can change which spare replaces that owner. Only in these rows may shards
-/// move between other seats.
+/// In a row with a vacant owner, a new seat can change which spare replaces that owner.
+/// Only in these rows may shards move between other seats.
 #[test]
 fn a_seat_appended_while_seats_are_vacant_moves_few_shards_between_others() {
     for seed in 0..SEEDS {
@@ -236,8 +236,8 @@
     }
 }
 
-/// With as many zones as replicas, each zone has to own each shard exactly once, which rounded quotas can't fully
-/// achieve.
+/// With as many zones as replicas, each zone has to own each shard exactly once,
+/// which rounded quotas can't fully achieve.
 #[test]
 fn with_as_many_zones_as_replicas_owners_share_a_zone_in_at_most_two_percent_of_the_shards() {
     for (zones, replicas) in [(2, 2), (3, 3), (4, 4)] {
