--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The version of the frames and of the handed-over state. Processes of different versions do not hand over to each
-/// other: the successor waits until the owner has exited.
+/// The version of the frames and of the handed-over state.
+/// Processes of different versions do not hand over to each other: the successor waits until the owner has exited.
 pub const VERSION: u16 = 3;
-/// The maximum length of a frame's payload in bytes. The longest frame carries the state of every endpoint, about 500
-/// bytes each, and a body of 64 KiB.
+/// The maximum length of a frame's payload in bytes.
+/// The longest frame carries the state of every endpoint, about 500 bytes each, and a body of 64 KiB.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// The state of the owner that the journal does not contain.
@@ -53,8 +53,8 @@
 /// A frame that one process sends to the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The first frame on every connection, sent by both sides. Its encoding never changes, so that processes of any
-    /// two versions can compare them.
+    /// The first frame on every connection, sent by both sides.
+    /// Its encoding never changes, so that processes of any two versions can compare them.
     Hello {
         /// The [`VERSION`] of the process that sends the frame.
         version: u16,
@@ -151,8 +151,8 @@
     /// Returns the next complete frame, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// When the frame is too long or malformed. An excessive length is rejected as soon as it is read, so that no
-    /// memory is reserved for the payload.
+    /// When the frame is too long or malformed.
+    /// An excessive length is rejected as soon as it is read, so that no memory is reserved for the payload.
     pub fn decode(&mut self) -> Result<Option<Frame>, FrameError> {
         let Some(length) = self.buf.first_chunk::<4>().map(|b| u32::from_le_bytes(*b) as usize) else {
             return Ok(None);
--- a/crates/handover/tests/handover.rs
+++ b/crates/handover/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Both state machines and the lock between them: at most one side owns the journal, whichever frames are lost, late or
-//! out of order, and one of them owns it once the faults have ended.
+//! Both state machines and the lock between them: at most one side owns the journal,
+//! whichever frames are lost, late or out of order, and one of them owns it once the faults have ended.
 
 use embershore_handover::*;
 use heronroute::{MsgId, Outcome};
--- a/crates/owed/benches/cost.rs
+++ b/crates/owed/benches/cost.rs
@@ -1,6 +1,6 @@
-//! Measures the cost of a debt: its size on disk and in memory, and the time to open the store and to list debts. Run
-//! it with `cargo bench -p embershore-owed`, with numbers of debts as arguments after `--`. One process fills each
-//! store and another measures it, so that the measured memory is only that of an open store.
+//! Measures the cost of a debt: its size on disk and in memory, and the time to open the store and to list debts.
+//! Run it with `cargo bench -p embershore-owed`, with numbers of debts as arguments after `--`.
+//! One process fills each store and another measures it, so that the measured memory is only that of an open store.
 
 use bytes::Bytes;
 use embershore_owed::store::Filter;
--- a/crates/owed/src/debt.rs
+++ b/crates/owed/src/debt.rs
@@ -129,8 +129,8 @@
     pub dest: i64,
     /// The subject of the message. A newer message with the same key supersedes it if its rule says so.
     pub key: String,
-    /// The position of the message in the order in which this sender accepted messages. It decides which of two
-    /// messages is newer, because the clock may have been set back.
+    /// The position of the message in the order in which this sender accepted messages.
+    /// It decides which of two messages is newer, because the clock may have been set back.
     pub order: u64,
     /// The body of the message, as the client sent it.
     pub body: Bytes,
@@ -290,8 +290,8 @@
     /// Applies a verdict on whether the message ran. Repeating the same verdict changes nothing.
     ///
     /// # Errors
-    /// When no attempt may have run, when the message is in flight or settled, when it has too many resolutions, or
-    /// when the author or the justification is empty.
+    /// When no attempt may have run, when the message is in flight or settled,
+    /// when it has too many resolutions, or when the author or the justification is empty.
     pub fn resolve(
         &mut self,
         verdict: Verdict,
--- a/crates/owed/src/pace.rs
+++ b/crates/owed/src/pace.rs
@@ -69,10 +69,10 @@
         self.receivers.entry(dest).or_insert(Receiver { healthy_since: None, last_call: now, bucket })
     }
 
-    /// Returns whether a receiver has been healthy for at least `healthy_for`. A receiver without any call, or without
-    /// a call since its last failure, may be tried after the same time without calls; otherwise a receiver that gets no
-    /// fresh messages would never be tried. Each resend to such a receiver restarts that time, so that its debts are
-    /// tried one by one and not all at once.
+    /// Returns whether a receiver has been healthy for at least `healthy_for`. A receiver without any call,
+    /// or without a call since its last failure, may be tried after the same time without calls;
+    /// otherwise a receiver that gets no fresh messages would never be tried.
+    /// Each resend to such a receiver restarts that time, so that its debts are tried one by one and not all at once.
     pub fn is_healthy(&self, dest: i64, healthy_for: Micros, now: Micros) -> bool {
         match self.receivers.get(&dest) {
             Some(Receiver { healthy_since: Some(since), .. }) => now - since >= healthy_for,
@@ -83,8 +83,8 @@
 
     /// Takes a token for one resend to a receiver. Returns whether the resend may be sent now.
     ///
-    /// `fresh_pending` means that fresh messages for the receiver are pending, which are sent first. `others_due` means
-    /// that debts to other receivers are due, so that this receiver is limited to its maximum share of the rate.
+    /// `fresh_pending` means that fresh messages for the receiver are pending, which are sent first.
+    /// `others_due` means that debts to other receivers are due, so that this receiver is limited to its maximum share.
     pub fn try_take(&mut self, dest: i64, fresh_pending: bool, others_due: bool, now: Micros) -> bool {
         self.total.refill(now, self.rate);
         if fresh_pending || self.total.tokens < 1.0 {
--- a/crates/owed/src/plan.rs
+++ b/crates/owed/src/plan.rs
@@ -12,8 +12,9 @@
 use crate::rules::{ExpiryAction, Rule, Rules};
 use heronroute::{Effect, Micros};
 
-/// A repeat may begin only within this share of the time for which a receiver remembers a key: a later repeat may
-/// arrive after the receiver has forgotten the key. The decision module has the same bound for its own repeats.
+/// A repeat may begin only within this share of the time for which a receiver remembers a key:
+/// a later repeat may arrive after the receiver has forgotten the key.
+/// The decision module has the same bound for its own repeats.
 const REPEAT_WINDOW_SHARE: f64 = 0.45;
 
 /// The settings of a message class that matter for resends.
@@ -64,8 +65,8 @@
     Expired(ExpiryAction),
 }
 
-/// Returns the next step of a debt at `now`, by the first rule that matches it. If the clock was set back, the wait for
-/// a resend is not extended, and a keyed message that may have run is in doubt.
+/// Returns the next step of a debt at `now`, by the first rule that matches it.
+/// If the clock was set back, the wait for a resend is not extended, and a keyed message that may have run is in doubt.
 pub fn next_step(debt: &Debt, rules: &Rules, classes: &[ClassFacts], now: Micros) -> Step {
     match debt.state {
         State::InFlight => return Step::InFlight,
@@ -94,8 +95,8 @@
     Step::Resend { at: resend_time(debt, rule, now), healthy_for: resend.healthy_for }
 }
 
-/// Returns when a rule resends a debt. If the clock was set back, the gap counts from `now`, because counting from the
-/// debt's times would lengthen the wait by the amount that the clock was set back.
+/// Returns when a rule resends a debt. If the clock was set back, the gap counts from `now`,
+/// because counting from the debt's times would lengthen the wait by the amount that the clock was set back.
 fn resend_time(debt: &Debt, rule: &Rule, now: Micros) -> Micros {
     let Some(resend) = &rule.resend else { return Micros::MAX };
     let set_back = now < debt.changed_at;
@@ -120,8 +121,8 @@
     }
 }
 
-/// Returns whether a newly accepted or delivered message supersedes a debt. The message must have the same receiver,
-/// class and key, and a higher `order`; the clock does not matter.
+/// Returns whether a newly accepted or delivered message supersedes a debt.
+/// The message must have the same receiver, class and key, and a higher `order`; the clock does not matter.
 pub fn is_superseded(debt: &Debt, rules: &Rules, dest: i64, class: &str, key: &str, order: u64) -> bool {
     let message = &debt.message;
     debt.state == State::Owed
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -1,5 +1,5 @@
-//! The operator's rules: which undeliverable messages are retained, and when each is resent. The first rule that
-//! matches a message applies to it.
+//! The operator's rules: which undeliverable messages are retained, and when each is resent.
+//! The first rule that matches a message applies to it.
 //!
 //! The rules are the section `[owed]` of the options file, in TOML.
 //! The complete section is checked, and every finding reports its position and a remedy.
@@ -97,8 +97,8 @@
 pub struct Resend {
     /// How long the receiver must have been healthy before a resend, in microseconds.
     pub healthy_for: Micros,
-    /// The start and the end of the daily window for resends, in minutes of the day, UTC. If the end is smaller than
-    /// the start, the window spans midnight.
+    /// The start and the end of the daily window for resends, in minutes of the day, UTC.
+    /// If the end is smaller than the start, the window spans midnight.
     pub window: Option<(u32, u32)>,
     /// The minimum time between giving up delivery and a resend, in microseconds.
     pub not_before: Micros,
@@ -362,9 +362,9 @@
             );
             self.report(place.clone(), message);
         }
-        // An operator who lists 'may-have-run' expects such messages to be resent. A resend could have a second effect,
-        // which the second of the sender's six rules forbids. A rule without a list of reasons is accepted, because
-        // `plan` does not resend messages in doubt.
+        // An operator who lists 'may-have-run' expects such messages to be resent.
+        // A resend could have a second effect, which the second of the sender's six rules forbids.
+        // A rule without a list of reasons is accepted, because `plan` does not resend messages in doubt.
         let lists_doubt = raw.reason.as_ref().is_some_and(|r| r.contains(&Reason::MayHaveRun));
         if let (true, Some(resend), Some(raw_resend)) = (lists_doubt, &resend, &raw.resend) {
             for class in matched_classes() {
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -210,8 +210,8 @@
 }
 
 impl Store {
-    /// Opens the store in a file, or creates it. A new file is created under another name and renamed once it is
-    /// complete, because a file that a killed process left incomplete could not be opened.
+    /// Opens the store in a file, or creates it. A new file is renamed to `path` only once it is complete,
+    /// because a file that a killed process left incomplete could not be opened.
     ///
     /// # Errors
     /// When the file can't be opened, was written by a later release, or is not a store.
@@ -250,8 +250,8 @@
         Ok(Store { db, max_live_bytes: max_bytes.saturating_sub(EMPTY_FILE_BYTES) / FILE_SIZE_FACTOR })
     }
 
-    /// Stores the debt of a message and syncs it to disk. A message that is already owed is left unchanged, because an
-    /// interrupted transfer into the store is repeated at the next start.
+    /// Stores the debt of a message and syncs it to disk. A message that is already owed is left unchanged,
+    /// because an interrupted transfer into the store is repeated at the next start.
     ///
     /// # Errors
     /// When there is no room, or the disk fails. The message is not stored then.
@@ -262,8 +262,8 @@
         Ok(inserted)
     }
 
-    /// Stores many debts in one transaction with one sync, and returns the result of each in the same order. If there
-    /// is no room for one of them, the others are still stored.
+    /// Stores many debts in one transaction with one sync, and returns the result of each in the same order.
+    /// If there is no room for one of them, the others are still stored.
     ///
     /// # Errors
     /// When the disk fails. None of the debts is stored then.
@@ -344,8 +344,8 @@
         Ok(StoredRow { row: decode_row(number, bytes)?, length: bytes.len() as u64 })
     }
 
-    /// Replaces `before` by `after` in the count of live bytes. Only new entries (`before` is 0) are checked against
-    /// the limit, so that debts in a full store can still be updated and settled.
+    /// Replaces `before` by `after` in the count of live bytes. Only a new entry, whose `before` is 0, is checked
+    /// against the limit, so that debts in a full store can still be updated and settled.
     fn book_bytes(&self, transaction: &WriteTransaction, before: u64, after: u64) -> Result<(), StoreError> {
         let mut meta = transaction.open_table(META)?;
         let live = meta.get("live")?.map_or(0, |n| n.value());
@@ -433,8 +433,8 @@
         Ok(list)
     }
 
-    /// Returns at most `limit` debts that match a filter, ordered by receiver, class, reason and number. Debts that
-    /// can't be read are reported separately.
+    /// Returns at most `limit` debts that match a filter, ordered by receiver, class, reason and number.
+    /// Debts that can't be read are reported separately.
     ///
     /// # Errors
     /// When the disk fails.
@@ -473,8 +473,8 @@
         Ok(listed)
     }
 
-    /// Returns the number of debts by receiver, class, reason and state. The cost depends on the number of
-    /// combinations, not on the number of debts.
+    /// Returns the number of debts by receiver, class, reason and state.
+    /// The cost depends on the number of combinations, not on the number of debts.
     ///
     /// # Errors
     /// When the disk fails.
--- a/crates/owed/tests/plan.rs
+++ b/crates/owed/tests/plan.rs
@@ -241,7 +241,7 @@
                 _ => {}
             }
             // The sender measures by its own clock how long a key is remembered. If that clock is set back unnoticed
-            // and catches up again, a keyed message can take effect twice, which is not checked here.
+            // and catches up again, a keyed message can take effect twice. This case is not checked here.
             if classes[class].effect == Effect::Unsafe || !set_back {
                 prop_assert!(effects <= 1, "it took effect {effects} times: {owed:?}");
             }
--- a/crates/peer/src/fleet.rs
+++ b/crates/peer/src/fleet.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Checks that `next` may replace this list on the member `own_name`. All addresses may change, but at most one
-    /// name may be added or removed at a time.
+    /// Checks that `next` may replace this list on the member `own_name`.
+    /// All addresses may change, but at most one name may be added or removed at a time.
     ///
     /// # Errors
     /// When more than one member is added or removed, or the member itself is not on the new list.
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,11 +1,13 @@
 //! # embershore-peer
 //!
-//! Tracks the other senders of the fleet: which are alive, suspected or down, and whether a majority of the agreed
-//! member list is reachable. The crate does no I/O: [`Peers`] takes received datagrams and the current time, and
-//! returns datagrams to send and the time of its next call.
+//! Tracks which senders of the fleet are alive, suspected or down,
+//! and whether a majority of the agreed member list is reachable. The crate does no I/O:
+//! [`Peers`] takes received datagrams and the current time,
+//! and returns datagrams to send and the time of its next call.
 //!
-//! Failure detection is SWIM (Das, Gupta and Motivala, 2002), from the library `foca`. Its results are hints that may
-//! be out of date; a [`View`] reports their age. `docs/design/peer.md` explains the design.
+//! Failure detection is SWIM (Das, Gupta and Motivala, 2002), from the library `foca`.
+//! Its results are hints that may be out of date; a [`View`] reports their age.
+//! `docs/design/peer.md` explains the design.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -6,8 +6,8 @@
 /// The maximum length of a name or a failure domain in bytes. Several records must fit into one datagram.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The maximum incarnation of a valid record. No process restarts this often, and a malformed record with a higher
-/// number could never be replaced by a valid one.
+/// The maximum incarnation of a valid record.
+/// No process restarts this often, and a malformed record with a higher number could never be replaced by a valid one.
 const MAX_INCARNATION: u64 = 1 << 40;
 /// The maximum revision of a valid record, for the same reason. No process changes its record this often.
 const MAX_REVISION: u32 = 1 << 24;
@@ -32,8 +32,8 @@
 pub struct Member {
     /// The name on the agreed member list, at most [`MAX_NAME_BYTES`] bytes.
     pub name: String,
-    /// The number of process starts on this state folder, 1 for the first start. This is not the incarnation number of
-    /// SWIM, which `foca` manages itself.
+    /// The number of process starts on this state folder, 1 for the first start.
+    /// This is not the incarnation number of SWIM, which `foca` manages itself.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// A counter within an incarnation.
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -20,19 +20,19 @@
 
 /// The maximum size of a datagram in bytes, so that it fits into one Ethernet frame with its headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The maximum number of datagrams waiting to be sent. If there are more, the oldest are dropped, which the protocol
-/// tolerates as it does any lost datagram.
+/// The maximum number of datagrams waiting to be sent.
+/// If there are more, the oldest are dropped, which the protocol tolerates as it does any lost datagram.
 const MAX_SEND_QUEUE: usize = 1024;
 /// The interval at which requests to join are sent to members that are not active.
 const ANNOUNCE_INTERVAL_US: Micros = 1_000_000;
 /// The number of requests to join that are sent in each interval.
 const ANNOUNCES_PER_INTERVAL: usize = 3;
-/// A majority counts as reachable only if at least this many members, including this one, or all members of a smaller
-/// majority, have sent a datagram within [`Times::recent_window`]. A member receives datagrams from the members that it
-/// probes and from those that probe it, at least two a second.
+/// A majority counts as reachable only if at least this many members, including this one,
+/// or all members of a smaller majority, have sent a datagram within [`Times::recent_window`].
+/// A member receives datagrams from the members that it probes and from those that probe it, at least two a second.
 const MIN_RECENT_MEMBERS: usize = 6;
-/// A process that has to refute its own death this often within [`Times::recent_window`] is displaced: the fleet has
-/// accepted another process of the same name.
+/// A process that has to refute its own death this often within [`Times::recent_window`] is displaced:
+/// the fleet has accepted another process of the same name.
 const DISPLACING_REFUTATIONS: usize = 3;
 /// The factor by which each member repeats updates more often than the library's default, to tolerate one-way cuts.
 const GOSSIP_FACTOR: u8 = 3;
@@ -162,8 +162,8 @@
 }
 
 impl Peers {
-    /// Creates the state of a process that has just started and knows no other member. `seed` determines the random
-    /// choice of members to probe and to send gossip to.
+    /// Creates the state of a process that has just started and knows no other member.
+    /// `seed` determines the random choice of members to probe and to send gossip to.
     ///
     /// # Errors
     /// When the name of `own_record` is not on the agreed list.
@@ -273,8 +273,8 @@
         }
     }
 
-    /// Returns the time by which [`Peers::tick`] must be called next. The calls are frequent enough to distinguish a
-    /// suspended process from an idle one.
+    /// Returns the time by which [`Peers::tick`] must be called next.
+    /// The calls are frequent enough to distinguish a suspended process from an idle one.
     pub fn next_tick(&self) -> Micros {
         let pause_check = self.last_call + self.times.max_pause / 2;
         // A displaced process has no other work than to detect a suspension.
@@ -334,8 +334,8 @@
         View { others, majority, stale, displaced: self.displaced, dropped: self.dropped }
     }
 
-    /// Detects by the clock whether this process was suspended. If so, pending timers are postponed by the length of
-    /// the gap, so that no member is declared down because this process did not read the member's datagrams.
+    /// Detects by the clock whether this process was suspended. If so, postpones pending timers by the gap,
+    /// so that no member is declared down because this process did not read the member's datagrams.
     fn check_for_pause(&mut self, now: Micros) {
         let gap = now - self.last_call;
         self.last_call = now;
@@ -422,8 +422,8 @@
         }
     }
 
-    /// Records that one record of a name has replaced another. After a restart the old record never returns. If it does
-    /// return, two processes use the same name at the same time.
+    /// Records that one record of a name has replaced another. After a restart the old record never returns.
+    /// If it does return, two processes use the same name at the same time.
     fn note_replacement(&mut self, before: Member, after: Member) {
         if before.same_incarnation(&after) {
             return;
--- a/crates/peer/tests/fleet.rs
+++ b/crates/peer/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet in simulated time: joins, crashes, restarts, network cuts in one direction and both, partitions, suspended
-//! processes, duplicate names and malformed datagrams.
+//! Tests of a fleet in simulated time: joins, crashes, restarts, network cuts in one or both directions,
+//! partitions, suspended processes, duplicate names and malformed datagrams.
 
 mod common;
 use common::*;
--- a/crates/placement/examples/schemes.rs
+++ b/crates/placement/examples/schemes.rs
@@ -1,6 +1,6 @@
-//! Compares the placement scheme in use with well-known schemes, at 15,000 members with two replicas: evenness, the
-//! shards that the loss of one member moves, time and memory. The well-known schemes ignore failure domains here; with
-//! failure domains they would only be less even.
+//! Compares the placement scheme in use with well-known schemes, at 15,000 members with two replicas:
+//! evenness, the shards that the loss of one member moves, time and memory.
+//! The well-known schemes ignore failure domains here; with failure domains they would only be less even.
 //!
 //! `cargo run --release -p embershore-placement --example schemes`
 
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -1,9 +1,9 @@
 //! The base table of one region. It has a row of seats for each shard:
 //! the owners' seats first, then the spares. Vacant seats are included.
 //!
-//! The table is built by consistent hashing with bounded loads, one seat after another. Each added seat takes its quota
-//! of positions from seats that hold more than their new target. Adding a seat therefore moves positions only to that
-//! seat, never between other seats.
+//! The table is built by consistent hashing with bounded loads, one seat after another.
+//! Each added seat takes its quota of positions from seats that hold more than their new target.
+//! Adding a seat therefore moves positions only to that seat, never between other seats.
 
 use std::cmp::Reverse;
 
@@ -32,8 +32,8 @@
 enum Donors {
     /// Seats that hold more than their target, in rows whose cost does not rise.
     AboveTarget,
-    /// Seats that hold at least as many positions for their weight as the added seat, even after the transfer, in rows
-    /// whose cost does not rise.
+    /// Seats that hold at least as many positions for their weight as the added seat,
+    /// even after the transfer, in rows whose cost does not rise.
     MoreLoaded,
     /// Seats that hold more than 15/16 of their target, in rows whose cost falls.
     NearTarget,
--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -40,8 +40,9 @@
     /// Applies `changes` to a copy of this list and returns the copy.
     ///
     /// # Errors
-    /// Fails if the changes do not begin at this list's epoch or do not raise it, if one of them is invalid after those
-    /// before it, or if a region then has fewer members than each shard has replicas.
+    /// Fails if the changes do not begin at this list's epoch or do not raise it,
+    /// if one of them can't be applied after the changes before it,
+    /// or if a region then has fewer members than each shard has replicas.
     pub fn apply(&self, changes: &Changes) -> Result<Self, ListError> {
         self.check_epochs(changes)?;
         let mut next = self.successor(changes.epoch);
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -97,8 +97,8 @@
         cost
     }
 
-    /// Returns the lowest cost that a row can have in a region with this number of zones: the minimum over all
-    /// assignments of its seats to the zones, in distinct racks.
+    /// Returns the lowest cost that a row can have in a region with this number of zones:
+    /// the minimum over all assignments of its seats to the zones, in distinct racks.
     pub(crate) fn min_cost(&self, zones: usize) -> u32 {
         let zones = zones.clamp(1, self.positions) as u32;
         let assignments = zones.pow(self.positions as u32);
@@ -141,8 +141,8 @@
         Self { rows: Vec::new(), listed: vec![0; (rows as usize).div_ceil(u64::BITS as usize)], threshold: 0 }
     }
 
-    /// Removes all rows and sets the threshold. `min_cost` is the cost of a row without avoidable conflicts; one
-    /// conflict of this scope raises it above the threshold.
+    /// Removes all rows and sets the threshold. `min_cost` is the cost of a row without avoidable conflicts;
+    /// one conflict of this scope raises it above the threshold.
     pub(crate) fn reset(&mut self, min_cost: u32, scope: ConflictScope) {
         self.rows = Vec::new();
         self.listed.fill(0);
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -1,5 +1,5 @@
-//! The state machine of one forwarded request: which owner the request is sent to next, the timeouts of each owner, and
-//! the reply to the client.
+//! The state machine of one forwarded request:
+//! which owner the request is sent to next, the timeouts of each owner, and the reply to the client.
 //!
 //! The machine does no I/O. It returns [`Step::Send`], is given the [`ForwardOutcome`], and ends with [`Step::Reply`].
 //! Its main rule: a request that one owner may have accepted is sent to another owner only if a repeat does no harm.
@@ -13,14 +13,14 @@
 //! | connection refused, not connected in time, closed before the first byte, or the seat has become vacant | [`ForwardOutcome::NotSent`] | next candidate |
 //! | after the first byte: timeout, reset, close, or an unreadable answer | [`ForwardOutcome::Unknown`] | [`Effect::Safe`]: next candidate; otherwise failed at once |
 //!
-//! An owner that is down never receives the request. An owner that is full or on another epoch answers busy. An owner
-//! that is stopped or slow leads to an unknown outcome when its answer timeout expires.
+//! An owner that is down never receives the request. An owner that is full or on another epoch answers busy.
+//! An owner that is stopped or slow leads to an unknown outcome when its answer timeout expires.
 
 use crate::SeatId;
 use heronroute::{Effect, Micros};
 
-/// The shortest answer timeout. With less time left, no further candidate is tried: on a loaded machine the answer
-/// would arrive too late, and the outcome would be unknown unnecessarily.
+/// The shortest answer timeout. With less time left, no further candidate is tried:
+/// on a loaded machine the answer would arrive too late, and the outcome would be unknown unnecessarily.
 pub const MIN_ANSWER_TIMEOUT_US: Micros = 20_000;
 
 /// The wait that is reported to a client, in milliseconds, if no owner reported one.
@@ -67,8 +67,8 @@
     Send {
         /// The seat of the owner to send to.
         to: SeatId,
-        /// The time from now within which the first byte must be written. If it expires, the caller must not write any,
-        /// and the outcome is [`ForwardOutcome::NotSent`].
+        /// The time from now within which the first byte must be written.
+        /// If it expires, the caller must not write any, and the outcome is [`ForwardOutcome::NotSent`].
         write_timeout: Micros,
         /// The time from now within which the answer must arrive.
         /// If it expires, the outcome is [`ForwardOutcome::Unknown`].
@@ -90,8 +90,8 @@
 }
 
 impl Forwarding {
-    /// Creates the state of a request with this effect that was read at `read_at` and must be answered within `budget`
-    /// of that. `candidates` are tried in order, each at most once.
+    /// Creates the state of a request that was read at `read_at` and must be answered within `budget` of that.
+    /// `candidates` are tried in order, each at most once.
     pub fn new(effect: Effect, candidates: Vec<SeatId>, read_at: Micros, budget: Micros) -> Self {
         Forwarding {
             effect,
@@ -107,8 +107,8 @@
         self.try_next(now)
     }
 
-    /// Records the outcome of the last [`Step::Send`] and returns the next step. Once the reply is decided, later
-    /// outcomes do not change it.
+    /// Records the outcome of the last [`Step::Send`] and returns the next step.
+    /// Once the reply is decided, later outcomes do not change it.
     pub fn record_outcome(&mut self, now: Micros, outcome: ForwardOutcome) -> Step {
         if let Some(reply) = &self.reply {
             return Step::Reply(reply.clone());
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -35,8 +35,8 @@
         Self(mix_pair(self.0, value))
     }
 
-    /// Returns the digest extended by a text and its length. The length distinguishes consecutive texts from a different
-    /// split of the same bytes.
+    /// Returns the digest extended by a text and its length.
+    /// The length distinguishes consecutive texts from a different split of the same bytes.
     pub fn text(self, text: &str) -> Self {
         let mut digest = self.number(text.len() as u64);
         for chunk in text.as_bytes().chunks(8) {
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -1,10 +1,11 @@
 //! Tracks the shards and keys that this sender has newly gained,
 //! and until when it must wait for their former owners to finish.
 //!
-//! The following are on hold for [`LeaseTimes::hold`](crate::LeaseTimes::hold), counted from when this sender received
-//! the epoch, because another sender may still be using them: a gained shard; an order key that preferred another
-//! owner; a new part of a wide destination; a larger share of a destination's limit. Only current holds are stored, so
-//! this state is empty while ownership does not change.
+//! When an epoch changes ownership, the following are on hold for [`LeaseTimes::hold`](crate::LeaseTimes::hold)
+//! after this sender received the epoch, because another sender may still be using them:
+//! a gained shard, an order key that preferred another owner, a new part of a wide destination,
+//! and a larger share of a destination's limit.
+//! Only current holds are stored, so this state is empty while ownership does not change.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +15,8 @@
 use crate::shard::ShardId;
 use heronroute::Micros;
 
-/// Maximum number of superseded owner lists stored for a shard. Each epoch that changes the shard's owners during a
-/// hold adds one. If there are more, the whole shard is put on hold instead.
+/// Maximum number of superseded owner lists stored for a shard; with more, the whole shard is put on hold instead.
+/// Each epoch that changes the shard's owners during a hold adds one list.
 const MAX_SUPERSEDED_OWNER_LISTS: usize = 16;
 
 /// A value that an epoch has replaced, and the time until which other senders may still use it.
@@ -103,8 +104,8 @@
         ready_at.max(self.all_until).filter(|&until| now < until)
     }
 
-    /// Returns the end of the hold of a key whose preferred owner is `own_seat`: the time until which another sender
-    /// may have messages of the key.
+    /// Returns the end of the hold of a key whose preferred owner is `own_seat`:
+    /// the time until which another sender may have messages of the key.
     pub(crate) fn key_hold(
         &self,
         shard: ShardId,
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -4,14 +4,14 @@
 //! An answer to a request that was sent at `polled_at` renews the lease until `polled_at + lease`.
 //! The lease counts from the request, so a delay of the answer shortens the remaining lease by the same time.
 //!
-//! All times are from one monotonic clock of this process, which also advances while the process is stopped and, where
-//! the system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`). Clock readings of different machines are
-//! never compared. Their rates may differ, so the hold is longer by one part in [`CLOCK_DRIFT_DIVISOR`].
+//! All times are from one monotonic clock of this process, which also advances while the process is stopped and,
+//! where the system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`). Clock readings of different
+//! machines are never compared. Their rates may differ, so the hold is longer by one part in [`CLOCK_DRIFT_DIVISOR`].
 
 use heronroute::Micros;
 
-/// The hold is longer by one part in this number: two clocks that are each off by up to 500 parts in a million differ
-/// by one part in a thousand.
+/// The hold is longer by one part in this number:
+/// two clocks that are each off by up to 500 parts in a million differ by one part in a thousand.
 pub const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
 /// The times that all members of a fleet must agree on, in microseconds.
@@ -19,23 +19,23 @@
 pub struct LeaseTimes {
     /// How long an answer of the control agent, counted from the poll, allows a sender to accept requests.
     pub lease: Micros,
-    /// How far an agent may lag behind. It may answer with an epoch for at most this long after a later epoch was first
-    /// sent to any sender; after that the agent must not answer until it has caught up. It is 0 if the agent confirms
-    /// each answer with the control service after the poll.
+    /// How far an agent may lag behind. It may answer with an epoch for at most this long
+    /// after a later epoch was first sent to any sender; after that the agent must not answer until it has caught up.
+    /// It is 0 if the agent confirms each answer with the control service after the poll.
     pub agent_lag: Micros,
     /// The longest deadline of any class, plus how long a call may still run after it (`order_settle`).
     pub longest_deadline: Micros,
 }
 
 impl LeaseTimes {
-    /// Returns how long a former owner may still accept requests after any sender first received the later epoch. The
-    /// former owner's agent may renew its lease under the earlier epoch for up to `agent_lag`.
+    /// Returns how long a former owner may still accept requests after any sender first received the later epoch.
+    /// The former owner's agent may renew its lease under the earlier epoch for up to `agent_lag`.
     pub fn stale_accept_window(&self) -> Micros {
         self.agent_lag + self.lease
     }
 
-    /// Returns how long a new owner waits after it has received the epoch that made it an owner. When the hold ends, no
-    /// former owner can still accept or deliver requests.
+    /// Returns how long a new owner waits after it has received the epoch that made it an owner.
+    /// When the hold ends, no former owner can still accept or deliver requests.
     pub fn hold(&self) -> Micros {
         let span = self.stale_accept_window() + self.longest_deadline;
         span + span / CLOCK_DRIFT_DIVISOR
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decides which senders own which destinations, by shards, replicas, epochs and leases.
 //! The crate does no I/O; time and randomness are parameters.
 //!
-//! A destination belongs to a shard ([`shard`]), a shard to the seats that own it ([`Table::owners`]), and a seat to
-//! the member that fills it ([`MemberList::member`]). The table is a function of the member list alone.
+//! A destination belongs to a shard ([`shard`]), a shard to the seats that own it ([`Table::owners`]),
+//! and a seat to the member that fills it ([`MemberList::member`]). The table is a function of the member list alone.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -45,6 +45,7 @@
 pub use weight::{MAX_WEIGHT, Weight};
 pub use wire::AgentAnswer;
 
-/// The placement scheme that this version supports. Senders with the same scheme and the same member list compute the
-/// same owners; the golden digests in the tests pin it.
+/// The placement scheme that this version supports.
+/// Senders with the same scheme and the same member list compute the same owners.
+/// The golden digests in the tests pin the scheme.
 pub const SCHEME: u16 = 1;
--- a/crates/placement/src/list.rs
+++ b/crates/placement/src/list.rs
@@ -173,8 +173,8 @@
         &self.regions
     }
 
-    /// Returns a digest of all contents that placement depends on, except the epoch. Lists with the same contents have
-    /// the same digest, whether they were received in full or built by applying changes.
+    /// Returns a digest of all contents that placement depends on, except the epoch.
+    /// Lists with the same contents have the same digest, whether received in full or built by applying changes.
     pub fn digest(&self) -> u64 {
         let mut digest = Digest::new(u64::from(SCHEME)).number(self.replicas as u64);
         for region in &self.regions {
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,5 +1,6 @@
-//! The section `[placement]` of the operator's options: this member's name, the address at which it accepts forwarded
-//! requests, the control agents that serve the member list, and the related times and limits.
+//! The section `[placement]` of the operator's options: this member's name,
+//! the address at which it accepts forwarded requests, the control agents that serve the member list,
+//! and the related times and limits.
 
 use embershore_finding::SpanFinding;
 use heronroute::Micros;
@@ -14,8 +15,8 @@
 const MAX_NAME_BYTES: usize = 128;
 /// Maximum number of control agents. A longer list only lengthens the search for an agent that answers.
 const MAX_CONTROL_AGENTS: usize = 8;
-/// A shorter lease would expire between two polls on a busy machine; a longer one would keep gained shards on hold for
-/// longer than most outages last.
+/// A shorter lease would expire between two polls on a busy machine;
+/// a longer one would keep gained shards on hold for longer than most outages last.
 const LEASE_BOUNDS: RangeInclusive<Duration> = Duration::from_secs(2)..=Duration::from_secs(300);
 const DEFAULT_LEASE: Duration = Duration::from_secs(10);
 /// Default number of polls to the control agent during one lease.
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -9,17 +9,20 @@
 //! | lease valid | what it owns by its own epoch and is not on hold | yes | by its own table |
 //! | lease expired | nothing | yes | by its last table |
 //!
-//! The epochs of other senders do not matter: an owner decides by its own epoch, and answers busy to requests for
-//! shards that it does not own.
+//! The epochs of other senders do not matter:
+//! an owner decides by its own epoch, and answers busy to requests for shards that it does not own.
 //!
 //! # Why holds are long enough
 //!
-//! Let epoch `g` first be sent to any sender at time `t`. An agent answers with an earlier epoch until `t + agent_lag`
-//! at most, so a lease under an earlier epoch ends by `t + agent_lag + lease`, and messages accepted under it end
-//! within `longest_deadline` of that. A sender that becomes an owner in epoch `g` receives `g` at `t` or later, and
-//! then waits for `agent_lag + lease + longest_deadline`. Therefore members of the owner sets of two epochs never act
-//! for one shard at the same time, except members of both sets. This requires that a sender which keeps a shard without
-//! a hold owned the shard *in each epoch* between the two epochs that it compares:
+//! Let epoch `g` first be sent to any sender at time `t`.
+//! An agent answers with an earlier epoch until `t + agent_lag` at most.
+//! A lease under an earlier epoch therefore ends by `t + agent_lag + lease`,
+//! and messages accepted under it end within `longest_deadline` of that.
+//! A sender that becomes an owner in epoch `g` receives `g` at `t` or later,
+//! and then waits for `agent_lag + lease + longest_deadline`.
+//! Therefore members of the owner sets of two epochs never act for one shard at the same time,
+//! except members of both sets. This requires that a sender which keeps a shard without a hold
+//! owned the shard *in each epoch* between the two epochs that it compares:
 //!
 //! - A step to the next epoch: the sender compares the owners under both epochs.
 //! - Changes over several epochs: the sender replays them one by one, in the order in which they were made. A shard
@@ -30,12 +33,12 @@
 //! # Order
 //!
 //! All messages of an order key are sent to one owner, the key's preferred owner of the shard ([`crate::Request`]).
-//! There is no fallback: if that owner rejects the message or can't be reached, the client is answered busy. Another
-//! owner accepts messages of the key only after an epoch makes it the preferred owner and the hold has ended; by then
-//! each message of the key that the former owner accepted has ended. The owner checks the preference itself, by its own
-//! epoch, and rejects messages that prefer another owner, so that a forwarder on an older epoch can't spread a key over
-//! two owners. The cost: if the preferred owner is down, messages of the key are rejected until an epoch without that
-//! owner has been received and the hold has ended.
+//! There is no fallback: if that owner rejects the message or can't be reached, the client is answered busy.
+//! Another owner accepts messages of the key only after an epoch makes it the preferred owner and the hold has ended;
+//! by then each message of the key that the former owner accepted has ended.
+//! The owner checks the preference itself, by its own epoch, and rejects messages that prefer another owner,
+//! so that a forwarder on an older epoch can't spread a key over two owners. The cost: if the preferred owner is down,
+//! messages of the key are rejected until an epoch without that owner has been received and the hold has ended.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -133,8 +136,9 @@
 }
 
 impl Ownership {
-    /// Creates the view of a sender that has received no list yet. `lease` and `longest_deadline` are as in
-    /// [`LeaseTimes`]; the agent lag is 0 unless set by [`Self::with_agent_lag`].
+    /// Creates the view of a sender that has received no list yet.
+    /// `lease` and `longest_deadline` are as in [`LeaseTimes`].
+    /// The agent lag is 0 unless set by [`Self::with_agent_lag`].
     pub fn new(own_name: impl Into<String>, lease: Micros, longest_deadline: Micros) -> Self {
         Ownership {
             name: own_name.into(),
@@ -155,8 +159,8 @@
         self
     }
 
-    /// Sets this process's address for forwarded requests. A member of the same name with another address is another
-    /// process, which has replaced this one.
+    /// Sets this process's address for forwarded requests.
+    /// A member of the same name with another address is another process, which has replaced this one.
     #[must_use]
     pub fn with_address(mut self, address: SocketAddr) -> Self {
         self.address = Some(address);
@@ -170,12 +174,12 @@
         self
     }
 
-    /// Applies the agent's answer, received at `now`, to the poll sent at `polled_at`. Any answer that confirms the
-    /// epoch in force or leads to a later one renews the lease.
+    /// Applies the agent's answer, received at `now`, to the poll sent at `polled_at`.
+    /// Any answer that confirms the epoch in force or leads to a later one renews the lease.
     ///
     /// # Errors
-    /// Fails for an older epoch, another list under the epoch in force, and changes that do not apply. The list in
-    /// force stays, and the lease is not renewed.
+    /// Fails for an older epoch, another list under the epoch in force, and changes that do not apply.
+    /// The list in force stays, and the lease is not renewed.
     pub fn apply_answer(
         &mut self,
         polled_at: Micros,
@@ -242,8 +246,8 @@
         self.holds.last_end(now).max(self.recent_sharing.last_end(now))
     }
 
-    /// Returns the state to persist. The caller writes it whenever it has changed. If replicas or widths have changed,
-    /// the state must be on disk before this sender acts under the new list.
+    /// Returns the state to persist. The caller writes it whenever it has changed.
+    /// If replicas or widths have changed, the state must be on disk before this sender acts under the new list.
     pub fn persisted_state(&self, now: Micros) -> Option<PersistedPlacement> {
         let list = self.list()?;
         Some(PersistedPlacement {
@@ -255,8 +259,8 @@
         })
     }
 
-    /// Returns where a client's request is processed. A request that another sender forwarded is never routed again:
-    /// [`Self::admission`] accepts or rejects it.
+    /// Returns where a client's request is processed.
+    /// A request that another sender forwarded is never routed again: [`Self::admission`] accepts or rejects it.
     pub fn route(&self, now: Micros, request: &Request<'_>) -> Route {
         let Some(view) = &self.view else { return Route::Unknown };
         let spread_hash = request.spread_hash();
@@ -373,8 +377,8 @@
         Ok(self.activate(after))
     }
 
-    /// Sets the holds for this process's first list. All shards are put on hold, unless all holds of the last run had
-    /// ended under the same list, or the list is the first of a new fleet.
+    /// Sets the holds for this process's first list. All shards are put on hold,
+    /// unless all holds of the last run had ended under the same list, or the list is the first of a new fleet.
     fn hold_for_first_list(&mut self, now: Micros, list: &MemberList) -> Result<(), ListError> {
         let until = self.hold_end(now);
         if let Some(last) = &self.persisted {
@@ -416,8 +420,8 @@
         Ok(self.activate(after))
     }
 
-    /// Replays changes over several epochs one by one and records their holds. Returns false if there are too many
-    /// changes, or if one can't be applied alone.
+    /// Replays changes over several epochs one by one and records their holds.
+    /// Returns false if there are too many changes, or if one can't be applied alone.
     fn replay(
         &mut self,
         placements: &mut impl PlacementSource,
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -29,8 +29,8 @@
         Placement { list, table, visible_shards: None }
     }
 
-    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in those derived from it. Simulations
-    /// with many senders use it to examine only a few shards.
+    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in those derived from it.
+    /// Simulations with many senders use it to examine only a few shards.
     #[must_use]
     pub fn restricted_to(mut self, shards: Arc<[ShardId]>) -> Self {
         self.visible_shards = Some(shards);
--- a/crates/placement/src/shard.rs
+++ b/crates/placement/src/shard.rs
@@ -6,8 +6,8 @@
 /// Binary logarithm of [`SHARDS`].
 pub const SHARD_BITS: u32 = 18;
 
-/// Number of shards. With 15,000 members and two replicas each member owns about 35 shards, which keeps loads within 3%
-/// of the mean, and a table of all shards takes a few megabytes.
+/// Number of shards. With 15,000 members and two replicas each member owns about 35 shards,
+/// which keeps loads within 3% of the mean, and a table of all shards takes a few megabytes.
 pub const SHARDS: u32 = 1 << SHARD_BITS;
 
 /// Number of a shard, below [`SHARDS`]. A shard is a set of destinations that always have the same owners.
@@ -15,8 +15,8 @@
 pub struct ShardId(pub u32);
 
 impl ShardId {
-    /// Returns the shard's position in the interleaved order: its number with the bits reversed. Each region owns a
-    /// range of positions, which is therefore an even sample of the shards.
+    /// Returns the shard's position in the interleaved order: its number with the bits reversed.
+    /// Each region owns a range of positions, which is therefore an even sample of the shards.
     pub(crate) const fn position(self) -> u32 {
         reverse_bits(self.0)
     }
--- a/crates/placement/tests/forwarding.rs
+++ b/crates/placement/tests/forwarding.rs
@@ -123,8 +123,9 @@
 }
 
 proptest! {
-    /// For any outcomes, no owner is tried twice, and no owner is tried after a possible acceptance unless a repeat
-    /// does no harm. The reply is sent within the budget, and is "accepted" only if an owner answered `+OK`.
+    /// For any outcomes, no owner is tried twice,
+    /// and no owner is tried after a possible acceptance unless a repeat does no harm.
+    /// The reply is sent within the budget, and is "accepted" only if an owner answered `+OK`.
     #[test]
     fn every_sequence_of_outcomes_ends_in_time_without_a_harmful_repeat(
         effect in prop::sample::select(&EFFECTS[..]),
--- a/crates/placement/tests/full_size.rs
+++ b/crates/placement/tests/full_size.rs
@@ -1,5 +1,6 @@
-//! Checks the bounds of docs/design/placement.md at 15,000 seats and 4.1 million destinations. `--nocapture` prints the
-//! values. Times are measured by `examples/bounds.rs`, as they need a release build and an idle machine.
+//! Checks the bounds of docs/design/placement.md at 15,000 seats and 4.1 million destinations.
+//! `--nocapture` prints the values.
+//! `examples/bounds.rs` measures the times, which need a release build and an idle machine.
 
 mod support;
 
--- a/crates/placement/tests/history/mod.rs
+++ b/crates/placement/tests/history/mod.rs
@@ -1,5 +1,5 @@
-//! Histories of a fleet in simulated time. Simulated senders run the real placement code; a seed decides the behaviour
-//! of the network, the control agents and the clients; a ledger checks the rules.
+//! Histories of a fleet in simulated time. Simulated senders run the real placement code;
+//! a seed decides the behaviour of the network, the control agents and the clients; a ledger checks the rules.
 
 pub mod ledger;
 pub mod model;
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -121,8 +121,8 @@
     clock_error_ppm: Micros,
     ownership: Ownership,
     persisted: Option<PersistedPlacement>,
-    /// The highest epoch that the member received. It is tracked for the ledger, independently of the code under test,
-    /// and so is `lease_until`, the end of the lease by the member's clock.
+    /// The highest epoch that the member received. It is tracked for the ledger,
+    /// independently of the code under test, and so is `lease_until`, the end of the lease by the member's clock.
     received_epoch: u64,
     lease_until: Option<Micros>,
     /// Jobs that have not ended, in the order of acceptance; the flag tells whether a call for the job is in flight.
@@ -277,8 +277,8 @@
         }
     }
 
-    /// Returns the event if it can be handled now. An event at a stopped member is postponed until the member
-    /// continues, and an event for a dead process is dropped.
+    /// Returns the event if it can be handled now. Postpones an event at a stopped member until the member continues,
+    /// and drops an event for a dead process.
     fn deliverable(&mut self, event: Event) -> Option<Event> {
         let (member, incarnation) = match &event {
             Event::AnswerReceived { member, incarnation, .. }
@@ -696,8 +696,8 @@
             .any(|message| message.dest == dest && message.key == Some(key))
     }
 
-    /// Returns the limit shares of all members that may now begin a call to a destination, because they accept requests
-    /// for it or have accepted messages for it.
+    /// Returns the limit shares of all members that may now begin a call to a destination,
+    /// because they accept requests for it or have accepted messages for it.
     fn shares(&self, dest: i64) -> Vec<f64> {
         let running = self.members.iter().filter(|member| member.state == State::Running);
         let may_call = running.filter(|member| {
--- a/crates/placement/tests/properties.rs
+++ b/crates/placement/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Tests properties of tables on many small fleets, which differ in their numbers of regions, zones, racks and
-//! replicas, and in their weights, orders of seats and vacant seats.
+//! Tests properties of tables on many small fleets, which differ in their numbers of regions,
+//! zones, racks and replicas, and in their weights, orders of seats and vacant seats.
 
 mod support;
 
--- a/crates/placement/tests/refusals.rs
+++ b/crates/placement/tests/refusals.rs
@@ -1,5 +1,5 @@
-//! Tests that invalid lists and changes are rejected with errors that name the invalid entry and the correction, and
-//! that the list in force stays.
+//! Tests that invalid lists and changes are rejected with errors that name the invalid entry and the correction,
+//! and that the list in force stays.
 
 mod support;
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -18,8 +18,8 @@
 /// Number of destinations at full size.
 pub const FULL_DESTINATIONS: i64 = 4_100_000;
 
-/// Returns a fleet of `seats` seats. `zones` is the number of zones of each region. Seats are assigned to the zones in
-/// turn, and within a zone to one rack after another.
+/// Returns a fleet of `seats` seats. `zones` is the number of zones of each region.
+/// Seats are assigned to the zones in turn, and within a zone to one rack after another.
 pub fn fleet(zones: &[usize], seats: usize, rack: usize) -> ListForm {
     let all_zones: Vec<(usize, usize)> = zones_in_turn(zones);
     let mut counts = vec![0; all_zones.len()];
