--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -10,7 +10,7 @@
 use crate::region::RegionTable;
 use crate::shard::{SHARDS, ShardId};
 
-/// The owners of all shards under one member list. It takes some 4 MB at two replicas, whatever the number of members.
+/// The owners of all shards under one member list. The table takes about 4 MB at two replicas, however many members.
 #[derive(Clone, Debug)]
 pub struct Table {
     regions: Vec<RegionTable>,
@@ -26,11 +26,11 @@
 }
 
 impl Table {
-    /// Builds the table of a list. It depends on nothing but the list, and is the same on each machine and in each
-    /// version that supports the scheme.
+    /// Builds the table of a list. The table depends on nothing but the list,
+    /// and is the same on each machine and in each version that supports the scheme.
     pub fn build(list: &MemberList) -> Self {
         let mut regions = empty_regions(list);
-        // Region by region, as the rows of one region fit into a processor's cache.
+        // Builds one region after another, because the rows of a single region fit into a processor's cache.
         for (region, number) in regions.iter_mut().zip(0..) {
             for seat in list.seat_ids().filter(|&seat| list.region(seat) == RegionId(number)) {
                 append(region, list, seat);
@@ -40,8 +40,8 @@
         Self { seats: seat_locations(list, regions.len()), regions }
     }
 
-    /// Applies `changes`, which lead from this table's list to `next`. Afterwards the table is the same as one built
-    /// from `next`.
+    /// Applies `changes`, which lead from this table's list to `next`.
+    /// Afterwards the table is the same as one built from `next`.
     pub fn apply(&mut self, next: &MemberList, changes: &Changes) {
         let mut pending = vec![Pending::default(); self.regions.len()];
         for change in &changes.changes {
@@ -81,7 +81,7 @@
         self.regions.iter().fold(Digest::new(TABLE), |digest, region| region.digest(digest)).value()
     }
 
-    /// Returns the memory that the table takes, in bytes.
+    /// Returns the size of the table in memory, in bytes.
     pub fn memory_bytes(&self) -> usize {
         let seats = self.seats.capacity() * size_of::<(RegionId, u16)>();
         self.regions.iter().map(RegionTable::bytes).sum::<usize>() + seats
--- a/crates/placement/tests/full_size.rs
+++ b/crates/placement/tests/full_size.rs
@@ -1,5 +1,6 @@
-//! Checks the bounds of docs/design/placement.md at 15,000 seats and 4.1 million destinations. `--nocapture` prints the
-//! values. Times are measured by `examples/bounds.rs`, as they need a release build and an idle machine.
+//! Checks the bounds of docs/design/placement.md at 15,000 seats and 4.1 million destinations.
+//! `--nocapture` prints the values.
+//! `examples/bounds.rs` measures the times, which need a release build and an idle machine.
 
 mod support;
 
@@ -30,7 +31,7 @@
 });
 
 impl Fleet {
-    /// Returns the fleet after changes, and what they moved.
+    /// Returns the fleet after changes, and the shards that they moved.
     fn changed(&self, entries: Vec<Change>) -> (Self, Moves) {
         let (next, changes) = applied(&self.list, entries);
         let mut table = self.table.clone();
@@ -226,7 +227,7 @@
     );
     println!("table in memory: {} bytes", FULL.table.memory_bytes());
     assert!(FULL.table.memory_bytes() < MAX_TABLE_BYTES);
-    // A change must be in force everywhere within 18 s, the loss of a zone too.
+    // Every change must be in force on all senders within 18 s, even the loss of a zone.
     const SECONDS: usize = 18;
     let zone = support::changes(list, vacate(&FULL.zone("r0", "z0"))).to_json().len();
     println!("a zone lost, sent over {SECONDS} s: {} bytes per second", zone / SECONDS);
