--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,10 +1,10 @@
 //! The decisions of heronroute. `src/interface.rs` defines the inputs and outputs, `src/state.rs` the data.
 //!
-//! The core is a bulkhead: each destination owns a pool of permits sized as rate x p99 x safety
-//! factor. A call holds one permit until its outcome; messages wait in the destination's queue,
-//! oldest first. The core is extended by a call budget, the health of each endpoint with single
-//! trials, and a paced return after an outage. A *lane* is the unit with one rate limit and one
-//! pool: a destination, or one route of it where routes are separate.
+//! The core is a bulkhead: each destination owns a pool of permits, sized as rate x p99 x safety factor.
+//! A call holds one permit until its outcome. Messages wait in the destination's queue, oldest first.
+//! Three mechanisms extend the bulkhead: a call budget, the health of each endpoint with single trial calls,
+//! and a paced return of the load after an outage.
+//! A *lane* is the unit with one rate limit and one permit pool: a destination, or one separate route of it.
 
 use crate::batching::{LaneDemand, filled_calls};
 use crate::interface::*;
@@ -14,28 +14,28 @@
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Factor by which a pool exceeds rate x p99.
+/// Factor by which a permit pool exceeds rate x p99.
 const POOL_SAFETY_FACTOR: f64 = 1.5;
-/// Share of the slots for a new pool: enough calls to measure latency with, too few to do harm.
+/// Share of the slots for a new permit pool: enough calls to measure latency with, too few to do harm.
 const INITIAL_POOL_SHARE: f64 = 0.1;
-/// Maximum share of the slots for a sized pool; beyond it a destination can only borrow.
+/// Maximum share of the slots for a sized permit pool; beyond its pool a destination can only borrow slots.
 const MAX_POOL_SHARE: f64 = 0.2;
 /// Maximum share of the slots for one destination, healthy or not, since any destination may stall.
 const MAX_DESTINATION_SHARE: f64 = 0.5;
-/// Maximum share of the slots for all unhealthy or slow
-/// endpoints together: stalled pools must not fill all slots.
+/// Maximum share of the slots for calls to all unhealthy or slow endpoints together.
+/// With this maximum, stalled permit pools cannot fill all slots.
 const MAX_DOUBTFUL_SHARE: f64 = 0.6;
-/// Share of the slots that borrowers leave free.
+/// Share of the slots that destinations with borrowed slots leave free.
 const BORROW_RESERVE_SHARE: f64 = 0.15;
 /// Stalled calls are cancelled while fewer than this share of the slots are free.
 const RECLAIM_RESERVE_SHARE: f64 = 0.2;
 /// Time in flight, as a multiple of the stall threshold, after which a stalled call may be cancelled.
 const RECLAIM_AFTER_STALLS: f64 = 3.0;
-/// The same multiple of the stall threshold for calls whose messages may all be sent again.
+/// Like `RECLAIM_AFTER_STALLS`, for stalled calls whose messages may all be sent again.
 const RECLAIM_REPEATABLE_AFTER_STALLS: f64 = 2.0;
-/// Number of answers after which a pool counts as sized.
+/// Number of measured answers after which a permit pool counts as sized.
 const MIN_SIZING_SAMPLES: f64 = 8.0;
-/// Time constant of arrival rates: long compared with bursts, short compared with daily variation.
+/// Time constant of message arrival rates: long compared with bursts, short compared with daily variation.
 const ARRIVAL_MEMORY_US: f64 = 8e6;
 /// Time constant of a sender's part of the traffic: long compared with the gaps between messages.
 const TRAFFIC_MEMORY_US: f64 = 6e7;
@@ -46,9 +46,9 @@
 const FAILURE_GAIN: f64 = 0.3;
 /// Share of failures above which an endpoint is unhealthy.
 const MAX_FAILURE_SHARE: f64 = 0.5;
-/// With few senders, an endpoint that answers with errors is unhealthy only above
-/// this share of failures, since it may answer part of the calls well. With many
-/// senders, all would still send at half pace when the endpoint returns.
+/// With few senders, share of failures above which an endpoint that answers with errors is unhealthy.
+/// The share is above `MAX_FAILURE_SHARE`, since such an endpoint may answer part of the calls well.
+/// With many senders, all senders would still send at half pace when the endpoint returns.
 const MAX_ERROR_SHARE: f64 = 0.7;
 /// An endpoint gets no unsafe messages while more than this share of its calls failed and may have run.
 const MAX_AMBIGUOUS_SHARE: f64 = 0.2;
@@ -57,29 +57,30 @@
 /// Initial and maximum backoff between trials; each failed trial doubles the backoff.
 const FIRST_TRIAL_BACKOFF_US: Micros = 200_000;
 const MAX_TRIAL_BACKOFF_US: Micros = 1_000_000;
-/// Cost factor of a due trial that can do no harm. It makes the trial cheaper than other calls: otherwise a
-/// recovered endpoint would stay idle for as long as the other endpoints can take every call.
+/// Cost factor that makes a due trial that can do no harm cheaper than other calls.
+/// Otherwise a recovered endpoint would stay idle for as long as the other endpoints can take every call.
 const TRIAL_COST_FACTOR: f64 = 0.5;
 /// Cost factor of a trial that may do harm: such a trial waits until the other endpoints are busy.
 const HARMFUL_TRIAL_COST_FACTOR: f64 = 10.0;
-/// A requested wait longer than any rate limit's window: the receiver is considered shut down.
+/// A receiver that asks for a longer wait is considered shut down: no rate limit has so long a window.
 const SHUTDOWN_WAIT_US: Micros = 2_000_000;
 /// Load of all senders' trials together, as a multiple of the load that a cold destination can take.
 const TRIAL_LOAD_FACTOR: f64 = 1.0;
-/// A sender counts an equal share of the advertised limit as its own only up to this multiple of its own
-/// traffic plus `EQUAL_SHARE_BASE` times the equal share. So a wrong number of senders, or a limit beyond
-/// what the destination can take, does not add up to much more load.
+/// Factor in the upper bound up to which a sender counts an equal share of the advertised limit as its own.
+/// The bound is `OWN_TRAFFIC_FACTOR` times its own traffic plus `EQUAL_SHARE_BASE` times the equal share.
+/// With this bound, a wrong number of senders, or a limit beyond what the destination can take,
+/// adds little to the load of all senders together.
 const OWN_TRAFFIC_FACTOR: f64 = 1.25;
 const EQUAL_SHARE_BASE: f64 = 0.1;
-/// Number of senders up to which their trials together do no harm.
+/// Number of senders up to which the trials of all senders together do no harm.
 const FEW_SENDERS: f64 = 2.0;
 /// Limit assumed for a destination that advertises none, in calls a second.
 const DEFAULT_LIMIT_PER_S: f64 = 3.0;
 /// Failures that last this long may be an outage, so the load is increased gradually afterwards.
 const OUTAGE_AFTER_US: Micros = 1_500_000;
-/// Share of its allowed load that a sender sends to a cold destination.
+/// Share of the load allowed to a sender that the sender uses at a cold destination.
 const WARM_UP_SAFETY: f64 = 0.75;
-/// Weight, in calls, of each further message of a batch on a cold destination.
+/// Weight, in calls, of each message after the first of a batch to a cold destination.
 const WARM_UP_BATCH_WEIGHT: f64 = 0.25;
 /// An attempt of a repeatable message times out after this multiple of p99, but not before `MIN_TIMEOUT_US`.
 const TIMEOUT_P99_FACTOR: f64 = 4.0;
@@ -90,37 +91,37 @@
 const NOTICE_DELIVERY_US: Micros = 150_000;
 /// Maximum share of a keyed class's window for one attempt, so that a second attempt fits into the window.
 const WINDOW_ATTEMPT_SHARE: f64 = 0.45;
-/// A refusal cuts the budget to this share of the rate of accepted calls.
+/// Share of the rate of accepted calls to which a refusal cuts the call budget.
 const BUDGET_CUT_FACTOR: f64 = 0.75;
-/// Budget growth per second and minimum budget, as shares of this sender's own demand: senders with more
-/// traffic get a larger budget.
+/// Growth per second and minimum of the call budget, as shares of this sender's own demand.
+/// With these shares, senders with more traffic get a larger call budget.
 const BUDGET_GROWTH_SHARE: f64 = 0.2;
 const MIN_BUDGET_SHARE: f64 = 0.4;
-/// Upper bound of the minimum budget if the limit is known, as a multiple of an equal share of the limit.
+/// Upper bound of the minimum call budget if the limit is known, in equal shares of the limit.
 const MIN_BUDGET_EQUAL_SHARES: f64 = 1.0;
-/// Upper bound of the base of budget growth if the limit is known, as a multiple of an equal share of the
-/// limit. So the budgets of many senders together leave room in the limit.
+/// Upper bound of the base of budget growth if the limit is known, in equal shares of the limit.
+/// With this bound, the call budgets of many senders together leave room in the limit.
 const BUDGET_GROWTH_EQUAL_SHARES: f64 = 0.5;
-/// Budget growth for each accepted call, as a share of the budget.
+/// Growth of the call budget for each accepted call, as a share of the budget.
 const BUDGET_GROWTH_PER_ACCEPTED: f64 = 0.07;
-/// Without a known limit, a refusal cuts the budget from this multiple of the rate of accepted calls.
+/// Multiple of the rate of accepted calls from which a refusal cuts the call budget if no limit is known.
 const UNKNOWN_LIMIT_FACTOR: f64 = 1.5;
 /// Maximum share of a known limit that this sender's pace may use.
 const MAX_LIMIT_SHARE: f64 = 0.95;
-/// An approximate weight may be too low by this factor. Refusals correct a weight that is too high.
+/// Factor by which an approximate weight may be too low. Refusals correct a weight that is too high.
 const APPROXIMATE_WEIGHT_FACTOR: f64 = 1.5;
 /// Calls a second that represent an unlimited pace.
 const UNLIMITED_PER_S: f64 = 1e6;
 /// Maximum burst, in seconds of the lane's pace.
 const BURST_S: f64 = 0.4;
-/// Pause after a refusal that did not ask for a wait.
+/// Pause of a lane after a refusal that did not ask for a wait.
 const REFUSAL_PAUSE_US: Micros = 250_000;
 /// Time after a refused connection during which no idle connection to endpoints of that kind is kept open.
 const CONNECTIONS_SCARCE_US: Micros = 20_000_000;
-/// Connections that are busy for at least this share of the time stay open even after refused connections.
+/// Minimum share of busy time for which a connection stays open even after refused connections.
 const MIN_KEPT_UTILIZATION: f64 = 0.3;
-/// With at most this many senders all idle connections stay open:
-/// any connection table has room for one connection of each sender.
+/// Number of senders up to which all idle connections stay open.
+/// With so few senders, any endpoint's connection table has room for one connection of each sender.
 const MIN_TABLE_CONNECTIONS: f64 = 6.0;
 /// Messages stay in their zone up to this ratio of the load on the zone's endpoints to the load on all.
 const MAX_ZONE_LOAD_FACTOR: f64 = 1.5;
@@ -136,11 +137,11 @@
 const MIN_CALLS_PER_CONNECTION: f64 = 2.0;
 /// Time during which a past refusal counts as a sign that the limit is nearly used up.
 pub(crate) const REFUSAL_MEMORY_US: Micros = 20_000_000;
-/// Late messages are ranked by the worth that they lose if they wait for this long.
+/// Waiting time for which the loss of worth is calculated that ranks late messages.
 const LATE_HORIZON_US: f64 = 1.5e6;
 /// Share of a late message's present worth that its rank includes, since a lasting backlog loses all of it.
 const PRESENT_WORTH_SHARE: f64 = 0.4;
-/// Share of `max_open` that is kept free, so that no message is rejected before its worth is compared.
+/// Share of `max_open` that stays free, so that no message is rejected before its worth is compared.
 const FREE_ROOM_SHARE: f64 = 0.06;
 /// Interval at which permit pools are resized.
 const RESIZE_INTERVAL_US: Micros = 500_000;
@@ -157,8 +158,10 @@
 pub struct Dispatcher {
     pub(crate) now: Micros,
     random: Random,
-    /// Random number from 0 to 1, drawn once. The sender prefers its own zone while this is below the zone's
-    /// part of a destination's endpoints, so that only some senders leave a zone with few endpoints.
+    /// Random number from 0 to 1, drawn once at the start.
+    /// The sender prefers its own zone while the number is below a bound, `stay_chance` in `candidates`.
+    /// The bound grows with the zone's part of a destination's endpoints.
+    /// With random numbers, only some senders leave a zone with few endpoints.
     zone_draw: f64,
     pub(crate) settings: Settings,
     /// The number last assigned to a message or a call.
@@ -169,7 +172,7 @@
     pub(crate) messages: BTreeMap<MsgId, Message>,
     pub(crate) calls: BTreeMap<u64, Call>,
     pub(crate) order_keys: BTreeMap<String, OrderKey>,
-    /// Pending checks by time. A round examines only these and `ready`, not all messages and endpoints.
+    /// Pending checks by time. A round examines the due checks and `ready`, not all messages and endpoints.
     pub(crate) schedule: BTreeSet<(Micros, Check)>,
     /// Destinations with pending messages whose state has changed or that wait for a free slot.
     pub(crate) ready: BTreeSet<DestId>,
@@ -179,7 +182,7 @@
     connections_refused: BTreeMap<(usize, LaneKey), Micros>,
     /// Estimates of whether connection tables are full, by endpoint kind.
     connection_tables: BTreeMap<usize, ConnectionTables>,
-    /// This process replaces a running one, so restored messages do not come from a restart.
+    /// Whether this process replaces a running process, so that restored messages do not come from a restart.
     replaces_process: bool,
     /// Endpoints whose calls ended in this round and whose idle connections may be closed.
     maybe_idle: BTreeSet<EndpointId>,
@@ -298,13 +301,14 @@
         self.messages.insert(id, message);
     }
 
-    /// Accepts a message from before a restart. Guards against a second effect:
-    /// an attempt with no known outcome may have run, so an unsafe message fails
-    /// here, and the window of a keyed message still begins at its first attempt.
+    /// Accepts a message from before a restart. Guards against a second effect of the message.
+    /// An attempt with no known outcome may have run, so an unsafe message with such an attempt fails.
+    /// The window of a keyed message still begins at the message's first attempt.
     fn restore(&mut self, id: MsgId, message: Message, time_left: Micros, out: &mut Vec<Action>) {
-        // Only the first restored message counts as demand. Without any demand, one refusal would leave the
-        // destination without a budget. All restored messages at one instant would look like a hundred times
-        // the traffic, and the sender would claim as large a part of the limit.
+        // Only the first restored message counts as demand.
+        // Without any demand, one refusal would leave the destination without a call budget.
+        // All restored messages at one instant would look like a hundred times the traffic.
+        // The sender would then claim a hundred times as large a part of the limit.
         let is_first = self.destinations.get(&message.dest).is_none_or(|d| d.arrival_rate.value == 0.0);
         self.admit(id, message, time_left, is_first);
         let Some(message) = self.messages.get(&id) else { return };
@@ -321,8 +325,8 @@
         }
     }
 
-    /// Restores an endpoint's health from before a restart. Guards against overloading an endpoint that was
-    /// failing before the restart: its load is still increased gradually.
+    /// Restores an endpoint's health from before a restart.
+    /// Guards against overloading an endpoint that was failing: its load is still increased gradually.
     fn restore_endpoint_health(&mut self, id: EndpointId, health: EndpointHealth) {
         let (now, gap) = (self.now, self.trial_gap(id));
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
@@ -331,9 +335,9 @@
         endpoint.warm_up = health.warming_since.map(|since| WarmUp::new(since.min(now), now));
     }
 
-    /// Restores a lane's health from before a restart. Guards against many senders
-    /// restarting at once: without the restored health, senders that had been refused,
-    /// or had seen one endpoint of two fail, sent all their pending messages.
+    /// Restores a lane's health from before a restart. Guards against the restart of many senders at once.
+    /// Without the restored health, senders that had been refused sent all their pending messages.
+    /// Senders that had seen one endpoint of two fail sent all their pending messages too.
     fn restore_receiver_health(&mut self, key: LaneKey, health: ReceiverHealth) {
         let (now, tokens) = (self.now, self.random.next_unit());
         let Some(lane) = self.lanes.get_mut(&key) else { return };
@@ -347,7 +351,8 @@
         lane.warm_up =
             health.warming_since.map(|since| WarmUp { tokens, ..WarmUp::new(since.min(now), now) });
         if let Some(budget) = health.budget_milli_per_s {
-            // The tokens start at random: with 0, all restarted senders would send their first call at once.
+            // The lane starts with a random fraction of a call token. With 0 tokens in every sender,
+            // all restarted senders would make their first call simultaneously.
             (lane.budget, lane.tokens, lane.budget_cut_at) = (f64::from(budget) / 1e3, tokens, now);
         }
         let failing_since = lane.failing_since;
@@ -423,7 +428,7 @@
             };
             let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(new_endpoint);
             endpoint.listed = listed;
-            // Otherwise all senders would call a lane that is down whenever one of its endpoints is listed.
+            // If a listed endpoint of a lane that is down counted as healthy, all senders would call it.
             if listed && self.lanes.get(&key).is_some_and(|l| l.down) {
                 self.infer_unhealthy(entry.endpoint, false);
             }
@@ -441,8 +446,8 @@
         RotationPlace::among(now, others, (place, delay), self.settings.warm_up)
     }
 
-    /// Marks an endpoint unhealthy because its lane is down. The endpoint gets its first trial after the end
-    /// of the lane's wait plus a random gap.
+    /// Marks an endpoint unhealthy because its lane is down.
+    /// The endpoint gets its first trial after the end of the lane's wait plus a random gap.
     fn infer_unhealthy(&mut self, id: EndpointId, nothing_ran: bool) {
         let (now, gap) = (self.now, self.trial_gap(id));
         let wait_until = self.lane_of(id).map_or(now, |l| l.wait_until);
@@ -452,8 +457,8 @@
         endpoint.unhealthy.get_or_insert_with(inferred).delay_past(wait_until, gap);
     }
 
-    /// Marks the lane of a failing endpoint as down. Guards against all senders returning at once: the lane's
-    /// other endpoints look healthy until one of them is tried.
+    /// Marks the lane of a failing endpoint as down. Guards against the return of all senders at once.
+    /// The lane's other endpoints would otherwise look healthy until a call to one of them fails.
     fn mark_lane_down(&mut self, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get(&id) else { return };
         let nothing_ran = endpoint.unhealthy.as_ref().is_some_and(|u| u.nothing_ran);
@@ -469,8 +474,8 @@
                 self.infer_unhealthy(other, nothing_ran);
                 let (now, gap) = (self.now, self.trial_gap(other));
                 let unhealthy = self.endpoints.get_mut(&other).and_then(|e| e.unhealthy.as_mut());
-                // A stalled endpoint's next trial is due soon: from
-                // all senders together, that is too much load.
+                // A stalled endpoint's next trial is due soon.
+                // Such early trials of all senders together are too much load.
                 if let Some(unhealthy) =
                     unhealthy.filter(|u| was_up && u.next_trial <= now + FIRST_TRIAL_BACKOFF_US)
                 {
@@ -480,8 +485,8 @@
         }
     }
 
-    /// Starts the warm-up of a lane that was down. Endpoints whose unhealthy state was only inferred become
-    /// healthy, and the load on all the lane's endpoints together grows gradually.
+    /// Starts the warm-up of a lane that was down: the load on all its endpoints together grows gradually.
+    /// Endpoints whose unhealthy state was only inferred from the lane become healthy.
     fn start_lane_warm_up(&mut self, key: LaneKey) {
         let now = self.now;
         let Some(lane) = self.lanes.get_mut(&key) else { return };
@@ -496,9 +501,9 @@
         }
     }
 
-    /// Removes endpoints, lanes and destinations that are no longer listed, so that
-    /// memory stays bounded over months. Their state is retained for the length of
-    /// a warm-up: if they are listed again, their waits and health still apply.
+    /// Removes endpoints, lanes and destinations that are no longer listed, to bound memory use over months.
+    /// The state of unlisted endpoints, lanes and destinations is retained for the length of a warm-up.
+    /// If an endpoint is listed again in that time, the retained waits and health still apply.
     fn evict_stale(&mut self) {
         let (now, retention) = (self.now, self.settings.warm_up.max(RESIZE_INTERVAL_US));
         if now < self.next_eviction {
@@ -532,8 +537,8 @@
         self.endpoints.get(&endpoint).and_then(|e| self.lanes.get_mut(&e.lane))
     }
 
-    /// Ends one attempt: updates the message and its call. The
-    /// first outcome of a call also updates the endpoint's health.
+    /// Ends one attempt: updates the message and its call.
+    /// The first outcome of a call also updates the endpoint's health.
     fn end_attempt(
         &mut self,
         id: MsgId,
@@ -575,7 +580,7 @@
             self.calls.remove(&attempt.call);
             self.slots_used -= 1;
         }
-        // Each outcome of a batch may ask for its own wait; the longest of them applies, not only the first.
+        // Each outcome of a batch may ask for its own wait. The longest wait applies, not only the first.
         if wait > 0
             && let Some(lane) = self.lane_of(endpoint_id)
         {
@@ -637,7 +642,7 @@
             tables.record(new_connection, refused);
         }
         if refused && new_connection {
-            // An endpoint with a full table closes the refused connection after its answer.
+            // An endpoint with a full connection table closes the refused connection after its answer.
             endpoint.connections = endpoint.in_flight;
         }
         let connection_refused =
@@ -694,14 +699,14 @@
                 lane.wait_until = lane.wait_until.max(now + pause);
                 if now - lane.budget_cut_at > REFUSAL_PAUSE_US {
                     lane.budget_cut_at = now;
-                    // If no limit is known, the refusal came from a full queue, which drains by itself: a
-                    // smaller cut of the budget suffices.
+                    // If no limit is known, the refusal came from a full queue, which drains by itself.
+                    // A smaller cut of the call budget suffices for a full queue.
                     let factor = if lane.limit.is_some() { 1.0 } else { UNKNOWN_LIMIT_FACTOR };
                     let limit = lane.limit.unwrap_or(f64::INFINITY);
                     let own = self.destinations.get(&lane.dest).map_or(0.0, |d| d.traffic.per_second(now));
                     let max_min_budget = limit / self.settings.senders as f64 * MIN_BUDGET_EQUAL_SHARES;
-                    // The budget never falls below the filled calls that this sender's traffic needs, even if
-                    // they exceed its equal share.
+                    // The call budget never falls below the filled calls that this sender's traffic needs.
+                    // Those calls may exceed the sender's equal share of the limit.
                     let max_batch = self.settings.max_batch(endpoint.kind) as f64;
                     let filled = if max_batch > 1.0 { filled_calls(own, max_batch) } else { 0.0 };
                     let min_budget = (own * MIN_BUDGET_SHARE).min(max_min_budget).max(filled).max(0.01);
@@ -711,20 +716,21 @@
                     lane.tokens = lane.tokens.min(0.0);
                 }
             }
-            // Another call succeeded after this call was sent, so the connection table is full and there is
-            // no outage. The endpoint's idle connections are closed.
+            // Another call succeeded after this call was sent, so the connection table is full.
+            // There is no outage, and the endpoint's idle connections are closed.
             _ if outcome.is_unconnected() && endpoint.last_success > sent => {
                 return endpoint.connection_refused_at = Some(now);
             }
             _ => {}
         }
-        // A connection attempt that timed out is a stall and
-        // counts as two failures, unlike an immediate refusal.
+        // A connection attempt that timed out is a stall and counts as two failures.
+        // An immediately refused connection counts as one failure.
         let weight = if connect_timed_out { 2.0 } else { 1.0 };
         endpoint.failure_share += FAILURE_GAIN * weight * (1.0 - endpoint.failure_share);
-        // A single refusal may come from a rate limit and needs no warm-up. A long wait means that the
-        // receiver is shut down. All senders may have received the same end of the wait, so each adds a
-        // random gap in order not to return together.
+        // A single refusal may come from a rate limit and needs no warm-up.
+        // A long wait means that the receiver is shut down.
+        // All senders may have received the same end of the wait.
+        // Each sender adds a random gap to the wait, in order not to return together with the others.
         let is_shut_down = wait > SHUTDOWN_WAIT_US;
         let error_allowance = if outcome == Outcome::Error {
             few_senders_weight * (MAX_ERROR_SHARE - MAX_FAILURE_SHARE)
@@ -758,11 +764,13 @@
         }
     }
 
-    /// Attributes a failed call to its idle connection unless another call has failed recently, and returns
-    /// whether it did. Guards against idle connections that were dropped without notice: a stall or reset on
-    /// such a connection is no evidence about the endpoint. For a while no idle connection to that kind stays
-    /// open, and the next call, on a new connection, tests the endpoint. The price is that one failed call of
-    /// an outage does not count.
+    /// Attributes a failed call to its idle connection unless another call has failed recently.
+    /// Returns whether the call was attributed to its connection.
+    /// Guards against idle connections that were dropped without notice.
+    /// A stall or reset on a connection that was dropped is no evidence about the endpoint.
+    /// For a while no idle connection to endpoints of that kind stays open.
+    /// The next call, on a new connection, tests the endpoint.
+    /// The price of this rule is that one failed call of an outage does not count.
     fn blame_idle_connection(&mut self, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&id).filter(|e| e.failure_share < FAILURE_GAIN) else {
             return false;
@@ -775,14 +783,15 @@
         true
     }
 
-    /// Returns a random time until an endpoint's next trial, in microseconds. Guards against many senders'
-    /// trials adding up: the more of the traffic this sender has, the shorter the mean gap, so that the
-    /// trials of all senders together stay near the load that a cold destination can take. The price is that
-    /// a recovery is detected late.
+    /// Returns a random time until an endpoint's next trial, in microseconds.
+    /// Guards against the trials of many senders adding up.
+    /// The more of the traffic this sender has, the shorter is the mean gap between its trials.
+    /// The trials of all senders together stay near the load that a cold destination can take.
+    /// The price of the gaps is that a recovery is detected late.
     fn trial_gap(&mut self, id: EndpointId) -> f64 {
         let chance = self.random.next_unit();
-        // With few senders the backoff alone limits trials, and a
-        // sender with little traffic sends them as often as the others.
+        // With few senders the backoff alone limits trials.
+        // A sender with little traffic then sends trials as often as the other senders.
         let few_senders_weight = self.few_senders_weight();
         let trial_share = |e: &Endpoint| {
             self.own_share(e).max(self.equal_share(e) * few_senders_weight) / self.lane_endpoints(e)
@@ -792,7 +801,7 @@
         2.0 * chance * 1e6 / (TRIAL_LOAD_FACTOR * cold_from * fall_multiple * share).max(1e-3)
     }
 
-    /// Returns 1 for up to two senders; the value falls towards 0 as the number of senders grows.
+    /// Returns the weight of rules for few senders: 1 for up to two senders, falling towards 0 with more.
     fn few_senders_weight(&self) -> f64 {
         (FEW_SENDERS / self.settings.senders as f64).powi(2).min(1.0)
     }
@@ -829,7 +838,7 @@
     }
 
     /// Closes a message whose client needs no further answer.
-    /// Its record is kept until its attempts have ended.
+    /// The record of the message is retained until the message's attempts have ended.
     fn close(&mut self, id: MsgId) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         if !message.closed {
@@ -891,10 +900,10 @@
         effect_allows && message.counted_attempts() + 1 < self.max_attempts(message)
     }
 
-    /// Returns whether the message may be refused, which promises the client that resubmitting it is
-    /// harmless. A resubmission is a new message, and no sender knows that its key is in use. So enough must
-    /// be left of the time for which the destination remembers the key: without this rule, a refusal late in
-    /// the window led to a second effect.
+    /// Returns whether the message may be refused, which promises the client that resubmitting is harmless.
+    /// A resubmission is a new message, and no sender knows that its idempotency key is in use.
+    /// So enough must be left of the time for which the destination remembers the idempotency key.
+    /// Without this rule, a refusal late in the message's window led to a second effect.
     fn may_refuse(&self, message: &Message) -> bool {
         let class = self.class_of(message);
         let in_flight = message.in_flight.iter().map(|a| a.sent);
@@ -917,8 +926,8 @@
         } else {
             Action::Fail { id }
         });
-        // Without this delay, the key's next message could reach an
-        // endpoint before the platform has received this message's end.
+        // Without this delay, the order key's next message could reach an endpoint too early:
+        // before the platform has received the end of this message.
         if let Some(key) = message.key.as_ref().and_then(|k| self.order_keys.get_mut(k)) {
             key.settle_until = key.settle_until.max(self.now + NOTICE_DELIVERY_US);
         }
@@ -936,14 +945,14 @@
         }
     }
 
-    /// Returns when a message's final answer is due: early enough that the answer precedes the deadline
-    /// although rounds are a quantum apart. An answer after the deadline may be worthless.
+    /// Returns when a message's final answer is due. An answer after the deadline may be worthless.
+    /// The answer is due early enough to precede the deadline although rounds are a quantum apart.
     fn final_answer_due(&self, message: &Message) -> Micros {
         message.deadline - FINAL_ANSWER_LEAD_QUANTA * self.settings.quantum
     }
 
-    /// Finishes a message if its final answer is due, or if
-    /// no attempt is in flight and no further one is allowed.
+    /// Finishes a message if its final answer is due.
+    /// Also finishes a message that has no attempt in flight and may get no further attempt.
     fn finish_if_due(&mut self, id: MsgId, out: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id).filter(|m| !m.closed) else { return };
         let is_due = self.now >= self.final_answer_due(message);
@@ -952,8 +961,8 @@
         }
     }
 
-    /// Checks whether a call has stalled. A stall marks the
-    /// endpoint unhealthy; a stalled trial is backed off.
+    /// Checks whether a call has stalled. A stall marks the call's endpoint unhealthy.
+    /// A stalled trial doubles the backoff until the endpoint's next trial.
     fn check_stall(&mut self, number: u64) {
         let now = self.now;
         let Some(&Call { endpoint: id, sent, connection_idle, .. }) = self.calls.get(&number) else {
@@ -1042,9 +1051,10 @@
             lane.pace = lane.budget.min(max_pace).min(spaced.unwrap_or(UNLIMITED_PER_S)).min(UNLIMITED_PER_S);
             lane.tokens = (lane.tokens + lane.pace * elapsed_s).min((lane.pace * BURST_S).max(1.0));
             lane.refilled_at = now;
-            // A pool that was sized while all endpoints were healthy keeps its size while one is unhealthy. A
-            // pool that has never been sized, as after a restart that restores an unhealthy endpoint, is
-            // sized nevertheless: otherwise it would keep its initial size until the endpoint recovers.
+            // A pool that was sized while all endpoints were healthy keeps its size while one is unhealthy.
+            // A pool that has never been sized is sized even while an endpoint is unhealthy.
+            // Otherwise, after a restart that restores an unhealthy endpoint, the pool would keep its initial
+            // size until the endpoint recovers.
             let can_size = lane.latency.samples >= MIN_SIZING_SAMPLES;
             let is_due = now - lane.resized_at >= RESIZE_INTERVAL_US;
             if is_due && !lane.latency.is_slow() && (!is_unhealthy || (can_size && !lane.is_sized)) {
@@ -1072,13 +1082,15 @@
         }
     }
 
-    /// Cancels a stalled call to free its slot. Guards against stalled calls filling the slots:
-    /// unsafe calls to a hung destination would hold their slots until the deadline. While slots
-    /// are short and messages wait, it cancels the call that has stalled longest relative to its
-    /// lane's stall threshold, sooner if all its messages may be sent again. If only a
-    /// destination's own pool keeps messages waiting, it cancels only a call that later calls
-    /// have overtaken: the endpoint answers, so the connection is dead. The rule covers any
-    /// cause of a stall. Its price is that an unsafe message fails whose answer was merely late.
+    /// Cancels a stalled call to free its slot. Guards against stalled calls that fill the slots:
+    /// unsafe calls to a hung destination would hold their slots until the deadline.
+    /// While slots are short and messages wait, this function cancels the call that has stalled longest.
+    /// Stalls are compared relative to the stall threshold of each call's lane.
+    /// A call whose messages may all be sent again is cancelled sooner.
+    /// If only a destination's own pool keeps messages waiting, only a call that later calls have overtaken
+    /// is cancelled: the endpoint answers, so the connection of the overtaken call is dead.
+    /// The rule covers any cause of a stall.
+    /// The price of the rule is that an unsafe message fails whose answer was merely late.
     fn reclaim_slot(&mut self, out: &mut Vec<Action>) {
         let reserve = (self.settings.slots as f64 * RECLAIM_RESERVE_SHARE).ceil() as u32;
         let has_pending = |d: &DestId| self.destinations.get(d).is_some_and(|d| !d.pending.is_empty());
@@ -1140,8 +1152,8 @@
             || (lanes.any(|l| l.in_flight >= l.permits) && !self.may_borrow(destination))
     }
 
-    /// Probes unhealthy endpoints whose trial is due, if the
-    /// settings allow probes and a trial call could harm a message.
+    /// Probes unhealthy endpoints whose trial is due, if a trial call could harm a message.
+    /// Probes are sent only if the settings allow them.
     fn send_probes(&mut self, dest: DestId, out: &mut Vec<Action>) {
         let Some(destination) = self.destinations.get(&dest).filter(|_| self.settings.probes) else {
             return;
@@ -1168,8 +1180,8 @@
         }
     }
 
-    /// Returns the endpoints of a destination that can take a call
-    /// now, cheapest first, and when to check the destination again.
+    /// Returns the endpoints of a destination that can take a call now, cheapest first.
+    /// Also returns when to check the destination again.
     fn candidates(&self, dest: DestId) -> (Vec<Candidate>, Recheck) {
         let now = self.now;
         let mut candidates = Vec::new();
@@ -1186,8 +1198,8 @@
             now - e.last_used < self.settings.idle_close
                 && e.in_flight < e.connections.saturating_mul(self.settings.streams_per_conn)
         };
-        // If this sender's traffic reuses a connection before it is closed as idle, the handshake is paid
-        // once and not for each call.
+        // If this sender's traffic reuses a connection before it is closed as idle,
+        // the price of the handshake is paid once and not for each call.
         let calls_per_idle_time = destination.traffic.per_second(now) * self.settings.idle_close as f64 / 1e6;
         let zones: BTreeSet<usize> = listed.iter().map(|(_, e)| e.zone).collect();
         let in_own_zone = listed.iter().filter(|(_, e)| e.zone == self.settings.zone).count() as f64;
@@ -1201,8 +1213,8 @@
         recheck.on_free_slot = too_many_doubtful;
         for (id, endpoint) in listed {
             let Some(lane) = self.lanes.get(&endpoint.lane) else { continue };
-            // A call that may outlast this process is not started, since its
-            // outcome would be lost. The next process sends the message.
+            // A call that may outlast this process is not started, since the call's outcome would be lost.
+            // The next process sends the message of a call that is not started.
             if self.stop_at.is_some_and(|at| now + lane.latency.p99_us() as Micros > at) {
                 continue;
             }
@@ -1313,8 +1325,9 @@
         self.refresh(dest);
         let (candidates, mut recheck) = self.candidates(dest);
         let pending = self.destinations.get(&dest).map(|d| &d.pending)?;
-        // Messages are sent oldest first while none is late. Once one is late, the messages that lose most
-        // worth by waiting are sent first, and the oldest first among equals.
+        // While no message is late, messages are sent oldest first.
+        // Once a message is late, the messages that lose most worth by waiting are sent first.
+        // Among messages that lose equal worth, the oldest is sent first.
         let mut order: Vec<(f64, MsgId)> = Vec::new();
         if !candidates.is_empty() {
             order.extend(pending.iter().map(|(_, id)| (0.0, *id)));
@@ -1329,8 +1342,8 @@
                 }
                 order.sort_by(|a, b| a.0.total_cmp(&b.0));
             }
-            // Messages restored after a restart that have not
-            // been sent yet come before all others, by deadline.
+            // Messages restored after a restart that have not been sent yet come before all other messages.
+            // Among restored messages, the earliest deadline comes first.
             let untried_deadline = |id: &MsgId| {
                 let message = &self.messages[id];
                 if message.restored_untried { message.deadline } else { Micros::MAX }
@@ -1387,8 +1400,8 @@
         while self.slots_used < self.settings.slots {
             let best = choices.iter().rev().max_by(|a, b| a.1.rank.total_cmp(&b.1.rank));
             let Some((dest, choice)) = best.map(|(d, c)| (*d, *c)) else { break };
-            // Sending a message never gives another destination more
-            // choices, so only the best choice is checked again.
+            // Sending a message never gives another destination more choices.
+            // So only the best choice is checked again.
             let current = self.choose(dest);
             if current == Some(choice) {
                 self.send(choice, out);
@@ -1400,10 +1413,11 @@
         }
     }
 
-    /// Closes idle connections to kinds whose connections are scarce. Guards against idle connections keeping
-    /// other senders out of an endpoint that accepts few: after an endpoint of a kind has refused a
-    /// connection at once, no connection to that kind stays open while idle for a time. That costs a
-    /// handshake for each call. Refusals while a whole lane was down are not counted.
+    /// Closes idle connections to endpoints of kinds whose connections are scarce.
+    /// Guards against idle connections that keep other senders out of an endpoint with few connections.
+    /// For a time after an endpoint of a kind has refused a connection at once, idle connections to endpoints
+    /// of that kind are closed. Closing idle connections costs a handshake for each call.
+    /// Refused connections while a whole lane was down are not counted.
     fn close_idle_connections(&mut self, out: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.maybe_idle) {
             let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
@@ -1424,11 +1438,12 @@
         }
     }
 
-    /// Sends one call with the chosen message and, where the kind batches, other pending messages that may
-    /// share the call. The call lasts for the usual timeout or the shortest time left of its messages,
-    /// whichever is longer. If an answer arrives after one of the messages has ended, the answer may be valid
-    /// for none of them, and it is valid for none if the ended message is the first in the batch. So the
-    /// message with the most time left comes first.
+    /// Sends one call with the chosen message.
+    /// Where the kind batches, other pending messages may share the call.
+    /// The call lasts for the usual timeout or the shortest time left of its messages, whichever is longer.
+    /// If an answer arrives after a message of the batch has ended, the answer may be valid for no message.
+    /// The answer is valid for no message if the ended message is the first in the batch.
+    /// So the message with the most time left comes first.
     fn send(&mut self, choice: Choice, out: &mut Vec<Action>) {
         let (now, Choice { id, endpoint: endpoint_id, excludes_unsafe, .. }) = (self.now, choice);
         let endpoint = &self.endpoints[&endpoint_id];
@@ -1529,9 +1544,10 @@
     fn ambiguous_share(&self, now: Micros) -> f64 {
         self.ambiguous_share * (-((now - self.ambiguous_share_at) as f64) / AMBIGUOUS_MEMORY_US).exp()
     }
-    /// Returns the time until which the endpoint gets no unsafe messages. Guards against losing unsafe
-    /// messages one by one: an endpoint that fails part of its calls answers the others, and looks healthy
-    /// after each success. Repeatable messages test the endpoint in the meantime.
+    /// Returns the time until which the endpoint gets no unsafe messages.
+    /// Guards against losing unsafe messages one by one at an endpoint that fails part of its calls.
+    /// Such an endpoint answers the other calls, and looks healthy after each success.
+    /// Repeatable messages test the endpoint while it gets no unsafe messages.
     fn no_unsafe_until(&self) -> Micros {
         let decay_us = (self.ambiguous_share / MAX_AMBIGUOUS_SHARE).max(1.0).ln() * AMBIGUOUS_MEMORY_US;
         if decay_us > 0.0 { self.ambiguous_share_at + decay_us as Micros + 1 } else { Micros::MIN }
@@ -1551,8 +1567,8 @@
         self.backoff = (self.backoff * 2).min(MAX_TRIAL_BACKOFF_US);
         self.next_trial = now + self.backoff.max(gap as Micros);
     }
-    /// Delays the next trial past the end of a wait by a random gap. Without the gap, all senders that
-    /// received the same end of the wait would return at once.
+    /// Delays the next trial past the end of a wait by a random gap.
+    /// Without the gap, all senders that received the same end of the wait would return at once.
     fn delay_past(&mut self, wait_until: Micros, gap: f64) {
         if self.next_trial < wait_until {
             self.next_trial = wait_until + gap as Micros;
