--- a/src/batching.rs
+++ b/src/batching.rs
@@ -1,29 +1,29 @@
-//! Decides how long messages wait for other messages to
-//! share a call. Works on one lane at a time, without I/O.
+//! Decides how long messages wait for other messages that can share their call.
+//! The functions of this module work on one lane at a time, without I/O.
 //!
-//! When each of many senders has little traffic, its calls carry one message each, and the calls of all
-//! senders together exceed the receiver's limit, above all if the limit is cut without notice. Reacting only
-//! to refusals is too late, and always waiting costs time in normal operation. So calls are spaced only when
-//! there are signs that the limit is nearly used up (`docs/design/even.md`).
+//! When each of many senders has little traffic, every call carries a single message.
+//! The calls of all senders together then exceed the receiver's limit, above all if it is cut without notice.
+//! Reacting only to refusals is too late, and always waiting for messages costs time in normal operation.
+//! So calls are spaced only when there are signs that the limit is nearly used up (`docs/design/even.md`).
 
-/// Pace of spaced calls as a share of an equal share of the limit. Spacing fills the calls, and keeps the
-/// fleet within the limit even if the limit is halved.
+/// Pace of spaced calls as a share of an equal share of the limit.
+/// Spacing fills the calls, and keeps the fleet within the limit even if the limit is halved.
 const SPACING_SHARE: f64 = 0.45;
-/// Up to this ratio of own traffic to an equal share of the limit, calls are not spaced. If all senders have
-/// equal traffic, a limit that is cut by almost half still accepts the fleet's calls. A sender with less
-/// traffic than the others adds too little load to matter.
+/// Maximum ratio of own traffic to an equal share of the limit at which calls are not spaced.
+/// If all senders have equal traffic, a limit that is cut by almost half still accepts the fleet's calls.
+/// A sender with less traffic than the other senders adds too little load to matter.
 const NO_SPACING_RATIO: f64 = 0.6;
-/// Ratio of own traffic to an equal share of the limit at which the spacing is as wide as after a refusal.
+/// Ratio of own traffic to an equal share of the limit for the same spacing of calls as after a refusal.
 const FULL_SPACING_RATIO: f64 = 0.9;
-/// Maximum time between calls after a refusal, in multiples of the
-/// shortest aim. On average a message waits half of that time.
+/// Maximum time between calls after a refusal, in multiples of the shortest aim.
+/// On average a message waits for half of the time between calls.
 const MAX_SPACING_AIMS: f64 = 2.0;
 /// Maximum time between calls at `NO_SPACING_RATIO` without a refusal, in multiples of the shortest aim.
 const MAX_SPACING_AIMS_CALM: f64 = 0.7;
-/// Share of a call's capacity that a sender with much traffic fills.
+/// Share of a call's maximum number of messages that a sender with much traffic fills.
 const FILL_SHARE: f64 = 0.7;
 
-/// Returns the calls a second that carry `messages_per_s` if each call is filled up to `FILL_SHARE`.
+/// Returns the calls a second that carry `messages_per_s` if every call is filled up to `FILL_SHARE`.
 pub(crate) fn filled_calls(messages_per_s: f64, max_batch: f64) -> f64 {
     messages_per_s / (max_batch * FILL_SHARE)
 }
@@ -31,7 +31,7 @@
 /// A sender's view of the demand on a lane whose calls carry several messages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LaneDemand {
-    /// Each sender's equal share of the limit, in calls a second.
+    /// Equal share of the lane's limit for each sender, in calls a second.
     pub(crate) equal_share: f64,
     /// The sender's current traffic, in messages a second.
     pub(crate) own_rate: f64,
@@ -41,13 +41,13 @@
     pub(crate) max_batch: f64,
     /// The shortest aim of all classes, in microseconds.
     pub(crate) shortest_aim_us: f64,
-    /// Whether a call was refused recently.
+    /// Whether the receiver refused a call on the lane recently.
     pub(crate) recently_refused: bool,
 }
 
 impl LaneDemand {
-    /// Returns the calls a second to which the lane is spaced, or `None` if there is no sign that the fleet's
-    /// calls could exceed the limit.
+    /// Returns the pace of spaced calls on the lane, in calls a second.
+    /// Returns `None` if there is no sign that the fleet's calls could exceed the limit.
     pub(crate) fn spacing(&self) -> Option<f64> {
         let ratio = self.long_term_rate / self.equal_share;
         if !self.recently_refused && ratio <= NO_SPACING_RATIO {
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,13 +1,13 @@
-//! The state that a dispatcher hands over to the dispatcher of another process: its measurements and its
-//! calls in flight. `src/logic.rs` makes the decisions that use this state.
+//! The state that a dispatcher hands over to the dispatcher of another process.
+//! The state contains the measurements and the calls in flight. Decisions that use it are in `src/logic.rs`.
 
 use crate::interface::*;
 use crate::logic::Dispatcher;
 use crate::state::*;
 
-/// A dispatcher's state of destinations and endpoints: rates, latencies, budgets,
-/// pools, waits, outages and warm-ups. Endpoints have the numbers of the sender
-/// that exported the state until [`DispatcherState::renumber`] replaces them.
+/// A dispatcher's state of destinations and endpoints.
+/// The state contains rates, latencies, budgets, permit pools, waits, outages and warm-ups.
+/// Endpoints have the numbers of the exporting sender until [`DispatcherState::renumber`] replaces them.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct DispatcherState {
@@ -15,7 +15,7 @@
     dests: Vec<(DestId, Rate, Rate)>,
     lanes: Vec<(LaneKey, Lane)>,
     endpoints: Vec<(EndpointId, Endpoint)>,
-    /// Each order key with the time before which its next message must not be sent.
+    /// Each order key with the time before which the key's next message must not be sent.
     keys: Vec<(String, Micros)>,
 }
 
@@ -44,8 +44,8 @@
         self.endpoints.iter().map(|(id, _)| *id)
     }
 
-    /// Replaces endpoint numbers with those of the next dispatcher's
-    /// sender, and drops endpoints for which `number` returns `None`.
+    /// Replaces endpoint numbers with the numbers that the next dispatcher's sender uses.
+    /// Drops endpoints for which `number` returns `None`.
     pub fn renumber(&mut self, number: impl Fn(EndpointId) -> Option<EndpointId>) {
         let lane_key = |key: LaneKey| match key {
             LaneKey::Route(id) => number(id).map(LaneKey::Route),
@@ -67,7 +67,7 @@
         self.messages.iter().map(|(id, attempt, _)| (*id, *attempt))
     }
 
-    /// Returns the endpoint that was called.
+    /// Returns the number of the endpoint that was called.
     pub fn endpoint(&self) -> EndpointId {
         self.call.endpoint
     }
@@ -79,8 +79,8 @@
 }
 
 impl Dispatcher {
-    /// Returns the state and calls that the next dispatcher receives
-    /// as [`Event::StateInherited`] and [`Event::CallsInherited`].
+    /// Returns the state and calls in flight of this dispatcher.
+    /// The next dispatcher receives them as [`Event::StateInherited`] and [`Event::CallsInherited`].
     pub fn handover_state(&self) -> (DispatcherState, Vec<InFlightCall>) {
         let state = DispatcherState {
             dests: self.destinations.iter().map(|(id, d)| (*id, d.arrival_rate, d.traffic)).collect(),
@@ -99,9 +99,9 @@
         (state, calls.collect())
     }
 
-    /// Applies another dispatcher's state to destinations, lanes and endpoints
-    /// that are listed, and adds unlisted endpoints that still have calls in
-    /// flight. [`Dispatcher::inherit_calls`] adds those calls afterwards.
+    /// Applies another dispatcher's state to destinations, lanes and endpoints that are listed.
+    /// Also adds unlisted endpoints that still have calls in flight.
+    /// The calls in flight themselves are added afterwards by [`Dispatcher::inherit_calls`].
     pub(crate) fn inherit_state(&mut self, state: &DispatcherState) {
         for (id, arrival_rate, traffic) in &state.dests {
             if let Some(destination) = self.destinations.get_mut(id) {
@@ -136,8 +136,9 @@
         self.ready.extend(self.destinations.keys());
     }
 
-    /// Adds another process's calls in flight: the slots, permits and trials that they use, and the messages
-    /// that wait for their outcomes. Messages that still need a final answer have been restored before this.
+    /// Adds another process's calls in flight, with the slots, permits and trials that the calls use.
+    /// Also adds the messages that wait for the outcomes of the calls.
+    /// Messages that still need a final answer must have been restored before this function is called.
     pub(crate) fn inherit_calls(&mut self, calls: &[InFlightCall]) {
         for InFlightCall { call, messages } in calls {
             let endpoint = self.endpoints.get_mut(&call.endpoint).filter(|_| !messages.is_empty());
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,17 +1,18 @@
-//! The health that a sender persists over a restart and restores with [`Event::EndpointHealthRestored`] and
-//! [`Event::ReceiverHealthRestored`]. `src/logic.rs` makes the decisions that use it.
+//! The health of endpoints and receivers that a sender persists over a restart.
+//! A sender restores it with [`Event::EndpointHealthRestored`] and [`Event::ReceiverHealthRestored`].
+//! The decisions that use the restored health are in `src/logic.rs`.
 
 use crate::interface::*;
 use crate::logic::{Dispatcher, REFUSAL_MEMORY_US};
 use crate::state::{Lane, LaneKey};
 
-/// Persisted waits are rounded up to a multiple of this,
-/// so that many refusals by a receiver cause few writes.
+/// Unit to whose multiples persisted waits are rounded up.
+/// With rounded waits, many refusals by a receiver cause few writes.
 const WAIT_STEP_US: Micros = 100_000;
 
 impl Dispatcher {
-    /// Returns the health of the endpoints for which it must be
-    /// persisted: those that are failing, unhealthy or warming up.
+    /// Returns the health of the endpoints whose health must be persisted.
+    /// These are the endpoints that are failing, unhealthy or warming up.
     pub fn endpoint_health(&self) -> impl Iterator<Item = (EndpointId, EndpointHealth)> {
         self.endpoints.iter().filter_map(|(id, endpoint)| {
             let lane_warm_up = self.lanes.get(&endpoint.lane).and_then(|l| l.warm_up.as_ref());
@@ -23,9 +24,9 @@
         })
     }
 
-    /// Returns the health of the receivers for which it must be persisted: those that are failing, have
-    /// refused calls, have asked for a wait or are warming up. Each item holds the destination, the endpoint
-    /// if the receiver is a separate route, and the health.
+    /// Returns the health of the receivers whose health must be persisted.
+    /// These are the receivers that are failing, have refused calls, have asked for a wait or are warming up.
+    /// An item holds the receiver's destination, its endpoint if it is a separate route, and its health.
     pub fn receiver_health(&self) -> impl Iterator<Item = (DestId, Option<EndpointId>, ReceiverHealth)> {
         self.lanes.iter().filter_map(|(key, lane)| {
             let health = self.lane_health(lane);
@@ -70,7 +71,7 @@
     (time + WAIT_STEP_US - 1) / WAIT_STEP_US * WAIT_STEP_US
 }
 
-/// Rounds a number down to its two highest bits, so that a slowly changing value is rarely persisted again.
+/// Rounds a number down to its two highest bits. A slowly changing value is thus rarely persisted again.
 fn round_down(number: u32) -> u32 {
     match number.checked_ilog2() {
         Some(highest) if highest > 0 => number & (3 << (highest - 1)),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -26,8 +26,8 @@
 pub enum Effect {
     /// A second delivery does no harm.
     Safe,
-    /// The message has an idempotency key, by which the destination
-    /// drops repeated deliveries within the class's window.
+    /// The message has an idempotency key.
+    /// By this key, the destination drops repeated deliveries within the class's window.
     Keyed,
     /// A second delivery takes effect again.
     #[default]
@@ -42,26 +42,26 @@
     All,
     /// The endpoints in one zone.
     Zone,
-    /// No endpoints share it: each remembers only the keys that it received itself.
+    /// No endpoints share the memory of keys: each endpoint remembers only the keys that it received itself.
     Endpoint,
 }
 
 /// How the worth of a message decays after its aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum LateDecay {
-    /// Worth falls linearly, down to the late share at the deadline.
+    /// The message's worth falls linearly, down to the late share at the deadline.
     #[default]
     Linear,
-    /// Worth halves with each further time of the aim's length, and does not fall below the late share.
+    /// The message's worth halves with each further time of the aim's length, down to the late share.
     Halving,
 }
 
 /// The settings of a class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// A message delivered up to this age earns its full worth.
+    /// Age up to which the delivery of a message earns the message's full worth.
     pub aim: Micros,
-    /// The age up to which a message may be delivered.
+    /// Age up to which a message may be delivered.
     pub deadline: Micros,
     /// The effect of delivering a message of this class a second time.
     pub effect: Effect,
@@ -71,9 +71,9 @@
     pub window: Micros,
     /// Whether messages with the same order key are delivered one at a time, in order.
     pub ordered: bool,
-    /// The worth of a message delivered up to its aim.
+    /// Worth of a message that is delivered up to its aim.
     pub worth: f64,
-    /// The share of the worth that is left at the deadline.
+    /// Late share: the share of a message's worth that is left at the deadline.
     pub late_share: f64,
     /// Maximum attempts for a message of this class, in place of [`Settings::max_attempts`].
     pub max_attempts: Option<u32>,
@@ -104,7 +104,7 @@
     pub separate_routes: bool,
 }
 
-/// The settings of a tenant. Its messages beyond the quota are worth less.
+/// The settings of a tenant. A tenant's messages beyond the quota are worth less.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
     /// The tenant's messages a second through all senders together that are worth the full amount.
@@ -130,7 +130,7 @@
     pub senders: u32,
     /// This sender's zone.
     pub zone: usize,
-    /// Maximum number of calls in flight.
+    /// Maximum number of this sender's calls in flight.
     pub slots: u32,
     /// Maximum number of open messages, both sent and not yet sent.
     pub max_open: u32,
@@ -152,22 +152,21 @@
     pub streams_per_conn: u32,
     /// Minimum time between two rounds.
     pub quantum: Micros,
-    /// Grace period in which calls to a draining or removed endpoint must end.
+    /// Grace period within which calls to a draining or removed endpoint must end.
     pub drain_grace: Micros,
-    /// Load, as a multiple of its present capacity, at which a cold destination is overloaded and fails.
+    /// Load at which a cold destination is overloaded and fails, as a multiple of its present capacity.
     pub fall_multiple: f64,
-    /// Time window over which the load for `fall_multiple` is counted.
+    /// Time window over which a destination's load is counted for comparison with `fall_multiple`.
     pub fall_window: Micros,
     /// Share of its full capacity that a destination has when it returns from an outage.
     pub cold_from: f64,
-    /// Time from its return until a destination has its full capacity.
+    /// Time from a destination's return until the destination has its full capacity.
     pub warm_up: Micros,
-    /// For ordered classes: how long the next message of a
-    /// key waits after an attempt that may still be running.
+    /// For ordered classes: how long a key's next message waits after an attempt that may still be running.
     pub order_settle: Micros,
     /// How the worth of a message decays after its aim.
     pub late_decay: LateDecay,
-    /// Worth of a message beyond its tenant's quota, as a share of its worth within it.
+    /// Worth of a message beyond its tenant's quota, as a share of its worth within the quota.
     pub over_share_worth: f64,
     /// The meaning of the weights in endpoint lists.
     pub weights: WeightMeaning,
@@ -175,7 +174,7 @@
     pub cross_zone_price: f64,
     /// Price of a new connection.
     pub handshake_price: f64,
-    /// For each zone: the fee for each message to a separate route in it.
+    /// For each zone: the fee for each message to a separate route in the zone.
     pub zone_fees: Vec<f64>,
     /// Message classes, by index.
     pub classes: Vec<ClassSettings>,
@@ -225,7 +224,7 @@
 pub struct SettingsError {
     /// The field's name in [`Settings`], or in [`ClassSettings`] if `class` is given.
     pub field: &'static str,
-    /// The class that the field belongs to, by index.
+    /// Index of the class that the field belongs to.
     pub class: Option<usize>,
     /// The condition that the value must meet, such as "at least 1".
     pub requirement: &'static str,
@@ -253,7 +252,7 @@
     /// Checks the values that the dispatcher relies on.
     ///
     /// # Errors
-    /// Returns the first value that is out of range.
+    /// Returns an error for the first value that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let check = |valid: bool, field, class, requirement| {
             if valid { Ok(()) } else { Err(SettingsError { field, class, requirement }) }
@@ -306,10 +305,10 @@
     }
 }
 
-/// Maximum time between rounds: with a longer one no message would be in time.
+/// Maximum time between rounds: with a longer time no message would be delivered in time.
 const MAX_QUANTUM_US: Micros = 1_000_000;
-/// Maximum time span in the settings. Longer spans are rejected
-/// as mistakes, which also keeps sums of times from overflowing.
+/// Maximum time span in the settings. Longer spans are rejected as mistakes.
+/// The maximum also keeps sums of times from overflowing.
 pub(crate) const MAX_SPAN_US: Micros = 366 * 24 * 3600 * 1_000_000;
 
 /// An endpoint's status in the list from discovery, which is independent of its health.
@@ -348,8 +347,8 @@
     Done,
     /// The endpoint answered with an error; the message may have run.
     Error,
-    /// The receiver refused the message without processing it,
-    /// because of a rate limit, a full queue, a shutdown or draining.
+    /// The receiver refused the message without processing it.
+    /// Reasons for a refusal are a rate limit, a full queue, a shutdown or draining.
     Busy,
     /// No answer came in time; the message may have run or may still be running.
     TimedOut,
@@ -357,15 +356,16 @@
     ConnectFailed,
     /// The connection was lost before the answer; the message may have run.
     Reset,
-    /// The answer could not be parsed; the message may have run. The simulator does not report this.
+    /// The answer could not be parsed; the message may have run. The simulator does not report this outcome.
     #[cfg_attr(feature = "serde", serde(rename = "Spoilt"))]
     MalformedAnswer,
     /// The attempt was cancelled; the message may have run.
     Cancelled,
     /// The message was not sent: no slot was free, the message was closed, or its attempts were used up.
     Skipped,
-    /// No connection was established and no byte written. No endpoint received the attempt, so it does not
-    /// count against the maximum. The simulator does not report this.
+    /// No connection was established and no byte written.
+    /// No endpoint received the attempt, so the attempt does not count against the maximum.
+    /// The simulator does not report this outcome.
     Unreached,
 }
 
@@ -380,8 +380,8 @@
         matches!(self, Outcome::Skipped | Outcome::Unreached)
     }
 
-    /// Returns whether no connection was established, or the
-    /// connection was lost before the request was written.
+    /// Returns whether no connection was established.
+    /// A connection that was lost before the request was written counts as not established.
     pub(crate) fn is_unconnected(self) -> bool {
         matches!(self, Outcome::ConnectFailed | Outcome::Unreached)
     }
@@ -391,10 +391,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct LoadReport {
-    /// The share of the limit's calls that is still unused.
+    /// Share of the calls allowed by the rate limit that is still unused.
     #[cfg_attr(feature = "serde", serde(rename = "left"))]
     pub remaining: Option<f64>,
-    /// The limit in calls a second; 0 if there is no limit.
+    /// Rate limit in calls a second; 0 if there is no limit.
     pub limit: Option<f64>,
 }
 
@@ -409,8 +409,8 @@
     pub warming_since: Option<Micros>,
 }
 
-/// The health of a receiver as a whole, which a sender persists over a restart. The receiver is a
-/// destination, or one route of it where routes are separate.
+/// The health of a receiver as a whole, which a sender persists over a restart.
+/// A receiver is a destination, or one route of a destination where routes are separate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceiverHealth {
     /// The time of the first failure since the last success, if there is one.
@@ -419,7 +419,7 @@
     pub down: bool,
     /// When the receiver returned from an outage, if its warm-up has not ended.
     pub warming_since: Option<Micros>,
-    /// The end of the wait that the receiver asked for.
+    /// The end of the wait that the receiver asked for, if it asked for one.
     pub wait_until: Option<Micros>,
     /// The sender's call budget after refusals, in thousandths of a call a second.
     pub budget_milli_per_s: Option<u32>,
@@ -428,7 +428,7 @@
 }
 
 impl ReceiverHealth {
-    /// The health that is assumed if it is not known whether the receiver was healthy before the restart.
+    /// The health that is assumed for a receiver whose health before the restart is not known.
     pub const UNKNOWN: ReceiverHealth = ReceiverHealth {
         failing_since: None,
         down: true,
@@ -439,8 +439,8 @@
     };
 }
 
-/// An event that a sender reports to its dispatcher. Events
-/// that name an unknown message or endpoint are ignored.
+/// An event that a sender reports to its dispatcher.
+/// Events that name an unknown message or endpoint are ignored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list from discovery, or changes to it.
@@ -483,8 +483,8 @@
         attempts: u32,
         /// Number of attempts before the restart that reached no endpoint.
         unreached: u32,
-        /// The endpoint and time of the first attempt that may have
-        /// run, which includes attempts without a known outcome.
+        /// The endpoint and time of the first attempt that may have run.
+        /// Attempts without a known outcome may have run.
         may_have_run: Option<(EndpointId, Micros)>,
     },
     /// The health of an endpoint before a restart. Must be sent after the endpoint has been listed.
@@ -503,19 +503,20 @@
         /// The value from [`Dispatcher::receiver_health`](crate::Dispatcher::receiver_health).
         health: ReceiverHealth,
     },
-    /// The state of the dispatcher in the process that this process
-    /// replaces. Must be sent after the endpoints have been listed.
+    /// The state of the dispatcher in the process that this process replaces.
+    /// The event with the state must be sent after the endpoints have been listed.
     StateInherited(Box<DispatcherState>),
-    /// The calls that the replaced process still has in flight. Must be sent after that process's messages
-    /// have been restored. The calls' outcomes follow as [`Event::Outcome`].
+    /// The calls that the replaced process still has in flight.
+    /// The event with the calls must be sent after the replaced process's messages have been restored.
+    /// The outcomes of the calls follow as [`Event::Outcome`].
     CallsInherited(Vec<InFlightCall>),
-    /// The sender stops at the time `at`. No call is started that is expected to end after it.
+    /// The sender stops at the time `at`. No call is started that is expected to end after that time.
     Stopping {
         /// The time at which the sender stops.
         at: Micros,
     },
-    /// The class settings have changed. A message keeps the index
-    /// of its class and follows the new class at that index.
+    /// The class settings have changed.
+    /// A message keeps its class index and follows the new class at that index.
     ClassesChanged(Vec<ClassSettings>),
     /// An attempt ended.
     Outcome {
@@ -569,8 +570,8 @@
 pub enum Action {
     /// Send a message to an endpoint.
     Send {
-        /// Number of the call. `Send` actions of one round with the same number share a call, which ends at
-        /// the longest of their timeouts.
+        /// Number of the call. `Send` actions of one round with the same number share a call.
+        /// A call that carries several messages ends at the longest timeout of its `Send` actions.
         call: u64,
         /// The sender's number for the message.
         id: MsgId,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,14 @@
 //! # heronroute
 //!
-//! Decides, for a sender of notifications to outside receivers, which pending message
-//! goes to which endpoint and when, how long to wait for the answer, and when to retry,
-//! refuse or fail the message. The crate does no I/O: a sender passes [`Event`]s and
-//! the time to a [`Dispatcher`] and carries out the [`Action`]s that it returns.
+//! Makes the decisions of a sender of notifications to outside receivers.
+//! The crate decides which pending message goes to which endpoint and when, how long to wait for the answer,
+//! and when to retry, refuse or fail the message.
+//! The crate does no I/O: a sender passes [`Event`]s and the time to a [`Dispatcher`].
+//! The sender carries out the [`Action`]s that the dispatcher returns.
 //!
-//! The mechanism is the bulkhead: every destination owns a bounded pool of permits sized from its own
-//! traffic, so that one slow destination cannot occupy all slots. `README.md` ("Decisions") lists the
-//! additions to this mechanism, and when each of them takes effect.
+//! The mechanism is the bulkhead: every destination owns a bounded permit pool, sized from its own traffic.
+//! With separate pools, one slow destination cannot occupy all slots.
+//! `README.md` ("Decisions") lists the additions to the bulkhead, and when each addition takes effect.
 //!
 //! ```
 //! use heronroute::{Action, ClassSettings, Dispatcher, DestId, Effect, EndpointEntry, EndpointId, Event};
@@ -60,8 +61,8 @@
 pub use logic::Dispatcher;
 
 impl Dispatcher {
-    /// Returns the total number of destinations, lanes, endpoints, messages, calls and order keys in memory,
-    /// so that a sender's memory use can be monitored.
+    /// Returns the total number of destinations, lanes, endpoints, messages, calls and order keys in memory.
+    /// The number makes it possible to monitor a sender's memory use.
     pub fn tracked_items(&self) -> usize {
         let listed = self.destinations.len() + self.lanes.len() + self.endpoints.len();
         listed + self.messages.len() + self.calls.len() + self.order_keys.len()
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -1,12 +1,12 @@
-//! Measures rates and latencies, and detects from refusals that connection tables are full. `src/logic.rs`
-//! makes the decisions that use these measurements.
+//! Measures rates and latencies, and detects from refusals that connection tables are full.
+//! The decisions that use these measurements are in `src/logic.rs`.
 
 use crate::interface::Micros;
 use crate::state::{Latency, Rate};
 
-/// The lower bound of a rate observed for less than this time assumes no events in the rest of the time.
+/// Observation time below which a rate's lower bound assumes no events in the missing time.
 const FULL_CONFIDENCE_AFTER_US: f64 = 8e6;
-/// Standard deviations subtracted from a rate for its lower bound.
+/// Number of standard deviations by which the lower bound of a rate lies below the rate.
 const LOWER_BOUND_DEVIATIONS: f64 = 1.0;
 /// Minimum weight of a new latency sample; the first samples weigh more.
 const LATENCY_GAIN: f64 = 0.04;
@@ -14,13 +14,13 @@
 const DEFAULT_P99_US: f64 = 2e6;
 /// Time constant, in calls, with which the counts of refused calls decay.
 const TABLE_MEMORY_CALLS: f64 = 16.0;
-/// Minimum decayed count of calls on new connections: fewer are no evidence of a full connection table.
+/// Minimum decayed count of calls on new connections as evidence of a full connection table.
 const MIN_TABLE_CALLS: f64 = 6.0;
-/// Assumed share of refused calls on reused connections before the first such call.
+/// Assumed share of refused calls on reused connections before the first call on a reused connection.
 const REUSED_REFUSAL_PRIOR: f64 = 0.2;
-/// A connection table counts as full if at least this share of the calls on new connections is refused, and
-/// at least `MIN_REFUSAL_RATIO` times the share on reused connections. A rate limit refuses calls on both
-/// alike, a full table only calls on new connections.
+/// Minimum share of refused calls on new connections at which a connection table counts as full.
+/// The share must also be at least `MIN_REFUSAL_RATIO` times the refused share on reused connections.
+/// A rate limit refuses calls on new and reused connections alike, a full table only calls on new ones.
 const MIN_REFUSED_SHARE: f64 = 0.6;
 const MIN_REFUSAL_RATIO: f64 = 3.0;
 
@@ -43,14 +43,14 @@
             self.value * (-((now - self.updated_at) as f64) / self.memory_us).exp() + 1e6 / self.memory_us;
         self.updated_at = now;
     }
-    /// Returns the events a second, corrected for a history shorter than the memory.
+    /// Returns the events a second, corrected for an observation time shorter than `memory_us`.
     pub(crate) fn per_second(&self, now: Micros) -> f64 {
         let age = (now - self.created_at).max(1_000_000) as f64;
         self.value * (-((now - self.updated_at) as f64) / self.memory_us).exp()
             / (1.0 - (-age / self.memory_us).exp())
     }
     /// Returns a rate that the true rate most likely exceeds.
-    /// The bound is low while few events have been recorded.
+    /// The returned lower bound is low while few events have been recorded.
     pub(crate) fn lower_bound(&self, now: Micros) -> f64 {
         let rate =
             self.per_second(now) * ((now - self.created_at) as f64 / FULL_CONFIDENCE_AFTER_US).min(1.0);
@@ -64,8 +64,8 @@
         let sample_us = elapsed.max(1_000) as f64;
         self.recent_us =
             if self.samples == 0.0 { sample_us } else { self.recent_us + 0.3 * (sample_us - self.recent_us) };
-        // Samples far above the p99 are capped, so that a period of slow answers widens the distribution only
-        // gradually: pools are sized for healthy latency.
+        // Samples far above the p99 are capped, since permit pools are sized for healthy latency.
+        // With capped samples, a period of slow answers widens the distribution only gradually.
         let log_sample =
             if self.samples < 8.0 { sample_us.ln() } else { sample_us.ln().min(self.p99_us().ln() + 0.7) };
         let gain = (1.0 / (self.samples + 1.0)).max(LATENCY_GAIN);
@@ -108,8 +108,8 @@
     }
 }
 
-/// Estimates from refusals whether the connection tables of an endpoint kind are full. Calls on new and on
-/// reused connections are counted separately.
+/// Estimates from refusals whether the connection tables of an endpoint kind are full.
+/// Calls on new connections and calls on reused connections are counted separately.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ConnectionTables {
     new: Refusals,
--- a/src/random.rs
+++ b/src/random.rs
@@ -5,8 +5,8 @@
 pub(crate) struct Random(u64);
 
 impl Random {
-    /// Returns a generator for a seed. The seed is mixed by the finalizer of SplitMix64, so that the first
-    /// numbers differ even between neighbouring seeds.
+    /// Returns a generator for a seed. The seed is mixed by the finalizer of SplitMix64.
+    /// With the mixed seed, the first random numbers differ even between neighbouring seeds.
     pub(crate) fn new(seed: u64) -> Self {
         let mixed = (seed ^ (seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -14,7 +14,7 @@
         Random((mixed ^ (mixed >> 31)) | 1)
     }
 
-    /// Returns the next number, from 0 (included) to 1 (excluded).
+    /// Returns the next random number, from 0 (included) to 1 (excluded).
     pub(crate) fn next_unit(&mut self) -> f64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
--- a/src/rotation.rs
+++ b/src/rotation.rs
@@ -1,42 +1,42 @@
-//! The rotation over endpoints of equal cost: decides which endpoint gets the next call. Works on one
-//! endpoint at a time, without I/O.
+//! The rotation over endpoints of equal cost, which decides which endpoint gets the next call.
+//! The functions of the rotation work on one endpoint at a time, without I/O.
 //!
-//! Each sender rotates over its endpoints from a random place, so that the load
-//! of many senders adds up evenly although each sender has little of the traffic
-//! (`docs/design/even.md`). Measurements of an endpoint's latency decay.
+//! Each sender rotates over its endpoints from a random place (`docs/design/even.md`).
+//! The load of many senders thus adds up evenly although each sender has little of the traffic.
+//! Measurements of an endpoint's latency decay.
 
 use crate::interface::Micros;
 
-/// Endpoints of a first list start with a random time of their last turn, at most this far in the past.
+/// Maximum age of the random last turn with which endpoints of a first list start.
 const FIRST_LIST_SPAN_US: f64 = 1e7;
 /// Time constant of the decay of an endpoint's measured slowness.
 const SLOWNESS_MEMORY_US: f64 = 3e7;
-/// Slowness whose logarithm is below this is ignored, since
-/// the latencies of single answers differ by as much.
+/// Logarithm of an endpoint's slowness below which the slowness is ignored.
+/// The latencies of single answers differ by as much.
 const SLOWNESS_TOLERANCE: f64 = 0.4;
 
 /// An endpoint's place in the rotation: its last turn and how slowly it answers.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct RotationPlace {
-    /// When the endpoint last had its turn; initially a random time.
+    /// When the endpoint last had its turn in the rotation; initially a random time.
     last_turn: Micros,
-    /// Until this time an endpoint that joined others counts
-    /// as new and is used only while the others are busy.
+    /// Time until which an endpoint that joined other endpoints counts as new.
+    /// A new endpoint is used only while the other endpoints are busy.
     new_until: Micros,
     /// Whether a first connection to the endpoint is worth its price once the endpoint is no longer new.
     wants_connection: bool,
-    /// Decaying sum of the logarithms of the ratios of the
-    /// endpoint's latencies to its lane's mean, as of `slowness_at`.
+    /// Decaying sum, as of `slowness_at`, of one logarithm for each of the endpoint's answers:
+    /// the logarithm of the ratio of the answer's latency to the mean latency of the endpoint's lane.
     log_slowness_sum: f64,
-    /// Decaying number of the answers in `log_slowness_sum`.
+    /// Decaying number of the answers that `log_slowness_sum` covers.
     answers: f64,
     slowness_at: Micros,
 }
 
 impl RotationPlace {
-    /// Returns a random place for an endpoint of a first list, so that senders that receive the same list do
-    /// not all begin with the same endpoint. `place` is a random number from 0 to 1.
+    /// Returns a random place for an endpoint of a first list. `place` is a random number from 0 to 1.
+    /// With random places, senders that receive the same list do not all begin with the same endpoint.
     pub(crate) fn in_first_list(now: Micros, place: f64) -> RotationPlace {
         RotationPlace {
             last_turn: now - (place * FIRST_LIST_SPAN_US) as Micros,
@@ -45,10 +45,12 @@
         }
     }
 
-    /// Returns the place of an endpoint that joins others, given the times of their last turns. All senders
-    /// see the new endpoint idle at the same moment. So each sender places it at random between the others
-    /// and begins to use it at a random time within a warm-up. Some senders open a connection to it although
-    /// they have connections to others. `chances` are two random numbers from 0 to 1.
+    /// Returns the place of an endpoint that joins others, given the last turns of the other endpoints.
+    /// All senders see the new endpoint idle at the same moment.
+    /// So each sender places the new endpoint at random between the others.
+    /// Each sender begins to use the new endpoint at a random time within a warm-up.
+    /// Some senders open a connection to the new endpoint although they have connections to other endpoints.
+    /// `chances` are two random numbers from 0 to 1.
     pub(crate) fn among(
         now: Micros,
         mut others: Vec<Micros>,
@@ -58,8 +60,8 @@
         let (place, delay) = chances;
         others.sort_unstable();
         let at = place * (others.len() + 1) as f64;
-        // The others have turns during the delay, so the delay is added to the new endpoint's last turn.
-        // Otherwise the endpoint would get all missed turns at once.
+        // Since the other endpoints have turns during the delay, the delay is added to the last turn.
+        // Otherwise the new endpoint would get all missed turns at once.
         let delay = (delay * warm_up as f64) as Micros;
         let last_turn = others.get(at as usize).map_or(now, |turn| turn - 1) + delay;
         RotationPlace {
@@ -70,12 +72,12 @@
         }
     }
 
-    /// Returns when the endpoint last had its turn.
+    /// Returns when the endpoint last had its turn in the rotation.
     pub(crate) fn last_turn(&self) -> Micros {
         self.last_turn
     }
 
-    /// Returns whether the endpoint is still new and is used only while the others are busy.
+    /// Returns whether the endpoint is still new and is used only while the other endpoints are busy.
     pub(crate) fn is_new(&self, now: Micros) -> bool {
         now < self.new_until
     }
@@ -85,7 +87,7 @@
         self.wants_connection && !self.is_new(now)
     }
 
-    /// Records that the endpoint has its turn now.
+    /// Records that the endpoint has its turn in the rotation now.
     pub(crate) fn take_turn(&mut self, now: Micros) {
         (self.last_turn, self.wants_connection) = (now, false);
     }
@@ -97,8 +99,8 @@
         (self.answers, self.slowness_at) = (self.answers * decay + 1.0, now);
     }
 
-    /// Returns the time since the last turn, divided by the cube of the endpoint's slowness: a slow endpoint
-    /// has fewer turns, but always some.
+    /// Returns the time since the endpoint's last turn, divided by the cube of the endpoint's slowness.
+    /// With this division, a slow endpoint has fewer turns, but always some.
     pub(crate) fn weighted_wait(&self, now: Micros) -> f64 {
         (now - self.last_turn) as f64 / self.slowness(now).powi(3)
     }
@@ -107,9 +109,9 @@
         (-((now - self.slowness_at) as f64) / SLOWNESS_MEMORY_US).exp()
     }
 
-    /// Returns the assumed ratio of the endpoint's latency to its lane's mean. Few answers have little
-    /// weight, and old answers none. An endpoint that is faster than the mean counts as average, so that it
-    /// does not attract all calls.
+    /// Returns the assumed ratio of the endpoint's latency to the mean latency of its lane.
+    /// Few answers have little weight, and old answers none.
+    /// An endpoint that is faster than the mean counts as average, so that it does not attract all calls.
     fn slowness(&self, now: Micros) -> f64 {
         let decay = self.decay(now);
         (self.log_slowness_sum * decay / (self.answers * decay + 1.0) - SLOWNESS_TOLERANCE).max(0.0).exp()
@@ -159,7 +161,7 @@
         assert!(
             !at(0.5, 0.0).is_new(100 * S) && at(0.5, 0.9).is_new(108 * S) && !at(0.5, 0.9).is_new(109 * S)
         );
-        // With three others, one sender in four opens a connection as soon as the delay is over.
+        // With three other endpoints, one sender in four opens a connection to the new one after the delay.
         assert!(
             at(0.1, 0.9).wants_connection(109 * S)
                 && !at(0.1, 0.9).wants_connection(108 * S)
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,8 +1,9 @@
 //! Data types for the decisions in `src/logic.rs`. This module makes no decision.
 //!
-//! Types that derive serde's traits are part of [`DispatcherState`](crate::DispatcherState) and
-//! [`InFlightCall`](crate::InFlightCall), which processes exchange at a handover in a format that stores
-//! fields and variants by position: changing their order or types changes the format, renaming them does not.
+//! Types that derive serde's traits are part of the data that processes exchange at a handover:
+//! [`DispatcherState`](crate::DispatcherState) and [`InFlightCall`](crate::InFlightCall).
+//! The format of the handover stores fields and variants by position.
+//! Changing the order or types of fields and variants changes the format, renaming them does not.
 
 use crate::interface::*;
 use crate::rotation::RotationPlace;
@@ -16,7 +17,7 @@
     Unassigned,
     /// A destination with all its endpoints.
     Destination(DestId),
-    /// One endpoint, where the destination's endpoints are separate routes.
+    /// A single endpoint, where the destination's endpoints are separate routes.
     Route(EndpointId),
 }
 
@@ -32,14 +33,14 @@
     pub(crate) memory_us: f64,
 }
 
-/// Latency as a log-normal distribution, which yields a p99 from few samples.
+/// Latency of calls as a log-normal distribution, which yields a p99 from few samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Latency {
     pub(crate) samples: f64,
     pub(crate) log_mean: f64,
     pub(crate) log_variance: f64,
-    /// Moving average of the latest samples, in microseconds.
+    /// Moving average of the latest latency samples, in microseconds.
     pub(crate) recent_us: f64,
 }
 
@@ -54,20 +55,20 @@
     /// Size of the permit pool.
     pub(crate) permits: u32,
     pub(crate) resized_at: Micros,
-    /// Whether the pool has been sized from enough answers.
+    /// Whether the permit pool has been sized from enough answers.
     pub(crate) is_sized: bool,
     /// Number of calls in flight on the lane.
     pub(crate) in_flight: u32,
     /// End of the wait that the receiver asked for.
     pub(crate) wait_until: Micros,
-    /// Calls a second that this sender allows itself after refusals; infinite before the first.
+    /// Call budget: calls a second that this sender allows itself after refusals; infinite before a refusal.
     pub(crate) budget: f64,
     /// Number of calls that the lane's pace allows now.
     pub(crate) tokens: f64,
     pub(crate) refilled_at: Micros,
     /// Rate at which `tokens` is refilled, in calls a second.
     pub(crate) pace: f64,
-    /// When a refusal last cut the budget.
+    /// When a refusal last cut the call budget.
     pub(crate) budget_cut_at: Micros,
     pub(crate) accepted_rate: Rate,
     /// Time of the first failure since the last success, at any of the lane's endpoints.
@@ -80,7 +81,7 @@
 }
 
 impl Lane {
-    /// Returns a new lane with an unlimited budget, which no refusal has cut yet.
+    /// Returns a new lane with an unlimited call budget, which no refusal has cut yet.
     pub(crate) fn unrestricted(dest: DestId, now: Micros) -> Self {
         Lane { dest, refilled_at: now, budget: f64::INFINITY, ..Lane::default() }
     }
@@ -89,11 +90,11 @@
 /// A destination's demand and its pending messages.
 #[derive(Default)]
 pub(crate) struct Destination {
-    /// Messages accepted a second, averaged over a short time.
+    /// Messages for the destination that this sender accepts a second, averaged over a short time.
     pub(crate) arrival_rate: Rate,
-    /// Messages accepted a second, averaged over a longer time: this sender's part of the traffic.
+    /// This sender's part of the traffic: messages accepted a second, averaged over a longer time.
     pub(crate) traffic: Rate,
-    /// Messages that wait to be sent, oldest first.
+    /// Messages of the destination that wait to be sent, oldest first.
     pub(crate) pending: BTreeSet<(u64, MsgId)>,
     pub(crate) endpoints: BTreeSet<EndpointId>,
     /// When the schedule next makes this destination ready.
@@ -107,15 +108,15 @@
     /// Earliest time of the next trial or probe.
     pub(crate) next_trial: Micros,
     pub(crate) backoff: Micros,
-    /// When the trial in flight was sent; `None` without one.
+    /// When the trial in flight was sent; `None` without a trial in flight.
     pub(crate) trial_sent: Option<Micros>,
-    /// Every failure so far proves that no message ran, so an unsafe message may be sent as the trial.
+    /// Whether every failure so far proves that no message ran, so that a trial may carry an unsafe message.
     pub(crate) nothing_ran: bool,
-    /// Whether a probe is in flight.
+    /// Whether a probe of the endpoint is in flight.
     pub(crate) probing: bool,
-    /// Whether the last probe succeeded.
+    /// Whether the last probe of the endpoint succeeded.
     pub(crate) probed: bool,
-    /// Whether the state was inferred from the lane: no call to this endpoint itself has failed.
+    /// Whether the unhealthy state was inferred from the lane: no call to this endpoint itself has failed.
     pub(crate) inferred: bool,
 }
 
@@ -151,14 +152,14 @@
     pub(crate) in_flight: u32,
     /// When a call to the endpoint last began or ended.
     pub(crate) last_used: Micros,
-    /// Number of connections that are assumed to be open.
+    /// Number of connections to the endpoint that are assumed to be open.
     pub(crate) connections: u32,
-    /// When a connection was last refused while other calls succeeded.
+    /// When a connection to the endpoint was last refused while other calls succeeded.
     pub(crate) connection_refused_at: Option<Micros>,
     pub(crate) last_success: Micros,
-    /// Time of the first failure or refusal since the last success.
+    /// Time of the endpoint's first failure or refusal since its last success.
     pub(crate) failing_since: Option<Micros>,
-    /// Decaying share of failed calls, from 0 to 1.
+    /// Decaying share of the endpoint's calls that failed, from 0 to 1.
     pub(crate) failure_share: f64,
     /// Share of the endpoint's calls that failed and may have run, as of `ambiguous_share_at`.
     pub(crate) ambiguous_share: f64,
@@ -186,22 +187,22 @@
     pub(crate) dest: DestId,
     pub(crate) deadline: Micros,
     pub(crate) attempts: u32,
-    /// Number of attempts that reached no endpoint; they do not count against the maximum.
+    /// Number of the message's attempts that reached no endpoint and do not count against the maximum.
     pub(crate) unreached: u32,
     pub(crate) in_flight: Vec<Attempt>,
-    /// When the first attempt that may have run was sent, and to which endpoint.
+    /// When the message's first attempt that may have run was sent, and to which endpoint.
     pub(crate) may_have_run: Option<(Micros, EndpointId)>,
-    /// Endpoint of the latest attempt; the next attempt prefers another endpoint.
+    /// Endpoint of the message's latest attempt; the next attempt prefers another endpoint.
     pub(crate) avoid: Option<EndpointId>,
-    /// Whether the client needs no further answer; attempts may still be in flight.
+    /// Whether the message's client needs no further answer; attempts may still be in flight.
     pub(crate) closed: bool,
     /// Whether the message was accepted before a restart, has certainly not run and has not been sent since.
-    /// Such a message gets an attempt before it may be shed.
+    /// A message that was restored in this state gets an attempt before it may be shed.
     pub(crate) restored_untried: bool,
 }
 
 impl Message {
-    /// Returns the number of attempts that count against the maximum.
+    /// Returns the number of the message's attempts that count against the maximum.
     pub(crate) fn counted_attempts(&self) -> u32 {
         self.attempts.saturating_sub(self.unreached)
     }
@@ -229,7 +230,7 @@
 #[derive(Default)]
 pub(crate) struct OrderKey {
     pub(crate) queue: BTreeSet<(u64, MsgId)>,
-    /// No message is sent for the first time before this time, since an earlier one may still be running.
+    /// Time before which no message with the key is first sent: an earlier message may still be running.
     pub(crate) settle_until: Micros,
 }
 
@@ -242,7 +243,7 @@
     pub(crate) report: Option<LoadReport>,
 }
 
-/// A check that is scheduled for a certain time.
+/// A check in the dispatcher's schedule.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Check {
     /// Checks whether a message's final answer is due.
@@ -256,7 +257,7 @@
 /// The time at which a destination that can send no message now is checked again.
 pub(crate) struct Recheck {
     pub(crate) at: Micros,
-    /// Whether a freed slot may let the destination send, so that it stays ready.
+    /// Whether a freed slot may let the destination send, so that the destination stays in `ready`.
     pub(crate) on_free_slot: bool,
 }
 
@@ -267,11 +268,11 @@
     pub(crate) excludes_unsafe: bool,
     /// Expected cost of a call; the cheapest candidate is used.
     pub(crate) cost: f64,
-    /// Weighted time since the endpoint's last turn in the rotation; decides between endpoints of equal cost.
+    /// Weighted time since the endpoint's last turn in the rotation. Decides between endpoints of equal cost.
     pub(crate) turn_wait: f64,
 }
 
-/// The message that a destination would send next, and to which endpoint.
+/// The message that a destination would send next, and the endpoint for it.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) struct Choice {
     pub(crate) rank: f64,
