--- a/crates/finding/src/lib.rs
+++ b/crates/finding/src/lib.rs
@@ -1,5 +1,5 @@
-//! Findings: errors with their position in files that people
-//! write. Scenario files and options files share this format.
+//! Findings: errors with their position in files that people write.
+//! Scenario files and options files share the format of findings.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -12,9 +12,9 @@
 /// An error at a position in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// The line of the error, counted from 1.
+    /// Line of the error in the file, counted from 1.
     pub line: usize,
-    /// The column of the error in characters, counted from 1.
+    /// Column of the error in its line, in characters, counted from 1.
     pub column: usize,
     /// The fault, and how to fix it.
     #[serde(rename = "what")]
@@ -22,7 +22,7 @@
 }
 
 impl Finding {
-    /// Returns a finding at a byte offset of a text.
+    /// Returns a finding at the line and column of a byte offset of a text.
     pub fn at(text: &str, byte: usize, message: impl Into<String>) -> Finding {
         let before = &text.as_bytes()[..byte.min(text.len())];
         let line = before.iter().filter(|b| **b == b'\n').count() + 1;
@@ -31,8 +31,8 @@
         Finding { line, column, message: message.into() }
     }
 
-    /// Returns the finding for a text that is not valid TOML or does not have the expected structure. Line
-    /// ends in the message are replaced, since all findings are on one line.
+    /// Returns the finding for a text that is not valid TOML or does not have the expected structure.
+    /// Line ends in the error message are replaced, since every finding is on one line.
     pub fn from_toml_error(text: &str, error: &toml::de::Error) -> Finding {
         Finding::at(text, error.span().map_or(0, |s| s.start), error.message().replace('\n', "; "))
     }
@@ -41,7 +41,7 @@
 /// An error at a byte range of a file, from a check that does not know line numbers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpanFinding {
-    /// The byte range in the file's text.
+    /// Byte range of the error in the file's text.
     pub span: Range<usize>,
     /// The fault, and how to fix it.
     pub message: String,
@@ -74,7 +74,7 @@
     }
 }
 
-/// A file that cannot be used. Nothing in it has taken effect.
+/// A file that cannot be used. Nothing in such a file has taken effect.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
     /// The file cannot be read.
@@ -95,8 +95,8 @@
     },
 }
 
-/// Reads a text file of at most `max_bytes` bytes; a longer file is
-/// not read. `kind` names the sort of file in the error message.
+/// Reads a text file of at most `max_bytes` bytes; a longer file is not read.
+/// `kind` names the sort of file in the error message.
 ///
 /// # Errors
 /// Returns an error if the file cannot be read, is too long or is not UTF-8.
--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -27,7 +27,7 @@
 /// Encodes the body of a batch from each message's id, idempotency key and body.
 ///
 /// # Errors
-/// Returns the errors of the JSON writer. Text and bytes cause none.
+/// Returns the errors of the JSON writer. Text and bytes cause no error.
 pub fn encode_batch<'a>(
     items: impl Iterator<Item = (&'a str, Option<&'a str>, &'a [u8])>,
 ) -> serde_json::Result<Vec<u8>> {
@@ -67,8 +67,8 @@
     pub state: String,
 }
 
-/// Returns the outcome for a message's state in the answer to a batch, and whether the message is closed. A
-/// missing or unknown state counts as an error, after which the message may have run.
+/// Returns the outcome for a message's state in the answer to a batch, and whether the message is closed.
+/// A missing or unknown state counts as an error, after which the message may have run.
 pub fn outcome_of_state(state: Option<&str>) -> (Outcome, bool) {
     match state {
         Some("ok") => (Outcome::Done, true),
@@ -86,7 +86,7 @@
     pub outcome: Outcome,
     /// Whether the call's messages need no further answer.
     pub closes_message: bool,
-    /// The wait that the receiver asked for; 0 if it asked for none.
+    /// The wait that the receiver asked for; 0 if the receiver asked for none.
     pub wait: Micros,
     /// The receiver's load report, if the answer contains one.
     pub report: Option<LoadReport>,
@@ -99,7 +99,8 @@
         200 => Outcome::Done,
         503 if number("x-no-slot") == Some(1) => Outcome::Skipped,
         429 | 503 => Outcome::Busy,
-        // Malformed request, batch too large, attempts used up or message closed: the messages did not run.
+        // These statuses report a malformed request, a too large batch, used up attempts or a closed message.
+        // The messages of a call with such an answer did not run.
         400 | 413 | 504 | 410 => Outcome::Skipped,
         _ => Outcome::Error,
     };
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,11 +1,17 @@
 //! # embershore-protocol
 //!
-//! Values and parsers for the data on a sender's sockets: the clients' commands ([`resp`], and
-//! [`resp_client`] for a sender that forwards), calls to endpoints ([`call`]), endpoint lists ([`listing`],
-//! and [`listing_stream`] for a part of them), notices to the platform ([`notice`]) and the settings
-//! ([`settings`]). The crate does no I/O: every parser takes bytes and returns a value, an error that
-//! describes the fault, or a request for more bytes. Every length is checked against its maximum before
-//! memory is allocated for it.
+//! Values and parsers for the data on a sender's sockets:
+//! - [`resp`]: the clients' commands
+//! - [`resp_client`]: the client side of these commands, for a sender that forwards a message
+//! - [`call`]: calls to endpoints
+//! - [`listing`]: endpoint lists
+//! - [`listing_stream`]: the entries of wanted destinations in endpoint lists
+//! - [`notice`]: notices to the platform
+//! - [`settings`]: the settings of a sender
+//!
+//! The crate does no I/O.
+//! Every parser takes bytes. It returns a value, an error that describes the fault, or a request for more bytes.
+//! Every length is checked against its maximum before memory is allocated for the data.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/protocol/src/listing.rs
+++ b/crates/protocol/src/listing.rs
@@ -1,16 +1,16 @@
-//! Endpoint lists from discovery, and changes to them.
+//! Endpoint lists from discovery, and changes to endpoint lists.
 
 use crate::nesting::Nesting;
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 use std::fmt;
 
-/// An endpoint list, or changes to it, as discovery sends them.
+/// An endpoint list, or changes to an endpoint list, as discovery sends it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Listing {
-    /// The version of the list.
+    /// The version of the endpoint list.
     pub index: u64,
-    /// Whether the list is complete; otherwise it contains changes.
+    /// Whether the listing is a complete list; otherwise it contains changes to a list.
     #[serde(default)]
     pub snapshot: bool,
     /// All entries of a complete list, or the changed entries.
@@ -22,15 +22,16 @@
     /// Parses one listing.
     ///
     /// # Errors
-    /// Returns an error if the text is not a valid listing or a complete list names an endpoint
-    /// twice, since it would be unclear which entry is valid. Among changes the later entry is valid.
+    /// Returns an error if the text is not a valid listing.
+    /// A complete list that names an endpoint twice is an error, since it is unclear which entry is valid.
+    /// Among changes that name an endpoint twice, the later entry is valid.
     pub fn read(text: &[u8]) -> Result<Self, ListingError> {
         let listing: Listing = serde_json::from_slice(text).map_err(ListingError::InvalidListing)?;
         check_unique_names(listing)
     }
 }
 
-/// Returns the listing, or an error if it is complete and names an endpoint twice.
+/// Returns the listing, or an error if the listing is complete and names an endpoint twice.
 pub(crate) fn check_unique_names(listing: Listing) -> Result<Listing, ListingError> {
     let mut names = HashSet::new();
     let mut entries = listing.endpoints.iter();
@@ -58,29 +59,29 @@
     /// The number of the endpoint's destination.
     #[serde(default)]
     pub group: i64,
-    /// The status: `Ready`, `Terminating` or `Gone`. Any other text counts as `Terminating`.
+    /// The endpoint's status: `Ready`, `Terminating` or `Gone`. Any other text counts as `Terminating`.
     pub status: String,
     /// The calls a second that the destination accepts from all senders together, if discovery reports it.
     #[serde(default)]
     pub weight: Option<f64>,
 }
 
-/// Reads listings from a stream whose bytes arrive in arbitrary pieces. The stream is a sequence of JSON
-/// objects, each on one line or indented over several lines. The objects are separated by white space, such
-/// as the empty lines that discovery sends as heartbeats.
+/// Reads listings from a stream whose bytes arrive in arbitrary pieces.
+/// The stream is a sequence of JSON objects, each on one line or indented over several lines.
+/// White space separates the objects, such as the empty lines that discovery sends as heartbeats.
 #[derive(Debug, Default)]
 pub struct ListingReader {
     buffer: Vec<u8>,
     /// Number of white-space bytes after the last listing that have been removed from the buffer.
     dropped_bytes: usize,
-    /// Number of bytes of the buffer that have been scanned; `nesting` is the state after those bytes.
+    /// Number of bytes of the buffer that have been scanned; `nesting` is the state after the scanned bytes.
     scanned_bytes: usize,
     nesting: Nesting,
 }
 
-/// Counts the endpoint entries that begin in the text of a listing. The text may be incomplete.
+/// Counts the endpoint entries that begin in the text of a listing, which may be incomplete.
 pub fn endpoints_started(text: &[u8]) -> usize {
-    /// Nesting depth of an endpoint entry, which is an object in an array in the listing's object.
+    /// JSON nesting depth of an endpoint entry, which is an object in an array in the listing's object.
     const ENDPOINT_DEPTH: usize = 3;
     let (mut depth, mut in_string, mut escaped, mut endpoints) = (0_usize, false, false, 0);
     for byte in text {
@@ -102,16 +103,16 @@
 /// An error in a stream of listings. Nothing that follows the error can be parsed.
 #[derive(Debug)]
 pub enum ListingError {
-    /// This byte does not begin a listing; its position after the last listing is counted from 1.
+    /// Byte that does not begin a listing, and its position after the last listing, counted from 1.
     UnexpectedByte(u8, usize),
     /// A JSON object in the stream is not a valid listing.
     InvalidListing(serde_json::Error),
-    /// The entry with this number, counted from 0, is invalid.
+    /// Number of an invalid endpoint entry, counted from 0, and the error in the entry.
     InvalidEntry(usize, serde_json::Error),
-    /// This byte, after this number of entries, is neither a
-    /// comma nor the start of an entry nor the end of the list.
+    /// Byte that is not valid in the array of entries, and the number of entries before it.
+    /// A valid byte is white space, a comma, the start of an entry or the end of the list.
     UnexpectedByteInList(u8, usize),
-    /// A complete list names this endpoint twice.
+    /// Name of an endpoint that a complete list names twice.
     DuplicateName(String),
 }
 
@@ -160,7 +161,7 @@
     /// Returns the next complete listing, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// Returns the first error in the stream.
+    /// Returns the first error in the stream of listings.
     pub fn next_listing(&mut self) -> Result<Option<Listing>, ListingError> {
         while let Some(byte) = self.buffer.get(self.scanned_bytes).copied() {
             self.scanned_bytes += 1;
@@ -187,7 +188,7 @@
 mod tests {
     use super::*;
 
-    /// Returns the versions of all listings in a text that arrives in pieces of this size.
+    /// Returns the versions of all listings in a text that arrives in pieces of the given size.
     fn versions(text: &str, piece_size: usize) -> Result<Vec<u64>, ListingError> {
         let (mut listings, mut found) = (ListingReader::default(), Vec::new());
         for bytes in text.as_bytes().chunks(piece_size) {
--- a/crates/protocol/src/listing_stream.rs
+++ b/crates/protocol/src/listing_stream.rs
@@ -1,32 +1,31 @@
-//! Reads listings entry by entry and retains only the entries of wanted destinations, so that memory use does
-//! not depend on the length of a list.
+//! Reads listings entry by entry and retains only the entries of wanted destinations.
+//! Memory use thus does not depend on the length of a list.
 
 use crate::listing::{ListedEndpoint, Listing, ListingError, check_unique_names};
 use crate::nesting::Nesting;
 
 /// Name of the field of a listing that contains the entries.
 const ENTRIES: &[u8] = b"endpoints";
-/// Nesting depth within a listing's object, outside its array of entries.
+/// JSON nesting depth within a listing's object, outside the array of entries.
 const IN_LISTING: usize = 1;
-/// Nesting depth within the array of entries.
+/// JSON nesting depth within a listing's array of entries.
 const IN_ENTRIES: usize = 2;
-/// Nesting depth within an entry.
+/// JSON nesting depth within an entry of a listing.
 const IN_ENTRY: usize = 3;
 
-/// Reads listings like [`crate::listing::ListingReader`], and retains only the
-/// entries of wanted destinations. At any time the reader has at most one
-/// other entry, the retained entries and the listing's other fields in memory.
+/// Reads listings like [`crate::listing::ListingReader`], but retains only entries of wanted destinations.
+/// The reader holds the retained entries, the listing's other fields and at most one other entry in memory.
 ///
-/// A complete list that names a retained endpoint twice is an error. Other entries only have to be valid.
+/// A complete list that names a retained endpoint twice is an error. Unwanted entries only have to be valid.
 #[derive(Debug, Default)]
 pub struct FilteredListingReader {
     unread: Vec<u8>,
     nesting: Nesting,
     /// Number of white-space bytes since the last listing.
     skipped_bytes: usize,
-    /// The text of the listing without its entries.
+    /// The text of the current listing without its entries.
     envelope: Vec<u8>,
-    /// The range in `envelope` of the last string in the listing's object, including its quotes.
+    /// The range in `envelope` of the last string in the listing's object, including the string's quotes.
     last_string: (usize, usize),
     /// The text of the entry that is being read.
     entry: Vec<u8>,
@@ -35,7 +34,7 @@
     position: Position,
     /// Entries of wanted destinations in the current listing.
     kept: Vec<ListedEndpoint>,
-    /// Total length of the text of the entries in `kept`.
+    /// Total length in bytes of the text of the entries in `kept`.
     kept_bytes: usize,
 }
 
@@ -44,7 +43,7 @@
 enum Position {
     #[default]
     Outside,
-    /// After the opening bracket of the array.
+    /// After the opening bracket of the array of entries.
     AfterBracket,
     InEntry,
     AfterEntry,
@@ -57,7 +56,7 @@
         self.unread.extend_from_slice(bytes);
     }
 
-    /// Returns the number of bytes in memory of an incomplete listing.
+    /// Returns the number of bytes of an incomplete listing that are in memory.
     pub fn buffered_bytes(&self) -> usize {
         self.unread.len() + self.envelope.len() + self.entry.len() + self.kept_bytes
     }
@@ -72,8 +71,8 @@
         self.nesting.depth() > 0
     }
 
-    /// Returns the next complete listing with the entries of the destinations for which `is_wanted` holds, or
-    /// `None` if more bytes are needed.
+    /// Returns the next complete listing, or `None` if more bytes are needed.
+    /// The listing contains the entries of the destinations for which `is_wanted` holds.
     ///
     /// # Errors
     /// Returns the first error in the stream. Nothing that follows the error can be parsed.
@@ -131,7 +130,7 @@
         }
     }
 
-    /// Returns the last string in the listing's object, without its quotes.
+    /// Returns the last string in the listing's object, without the string's quotes.
     fn last_key(&self) -> Option<&[u8]> {
         let (start, end) = self.last_string;
         self.envelope.get(start..end)?.strip_prefix(b"\"")?.strip_suffix(b"\"")
--- a/crates/protocol/src/nesting.rs
+++ b/crates/protocol/src/nesting.rs
@@ -9,17 +9,17 @@
 }
 
 impl Nesting {
-    /// Returns the number of open objects and arrays. Only an object opens the first level.
+    /// Returns the number of open objects and arrays. Only an object opens the first nesting level.
     pub(crate) fn depth(&self) -> usize {
         self.depth
     }
 
-    /// Returns whether the position is within a string.
+    /// Returns whether the position in the stream is within a string.
     pub(crate) fn is_in_string(&self) -> bool {
         self.in_string
     }
 
-    /// Processes the next byte.
+    /// Updates the nesting depth with the next byte of the stream.
     pub(crate) fn advance(&mut self, byte: u8) {
         if self.in_string {
             let ends = byte == b'"' && !self.escaped;
--- a/crates/protocol/src/notice.rs
+++ b/crates/protocol/src/notice.rs
@@ -6,14 +6,14 @@
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// The message was delivered, or its client abandoned it; no notice is needed.
+    /// The message was delivered or its client abandoned it. No notice is needed for either end.
     #[serde(rename = "Over")]
     Closed,
     /// The message failed.
     Failed,
     /// The message was refused; the client may put it again without harm.
     Returned {
-        /// Time after which to put the message again, in milliseconds; 0 if not known.
+        /// Time after which the client should put the message again, in milliseconds; 0 if not known.
         #[serde(rename = "after_ms")]
         retry_after_ms: u64,
     },
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -1,7 +1,7 @@
 //! The clients' protocol: RESP2 commands, which are arrays of bulk strings, and the replies to them.
 //!
-//! This module parses the framing itself instead of using a general RESP crate. Requests have only one shape:
-//! a parser for that shape needs no nesting and checks every length before it allocates memory.
+//! This module parses the framing itself instead of using a general RESP crate: all requests have one shape.
+//! A parser for a single shape needs no nesting and checks every length before it allocates memory.
 
 use bytes::{Bytes, BytesMut};
 use heronroute::Micros;
@@ -31,24 +31,24 @@
     pub time_left: Micros,
     /// The number of the message's destination.
     pub dest: i64,
-    /// In a keyed class, the key by which the destination drops repeated deliveries.
+    /// In a keyed class, the idempotency key by which the destination drops repeated deliveries.
     pub idempotency_key: Option<String>,
     /// Whether the message is known to have been put before.
     #[serde(rename = "again")]
     pub resubmitted: bool,
-    /// The bytes to deliver, in any format.
+    /// The message's body: the bytes to deliver, in any format.
     pub body: Bytes,
 }
 
 /// The reply to a put.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The message was accepted: the sender is responsible for it until its end.
+    /// The message was accepted: the sender is responsible for the message until its end.
     #[serde(rename = "Taken")]
     Accepted,
     /// The message was refused; the client may put it again without harm.
     Busy {
-        /// Time after which to put the message again, in milliseconds; 0 if not known.
+        /// Time after which the client should put the message again, in milliseconds; 0 if not known.
         #[serde(rename = "after_ms")]
         retry_after_ms: u64,
     },
@@ -84,8 +84,8 @@
 
 impl std::error::Error for FramingError {}
 
-/// Parses a marker byte, a number of at most `max` and a line end at offset `at`. Returns the number and the
-/// offset after the line end, or `None` if more bytes are needed.
+/// Parses a marker byte, a number of at most `max` and a line end at offset `at`.
+/// Returns the number and the offset after the line end, or `None` if more bytes are needed.
 fn parse_header(
     buffer: &[u8],
     at: usize,
@@ -107,8 +107,8 @@
     number.map(|n| Some((n, at + end + 1))).ok_or(FramingError("invalid length"))
 }
 
-/// Removes the first complete command from `buffer` and
-/// returns its arguments; returns `None` if it is incomplete.
+/// Removes the first command from `buffer` and returns the command's arguments.
+/// Returns `None` if the command is incomplete.
 ///
 /// # Errors
 /// Returns a framing error as soon as the buffered bytes cannot be the start of a valid command.
@@ -131,15 +131,15 @@
     Ok(Some(spans.into_iter().map(|span| command.slice(span)).collect()))
 }
 
-/// Decodes the arguments of a `MSG.PUT`.
+/// Decodes the arguments of a `MSG.PUT` command into a message.
 ///
 /// # Errors
-/// Returns a message that names the invalid argument or field.
+/// Returns an error text that names the invalid argument or field.
 pub fn decode_put(args: &[Bytes]) -> Result<Put, &'static str> {
     let [_, key, id, fields, body] = args else { return Err("wrong number of arguments for 'MSG.PUT'") };
     let text =
         |bytes: &Bytes| std::str::from_utf8(bytes).map(str::to_string).map_err(|_| "a field is not text");
-    // The id and the idempotency key are written into header lines of calls.
+    // A message's id and idempotency key are written into header lines of calls.
     let plain = |name: String| {
         let is_plain = !name.is_empty() && name.len() <= 128 && name.bytes().all(|b| b.is_ascii_graphic());
         is_plain.then_some(name).ok_or("a name is not plain text of 1 to 128 characters")
@@ -163,7 +163,7 @@
     }
     put.time_left = i64::from(time_left.ok_or("field 'd' should be milliseconds")?) * 1000;
     put.dest = dest.ok_or("field 'dest' should be a number")?;
-    // A slice of the connection's buffer would keep the whole buffer in memory as long as the message exists.
+    // A slice of the connection's buffer would keep the whole buffer in memory while the message exists.
     put.body = Bytes::copy_from_slice(body);
     Ok(put)
 }
--- a/crates/protocol/src/resp_client.rs
+++ b/crates/protocol/src/resp_client.rs
@@ -7,7 +7,7 @@
 pub const MAX_REPLY_BYTES: usize = 1024;
 
 /// Encodes a message as the command `MSG.PUT`, which [`crate::resp::decode_put`] decodes to the same message.
-/// The time left is written in whole milliseconds, rounded down, and never below 0.
+/// The message's time left is written in whole milliseconds, rounded down, and never below 0.
 pub fn encode_put(put: &Put) -> Vec<u8> {
     let fields = encode_fields(put);
     let arguments: [&[u8]; 5] =
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -88,7 +88,7 @@
     quota_rps: f64,
 }
 
-/// Returns the path in the configuration's settings of the value that caused an error.
+/// Returns the path, within the configuration's settings, of the value that caused an error.
 pub fn setting_path(error: &SettingsError) -> String {
     if let Some(class) = error.class {
         let field = match error.field {
@@ -169,13 +169,13 @@
         self.limits.connect_timeout_us
     }
 
-    /// Returns the minimum interval between polls of discovery, or `None` unless discovery reports changes
-    /// only in reply to polls. The interval limits the work that polls cause at discovery.
+    /// Returns the minimum interval between polls of discovery, which limits the work of discovery.
+    /// Returns `None` unless discovery reports changes only in reply to polls.
     pub fn poll_interval(&self) -> Option<Micros> {
         self.rules.ask_every_us.filter(|_| self.discovery == "ask")
     }
 
-    /// Converts the settings to those of heronroute. A missing setting gets heronroute's default.
+    /// Converts the settings to the settings of heronroute. A missing setting gets heronroute's default.
     pub fn settings(self) -> Settings {
         let defaults = Settings::default();
         let attempts = self.limits.max_attempts;
--- a/crates/protocol/tests/listing_stream.rs
+++ b/crates/protocol/tests/listing_stream.rs
@@ -1,5 +1,6 @@
-//! Tests of the filtering reader. Its result is the same as reading all entries and dropping the unwanted
-//! ones, however the text is split, and it buffers little more than the wanted entries.
+//! Tests of the filtering reader of endpoint lists.
+//! The reader returns what is left of all entries after the unwanted entries are dropped.
+//! The result does not depend on how the text is split, and little more than the wanted entries is buffered.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
 use embershore_protocol::listing_stream::FilteredListingReader;
@@ -26,7 +27,7 @@
     })
 }
 
-/// Returns a list's JSON on one line or indented, with its fields in either order, followed by white space.
+/// Returns a list's JSON on one line or indented, with the list's fields in either order, and white space.
 fn written(listing: &Listing, indented: bool, reversed: bool, white_space: &str) -> String {
     let value = serde_json::to_value(listing).expect("JSON");
     let mut text =
--- a/crates/protocol/tests/listings.rs
+++ b/crates/protocol/tests/listings.rs
@@ -1,4 +1,5 @@
-//! Tests of the stream of a watch, with random lists in random formatting, split at random bytes.
+//! Tests of the reader for the stream of endpoint lists from discovery.
+//! The tests generate random lists in random formatting and split the stream at random bytes.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
 use proptest::collection::vec;
@@ -22,7 +23,7 @@
         })
 }
 
-/// Generates a list, whether its JSON is indented, and the white space after the list.
+/// Generates a list, a choice whether the list's JSON is indented, and the white space after the list.
 fn piece() -> impl Strategy<Value = (Listing, bool, String)> {
     let listing =
         (any::<u64>(), any::<bool>(), vec(entry(), 0..4)).prop_map(|(index, snapshot, mut endpoints)| {
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -1,8 +1,9 @@
-//! The adapter between heronroute and its JSON line protocol. The adapter translates messages and keeps
-//! instances separate; it makes no decisions.
+//! The adapter between heronroute and its JSON line protocol.
+//! The adapter translates messages and separates instances; it makes no decisions.
 //!
-//! Unknown event names, unknown settings, surplus values and events for instances that are not running are
-//! ignored. Any other input that cannot be parsed is an error, and the error message names the position.
+//! Unknown event names, unknown settings and surplus values in the input are ignored.
+//! Events for instances that are not running are ignored too.
+//! Any other input that cannot be parsed is an error, and the error message names the position of the input.
 
 use embershore_protocol::settings;
 use heronroute::{
@@ -12,7 +13,7 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// One sender's dispatcher, with the endpoint numbers of that sender.
+/// An instance: one sender's dispatcher, with the numbers that this sender gives to endpoints.
 struct Instance {
     dispatcher: Dispatcher,
     numbers: BTreeMap<String, EndpointId>,
@@ -53,7 +54,7 @@
     tables: BTreeMap<i64, Vec<TableEntry>>,
 }
 
-/// The values of one message, read by position. Errors name the message and the position.
+/// The values of one protocol message, read by position. Errors name the message and the position.
 struct Fields<'a> {
     name: &'a str,
     values: &'a [Value],
@@ -194,8 +195,8 @@
         Ok(json!({"seq": batch.seq, "output": output}).to_string())
     }
 
-    /// Applies a `Table`, `NewInstance` or `Teardown` message,
-    /// or queues another message's event for its instance.
+    /// Applies a `Table`, `NewInstance` or `Teardown` message.
+    /// The event of any other message is queued for the message's instance.
     fn apply_message(
         &mut self,
         now: Micros,
@@ -263,7 +264,7 @@
     }
 }
 
-/// Decodes a message into an event for an instance; returns `None` for a message that causes no event.
+/// Decodes a protocol message into an event for an instance; returns `None` if the message causes no event.
 fn decode_event(
     fields: &Fields<'_>,
     instance: &mut Instance,
@@ -327,7 +328,7 @@
     }))
 }
 
-/// Encodes an action of the named sender as a message.
+/// Encodes an action of the named sender as a protocol message.
 fn encode_action(sender: &str, names: &[String], action: &Action) -> Value {
     let hex = |id: &MsgId| format!("{:016x}", id.0);
     let name = |endpoint: &EndpointId| names.get(endpoint.0 as usize).map_or("", String::as_str);
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs many isolated heronroute dispatchers, which communicate in JSON lines on standard input and output.
+//! Runs many isolated heronroute dispatchers. They read and write JSON lines on standard input and output.
 
 use heronroute_wirehost::Host;
 use std::io::{self, BufRead, BufWriter, Write};
--- a/tests/common/even.rs
+++ b/tests/common/even.rs
@@ -1,5 +1,5 @@
-//! Simulates one receiver with many endpoints and a fleet of senders, each of which has little of the traffic. Measures
-//! how the calls spread over the endpoints, and the connections and time that this costs.
+//! Simulates one receiver with many endpoints and a fleet of senders, each of which has little of the traffic.
+//! Measures how evenly the calls spread over the endpoints, and the connections and time that an even spread costs.
 
 use crate::common::{MS, Rng, S, entry, settings};
 use heronroute::*;
@@ -8,7 +8,7 @@
 /// A temporary fault of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// The endpoint answers slower by this factor.
+    /// The endpoint answers slower by the given factor.
     Slow(f64),
     /// The endpoint accepts calls and never answers, like a stopped process.
     Stopped,
@@ -26,8 +26,8 @@
     /// Number of senders in each sender's settings, which may differ from `senders`.
     pub assumed_senders: u32,
     pub endpoints: usize,
-    /// Number of endpoints in the first zone; the others are in the second zone. If it is not set, endpoints alternate
-    /// between the zones. Senders always alternate between the zones.
+    /// Number of endpoints in the first zone; all further endpoints are in the second zone.
+    /// If the number is not set, endpoints alternate between the zones. Senders always alternate between the zones.
     pub first_zone: Option<usize>,
     /// Index of the receiver's kind.
     pub kind: usize,
@@ -37,14 +37,14 @@
     pub demand: f64,
     /// Traffic of the first sender as a multiple of each other sender's traffic.
     pub skew: f64,
-    /// Faults, each with its endpoint, start and end.
+    /// Faults of endpoints, each with its endpoint, start and end.
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
-    /// Number of endpoints, from the first, that limit their connections, and the maximum connections of each.
+    /// Number of endpoints, counted from endpoint 0, that limit their connections, and the maximum for each endpoint.
     pub connection_cap: Option<(usize, usize)>,
-    /// Number of endpoints that join, the time at which they are listed,
-    /// and the delay after which a third of the senders receive that list.
+    /// Number of endpoints that join, the time at which the joining endpoints are listed,
+    /// and the delay after which a third of the senders receive the list with the joining endpoints.
     pub joining: Option<(usize, Micros, Micros)>,
-    /// `(n, time)`: every n-th sender is restarted at this time without any state.
+    /// `(n, time)`: every n-th sender is restarted at `time` without any state.
     pub restart: Option<(usize, Micros)>,
     /// Whether each sender gets the endpoint list in a different order.
     pub shuffled: bool,
@@ -122,8 +122,8 @@
     }
 }
 
-/// Returns three values: the index of dispersion (variance over mean, 1 for random choices), the largest count over the
-/// mean, and the smallest count over the mean.
+/// Returns three values: the index of dispersion (variance over mean, 1 for random choices) of the counts,
+/// the largest count over the mean, and the smallest count over the mean.
 pub fn dispersion(counts: &[f64]) -> (f64, f64, f64) {
     let mean = (counts.iter().sum::<f64>() / counts.len() as f64).max(1e-9);
     let var = counts.iter().map(|c| (c - mean).powi(2)).sum::<f64>() / (mean * (counts.len() - 1) as f64);
@@ -146,7 +146,7 @@
     attempts: BTreeMap<MsgId, u32>,
     open: BTreeMap<MsgId, Micros>,
     next: Micros,
-    /// Number of restarts so far. Outcomes of calls of an earlier incarnation are dropped.
+    /// Number of the sender's restarts so far. Outcomes of calls of an earlier incarnation are dropped.
     incarnation: u32,
 }
 
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,6 +1,7 @@
-//! Simulates a fleet of senders and a few rate-limited receivers. A receiver's limit is a token bucket that fills at
-//! its rate and holds [`BUCKET_DEPTH_S`] seconds of it; a rejected call takes a token like any other, down to the same
-//! amount below zero. A fleet that persistently offers more than the limit is therefore served nothing at all.
+//! Simulates a fleet of senders and a few rate-limited receivers.
+//! A receiver's limit is a token bucket that fills at the limit's rate and holds [`BUCKET_DEPTH_S`] seconds of tokens.
+//! A rejected call takes a token like an accepted call, until the bucket is as far below zero as it holds when full.
+//! A fleet that persistently offers more than the limit is therefore served nothing at all.
 
 use crate::common::{MS, Rng, S, entry, settings};
 use heronroute::*;
@@ -25,9 +26,9 @@
     /// Number of senders in each sender's settings, which may differ from `senders`.
     pub assumed_senders: u32,
     pub receivers: Vec<Receiver>,
-    /// Start, end and remaining share of a cut of every limit; the list keeps advertising the old limit.
+    /// Start, end and remaining share of a cut of every limit; the endpoint list keeps advertising the old limit.
     pub limit_cut: Option<(Micros, Micros, f64)>,
-    /// Share of rejections that report a wait.
+    /// Share of the receivers' rejections that report a wait.
     pub wait_share: f64,
     /// Traffic of the first sender as a multiple of each other sender's traffic.
     pub skew: f64,
@@ -78,7 +79,7 @@
 }
 
 const SERVICE_TIME: Micros = 60 * MS;
-/// Depth of a receiver's token bucket, in seconds at its limit.
+/// Depth of a receiver's token bucket, in seconds of tokens at the receiver's limit.
 const BUCKET_DEPTH_S: f64 = 0.5;
 /// Shortest wait that a rejection reports, in seconds.
 const MIN_WAIT_S: f64 = 0.3;
@@ -96,8 +97,8 @@
         receiver.limit * part
     }
 
-    /// Admits a call and returns `None`, or returns the wait after which the receiver would accept a call. The caller
-    /// decides whether the rejection reports this wait.
+    /// Admits a call and returns `None`, or returns the wait after which the receiver would accept a call.
+    /// The caller decides whether the rejection reports the wait.
     fn admit(&self, receiver: &Receiver, bucket: &mut Bucket, now: Micros) -> Option<Micros> {
         let limit = self.limit(receiver, now);
         let filled = bucket.tokens + limit * (now - bucket.filled) as f64 / 1e6;
--- a/tests/common/herd.rs
+++ b/tests/common/herd.rs
@@ -1,6 +1,7 @@
-//! Simulates many senders and one receiver that has an outage and returns cold, and compares the senders' load with the
-//! load that overloads the receiver. The rule: calls within any fall window of 2 s must not exceed the fall multiple of
-//! the receiver's capacity at that moment, plus one standard deviation of as many random arrivals.
+//! Simulates many senders and one receiver that has an outage and returns cold.
+//! The simulation compares the senders' load with the load that overloads the receiver.
+//! The rule: calls within any fall window of 2 s must not exceed the fall multiple of the receiver's capacity
+//! at the end of the window, plus one standard deviation of as many random arrivals.
 
 use crate::common::{MS, Rng, S, entry, settings};
 use heronroute::*;
@@ -23,14 +24,14 @@
     Failing,
 }
 
-/// The state that a restarted sender restores from its previous process.
+/// The state that a restarted sender restores from its previous process: all, a part or nothing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Persisted {
-    /// The messages and the health of endpoints and receivers.
+    /// Restores the messages and the health of endpoints and receivers.
     All,
-    /// Only the messages, as from a journal of a version that did not record health.
+    /// Restores only the messages, as from a journal of a version that did not record health.
     Messages,
-    /// No state, as on a new machine.
+    /// Restores no state, as on a new machine.
     Nothing,
 }
 
@@ -54,15 +55,15 @@
     /// Calls per second that the receiver advertises.
     pub limit: f64,
     pub cold_from: f64,
-    /// Start of the outage.
+    /// Start of the receiver's outage.
     pub outage_start: Micros,
-    /// End of the outage.
+    /// End of the receiver's outage.
     pub outage_end: Micros,
     /// How long before the end of the outage the first endpoint returns.
     pub first_endpoint_early_by: Micros,
-    /// Start and end of a second outage.
+    /// Start and end of a second outage of the receiver.
     pub second_outage: Option<(Micros, Micros)>,
-    /// Number of senders, from the first, whose clients start only after the receiver has returned.
+    /// Number of senders, counted from sender 0, whose clients start only after the receiver has returned.
     pub unaware_senders: u32,
     /// Time at which all senders are restarted.
     pub restart_at: Option<Micros>,
@@ -111,23 +112,24 @@
 pub struct Results {
     /// Highest load as a share of the load that overloads the receiver.
     pub peak: f64,
-    /// Time from the return to the highest load.
+    /// Time from the receiver's return to the highest load.
     pub peak_at: Micros,
-    /// The first overload by the strict bound. To allow for chance, the strict bound is N + 2 sqrt(N) + 2 calls if the
-    /// fall window's budget at that moment is N calls.
+    /// The first overload by the strict bound, which allows for chance.
+    /// If the fall window's budget is N calls, the strict bound is N + 2 sqrt(N) + 2 calls.
     pub overload: Option<Overload>,
-    /// The first overload by the wide bound, which is N + 3 sqrt(N) + 3 calls if N is below 30, else the strict bound.
+    /// The first overload by the wide bound. If the fall window's budget N is below 30 calls, the wide bound is
+    /// N + 3 sqrt(N) + 3 calls; otherwise the wide bound is the strict bound.
     pub overload_by_wide_bound: Option<Overload>,
     /// Highest load as a multiple of the strict bound.
     pub worst_load_ratio: f64,
     /// Number of calls in the second after the first restart.
     pub after_restart: usize,
-    /// Trace lines: one for each restarted sender with its restored
-    /// state, and one for each call or probe after the return.
+    /// Trace lines: one line for each restarted sender with its restored state,
+    /// and one line for each call or probe after the receiver's return.
     pub trace: Vec<String>,
-    /// Time from the return until the receiver is sent 50% of the demand within a second.
+    /// Time from the receiver's return until the receiver is sent 50% of the demand within a second.
     pub half_traffic_after: Option<Micros>,
-    /// Time from the return until the receiver is sent 90% of the demand within a second.
+    /// Time from the receiver's return until the receiver is sent 90% of the demand within a second.
     pub full_traffic_after: Option<Micros>,
     pub delivered: usize,
     pub refused: usize,
@@ -144,7 +146,7 @@
     pub after: Micros,
     pub load: f64,
     pub allowed: f64,
-    /// Share of the load that came from senders with a failed call or probe in the outage.
+    /// Share of the overload that came from senders with a failed call or probe in the outage.
     pub aware_share: f64,
 }
 
@@ -199,7 +201,7 @@
             || self.second_outage.is_some_and(|(from, until)| (from..until).contains(&now))
     }
 
-    /// Returns the time of the latest return, if there was one.
+    /// Returns the time of the receiver's latest return from an outage, if there was one.
     fn last_return(&self, now: Micros) -> Option<Micros> {
         let returns = [Some(self.outage_end - self.first_endpoint_early_by), self.second_outage.map(|a| a.1)];
         returns.into_iter().flatten().filter(|t| *t <= now).max()
@@ -476,7 +478,7 @@
         results
     }
 
-    /// Updates the results with the load of the window that ends now.
+    /// Updates the results with the load of the fall window that ends now.
     fn record_load(
         &self,
         now: Micros,
@@ -517,13 +519,13 @@
     }
 }
 
-/// Returns a case with this number of senders, which have 240 slots together and at least 2 each.
+/// Returns a case with the given number of senders, which have 240 slots together and at least 2 each.
 pub fn with_senders(senders: u32) -> ReturnCase {
     ReturnCase { senders, assumed_senders: senders, slots: (240 / senders).max(2), ..ReturnCase::default() }
 }
 
-/// Returns a case with a receiver that handles `capacity` calls per second. At small capacities, one trial from each of
-/// thirty senders overloads the receiver while it is cold.
+/// Returns a case with a receiver that handles `capacity` calls per second.
+/// At small capacities, one trial from each of thirty senders overloads the receiver while it is cold.
 pub fn small_receiver(sender_count: u32, capacity: f64, outage: Outage) -> ReturnCase {
     let (limit, demand) = (1.2 * capacity, 0.8 * capacity);
     ReturnCase { capacity, limit, demand, endpoints: 2, outage, ..with_senders(sender_count) }
@@ -533,6 +535,6 @@
 pub const OUTAGES: [Outage; 6] =
     [Outage::Shut, Outage::ShutUnlike, Outage::ShutUntold, Outage::Down, Outage::Silent, Outage::Failing];
 
-/// An overload breaks the rule if more than this share of its load
-/// came from senders with a failed call or probe in the outage.
+/// Maximum share of an overload from senders with a failed call or probe in the outage.
+/// An overload with a larger share from such senders breaks the rule.
 pub const MAX_AWARE_SHARE: f64 = 2.0 / 3.0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A sender that tests drive step by step: its settings, the
-//! events passed to the decision module and the resulting actions.
+//! A sender that tests drive step by step: the sender's settings,
+//! the events passed to the decision module and the resulting actions.
 #![allow(dead_code)]
 
 use heronroute::*;
@@ -11,8 +11,8 @@
 pub const UNSAFE: usize = 2;
 pub const ORDERED: usize = 3;
 
-/// Returns settings of two senders with 12 slots each. The constants above name the classes. Kind 0 accepts one message
-/// in a call, kind 1 batches of ten, and kind 2 has separate routes.
+/// Returns settings of two senders with 12 slots each. The constants above name the classes.
+/// Kind 0 accepts one message in a call, kind 1 batches of ten, and kind 2 has separate routes.
 pub fn settings() -> Settings {
     let class = |effect, ordered| ClassSettings {
         aim: 2 * S,
@@ -67,7 +67,7 @@
     Event::Message { id, class: ORDERED, tenant: 0, key, dest, time_left: 20 * S, resubmitted: false }
 }
 
-/// An xorshift generator for the fleet simulations. A seed always gives the same numbers.
+/// An xorshift random number generator for the fleet simulations. A seed always gives the same numbers.
 pub struct Rng(pub u64);
 
 impl Rng {
@@ -96,7 +96,7 @@
     pub dispatcher: Dispatcher,
     pub now: Micros,
     pub in_flight: Vec<Attempt>,
-    /// Number of attempts made so far, by message.
+    /// Number of attempts made so far for each message, by the message's number.
     pub attempts: std::collections::BTreeMap<u64, u32>,
     pub refused: Vec<u64>,
     pub failed: Vec<u64>,
@@ -105,7 +105,7 @@
     pub closed_idle: Vec<u32>,
     /// Attempts, by message and number, whose cancellation was requested and that have not ended yet.
     pub cancels: Vec<(u64, u32)>,
-    /// The time at which each attempt was sent.
+    /// The times at which attempts were sent.
     pub send_times: Vec<Micros>,
     pub timer_count: usize,
     pub timer_times: std::collections::BTreeSet<Micros>,
@@ -132,7 +132,7 @@
         sender
     }
 
-    /// Runs one round at the present time and returns the attempts that it started.
+    /// Runs one round at the simulated clock's time and returns the attempts that the round started.
     pub fn round(&mut self, events: &[Event]) -> Vec<Attempt> {
         let mut actions = Vec::new();
         self.dispatcher.round(self.now, events, &mut actions);
@@ -190,14 +190,14 @@
         Event::Outcome { id, attempt, endpoint, outcome, closes_message, elapsed, wait, report: None }
     }
 
-    /// Ends an attempt with this outcome and no reported wait, and returns the attempts started as a result.
+    /// Ends an attempt with the given outcome and no reported wait, and returns the attempts started as a result.
     pub fn finish(&mut self, attempt: &Attempt, outcome: Outcome) -> Vec<Attempt> {
         let event = self.outcome(attempt, outcome, 0);
         self.round(&[event])
     }
 
-    /// Offers `count` messages, one every `gap`, with ids from
-    /// `first`, and answers every call with success after 100 ms.
+    /// Offers `count` messages, one every `gap`, with ids from `first`.
+    /// Answers every call with success after 100 ms.
     pub fn serve_steadily(&mut self, first: u64, count: u64, class: usize, dest: i64, gap: Micros) {
         for i in 0..count {
             self.round(&[message(first + i, class, dest)]);
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_permit_is_held_until_the_outcome_and_a_new_pool_is_small() {
-    // One destination borrows the free slots; once slots are short, a new destination gets only its initial permit.
+    // One destination borrows the free slots. Once slots are short, a new destination gets only its initial permit.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 3, 0)]);
     let first = fill(&mut sender, 0, 20, UNSAFE, 1);
     assert!(first.len() < 9, "{} calls, expected fewer than three quarters of 12 slots", first.len());
@@ -167,8 +167,8 @@
 
 #[test]
 fn a_silent_call_that_others_have_overtaken_is_cancelled_when_its_pool_is_full() {
-    // Guards against calls on dead connections that fill a destination's permit pool: its messages then waited for
-    // seconds although the endpoint answered other calls and slots were free.
+    // Guards against calls on dead connections that fill a destination's permit pool.
+    // The destination's messages waited for seconds although the endpoint answered other calls and slots were free.
     let cancelled_after = |answers: bool| {
         let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
         sender.serve_steadily(1000, 30, SAFE, 1, 200 * MS);
@@ -283,8 +283,9 @@
 
 #[test]
 fn the_first_message_of_a_call_is_the_last_to_run_out_of_time() {
-    // Guards against batches whose first message ends before the answer: all other messages of the call then counted as
-    // undelivered. If a later message of the batch has ended, the answer is still valid for the other messages.
+    // Guards against batches whose first message ends before the answer.
+    // After such an answer, all other messages of the call counted as undelivered.
+    // If a later message of the batch has ended, the answer is still valid for the other messages.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 1)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
     let times = [(1, SAFE, 5 * S), (2, KEYED, 12 * S), (3, SAFE, 300 * MS), (4, UNSAFE, 9 * S)];
@@ -296,7 +297,8 @@
 
 #[test]
 fn malformed_answers_prove_an_endpoint_alive() {
-    // Healthy endpoints send malformed answers too: unlike five failures, five of them must not make it unhealthy.
+    // Healthy endpoints send malformed answers too: unlike five failures, five malformed answers must not make an
+    // endpoint unhealthy.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
     for i in 0..5 {
@@ -311,8 +313,8 @@
 
 #[test]
 fn unsafe_messages_wait_where_calls_that_may_have_run_just_failed() {
-    // Guards against endpoints that fail part of their calls: each endpoint counted as healthy after each success, and
-    // failed two or three unsafe messages before the sender avoided it.
+    // Guards against endpoints that fail part of their calls. Such an endpoint counted as healthy after each success.
+    // Each of these endpoints failed two or three unsafe messages before the sender avoided it.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 2, 0)]);
     for dest in [1, 2] {
         sender.serve_steadily(1000 * dest as u64, 30, SAFE, dest, 100 * MS);
@@ -336,8 +338,8 @@
         fill(&mut sender, 20 + i, 1, SAFE, 1);
     }
     assert_eq!(more, 1, "it is sent once calls succeed again");
-    // An unsafe message is sent at once if the destination has another
-    // endpoint. Without further outcomes, it waits for a limited time.
+    // An unsafe message is sent at once if the destination has another endpoint.
+    // Without another endpoint and further outcomes, an unsafe message waits for a limited time.
     let sent = fill(&mut sender, 50, 1, SAFE, 2);
     sender.now += 50 * MS;
     sender.round(&[Event::MessageAbandoned { id: MsgId(50) }]);
@@ -377,8 +379,8 @@
 
 #[test]
 fn an_endpoint_that_answers_part_of_its_calls_stays_in_use() {
-    // If half of the calls fail, two errors in a row are likely, and
-    // repeatable messages can still be delivered by the endpoint.
+    // If half of the calls to an endpoint fail, two errors in a row are likely.
+    // The endpoint can still deliver repeatable messages.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
     for (i, is_sent) in [true, true, true, true, false].into_iter().enumerate() {
@@ -408,8 +410,8 @@
                 sender.round(&[Event::Probed { endpoint: EndpointId(probed), outcome, report: None }]);
             }
         }
-        // After the recovery, messages are offered for 20 s, which is longer than the warm-up plus three seconds. Then
-        // each message is sent at once.
+        // After the recovery, messages are offered for 20 s, which is longer than the warm-up plus three seconds.
+        // After these 20 s, each message is sent at once.
         for i in 0..200u64 {
             sender.round(&[message(5000 + i, SAFE, 1)]);
             sender.advance(100 * MS);
@@ -427,7 +429,7 @@
     }
 }
 
-/// Returns the number of calls that a destination with this gap between messages may start if it cannot borrow slots.
+/// Returns the number of calls that a destination may start without borrowed slots. `gap` is the time between messages.
 fn permits_after(gap: Micros) -> usize {
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 3, 0)]);
     sender.serve_steadily(1000, 60, UNSAFE, 1, gap);
@@ -465,8 +467,8 @@
 
 #[test]
 fn idle_connections_are_closed_where_many_senders_share_few() {
-    // Guards against connection tables filled by idle connections: when each of hundreds of senders kept one idle
-    // connection, most calls were refused.
+    // Guards against connection tables filled by idle connections.
+    // When each of hundreds of senders kept one idle connection, most calls were refused.
     assert!(
         refused_a_connection(200).closed_idle.contains(&2),
         "no idle connection is kept for a kind that refused one"
@@ -493,8 +495,8 @@
 
 #[test]
 fn the_more_senders_share_a_destination_the_less_often_each_tries_it_in_an_outage() {
-    // Guards against trials whose total rate grows with the number of senders: when each of a hundred senders sent one
-    // trial every two seconds, they overloaded a receiver that returned cold.
+    // Guards against trials whose total rate grows with the number of senders.
+    // When each of a hundred senders sent one trial every two seconds, a receiver that returned cold was overloaded.
     let (few, many) = (calls_in_an_outage(2), calls_in_an_outage(200));
     assert!(few >= 5 && many <= 4, "{few} calls with two senders, {many} with two hundred");
 }
@@ -507,7 +509,7 @@
         let sent = fill(&mut sender, 0, 1, UNSAFE, 1);
         sender.timer_count = 0;
         let end = sender.now + 18 * S;
-        // In this loop only timers start rounds.
+        // In the following loop, only timers start rounds of the decision module.
         while let Some(at) = sender.timer_times.iter().copied().find(|at| *at > sender.now && *at < end) {
             sender.now = at;
             sender.round(&[Event::Timer { token: 0 }]);
@@ -519,8 +521,9 @@
 
 #[test]
 fn failures_far_apart_start_a_paced_return_from_the_first_of_them() {
-    // Guards against outages that a sender with rare messages does not detect: two failures shortly before a success
-    // did not count as an outage, and hundreds of such senders overloaded the destination on its return.
+    // Guards against outages that a sender with rare messages does not detect.
+    // Two failures shortly before a success did not count as an outage.
+    // Hundreds of senders with rare messages then overloaded the destination on its return.
     let set = Settings { senders: 200, ..settings() };
     let mut sender = TestSender::new(set, vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 10, SAFE, 1, 3 * S);
--- a/tests/even.rs
+++ b/tests/even.rs
@@ -18,8 +18,8 @@
     (1..=3).map(|seed| result(&Simulation { seed, ..simulation.clone() }.run())).sum::<f64>() / 3.0
 }
 
-/// Returns, for the steady state, the index of dispersion of the calls,
-/// and the calls of the busiest and of the idlest endpoint over the mean.
+/// Returns three values for the steady state of a simulated fleet: the index of dispersion of the calls to endpoints,
+/// the calls to the busiest endpoint over the mean, and the calls to the idlest endpoint over the mean.
 fn steady(simulation: &Simulation) -> (f64, f64, f64) {
     let seeds = simulation.seed..simulation.seed + 3;
     let all: Vec<_> =
@@ -46,7 +46,7 @@
                 mean(&simulation, Results::on_time_share),
                 mean(&simulation, Results::connections_per_message),
             );
-            // Without connection reuse, the value would be one connection per message.
+            // Without connection reuse, the fleet would open one connection per message.
             assert!(
                 on_time_share > 0.97 && connections < 0.75,
                 "{n} senders, kind {kind}: {on_time_share:.3} in time, {connections:.3} connections per message"
@@ -94,7 +94,7 @@
         let same_order = Simulation { seed: seed.into(), kind, endpoints, ..fleet_of(senders) };
         let other_orders = Simulation { numbers, shuffled: true, ..same_order.clone() };
         let [same_order, other_orders] = [same_order, other_orders].map(|simulation| steady(&simulation));
-        // An endpoint gets 17 calls or more in 10 s. Different seeds alone cause differences of this size.
+        // An endpoint gets 17 calls or more in 10 s. Different seeds alone cause differences of the allowed size.
         let message = format!("same order {same_order:?}, other orders {other_orders:?}");
         prop_assert!(same_order.0 < 6.0 && other_orders.0 < 6.0, "{message}");
         prop_assert!((same_order.0 / other_orders.0).ln().abs() < 1.4, "{message}");
@@ -168,8 +168,8 @@
 
 #[test]
 fn the_known_latency_of_a_rarely_used_endpoint_decays() {
-    // After 90 s of slow answers, an endpoint must regain its load share sooner than in 90 s. Without the decay of the
-    // measured latency, the shares here were 0.46 and 0.19.
+    // After 90 s of slow answers, an endpoint must regain its load share sooner than in 90 s.
+    // Without the decay of the measured latency, the endpoint's load shares were 0.46 and 0.19.
     for n in [6, 30] {
         let simulation =
             Simulation { faults: vec![(1, Fault::Slow(8.0), 10 * S, 100 * S)], end: 160 * S, ..fleet_of(n) };
--- a/tests/handed.rs
+++ b/tests/handed.rs
@@ -1,12 +1,12 @@
-//! Tests of a handover between two dispatchers: inherited state
-//! stays in force, and inherited calls are counted and not repeated.
+//! Tests of a handover between two dispatchers.
+//! Inherited state stays in force, and inherited calls are counted and not repeated.
 
 mod common;
 use common::*;
 use heronroute::*;
 
-/// Hands the first sender's state and calls in flight, and messages given as (id, class, attempts), over to a new
-/// sender. Returns the new sender and the attempts that it starts at once.
+/// Hands the first sender's state, its calls in flight and messages given as (id, class, attempts) to a new sender.
+/// Returns the new sender and the attempts that the new sender starts at once.
 fn successor(
     first: &TestSender,
     entries: Vec<EndpointEntry>,
@@ -47,7 +47,7 @@
     next.finish(&sent[0], Outcome::Busy);
     let again = next.advance(6 * S);
     assert_eq!((again.len(), again[0].number), (1, 1));
-    // After an outcome with which it may have run, the unsafe message fails.
+    // After an outcome with which the unsafe message may have run, the message fails.
     let (mut other, _) = successor(&first, entries(), &[(1, UNSAFE, 1)]);
     other.finish(&sent[0], Outcome::Cancelled);
     assert_eq!(other.failed, [1]);
@@ -85,7 +85,7 @@
     let (mut next, sent) = successor(&first, entries(), &[(1, SAFE, 1)]);
     assert!(sent.is_empty());
     assert!(next.advance(2 * S + S / 2).is_empty());
-    // The trial is sent within one trial gap after the wait, which is at most 3.4 s with two senders.
+    // The trial is sent within one trial gap after the wait. With two senders a trial gap is at most 3.4 s.
     assert_eq!(next.advance(4 * S).len(), 1);
 }
 
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -11,14 +11,15 @@
 
 /// Highest load that all senders together may reach, as a share of the load that overloads the receiver.
 const MAX_PEAK: f64 = 0.85;
-/// Highest mean of the peak load over seeds in cases where two senders had no failed call in the outage.
+/// Highest mean over seeds of the peak load, as a share of the load that overloads the receiver.
+/// The mean is checked in cases where two senders had no failed call in the outage.
 const MAX_MEAN_PEAK: f64 = 0.76;
 
 fn assert_not_overloaded(name: &str, case: &ReturnCase) {
     for seed in 1..=2 {
         let results = ReturnCase { seed, ..case.clone() }.run();
         assert!(results.peak <= MAX_PEAK, "{name}, seed {seed}: {results:?}");
-        // Excludes runs with hardly any calls after the return.
+        // Excludes runs with hardly any calls after the receiver's return.
         assert!(
             results.peak >= 0.15 && results.half_traffic_after.is_some(),
             "{name}, seed {seed}: {results:?}"
@@ -41,8 +42,9 @@
                 &format!("{outage:?}, {n} senders"),
                 &ReturnCase { outage, ..with_senders(n) },
             );
-            // The load of two senders that had no failed call in the outage is random: of 40 seeds three exceed
-            // MAX_PEAK and none breaks the rule. Therefore the mean over more seeds is compared with a lower maximum.
+            // The load of two senders that had no failed call in the outage is random:
+            // the peak load of three of 40 seeds exceeds MAX_PEAK, and no seed breaks the rule.
+            // Therefore the mean over more seeds is compared with a lower maximum.
             let case = ReturnCase { outage, unaware_senders: 2, ..with_senders(n) };
             let peaks: Vec<f64> =
                 (1..=8).map(|seed| ReturnCase { seed, ..case.clone() }.run().peak).collect();
@@ -187,11 +189,13 @@
     }
 }
 
-/// Guards against restarted senders that lose the receiver's budget. A rejection without a wait reduces the budget
-/// and leaves all endpoints healthy; when only endpoint health was persisted, thirty processes restarted 1 s after
-/// the return sent all their queued messages: 43 calls at once where 15.1 are allowed (seed 101; 16 senders had no
-/// restored health, eight restored one unhealthy endpoint of two). The budget is persisted and resumes at a random
-/// fraction of a call, so that the senders do not make their next call at the same moment.
+/// Guards against restarted senders that lose their call budget for the receiver.
+/// A rejection without a wait reduces the call budget and leaves all endpoints healthy.
+/// When only endpoint health was persisted, thirty processes restarted 1 s after the return sent all queued messages:
+/// 43 calls reached the receiver at once where 15.1 are allowed (seed 101).
+/// Of the thirty senders, 16 had no restored health, and eight restored one unhealthy endpoint of two.
+/// The call budget is now persisted and resumes at a random fraction of a call.
+/// With random fractions, the senders do not make their next call at the same moment.
 #[test]
 fn restarted_after_rejections_that_reported_no_wait() {
     assert_within_cold_capacity(
@@ -201,10 +205,10 @@
     );
 }
 
-/// Guards against overload by restarted senders after a silent outage: 17 calls reached the receiver
-/// within 0.1 s of the start where 16.1 are allowed (seed 103). Receiver health was derived from the
-/// health of its endpoints, and an endpoint that no call had reached counted as healthy. Therefore
-/// the time since which a receiver's answers have been failing is persisted separately.
+/// Guards against overload by restarted senders after a silent outage.
+/// Within 0.1 s of the senders' start, 17 calls reached the receiver where 16.1 are allowed (seed 103).
+/// A receiver's health was derived from its endpoints, and an endpoint that no call had reached counted as healthy.
+/// Therefore the time since which a receiver's answers have been failing is persisted separately.
 #[test]
 fn restarted_after_a_silent_outage() {
     assert_within_cold_capacity(
@@ -214,12 +218,14 @@
     );
 }
 
-/// Guards against trials that keep a fixed time when an outage becomes known. An unanswered call marks its endpoint
-/// unhealthy and sets a first trial 0.2 s later, which suits one slow call. In an outage of the whole receiver that
-/// trial was due with the sender's next message or when its call timed out, and 20 and 30 processes overloaded a
-/// receiver of four calls per second without a restart: 11 calls where 10.9 are allowed (also 30 senders, 2 per second,
-/// seed 110). Trials at twice the gap hardly helped: 128 in place of 133 runs of the silent grid were overloaded. Once
-/// an outage is known, such trials are moved to a random time that depends on the sender's share of the traffic.
+/// Guards against trials that keep a fixed time when an outage becomes known.
+/// An unanswered call marks its endpoint unhealthy and sets a first trial 0.2 s later, which suits one slow call.
+/// In an outage of the whole receiver, that trial was due with the sender's next message or when its call timed out.
+/// Without a restart, 20 and 30 processes overloaded a receiver of four calls per second by such trials:
+/// 11 calls where 10.9 are allowed (also 30 senders at a receiver of two calls per second, seed 110).
+/// Trials at twice the gap hardly helped: 128 in place of 133 runs of the silent grid were overloaded.
+/// Once an outage is known, the first trials are moved to a random time.
+/// The random time of a trial depends on the sender's share of the traffic.
 #[test]
 fn a_receiver_of_four_calls_a_second_after_a_silent_outage() {
     for n in [20, 30] {
--- a/tests/kept.rs
+++ b/tests/kept.rs
@@ -21,7 +21,7 @@
     actions.iter().filter(|action| matches!(action, Action::Send { .. })).count()
 }
 
-/// Returns a sender at `SENT_AT` whose only call was rejected with the given wait.
+/// Returns a sender, at the time `SENT_AT`, whose only call was rejected with the given wait.
 fn sender_after_rejection(wait: Micros) -> Dispatcher {
     let mut sender = Dispatcher::new(0, 1, settings()).unwrap();
     let mut actions = Vec::new();
@@ -104,8 +104,8 @@
     assert_eq!((sender.endpoint_health().count(), sender.receiver_health().count()), (0, 0));
 }
 
-/// Counts the calls that a sender with twenty messages makes within 3 s of its start at `SENT_AT` if every probe
-/// succeeds and no call is answered.
+/// Counts the calls that a sender with twenty messages makes within 3 s of its start at `SENT_AT`.
+/// In these 3 s every probe succeeds and no call is answered.
 fn calls_before_an_answer(health: ReceiverHealth) -> usize {
     let mut sender = Dispatcher::new(SENT_AT, 3, settings()).unwrap();
     let restored = Event::ReceiverHealthRestored { dest: DestId(1), route: None, health };
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,4 +1,4 @@
-//! Tests random sequences of events from fixed seeds and checks the rules on every action.
+//! Tests the decision module with random sequences of events from fixed seeds and checks the rules on every action.
 
 mod common;
 use common::*;
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -10,7 +10,7 @@
     Event::MessageRestored { id, class, key: None, dest, time_left, attempts, unreached: 0, may_have_run }
 }
 
-/// Returns a sender with these endpoints, 10 s after its start.
+/// Returns a sender with the given endpoints, 10 s after the sender's start.
 fn sender_after_10_s(entries: Vec<EndpointEntry>) -> TestSender {
     let mut sender = TestSender::new(settings(), entries);
     sender.advance(10 * S);
@@ -24,7 +24,7 @@
     let sent = sender.round(&[restored(1, UNSAFE, 3, None)]);
     assert_eq!(sent.len(), 1);
     sender.finish(&sent[0], Outcome::Busy);
-    // The fourth of five attempts has been rejected, so the fifth is the last.
+    // The message's fourth of five attempts has been rejected, so the fifth attempt is the last.
     let last = sender.advance(12 * S);
     assert_eq!((last.len(), last[0].number), (1, 4));
     sender.finish(&last[0], Outcome::Busy);
@@ -36,7 +36,7 @@
     let mut sender = sender_after_10_s(vec![entry(1, 1, 0)]);
     assert!(sender.round(&[restored(1, UNSAFE, 1, Some(9 * S))]).is_empty());
     assert_eq!((sender.failed.as_slice(), sender.refused.len()), (&[1][..], 0));
-    // A message of a class that the settings no longer contain fails too.
+    // An unsafe message fails at once, and so does a message of a class that the settings no longer contain.
     assert!(sender.round(&[restored(2, 77, 1, Some(9 * S))]).is_empty());
     assert_eq!(sender.failed, [1, 2]);
 }
@@ -46,8 +46,8 @@
     let mut sender = sender_after_10_s(vec![entry(1, 1, 0)]);
     assert_eq!(sender.round(&[restored(1, KEYED, 1, Some(3 * S))]).len(), 1);
     assert!(sender.round(&[restored(2, KEYED, 1, Some(2 * S))]).is_empty(), "the window of 8 s is over");
-    // Message 2 fails instead of being refused: its client must not
-    // submit it again, because the receiver may have forgotten the key.
+    // Message 2 fails instead of being refused, because the receiver may have forgotten the message's key.
+    // After a refusal, the client would submit message 2 again.
     assert_eq!((sender.failed.as_slice(), sender.refused.len()), (&[2][..], 0));
     // A keyed message without an endpoint fails at the end of its window.
     let mut sender = sender_after_10_s(vec![]);
@@ -72,7 +72,7 @@
     assert_eq!(sender.dispatcher.endpoint_health().collect::<Vec<_>>(), [(EndpointId(1), health)]);
     assert!(sender.advance(3 * S).is_empty());
     assert_eq!(sender.probes, [1]);
-    // Once the endpoint is healthy, its warm-up begins.
+    // Once the restored endpoint is healthy, its warm-up begins.
     let probe_answer = Event::Probed { endpoint: EndpointId(1), outcome: Outcome::Done, report: None };
     let trial = sender.round(&[probe_answer]);
     assert_eq!(trial.len(), 1);
@@ -118,8 +118,8 @@
 
 #[test]
 fn restored_endpoint_health_does_not_keep_a_new_permit_pool_at_its_initial_size() {
-    // Guards against a permit pool that stayed at one permit where
-    // one of two endpoints was unhealthy before the restart.
+    // Guards against a permit pool that stays at one permit after a restart.
+    // This happened where one of two endpoints was unhealthy before the restart.
     let mut sender = sender_after_10_s(vec![entry(1, 1, 0), entry(2, 1, 0)]);
     let health =
         EndpointHealth { failing_since: Some(sender.now - 5 * S), unhealthy: true, warming_since: None };
@@ -183,8 +183,8 @@
     }
 }
 
-/// Restores `restored_count` messages without an attempt and offers new messages at the same time. Every call succeeds
-/// after 100 ms. Returns the restored messages that got no call.
+/// Restores `restored_count` messages without an attempt and offers new messages at the same time.
+/// Every call succeeds after 100 ms. Returns the restored messages that got no call.
 fn messages_without_a_call(restored_count: u64, new_per_second: u64) -> Vec<u64> {
     let time_left_of = |i: u64| 8 * S + (i as Micros * 37 * MS) % (8 * S);
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 1, 0), entry(3, 2, 0)]);
@@ -237,7 +237,7 @@
 }
 
 /// Guards against restored messages that wait until their deadline behind new messages that have more worth to lose.
-/// This happened at a receiver that accepts few calls.
+/// Restored messages waited so long at a receiver that accepts few calls.
 #[test]
 fn restored_messages_without_an_attempt_go_before_new_ones() {
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
@@ -247,7 +247,7 @@
         Some(2),
         "the message with the least time left is sent first"
     );
-    // There is one permit, and the restored messages borrow the free slots, so the other messages wait for their turn.
+    // There is one permit, and the restored messages borrow the free slots, so the new messages wait for their turn.
     let mut sender = TestSender::new(Settings { slots: 2, ..settings() }, vec![entry(1, 1, 0)]);
     let events: Vec<Event> = (10..14).map(|i| restored_untried(i, SAFE, 1, (20 - i as Micros) * S)).collect();
     sender.round(&events);
@@ -262,8 +262,8 @@
     assert_eq!(order, [13, 12, 11, 10, 50, 51]);
 }
 
-/// Sending all inherited messages first lowered the score of a
-/// day with process replacements under load from 0.965 to 0.934.
+/// Guards against sending all inherited messages first.
+/// That order lowered the score of a day with process replacements under load from 0.965 to 0.934.
 #[test]
 fn messages_that_a_process_hands_over_keep_their_order() {
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -1,9 +1,9 @@
-//! Tests restarts of all senders around the return of a small receiver, over
-//! a grid of outages, numbers of senders, capacities and restart times.
+//! Tests restarts of all senders around the return of a small receiver from an outage.
+//! The cases form a grid of outages, numbers of senders, capacities and restart times.
 //!
-//! Guards against restarted senders that lose the receiver's health: all of them then send their queued messages at
-//! once and overload a receiver that has just returned. Most tests check a part of the grid. `the_whole_grid` prints
-//! the number of runs of the whole grid that overload the receiver.
+//! Guards against restarted senders that lose the receiver's health.
+//! All such senders send their queued messages at once and overload a receiver that has just returned.
+//! Most tests check a part of the grid. `the_whole_grid` prints how many runs of the whole grid overload the receiver.
 
 mod common;
 #[path = "common/herd.rs"]
@@ -20,7 +20,7 @@
 const SENDERS: [u32; 4] = [12, 20, 30, 60];
 /// Capacities of the warm receiver, in calls per second.
 const CAPACITIES: [f64; 4] = [2.0, 4.0, 10.0, 30.0];
-/// Times at which all senders are restarted. The receiver returns at 18 s.
+/// Times at which all senders are restarted; the receiver returns at 18 s.
 const RESTARTS: [Option<Micros>; 8] = [
     None,
     Some(14 * S),
@@ -31,9 +31,9 @@
     Some(21 * S),
     Some(24 * S),
 ];
-/// Seeds of the whole grid.
+/// Seeds of the simulated runs of the whole grid.
 const SEEDS: std::ops::RangeInclusive<u64> = 101..=116;
-/// Seeds of the tests that check a part of the grid.
+/// Seeds of the simulated runs in the tests that check a part of the grid.
 const TEST_SEEDS: std::ops::RangeInclusive<u64> = 101..=102;
 
 /// A case that has been run, and its results.
@@ -55,7 +55,7 @@
     overload.is_some_and(|overload| overload.aware_share > MAX_AWARE_SHARE)
 }
 
-/// Runs the cases on all cores and returns the runs in the order of the cases.
+/// Simulates the cases on all cores and returns the runs in the order of the cases.
 fn run_all(cases: Vec<ReturnCase>) -> Vec<Run> {
     let next = AtomicUsize::new(0);
     let runs: Mutex<Vec<(usize, Results)>> = Mutex::default();
@@ -155,8 +155,8 @@
     assert_none_overloaded(grid(&[Outage::Silent], &SENDERS, &[10.0, 30.0], &RESTARTS, TEST_SEEDS));
 }
 
-/// Tests two restarts, during and after the outage or within one
-/// warm-up, and restarts of a tenth of the senders at a time.
+/// Tests two restarts of all senders, during and after the outage or within one warm-up.
+/// Also tests restarts of a tenth of the senders at a time.
 #[test]
 fn restarted_twice_and_a_tenth_at_a_time() {
     let mut cases = Vec::new();
@@ -184,9 +184,10 @@
     );
 }
 
-/// Tests the replacement of all senders by new machines with empty state. The new senders
-/// have no messages and cannot know of the outage, so in their first second they may send
-/// as many calls as their clients offer, plus three standard deviations over all runs.
+/// Tests the replacement of all senders by new machines with empty state.
+/// The new senders have no messages and cannot know of the outage.
+/// So in their first second the new senders may send as many calls as their clients offer messages,
+/// plus three standard deviations over all runs.
 #[test]
 fn replaced_by_new_machines() {
     let cases = grid(&OUTAGES, &[12, 30], &[10.0], &RESTARTS[3..], TEST_SEEDS);
@@ -221,8 +222,8 @@
     );
 }
 
-/// Prints the trace of the run that the environment variable `GRID_CASE`
-/// names, which contains "outage senders capacity restart-in-ms seed".
+/// Prints the trace of the run that the environment variable `GRID_CASE` names.
+/// The variable contains "outage senders capacity restart-in-ms seed".
 #[test]
 #[ignore = "prints the trace of one run; run it by name with --ignored --nocapture"]
 fn print_one_run() {
@@ -282,9 +283,9 @@
     }
 }
 
-/// Prints one row of the table. The columns `half s` and `full s` are the mean times
-/// from the return until the receiver is sent 50% and 90% of the demand within a
-/// second. A run in which that does not happen counts with its whole remaining time.
+/// Prints one row of the table of runs. The columns `half s` and `full s` are mean times from the receiver's return.
+/// `half s` is the time until the receiver is sent 50% of the demand within a second, `full s` until it is sent 90%.
+/// A run in which the receiver is never sent as much counts with its whole remaining time.
 fn row(name: &str, runs: &[&Run]) {
     let overloaded = runs.iter().filter(|run| run.is_overloaded()).count();
     let wide = runs.iter().filter(|run| run.is_overloaded_by_wide_bound()).count();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -189,8 +189,8 @@
     assert!(sender.calls_between(back + 11 * S, back + 13 * S) > 15, "the warm-up ends");
 }
 
-/// A reported wait stays in force when all endpoints of its destination leave the list and return, even if it is
-/// longer than the time for which state of unlisted endpoints is retained.
+/// A reported wait stays in force when all endpoints of the destination leave the list and return.
+/// The wait may be longer than the time for which state of unlisted endpoints is retained.
 #[test]
 fn a_wait_outlives_its_endpoints_listing() {
     for kind in [0, 2] {
@@ -213,9 +213,9 @@
     }
 }
 
-/// Sends a message every half second to destination 1, whose endpoints refuse
-/// connections if `refuses(time, endpoint)` is true, then to the healthy destination 2
-/// of the same kind. Returns how often idle connections were closed in the second phase.
+/// Sends a message every half second, first to destination 1 and then to the healthy destination 2 of the same kind.
+/// An endpoint of destination 1 refuses connections if `refuses(time, endpoint)` is true.
+/// Returns how often idle connections were closed while destination 2 got messages.
 fn closes_after(refuses: impl Fn(Micros, u32) -> bool) -> usize {
     let set = Settings { senders: 12, ..settings() };
     let mut sender = TestSender::new(set, vec![entry(1, 1, 0), entry(2, 1, 0), entry(3, 2, 0)]);
@@ -244,8 +244,8 @@
     sender.closed_idle.len()
 }
 
-/// Connections refused by endpoints that are down are no sign of full connection tables, so idle connections stay open
-/// afterwards. Closing those connections cost 0.017 of a day's worth in handshakes.
+/// Connections refused by endpoints that are down are no sign of full connection tables, so idle connections stay open.
+/// Closing idle connections after such refusals cost 0.017 of a day's worth in handshakes.
 #[test]
 fn idle_connections_stay_open_after_an_outage_and_are_closed_where_tables_are_full() {
     assert_eq!(closes_after(|_, _| false), 0, "no refusal");
@@ -256,9 +256,9 @@
     );
 }
 
-/// Guards against rejections that reinforce themselves by longer waits. The sender has
-/// twenty times an equal share of the limit and sends batches of ten. A full queue
-/// rejects every fifth batch. The sender may still send enough calls for its load.
+/// Guards against rejections that reinforce themselves by longer waits.
+/// The sender has twenty times an equal share of the limit and sends batches of ten.
+/// A full queue rejects every fifth batch. The sender may still send enough calls for its load.
 #[test]
 fn rejections_do_not_keep_a_busy_sender_from_filling_its_calls() {
     let mut sender = TestSender::new(
@@ -293,7 +293,7 @@
 }
 
 /// Alternates rejected calls on new connections with calls on a reused connection that end with the given outcome.
-/// Returns whether one of 300 senders closes its idle connection afterwards.
+/// Returns whether the sender, which is one of 300, closes its idle connection after these calls.
 fn closes_idle_connection(reused_connection_outcome: Outcome) -> bool {
     let set = Settings { senders: 300, idle_close: 60 * S, ..settings() };
     let entries = (1..=6).map(|i| entry(i, i64::from(i), 0)).chain([entry(50, 50, 0)]);
@@ -316,10 +316,10 @@
     !sender.closed_idle.is_empty()
 }
 
-/// Guards against idle connections that fill the connection tables of endpoints that accept
-/// few connections. An endpoint with a full table answers 503, as a rate limit does, and
-/// closes the connection. With 300 senders, 90% of the calls on new connections and 10% of
-/// those on reused connections were rejected, and a third of the worth was served.
+/// Guards against idle connections that fill the connection tables of endpoints that accept few connections.
+/// An endpoint with a full connection table answers 503, as a rate limit does, and closes the connection.
+/// With 300 senders, 90% of the calls on new connections and 10% of the calls on reused connections were rejected.
+/// With so many rejected calls, a third of the worth was served.
 #[test]
 fn idle_connections_are_closed_where_only_new_ones_are_refused() {
     assert!(closes_idle_connection(Outcome::Done), "only calls on new connections are rejected");
@@ -335,7 +335,7 @@
         let deadline = sender.now + 200 * MS;
         sender.round(&[message_with_time_left(1, 200 * MS)]);
         sender.now += phase;
-        // Rounds are 6 ms apart: one quantum of 5 ms, and timers fire up to a millisecond late.
+        // Rounds are 6 ms apart: one quantum of 5 ms plus a millisecond by which timers fire late.
         while sender.refused.is_empty() {
             sender.now += 6 * MS;
             sender.round(&[Event::Timer { token: 0 }]);
@@ -364,8 +364,8 @@
     assert_eq!(sender.round(&[listed]).len(), 1);
 }
 
-/// Guards against reordering from the platform's point of view: the next message of a key reached its endpoint before
-/// the platform had received the end of the previous message.
+/// Guards against reordering of a key's messages from the platform's point of view.
+/// The key's next message reached its endpoint before the platform had received the end of the key's previous message.
 #[test]
 fn the_next_message_of_a_key_waits_until_the_end_before_it_is_reported() {
     let mut sender = TestSender::new(settings(), vec![]);
