--- a/crates/finding/src/lib.rs
+++ b/crates/finding/src/lib.rs
@@ -16,7 +16,7 @@
     pub line: usize,
     /// Column of the error in its line, in characters, counted from 1.
     pub column: usize,
-    /// The fault, and how to fix it.
+    /// Description of the error, and how to fix it.
     #[serde(rename = "what")]
     pub message: String,
 }
@@ -43,7 +43,7 @@
 pub struct SpanFinding {
     /// Byte range of the error in the file's text.
     pub span: Range<usize>,
-    /// The fault, and how to fix it.
+    /// Description of the error, and how to fix it.
     pub message: String,
 }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`settings`]: the settings of a sender
 //!
 //! The crate does no I/O.
-//! Every parser takes bytes. It returns a value, an error that describes the fault, or a request for more bytes.
+//! Every parser takes bytes and returns a value, an error that names the fault, or a request for more bytes.
 //! Every length is checked against its maximum before memory is allocated for the data.
 
 #![warn(missing_docs)]
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,5 +1,5 @@
 //! The health of endpoints and receivers that a sender persists over a restart.
-//! A sender restores it with [`Event::EndpointHealthRestored`] and [`Event::ReceiverHealthRestored`].
+//! Health is restored with [`Event::EndpointHealthRestored`] and [`Event::ReceiverHealthRestored`].
 //! The decisions that use the restored health are in `src/logic.rs`.
 
 use crate::interface::*;
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Returns the lanes of a destination, or only the lane of `route` if it is given.
+    /// Returns the lanes of a destination, or only the lane of `route` if a route is given.
     pub(crate) fn lanes_of(&self, dest: DestId, route: Option<EndpointId>) -> Vec<LaneKey> {
         let matches = |key: &LaneKey| route.is_none_or(|id| *key == LaneKey::Route(id));
         let lanes = self.lanes.iter().filter(|(key, lane)| lane.dest == dest && matches(key));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -24,12 +24,12 @@
 /// The effect of delivering a message a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Effect {
-    /// A second delivery does no harm.
+    /// A second delivery of a message does no harm.
     Safe,
     /// The message has an idempotency key.
     /// By this key, the destination drops repeated deliveries within the class's window.
     Keyed,
-    /// A second delivery takes effect again.
+    /// A second delivery of a message takes effect again.
     #[default]
     Unsafe,
 }
@@ -37,10 +37,10 @@
 /// Which endpoints of a destination share the memory of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum DedupScope {
-    /// All endpoints of the destination.
+    /// All endpoints of a destination share the memory of idempotency keys.
     #[default]
     All,
-    /// The endpoints in one zone.
+    /// A destination's endpoints in one zone share the memory of idempotency keys.
     Zone,
     /// No endpoints share the memory of keys: each endpoint remembers only the keys that it received itself.
     Endpoint,
@@ -150,7 +150,7 @@
     pub idle_close: Micros,
     /// Maximum number of concurrent calls on one connection.
     pub streams_per_conn: u32,
-    /// Minimum time between two rounds.
+    /// Minimum time between two rounds of the dispatcher.
     pub quantum: Micros,
     /// Grace period within which calls to a draining or removed endpoint must end.
     pub drain_grace: Micros,
@@ -172,15 +172,15 @@
     pub weights: WeightMeaning,
     /// Price of an attempt that crosses zones.
     pub cross_zone_price: f64,
-    /// Price of a new connection.
+    /// Price of a new connection to an endpoint.
     pub handshake_price: f64,
     /// For each zone: the fee for each message to a separate route in the zone.
     pub zone_fees: Vec<f64>,
-    /// Message classes, by index.
+    /// Settings of the message classes, by class index.
     pub classes: Vec<ClassSettings>,
-    /// Kinds of destination, by index.
+    /// Settings of the kinds of destination, by kind index.
     pub kinds: Vec<KindSettings>,
-    /// Tenants, by index; may be empty.
+    /// Settings of the tenants, by tenant index; may be empty.
     pub tenants: Vec<TenantSettings>,
 }
 
@@ -518,7 +518,7 @@
     /// The class settings have changed.
     /// A message keeps its class index and follows the new class at that index.
     ClassesChanged(Vec<ClassSettings>),
-    /// An attempt ended.
+    /// An attempt to deliver a message ended.
     Outcome {
         /// The sender's number for the message.
         id: MsgId,
@@ -547,7 +547,7 @@
         /// The token of the [`Action::Timer`].
         token: u64,
     },
-    /// A probe ended.
+    /// A probe of an endpoint ended.
     Probed {
         /// The endpoint that was probed.
         endpoint: EndpointId,
@@ -577,7 +577,7 @@
         id: MsgId,
         /// The endpoint to which the message is sent.
         endpoint: EndpointId,
-        /// How long to wait for the answer.
+        /// How long the sender waits for the endpoint's answer.
         timeout: Micros,
     },
     /// Cancel an attempt in flight.
@@ -603,7 +603,7 @@
     Timer {
         /// The time at which the timer expires.
         at: Micros,
-        /// The token that the event returns.
+        /// The token that the [`Event::Timer`] returns.
         token: u64,
     },
     /// Probe an endpoint, which sends no message.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -62,7 +62,7 @@
 
 impl Dispatcher {
     /// Returns the total number of destinations, lanes, endpoints, messages, calls and order keys in memory.
-    /// The number makes it possible to monitor a sender's memory use.
+    /// A sender's memory use can be monitored by this number of objects.
     pub fn tracked_items(&self) -> usize {
         let listed = self.destinations.len() + self.lanes.len() + self.endpoints.len();
         listed + self.messages.len() + self.calls.len() + self.order_keys.len()
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -68,8 +68,8 @@
 const TRIAL_LOAD_FACTOR: f64 = 1.0;
 /// Factor in the upper bound up to which a sender counts an equal share of the advertised limit as its own.
 /// The bound is `OWN_TRAFFIC_FACTOR` times its own traffic plus `EQUAL_SHARE_BASE` times the equal share.
-/// With this bound, a wrong number of senders, or a limit beyond what the destination can take,
-/// adds little to the load of all senders together.
+/// The bound keeps the load of all senders low if the number of senders in the settings is wrong.
+/// The bound also keeps the load low if the advertised limit is beyond what the destination can take.
 const OWN_TRAFFIC_FACTOR: f64 = 1.25;
 const EQUAL_SHARE_BASE: f64 = 0.1;
 /// Number of senders up to which the trials of all senders together do no harm.
@@ -112,7 +112,7 @@
 const APPROXIMATE_WEIGHT_FACTOR: f64 = 1.5;
 /// Calls a second that represent an unlimited pace.
 const UNLIMITED_PER_S: f64 = 1e6;
-/// Maximum burst, in seconds of the lane's pace.
+/// Maximum burst of calls, in seconds at the lane's pace.
 const BURST_S: f64 = 0.4;
 /// Pause of a lane after a refusal that did not ask for a wait.
 const REFUSAL_PAUSE_US: Micros = 250_000;
@@ -164,7 +164,7 @@
     /// With random numbers, only some senders leave a zone with few endpoints.
     zone_draw: f64,
     pub(crate) settings: Settings,
-    /// The number last assigned to a message or a call.
+    /// The sequence number last assigned to a message or a call.
     pub(crate) sequence: u64,
     pub(crate) lanes: BTreeMap<LaneKey, Lane>,
     pub(crate) destinations: BTreeMap<DestId, Destination>,
@@ -351,8 +351,8 @@
         lane.warm_up =
             health.warming_since.map(|since| WarmUp { tokens, ..WarmUp::new(since.min(now), now) });
         if let Some(budget) = health.budget_milli_per_s {
-            // The lane starts with a random fraction of a call token. With 0 tokens in every sender,
-            // all restarted senders would make their first call simultaneously.
+            // The lane starts with a random fraction of a call token.
+            // With 0 tokens, all restarted senders would make their first call simultaneously.
             (lane.budget, lane.tokens, lane.budget_cut_at) = (f64::from(budget) / 1e3, tokens, now);
         }
         let failing_since = lane.failing_since;
@@ -926,8 +926,8 @@
         } else {
             Action::Fail { id }
         });
-        // Without this delay, the order key's next message could reach an endpoint too early:
-        // before the platform has received the end of this message.
+        // Without a delay, an endpoint could get the order key's next message too early.
+        // The platform must receive the end of this message before the key's next message is sent.
         if let Some(key) = message.key.as_ref().and_then(|k| self.order_keys.get_mut(k)) {
             key.settle_until = key.settle_until.max(self.now + NOTICE_DELIVERY_US);
         }
@@ -1053,8 +1053,8 @@
             lane.refilled_at = now;
             // A pool that was sized while all endpoints were healthy keeps its size while one is unhealthy.
             // A pool that has never been sized is sized even while an endpoint is unhealthy.
-            // Otherwise, after a restart that restores an unhealthy endpoint, the pool would keep its initial
-            // size until the endpoint recovers.
+            // Such a pool exists after a restart that restores an unhealthy endpoint.
+            // The pool would otherwise keep its initial size until the endpoint recovers.
             let can_size = lane.latency.samples >= MIN_SIZING_SAMPLES;
             let is_due = now - lane.resized_at >= RESIZE_INTERVAL_US;
             if is_due && !lane.latency.is_slow() && (!is_unhealthy || (can_size && !lane.is_sized)) {
@@ -1082,15 +1082,15 @@
         }
     }
 
-    /// Cancels a stalled call to free its slot. Guards against stalled calls that fill the slots:
-    /// unsafe calls to a hung destination would hold their slots until the deadline.
+    /// Cancels a stalled call to free its slot. Guards against stalled calls that fill the slots.
+    /// Unsafe calls to a hung destination would otherwise hold their slots until the deadline.
     /// While slots are short and messages wait, this function cancels the call that has stalled longest.
     /// Stalls are compared relative to the stall threshold of each call's lane.
     /// A call whose messages may all be sent again is cancelled sooner.
-    /// If only a destination's own pool keeps messages waiting, only a call that later calls have overtaken
-    /// is cancelled: the endpoint answers, so the connection of the overtaken call is dead.
-    /// The rule covers any cause of a stall.
-    /// The price of the rule is that an unsafe message fails whose answer was merely late.
+    /// If only a destination's own pool keeps messages waiting, only calls overtaken by later calls are cancelled.
+    /// The endpoint of an overtaken call answers other calls, so the overtaken call's connection is dead.
+    /// Stalled calls are cancelled whatever the cause of the stall.
+    /// The price of cancelling is that an unsafe message fails whose answer was merely late.
     fn reclaim_slot(&mut self, out: &mut Vec<Action>) {
         let reserve = (self.settings.slots as f64 * RECLAIM_RESERVE_SHARE).ceil() as u32;
         let has_pending = |d: &DestId| self.destinations.get(d).is_some_and(|d| !d.pending.is_empty());
@@ -1198,8 +1198,8 @@
             now - e.last_used < self.settings.idle_close
                 && e.in_flight < e.connections.saturating_mul(self.settings.streams_per_conn)
         };
-        // If this sender's traffic reuses a connection before it is closed as idle,
-        // the price of the handshake is paid once and not for each call.
+        // A connection that this sender's traffic reuses before it is closed as idle costs one handshake.
+        // Without reuse, the price of a handshake is paid for each call.
         let calls_per_idle_time = destination.traffic.per_second(now) * self.settings.idle_close as f64 / 1e6;
         let zones: BTreeSet<usize> = listed.iter().map(|(_, e)| e.zone).collect();
         let in_own_zone = listed.iter().filter(|(_, e)| e.zone == self.settings.zone).count() as f64;
@@ -1319,8 +1319,8 @@
         class.worth * share
     }
 
-    /// Returns the message that a destination would send next and the endpoint for it. If there is none, the
-    /// destination is removed from `ready` until the result may change.
+    /// Returns the message that a destination would send next and the endpoint for it.
+    /// A destination with no message to send is removed from `ready` until the result may change.
     fn choose(&mut self, dest: DestId) -> Option<Choice> {
         self.refresh(dest);
         let (candidates, mut recheck) = self.candidates(dest);
@@ -1401,7 +1401,7 @@
             let best = choices.iter().rev().max_by(|a, b| a.1.rank.total_cmp(&b.1.rank));
             let Some((dest, choice)) = best.map(|(d, c)| (*d, *c)) else { break };
             // Sending a message never gives another destination more choices.
-            // So only the best choice is checked again.
+            // So only the best choice is checked again after a message has been sent.
             let current = self.choose(dest);
             if current == Some(choice) {
                 self.send(choice, out);
@@ -1415,9 +1415,9 @@
 
     /// Closes idle connections to endpoints of kinds whose connections are scarce.
     /// Guards against idle connections that keep other senders out of an endpoint with few connections.
-    /// For a time after an endpoint of a kind has refused a connection at once, idle connections to endpoints
-    /// of that kind are closed. Closing idle connections costs a handshake for each call.
-    /// Refused connections while a whole lane was down are not counted.
+    /// An immediately refused connection makes the connections of the endpoint's kind scarce for a time.
+    /// While connections are scarce, closing the idle ones costs a handshake for each call.
+    /// Refused connections while a whole lane was down do not make connections scarce.
     fn close_idle_connections(&mut self, out: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.maybe_idle) {
             let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
--- a/src/rotation.rs
+++ b/src/rotation.rs
@@ -26,8 +26,8 @@
     new_until: Micros,
     /// Whether a first connection to the endpoint is worth its price once the endpoint is no longer new.
     wants_connection: bool,
-    /// Decaying sum, as of `slowness_at`, of one logarithm for each of the endpoint's answers:
-    /// the logarithm of the ratio of the answer's latency to the mean latency of the endpoint's lane.
+    /// Decaying sum of the logarithms of the endpoint's latencies relative to its lane's mean latency.
+    /// The sum includes one logarithm for each answer, and is decayed as of `slowness_at`.
     log_slowness_sum: f64,
     /// Decaying number of the answers that `log_slowness_sum` covers.
     answers: f64,
--- a/src/state.rs
+++ b/src/state.rs
@@ -52,7 +52,7 @@
     /// Advertised limit for all senders together, in calls a second.
     pub(crate) limit: Option<f64>,
     pub(crate) latency: Latency,
-    /// Size of the permit pool.
+    /// Number of permits in the lane's permit pool.
     pub(crate) permits: u32,
     pub(crate) resized_at: Micros,
     /// Whether the permit pool has been sized from enough answers.
--- a/tests/common/even.rs
+++ b/tests/common/even.rs
@@ -41,8 +41,8 @@
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
     /// Number of endpoints, counted from endpoint 0, that limit their connections, and the maximum for each endpoint.
     pub connection_cap: Option<(usize, usize)>,
-    /// Number of endpoints that join, the time at which the joining endpoints are listed,
-    /// and the delay after which a third of the senders receive the list with the joining endpoints.
+    /// Number of endpoints that join, the time at which they are listed, and a delay.
+    /// A third of the senders receive the list with the joining endpoints after the delay.
     pub joining: Option<(usize, Micros, Micros)>,
     /// `(n, time)`: every n-th sender is restarted at `time` without any state.
     pub restart: Option<(usize, Micros)>,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A sender that tests drive step by step: the sender's settings,
-//! the events passed to the decision module and the resulting actions.
+//! A sender that tests drive step by step.
+//! Tests set the sender's settings, pass events to the decision module and check the resulting actions.
 #![allow(dead_code)]
 
 use heronroute::*;
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -284,7 +284,7 @@
 #[test]
 fn the_first_message_of_a_call_is_the_last_to_run_out_of_time() {
     // Guards against batches whose first message ends before the answer.
-    // After such an answer, all other messages of the call counted as undelivered.
+    // All other messages of a call whose first message had ended counted as undelivered.
     // If a later message of the batch has ended, the answer is still valid for the other messages.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 1)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
@@ -297,8 +297,8 @@
 
 #[test]
 fn malformed_answers_prove_an_endpoint_alive() {
-    // Healthy endpoints send malformed answers too: unlike five failures, five malformed answers must not make an
-    // endpoint unhealthy.
+    // Healthy endpoints send malformed answers too.
+    // Unlike five failures, five malformed answers must not make an endpoint unhealthy.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
     for i in 0..5 {
@@ -314,7 +314,7 @@
 #[test]
 fn unsafe_messages_wait_where_calls_that_may_have_run_just_failed() {
     // Guards against endpoints that fail part of their calls. Such an endpoint counted as healthy after each success.
-    // Each of these endpoints failed two or three unsafe messages before the sender avoided it.
+    // Each endpoint with partial failures failed two or three unsafe messages before the sender avoided it.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 2, 0)]);
     for dest in [1, 2] {
         sender.serve_steadily(1000 * dest as u64, 30, SAFE, dest, 100 * MS);
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -42,8 +42,8 @@
                 &format!("{outage:?}, {n} senders"),
                 &ReturnCase { outage, ..with_senders(n) },
             );
-            // The load of two senders that had no failed call in the outage is random:
-            // the peak load of three of 40 seeds exceeds MAX_PEAK, and no seed breaks the rule.
+            // The load of two senders that had no failed call in the outage is random.
+            // The peak load of three of 40 seeds exceeds MAX_PEAK, and no seed breaks the rule.
             // Therefore the mean over more seeds is compared with a lower maximum.
             let case = ReturnCase { outage, unaware_senders: 2, ..with_senders(n) };
             let peaks: Vec<f64> =
@@ -191,8 +191,8 @@
 
 /// Guards against restarted senders that lose their call budget for the receiver.
 /// A rejection without a wait reduces the call budget and leaves all endpoints healthy.
-/// When only endpoint health was persisted, thirty processes restarted 1 s after the return sent all queued messages:
-/// 43 calls reached the receiver at once where 15.1 are allowed (seed 101).
+/// When only endpoint health was persisted, thirty processes restarted 1 s after the return sent all queued messages.
+/// Their 43 calls reached the receiver at once, where 15.1 calls are allowed (seed 101).
 /// Of the thirty senders, 16 had no restored health, and eight restored one unhealthy endpoint of two.
 /// The call budget is now persisted and resumes at a random fraction of a call.
 /// With random fractions, the senders do not make their next call at the same moment.
@@ -221,8 +221,8 @@
 /// Guards against trials that keep a fixed time when an outage becomes known.
 /// An unanswered call marks its endpoint unhealthy and sets a first trial 0.2 s later, which suits one slow call.
 /// In an outage of the whole receiver, that trial was due with the sender's next message or when its call timed out.
-/// Without a restart, 20 and 30 processes overloaded a receiver of four calls per second by such trials:
-/// 11 calls where 10.9 are allowed (also 30 senders at a receiver of two calls per second, seed 110).
+/// Without a restart, 20 and 30 processes overloaded a receiver of four calls per second by such trials.
+/// The receiver got 11 calls where 10.9 are allowed (also with 30 senders and two calls per second, seed 110).
 /// Trials at twice the gap hardly helped: 128 in place of 133 runs of the silent grid were overloaded.
 /// Once an outage is known, the first trials are moved to a random time.
 /// The random time of a trial depends on the sender's share of the traffic.
--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -186,8 +186,8 @@
 
 /// Tests the replacement of all senders by new machines with empty state.
 /// The new senders have no messages and cannot know of the outage.
-/// So in their first second the new senders may send as many calls as their clients offer messages,
-/// plus three standard deviations over all runs.
+/// In their first second, the new senders may send as many calls as their clients offer messages.
+/// The bound on these calls adds three standard deviations over all runs.
 #[test]
 fn replaced_by_new_machines() {
     let cases = grid(&OUTAGES, &[12, 30], &[10.0], &RESTARTS[3..], TEST_SEEDS);
