--- a/src/handover.rs
+++ b/src/handover.rs
@@ -80,7 +80,7 @@
 
 impl Dispatcher {
     /// Returns the state and calls in flight of this dispatcher.
-    /// The next dispatcher gets them by [`Event::StateInherited`] and [`Event::CallsInherited`].
+    /// State and calls reach the next dispatcher as [`Event::StateInherited`] and [`Event::CallsInherited`].
     pub fn handover_state(&self) -> (DispatcherState, Vec<InFlightCall>) {
         let state = DispatcherState {
             dests: self.destinations.iter().map(|(id, d)| (*id, d.arrival_rate, d.traffic)).collect(),
