--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1087,7 +1087,7 @@
     /// While slots are short and messages wait, this function cancels the call that has stalled longest.
     /// Stalls are compared relative to the stall threshold of each call's lane.
     /// A call whose messages may all be sent again is cancelled sooner.
-    /// If only a destination's own pool keeps messages waiting, only calls that others overtook are cancelled.
+    /// If only a destination's pool keeps messages waiting, only calls overtaken by later ones are cancelled.
     /// The endpoint of an overtaken call answers other calls, so the overtaken call's connection is dead.
     /// Stalled calls are cancelled whatever the cause of the stall.
     /// The price of cancelling is that an unsafe message fails whose answer was merely late.
