--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -1,5 +1,5 @@
-//! Makes calls and probes to endpoints and determines their outcomes. Holds the idle connections; a connection carries
-//! one call at a time.
+//! Makes calls and probes to endpoints and determines their outcomes.
+//! The module holds the idle connections; a connection carries one call at a time.
 
 use crate::connection::{Connection, Traffic};
 use crate::endpoint_table::EndpointTable;
@@ -19,24 +19,24 @@
 
 /// Limit of a response's body.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// Minimum age of a new connection, and minimum idle time of a reused connection, before a request is written. The
-/// pause leaves time for the reset of a new connection, and for stray bytes after a response, which would otherwise be
-/// read as the next response.
+/// Minimum age of a new connection, and minimum idle time of a reused connection, before a request is written.
+/// The pause leaves time for the reset of a new connection, and for stray bytes after a response.
+/// Without the pause, stray bytes would be read as the next response.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
-/// A reused connection that is reset within this time after a request was written counts as dropped by the peer before
-/// that request.
+/// A reused connection that is reset within this time after a request was written
+/// counts as dropped by the peer before the request.
 const IMMEDIATE_RESET: Duration = Duration::from_millis(100);
-/// Connections idle for no longer than this are always reused.
+/// Minimum of the idle lifetime: connections idle for no longer than this minimum are always reused.
 const MIN_IDLE_LIFETIME: Duration = Duration::from_millis(50);
 /// Time for which resets of reused connections shorten the idle lifetime.
 const STALE_RETENTION: Duration = Duration::from_secs(10);
 /// Maximum number of resets of reused connections that are recorded.
 const MAX_STALE_RECORDS: usize = 64;
-/// Share of the endpoints' idle timeout for which an idle connection stays open. The endpoint may close the connection
-/// at any time up to its timeout, and a request that is sent at that moment is reset.
+/// Share of the endpoints' idle timeout for which an idle connection stays open.
+/// An endpoint may close a connection before the full timeout, and a request sent at that moment is reset.
 pub const IDLE_LIFETIME_SHARE: f64 = 0.8;
-/// Maximum number of idle connections while another process of this sender runs: both processes share the descriptor
-/// limit of one.
+/// Maximum number of idle connections while another process of this sender runs.
+/// The two processes together have the descriptor limit of one.
 const MAX_IDLE_DURING_HANDOVER: usize = 24;
 /// Maximum number of concurrent probes. Each uses a descriptor in addition to those of the calls.
 pub const MAX_PROBES: usize = 8;
@@ -51,7 +51,7 @@
     pub body: Bytes,
 }
 
-/// A call to be made.
+/// The arguments of one call: the endpoint and its lane, the messages, their form and the timeout.
 pub struct CallSpec {
     pub endpoint: EndpointId,
     pub addr: SocketAddr,
@@ -62,7 +62,7 @@
     pub timeout: Duration,
 }
 
-/// The scope of a wait: a destination, or one route of it.
+/// The scope of a wait that a receiver advertises: a destination, or one route of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Lane {
     Whole(DestId),
@@ -97,7 +97,7 @@
     }
 }
 
-/// The progress of a call in flight.
+/// The progress of a call in flight, which decides the outcome if no complete response arrives.
 #[derive(Default)]
 struct CallProgress {
     /// Messages that were not sent with the call because they had ended before it began.
@@ -108,12 +108,12 @@
 }
 
 impl CallProgress {
-    /// Whether the request's last byte has been written.
+    /// Whether the last byte of the call's request has been written.
     fn fully_written(&self) -> bool {
         self.traffic.borrow().as_ref().is_some_and(|(t, before)| t.flushed.get() > *before)
     }
 
-    /// Whether a byte of the request may have been written.
+    /// Whether any byte of the call's request may have been written.
     fn may_be_written(&self) -> bool {
         self.traffic.borrow().is_some()
     }
@@ -123,8 +123,9 @@
         if self.may_be_written() { Outcome::ConnectFailed } else { Outcome::Unreached }
     }
 
-    /// Summarises a response that was not read to its end. Status 200 confirms the delivery of a single message even if
-    /// the rest of the response is lost. Any other incomplete response proves nothing, but a wait in its head applies.
+    /// Summarises a response that was not read to its end.
+    /// Status 200 confirms the delivery of a single message even if the rest of the response is lost.
+    /// Any other incomplete response proves nothing, but a wait in the response's head applies.
     fn incomplete(&self, spec: &CallSpec, outcome: Outcome) -> ResponseSummary {
         let head = self.head.take().unwrap_or_else(|| ResponseSummary::without_response(outcome));
         let status = self.traffic.borrow().as_ref().and_then(|(t, _)| t.status.get());
@@ -154,7 +155,7 @@
     idle: RefCell<HashMap<EndpointId, Vec<Connection>>>,
     waits: RefCell<HashMap<Lane, Instant>>,
     max_idle: usize,
-    /// Whether descriptors are shared with another process of this sender, so that fewer connections may be idle.
+    /// Whether another process of this sender shares the descriptor limit, so that fewer connections may be idle.
     two_processes: Rc<Cell<bool>>,
     probes: Semaphore,
     max_idle_time: Duration,
@@ -162,8 +163,8 @@
 }
 
 impl Calls {
-    /// Creates the caller. `max_idle_time` is the longest time for which a connection may be idle, and `max_idle` the
-    /// maximum number of idle connections.
+    /// Creates the maker of calls, without connections. `max_idle_time` is the longest time for which a connection may
+    /// be idle, and `max_idle` the maximum number of idle connections.
     pub fn new(
         endpoints: Rc<RefCell<EndpointTable>>,
         metrics: Rc<Metrics>,
@@ -216,7 +217,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes connections past their idle lifetime.
+    /// Closes the idle connections whose idle lifetime has passed.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|endpoint, connections| {
             let max_age = self.idle_lifetime(*endpoint);
@@ -225,11 +226,12 @@
         });
     }
 
-    /// Returns how long a connection to the endpoint may be idle and still be reused. Guards against connections that
-    /// the endpoint or the network has dropped unnoticed: the next request is reset and may or may not have run, so an
-    /// unsafe message can't be repeated and is lost. For [`STALE_RETENTION`] after such a reset the lifetime is half
-    /// of the shortest idle time that ended in a reset, at the cost of more new connections. This applies to the
-    /// endpoint alone, or to all endpoints if several had resets.
+    /// Returns how long a connection to the endpoint may be idle and still be reused.
+    /// The limit guards against connections that the endpoint or the network has dropped unnoticed.
+    /// The next request on such a connection is reset and may or may not have run: an unsafe message is lost.
+    /// For [`STALE_RETENTION`] after such a reset the lifetime is half of the shortest idle time that ended in a reset.
+    /// The shorter lifetime costs more new connections.
+    /// It applies to the endpoint alone, or to all endpoints if several had resets.
     fn idle_lifetime(&self, endpoint: EndpointId) -> Duration {
         let mut stale = self.stale.borrow_mut();
         stale.retain(|s| s.at.elapsed() < STALE_RETENTION);
@@ -260,7 +262,7 @@
         None
     }
 
-    /// Keeps a connection for reuse. At the limit, the connection that has been idle longest is closed first.
+    /// Keeps a connection for reuse. At the limit of idle connections, the one idle longest is closed first.
     fn put_idle(&self, endpoint: EndpointId, connection: Connection) {
         let Some(mut connection) = connection.if_usable() else { return };
         connection.idle_since = Instant::now();
@@ -281,9 +283,9 @@
         idle.entry(endpoint).or_default().push(connection);
     }
 
-    /// Makes a call. Right before the first byte is written, `begin` returns the messages to send: some may have ended
-    /// while the connection was opening. If `begin` returns none, nothing is sent. `cancelled` ends the call by closing
-    /// its connection.
+    /// Makes a call. Right before the first byte is written, `begin` returns the messages to send:
+    /// some of the call's messages may have ended while the connection was opening.
+    /// If `begin` returns no message, nothing is sent. `cancelled` ends the call by closing its connection.
     pub async fn call(
         &self,
         spec: &CallSpec,
@@ -371,8 +373,8 @@
                 response
             }
             None if !progress.fully_written() => ResponseSummary::without_response(Outcome::ConnectFailed),
-            // A closed connection is evidence about the endpoint's health. A response that can't be parsed on a
-            // connection that stays open is not.
+            // A closed connection is evidence about the endpoint's health.
+            // An unparsable response on a connection that stays open is no such evidence.
             None if traffic.closed_by_peer.get() || traffic.response_began.get().is_none() => {
                 progress.incomplete(spec, Outcome::Reset)
             }
@@ -409,7 +411,7 @@
         Some(summary)
     }
 
-    /// Probes an endpoint's health, on an idle connection or a new one.
+    /// Probes an endpoint's health, on an idle connection or else on a new connection.
     pub async fn probe(&self, endpoint: EndpointId, addr: SocketAddr) -> (Outcome, Option<LoadReport>) {
         let Ok(_permit) = self.probes.try_acquire() else { return (Outcome::Skipped, None) };
         let work = async {
@@ -435,8 +437,8 @@
     }
 }
 
-/// Opens a connection and waits [`SETTLE_TIME`] for an immediate reset. Returns None if the connection was reset: since
-/// nothing had been written, the message has certainly not run.
+/// Opens a connection and waits [`SETTLE_TIME`] for an immediate reset.
+/// Returns None if the connection was reset: nothing had been written, so the message has certainly not run.
 async fn open_settled(addr: SocketAddr) -> Option<Connection> {
     let connection = Connection::open(addr).await.ok()?;
     tokio::time::sleep(SETTLE_TIME).await;
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -21,8 +21,8 @@
 
 /// Minimum free space of a connection's buffer before each read.
 const READ_AHEAD: usize = 4096;
-/// Size up to which a connection's buffer may grow without a permit. Most commands are shorter, and the memory would
-/// not suffice if all connections had a buffer for the longest command.
+/// Size up to which a connection's buffer may grow without a permit. Most commands are shorter.
+/// The sender's memory would not suffice if all connections had a buffer for the longest command.
 const USUAL_COMMAND_BYTES: usize = 8 * 1024;
 /// Upper bound of an unanswered message's memory besides its body, in bytes.
 const PUT_OVERHEAD: usize = 1024;
@@ -30,17 +30,18 @@
 const MAX_PIPELINE: usize = 64;
 /// Time after which a connection without an open request is closed, including one that never sent anything.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Longest pause within a command. It is below the 3 s after which a client that sends nothing useful must be
-/// disconnected, and above the pause of a slow client between two parts.
+/// Longest pause between two reads of one command; a client that pauses longer is disconnected.
+/// The limit is below the 3 s after which a client that sends nothing useful must be disconnected.
+/// The limit is above the pause that a slow client makes between two parts of a command.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2400);
 /// Longest time for receiving a command: enough for the longest command at 16 KiB a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(8);
-/// At the connection limit, a connection that has been silent for this long before its first command or within a
-/// command is evicted first.
+/// Silence after which a connection is the first to be evicted at the connection limit.
+/// The silence counts before a connection's first command or within a command.
 const EVICT_SILENT_AFTER: Duration = Duration::from_millis(300);
-/// A connection that has been served and has sent no request for this long is evicted next.
+/// Time without a request after which a connection that has been served is the second to be evicted at the limit.
 const EVICT_SERVED_AFTER: Duration = Duration::from_millis(1000);
-/// Time that a new connection gets for its first command while connections are being closed.
+/// Time that a new connection gets for its first command while the sender is closing its clients' connections.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(300);
 /// Time for writing replies; a client that does not read them in this time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -49,14 +50,14 @@
 /// Maximum time for reading and discarding input on a connection that is being closed.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The reply to a command, or the channel on which the reply will arrive. The permit counts the message's bytes until
-/// the reply has arrived.
+/// The reply to a command, or the channel on which the reply will arrive.
+/// The permit counts the message's bytes until the reply has arrived.
 enum PendingReply {
     Text(String),
     Ping,
     FromDriver(oneshot::Receiver<Reply>, OwnedSemaphorePermit),
-    /// The reply of another owner. It is awaited even after the client has closed its sending side: a message that the
-    /// owner has accepted can't be withdrawn.
+    /// The reply of another owner, awaited even after the client has closed its sending side.
+    /// A message that the other owner has accepted can't be withdrawn.
     Forwarded(oneshot::Receiver<Reply>, OwnedSemaphorePermit),
 }
 
@@ -69,7 +70,7 @@
 /// Limits for all connections of one server together.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Maximum number of connections. It is halved while another process of this sender runs.
+    /// Maximum number of open connections; halved while another process of this sender runs.
     pub connections: usize,
     /// Maximum total bytes of incomplete commands that are longer than [`USUAL_COMMAND_BYTES`].
     pub buffers: usize,
@@ -91,11 +92,11 @@
 /// Connection counts that are shared between the servers, the driver and the calls.
 #[derive(Clone, Default)]
 pub struct Shared {
-    /// Clients' connections of this process.
+    /// Number of open connections from clients to this process.
     pub connections: Rc<Cell<usize>>,
-    /// Other members' connections to the forward address of this process.
+    /// Number of open connections from other members to the forward address of this process.
     pub forwarding: Rc<Cell<usize>>,
-    /// Whether descriptors are shared with another process of this sender, the predecessor.
+    /// Whether this process shares its descriptor limit with its predecessor, which still runs.
     pub two_processes: Rc<Cell<bool>>,
 }
 
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Returns the time at which a message was read, by the clock that forwarding uses; 0 without forwarding.
+    /// Returns the current time of the clock that forwarding uses, to date a message just read; 0 without forwarding.
     fn clock(&self) -> Micros {
         match self {
             Origin::Routed(..) => clock::now(),
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Counts a message accepted for another member.
+    /// Counts a message that another member forwarded, if this reply accepts it.
     fn count_reply(&self, reply: &Reply) {
         if let (Origin::Members(placement), Reply::Accepted) = (self, reply) {
             count(&placement.counters.taken_for_others);
@@ -163,17 +164,17 @@
     served: Cell<bool>,
     /// Whether a request is being processed.
     busy: Cell<bool>,
-    /// When the last request was answered, or the connection was accepted.
+    /// When the connection's last request was answered, or else when the connection was accepted.
     idle_since: Cell<Instant>,
-    /// When input was last read.
+    /// When input was last read from the connection.
     last_read: Cell<Instant>,
-    /// Whether an incomplete command has been read.
+    /// Whether the input read so far ends within a command.
     partial: Cell<bool>,
     task: OnceCell<AbortHandle>,
 }
 
 impl ClientEntry {
-    /// Returns the order of eviction, lowest first. Busy connections are never evicted.
+    /// Returns the connection's place in the order of eviction, lowest first. Busy connections are never evicted.
     fn rank(&self, now: Instant) -> (u8, Instant) {
         let last = self.idle_since.get().max(self.last_read.get());
         let silent_for = now.saturating_duration_since(last);
@@ -192,7 +193,7 @@
 
 /// The open connections of one server, and its byte limits.
 struct ClientTable {
-    /// The number of entries, for the driver.
+    /// The number of open connections, shared with the driver.
     open_count: Rc<Cell<usize>>,
     entries: RefCell<BTreeMap<u64, Rc<ClientEntry>>>,
     freed: Notify,
@@ -203,8 +204,8 @@
 }
 
 impl ClientTable {
-    /// Makes room for a new connection. At the limit it evicts an idle one, so that many silent connections can't keep
-    /// out active ones. Returns false if all are busy.
+    /// Makes room for a new connection; returns false if all connections are busy.
+    /// At the limit an idle connection is evicted, so that many silent connections can't keep out active ones.
     async fn make_room(&self, max_connections: usize) -> bool {
         while self.entries.borrow().len() >= max_connections {
             {
@@ -236,13 +237,13 @@
     }
 }
 
-/// A connection and its unprocessed input.
+/// A client's connection and its unprocessed input.
 struct Client {
     socket: TcpStream,
     buf: BytesMut,
     /// When the first byte of the command at the start of `buf` was read.
     command_begun: Instant,
-    /// Whether the client has closed its sending side. It may still read.
+    /// Whether the client has closed its sending side. The client may still read.
     ended: bool,
     /// The permit for a buffer larger than [`USUAL_COMMAND_BYTES`].
     long_command: Option<OwnedSemaphorePermit>,
@@ -344,8 +345,8 @@
         Ok(false)
     }
 
-    /// Closes the connection so that the last reply arrives: closing a socket with unread input resets the connection,
-    /// and the reset can overtake a reply.
+    /// Closes the connection so that the last reply arrives.
+    /// Closing a socket with unread input resets the connection, and the reset can overtake a reply.
     async fn close_gracefully(&mut self) -> std::io::Result<()> {
         self.socket.shutdown().await?;
         let drain = async {
@@ -363,7 +364,7 @@
         Ok(())
     }
 
-    /// Starts processing a command.
+    /// Starts processing a command; returns its reply, or the channel on which the reply will arrive.
     async fn start(&mut self, args: &[Bytes]) -> PendingReply {
         let name = args.first().map(|n| n.to_ascii_uppercase()).unwrap_or_default();
         match name.as_slice() {
@@ -398,9 +399,10 @@
         }
     }
 
-    /// Returns the reply's text, or None if the connection has failed; the dropped channel then notifies the driver. A
-    /// client that has closed its sending side may have left or may still read. Its message is withdrawn and refused if
-    /// it has not been accepted yet, which is harmless in both cases. An accepted message is answered.
+    /// Returns the reply's text, or None if the connection has failed; the dropped channel then notifies the driver.
+    /// A client that has closed its sending side may have left or may still read.
+    /// The message of such a client is withdrawn and refused if it has not been accepted yet: harmless in both cases.
+    /// An accepted message is answered.
     async fn wait(&mut self, answer: PendingReply) -> Option<String> {
         let (mut answer, _counted, wait_to_end) = match answer {
             PendingReply::Text(text) => return Some(text),
@@ -436,8 +438,8 @@
     }
 }
 
-/// Accepts and serves connections until the sender stops and its connections close. A lame duck still accepts
-/// connections: the load balancer sends new ones until its next poll of the sender's readiness.
+/// Accepts and serves connections until the sender stops and its connections close. A lame duck still accepts some:
+/// the load balancer sends new connections until its next poll of the sender's readiness.
 pub async fn serve(
     listener: TcpListener,
     limits: ClientLimits,
@@ -516,7 +518,7 @@
     fn order_of_eviction() {
         let (start, second) = (Instant::now(), Duration::from_secs(1));
         let now = start + 10 * second;
-        // Creates a connection's entry, from whether it was served, has an incomplete command, and its time of silence.
+        // Creates a connection's entry: whether a request was served, whether a command is incomplete, time of silence.
         let entry = |served: bool, partial: bool, silent_for: Duration| ClientEntry {
             served: Cell::new(served),
             busy: Cell::new(false),
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -36,33 +36,34 @@
 use tokio::sync::{mpsc, watch};
 
 const DEFAULT_CONNECT_TIMEOUT_US: i64 = 1_500_000;
-/// Time after the driver's end for writing the last replies.
+/// Time after the driver's end for writing the last replies to clients.
 const FINAL_WRITE_TIME: Duration = Duration::from_millis(20);
-/// Time that a start waits for discovery's list before it uses the one in the configuration.
+/// Time that a start waits for discovery's list before it uses the list in the configuration.
 const FIRST_LIST_WAIT: Duration = Duration::from_millis(500);
-/// Interval at which a start checks whether a list has arrived.
+/// Interval at which a start checks whether discovery's list has arrived.
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Capacity of the driver's input queue. A task that sends to the full queue waits.
 const MAX_QUEUED_INPUTS: usize = 1024;
-/// Descriptors for everything except clients and endpoints: the standard streams, the event queue and its signals, the
-/// listener and a client that is being rejected, the journal and its compacted copy, the configuration, discovery's
-/// list and its next connection, and the notices' connection. These are 16; as many again are kept free.
+/// Descriptors for everything except clients and endpoints: 16 in use, and as many again kept free. In use are
+/// the standard streams, the event queue and its signals, the listener and a client that is being rejected,
+/// the journal and its compacted copy, the configuration, discovery's list and its next connection,
+/// and the notices' connection.
 const OWN_DESCRIPTORS: usize = 32;
 
 /// The largest number of bytes that a semaphore can count; more than any machine's memory.
 const MAX_COUNTED_BYTES: usize = tokio::sync::Semaphore::MAX_PERMITS;
 
-/// Descriptors of the management interface: its connections, one more while the oldest is being closed, and the
-/// listener.
+/// Descriptors of the management interface: the listener, the connections,
+/// and one more connection while the oldest is being closed.
 const MGMT_DESCRIPTORS: usize = mgmt::MAX_CALLERS + 2;
 
-/// Descriptors of placement besides the connections to other members: the listener for them, the connection to a
-/// control agent, and the state file.
+/// Descriptors of placement besides the connections to other members: the listener for other members,
+/// the connection to a control agent, and the state file.
 const PLACEMENT_DESCRIPTORS: usize = 3;
 /// Time that a start waits for a control agent's response.
 const MEMBER_LIST_WAIT: Duration = Duration::from_secs(2);
-/// Time that a start waits for the table to be built from the member list, which takes up to a second at full size, and
-/// more on a busy machine.
+/// Time that a start waits for the placement table to be built from the member list.
+/// Building the table takes up to a second at full size, and more on a busy machine.
 const TABLE_WAIT: Duration = Duration::from_secs(8);
 /// Interval of the attempts to bind the forward address, which the predecessor may still use.
 const FORWARD_BIND_INTERVAL: Duration = Duration::from_millis(50);
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Returns the number of idle connections to endpoints: the descriptors that clients, calls, probes, other members
-    /// and the sender's own files leave.
+    /// Returns the maximum number of idle connections to endpoints: the descriptors that are left
+    /// by clients, calls, probes, other members and the sender's own files.
     fn max_idle_connections(&self, slots: usize, mgmt: bool, placement: Option<&PlacementOptions>) -> usize {
         let mgmt = if mgmt { MGMT_DESCRIPTORS } else { 0 };
         let members = placement.map_or(0, |options| options.max_owner_connections + PLACEMENT_DESCRIPTORS);
@@ -135,7 +136,7 @@
         Ok(Self::read_with_value(path)?.0)
     }
 
-    /// Reads a configuration file. Returns it also as JSON, without the content of the known list.
+    /// Reads a configuration file. Returns the configuration also as JSON, without the content of the list `known`.
     fn read_with_value(path: &Path) -> Result<(Self, Value), String> {
         let at = |e: &dyn Display| format!("{}: {e}", path.display());
         let text = std::fs::read_to_string(path).map_err(|e| at(&e))?;
@@ -148,7 +149,7 @@
         Ok((config, value))
     }
 
-    /// Converts and checks a file's content. An error names the field's path.
+    /// Converts and checks the content of a configuration file. An error names the field's path.
     fn of(value: Value) -> Result<Self, String> {
         let config: Config =
             serde_path_to_error::deserialize(without_nulls(value)).map_err(|e| e.to_string())?;
@@ -166,7 +167,7 @@
     names.into_iter().zip(settings).map(facts).collect()
 }
 
-/// Removes the fields that are null, so that their defaults apply.
+/// Removes the configuration's fields that are null, so that their defaults apply.
 fn without_nulls(value: Value) -> Value {
     match value {
         Value::Object(fields) => {
@@ -187,7 +188,7 @@
 struct ReloadedConfig {
     discovery: SocketAddr,
     classes: Vec<(String, ClassSettings)>,
-    /// The file's content.
+    /// The content of the configuration file.
     value: Value,
 }
 
@@ -207,15 +208,15 @@
 /// The file to reload, the running configuration, and the channels for the reloaded parts.
 struct Reload {
     path: PathBuf,
-    /// The running configuration.
+    /// The configuration that the sender runs with, as JSON.
     running: Value,
     discovery: watch::Sender<SocketAddr>,
     metrics: Rc<Metrics>,
     inputs: mpsc::Sender<Input>,
 }
 
-/// Reloads the configuration at each SIGHUP. Applies discovery's address, the classes and the number of attempts; the
-/// rest takes effect at the next start. A file that can't be read or has any error changes nothing.
+/// Reloads the configuration at each SIGHUP. Applies discovery's address, the classes and the number of attempts.
+/// The other settings take effect at the next start. A file that can't be read or has any error changes nothing.
 async fn reload(mut to: Reload, mut hang_up: Signal) {
     while hang_up.recv().await.is_some() {
         match ReloadedConfig::read(&to.path, &to.running) {
@@ -240,8 +241,8 @@
     }
 }
 
-/// Returns the management interface's address: `LB_MGMT`, which each process may set differently, or else the
-/// configuration's.
+/// Returns the management interface's address: the value of `LB_MGMT`, which each process may set differently,
+/// or else the address in the configuration.
 fn mgmt_address(configured: Option<SocketAddr>) -> Result<Option<SocketAddr>, String> {
     match std::env::var("LB_MGMT") {
         Ok(addr) if !addr.is_empty() => {
@@ -253,14 +254,14 @@
 
 /// How this process obtains its journal and the clients' listening socket.
 enum Startup {
-    /// It opens both at once.
+    /// The process opens the journal and the listening socket at its start, without waiting.
     Standalone(Box<journal::Journal>, TcpListener),
-    /// It inherits the socket from the platform; the journal may still belong to another process.
+    /// The process inherits the listening socket from the platform; the journal may still belong to another process.
     InheritedSocket(std::net::TcpListener),
 }
 
-/// Reads the operator's options file, named on the command line or else by `LB_OPTIONS`. Without either, all options
-/// are off.
+/// Reads the operator's options file, which the command line or else `LB_OPTIONS` names.
+/// Without an options file all options are off.
 fn operator_options(file: Option<PathBuf>, classes: &[ClassFacts]) -> Result<Options, OptionsError> {
     let named = || std::env::var_os("LB_OPTIONS").filter(|name| !name.is_empty()).map(PathBuf::from);
     match file.or_else(named) {
@@ -269,7 +270,7 @@
     }
 }
 
-/// Retains the destinations of all messages that an earlier run left, whichever sender owns them now.
+/// Retains the destinations of all messages that an earlier run left, whichever sender owns these destinations now.
 fn retain_destinations(placement: &Placement, journal: &journal::Journal) {
     for (id, entry) in journal.entries() {
         if entry.progress.end.is_none() {
@@ -294,7 +295,7 @@
     }
 }
 
-/// Returns the part of a list that this sender retains.
+/// Returns the part of an endpoint list that this sender retains; without placement the complete list.
 fn owned_part(mut list: Listing, placement: Option<&Placement>) -> Listing {
     if let Some(placement) = placement {
         list.endpoints.retain(|line| placement.retains(line.group));
@@ -316,12 +317,13 @@
 /// Builds the daemon's parts and runs them until the driver ends.
 async fn serve(options_file: Option<PathBuf>) -> Result<(), Box<dyn Error>> {
     let inherited = inherited_socket::listener()?;
-    // The handlers are installed before anything is awaited: by default either signal ends the process.
+    // The signal handlers are installed before anything is awaited: by default SIGTERM or SIGHUP ends the process.
     let (mut terminate, hang_up) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
     let required_variable = |name: &str| std::env::var(name).map_err(|_| format!("{name} is not set"));
     let path = PathBuf::from(required_variable("LB_CONFIG")?);
     let (mut config, running) = Config::read_with_value(&path)?;
-    // All checks come before a client can connect: a client whose connection ends without a reply has lost its message.
+    // All settings are checked before a client can connect: a client whose connection ends without a reply
+    // has lost its message.
     let names = config.settings.names();
     let connect_timeout =
         config.settings.connect_timeout().filter(|t| *t > 0).unwrap_or(DEFAULT_CONNECT_TIMEOUT_US);
@@ -382,7 +384,7 @@
         config.known = None;
     }
     let (discovery, follow_discovery) = watch::channel(config.discovery);
-    // Version 0 in the configuration means that there is no list yet, unless it has endpoints and polls cost work.
+    // Version 0 in the configuration means that there is no list yet, unless it has endpoints and polls are costly.
     let index =
         config.known.as_ref().filter(|l| l.index > 0 || (ask_every.is_some() && !l.endpoints.is_empty()));
     let index = index.map(|l| l.index);
@@ -411,8 +413,8 @@
         // The dispatcher shares a destination's limit among this many senders.
         settings.senders = placement.fix_sharers();
     }
-    // A process that waits for the journal may get discovery's list long before. The configuration's older list is
-    // applied now, so that it can't overwrite discovery's list later.
+    // A process that waits for the journal may get discovery's list long before the journal.
+    // The configuration's older list is applied now, so that it can't overwrite discovery's list later.
     let known = InitialList::from_config(config.known.map(|list| owned_part(list, placement.as_deref())));
     let taken = match &known {
         InitialList::Configured(list) if matches!(startup, Startup::InheritedSocket(_)) => {
@@ -441,7 +443,7 @@
     let (journal, handover, listener) = match startup {
         Startup::Standalone(journal, listener) => (*journal, None, listener),
         Startup::InheritedSocket(socket) => {
-            // Steps that need no journal come first, to shorten the time in which no process serves.
+            // Steps of the start that need no journal come first, to shorten the time in which no process serves.
             let begun = tokio::time::Instant::now();
             while inbox.is_empty() && begun.elapsed() < list_wait {
                 tokio::time::sleep(LIST_POLL_INTERVAL).await;
@@ -524,9 +526,9 @@
     Ok(())
 }
 
-/// Runs the sender with the configuration in `LB_CONFIG` and the state folder in `LB_STATE`, until it has received the
-/// stop signal and has stopped. The operator's options are read from `options`, or else from the file that `LB_OPTIONS`
-/// names.
+/// Runs the sender with the configuration in `LB_CONFIG` and the state folder in `LB_STATE`, until the sender
+/// has received the stop signal and has stopped.
+/// The operator's options are read from `options`, or else from the file that `LB_OPTIONS` names.
 ///
 /// # Errors
 /// The start failed; the message names the variable, the configuration, the options, the journal or the listen address.
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -1,6 +1,7 @@
-//! The driver passes events to the decision module (the dispatcher) in rounds, and executes the actions that the
-//! dispatcher returns. The submodule `start` restores the state from a journal or a predecessor, `handover` replaces
-//! one process by another, and `recovered` counts the messages that a restart recovered unattempted.
+//! The driver passes events to the decision module (the dispatcher) in rounds, and executes the actions returned.
+//! The submodule `start` restores the state from a journal or a predecessor.
+//! The submodule `handover` replaces one process by another.
+//! The submodule `recovered` counts the messages that a restart recovered unattempted.
 
 mod handover;
 mod recovered;
@@ -42,14 +43,14 @@
 const CALL_DEADLINE_US: Micros = 3_300_000;
 /// Time from SIGTERM until the process exits even with open messages: the platform kills it soon after.
 const EXIT_DEADLINE_US: Micros = 3_500_000;
-/// Interval of closing expired idle connections; also the longest time between two rounds.
+/// Interval at which expired idle connections are closed; also the longest time between two rounds.
 const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
 /// Placeholder for a message's remaining time, which [`Driver::set_time_left`] fills in when the round begins.
 const SET_IN_ROUND: Micros = 0;
 /// Error reply for a destination that is in no listing.
 const UNKNOWN_DESTINATION: &str = "unknown destination";
 
-/// State of a message that has not ended, in addition to its journal entry.
+/// State of a message that has not ended, in addition to the message's journal entry.
 #[derive(Default)]
 struct PendingMessage {
     attempts: u32,
@@ -92,12 +93,12 @@
     dispatcher: Dispatcher,
     names: Names,
     kinds: Vec<KindSettings>,
-    /// The classes' rules. A row's number is the class index that the dispatcher uses.
+    /// The rules of the message classes. A row's number is the class index that the dispatcher uses.
     class_table: ClassTable,
     quantum: Micros,
     list_wait: Duration,
     max_open: usize,
-    /// Retry time in the reply to a client whose message finds no room; equal to the dispatcher's in its refusals.
+    /// Retry time in the reply to a client whose message finds no room; the dispatcher's refusals give the same time.
     retry_after_ms: u64,
     journal: Rc<RefCell<Journal>>,
     endpoints: Rc<RefCell<EndpointTable>>,
@@ -187,8 +188,8 @@
         loop {
             let timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
             let pending_events = if self.events.is_empty() { Micros::MAX } else { last_round };
-            // There is at most one round per quantum. Rounds also run without events, for conditions that depend on the
-            // clock alone.
+            // There is at most one round per quantum.
+            // Rounds also run without events, for conditions that depend on the clock alone.
             let wake = timer.min(pending_events).max(last_round + self.quantum);
             let wake = wake.min(last_round + IDLE_SWEEP_INTERVAL_US).min(self.next_exit_check(last_round));
             tokio::select! {
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Queues an input as an event for the next round, and updates the state that does not depend on that round.
+    /// Queues an input as an event for the next round, and updates the state that does not depend on a round.
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Put(put, reply) => self.handle_put(put, reply),
@@ -267,8 +268,8 @@
         self.events.push(Event::Listing { complete: full, entries });
     }
 
-    /// Writes to the journal. A failed write is logged and nothing is undone: after a restart the attempt or the
-    /// notice may be repeated.
+    /// Writes to the journal. A failed write is logged and nothing is undone.
+    /// After a failed write, a restart may repeat the attempt or the notice.
     fn write_journal(&mut self, write: impl FnOnce(&mut Journal) -> std::io::Result<()>) {
         if let Err(e) = write(&mut self.journal.borrow_mut()) {
             eprintln!("journal: write failed, a restart may repeat an attempt or a notice: {e}");
@@ -278,8 +279,8 @@
     /// Queues a new message as an event, or rejects it at once.
     fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
-            // The client has sent the message on a second connection. Until the message is in the journal it may still
-            // be rejected, so it must not be reported as accepted: the client would not send it again.
+            // The client has sent the message on a second connection. Until the message is in the journal,
+            // the message must not be reported as accepted: a client whose message is rejected later would not retry.
             let written = self.journal.borrow().get(id.0).is_some();
             _ = reply.send(if written { Reply::Accepted } else { Reply::Busy { retry_after_ms: 0 } });
             return;
@@ -348,7 +349,7 @@
         if !tenants.is_empty() && !tenants.contains(&put.tenant) {
             Err("unknown tenant")
         } else if put.time_left > class.deadline + 1000 {
-            // Clients send the time in whole milliseconds, so it may be up to 1 ms over.
+            // Clients send the remaining time in whole milliseconds, so it may exceed the class's time by up to 1 ms.
             Err("field 'd' is more than the class's time")
         } else if !self.endpoints.borrow().knows(DestId(put.dest)) {
             Err(UNKNOWN_DESTINATION)
@@ -359,7 +360,7 @@
         }
     }
 
-    /// Closes the messages that a call has ended, records the other attempts' ends, and queues the outcomes.
+    /// Closes the messages that a call has ended, records the ends of the call's other attempts, queues the outcomes.
     fn handle_call_end(&mut self, call: u64, call_end: CallEnd) {
         self.calls_in_flight.remove(&call);
         let CallEnd { endpoint, outcomes, elapsed, wait, report } = call_end;
@@ -452,9 +453,10 @@
         self.metrics.outstanding.set(self.pending.len() - self.unanswered_puts.len());
     }
 
-    /// Sets each new message's remaining time as of this round. The round may run a quantum after the message was read,
-    /// or later at a start with a long journal. With the remaining time as of reading, the dispatcher would end the
-    /// message too late, and a response after the deadline would not count.
+    /// Sets each new message's remaining time as of this round.
+    /// The round may run a quantum after the message was read, or later at a start with a long journal.
+    /// With the remaining time as of reading, the dispatcher would end the message too late:
+    /// a response after the deadline would not count.
     fn set_time_left(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
         for event in events {
@@ -469,8 +471,8 @@
         }
     }
 
-    /// Replies to the clients whose messages entered this round. A refusal is sent at once; an acceptance is sent after
-    /// the message has been written to the journal.
+    /// Replies to the clients whose messages entered this round.
+    /// A refusal is sent at once; an acceptance is sent after the message has been written to the journal.
     fn answer_puts(&mut self, events: &[Event], actions: &[Action]) {
         let mut answers: BTreeMap<MsgId, Reply> = BTreeMap::new();
         if self.unanswered_puts.is_empty() {
@@ -570,8 +572,8 @@
         }
     }
 
-    /// Ends an undelivered message and queues its notice. Does nothing if the message was already answered with a
-    /// refusal.
+    /// Ends an undelivered message and queues its notice.
+    /// Does nothing if the message was already answered with a refusal.
     fn end_undelivered(&mut self, id: MsgId, end: End) {
         if !self.remove_pending(id) {
             return;
@@ -651,13 +653,13 @@
             (self.calls.clone(), self.journal.clone(), self.inputs.clone(), self.clock);
         tokio::task::spawn_local(async move {
             let begin = || {
-                // A repeat must not be sent after the key window, in which the destination recognises the key, even if
-                // the connection took long to open.
+                // A repeat must not be sent after the key window, in which the destination recognises the key.
+                // The check comes after the connection has opened, which may have taken long.
                 if clock.now() >= key_window_end {
                     return Vec::new();
                 }
-                // A message that ended while the connection was opening must not be sent either: its client may already
-                // have been notified of the end.
+                // A message that ended while the connection was opening must not be sent:
+                // the client may already have been notified of the message's end.
                 let open =
                     |id: &MsgId| journal.borrow().get(id.0).is_some_and(|entry| entry.progress.end.is_none());
                 let wanted: Vec<MsgId> = spec.items.iter().map(|i| i.id).filter(open).collect();
@@ -678,7 +680,7 @@
         });
     }
 
-    /// Returns the lane to which a wait applies that this endpoint advertises.
+    /// Returns the lane to which a wait advertised by this endpoint applies.
     fn lane(&self, id: EndpointId, endpoint: &Endpoint) -> Lane {
         let separate_routes = self.kinds.get(endpoint.kind).is_some_and(|kind| kind.separate_routes);
         if separate_routes { Lane::Route(id) } else { Lane::Whole(endpoint.dest) }
@@ -724,8 +726,8 @@
         }
     }
 
-    /// Returns the next time at which the result of [`Driver::can_exit`] may change by the clock alone. Without this
-    /// wake-up the process could notice its exit time too late, at a later round, and be killed before.
+    /// Returns the next time at which the result of [`Driver::can_exit`] may change by the clock alone.
+    /// Without a wake-up then, the process could notice its exit time only at a later round, and be killed before.
     fn next_exit_check(&self, last_round: Micros) -> Micros {
         let phases = self.stopping.into_iter().flat_map(|t| [t + MIN_STAY_US, t + EXIT_DEADLINE_US]);
         phases.filter(|at| *at > last_round).min().unwrap_or(Micros::MAX)
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -23,7 +23,7 @@
 
 /// Upper bound of a rules record's size.
 const MAX_RULES_BYTES: u64 = 96;
-/// Number of draining or gone endpoints that are recorded.
+/// Maximum number of draining or gone endpoints that the journal records.
 const MAX_NOT_READY: usize = 500;
 
 /// A message as the client submitted it. Times are wall-clock microseconds.
@@ -79,7 +79,7 @@
         let effect = match rules.effect {
             0 => Effect::Safe,
             1 => Effect::Keyed,
-            // Values that a later version may write are read as the most restrictive one.
+            // An effect value that a later version may write is read as the most restrictive effect.
             _ => Effect::Unsafe,
         };
         let group = match rules.group {
@@ -101,23 +101,23 @@
     }
 }
 
-/// An attempt: the endpoint's name and the time.
+/// An attempt: the endpoint's name and the time at which the attempt began.
 pub type Attempt = (String, Micros);
 
-/// The progress of a message.
+/// The progress of a message: its attempts and its end.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
     pub attempts: u32,
-    /// The attempt that has no outcome yet.
+    /// The message's attempt that has no outcome yet, if there is one.
     pub in_flight: Option<Attempt>,
-    /// The first attempt that may have run.
+    /// The message's first ended attempt that the endpoint may have run.
     pub may_have_run: Option<Attempt>,
     /// The message's end, until the platform has confirmed the notice.
     pub end: Option<End>,
 }
 
 impl Progress {
-    /// Returns the first attempt that may have run, which includes the one in flight.
+    /// Returns the first attempt that the endpoint may have run; the attempt in flight counts as well.
     pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.may_have_run.as_ref().or(self.in_flight.as_ref())
     }
@@ -187,16 +187,16 @@
     NoticesConfirmed(Vec<u64>),
     EndpointHealth(String, Option<EndpointCondition>),
     EndpointListed(String, Option<u64>),
-    /// Class rules and their number. Written before the first message that is accepted under them.
+    /// Class rules and their number. Written before the first message that is accepted under these rules.
     Rules(u32, Rules),
-    /// Like `Message`, with the number of its rules.
+    /// A message and its progress as in `Message`, preceded by the number of the class rules for the message.
     MessageUnderRules(u32, u64, Accepted, Progress),
     ReceiverHealth(Receiver, Option<ReceiverCondition>),
-    /// Marks that receivers' health is recorded from here on: a receiver without a record was healthy.
+    /// Marks that the journal records receivers' health from here on: a receiver without a record was healthy.
     ReceiversRecorded,
 }
 
-/// A message in the journal.
+/// A message in the journal, with its progress.
 #[derive(Debug)]
 pub struct Entry {
     pub accepted: Accepted,
@@ -216,12 +216,12 @@
     entries: BTreeMap<u64, Entry>,
     health: BTreeMap<String, EndpointCondition>,
     receivers: BTreeMap<Receiver, ReceiverCondition>,
-    /// Whether the journal records receivers' health, so that a receiver without a record was healthy. Journals of
-    /// earlier versions do not.
+    /// Whether the journal records receivers' health, so that a receiver without a record was healthy.
+    /// Journals of earlier versions do not record receivers' health.
     receivers_recorded: bool,
-    /// Endpoints listed as draining or gone, with the version of that listing.
+    /// Endpoints listed as draining or gone, each with the version of the listing that says so.
     not_ready: BTreeMap<String, u64>,
-    /// Rules by number. Compaction drops rules that no message refers to.
+    /// Class rules by number. Compaction drops rules that no message refers to.
     rules: BTreeMap<u32, Rules>,
     live_bytes: u64,
     next_number: u64,
@@ -250,8 +250,8 @@
 }
 
 impl Journal {
-    /// Opens the journal in `folder` and replays it. A truncated last record, as a killed process may leave, is cut
-    /// off.
+    /// Opens the journal in `folder` and replays its records.
+    /// A truncated last record, as a killed process may leave, is cut off.
     pub fn open(folder: &Path, limit: u64) -> io::Result<Journal> {
         let path = folder.join("journal");
         match fs::remove_file(path.with_extension("new")) {
@@ -293,7 +293,7 @@
         Ok(journal)
     }
 
-    /// Applies a record to the state in memory.
+    /// Applies a record to the journal's state in memory.
     fn apply(&mut self, record: Record, size: u64) {
         match record {
             Record::Message(id, accepted, progress) => self.insert(id, accepted, progress, None, size),
@@ -355,8 +355,8 @@
         self.live_bytes + 160 * self.entries.len() as u64 + 96 * (names + self.rules.len()) as u64
     }
 
-    /// Appends a record if the file and its compacted copy together stay below the size limit. `reserve` is the number
-    /// of bytes to be left free for other records.
+    /// Appends a record if the file and its compacted copy together stay below the size limit.
+    /// `reserve` is the number of bytes to be left free for other records.
     fn append(&mut self, record: Record, reserve: u64) -> io::Result<()> {
         let frame = encode(&record)?;
         self.make_room(frame.len() as u64, reserve)?;
@@ -394,7 +394,7 @@
         Ok(())
     }
 
-    /// Writes the current state to a new file and renames it over the old one.
+    /// Writes the current state to a new journal file and renames it over the old file.
     fn compact(&mut self) -> io::Result<()> {
         if self.len + self.compacted_len() > self.limit {
             return Ok(());
@@ -439,7 +439,7 @@
         Ok(())
     }
 
-    /// Records a message accepted under these rules. After an error the message has not been accepted.
+    /// Records a message accepted under the rules in `class`. After an error the message has not been accepted.
     pub fn accept(&mut self, id: u64, accepted: Accepted, class: &ClassSettings) -> io::Result<()> {
         let reserve = (self.limit as f64 * OUTCOME_RESERVE) as u64;
         let rules = Rules::from(class);
@@ -461,7 +461,7 @@
         self.rules.get(&entry.rules?).map(ClassSettings::from)
     }
 
-    /// Returns a new message number.
+    /// Returns a message number that has not been assigned yet.
     pub fn allocate_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number - 1
@@ -477,7 +477,7 @@
         self.next_number
     }
 
-    /// Closes or opens the journal for writing. The journal is closed while another process owns it.
+    /// Closes or opens the journal for writing. The journal is closed while another process of this sender owns it.
     pub fn set_closed(&mut self, closed: bool) {
         self.closed = closed;
     }
@@ -487,7 +487,7 @@
         self.append(Record::AttemptStarted(ids, (endpoint.to_string(), at)), 0)
     }
 
-    /// Records the end of the attempt in flight.
+    /// Records the end of a message's attempt in flight.
     pub fn record_attempt_settled(&mut self, id: u64, may_have_run: bool) -> io::Result<()> {
         if self.entries.get(&id).is_none_or(|e| e.progress.in_flight.is_none()) {
             return Ok(());
@@ -495,13 +495,13 @@
         self.append(Record::AttemptSettled(id, may_have_run), 0)
     }
 
-    /// Records a message's end. [`End::Closed`] removes the message; after any other end the message stays until the
-    /// platform has confirmed its notice.
+    /// Records a message's end. [`End::Closed`] removes the message.
+    /// After any other end the message stays in the journal until the platform has confirmed its notice.
     pub fn record_message_ended(&mut self, id: u64, end: End) -> io::Result<()> {
         if self.entries.contains_key(&id) { self.append(Record::Ended(id, end), 0) } else { Ok(()) }
     }
 
-    /// Records that the platform has confirmed the notices of these messages.
+    /// Records that the platform has confirmed the notices of the messages `ids`.
     pub fn record_notices_confirmed(&mut self, ids: Vec<u64>) -> io::Result<()> {
         self.append(Record::NoticesConfirmed(ids), 0)
     }
@@ -521,7 +521,7 @@
         Ok(())
     }
 
-    /// Records the changes in the receivers' health. From then on a receiver without a record is known to be healthy.
+    /// Records the changes in the receivers' health. From the first call on, a receiver without a record is healthy.
     pub fn record_receiver_health(&mut self, now: &BTreeMap<Receiver, ReceiverHealth>) -> io::Result<()> {
         let recovered = self.receivers.keys().filter(|r| !now.contains_key(*r)).map(|r| (r.clone(), None));
         let unhealthy =
@@ -537,8 +537,8 @@
         Ok(())
     }
 
-    /// Records which endpoints are listed as draining or gone. A restarted sender may be configured with an older list,
-    /// and must not send to these endpoints while discovery does not answer.
+    /// Records which endpoints are listed as draining or gone. A restarted sender may be configured with an older list.
+    /// It must not send to draining or gone endpoints while discovery does not answer.
     pub fn record_endpoints_listed(&mut self, index: u64, lines: &[(String, bool)]) -> io::Result<()> {
         let mut changes: Vec<(String, Option<u64>)> = Vec::new();
         for (name, ready) in lines {
@@ -548,7 +548,7 @@
                 _ => {}
             }
         }
-        // The oldest entries are dropped: a configured list is not old enough to contain their endpoints.
+        // Drops the oldest of the endpoints not ready: a configured list is not old enough to contain them.
         let surplus = self.not_ready.len().saturating_sub(MAX_NOT_READY);
         let mut by_age: Vec<(u64, String)> = self.not_ready.iter().map(|(n, i)| (*i, n.clone())).collect();
         by_age.sort();
@@ -580,18 +580,18 @@
         self.receivers.iter().map(|(receiver, condition)| (receiver, ReceiverHealth::from(*condition)))
     }
 
-    /// Whether receivers' health is recorded, so that a receiver without a record was healthy. Journals of earlier
-    /// versions do not record it.
+    /// Whether the journal records receivers' health, so that a receiver without a record was healthy.
+    /// Journals of earlier versions do not record receivers' health.
     pub fn has_receiver_records(&self) -> bool {
         self.receivers_recorded
     }
 
-    /// Returns a message's entry.
+    /// Returns the journal's entry for a message, if the message has one.
     pub fn get(&self, id: u64) -> Option<&Entry> {
         self.entries.get(&id)
     }
 
-    /// Returns all entries, by number.
+    /// Returns the entries of all messages, ordered by message number.
     pub fn entries(&self) -> impl Iterator<Item = (u64, &Entry)> {
         self.entries.iter().map(|(id, e)| (*id, e))
     }
