--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -1,5 +1,5 @@
-//! An HTTP/1.1 client connection to an endpoint, discovery, the platform or a control agent, with a record of the
-//! traffic on its socket.
+//! An HTTP/1.1 client connection to an endpoint, discovery, the platform or a control agent.
+//! The connection records the traffic on its socket.
 
 use bytes::{Bytes, BytesMut};
 use embershore_protocol::call::parse_status;
@@ -19,10 +19,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Limit of a response's head, and of the read buffer.
+/// Size limit of a response's head, and of the read buffer.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Time from a response's first byte to its end. A malformed response may never end, and its call would hold a slot
-/// until its timeout.
+/// Maximum time from a response's first byte to its end.
+/// A malformed response may never end, and its call would hold a slot until the call's timeout.
 const COMPLETION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The traffic on a socket, as far as a call's outcome depends on it and hyper does not report it.
@@ -31,7 +31,7 @@
     pub written: Cell<u64>,
     /// The value of `written` at the last flush, when a request had been written completely.
     pub flushed: Cell<u64>,
-    /// Called once the next request has been written.
+    /// Function to call once the next request has been written.
     on_written: Cell<Option<Box<dyn FnOnce()>>>,
     /// Whether a request is in flight and its response's status line has not been read.
     awaiting_response: Cell<bool>,
@@ -55,7 +55,7 @@
         self.status.set(None);
     }
 
-    /// Waits until a response that has begun exceeds [`COMPLETION_TIMEOUT`]. To be polled together with the read.
+    /// Waits until a response that has begun exceeds [`COMPLETION_TIMEOUT`]. To be polled while the response is read.
     pub async fn response_overdue(&self) {
         loop {
             let began =
@@ -68,10 +68,11 @@
     }
 }
 
-/// A socket that records when a request's last byte has been written, and the status in the response's status line,
-/// which decides a call's outcome even if the rest can't be read. The flush shows that the last byte has been written:
-/// hyper flushes once its buffer is empty, and a request's head and body enter that buffer together. The socket drops
-/// 1xx responses, since hyper would treat a 101 as the end of HTTP on the connection.
+/// A socket that records when a request's last byte has been written, and the status in the response's status line.
+/// The status decides a call's outcome even if the rest of the response can't be read.
+/// The flush shows that the request's last byte has been written: hyper flushes once its buffer is empty,
+/// and a request's head and body enter hyper's buffer together.
+/// The socket drops 1xx responses, since hyper would treat a 101 as the end of HTTP on the connection.
 struct Socket<S = TcpStream> {
     stream: S,
     traffic: Rc<Traffic>,
@@ -84,8 +85,8 @@
         Socket { stream, traffic, unread: BytesMut::new() }
     }
 
-    /// Scans the bytes not passed on yet: drops complete 1xx responses, and stops waiting once the status line is known
-    /// or the head is too long.
+    /// Scans the bytes not passed on to hyper yet, and drops complete 1xx responses.
+    /// The scan stops waiting for a response once the status line is known or the head is too long.
     fn scan_head(&mut self) {
         let traffic = &self.traffic;
         while let Some(end) = self.unread.iter().position(|b| *b == b'\n') {
@@ -164,8 +165,8 @@
 
 type Driver = http1::Connection<TokioIo<Socket>, Full<Bytes>>;
 
-/// An HTTP/1.1 connection. No background task drives it, so that dropping it closes the socket at once: an abandoned
-/// call is never still in flight when the message's next call begins.
+/// An HTTP/1.1 connection that no background task drives, so that dropping it closes the socket at once.
+/// An abandoned call is therefore never still in flight when the message's next call begins.
 pub struct Connection {
     requests: http1::SendRequest<Full<Bytes>>,
     driver: Option<Driver>,
@@ -176,7 +177,7 @@
 }
 
 impl Connection {
-    /// Connects to `addr`.
+    /// Connects to the peer at `addr`.
     pub async fn open(addr: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(addr).await?;
         stream.set_nodelay(true)?;
@@ -213,8 +214,8 @@
         let mut driver = self.driver.take();
         let mut answer = pin!(answer);
         let result = std::future::poll_fn(|cx| {
-            // The request is polled twice: the connection's driver writes the request that the first poll passed to it,
-            // and the response may be complete after that.
+            // The request is polled twice. The connection's driver writes the request that the first poll passed to it.
+            // The response may be complete after the driver has run.
             if let Poll::Ready(r) = answer.as_mut().poll(cx) {
                 return Poll::Ready(r);
             }
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -20,21 +20,23 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// A watch on which nothing complete arrives for this long counts as dead, even if single bytes arrive: discovery sends
-/// something every 2 s. A change that a silent watch misses must be applied within 6 s of the start of the silence. The
-/// timeout leaves time for one poll that hangs and another that is answered.
+/// Time without a complete line after which a watch counts as dead, even if single bytes arrive.
+/// Discovery sends something every 2 s on a watch.
+/// A change that a silent watch misses must be applied within 6 s of the start of the silence.
+/// The timeout leaves time for one poll that hangs and another poll that is answered.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Timeout for a response's head, which arrives at once unless discovery is down. When discovery is back, a drain that
-/// it reports must be applied at once, so that no poll may hang for long.
+/// Timeout for the head of discovery's response, which arrives at once unless discovery is down.
+/// When discovery is back, a drain that it reports must be applied at once, so that no poll may hang for long.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Timeout for a response's head where polls cost discovery work: a poll may be queued that long.
+/// Timeout for the head of discovery's response where polls cost discovery work: discovery may queue a poll that long.
 const COSTLY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time for reading a listing of which only the owned part is stored; the listing may be long.
 const FILTERED_LIST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Follows the listing for ever. The endpoint table is updated as soon as a line is read, so that a drain stops calls
-/// that have not begun; the driver receives the changes in order. When discovery's address changes, the new address is
-/// polled at once for the complete listing, since it may not know the version that the old address last sent.
+/// Follows the endpoint listing for ever; the driver receives the changes in order.
+/// The endpoint table is updated as soon as a line is read, so that a drain stops calls that have not begun.
+/// When discovery's address changes, the new address is polled at once for the complete listing:
+/// the new address may not know the version that the old address last sent.
 ///
 /// `index` is the version of the known listing, if there is one.
 pub async fn follow(
@@ -44,7 +46,7 @@
     sink: ListingSink,
 ) {
     let mut pause = if index.is_some() { schedule.spread_delay() } else { Duration::ZERO };
-    // The last version from this address, which stays in force after a listing that is too long.
+    // The last listing version from the current address; it stays in force after a listing that is too long.
     let mut in_force = index;
     loop {
         let (at, before) = (*addr.borrow_and_update(), index);
@@ -68,12 +70,13 @@
                 (None, Ok(_)) => {}
             }
             // A watch counts as useful if it brought a new version or stayed open for longer than the stall timeout.
-            // One line without a change, a poll that hung, or a version that was dropped does not make it useful.
+            // One line without a change, a poll that hung, or a version that was dropped does not make a watch useful.
             let (took, advanced) = (begun.elapsed(), index.is_some() && index != before);
             let useful = opened && (advanced || took > STALL_TIMEOUT);
             if rejected.is_some() {
-                // If the complete listing is too long, the changes since the last accepted listing may be short enough,
-                // and the other way round. The next poll requests the form that was not rejected.
+                // If the complete listing is too long, the changes since the last accepted listing may be short enough.
+                // If the changes are too long, the complete listing may be short enough.
+                // The next poll requests the form of listing that was not rejected.
                 index = if before.is_some() { None } else { in_force };
                 WatchEnd::Rejected(took)
             } else if timed_out {
@@ -113,23 +116,23 @@
     Broken,
     /// The watch was useful, and discovery ended it.
     Closed,
-    /// The watch failed, this long after it was begun.
+    /// The watch failed; the duration is the time since the watch was begun.
     Failed(Duration),
-    /// The watch received a listing that is too long, this long after it was begun.
+    /// The watch received a listing above the size limit; the duration is the time since the watch was begun.
     Rejected(Duration),
-    /// The complete listing has to be read again, since this sender owns other destinations now.
+    /// The watch ended because the complete listing has to be read again: this sender owns other destinations now.
     RereadRequested,
 }
 
 /// Why a watch ended without an error.
 enum WatchStop {
-    /// Discovery closed the connection.
+    /// Discovery closed the watch's connection.
     Connection,
-    /// The complete listing has to be read again.
+    /// A reading of the complete listing was requested while the watch was open.
     RereadRequested,
 }
 
-/// Receives the listings, and decides which part of them is stored.
+/// Receives discovery's listings, and decides which part of them is stored.
 pub struct ListingSink {
     pub endpoints: Rc<RefCell<EndpointTable>>,
     pub driver: mpsc::Sender<Input>,
@@ -140,8 +143,9 @@
 }
 
 impl ListingSink {
-    /// Applies a listing to the endpoint table and sends the changes to the driver. The channel's slot is reserved
-    /// first: a change of discovery's address may cancel that wait, and the table must not be ahead of the driver.
+    /// Applies a listing to the endpoint table and sends the changes to the driver.
+    /// The slot in the driver's channel is reserved first, since a change of discovery's address may cancel the wait
+    /// for a slot, and the table must not be ahead of the driver.
     async fn apply(&self, listing: Listing) -> io::Result<()> {
         let slot = self.driver.reserve().await.map_err(io::Error::other)?;
         let entries = self.endpoints.borrow_mut().apply(&listing);
@@ -173,8 +177,8 @@
         }
     }
 
-    /// Waits until the complete listing is to be read again. The delay `spread` keeps many senders that gain shards at
-    /// the same time from polling at once.
+    /// Waits until the complete listing is to be read again.
+    /// The delay `spread` keeps many senders that gain shards at the same time from polling simultaneously.
     async fn until_requested(&self, spread: Duration) {
         match &self.placement {
             Some(placement) => {
@@ -197,7 +201,7 @@
 }
 
 impl ListStream {
-    /// Sends the request and checks the response's status.
+    /// Sends the request for a listing and checks the response's status.
     async fn open(
         mut connection: Connection,
         path: &str,
@@ -222,7 +226,7 @@
         Ok(ListStream { connection, body, listings, limit: sink.limit, last_progress: Instant::now() })
     }
 
-    /// Reads the next part of the body; None at its end.
+    /// Reads the next part of the response's body; None at the end of the body.
     async fn read(&mut self) -> io::Result<Option<Bytes>> {
         let until = (self.last_progress + STALL_TIMEOUT).into();
         let frame = self.connection.drive(self.body.frame());
@@ -232,7 +236,7 @@
         Ok(Some(frame.map_err(io::Error::other)?.into_data().unwrap_or_default()))
     }
 
-    /// Reads the body to its end as one listing.
+    /// Reads the response's body to its end as one listing.
     async fn read_complete(self) -> io::Result<Listing> {
         match self.listings {
             ListReader::All(_) => self.read_text().await,
@@ -243,8 +247,8 @@
         }
     }
 
-    /// Reads one listing of any length and keeps the endpoints that this sender owns. The stall timeout applies to each
-    /// part of the body, not to the complete body.
+    /// Reads one listing of any length and keeps the endpoints that this sender owns.
+    /// The stall timeout applies to each part of the response's body, not to the complete body.
     async fn read_filtered(mut self) -> io::Result<Listing> {
         let mut listing = None;
         loop {
@@ -329,8 +333,9 @@
     let mut stream = match ListStream::open(open().await?, &path, costly, sink).await {
         Ok(stream) => stream,
         Err(e) => {
-            // A version that discovery does not know must not be requested again and again. If discovery was too busy
-            // to answer, it has not checked the version, and the complete listing would cost it even more work.
+            // A version that discovery does not know must not be requested again and again.
+            // If discovery was too busy to answer, it has not checked the version.
+            // The complete listing would cost a busy discovery even more work.
             let version_checked =
                 e.kind() != io::ErrorKind::ResourceBusy && !(costly && e.kind() == io::ErrorKind::TimedOut);
             *index = index.filter(|_| !version_checked);
@@ -338,8 +343,8 @@
         }
     };
     *opened = true;
-    // A version after which discovery sends nothing must not be requested again either, unless polls cost discovery
-    // work and it may only have been slow.
+    // A version after which discovery sends nothing must not be requested again.
+    // The exception: where polls cost discovery work, discovery may only have been slow.
     *index = index.filter(|_| costly);
     let mut known = since;
     let mut reread_requested = std::pin::pin!(sink.until_requested(spread));
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -15,13 +15,14 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// Timeout for an expected frame from the other process. Within it the owner processes its queued events and writes
-/// the state, or the successor acquires the lock.
+/// Timeout for an expected frame from the other process.
+/// Within the timeout the owner processes its queued events and writes the state, or the successor acquires the lock.
 pub const FRAME_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Interval of the attempts to acquire a lock.
+/// Interval at which a process tries again to acquire a lock.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which a successor reports ready although it does not own the journal yet. The platform then ends the
-/// unresponsive owner, which releases the lock. Clients' connections wait to be accepted until the owner has ended.
+/// Time after which a successor reports ready although it does not own the journal yet.
+/// The platform then ends the unresponsive owner, which releases the lock.
+/// Clients' connections wait to be accepted until the owner has ended.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(4500);
 /// Minimum free space of the receive buffer before each read.
 const READ_AHEAD: usize = 16 * 1024;
@@ -29,8 +30,8 @@
 /// The file lock by which one process owns the journal. The lock is released when its process ends.
 pub struct Lock {
     file: File,
-    /// Locked by the successor that requests the journal: when the owner releases `file` for one successor, another
-    /// process that starts at that moment must not acquire `file` without the state.
+    /// Lock file that the successor holds while it requests the journal.
+    /// When the owner releases `file` for one successor, no other process may acquire `file` without the state.
     turn: File,
     folder: Folder,
 }
@@ -42,7 +43,7 @@
 }
 
 impl Folder {
-    /// Opens the folder and keeps it open, for its path in `/proc`.
+    /// Opens the state folder and keeps it open, for the short path in `/proc`.
     pub fn open(path: &Path) -> io::Result<Self> {
         let open = File::open(path)?;
         // A Unix socket's name is limited to some hundred bytes; the folder's path may be longer.
@@ -64,12 +65,12 @@
         Ok(Lock { file, turn, folder })
     }
 
-    /// Tries to acquire the lock; returns whether this process holds it now.
+    /// Tries to acquire the lock; returns whether this process holds the lock now.
     pub fn try_acquire(&self) -> io::Result<bool> {
         try_lock(&self.file)
     }
 
-    /// Waits until no other successor requests the journal. The turn ends with the process or [`Lock::end_turn`].
+    /// Waits until no other successor requests the journal. This successor's turn ends at [`Lock::end_turn`] or exit.
     async fn wait_for_turn(&self) -> io::Result<()> {
         while !try_lock(&self.turn)? {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -81,13 +82,13 @@
         self.turn.unlock()
     }
 
-    /// Releases the lock.
+    /// Releases the lock on the journal.
     pub fn release(&self) -> io::Result<()> {
         self.file.unlock()
     }
 
     /// Creates the socket at which successors request the journal, and replaces the socket file of an earlier process.
-    /// Only the lock's holder may call this function.
+    /// Only the process that holds the lock may create the socket.
     pub fn listen(&self) -> io::Result<UnixListener> {
         let path = self.folder.socket();
         match std::fs::remove_file(&path) {
@@ -108,14 +109,14 @@
 /// The result of waiting up to [`FRAME_TIMEOUT`] for a frame from the other process.
 pub enum Received {
     Frame(Frame),
-    /// No complete frame arrived in time.
+    /// No complete frame arrived within the timeout.
     Timeout,
-    /// The link has ended, or its data is invalid.
+    /// The link has ended, or the data received on it is invalid.
     Closed,
 }
 
 impl Received {
-    /// Returns the event for the owner's state machine.
+    /// Returns the event that the received frame, or its absence, is to the owner's state machine.
     pub fn event(&self) -> OwnerEvent<'_> {
         match self {
             Received::Frame(frame) => OwnerEvent::Received(frame),
@@ -125,19 +126,19 @@
     }
 }
 
-/// A connection between the two processes.
+/// A connection between the owner of the journal and its successor.
 pub struct Link {
     stream: UnixStream,
     decoder: Decoder,
 }
 
-/// A link that a task reads and writes. The channels have no bound of their own, but their content is bounded: clients'
-/// messages by the number of connections, and the ends of calls by the number of slots.
+/// A link that a task reads and writes. The channels have no bound of their own, but their content is bounded:
+/// the number of connections bounds the clients' messages, and the number of slots bounds the ends of calls.
 pub struct BackgroundLink {
     pub send: mpsc::UnboundedSender<Frame>,
-    /// The frames received. The channel closes when the link ends.
+    /// The frames received on the link. The channel closes when the link ends.
     pub frames: mpsc::UnboundedReceiver<Frame>,
-    /// The task. It ends once `send` has been dropped and all its frames have been written.
+    /// The link's task, which ends once `send` has been dropped and all frames sent on it have been written.
     pub task: JoinHandle<()>,
 }
 
@@ -146,7 +147,7 @@
         Link { stream, decoder: Decoder::default() }
     }
 
-    /// Writes a frame, within [`FRAME_TIMEOUT`].
+    /// Writes a frame to the link, within [`FRAME_TIMEOUT`].
     pub async fn send(&mut self, frame: &Frame) -> io::Result<()> {
         let bytes = encode(frame).map_err(io::Error::other)?;
         tokio::time::timeout(FRAME_TIMEOUT, self.stream.write_all(&bytes)).await?
@@ -208,8 +209,8 @@
     }
 }
 
-/// Accepts successors one at a time, and passes each that requests the journal to the driver. Ends when the driver has
-/// handed the journal over and dropped its end of the channel.
+/// Accepts successors one at a time, and passes each that requests the journal to the driver.
+/// Ends when the driver has handed the journal over and dropped its end of the channel.
 pub async fn accept_takeovers(listener: UnixListener, requests: mpsc::Sender<(Owner, Link)>) {
     loop {
         let mut link = match listener.accept().await {
@@ -248,14 +249,14 @@
     }
 }
 
-/// The lock that this process has acquired. If its predecessor still runs, also the predecessor's state and the link to
-/// the predecessor.
+/// The lock that this process has acquired.
+/// If the predecessor still runs, also the predecessor's state and the link to the predecessor.
 pub struct Acquired {
     pub lock: Lock,
     pub predecessor: Option<(Box<State>, Link)>,
 }
 
-/// Waits until this process owns the journal. Returns None if it receives the stop signal first.
+/// Waits until this process owns the journal. Returns None if the process receives the stop signal first.
 pub async fn take_over(folder: &Path, status: &SharedStatus) -> io::Result<Option<Acquired>> {
     let lock = Lock::new(Folder::open(folder)?)?;
     let mut follow = status.subscribe();
@@ -295,7 +296,7 @@
                 let (Some(mut link), Some(state)) = (link.take(), received_state.take()) else {
                     return Ok(None);
                 };
-                // If this frame is lost, the owner still finds the lock taken.
+                // If the frame `Taken` is lost, the owner still finds the lock taken.
                 _ = link.send(&Frame::Taken).await;
                 return Ok(Some((state, link)));
             }
@@ -330,8 +331,8 @@
     }
 }
 
-/// Sends a frame to the owner. Returns the next step: waiting for the response, or the step after a lost owner if
-/// sending failed.
+/// Sends a frame to the owner and returns the successor's next step.
+/// The next step is to wait for the owner's response, or if sending failed the step after a lost owner.
 async fn send_or_lost(successor: &mut Successor, link: &mut Option<Link>, frame: &Frame) -> SuccessorAction {
     let sent = match link {
         Some(link) => link.send(frame).await.is_ok(),
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -1,8 +1,9 @@
-//! A property test of random interleavings of events, against the dispatcher and the real journal. A kill may come
-//! after any step and truncate the journal at any byte; the sender then restarts from the rest of the journal.
+//! A property test of random interleavings of events, against the dispatcher and the real journal.
+//! A kill may come after any step and truncate the journal at any byte.
+//! After a kill the sender restarts from the rest of the journal.
 //!
-//! The model, [`World`], records which calls have run, which no sender can know. It executes the dispatcher's actions
-//! in the driver's order, step by step, and a kill may come between any two steps.
+//! The model, [`World`], records which calls have run, which no sender can know.
+//! The model executes the dispatcher's actions in the driver's order; a kill may come between any two steps.
 
 use crate::journal::{Accepted, Journal, Receiver};
 use embershore_protocol::notice::End;
@@ -23,7 +24,7 @@
 const ENDPOINTS: u32 = 5;
 const DISK: u64 = 200_000;
 
-/// The effects of classes 0 to 2.
+/// The effects of the message classes 0 to 2.
 const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
 
 fn settings() -> Settings {
@@ -51,8 +52,9 @@
     }
 }
 
-/// Returns the destination of an endpoint. Destination 0 has endpoints 1, 3 and 5 and accepts single messages;
-/// destination 1 has endpoints 2 and 4 and accepts four messages per call.
+/// Returns the destination of an endpoint.
+/// Destination 0 has endpoints 1, 3 and 5 and accepts single messages.
+/// Destination 1 has endpoints 2 and 4 and accepts four messages per call.
 fn destination_of(endpoint: u32) -> i64 {
     i64::from((endpoint + 1) % 2)
 }
@@ -69,12 +71,12 @@
         time_left: Micros,
     },
     Pass(Micros),
-    /// The connection of a call opens, or fails to.
+    /// The connection of a call opens, or fails to open.
     Connect {
         which: usize,
         up: bool,
     },
-    /// A call ends.
+    /// A call in flight ends with an outcome.
     End {
         which: usize,
         outcome: Outcome,
@@ -129,7 +131,7 @@
     ]
 }
 
-/// The true state of a message.
+/// The true state of a message, of which the sender process knows only a part.
 #[derive(Debug, Default)]
 struct Truth {
     class: usize,
@@ -143,19 +145,19 @@
     /// Number of calls with the message that this process has begun.
     calls: usize,
     delivered: bool,
-    /// Whether this process knows of the delivery. After a kill while the delivery is being recorded, the next process
-    /// may not know of it.
+    /// Whether the running process knows of the message's delivery.
+    /// After a kill while the delivery is being recorded, the next process may not know of the delivery.
     known_delivered: bool,
-    /// The end in the notice.
+    /// The message's end as reported in its notice.
     notice: Option<End>,
-    /// When a restart found the message unattempted. It must get a call after that and before its deadline.
+    /// When a restart found the message unattempted. The message must then get a call before its deadline.
     recovered: Option<Micros>,
 }
 
 /// A call in flight.
 struct InFlightCall {
     endpoint: u32,
-    /// The messages, each with the number of its attempt.
+    /// The call's messages, each with the number of its attempt.
     items: Vec<(u64, u32)>,
     begun_at: Option<Micros>,
     decided_at: Micros,
@@ -274,7 +276,7 @@
         }
     }
 
-    /// Picks a call in flight that has begun or has not, as given.
+    /// Picks a call in flight, of those that have begun if `begun` is true, otherwise of those that have not.
     fn pick(&self, which: usize, begun: bool) -> Option<usize> {
         let fit: Vec<usize> = (0..self.process.in_flight.len())
             .filter(|at| self.process.in_flight[*at].begun_at.is_some() == begun)
@@ -295,8 +297,8 @@
             deadline,
             body: vec![7; 300].into(),
         };
-        // A number may be reused if the previous process was killed before it recorded the message. That message was
-        // never accepted.
+        // A message number may be reused if the previous process was killed before it recorded the message.
+        // A message that was not recorded was never accepted.
         self.truth.insert(id, Truth { class, deadline, ..Truth::default() });
         self.process.submitted.insert(id, accepted);
         self.process.attempts.insert(id, 0);
@@ -399,8 +401,8 @@
         Ok(())
     }
 
-    /// Opens a call's connection. Before the first byte, the attempts of the messages that may still be sent are
-    /// recorded.
+    /// Opens a call's connection.
+    /// Before the first byte, the attempts of the messages that may still be sent are recorded.
     fn connect(&mut self, at: usize, up: bool) -> Result<(), Killed> {
         let now = self.now;
         if self.process.in_flight[at].begun_at.is_some() {
@@ -464,7 +466,7 @@
         Ok(())
     }
 
-    /// Ends a call with this outcome; `runs` is whether the call took effect.
+    /// Ends a call with the given outcome; `runs` is whether the call took effect.
     fn end(&mut self, at: usize, outcome: Outcome, runs: bool, wait: Micros) -> Result<(), Killed> {
         let call = self.process.in_flight.remove(at);
         for (id, attempt) in call.items {
@@ -630,7 +632,7 @@
         Process { dispatcher, journal, attempts, in_flight, events, submitted, steps_left: None }
     }
 
-    /// Counts a step with a lasting effect before the step is done. Fails if the process is killed before the step.
+    /// Counts a step with a lasting effect, before the step is done. Fails if the process is killed before the step.
     fn step(&mut self) -> Result<(), Killed> {
         match &mut self.steps_left {
             Some(0) => Err(Killed),
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -1,8 +1,9 @@
-//! Placement in the daemon: this sender owns some destinations, and forwards messages for destinations of other owners.
-//! Placement is off without the section `[placement]` of the operator's options; no object of this module exists then.
+//! Placement in the daemon: this sender owns some destinations and forwards messages for the others to their owners.
+//! Without the section `[placement]` of the operator's options, placement is off and no object of this module exists.
 //!
-//! The daemon's parts share a [`Placement`], which decides who owns a message and which endpoints are stored, and holds
-//! the metrics. `member_list` updates it, and `forward` forwards messages. The rules are in `embershore_placement`.
+//! The daemon's parts share a [`Placement`], which decides who owns a message and which endpoints are stored.
+//! A [`Placement`] also holds the metrics of placement. The module `member_list` updates it.
+//! The module `forward` forwards messages. The rules of placement are in the crate `embershore_placement`.
 
 pub mod clock;
 mod endpoint_list;
@@ -33,7 +34,7 @@
 
 /// Clients send a message's remaining time in whole milliseconds, which may exceed the class's deadline by one.
 const DEADLINE_ROUNDING: Micros = 1_000;
-/// Longest retry time sent to a client, however long a destination is on hold: another owner may accept the message.
+/// Longest retry time sent to a client. A hold may last longer, but another owner may accept the message.
 const MAX_HOLD_WAIT_MS: u64 = 1_000;
 
 /// The properties of a class on which the routing of its messages depends.
@@ -48,16 +49,16 @@
 pub enum Routing {
     /// The message is passed to this sender's own driver, which may refuse it.
     Local,
-    /// The message is forwarded to one of these candidate owners.
+    /// The message is forwarded to one of the given candidate owners.
     Forward(Forwarded),
-    /// No owner is known; the client is to retry.
+    /// No owner of the message's destination is known; the client is to retry.
     Unowned,
 }
 
 /// The owners of a message that this sender does not own.
 #[derive(Debug)]
 pub struct Forwarded {
-    /// The owners, the preferred one first.
+    /// The owners of the message's destination, the preferred owner first.
     pub candidates: Vec<SeatId>,
     /// The effect of the message's class.
     pub effect: Effect,
@@ -67,7 +68,7 @@
 pub struct Placement {
     pub options: PlacementOptions,
     ownership: RefCell<Ownership>,
-    /// Classes by name. A class that a reload drops is retained, since clients may be reconfigured after the sender.
+    /// Rules of the classes by name. A class that a reload drops is retained: clients may be reconfigured later.
     classes: RefCell<HashMap<String, ClassRule>>,
     pending: RefCell<PendingMessages>,
     pub endpoint_list: ListRereads,
@@ -81,7 +82,7 @@
 }
 
 impl Placement {
-    /// Creates the state of a sender without a member list.
+    /// Creates the placement state of a sender that has no member list yet.
     pub fn new(options: PlacementOptions, class_names: &[String], settings: &Settings, state: &Path) -> Self {
         let saved = SavedState::open(state);
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
@@ -105,15 +106,15 @@
         placement
     }
 
-    /// Adds or updates the classes of a configuration.
+    /// Adds or updates the routing rules for the classes of a configuration.
     pub fn update_classes<'a>(&self, classes: impl Iterator<Item = (&'a String, &'a ClassSettings)>) {
         let rule = |class: &ClassSettings| ClassRule { effect: class.effect, ordered: class.ordered };
         self.classes.borrow_mut().extend(classes.map(|(name, class)| (name.clone(), rule(class))));
     }
 
-    /// Fixes the number of owners among which the dispatcher shares a destination's limit, until the process ends: the
-    /// largest number of replicas that may still be in effect, by the list in force, or else by the last run, or else
-    /// the largest number that a list can have.
+    /// Fixes the number of owners among which the dispatcher shares a destination's limit, until the process ends.
+    /// The number is the largest number of replicas that may still be in effect by the member list in force,
+    /// or else by the last run's state, or else the largest number of replicas that a list can have.
     pub fn fix_sharers(&self) -> u32 {
         let known = self.ownership.borrow().persisted_state(clock::now()).or_else(|| self.saved.get());
         let replicas = known.map_or(MAX_REPLICAS, |state| state.replicas);
@@ -122,7 +123,7 @@
         sharers
     }
 
-    /// Returns the epoch in force.
+    /// Returns the epoch of the member list in force; None before the first list.
     pub fn epoch(&self) -> Option<u64> {
         self.ownership.borrow().epoch()
     }
@@ -132,9 +133,9 @@
         self.reading.get()
     }
 
-    /// Puts in force a new ownership, which was derived from the current one.
+    /// Puts in force a new ownership of shards, which was derived from the current ownership.
     fn put_in_force(&self, ownership: Ownership, update: &EpochUpdate) {
-        // Saved before anything is done under the new list.
+        // The new ownership is saved before anything is done under the new member list.
         self.save(&ownership);
         let before = self.ownership.replace(ownership);
         self.owned_shards.set(self.owned_shards.get() + update.gained.len() - update.lost.len());
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Saves the state for the next start.
+    /// Saves the placement state for the sender's next start.
     fn save_for_restart(&self) {
         self.save(&self.ownership.borrow());
     }
@@ -170,8 +171,9 @@
         }
     }
 
-    /// Returns the retry time in milliseconds if this sender must not accept the message now: it does not own the
-    /// destination, its lease has expired, the destination is on hold, or its endpoints are not known yet.
+    /// Returns the retry time in milliseconds if this sender must not accept the message now.
+    /// The reasons: this sender does not own the destination, the lease has expired, the destination is on hold,
+    /// or the destination's endpoints are not known yet.
     pub fn retry_after_ms(&self, put: &Put) -> Option<u64> {
         let rule = self.rule_of(put)?;
         let (ownership, now) = (self.ownership.borrow(), clock::now());
@@ -219,8 +221,8 @@
         self.pending.borrow_mut().remove(id);
     }
 
-    /// Requests the complete endpoint list if there are open messages for destinations whose endpoints were not stored
-    /// from it.
+    /// Requests the complete endpoint list if any open message is for a destination
+    /// whose endpoints were not stored when the list was last read.
     pub fn request_pending_destinations(&self) {
         let ownership = self.ownership.borrow();
         if self.pending.borrow().destinations().any(|dest| !ownership.needs_destination(dest)) {
@@ -255,8 +257,8 @@
         self.classes.borrow().get(&put.class).copied()
     }
 
-    /// Whether the dispatcher shares limits among at least as many owners as the list has replicas. A list with more
-    /// replicas than at this process's start needs a restart.
+    /// Whether the dispatcher shares limits among at least as many owners as the member list has replicas.
+    /// A member list with more replicas than at this process's start needs a restart.
     fn limit_shares_suffice(&self, ownership: &Ownership) -> bool {
         ownership.list().is_some_and(|list| list.replicas() <= self.sharers.get() as usize)
     }
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -1,26 +1,29 @@
-//! The schedule of polls to discovery: computes the pauses, without I/O.
+//! The schedule of polls to discovery: computes the pauses between polls, without I/O.
 //!
-//! One sender that polls at its start and again after 100 ms does no harm. A hundred senders that are started together
-//! overload discovery where a poll costs it work: discovery takes seconds to answer one poll of each, answers polls
-//! that waited longer with an error, and all senders retry at once. So each sender waits for a random part of the
-//! polling interval in the settings, and retries after a random part of a growing interval.
+//! One sender that polls at its start and again after 100 ms does no harm.
+//! A hundred senders that are started together overload discovery where a poll costs it work.
+//! Discovery then takes seconds to answer one poll of each sender and answers polls that waited longer with an error.
+//! All senders would retry simultaneously.
+//! So each sender waits for a random part of the polling interval in the settings.
+//! After a failed poll, a sender retries after a random part of a growing interval.
 
 use std::time::Duration;
 
 /// The first and the longest pause after a failure, where a poll costs discovery nothing.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Time within which a stalled watch is reopened, even where a poll costs discovery work: the changes that it misses
-/// must be applied soon.
+/// Time within which a stalled watch is reopened, even where a poll costs discovery work.
+/// The changes that a stalled watch misses must be applied soon.
 const STALL_REOPEN_WITHIN: Duration = Duration::from_secs(1);
-/// Upper bound of a failed poll and the pause after it together, even if the settings allow more. Changes must be
-/// applied within 6 s after discovery can be reached again, and the next poll and its response take time as well.
+/// Maximum total time of a failed poll and the pause after it, even if the settings allow more.
+/// Changes must be applied within 6 s after discovery can be reached again.
+/// The next poll and its response take a part of the 6 s.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(4500);
-/// Pause after a list that was too long. Such a list costs traffic each time although it is rejected. The pause is
-/// short enough for a shorter list to be read within the 6 s in which its changes must be applied.
+/// Pause after a list that was too long: such a list costs traffic each time although it is rejected.
+/// The pause is short enough for a shorter list to be read within the 6 s in which changes must be applied.
 const REJECTED_LIST_PAUSE: Duration = Duration::from_secs(2);
-/// Share of the polling interval over which the first polls of many senders are spread. The rest is for senders that
-/// must poll twice.
+/// Share of the polling interval over which the first polls of many senders are spread.
+/// The rest of the polling interval is for senders that must poll twice.
 const FIRST_POLL_SPREAD: f64 = 0.8;
 /// Share of the polling interval after which a failed poll is first repeated.
 const FIRST_RETRY_SHARE: f64 = 0.4;
@@ -37,11 +40,11 @@
 }
 
 impl PollSchedule {
-    /// `interval` is the polling interval of the settings; None where discovery sends changes unasked. The seed makes
-    /// the pauses differ between senders.
+    /// `interval` is the polling interval in the settings; None where discovery sends changes unasked.
+    /// `seed` makes the pauses differ between senders.
     pub fn new(interval: Option<Duration>, seed: u64) -> Self {
         let interval = interval.filter(|e| !e.is_zero());
-        // Mixes the seed's bits: neighbouring seeds would give similar first numbers.
+        // Mixes the seed's bits: without mixing, neighbouring seeds would give similar first random numbers.
         let random_state = seed.wrapping_add(0x9e37_79b9_7f4a_7c15).wrapping_mul(0xbf58_476d_1ce4_e5b9) | 1;
         let mut schedule = PollSchedule { interval, random_state, pause: Duration::ZERO };
         schedule.reset();
@@ -53,14 +56,14 @@
         self.interval.is_some()
     }
 
-    /// Returns the pause before a poll that many senders may want to send at the same moment: at a start with a known
-    /// list, and after a useful watch has ended.
+    /// Returns the pause before a poll that many senders may want to send simultaneously.
+    /// Such polls come at a start with a known list, and after a useful watch has ended.
     pub fn spread_delay(&mut self) -> Duration {
         let random_fraction = self.random_fraction();
         self.interval.map_or(Duration::ZERO, |e| e.mul_f64(FIRST_POLL_SPREAD * random_fraction))
     }
 
-    /// Returns the pause after a poll that failed `took` after its begin.
+    /// Returns the pause after a failed poll, where `took` is the time from the poll's begin to the failure.
     pub fn after_failure(&mut self, took: Duration) -> Duration {
         let max_wait = self.pause.min(MAX_RETRY_INTERVAL.saturating_sub(took));
         let wait = max_wait.mul_f64(MIN_JITTER + (1.0 - MIN_JITTER) * self.random_fraction());
@@ -94,18 +97,18 @@
         }
     }
 
-    /// Returns the pause after a list that is too long.
+    /// Returns the pause after a list that is too long, where `took` is the time from the poll's begin to the rejection.
     pub fn after_rejection(&mut self, took: Duration) -> Duration {
         self.after_failure(took)
             .max(REJECTED_LIST_PAUSE.mul_f64(MIN_JITTER + (1.0 - MIN_JITTER) * self.random_fraction()))
     }
 
-    /// Resets the growing pause: discovery has answered, or its address has changed.
+    /// Resets the growing pause, after discovery has answered or its address has changed.
     pub fn reset(&mut self) {
         self.pause = self.interval.map_or(FIRST_RETRY_PAUSE, |e| e.mul_f64(FIRST_RETRY_SHARE));
     }
 
-    /// Returns a random number from 0 to 1.
+    /// Returns the next random number from 0 to 1 of the schedule's sequence.
     fn random_fraction(&mut self) -> f64 {
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
@@ -130,7 +133,7 @@
         let mut waits: Vec<_> = hundred_schedules().map(|mut a| a.spread_delay()).collect();
         waits.sort();
         assert!(waits[99] <= INTERVAL.mul_f64(FIRST_POLL_SPREAD), "{waits:?}");
-        // 4 to 25 of the 100 polls in each of the eight seconds, where 12.5 would be even.
+        // Of 100 polls, each of the eight seconds has 4 to 25; an even spread would be 12.5 in each.
         for from in 0..8 {
             let within = |w: &&Duration| (from..from + 1).contains(&w.as_secs());
             let count = waits.iter().filter(within).count();
@@ -142,7 +145,7 @@
     fn failures_grow_the_pause_up_to_the_interval_and_senders_differ() {
         for (n, mut schedule) in hundred_schedules().enumerate() {
             let waits: Vec<_> = (0..5).map(|_| schedule.after_failure(NO_TIME)).collect();
-            // Doubled up to the interval, and bounded by the time allowed between two polls.
+            // The longest pause doubles up to the polling interval, and is bounded by the time allowed between two polls.
             let max_wait = [4, 8, 10, 10, 10].map(|s| Duration::from_secs(s).min(MAX_RETRY_INTERVAL));
             for (wait, max_wait) in waits.iter().zip(max_wait) {
                 assert!(*wait >= max_wait / 2 && *wait <= max_wait, "sender {n}: {waits:?}");
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -5,11 +5,13 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Time after a lame-duck command or a stop for which clients are served as before: the load balancer polls readiness
-/// every 0.1 s and sends new connections for 0.2 s more. After this time connections close between requests.
+/// Time after a lame-duck command or a stop for which clients are served as before.
+/// The load balancer polls readiness every 0.1 s and sends new connections for 0.2 s more.
+/// After the grace, clients' connections close between requests.
 const CLIENT_GRACE: Duration = Duration::from_millis(450);
-/// Time after a lame-duck command from which messages are refused. A client that still submits messages uses outdated
-/// information, and its messages would keep the sender from having delivered everything in time.
+/// Time after a lame-duck command from which messages are refused.
+/// A client that still submits messages then uses outdated information.
+/// Messages accepted so late would keep the sender from having delivered everything in time.
 const LATE_MESSAGE_CUTOFF: Duration = Duration::from_millis(1400);
 
 /// The phase that a process is in.
@@ -29,10 +31,10 @@
     Stopping,
 }
 
-/// An event that may change the phase.
+/// An event that may change the phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The start is complete.
+    /// The start of the process is complete.
     Started,
     /// The operator switches the lame-duck mode on or off.
     LameDuck(bool),
@@ -44,12 +46,12 @@
     Stop,
 }
 
-/// The error for a change that is no longer possible.
+/// The error for a change of phase that is no longer possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLate;
 
-/// The status and the times of its changes. A lame-duck command during the start takes effect after it; a stop can't be
-/// undone.
+/// The status of the process and the times of its changes.
+/// A lame-duck command during the start takes effect after the start; a stop can't be undone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessStatus {
     started: bool,
@@ -60,7 +62,7 @@
 }
 
 impl ProcessStatus {
-    /// Returns the current phase.
+    /// Returns the phase that the process is in now.
     pub fn phase(&self) -> Phase {
         match self {
             ProcessStatus { stopping: Some(_), .. } => Phase::Stopping,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Whether new clients are accepted. `PING` and `/_ready` report this.
+    /// Whether new clients are accepted, as `PING` and `/_ready` report.
     pub fn ready(&self) -> bool {
         matches!(self.phase(), Phase::Serving | Phase::Standby)
     }
@@ -89,7 +91,7 @@
         self.lame_duck.is_some_and(|since| now >= since + LATE_MESSAGE_CUTOFF)
     }
 
-    /// Returns the status after a change.
+    /// Returns the process's status after a change.
     ///
     /// # Errors
     /// After a stop or a handover the lame-duck mode can't be switched off.
@@ -109,7 +111,7 @@
     }
 }
 
-/// The status, shared between the daemon's parts; cheap to clone.
+/// The process's status, shared between the daemon's parts; cheap to clone.
 #[derive(Clone)]
 pub struct SharedStatus(Rc<watch::Sender<ProcessStatus>>);
 
@@ -119,20 +121,20 @@
         SharedStatus(Rc::new(watch::Sender::new(ProcessStatus::default())))
     }
 
-    /// Returns the current status.
+    /// Returns a copy of the process's current status.
     pub fn get(&self) -> ProcessStatus {
         *self.0.borrow()
     }
 
-    /// Returns a receiver that is notified of changes.
+    /// Returns a receiver that is notified of changes of the process's status.
     pub fn subscribe(&self) -> watch::Receiver<ProcessStatus> {
         self.0.subscribe()
     }
 
-    /// Changes the status and notifies all subscribers.
+    /// Changes the process's status and notifies all subscribers.
     ///
     /// # Errors
-    /// As [`ProcessStatus::after`].
+    /// The change is no longer possible, as for [`ProcessStatus::after`].
     pub fn change(&self, change: Change) -> Result<ProcessStatus, TooLate> {
         let next = self.get().after(change, Instant::now())?;
         self.0.send_replace(next);
@@ -153,7 +155,7 @@
         tokio::select! {
             biased;
             () = closes => return,
-            // The sending half lives as long as the process.
+            // The sending half of the status channel lives as long as the process.
             Ok(()) = status.changed() => {}
         }
     }
@@ -163,7 +165,7 @@
 mod tests {
     use super::*;
 
-    /// Applies changes, each a tenth of a second after the one before. Returns the first one's time and the status.
+    /// Applies changes at intervals of a tenth of a second. Returns the time of the first change and the final status.
     fn apply_changes(changes: &[Change]) -> (Instant, ProcessStatus) {
         let start = Instant::now();
         let mut status = ProcessStatus::default();
