--- a/crates/sender/src/check.rs
+++ b/crates/sender/src/check.rs
@@ -39,14 +39,14 @@
     json: bool,
 }
 
-/// The effect of the rules on the messages of one receiver, class and reason.
+/// The effect of the operator's rules on undeliverable messages of one receiver and class, with one reason.
 #[derive(Debug, PartialEq, Serialize)]
 struct RuleEffect {
-    /// The receiver, if a rule names it; None stands for all others.
+    /// The receiver, if a rule names it; None stands for all receivers that no rule names.
     receiver: Option<i64>,
     class: String,
     reason: Reason,
-    /// The rule's name; None if no rule applies.
+    /// The name of the rule that applies; None if no rule applies.
     rule: Option<String>,
     #[serde(rename = "fate")]
     effect: String,
@@ -56,7 +56,7 @@
     humantime::format_duration(std::time::Duration::from_micros(micros.max(0) as u64)).to_string()
 }
 
-/// The section `[fleet]`, with the values derived from it.
+/// The section `[fleet]` of the options file, with the values derived from it.
 #[derive(Debug, PartialEq, Serialize)]
 struct FleetSummary {
     name: String,
@@ -65,7 +65,7 @@
     members: usize,
     majority: usize,
     domains: usize,
-    /// The domain with the most members, and their number.
+    /// The domain with the most members, and the number of its members.
     largest: (String, usize),
     outlives_a_domain: bool,
 }
@@ -97,7 +97,7 @@
     }
 }
 
-/// The section `[placement]`, with its defaults filled in.
+/// The section `[placement]` of the options file, with its defaults filled in.
 #[derive(Debug, PartialEq, Serialize)]
 struct PlacementSummary {
     name: String,
@@ -170,10 +170,10 @@
     (name, parts.join(", "))
 }
 
-/// Returns the effects for all receivers that rules name, and for one that stands for all others.
+/// Returns the rules' effects for all receivers that rules name, and for one that stands for all other receivers.
 fn rule_effects(rules: &Rules, classes: &[ClassFacts]) -> Vec<RuleEffect> {
     let named = rules.named_receivers();
-    // A number that no rule names stands for all other receivers.
+    // A receiver number that no rule names stands for all other receivers.
     let other = (0..).find(|n| !named.contains(n)).unwrap_or(-1);
     let receivers = named.iter().map(|n| (Some(*n), *n)).chain([(None, other)]);
     let mut list = Vec::new();
@@ -188,7 +188,7 @@
     list
 }
 
-/// Checks the file, prints the result and returns the exit code.
+/// Checks the options file, prints the result and returns the exit code.
 pub fn main(arguments: &Arguments) -> ExitCode {
     let classes = match Config::read(&arguments.config) {
         Ok(config) => class_facts(config.settings.names().classes, &config.settings.settings().classes),
--- a/crates/sender/src/class_table.rs
+++ b/crates/sender/src/class_table.rs
@@ -1,20 +1,21 @@
-//! The table of class rules. A row's rules never change: if a class's rules differ after a reload of the configuration,
-//! the class gets a new row for new messages, and open messages keep the row under which they were accepted.
+//! The table of class rules. The rules in a row never change.
+//! If a class's rules differ after a reload of the configuration, the class gets a new row for new messages.
+//! Open messages keep the row under which they were accepted.
 
 use heronroute::{ClassSettings, Micros};
 
-/// Time for which messages of a class are accepted after a reload has dropped it: clients may be notified of the new
-/// configuration later than the sender.
+/// Time for which messages of a class are accepted after a reload has dropped the class.
+/// Clients may be notified of the new configuration later than the sender.
 const DROPPED_CLASS_GRACE_US: Micros = 3_000_000;
 
-/// Which messages use a row.
+/// Which messages use a row of the class table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RowUse {
-    /// New messages of the class, and messages accepted under the row.
+    /// The row is for new messages of the class, and for messages accepted under the row.
     Current,
-    /// As `Current` until this time: the class is no longer in the configuration.
+    /// The row is used as in `Current` until the given time: the class is no longer in the configuration.
     Dropped(Micros),
-    /// Only messages accepted under the row.
+    /// The row is only for messages accepted under it.
     MessagesOnly,
 }
 
@@ -27,14 +28,14 @@
     open: usize,
 }
 
-/// The rows in use. A row's number is the class index that the dispatcher knows.
+/// The rows of class rules. A row's number is the class index that the dispatcher knows.
 #[derive(Debug, Default)]
 pub struct ClassTable {
     rows: Vec<Row>,
 }
 
 impl ClassTable {
-    /// Creates the rows of the configuration at the start.
+    /// Creates one row for each class of the configuration at the start.
     pub fn new(classes: impl IntoIterator<Item = (String, ClassSettings)>) -> Self {
         let row = |(name, class)| Row { name, class, used: RowUse::Current, open: 0 };
         ClassTable { rows: classes.into_iter().map(row).collect() }
@@ -52,8 +53,8 @@
         })
     }
 
-    /// Returns the row for a message that an earlier process accepted. If its rules are unknown (in an old journal),
-    /// those of the class's current row apply.
+    /// Returns the row for a message that an earlier process accepted.
+    /// If the message's rules are unknown (in an old journal), the rules in the class's current row apply.
     pub fn row_for_restored(
         &mut self,
         name: &str,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Adds a row, in place of a row that no message uses if there is one.
+    /// Adds a row for a class, in place of a row that no message uses if there is one.
     fn insert(&mut self, name: &str, class: ClassSettings, used: RowUse, now: Micros) -> usize {
         let row = Row { name: name.to_string(), class, used, open: 0 };
         let free = self.rows.iter().position(|row| {
@@ -101,26 +102,26 @@
         free.unwrap_or(self.rows.len() - 1)
     }
 
-    /// Counts a message accepted under this row.
+    /// Adds one to the number of open messages accepted under the row `at`.
     pub fn add_message(&mut self, at: usize) {
         if let Some(row) = self.rows.get_mut(at) {
             row.open += 1;
         }
     }
 
-    /// Counts the end of a message accepted under this row.
+    /// Subtracts an ended message from the number of open messages accepted under the row `at`.
     pub fn remove_message(&mut self, at: usize) {
         if let Some(row) = self.rows.get_mut(at) {
             row.open = row.open.saturating_sub(1);
         }
     }
 
-    /// Returns a row's rules.
+    /// Returns the class rules in the row `at`.
     pub fn settings(&self, at: usize) -> Option<&ClassSettings> {
         self.rows.get(at).map(|row| &row.class)
     }
 
-    /// Returns all rules, by row number.
+    /// Returns the class rules of all rows, ordered by row number.
     pub fn classes(&self) -> Vec<ClassSettings> {
         self.rows.iter().map(|row| row.class.clone()).collect()
     }
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -1,5 +1,6 @@
-//! The driver's part in replacing one process by another. The driver handles frames from its predecessor, hands its own
-//! state to a successor, and then forwards to the successor the puts and outcomes that still arrive.
+//! The driver's part in replacing one process by another.
+//! The driver handles frames from its predecessor, and hands its own state to a successor.
+//! After that it forwards to the successor the puts and outcomes that still arrive.
 
 use super::{Driver, EXIT_DEADLINE_US};
 use crate::calls::Lane;
@@ -13,14 +14,14 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Maximum number of rounds that process the queued events before the handover: a round may queue new events.
+/// Maximum number of rounds before the handover that process the queued events; a round may queue new events.
 const MAX_FINAL_ROUNDS: usize = 8;
 /// Time for sending the last outcomes to the successor before exiting.
 const FINAL_SEND_TIMEOUT: Duration = Duration::from_millis(200);
 /// Interval at which a replaced sender checks whether it has anything left to do.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The lock on the journal, and the links to the predecessor and to successors.
+/// The lock on the journal, and the links to the predecessor and to successors of this process.
 pub struct HandoverContext {
     pub lock: Lock,
     /// The state that the predecessor has handed over, and the link to the predecessor.
@@ -99,7 +100,7 @@
         self.shared.two_processes.set(false);
         let Some(predecessor) = self.predecessor.take() else { return };
         let journal = self.journal.borrow();
-        // An attempt that had not begun when the journal was handed over could not begin after that.
+        // An attempt that had not begun when the journal was handed over could not begin after the handover.
         let begun = |id: MsgId| journal.get(id.0).is_none_or(|entry| entry.progress.in_flight.is_some());
         let message_outcome = |(id, attempt)| {
             let outcome = if begun(id) { Outcome::Cancelled } else { Outcome::Skipped };
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Hands the journal to a successor that requested it. Returns the link once the successor has the journal, or None
-    /// if the successor failed to take over and this process continues to serve.
+    /// Hands the journal to a successor that requested it. Returns the link once the successor has the journal.
+    /// Returns None if the successor failed to take over and this process continues to serve.
     pub(super) async fn hand_over(&mut self, mut owner: Owner, mut link: Link) -> Option<Link> {
         for _ in 0..MAX_FINAL_ROUNDS {
             self.round();
@@ -145,7 +146,7 @@
                     let reclaimed = lock.try_acquire().unwrap_or(false);
                     step = owner.on(OwnerEvent::Reclaimed(reclaimed));
                     if !reclaimed {
-                        // The lock's holder writes the journal. After a stop signal nothing is left to do here.
+                        // The lock's holder writes the journal. After a stop signal this process has nothing to do.
                         if self.status.get().phase() == Phase::Stopping {
                             return Some(link);
                         }
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Runs after a successor has taken over, and forwards puts, replies and outcomes between clients, calls and the
-    /// successor. Returns once no call and no client connection is left, or at the exit deadline.
+    /// Forwards puts, replies and outcomes between clients, calls and the successor that has taken over.
+    /// Returns once no call and no client connection is left, or at the exit deadline.
     pub(super) async fn forward_until_idle(mut self, mut inbox: mpsc::Receiver<Input>, link: Link) {
         _ = self.status.change(Change::HandedOver);
         self.calls.close_all();
--- a/crates/sender/src/driver/recovered.rs
+++ b/crates/sender/src/driver/recovered.rs
@@ -1,24 +1,25 @@
-//! Counts the messages that a restart recovers from the journal and that were never attempted, or only by attempts that
-//! certainly did not run. Each such message must get a call before its deadline. The counts are logged once the last
-//! such message has had a call or has ended.
+//! Counts the messages that a restart recovers from the journal unattempted.
+//! A message counts as unattempted if it had no attempt, or only attempts that certainly did not run.
+//! Each unattempted message must get a call before its deadline.
+//! The counts are logged once the last unattempted message has had a call or has ended.
 
 use heronroute::{Micros, MsgId};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The recovered messages that wait for their first call, and counts of the others. Their number is bounded by the
-/// journal's size.
+/// The recovered messages that wait for their first call, and counts of the other recovered messages.
+/// The journal's size bounds the number of recovered messages.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct RecoveredMessages {
     /// The deadline of each waiting message, and the number of its calls that had begun before the start.
     waiting: BTreeMap<MsgId, (Micros, u32)>,
-    /// Messages whose deadline had passed at the start.
+    /// Number of recovered messages whose deadline had passed at the start.
     late: usize,
-    /// Messages that have had a call since the start.
+    /// Number of recovered messages that have had a call since the start.
     called: usize,
-    /// Messages that ended at their deadline without a call.
+    /// Number of recovered messages that ended at their deadline without a call.
     expired: usize,
-    /// Messages that ended before their deadline without a call.
+    /// Number of recovered messages that ended before their deadline without a call.
     given_up: usize,
 }
 
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Records the total number of calls with a message that have begun. Returns whether the message was the last one
-    /// waiting.
+    /// Records the total number of calls with a message that have begun.
+    /// Returns whether the message was the last one to wait for its first call.
     pub(super) fn record_calls(&mut self, id: MsgId, begun: u32) -> bool {
         let waited = self.waiting.get(&id).is_some_and(|(_, before)| begun > *before);
         if waited {
@@ -44,7 +45,7 @@
     }
 
     /// Records that a message has ended. A message that ends within `slack` before its deadline counts as expired.
-    /// Returns whether it was the last waiting message.
+    /// Returns whether the message was the last one to wait for its first call.
     pub(super) fn record_end(&mut self, id: MsgId, now: Micros, slack: Micros) -> bool {
         let Some((deadline, _)) = self.waiting.remove(&id) else { return false };
         if deadline - now <= slack {
@@ -55,7 +56,7 @@
         self.waiting.is_empty()
     }
 
-    /// Whether any message was added.
+    /// Whether any recovered message was added.
     pub(super) fn any(&self) -> bool {
         *self != RecoveredMessages::default()
     }
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -14,26 +14,27 @@
 
 /// The endpoint listing given with the configuration.
 pub enum InitialList {
-    /// The configuration has no listing.
+    /// The configuration has no endpoint listing.
     Missing,
-    /// The configuration's listing, not applied to the endpoint table yet.
+    /// The configuration's endpoint listing, not applied to the endpoint table yet.
     Configured(Listing),
-    /// The entries of the configuration's listing, already applied to the endpoint table. It must not be applied again:
-    /// discovery's listing may have been applied since.
+    /// The entries of the configuration's listing, already applied to the endpoint table.
+    /// The listing must not be applied again: discovery's listing may have been applied since.
     Applied(Vec<EndpointEntry>),
 }
 
 impl InitialList {
-    /// Wraps the configuration's listing; an empty one counts as missing.
+    /// Creates the initial list from the listing in the configuration; a listing without endpoints counts as missing.
     pub fn from_config(list: Option<Listing>) -> Self {
         list.filter(|l| !l.endpoints.is_empty()).map_or(InitialList::Missing, InitialList::Configured)
     }
 }
 
 impl Driver {
-    /// Waits for an endpoint listing, without which nothing can be sent. The configuration's listing may be old, so it
-    /// is used only if discovery sends none within `list_wait`. Returns the inputs that arrived meanwhile, which are to
-    /// be handled after the restored messages, or None if the stop signal was received.
+    /// Waits for an endpoint listing, without which nothing can be sent.
+    /// The configuration's listing may be old: it is used only if discovery sends no listing within `list_wait`.
+    /// Returns the inputs that arrived during the wait, which are to be handled after the restored messages.
+    /// Returns None if the stop signal was received.
     pub(super) async fn wait_for_list(
         &mut self,
         inbox: &mut mpsc::Receiver<Input>,
@@ -92,8 +93,8 @@
             }
             let names: HashMap<EndpointId, String> = names.into_iter().collect();
             let endpoints = self.endpoints.borrow();
-            // An endpoint that has calls in flight and is no longer listed gets a number that no listed endpoint will
-            // have.
+            // An endpoint that has calls in flight and is no longer listed gets a number of its own:
+            // no listed endpoint will have this number.
             let unlisted: BTreeSet<EndpointId> = calls.iter().map(InFlightCall::endpoint).collect();
             let number = |id: EndpointId| {
                 let known = names.get(&id).and_then(|name| endpoints.number(name));
@@ -147,8 +148,8 @@
                 dest: DestId(message.dest),
                 time_left: SET_IN_ROUND,
                 attempts,
-                // The journal records only attempts that have begun. If an attempt in flight has not begun, its outcome
-                // is still to be received from the predecessor.
+                // The journal records only attempts that have begun.
+                // If an attempt in flight has not begun, its outcome is still to be received from the predecessor.
                 unreached: attempts
                     .saturating_sub(progress.attempts)
                     .saturating_sub(u32::from(call.is_some() && progress.in_flight.is_none())),
@@ -183,9 +184,10 @@
     }
 }
 
-/// Returns the receivers' health as of the earlier run. A journal of an earlier version does not record it: receivers
-/// that have messages in that journal, or whose endpoints were failing, may be down or warming up. Their health is
-/// restored as unknown.
+/// Returns the receivers' health as of the earlier run.
+/// A journal of an earlier version does not record receivers' health.
+/// Receivers that have messages in such a journal, or whose endpoints were failing, may be down or warming up:
+/// the health of these receivers is restored as unknown.
 fn restored_receivers(journal: &Journal, endpoints: &EndpointTable) -> Vec<Event> {
     let mut unknown = BTreeSet::new();
     if !journal.has_receiver_records() {
--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time for which a gone endpoint keeps its number, in case it is listed again. The time is short because gone
-/// endpoints make up most of the table where endpoints are replaced all the time.
+/// Time for which a gone endpoint keeps its number, in case it is listed again.
+/// The time is short because gone endpoints make up most of the table where endpoints are replaced all the time.
 const GONE_RETENTION: Duration = Duration::from_secs(60);
 /// Time for which a destination stays known after its last endpoint has gone.
 const DESTINATION_RETENTION: Duration = Duration::from_secs(3600);
@@ -23,7 +23,7 @@
     pub dest: DestId,
     pub kind: usize,
     zone: usize,
-    /// Listed as ready: neither draining nor gone.
+    /// Whether the endpoint is listed as ready: neither draining nor gone.
     pub ready: bool,
     gone_since: Option<Instant>,
 }
@@ -35,7 +35,7 @@
     }
 }
 
-/// The endpoints by number. A name keeps its number when it is listed again.
+/// The endpoints by number. An endpoint that is listed again under the same name keeps its number.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     names: Names,
@@ -72,8 +72,8 @@
         self.destinations.contains_key(&dest)
     }
 
-    /// Applies a listing and returns the changes for the dispatcher. Endpoints missing from a complete listing are
-    /// returned as removed.
+    /// Applies a listing and returns the changes for the dispatcher.
+    /// Endpoints missing from a complete listing are returned as removed.
     pub fn apply(&mut self, listing: &Listing) -> Vec<EndpointEntry> {
         let now = Instant::now();
         let mut entries: Vec<EndpointEntry> =
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -5,25 +5,26 @@
 use std::fmt;
 use std::io;
 
-/// Share of the sender's memory that the text of a list may take. Measured with 24,000 endpoints of 123 bytes and one
-/// destination each, a byte of the text costs 13 bytes of resident memory. It costs 22 bytes once a list of other
-/// endpoints has replaced the first one (the old endpoints are retained for a minute), and 27 bytes if the first list
-/// was given with the configuration. So a list takes at most 27 / 48 of the memory.
+/// Share of the sender's memory that the text of an endpoint list may take.
+/// Measured with 24,000 endpoints of 123 bytes and one destination each, a byte of text costs 13 bytes of memory.
+/// A byte of text costs 22 bytes once a list of other endpoints has replaced the first list:
+/// the old endpoints are retained for a minute. If the first list was given with the configuration,
+/// a byte of text costs 27 bytes. So a list takes at most 27 / 48 of the memory. All costs are resident memory.
 const MEMORY_SHARE: f64 = 1.0 / 48.0;
-/// Minimum of the limit, however little memory the sender has: some 500 endpoints, 2 MB of resident memory.
+/// Minimum of the list limit, however little memory the sender has: some 500 endpoints, 2 MB of resident memory.
 const MIN_LIMIT_BYTES: usize = 64 * 1024;
 
-/// The longest list that is accepted, in bytes of its text.
+/// The length of the longest endpoint list that is accepted, in bytes of the list's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListLimit(usize);
 
 impl ListLimit {
-    /// Returns the limit for a sender with this much memory, in megabytes of a million bytes.
+    /// Returns the list limit for a sender with `memory_mb` megabytes of memory, each a million bytes.
     pub fn from_memory_mb(memory_mb: f64) -> Self {
         ListLimit(((memory_mb * 1e6 * MEMORY_SHARE) as usize).max(MIN_LIMIT_BYTES))
     }
 
-    /// Returns the limit in bytes.
+    /// Returns the length of the longest accepted list in bytes.
     pub fn bytes(self) -> usize {
         self.0
     }
@@ -45,7 +46,7 @@
     /// The list is too long.
     pub fn check_configured(self, list: &Listing) -> Result<(), TooLong> {
         let mut text = Length(0);
-        // Can't fail: the writer does not, and no map has other keys than strings.
+        // Writing the list as JSON can't fail: the writer never fails, and all map keys are strings.
         _ = serde_json::to_writer(&mut text, list);
         self.check(text.0, || list.endpoints.len())
             .map_err(|too_long| TooLong { source: Source::Configuration, ..too_long })
@@ -66,7 +67,7 @@
     }
 }
 
-/// Where a list comes from.
+/// Where an endpoint list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The field `known` of the configuration.
@@ -74,13 +75,13 @@
     Discovery,
 }
 
-/// The error for a list above the limit.
+/// The error for an endpoint list above the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong {
     pub source: Source,
-    /// The limit in bytes.
+    /// The size limit of the list in bytes.
     pub limit: usize,
-    /// The bytes that were read before the list was rejected.
+    /// The number of bytes that were read before the list was rejected.
     pub bytes: usize,
     /// The number of endpoints that begin in the bytes read.
     pub endpoints: usize,
@@ -117,8 +118,8 @@
     error.get_ref()?.downcast_ref::<TooLong>().copied()
 }
 
-/// Counts a rejected list. The first rejected list after an accepted one is logged, with whether another list stays in
-/// force.
+/// Counts a rejected endpoint list. The first rejected list after an accepted list is logged.
+/// The log line says whether another list stays in force.
 pub fn reject(metrics: &Metrics, too_long: TooLong, in_force: bool) {
     if metrics.lists.reject(too_long) {
         let stays = if in_force { "the last good list stays" } else { "no list is in force: not ready" };
@@ -126,7 +127,7 @@
     }
 }
 
-/// Records an accepted list, and logs it if the list before was rejected.
+/// Records an accepted endpoint list, and logs the acceptance if the list before was rejected.
 pub fn accept(metrics: &Metrics) {
     if metrics.lists.accept() {
         eprintln!("discovery's list is within its limit again and in force");
--- a/crates/sender/src/matrix.rs
+++ b/crates/sender/src/matrix.rs
@@ -1,5 +1,6 @@
-//! `embershore rehearse matrix`: runs scenarios for each number of senders and each seed, as many at once as the
-//! machine can without running late. Each run is a process of its own. A run whose report exists is not repeated.
+//! `embershore rehearse matrix`: runs scenarios for each number of senders and each seed.
+//! As many runs are concurrent as the machine can serve without running late.
+//! Each run is a process of its own. A run whose report exists is not repeated.
 
 use clap::Args;
 use embershore_rehearsal::matrix::{Cell, page, rows, text};
@@ -17,7 +18,7 @@
 /// File name of the report in a run's folder.
 const REPORT: &str = "report.json";
 
-/// Interval at which an idle worker checks for work; runs last half a minute.
+/// Interval at which an idle worker checks the queue for work; short against the half minute that a run lasts.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The arguments of `rehearse matrix`.
@@ -49,7 +50,7 @@
     keep: bool,
 }
 
-/// The remaining runs, the reports so far, and the number of concurrent runs.
+/// The remaining runs of the matrix, the reports so far, and the number of concurrent runs.
 struct Queue {
     left: VecDeque<(Cell, String, u32)>,
     runs: BTreeMap<Cell, Report>,
@@ -59,7 +60,7 @@
     failed: Option<String>,
 }
 
-/// Runs the cells that have no report yet, prints the table and returns the exit code.
+/// Runs the matrix's cells that have no report yet, prints the table of results and returns the exit code.
 ///
 /// # Errors
 /// An argument, a scenario or the folder is invalid, or a run failed.
@@ -132,7 +133,7 @@
     loop {
         let next = {
             let mut q = queue.lock().unwrap_or_else(PoisonError::into_inner);
-            // A run in progress may be void and return to the queue.
+            // A worker stays while runs are in progress: a void run returns to the queue.
             if q.failed.is_some() || (q.left.is_empty() && q.running == 0) {
                 return;
             }
@@ -174,7 +175,7 @@
     }
 }
 
-/// Runs one cell as a process of its own and stores its report.
+/// Runs one cell of the matrix as a process of its own and stores the run's report.
 fn play(matrix: &Matrix, cell: &Cell, name: &str) -> Result<Report, Box<dyn Error>> {
     let folder = matrix.out.join(cell.folder());
     // Removes the files of an interrupted run.
@@ -193,7 +194,7 @@
     if !matrix.keep && !report.judgement.broken() {
         std::fs::remove_file(folder.join("history.jsonl"))?;
     }
-    // Renamed only when complete: the file's name marks the run as done.
+    // The report is renamed only when complete: the final file name marks the run as done.
     let new = folder.join("report.new");
     std::fs::write(&new, &run.stdout)?;
     std::fs::rename(&new, folder.join(REPORT))?;
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -33,7 +33,7 @@
 }
 
 impl MessageEnd {
-    /// Returns the end that a notice reports.
+    /// Returns the end as the metrics distinguish it, from the end that a notice reports.
     pub fn of(end: End) -> Self {
         match end {
             End::Returned { .. } => MessageEnd::Returned,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the counter to which the end adds.
+    /// Returns the counter that a message with this end increments.
     fn column(self) -> Column {
         match self {
             MessageEnd::Delivered => Column::Succeeded,
@@ -75,54 +75,54 @@
 /// Metrics of endpoint lists that are too long.
 #[derive(Debug, Default)]
 pub struct ListMetrics {
-    /// The size limit of a list, in bytes.
+    /// The size limit of an endpoint list, in bytes.
     pub limit: Cell<usize>,
     rejected: Cell<u64>,
     last: Cell<Option<TooLong>>,
-    /// Whether no list has been accepted since the last one that was too long.
+    /// Whether no endpoint list has been accepted since the last list that was too long.
     is_rejected: Cell<bool>,
 }
 
 impl ListMetrics {
-    /// Counts a rejected list. Returns true for the first one after an accepted list.
+    /// Counts a rejected endpoint list. Returns true for the first rejected list after an accepted list.
     pub fn reject(&self, too_long: TooLong) -> bool {
         self.rejected.set(self.rejected.get() + 1);
         self.last.set(Some(too_long));
         !self.is_rejected.replace(true)
     }
 
-    /// Records an accepted list. Returns true for the first one after a rejected list.
+    /// Records an accepted endpoint list. Returns true for the first accepted list after a rejected list.
     pub fn accept(&self) -> bool {
         self.is_rejected.replace(false)
     }
 
-    /// Returns the last list if it was too long.
+    /// Returns the error of the last endpoint list, if that list was too long.
     pub fn rejection(&self) -> Option<TooLong> {
         self.last.get().filter(|_| self.is_rejected.get())
     }
 }
 
-/// The current metrics. The driver counts the messages' ends, and the calls count the messages that they have written.
+/// The current metrics. The driver counts the ends of messages, and the calls count the messages written to endpoints.
 #[derive(Debug, Default)]
 pub struct Metrics {
     /// For each class the counters of the ends succeeded, declined and aborted.
     ends_by_class: RefCell<BTreeMap<String, [u64; 3]>>,
-    /// Messages written completely to endpoints.
+    /// Number of messages written completely to endpoints.
     pub forwards: Cell<u64>,
-    /// Messages accepted and not ended.
+    /// Number of messages that were accepted and have not ended.
     pub outstanding: Cell<usize>,
-    /// Listed endpoints that are avoided now.
+    /// Number of listed endpoints that are avoided now.
     pub ejected: Cell<usize>,
-    /// Configurations applied at SIGHUP.
+    /// Number of configurations applied at SIGHUP.
     pub applied: Cell<u64>,
-    /// Configurations rejected at SIGHUP.
+    /// Number of configurations rejected at SIGHUP.
     pub rejected: Cell<u64>,
-    /// Lists of endpoints that were too long.
+    /// Metrics of endpoint lists that were too long.
     pub lists: ListMetrics,
 }
 
 impl Metrics {
-    /// Adds these classes to the counters. A class that is dropped later keeps its counters.
+    /// Adds counters for the named message classes. A class that is dropped later keeps its counters.
     pub fn register_classes<'a>(&self, classes: impl IntoIterator<Item = &'a String>) {
         let mut ends_by_class = self.ends_by_class.borrow_mut();
         for class in classes {
--- a/crates/sender/src/placement/endpoint_list.rs
+++ b/crates/sender/src/placement/endpoint_list.rs
@@ -1,20 +1,20 @@
-//! Requests to read the complete endpoint list again. A sender stores only the endpoints of destinations that it owns,
-//! and so must read the list again when it gains shards.
+//! Requests to read the complete endpoint list again.
+//! A sender stores only the endpoints of destinations that it owns, so it must read the list again on gaining shards.
 
 use embershore_placement::ShardId;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use tokio::sync::watch;
 
-/// The requested and the completed readings of the complete list. Requests are numbered from 1; a reading that began
-/// after request n satisfies all up to n.
+/// The requested and the completed readings of the complete endpoint list.
+/// Requests are numbered from 1. A reading that began after request n satisfies all requests up to n.
 #[derive(Debug)]
 pub struct ListRereads {
     requested: watch::Sender<u64>,
     mark_read: Cell<u64>,
-    /// Owned shards whose endpoints are not known, each with the number of the request that it waits for.
+    /// Owned shards whose endpoints are not known, each with the number of the request for which the shard waits.
     unread: RefCell<HashMap<ShardId, u64>>,
-    /// The version of the last listing applied.
+    /// The version of the last endpoint listing applied.
     last_version: Cell<u64>,
 }
 
@@ -30,43 +30,43 @@
 }
 
 impl ListRereads {
-    /// Requests another reading, for which these shards wait.
+    /// Requests another reading of the endpoint list, for which `shards` wait.
     pub fn request(&self, shards: impl IntoIterator<Item = ShardId>) {
         let number = *self.requested.borrow() + 1;
         self.unread.borrow_mut().extend(shards.into_iter().map(|shard| (shard, number)));
         self.requested.send_replace(number);
     }
 
-    /// Removes shards that are no longer owned.
+    /// Removes shards that this sender no longer owns from the shards that wait.
     pub fn drop_shards(&self, shards: &[ShardId]) {
         let mut unread = self.unread.borrow_mut();
         shards.iter().for_each(|shard| _ = unread.remove(shard));
     }
 
-    /// Returns the number of the last request.
+    /// Returns the number of the last request for a reading.
     pub fn requested(&self) -> u64 {
         *self.requested.borrow()
     }
 
-    /// Whether a requested reading is still to be done.
+    /// Whether a requested reading of the endpoint list is still to be done.
     pub fn is_requested(&self) -> bool {
         self.requested() > self.mark_read.get()
     }
 
-    /// Waits until a requested reading is still to be done.
+    /// Waits until a reading of the endpoint list is requested, if none is still to be done.
     pub async fn until_requested(&self) {
         let mut follow = self.requested.subscribe();
-        // Can't fail: `self` holds the sending half.
+        // The wait can't fail: `self` holds the sending half of the channel.
         _ = follow.wait_for(|number| *number > self.mark_read.get()).await;
     }
 
-    /// Records a completed reading that began when `number` was the last request.
+    /// Records a completed reading of the endpoint list that began when `number` was the last request.
     pub fn mark_read(&self, number: u64) {
         self.mark_read.set(self.mark_read.get().max(number));
         self.unread.borrow_mut().retain(|_, waits_for| *waits_for > number);
     }
 
-    /// Whether the endpoints of this shard are known.
+    /// Whether the endpoints of an owned shard are known.
     pub fn is_read(&self, shard: ShardId) -> bool {
         !self.unread.borrow().contains_key(&shard)
     }
@@ -76,12 +76,12 @@
         self.unread.borrow().len()
     }
 
-    /// Returns the version of the last listing applied.
+    /// Returns the version of the last endpoint listing applied.
     pub fn last_version(&self) -> u64 {
         self.last_version.get()
     }
 
-    /// Records the version of a listing that has been applied.
+    /// Records the version of an endpoint listing that has been applied.
     pub fn set_last_version(&self, last_version: u64) {
         self.last_version.set(last_version);
     }
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -17,8 +17,8 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-/// Time limit for forwarding a message. The client waits 400 ms for its reply; the remaining 100 ms are for the network
-/// path between client and sender.
+/// Time limit for forwarding a message, in microseconds. The client waits 400 ms for its reply.
+/// The remaining 100 ms are for the network path between client and sender.
 const FORWARD_BUDGET_US: Micros = 300_000;
 
 /// Forwards messages to other owners.
@@ -29,9 +29,9 @@
 
 /// The deadlines of an attempt at one owner.
 struct Deadlines {
-    /// The time by which the first byte must have been written.
+    /// The time by which the first byte of the message must have been written to the owner.
     begin_by: Instant,
-    /// The time by which the reply must have been read.
+    /// The time by which the owner's reply must have been read.
     answer_by: Instant,
 }
 
@@ -42,8 +42,9 @@
         Rc::new(Forwarder { placement, pool })
     }
 
-    /// Starts forwarding a message that was read at `read_at`, and sends the outcome to `reply`. If the receiver of
-    /// `reply` is dropped, the connection is closed, and an owner that has not accepted the message yet withdraws it.
+    /// Starts forwarding a message that was read at `read_at`, and sends the outcome to `reply`.
+    /// If the receiver of `reply` is dropped, the connection to the owner is closed.
+    /// An owner that has not accepted the message yet then withdraws it.
     pub fn start(
         self: &Rc<Self>,
         put: Put,
@@ -52,7 +53,7 @@
         mut reply: oneshot::Sender<Reply>,
     ) {
         let forwarder = self.clone();
-        // The limit of unanswered messages bounds the number of tasks.
+        // The limit of unanswered messages bounds the number of forwarding tasks.
         tokio::task::spawn_local(async move {
             tokio::select! {
                 biased;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Sends the message to one owner.
+    /// Sends the message to one owner of its destination.
     async fn send(
         &self,
         owner: SocketAddr,
@@ -104,7 +105,7 @@
         outcome_of(reply)
     }
 
-    /// Connects and writes the first bytes. If this future is dropped before it completes, nothing has been written.
+    /// Connects to an owner and writes the message's first bytes. If the future is dropped early, nothing was written.
     async fn begin(&self, owner: SocketAddr, put: &Put, read_at: Micros) -> io::Result<Exchange> {
         let mut reservation = self.pool.reserve(owner).await;
         let mut stream = reservation.connect().await?;
@@ -141,7 +142,7 @@
 }
 
 impl Exchange {
-    /// Writes the rest of the command and reads the reply.
+    /// Writes the rest of the command to the owner and reads the owner's reply.
     async fn finish(&mut self) -> io::Result<Reply> {
         self.stream.write_all(&self.command[self.written..]).await?;
         while !self.answer.ends_with(b"\r\n") {
--- a/crates/sender/src/placement/member_list.rs
+++ b/crates/sender/src/placement/member_list.rs
@@ -18,14 +18,14 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Limit of a response's size: a list with the maximum number of seats and 250 bytes for each.
+/// Size limit of a control agent's response: a list with the maximum number of seats and 250 bytes for each seat.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// Minimum response timeout. The timeout is the poll interval if that is longer.
+/// Minimum timeout for a control agent's response. The timeout is the poll interval if the interval is longer.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval at which endpoints of destinations that this sender no longer retains are removed.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The client of the control agents, with the parts of the daemon that it updates.
+/// The client of the control agents, with the parts of the daemon that the client updates.
 pub struct MemberListFollower {
     pub placement: Rc<Placement>,
     pub endpoints: Rc<RefCell<EndpointTable>>,
@@ -33,7 +33,7 @@
 }
 
 impl MemberListFollower {
-    /// Follows the member list for ever.
+    /// Polls the control agents for the member list for ever.
     pub async fn run(self) {
         let every = micros(self.placement.options.poll_interval);
         let mut agents = ControlAgents::new(&self.placement);
@@ -52,7 +52,7 @@
 
     /// Removes endpoints of destinations that this sender no longer retains.
     async fn drop_endpoints(&self) {
-        // The channel's slot is reserved first: the table must not be ahead of the driver.
+        // The slot in the driver's channel is reserved first: the endpoint table must not be ahead of the driver.
         let Ok(slot) = self.inputs.reserve().await else { return };
         let retain = |dest| self.placement.retains(dest);
         let entries = self.endpoints.borrow_mut().retain_destinations(retain);
@@ -66,12 +66,12 @@
 /// The control agents, polled in turn.
 struct ControlAgents {
     addresses: Vec<SocketAddr>,
-    /// Index of the agent that answered last.
+    /// Index of the control agent that answered last.
     current: usize,
-    /// Whether to request the complete list next, because the last changes were for another epoch.
+    /// Whether to request the complete member list next, because the last changes were for another epoch.
     full: bool,
     response_timeout: Duration,
-    /// The last failure that was logged. A repeated failure is logged only once.
+    /// The last failed poll's error that was logged. A repeated failure is logged only once.
     last_logged: Option<String>,
 }
 
@@ -82,7 +82,7 @@
         ControlAgents { addresses, current: 0, full: false, response_timeout, last_logged: None }
     }
 
-    /// Polls the agent that answered last, then the others until one gives a valid response.
+    /// Polls the control agent that answered last, then the other agents until one gives a valid response.
     async fn poll_in_turn(&mut self, placement: &Placement) {
         for _ in 0..self.addresses.len() {
             match self.poll(placement).await {
@@ -124,7 +124,7 @@
     }
 }
 
-/// Requests from one agent the changes since an epoch, or the complete list if `since` is 0.
+/// Requests from one control agent the changes since the epoch `since`, or the complete list if `since` is 0.
 async fn fetch(agent: SocketAddr, since: u64) -> Result<Bytes, Box<dyn Error>> {
     let mut connection = Connection::open(agent).await?;
     let request = Request::get(format!("/v1/members?since={since}"))
@@ -140,7 +140,8 @@
     Ok(body.to_bytes())
 }
 
-/// Applies a response. The new table is built on a thread of its own, since building it takes as long as many rounds.
+/// Applies a control agent's response.
+/// The new placement table is built on a thread of its own, since building it takes as long as many rounds.
 /// The current table and its lease stay in force until the new table is complete.
 async fn apply_answer(
     placement: &Placement,
@@ -157,7 +158,7 @@
     Ok(update)
 }
 
-/// Parses a response and returns the ownership that results from it, with the changes.
+/// Parses a control agent's response and returns the resulting ownership of shards, with the changes.
 fn process_answer(
     mut ownership: Ownership,
     polled_at: Micros,
--- a/crates/sender/src/placement/metrics.rs
+++ b/crates/sender/src/placement/metrics.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use std::cell::Cell;
 
-/// Counters from the process's start.
+/// Counters of forwarded messages and rejected member lists, from the process's start.
 #[derive(Debug, Default)]
 pub struct Counters {
     pub forwarded: ForwardedCounters,
@@ -13,18 +13,18 @@
     pub lists_refused: Cell<u64>,
 }
 
-/// Forwarded messages by the reply to their client.
+/// Numbers of forwarded messages, by the reply to the message's client.
 #[derive(Debug, Default)]
 pub struct ForwardedCounters {
     pub taken: Cell<u64>,
     pub busy: Cell<u64>,
-    /// Messages that an owner may have accepted without confirming, or that no sender can accept.
+    /// Number of messages that an owner may have accepted without confirming, or that no sender can accept.
     pub failed: Cell<u64>,
-    /// Attempts to forward a message whose outcome is unknown, with any reply to the client.
+    /// Number of attempts to forward a message whose outcome is unknown, with any reply to the client.
     pub unknown: Cell<u64>,
 }
 
-/// Increments a counter.
+/// Adds one to a counter.
 pub fn count(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
@@ -32,25 +32,25 @@
 /// The object `placement` in the JSON of `GET /_vars`.
 #[derive(Debug, Serialize)]
 pub struct PlacementMetrics {
-    /// The epoch in force; null before the first list.
+    /// The epoch of the member list in force; null before the first list.
     pub epoch: Option<u64>,
-    /// The remaining time of the lease in milliseconds; 0 if the lease has expired.
+    /// The remaining time of this sender's lease in milliseconds; 0 if the lease has expired.
     pub lease_left_ms: u64,
-    /// Shards that this sender owns.
+    /// Number of shards that this sender owns.
     pub owned_shards: usize,
-    /// Owned shards whose endpoints have not been read yet.
+    /// Number of owned shards whose endpoints have not been read yet.
     pub unread_shards: usize,
     /// Time in milliseconds until no destination is on hold any more.
     pub on_hold_ms: u64,
     /// Responses of control agents that were rejected.
     pub lists_refused: u64,
-    /// Forwarded messages.
+    /// Numbers of forwarded messages, by the reply to the message's client.
     pub forwarded: ForwardedMetrics,
     /// Messages accepted from other members.
     pub taken_for_others: u64,
 }
 
-/// Forwarded messages; see [`ForwardedCounters`].
+/// Numbers of forwarded messages, as in [`ForwardedCounters`].
 #[derive(Debug, Serialize)]
 pub struct ForwardedMetrics {
     pub taken: u64,
@@ -60,7 +60,7 @@
 }
 
 impl ForwardedCounters {
-    /// Returns the current values.
+    /// Returns the current values of the forwarding counters.
     pub fn snapshot(&self) -> ForwardedMetrics {
         ForwardedMetrics {
             taken: self.taken.get(),
--- a/crates/sender/src/placement/pool.rs
+++ b/crates/sender/src/placement/pool.rs
@@ -9,27 +9,27 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Idle time after which a connection is not reused. The member closes it after 2 s, and a message that is sent at that
-/// moment would have an unknown outcome.
+/// Idle time after which a connection to a member is not reused. The member closes an idle connection after 2 s.
+/// A message that is sent at the moment of the close would have an unknown outcome.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(1);
-/// One member gets at most the total number of connections divided by this, rounded up, so that a member that does not
-/// answer can't block forwarding to the others.
+/// One member gets at most the total number of connections divided by this number, rounded up.
+/// A member that does not answer therefore can't block forwarding to the other members.
 const MEMBER_SHARE_DIVISOR: usize = 4;
 
-/// A connection without an open request.
+/// A connection to a member without an open request.
 struct IdleConnection {
     owner: SocketAddr,
     stream: TcpStream,
     idle_since: Instant,
 }
 
-/// The connections to other members.
+/// The pool of connections to other members of the fleet.
 pub struct Pool {
     max_connections: usize,
     max_per_member: usize,
-    /// Number of connections in use or idle.
+    /// Number of the pool's connections, in use or idle.
     open: Cell<usize>,
-    /// Number of connections in use by member; bounded by `max_connections`.
+    /// Number of connections in use, by the member's address; the map's size is bounded by `max_connections`.
     in_use: RefCell<HashMap<SocketAddr, usize>>,
     idle: RefCell<VecDeque<IdleConnection>>,
     freed: Notify,
@@ -56,12 +56,12 @@
         })
     }
 
-    /// Waits for a reservation for this member. The limit of unanswered messages bounds the number of waiting callers.
+    /// Waits for a reservation of a connection to `owner`. The limit of unanswered messages bounds the waiting callers.
     pub async fn reserve(self: &Rc<Self>, owner: SocketAddr) -> Reservation {
         loop {
             let freed = self.freed.notified();
             let mut freed = std::pin::pin!(freed);
-            // From here on no notification is missed.
+            // After `enable`, no notification of a freed connection is missed.
             freed.as_mut().enable();
             if let Some(reservation) = self.try_reserve(owner) {
                 return reservation;
@@ -79,7 +79,7 @@
         let reused = self.take_idle(owner);
         if reused.is_none() {
             if self.open.get() >= self.max_connections {
-                // Closes the connection that has been idle longest.
+                // At the limit, the connection that has been idle longest is closed.
                 self.idle.borrow_mut().pop_front()?;
                 self.open.set(self.open.get() - 1);
             }
@@ -124,7 +124,7 @@
 }
 
 impl Reservation {
-    /// Returns the idle connection, or opens a new one.
+    /// Returns the reserved idle connection, or opens a new connection to the member.
     pub async fn connect(&mut self) -> io::Result<TcpStream> {
         if let Some(stream) = self.reused.take() {
             return Ok(stream);
@@ -138,7 +138,7 @@
     pub fn put_back(self, stream: TcpStream) {
         let idle = IdleConnection { owner: self.owner, stream, idle_since: Instant::now() };
         self.pool.idle.borrow_mut().push_back(idle);
-        // Compensates for the decrement when `self` is dropped.
+        // Compensates for the decrement of the connection count when the reservation `self` is dropped.
         self.pool.open.set(self.pool.open.get() + 1);
     }
 }
@@ -155,7 +155,7 @@
     use super::*;
     use tokio::net::TcpListener;
 
-    /// Members that accept connections and keep them open.
+    /// Returns members that accept connections and keep them open, as listeners with their addresses.
     async fn members<const N: usize>() -> [(TcpListener, SocketAddr); N] {
         let mut members = Vec::new();
         for _ in 0..N {
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the pause after a list that is too long, where `took` is the time from the poll's begin to the rejection.
+    /// Returns the pause after a list that is too long; `took` is the time from the poll's begin to the rejection.
     pub fn after_rejection(&mut self, took: Duration) -> Duration {
         self.after_failure(took)
             .max(REJECTED_LIST_PAUSE.mul_f64(MIN_JITTER + (1.0 - MIN_JITTER) * self.random_fraction()))
@@ -145,7 +145,7 @@
     fn failures_grow_the_pause_up_to_the_interval_and_senders_differ() {
         for (n, mut schedule) in hundred_schedules().enumerate() {
             let waits: Vec<_> = (0..5).map(|_| schedule.after_failure(NO_TIME)).collect();
-            // The longest pause doubles up to the polling interval, and is bounded by the time allowed between two polls.
+            // The longest pause doubles up to the polling interval, within the time allowed between two polls.
             let max_wait = [4, 8, 10, 10, 10].map(|s| Duration::from_secs(s).min(MAX_RETRY_INTERVAL));
             for (wait, max_wait) in waits.iter().zip(max_wait) {
                 assert!(*wait >= max_wait / 2 && *wait <= max_wait, "sender {n}: {waits:?}");
