--- a/crates/sender/benches/limit.rs
+++ b/crates/sender/benches/limit.rs
@@ -1,9 +1,10 @@
-//! Measures the rate at which one daemon begins to lose service, and the resource that limits it: CPU, slots, memory or
-//! the journal's size.
+//! Measures the message rate at which one daemon begins to lose service.
+//! Also measures the resource that limits the rate: CPU, slots, memory or the journal's size.
 //!
-//! The receivers are fast and have no rate limit. The rate is raised in steps until more than a tenth of the worth is
-//! lost. Rate and duration are bounded, and all traffic stays on loopback.
-//! Run it with `cargo bench -p embershore --bench limit`.
+//! The receivers are fast and have no rate limit.
+//! The message rate is raised in steps until more than a tenth of the messages' worth is lost.
+//! Rate and duration are bounded, and all traffic stays on loopback.
+//! Run the benchmark with `cargo bench -p embershore --bench limit`.
 
 use embershore_rehearsal::report::report;
 use embershore_rehearsal::rig::{self, Options, Progress, Subject};
@@ -12,9 +13,9 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Duration of each run in seconds.
+/// Duration in seconds of the run at each message rate.
 const RUN_SECONDS: u32 = 5;
-/// Rates of the steps, in messages per second.
+/// Message rates of the benchmark's steps, in messages per second.
 const RATES_PER_SECOND: [u32; 6] = [400, 800, 1600, 3200, 6400, 9600];
 
 /// Returns the CPU seconds and the resident memory in MB of the daemon, which is a child process of this one.
@@ -33,7 +34,7 @@
     })
 }
 
-/// Builds the scenario of one step: 40 destinations, one sender and steady traffic of two classes.
+/// Builds the scenario of one message rate: 40 destinations, one sender and steady traffic of two classes.
 fn scenario(rate: u32, slots: u32, disk_mb: f64) -> Scenario {
     let text = format!(
         "name = \"limit\"\nlength = \"{RUN_SECONDS}s\"\n\
@@ -60,7 +61,7 @@
             let subject = Subject::Spawn(env!("CARGO_BIN_EXE_embershore").into());
             let path = folder.path().to_path_buf();
             let options = Options { subject, folder: path, control: None, serve_only: false, stall: None };
-            // Each sample: time in microseconds, CPU seconds, memory in MB.
+            // Samples of the daemon's usage: time in microseconds, CPU seconds, memory in MB.
             let samples: Rc<RefCell<Vec<(i64, f64, f64)>>> = Rc::default();
             let recorded = samples.clone();
             let watch = move |p: Progress| {
--- a/crates/sender/src/cli.rs
+++ b/crates/sender/src/cli.rs
@@ -33,7 +33,7 @@
 
 /// Parses the arguments, runs the daemon or a subcommand, and returns the exit code.
 pub fn main() -> ExitCode {
-    // The platform starts the daemon without arguments; clap is not run then.
+    // The platform starts the daemon without arguments; clap is not run in this case.
     let mut options = None;
     if std::env::args_os().len() > 1 {
         let arguments = Arguments::parse();
--- a/crates/sender/src/clock.rs
+++ b/crates/sender/src/clock.rs
@@ -1,10 +1,10 @@
-//! The sender's clock.
+//! The sender's clock: wall-clock time that never goes back.
 
 use heronroute::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that counts microseconds from the wall clock's time at the start, by the monotonic clock, so that it never
-/// goes back. The journal and the dispatcher share it.
+/// A clock that starts at the wall clock's time and advances by the monotonic clock, so that it never goes back.
+/// The journal and the dispatcher share the sender's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     wall: Micros,
@@ -23,7 +23,7 @@
         self.wall + self.start.elapsed().as_micros() as Micros
     }
 
-    /// Converts a time of this clock to an instant for a timer.
+    /// Converts a time of the sender's clock to an instant for a timer.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         let after = Duration::from_micros((at - self.wall).max(0) as u64);
         (self.start + after).into()
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -91,7 +91,7 @@
         };
         tokio::select! {
             biased;
-            // The sending half of the channel lives as long as the process.
+            // The sending half of the address channel lives as long as the process.
             _ = addr.changed() => {
                 (index, in_force, pause) = (None, None, Duration::ZERO);
                 schedule.reset();
--- a/crates/sender/src/inherited_socket.rs
+++ b/crates/sender/src/inherited_socket.rs
@@ -7,11 +7,11 @@
 use std::net::TcpListener;
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 
-/// The variable that names the descriptor.
+/// The environment variable that gives the number of the inherited descriptor.
 const NAME: &str = "LB_SOCKET_FD";
 
-/// Returns the listening socket that `LB_SOCKET_FD` names, or None if the variable is unset or empty. Must be called
-/// before anything else opens files.
+/// Returns the listening socket that `LB_SOCKET_FD` names, or None if the variable is unset or empty.
+/// `listener` must be called before anything else opens files.
 ///
 /// # Errors
 /// The variable is not a descriptor number, or the descriptor is not a listening TCP socket.
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -1,4 +1,4 @@
-//! The inputs that the daemon's parts send to the driver, and the notices that it sends out.
+//! The inputs that the daemon's parts send to the driver, and the notices that the driver sends out.
 
 use embershore_handover::Frame;
 use embershore_protocol::notice::End;
@@ -6,18 +6,18 @@
 use heronroute::{ClassSettings, EndpointEntry, EndpointId, LoadReport, Micros, Outcome};
 use tokio::sync::oneshot;
 
-/// An input to the driver.
+/// An input from one of the daemon's parts to the driver.
 #[derive(Debug)]
 pub enum Input {
     /// A client's message, and the channel for the reply.
     Put(Put, oneshot::Sender<Reply>),
-    /// A listing from discovery: complete, or the changes since the last one.
+    /// An endpoint listing from discovery: complete, or the changes since the last listing.
     EndpointsListed { index: u64, full: bool, entries: Vec<EndpointEntry> },
-    /// The end of the call with this number.
+    /// A call's end, with the number of the call.
     CallEnded(u64, CallEnd),
-    /// The outcome of a probe.
+    /// The outcome of a probe, with the load report if the endpoint sent one.
     Probed(EndpointId, Outcome, Option<LoadReport>),
-    /// The platform has confirmed the notices of these messages.
+    /// The platform has confirmed notices; the numbers are those of their messages.
     NoticesConfirmed(Vec<u64>),
     /// The classes of a reloaded configuration.
     ClassesReloaded(Vec<(String, ClassSettings)>),
--- a/crates/sender/src/mgmt.rs
+++ b/crates/sender/src/mgmt.rs
@@ -1,7 +1,7 @@
 //! The management interface: HTTP/1.1 at an address of its own, one request per connection.
 //!
-//! The interface runs on the sender's only thread. A response waits for that thread's current work, so that a hanging
-//! event loop is never reported as ready.
+//! The interface runs on the sender's only thread. A response waits for the thread's current work.
+//! A sender whose event loop hangs is therefore never reported as ready.
 
 use crate::endpoint_table::EndpointTable;
 use crate::metrics::Metrics;
@@ -22,14 +22,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Maximum number of concurrent connections. A request is answered as soon as it is complete, so open connections have
-/// not sent a complete request yet. At the limit the oldest connection is closed for a new one.
+/// Maximum number of concurrent connections to the management interface.
+/// A request is answered as soon as it is complete, so open connections have not sent a complete request yet.
+/// At the limit the oldest connection is closed for a new one.
 pub const MAX_CALLERS: usize = 24;
-/// Time for reading a request's head.
+/// Maximum time for reading the head of a request to the management interface.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Total time for a connection, including the response.
+/// Maximum total time of a connection to the management interface, including the response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Limit of a request's head.
+/// Size limit in bytes for the head of a request to the management interface.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
 /// The parts of the daemon that the management interface reads and changes.
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Returns the text for a process that is starting, with the reason if its endpoint list was rejected.
+    /// Returns the readiness text of a process that is starting, with the reason if its endpoint list was rejected.
     fn starting(&self) -> String {
         let rejection = self.metrics.lists.rejection().filter(|_| self.endpoints.borrow().listed() == 0);
         match rejection {
@@ -124,11 +125,11 @@
         .header_read_timeout(HEAD_TIMEOUT)
         .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(socket), service);
-    // After an error the client has its error response or has disconnected.
+    // After an error nothing is left to do: the client has its error response or has disconnected.
     _ = tokio::time::timeout(CALL_TIMEOUT, connection).await;
 }
 
-/// Accepts and answers requests for ever.
+/// Accepts connections to the management interface and answers their requests for ever.
 pub async fn serve(listener: TcpListener, management: Management) {
     let mut callers: VecDeque<AbortHandle> = VecDeque::with_capacity(MAX_CALLERS);
     loop {
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -11,18 +11,20 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Maximum number of notices in one request.
+/// Maximum number of notices in one request to the platform.
 const MAX_BATCH: usize = 200;
-/// Response timeout of the first attempt; it doubles with each further attempt. The platform answers at once, and a
-/// notice is due 0.3 s after its message's deadline. A request without a response is repeated on a new connection.
+/// Response timeout of the first attempt to send notices; the timeout doubles with each further attempt.
+/// The platform answers at once, and a notice is due 0.3 s after its message's deadline.
+/// A request without a response is repeated on a new connection.
 const FIRST_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Pause after the first failed attempt; it doubles with each further attempt.
+/// Pause after the first failed attempt to send notices; the pause doubles with each further attempt.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(20);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Sends notices for ever. The size of the journal bounds the queue. When the platform's address changes, a
-/// request in flight is repeated at the new address: reporting an end twice is harmless.
+/// Sends notices to the platform for ever. The size of the journal bounds the queue of notices.
+/// When the platform's address changes, a request in flight is repeated at the new address.
+/// Reporting a message's end twice is harmless.
 pub async fn send(
     mut addr: watch::Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<Notice>,
@@ -56,7 +58,7 @@
                         (pause, timeout) = ((pause * 2).min(MAX_RETRY_PAUSE), (timeout * 2).min(MAX_TIMEOUT));
                     }
                 },
-                // The sending half of the channel lives as long as the process.
+                // The sending half of the address channel lives as long as the process.
                 _ = addr.changed() => (pause, timeout) = (FIRST_RETRY_PAUSE, FIRST_TIMEOUT),
             }
         }
@@ -67,7 +69,7 @@
     }
 }
 
-/// Posts one batch. Returns the connection if it can be reused.
+/// Posts one batch of notices to the platform. Returns the connection if it can be reused.
 async fn post(addr: SocketAddr, idle: Option<Connection>, body: Bytes) -> io::Result<Option<Connection>> {
     let mut connection = match idle.filter(|c| c.addr() == addr).and_then(Connection::if_usable) {
         Some(connection) => connection,
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -105,7 +105,8 @@
         outcome_of(reply)
     }
 
-    /// Connects to an owner and writes the message's first bytes. If the future is dropped early, nothing was written.
+    /// Connects to an owner and writes the message's first bytes.
+    /// If the returned future is dropped before it completes, nothing has been written to the owner.
     async fn begin(&self, owner: SocketAddr, put: &Put, read_at: Micros) -> io::Result<Exchange> {
         let mut reservation = self.pool.reserve(owner).await;
         let mut stream = reservation.connect().await?;
--- a/crates/sender/src/placement/metrics.rs
+++ b/crates/sender/src/placement/metrics.rs
@@ -3,13 +3,13 @@
 use serde::Serialize;
 use std::cell::Cell;
 
-/// Counters of forwarded messages and rejected member lists, from the process's start.
+/// Counters of forwarded messages and of control agents' rejected responses, from the process's start.
 #[derive(Debug, Default)]
 pub struct Counters {
     pub forwarded: ForwardedCounters,
-    /// Messages accepted from other members.
+    /// Number of messages accepted from other members.
     pub taken_for_others: Cell<u64>,
-    /// Responses of control agents that were rejected.
+    /// Number of control agents' responses that were rejected.
     pub lists_refused: Cell<u64>,
 }
 
@@ -42,11 +42,11 @@
     pub unread_shards: usize,
     /// Time in milliseconds until no destination is on hold any more.
     pub on_hold_ms: u64,
-    /// Responses of control agents that were rejected.
+    /// Number of control agents' responses that were rejected.
     pub lists_refused: u64,
     /// Numbers of forwarded messages, by the reply to the message's client.
     pub forwarded: ForwardedMetrics,
-    /// Messages accepted from other members.
+    /// Number of messages accepted from other members.
     pub taken_for_others: u64,
 }
 
--- a/crates/sender/src/placement/pending.rs
+++ b/crates/sender/src/placement/pending.rs
@@ -3,7 +3,7 @@
 use heronroute::MsgId;
 use std::collections::HashMap;
 
-/// The open messages and their destinations. Bounded by the number of messages that the sender accepts.
+/// The open messages and their destinations; bounded by the number of messages that the sender accepts.
 #[derive(Debug, Default)]
 pub struct PendingMessages {
     destinations: HashMap<MsgId, i64>,
@@ -11,14 +11,14 @@
 }
 
 impl PendingMessages {
-    /// Adds a message; adding it twice has no effect.
+    /// Adds an open message and its destination; adding a message twice has no effect.
     pub fn insert(&mut self, id: MsgId, dest: i64) {
         if self.destinations.insert(id, dest).is_none() {
             *self.counts.entry(dest).or_default() += 1;
         }
     }
 
-    /// Removes a message, if present.
+    /// Removes a message that has ended, if present.
     pub fn remove(&mut self, id: MsgId) {
         let Some(dest) = self.destinations.remove(&id) else { return };
         let Some(count) = self.counts.get_mut(&dest) else { return };
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Whether there is a message for this destination.
+    /// Whether any open message is for the destination `dest`.
     pub fn contains(&self, dest: i64) -> bool {
         self.counts.contains_key(&dest)
     }
 
-    /// Returns the destinations of all messages.
+    /// Returns the destinations of all open messages, each destination once.
     pub fn destinations(&self) -> impl Iterator<Item = i64> {
         self.counts.keys().copied()
     }
--- a/crates/sender/src/placement/reader.rs
+++ b/crates/sender/src/placement/reader.rs
@@ -7,9 +7,9 @@
 
 /// An incremental reader of listings, whose input may be split at any byte.
 pub enum ListReader {
-    /// Keeps all endpoints.
+    /// Keeps all endpoints of a listing.
     All(ListingReader),
-    /// Drops the endpoints of destinations that this sender does not retain.
+    /// Drops from a listing the endpoints of destinations that this sender does not retain.
     Filtered(FilteredListingReader, Rc<Placement>),
 }
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Adds input.
+    /// Adds bytes read from the stream to the input.
     pub fn extend(&mut self, bytes: &[u8]) {
         match self {
             ListReader::All(listings) => listings.extend(bytes),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the number of endpoints that begin in an incomplete listing's input so far.
+    /// Returns the number of endpoints that begin in the part read of an incomplete listing.
     pub fn endpoints_started(&self) -> usize {
         match self {
             ListReader::All(listings) => listings.endpoints_started(),
--- a/crates/sender/src/placement/saved_state.rs
+++ b/crates/sender/src/placement/saved_state.rs
@@ -1,5 +1,6 @@
-//! The placement state that is saved in the state folder. With it a restarted owner does not have to wait like a new
-//! owner, and does not take a larger share of a limit than its last run had.
+//! The placement state that is saved in the state folder.
+//! With the saved state a restarted owner does not have to wait like a new owner.
+//! A restarted owner also does not take a larger share of a limit than its last run had.
 
 use embershore_placement::PersistedPlacement;
 use std::cell::RefCell;
@@ -9,7 +10,7 @@
 const FILE: &str = "placement.json";
 const NEXT_FILE: &str = "placement.json.next";
 
-/// The file and its content.
+/// The file of the saved placement state, and the file's content.
 #[derive(Debug)]
 pub struct SavedState {
     folder: PathBuf,
@@ -17,23 +18,23 @@
 }
 
 impl SavedState {
-    /// Reads the file of an earlier run. A file that can't be read counts as missing: the sender then waits as a new
-    /// owner.
+    /// Reads the state file of an earlier run.
+    /// A file that can't be read counts as missing: the sender then waits as a new owner.
     pub fn open(folder: &Path) -> SavedState {
         let read = std::fs::read(folder.join(FILE)).ok();
         let state = read.and_then(|text| serde_json::from_slice(&text).ok());
         SavedState { folder: folder.into(), written: RefCell::new(state) }
     }
 
-    /// Returns the state that this process has written last, or else the state of an earlier run.
+    /// Returns the placement state that this process has written last, or else the state of an earlier run.
     pub fn get(&self) -> Option<PersistedPlacement> {
         self.written.borrow().clone()
     }
 
-    /// Writes the state, unless it is unchanged.
+    /// Writes the placement state to the state folder, unless the state is unchanged.
     ///
     /// # Errors
-    /// The folder can't be written; the file then keeps its old content.
+    /// The state folder can't be written; the state file then keeps its old content.
     pub fn save(&self, state: PersistedPlacement) -> io::Result<()> {
         if self.written.borrow().as_ref() == Some(&state) {
             return Ok(());
--- a/crates/sender/src/rehearse.rs
+++ b/crates/sender/src/rehearse.rs
@@ -165,7 +165,7 @@
     json: bool,
 }
 
-/// Runs the subcommand and returns the exit code.
+/// Runs the subcommand of `embershore rehearse` and returns the exit code.
 pub fn main(arguments: Arguments) -> ExitCode {
     let result = match arguments.command {
         None => run(shipped::ALL[0].name, &arguments.run, Vec::new(), false),
@@ -201,7 +201,7 @@
 /// Reads a scenario by file name or shipped name.
 pub(crate) fn read(name: &str) -> Result<Scenario, ScenarioError> {
     match shipped::find(name) {
-        // A file of that name takes precedence: it is the operator's own copy.
+        // A file with a shipped scenario's name takes precedence: the file is the operator's own copy.
         Some(s) if !Path::new(name).is_file() => {
             Scenario::parse(&format!("{name} (shipped)"), s.text, Path::new("."))
         }
@@ -209,7 +209,7 @@
     }
 }
 
-/// Runs a scenario, or only its stand-ins with `serve_only`, and prints the report.
+/// Runs a scenario, or with `serve_only` only the scenario's stand-ins, and prints the report.
 fn run(
     name: &str,
     run_options: &RunOptions,
@@ -257,7 +257,7 @@
     print_report(&folder, run_options.html.as_deref(), run_options.json)
 }
 
-/// Returns the progress display: a bar on a terminal, otherwise a line every 10 s, or nothing with `--quiet`.
+/// Returns the progress display of a run: a bar on a terminal, otherwise a line every 10 s; nothing with `--quiet`.
 fn progress(quiet: bool) -> Box<dyn FnMut(Progress)> {
     let counts = |p: Progress| {
         format!(
@@ -289,7 +289,7 @@
     })
 }
 
-/// Judges a recorded run and prints the report; with `page` also writes it as HTML.
+/// Judges a recorded run and prints the report; with `page` also writes the report as HTML.
 fn print_report(evidence: &Path, page: Option<&Path>, json: bool) -> Result<u8, Box<dyn Error>> {
     let (report, table) = report(evidence)?;
     if let Some(path) = page {
--- a/crates/sender/src/reload_check.rs
+++ b/crates/sender/src/reload_check.rs
@@ -3,7 +3,7 @@
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// An error in a configuration, with the path of the field.
+/// An error in a reloaded configuration, with the path of the field.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ReloadError {
     path: String,
@@ -22,11 +22,11 @@
     ReloadError { path: path.trim_start_matches('.').to_string(), message: message.into() }
 }
 
-/// Checks a new configuration against the running one. Each key of the running one must be present in the new one too:
-/// a missing key would silently mean a default.
+/// Checks a new configuration against the running configuration.
+/// Each key of the running configuration must be present in the new one: a missing key would silently mean a default.
 ///
 /// # Errors
-/// Returns the first error found.
+/// Returns the first error found in the new configuration.
 pub fn check(running: &Value, new: &Value) -> Result<(), ReloadError> {
     check_same_shape("", running, new)?;
     let settings = new.get("settings").unwrap_or(&Value::Null);
@@ -80,7 +80,8 @@
     match (running, new) {
         (Value::Object(running), Value::Object(new)) => check_fields(path, running, new),
         (Value::Array(running), Value::Array(new)) => {
-            // Lists may grow and shrink. The keys that all entries of the running list have must be in each new entry.
+            // Lists may grow and shrink. Each entry of the new list must have the keys
+            // that all entries of the running list have.
             let Some(Value::Object(first)) = running.first() else { return Ok(()) };
             let mut common = first.clone();
             common.retain(|key, _| running.iter().all(|entry| entry.get(key).is_some()));
