--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -17,14 +17,14 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, oneshot};
 
-/// Limit of a response's body.
+/// Size limit in bytes of a response's body.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 /// Minimum age of a new connection, and minimum idle time of a reused connection, before a request is written.
 /// The pause leaves time for the reset of a new connection, and for stray bytes after a response.
 /// Without the pause, stray bytes would be read as the next response.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
-/// A reused connection that is reset within this time after a request was written
-/// counts as dropped by the peer before the request.
+/// Time after a request was written within which a reset shows that a reused connection was unusable before.
+/// A reused connection that is reset so soon counts as dropped by the peer before the request.
 const IMMEDIATE_RESET: Duration = Duration::from_millis(100);
 /// Minimum of the idle lifetime: connections idle for no longer than this minimum are always reused.
 const MIN_IDLE_LIFETIME: Duration = Duration::from_millis(50);
@@ -163,8 +163,9 @@
 }
 
 impl Calls {
-    /// Creates the maker of calls, without connections. `max_idle_time` is the longest time for which a connection may
-    /// be idle, and `max_idle` the maximum number of idle connections.
+    /// Creates the maker of calls, without connections.
+    /// `max_idle_time` is the longest time for which a connection may be idle.
+    /// `max_idle` is the maximum number of idle connections.
     pub fn new(
         endpoints: Rc<RefCell<EndpointTable>>,
         metrics: Rc<Metrics>,
@@ -231,7 +232,7 @@
     /// The next request on such a connection is reset and may or may not have run: an unsafe message is lost.
     /// For [`STALE_RETENTION`] after such a reset the lifetime is half of the shortest idle time that ended in a reset.
     /// The shorter lifetime costs more new connections.
-    /// It applies to the endpoint alone, or to all endpoints if several had resets.
+    /// The shorter lifetime applies to the endpoint alone, or to all endpoints if several had resets.
     fn idle_lifetime(&self, endpoint: EndpointId) -> Duration {
         let mut stale = self.stale.borrow_mut();
         stale.retain(|s| s.at.elapsed() < STALE_RETENTION);
@@ -283,8 +284,8 @@
         idle.entry(endpoint).or_default().push(connection);
     }
 
-    /// Makes a call. Right before the first byte is written, `begin` returns the messages to send:
-    /// some of the call's messages may have ended while the connection was opening.
+    /// Makes a call. Right before the first byte is written, `begin` returns the messages to send.
+    /// Some of the call's messages may have ended while the connection was opening.
     /// If `begin` returns no message, nothing is sent. `cancelled` ends the call by closing its connection.
     pub async fn call(
         &self,
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -162,7 +162,7 @@
 struct ClientEntry {
     /// Whether a request on the connection has been answered.
     served: Cell<bool>,
-    /// Whether a request is being processed.
+    /// Whether a request on the connection is being processed.
     busy: Cell<bool>,
     /// When the connection's last request was answered, or else when the connection was accepted.
     idle_since: Cell<Instant>,
@@ -222,7 +222,7 @@
     }
 }
 
-/// Removes a connection from the table when dropped.
+/// Removes a client's connection from the table when the guard is dropped.
 struct ClientGuard {
     table: Rc<ClientTable>,
     number: u64,
@@ -402,7 +402,7 @@
     /// Returns the reply's text, or None if the connection has failed; the dropped channel then notifies the driver.
     /// A client that has closed its sending side may have left or may still read.
     /// The message of such a client is withdrawn and refused if it has not been accepted yet: harmless in both cases.
-    /// An accepted message is answered.
+    /// A message that has been accepted is answered.
     async fn wait(&mut self, answer: PendingReply) -> Option<String> {
         let (mut answer, _counted, wait_to_end) = match answer {
             PendingReply::Text(text) => return Some(text),
@@ -438,8 +438,8 @@
     }
 }
 
-/// Accepts and serves connections until the sender stops and its connections close. A lame duck still accepts some:
-/// the load balancer sends new connections until its next poll of the sender's readiness.
+/// Accepts and serves connections until the sender stops and its connections close.
+/// A lame duck still accepts connections: the load balancer sends some until its next poll of the sender's readiness.
 pub async fn serve(
     listener: TcpListener,
     limits: ClientLimits,
--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -70,8 +70,8 @@
 
 /// A socket that records when a request's last byte has been written, and the status in the response's status line.
 /// The status decides a call's outcome even if the rest of the response can't be read.
-/// The flush shows that the request's last byte has been written: hyper flushes once its buffer is empty,
-/// and a request's head and body enter hyper's buffer together.
+/// The flush shows that the request's last byte has been written: hyper flushes once its buffer is empty.
+/// A request's head and body enter hyper's buffer together.
 /// The socket drops 1xx responses, since hyper would treat a 101 as the end of HTTP on the connection.
 struct Socket<S = TcpStream> {
     stream: S,
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -44,21 +44,21 @@
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Capacity of the driver's input queue. A task that sends to the full queue waits.
 const MAX_QUEUED_INPUTS: usize = 1024;
-/// Descriptors for everything except clients and endpoints: 16 in use, and as many again kept free. In use are
-/// the standard streams, the event queue and its signals, the listener and a client that is being rejected,
-/// the journal and its compacted copy, the configuration, discovery's list and its next connection,
-/// and the notices' connection.
+/// Descriptors for everything except clients and endpoints: 16 in use, and as many again kept free.
+/// In use are the standard streams, the event queue and its signals, the listener and a client being rejected.
+/// Also in use are the journal and its compacted copy, the configuration, discovery's list and its next connection,
+/// and the connection for notices to the platform.
 const OWN_DESCRIPTORS: usize = 32;
 
 /// The largest number of bytes that a semaphore can count; more than any machine's memory.
 const MAX_COUNTED_BYTES: usize = tokio::sync::Semaphore::MAX_PERMITS;
 
-/// Descriptors of the management interface: the listener, the connections,
-/// and one more connection while the oldest is being closed.
+/// Descriptors of the management interface: the listener and the connections.
+/// The number includes one more connection, which is open while the oldest is being closed.
 const MGMT_DESCRIPTORS: usize = mgmt::MAX_CALLERS + 2;
 
-/// Descriptors of placement besides the connections to other members: the listener for other members,
-/// the connection to a control agent, and the state file.
+/// Descriptors of placement besides the connections to other members.
+/// Placement needs them for the listener for other members, the connection to a control agent and the state file.
 const PLACEMENT_DESCRIPTORS: usize = 3;
 /// Time that a start waits for a control agent's response.
 const MEMBER_LIST_WAIT: Duration = Duration::from_secs(2);
@@ -107,9 +107,11 @@
         }
     }
 
-    /// Returns the limits for clients: a third of the descriptors for connections, and an eighth of the memory each for
-    /// incomplete commands and for messages without a reply. The rest is for the messages in the journal, which the
-    /// disk limit bounds, for a copy of it during a compaction, and for calls, which their slots bound.
+    /// Returns the limits for clients.
+    /// Clients' connections get a third of the descriptors.
+    /// Incomplete commands and messages without a reply get an eighth of the memory each.
+    /// The rest of the memory is for the journal's messages, for the journal's copy during a compaction, and for calls.
+    /// The disk limit bounds the journal's messages, and the slots bound the calls.
     fn clients(&self) -> clients::ClientLimits {
         let eighth_of_memory = ((self.memory_mb * 1e6 / 8.0) as usize).min(MAX_COUNTED_BYTES);
         clients::ClientLimits {
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Returns the maximum number of idle connections to endpoints: the descriptors that are left
-    /// by clients, calls, probes, other members and the sender's own files.
+    /// Returns the maximum number of idle connections to endpoints.
+    /// The number is that of the descriptors left by clients, calls, probes, other members and the sender's own files.
     fn max_idle_connections(&self, slots: usize, mgmt: bool, placement: Option<&PlacementOptions>) -> usize {
         let mgmt = if mgmt { MGMT_DESCRIPTORS } else { 0 };
         let members = placement.map_or(0, |options| options.max_owner_connections + PLACEMENT_DESCRIPTORS);
@@ -222,8 +224,8 @@
         match ReloadedConfig::read(&to.path, &to.running) {
             Ok(ReloadedConfig { discovery, classes, value }) => {
                 to.running = value;
-                // The classes are sent before discovery's address is changed: a busy driver must not get listings from
-                // the new address without the new classes.
+                // The classes are sent before discovery's address is changed.
+                // A busy driver must not get listings from the new address without the new classes.
                 _ = to.inputs.send(Input::ClassesReloaded(classes)).await;
                 let moved = to.discovery.send_if_modified(|addr| {
                     let before = std::mem::replace(addr, discovery);
@@ -241,8 +243,8 @@
     }
 }
 
-/// Returns the management interface's address: the value of `LB_MGMT`, which each process may set differently,
-/// or else the address in the configuration.
+/// Returns the management interface's address: the value of `LB_MGMT`, or else the address in the configuration.
+/// Each process of a sender may be started with another value of `LB_MGMT`.
 fn mgmt_address(configured: Option<SocketAddr>) -> Result<Option<SocketAddr>, String> {
     match std::env::var("LB_MGMT") {
         Ok(addr) if !addr.is_empty() => {
@@ -322,8 +324,8 @@
     let required_variable = |name: &str| std::env::var(name).map_err(|_| format!("{name} is not set"));
     let path = PathBuf::from(required_variable("LB_CONFIG")?);
     let (mut config, running) = Config::read_with_value(&path)?;
-    // All settings are checked before a client can connect: a client whose connection ends without a reply
-    // has lost its message.
+    // All settings are checked before a client can connect.
+    // A client whose connection ends without a reply has lost its message.
     let names = config.settings.names();
     let connect_timeout =
         config.settings.connect_timeout().filter(|t| *t > 0).unwrap_or(DEFAULT_CONNECT_TIMEOUT_US);
@@ -514,8 +516,8 @@
             });
         }
     }
-    // If discovery has sent nothing yet, the configured list is applied once more, without the endpoints that the
-    // journal records as draining.
+    // If discovery has sent nothing yet, the configured list is applied once more.
+    // Endpoints that the journal records as draining are left out of the configured list.
     let known = match taken {
         Some(entries) if !inbox.is_empty() => InitialList::Applied(entries),
         _ => known,
@@ -526,8 +528,8 @@
     Ok(())
 }
 
-/// Runs the sender with the configuration in `LB_CONFIG` and the state folder in `LB_STATE`, until the sender
-/// has received the stop signal and has stopped.
+/// Runs the sender with the configuration in `LB_CONFIG` and the state folder in `LB_STATE`.
+/// Returns once the sender has received the stop signal and has stopped.
 /// The operator's options are read from `options`, or else from the file that `LB_OPTIONS` names.
 ///
 /// # Errors
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -35,8 +35,8 @@
 
 /// Follows the endpoint listing for ever; the driver receives the changes in order.
 /// The endpoint table is updated as soon as a line is read, so that a drain stops calls that have not begun.
-/// When discovery's address changes, the new address is polled at once for the complete listing:
-/// the new address may not know the version that the old address last sent.
+/// When discovery's address changes, the new address is polled at once for the complete listing.
+/// The new address may not know the version that the old address last sent.
 ///
 /// `index` is the version of the known listing, if there is one.
 pub async fn follow(
@@ -144,8 +144,8 @@
 
 impl ListingSink {
     /// Applies a listing to the endpoint table and sends the changes to the driver.
-    /// The slot in the driver's channel is reserved first, since a change of discovery's address may cancel the wait
-    /// for a slot, and the table must not be ahead of the driver.
+    /// The slot in the driver's channel is reserved first: the endpoint table must not be ahead of the driver.
+    /// A change of discovery's address may cancel the wait for a slot.
     async fn apply(&self, listing: Listing) -> io::Result<()> {
         let slot = self.driver.reserve().await.map_err(io::Error::other)?;
         let entries = self.endpoints.borrow_mut().apply(&listing);
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -122,12 +122,12 @@
     next_call: u64,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
     unconfirmed_notices: usize,
-    /// When SIGTERM was received.
+    /// When this process received SIGTERM; None before that.
     stopping: Option<Micros>,
 }
 
 impl Driver {
-    /// Builds a driver.
+    /// Builds the driver from the daemon's other parts.
     ///
     /// # Errors
     /// The dispatcher rejects the settings.
@@ -279,8 +279,9 @@
     /// Queues a new message as an event, or rejects it at once.
     fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
-            // The client has sent the message on a second connection. Until the message is in the journal,
-            // the message must not be reported as accepted: a client whose message is rejected later would not retry.
+            // The client has sent the message on a second connection.
+            // Acceptance must not be reported before the message is in the journal: it may still be rejected.
+            // After a report of acceptance, the client would not send a rejected message again.
             let written = self.journal.borrow().get(id.0).is_some();
             _ = reply.send(if written { Reply::Accepted } else { Reply::Busy { retry_after_ms: 0 } });
             return;
@@ -427,7 +428,7 @@
         }
     }
 
-    /// Closes a message that needs no notice.
+    /// Closes a message whose end needs no notice to the platform.
     fn close_message(&mut self, id: MsgId) {
         self.remove_pending(id);
         if let Some(entry) = self.journal.borrow().get(id.0) {
@@ -455,8 +456,8 @@
 
     /// Sets each new message's remaining time as of this round.
     /// The round may run a quantum after the message was read, or later at a start with a long journal.
-    /// With the remaining time as of reading, the dispatcher would end the message too late:
-    /// a response after the deadline would not count.
+    /// With the remaining time as of reading, the dispatcher would end the message too late.
+    /// A response after the message's deadline would not count.
     fn set_time_left(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
         for event in events {
@@ -607,7 +608,7 @@
         });
     }
 
-    /// Starts a call with these messages, as a task of its own.
+    /// Starts a call to an endpoint with the messages in `sends`, as a task of its own.
     fn send(&mut self, endpoint: EndpointId, sends: Vec<(MsgId, Micros)>) {
         let target = self.endpoints.borrow().get(endpoint).cloned();
         let target = target.and_then(|t| t.addr.map(|addr| (t, addr)));
@@ -658,8 +659,8 @@
                 if clock.now() >= key_window_end {
                     return Vec::new();
                 }
-                // A message that ended while the connection was opening must not be sent:
-                // the client may already have been notified of the message's end.
+                // A message that ended while the connection was opening must not be sent.
+                // The client may already have been notified of the message's end.
                 let open =
                     |id: &MsgId| journal.borrow().get(id.0).is_some_and(|entry| entry.progress.end.is_none());
                 let wanted: Vec<MsgId> = spec.items.iter().map(|i| i.id).filter(open).collect();
@@ -686,7 +687,7 @@
         if separate_routes { Lane::Route(id) } else { Lane::Whole(endpoint.dest) }
     }
 
-    /// Starts a probe, as a task of its own.
+    /// Starts a probe of an endpoint, as a task of its own.
     fn probe(&mut self, endpoint: EndpointId) {
         let addr = self.endpoints.borrow().get(endpoint).and_then(|e| e.addr.filter(|_| e.ready));
         let Some(addr) = addr else {
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -34,7 +34,7 @@
     /// Waits for an endpoint listing, without which nothing can be sent.
     /// The configuration's listing may be old: it is used only if discovery sends no listing within `list_wait`.
     /// Returns the inputs that arrived during the wait, which are to be handled after the restored messages.
-    /// Returns None if the stop signal was received.
+    /// Returns None if the stop signal was received during the wait for a listing.
     pub(super) async fn wait_for_list(
         &mut self,
         inbox: &mut mpsc::Receiver<Input>,
@@ -93,8 +93,7 @@
             }
             let names: HashMap<EndpointId, String> = names.into_iter().collect();
             let endpoints = self.endpoints.borrow();
-            // An endpoint that has calls in flight and is no longer listed gets a number of its own:
-            // no listed endpoint will have this number.
+            // An endpoint with calls in flight that is no longer listed gets a number that no listed endpoint will have.
             let unlisted: BTreeSet<EndpointId> = calls.iter().map(InFlightCall::endpoint).collect();
             let number = |id: EndpointId| {
                 let known = names.get(&id).and_then(|name| endpoints.number(name));
@@ -186,8 +185,8 @@
 
 /// Returns the receivers' health as of the earlier run.
 /// A journal of an earlier version does not record receivers' health.
-/// Receivers that have messages in such a journal, or whose endpoints were failing, may be down or warming up:
-/// the health of these receivers is restored as unknown.
+/// Receivers that have messages in such a journal, or whose endpoints were failing, may be down or warming up.
+/// The health of such receivers is restored as unknown.
 fn restored_receivers(journal: &Journal, endpoints: &EndpointTable) -> Vec<Event> {
     let mut unknown = BTreeSet::new();
     if !journal.has_receiver_records() {
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -132,8 +132,8 @@
     decoder: Decoder,
 }
 
-/// A link that a task reads and writes. The channels have no bound of their own, but their content is bounded:
-/// the number of connections bounds the clients' messages, and the number of slots bounds the ends of calls.
+/// A link that a task reads and writes. The channels have no bound of their own, but their content is bounded.
+/// The number of connections bounds the clients' messages, and the number of slots bounds the ends of calls.
 pub struct BackgroundLink {
     pub send: mpsc::UnboundedSender<Frame>,
     /// The frames received on the link. The channel closes when the link ends.
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -175,7 +175,7 @@
     events: Vec<Event>,
     /// Submitted messages that no round has processed.
     submitted: BTreeMap<u64, Accepted>,
-    /// Steps until the process is killed.
+    /// Number of steps until the process is killed; None if it is not to be killed.
     steps_left: Option<usize>,
 }
 
@@ -502,7 +502,7 @@
         Ok(())
     }
 
-    /// Ends an undelivered message.
+    /// Ends an undelivered message, after checking that the end is allowed.
     fn end_undelivered(&mut self, id: u64, end: End) -> Result<(), Killed> {
         let truth = &self.truth[&id];
         let due = truth.deadline - 2 * QUANTUM;
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -1,8 +1,10 @@
-//! The journal stores every accepted message that has not ended, its attempts, the notices not yet confirmed, and the
-//! health of endpoints and receivers, for the next process of this sender.
+//! The journal stores the state that the next process of this sender needs.
+//! The state is every accepted message that has not ended, with its attempts, and the notices not yet confirmed.
+//! The journal also stores the health of endpoints and receivers.
 //!
-//! The journal is an append-only file of records, each `length (u32 LE), CRC-32 of the payload (u32 LE), payload`. The
-//! payload is a [`Record`] encoded by postcard. The next start replays the records and rebuilds the same [`Journal`].
+//! The journal is an append-only file of records, each `length (u32 LE), CRC-32 of the payload (u32 LE), payload`.
+//! A record's payload is a [`Record`] encoded by postcard.
+//! The next start replays the records and rebuilds the same [`Journal`].
 
 use bytes::Bytes;
 use embershore_protocol::notice::End;
@@ -21,7 +23,7 @@
 /// Share of the size limit that new messages leave free for the progress records of accepted messages.
 const OUTCOME_RESERVE: f64 = 0.1;
 
-/// Upper bound of a rules record's size.
+/// Upper bound in bytes for the size of a record of class rules.
 const MAX_RULES_BYTES: u64 = 96;
 /// Maximum number of draining or gone endpoints that the journal records.
 const MAX_NOT_READY: usize = 500;
@@ -564,7 +566,7 @@
         self.not_ready.get(name).is_some_and(|version| *version > index)
     }
 
-    /// Returns the endpoints' recorded health, by name.
+    /// Returns the endpoints' health as the journal records it, by endpoint name.
     pub fn health(&self) -> impl Iterator<Item = (&str, EndpointHealth)> {
         self.health.iter().map(|(name, condition)| {
             let EndpointCondition { bad_since, trouble, warm_since } = *condition;
@@ -575,7 +577,7 @@
         })
     }
 
-    /// Returns the receivers' recorded health.
+    /// Returns the receivers' health as the journal records it.
     pub fn receivers(&self) -> impl Iterator<Item = (&Receiver, ReceiverHealth)> {
         self.receivers.iter().map(|(receiver, condition)| (receiver, ReceiverHealth::from(*condition)))
     }
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -1,7 +1,7 @@
 //! # embershore
 //!
-//! The sender and its command line. [`daemon::run`] runs the sender as the platform starts it; [`cli`] parses the
-//! arguments and runs the other subcommands of the binary.
+//! The sender and its command line. [`daemon::run`] runs the sender as the platform starts it.
+//! The module [`cli`] parses the arguments and runs the other subcommands of the binary.
 
 #![warn(missing_docs)]
 #![deny(unsafe_code)]
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -172,8 +172,8 @@
     }
 
     /// Returns the retry time in milliseconds if this sender must not accept the message now.
-    /// The reasons: this sender does not own the destination, the lease has expired, the destination is on hold,
-    /// or the destination's endpoints are not known yet.
+    /// A message is not accepted if this sender does not own the destination or the lease has expired.
+    /// Nor is a message accepted while the destination is on hold, or its endpoints are not known yet.
     pub fn retry_after_ms(&self, put: &Put) -> Option<u64> {
         let rule = self.rule_of(put)?;
         let (ownership, now) = (self.ownership.borrow(), clock::now());
@@ -216,13 +216,12 @@
         self.pending.borrow_mut().insert(id, dest);
     }
 
-    /// Records the end of a message.
+    /// Records the end of a message, so that its destination need not be retained for it.
     pub fn remove_pending(&self, id: MsgId) {
         self.pending.borrow_mut().remove(id);
     }
 
-    /// Requests the complete endpoint list if any open message is for a destination
-    /// whose endpoints were not stored when the list was last read.
+    /// Requests the complete endpoint list if the endpoints for any open message were not stored from the list.
     pub fn request_pending_destinations(&self) {
         let ownership = self.ownership.borrow();
         if self.pending.borrow().destinations().any(|dest| !ownership.needs_destination(dest)) {
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -1,5 +1,5 @@
-//! The process's status: whether it serves, drains, hands over or stops. The servers, the driver and the management
-//! interface share it.
+//! The status of the sender's process: whether the process serves, drains, hands over or stops.
+//! The servers, the driver and the management interface share the status.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
