--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -36,7 +36,7 @@
 /// An endpoint may close a connection before the full timeout, and a request sent at that moment is reset.
 pub const IDLE_LIFETIME_SHARE: f64 = 0.8;
 /// Maximum number of idle connections while another process of this sender runs.
-/// The two processes together have the descriptor limit of one.
+/// The two processes of a sender together have the descriptor limit of one process.
 const MAX_IDLE_DURING_HANDOVER: usize = 24;
 /// Maximum number of concurrent probes. Each uses a descriptor in addition to those of the calls.
 pub const MAX_PROBES: usize = 8;
@@ -100,9 +100,9 @@
 /// The progress of a call in flight, which decides the outcome if no complete response arrives.
 #[derive(Default)]
 struct CallProgress {
-    /// Messages that were not sent with the call because they had ended before it began.
+    /// Messages that were not sent with the call because they had ended before the call began.
     left_out: RefCell<Vec<MsgId>>,
-    /// The connection's traffic, and the bytes written on it before this call.
+    /// The traffic of the call's connection, and the number of bytes written on the connection before the call.
     traffic: RefCell<Option<(Rc<Traffic>, u64)>>,
     head: RefCell<Option<ResponseSummary>>,
 }
@@ -125,7 +125,7 @@
 
     /// Summarises a response that was not read to its end.
     /// Status 200 confirms the delivery of a single message even if the rest of the response is lost.
-    /// Any other incomplete response proves nothing, but a wait in the response's head applies.
+    /// An incomplete response with another status proves nothing, but a wait in the response's head applies.
     fn incomplete(&self, spec: &CallSpec, outcome: Outcome) -> ResponseSummary {
         let head = self.head.take().unwrap_or_else(|| ResponseSummary::without_response(outcome));
         let status = self.traffic.borrow().as_ref().and_then(|(t, _)| t.status.get());
@@ -228,8 +228,9 @@
     }
 
     /// Returns how long a connection to the endpoint may be idle and still be reused.
-    /// The limit guards against connections that the endpoint or the network has dropped unnoticed.
-    /// The next request on such a connection is reset and may or may not have run: an unsafe message is lost.
+    /// The limited idle time guards against connections that the endpoint or the network has dropped unnoticed.
+    /// The next request on a dropped connection is reset and may or may not have run.
+    /// An unsafe message in such a request can't be repeated and is lost.
     /// For [`STALE_RETENTION`] after such a reset the lifetime is half of the shortest idle time that ended in a reset.
     /// The shorter lifetime costs more new connections.
     /// The shorter lifetime applies to the endpoint alone, or to all endpoints if several had resets.
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -31,8 +31,8 @@
 /// Time after which a connection without an open request is closed, including one that never sent anything.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Longest pause between two reads of one command; a client that pauses longer is disconnected.
-/// The limit is below the 3 s after which a client that sends nothing useful must be disconnected.
-/// The limit is above the pause that a slow client makes between two parts of a command.
+/// The stall timeout is below the 3 s after which a client that sends nothing useful must be disconnected.
+/// The stall timeout is above the pause that a slow client makes between two parts of a command.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2400);
 /// Longest time for receiving a command: enough for the longest command at 16 KiB a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(8);
@@ -43,7 +43,7 @@
 const EVICT_SERVED_AFTER: Duration = Duration::from_millis(1000);
 /// Time that a new connection gets for its first command while the sender is closing its clients' connections.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(300);
-/// Time for writing replies; a client that does not read them in this time is disconnected.
+/// Time for writing replies; a client that does not read its replies within the timeout is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of bytes that are read and discarded on a connection that is being closed.
 const MAX_DRAIN_BYTES: usize = 256 * 1024;
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Returns the counter of this server's connections.
+    /// Returns the counter of open connections for the server with this origin.
     fn connections(&self, shared: &Shared) -> Rc<Cell<usize>> {
         match self {
             Origin::Clients | Origin::Routed(..) => shared.connections.clone(),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Counts a message that another member forwarded, if this reply accepts it.
+    /// Counts a message that another member forwarded, if `reply` accepts the message.
     fn count_reply(&self, reply: &Reply) {
         if let (Origin::Members(placement), Reply::Accepted) = (self, reply) {
             count(&placement.counters.taken_for_others);
@@ -384,7 +384,7 @@
         let bytes = (put.body.len() + PUT_OVERHEAD) as u32;
         let bodies = self.guard.table.bodies.clone();
         let (reply, answer) = oneshot::channel();
-        // Neither error occurs: the semaphore is never closed, and the driver ends only with the process.
+        // Acquiring and sending do not fail: the semaphore is never closed, and the driver ends only with the process.
         let Ok(counted) = bodies.acquire_many_owned(bytes).await else { return PendingReply::busy(0) };
         match (route, &self.origin) {
             (Routing::Forward(to), Origin::Routed(_, forwarder)) => {
@@ -401,7 +401,7 @@
 
     /// Returns the reply's text, or None if the connection has failed; the dropped channel then notifies the driver.
     /// A client that has closed its sending side may have left or may still read.
-    /// The message of such a client is withdrawn and refused if it has not been accepted yet: harmless in both cases.
+    /// If its message has not been accepted yet, the message is withdrawn and refused: harmless in both cases.
     /// A message that has been accepted is answered.
     async fn wait(&mut self, answer: PendingReply) -> Option<String> {
         let (mut answer, _counted, wait_to_end) = match answer {
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -97,7 +97,7 @@
 }
 
 impl Limits {
-    /// Checks that no limit is zero: a sender without memory, sockets or disk can do nothing.
+    /// Checks that no limit in the configuration is zero: a sender without memory, sockets or disk can do nothing.
     fn check(&self) -> Result<(), String> {
         let (disk, memory) = (self.disk_mb, self.memory_mb);
         let all = [("disk_mb", disk > 0.0), ("memory_mb", memory > 0.0), ("sockets", self.sockets > 0)];
@@ -195,7 +195,7 @@
 }
 
 impl ReloadedConfig {
-    /// Reads a configuration and checks it against the running one.
+    /// Reads a configuration file and checks the configuration against the running one.
     fn read(path: &Path, running: &Value) -> Result<Self, String> {
         let (config, value) = Config::read_with_value(path)?;
         let at = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
@@ -412,7 +412,7 @@
     }
     if let Some(placement) = &placement {
         wait_for_members(placement).await;
-        // The dispatcher shares a destination's limit among this many senders.
+        // The dispatcher shares a destination's limit among `senders` senders.
         settings.senders = placement.fix_sharers();
     }
     // A process that waits for the journal may get discovery's list long before the journal.
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -37,7 +37,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Minimum time from SIGTERM until the process exits, even if it has nothing to do.
+/// Minimum time from SIGTERM until the process exits, even if the process has nothing to do.
 const MIN_STAY_US: Micros = 900_000;
 /// Time from SIGTERM until all calls must have ended.
 const CALL_DEADLINE_US: Micros = 3_300_000;
@@ -280,7 +280,7 @@
     fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
             // The client has sent the message on a second connection.
-            // Acceptance must not be reported before the message is in the journal: it may still be rejected.
+            // Acceptance must not be reported before the message is in the journal: the message may still be rejected.
             // After a report of acceptance, the client would not send a rejected message again.
             let written = self.journal.borrow().get(id.0).is_some();
             _ = reply.send(if written { Reply::Accepted } else { Reply::Busy { retry_after_ms: 0 } });
@@ -403,7 +403,7 @@
         }
     }
 
-    /// Removes a message from the pending messages. Returns false if it was not pending.
+    /// Removes a message from the pending messages. Returns false if the message was not pending.
     fn remove_pending(&mut self, id: MsgId) -> bool {
         let pending = self.pending.remove(&id);
         if let Some(placement) = &self.placement {
@@ -454,7 +454,7 @@
         self.metrics.outstanding.set(self.pending.len() - self.unanswered_puts.len());
     }
 
-    /// Sets each new message's remaining time as of this round.
+    /// Sets each new message's remaining time as of the round that begins now.
     /// The round may run a quantum after the message was read, or later at a start with a long journal.
     /// With the remaining time as of reading, the dispatcher would end the message too late.
     /// A response after the message's deadline would not count.
@@ -472,7 +472,7 @@
         }
     }
 
-    /// Replies to the clients whose messages entered this round.
+    /// Replies to the clients whose messages the current round has processed.
     /// A refusal is sent at once; an acceptance is sent after the message has been written to the journal.
     fn answer_puts(&mut self, events: &[Event], actions: &[Action]) {
         let mut answers: BTreeMap<MsgId, Reply> = BTreeMap::new();
@@ -564,7 +564,7 @@
                 Action::Timer { at, token } => self.timers.push(Reverse((at, token))),
                 Action::Probe { endpoint } => self.probe(endpoint),
                 Action::CloseIdle { endpoint } => self.calls.close(endpoint),
-                // This daemon's senders do not exchange peer notes.
+                // The dispatcher can broadcast notes to peers, but the senders of this daemon exchange none.
                 Action::Broadcast { .. } => {}
             }
         }
@@ -728,7 +728,7 @@
     }
 
     /// Returns the next time at which the result of [`Driver::can_exit`] may change by the clock alone.
-    /// Without a wake-up then, the process could notice its exit time only at a later round, and be killed before.
+    /// Without a wake-up at the exit time, the process could notice it only at a later round, and be killed before.
     fn next_exit_check(&self, last_round: Micros) -> Micros {
         let phases = self.stopping.into_iter().flat_map(|t| [t + MIN_STAY_US, t + EXIT_DEADLINE_US]);
         phases.filter(|at| *at > last_round).min().unwrap_or(Micros::MAX)
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -1,6 +1,6 @@
 //! The driver's part in replacing one process by another.
 //! The driver handles frames from its predecessor, and hands its own state to a successor.
-//! After that it forwards to the successor the puts and outcomes that still arrive.
+//! After a handover the driver forwards to the successor the puts and outcomes that still arrive.
 
 use super::{Driver, EXIT_DEADLINE_US};
 use crate::calls::Lane;
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Ends the predecessor's attempts in flight after it has exited. Attempts that had begun may have run.
+    /// Ends the predecessor's attempts in flight after the predecessor has exited.
+    /// Attempts of the predecessor that had begun may have run.
     pub(super) fn handle_predecessor_gone(&mut self) {
         self.shared.two_processes.set(false);
         let Some(predecessor) = self.predecessor.take() else { return };
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -93,7 +93,7 @@
             }
             let names: HashMap<EndpointId, String> = names.into_iter().collect();
             let endpoints = self.endpoints.borrow();
-            // An endpoint with calls in flight that is no longer listed gets a number that no listed endpoint will have.
+            // An endpoint with calls in flight but not listed any more gets a number that no listed endpoint will have.
             let unlisted: BTreeSet<EndpointId> = calls.iter().map(InFlightCall::endpoint).collect();
             let number = |id: EndpointId| {
                 let known = names.get(&id).and_then(|name| endpoints.number(name));
--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -41,7 +41,7 @@
     names: Names,
     numbers: HashMap<String, EndpointId>,
     endpoints: HashMap<EndpointId, Endpoint>,
-    /// The destinations, each with the time at which it last had an endpoint.
+    /// The known destinations, each with the time at which the destination last had an endpoint.
     destinations: HashMap<DestId, Instant>,
     last_number: u32,
 }
@@ -52,12 +52,12 @@
         EndpointTable { names, ..EndpointTable::default() }
     }
 
-    /// Returns the endpoint with this number.
+    /// Returns the endpoint with the number `id`, if the table has it.
     pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(&id)
     }
 
-    /// Returns the number of the endpoint with this name.
+    /// Returns the number of the endpoint named `name`, if the table has it.
     pub fn number(&self, name: &str) -> Option<EndpointId> {
         self.numbers.get(name).copied()
     }
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -240,7 +240,7 @@
     Ok(frame)
 }
 
-/// Decodes the first record of `bytes` and returns it with its length; None if it is truncated or damaged.
+/// Returns the first record of `bytes` and the record's length; None if the record is truncated or damaged.
 fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
     let word = |at: usize| bytes.get(at..at + 4)?.try_into().ok().map(u32::from_le_bytes);
     let (len, sum) = (word(0)? as usize, word(4)?);
@@ -365,7 +365,7 @@
         self.write(frame, record)
     }
 
-    /// Compacts the journal if it is due or space is short, and fails if `size` more bytes do not fit.
+    /// Compacts the journal if compaction is due or space is short, and fails if `size` more bytes do not fit.
     fn make_room(&mut self, size: u64, reserve: u64) -> io::Result<()> {
         if self.closed {
             return Err(io::Error::other("another process owns the journal"));
@@ -540,7 +540,7 @@
     }
 
     /// Records which endpoints are listed as draining or gone. A restarted sender may be configured with an older list.
-    /// It must not send to draining or gone endpoints while discovery does not answer.
+    /// A restarted sender must not send to draining or gone endpoints while discovery does not answer.
     pub fn record_endpoints_listed(&mut self, index: u64, lines: &[(String, bool)]) -> io::Result<()> {
         let mut changes: Vec<(String, Option<u64>)> = Vec::new();
         for (name, ready) in lines {
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Returns the [`TooLong`] that caused an I/O error, if it did.
+/// Returns the [`TooLong`] error inside an I/O error; None if the I/O error has another cause.
 pub fn too_long(error: &io::Error) -> Option<TooLong> {
     error.get_ref()?.downcast_ref::<TooLong>().copied()
 }
--- a/crates/sender/src/reload_check.rs
+++ b/crates/sender/src/reload_check.rs
@@ -80,8 +80,8 @@
     match (running, new) {
         (Value::Object(running), Value::Object(new)) => check_fields(path, running, new),
         (Value::Array(running), Value::Array(new)) => {
-            // Lists may grow and shrink. Each entry of the new list must have the keys
-            // that all entries of the running list have.
+            // Lists may grow and shrink.
+            // Keys that all entries of the running list have must be in each entry of the new list.
             let Some(Value::Object(first)) = running.first() else { return Ok(()) };
             let mut common = first.clone();
             common.retain(|key, _| running.iter().all(|entry| entry.get(key).is_some()));
