--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -1,5 +1,6 @@
-//! Polling of a discovery whose requests are expensive (`"Discovery": "ask"`). Guards against polling at the
-//! start or too often, and against pauses after failed requests that delay a drain beyond the time allowed.
+//! Polling of a discovery whose requests are expensive (`"Discovery": "ask"`).
+//! Guards against polling at the start, and against polling too often.
+//! Guards against pauses after failed requests that delay a drain beyond the time allowed.
 
 mod common;
 use common::*;
@@ -23,8 +24,8 @@
     let endpoint = Endpoint::new(|_| status(200));
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![known.clone()]);
-    // The first poll comes within four fifths of the interval, at a time that the seed determines: with 500 s
-    // it does not come during this test.
+    // The first poll comes within four fifths of the interval, at a time that the seed determines.
+    // With an interval of 500 s, the first poll does not come during this test.
     let sender = Sender::with(&platform, |c| use_polled_discovery(c, 500_000, &known));
     let mut client = sender.client();
     client.ping();
@@ -43,7 +44,7 @@
     wait_until("the watch requests", || platform.request_lines().len() == 4);
     let paths = platform.request_lines();
     assert!(paths.iter().all(|p| p.contains("follow=1&since=7")), "{paths:?}");
-    // The watch is followed from then on.
+    // After the full list, the sender follows a watch and sends no further list requests.
     let lines = vec![
         listed_endpoint("s-1", endpoint.addr, "one", 3, "Gone"),
         listed_endpoint("s-2", fresh.addr, "one", 3, "Ready"),
@@ -57,41 +58,41 @@
 fn where_discovery_pushes_changes_the_list_is_requested_at_once() {
     let endpoint = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
-    // The poll interval does not apply to this discovery.
+    // The poll interval does not apply to the default discovery, which is watched.
     let sender = Sender::with(&platform, |c| c["settings"]["Rules"]["AskEveryUs"] = 500_000_000_u64.into());
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     wait_until("the watch requests", || platform.request_lines().len() == 2);
 }
 
-/// Within this the sender must know a change after discovery has it and can be reached, whichever requests
-/// failed before.
+/// Time within which the sender must know a change, whichever discovery requests failed before.
+/// The time starts once discovery knows the change and can be reached.
 const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
-/// A poll interval with which the pauses after failures would grow beyond that.
+/// A poll interval with which the pauses after failures could grow beyond [`MAX_DISCOVERY_DELAY`].
 const POLL_INTERVAL_MS: u64 = 12_000;
-/// Seed of the random parts of the pauses.
+/// Seed of the random parts of the pauses between discovery requests.
 const SEED: &str = "8c1f30d27a5be964";
 
-/// How a request to a failing discovery fails.
+/// How a request to the failing discovery stub fails.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
-    /// The connection is refused.
+    /// The connection to discovery is refused.
     Refused,
-    /// The request is not answered.
+    /// The discovery request is not answered.
     NoAnswer,
-    /// The connection is closed without an answer.
+    /// The connection is closed without an answer to the discovery request.
     Closed,
-    /// An answer starts and stalls.
+    /// The answer to the discovery request starts, then stalls.
     PartialAnswer,
-    /// The answer is 503.
+    /// The discovery request is answered with 503.
     Rejected,
 }
 
-/// Returns how long a sender takes to learn of a drain, from the moment at which discovery knows it and can
-/// be reached, which is the last failed request. With a known list the sender requests changes, otherwise the
-/// full list.
+/// Returns how long a sender takes to learn of a drain.
+/// The time starts at the last failed request: from then on discovery knows the drain and can be reached.
+/// With a known list the sender requests changes, otherwise the full list.
 fn drain_delay(failure: Failure, polled: bool, with_list: bool) -> Duration {
-    // After this many failures the pauses have grown.
+    // After this many failed requests, the pauses between requests have grown.
     let failures = if polled { 2 } else { 4 };
     let endpoint = Endpoint::new(|_| status(200));
     let addr = endpoint.addr;
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -1,6 +1,6 @@
-//! The client interface, and the effect of discovery's list on calls. Guards against malformed, idle or
-//! excessive clients that harm others, messages that are accepted twice or not at all, and calls to draining
-//! endpoints.
+//! The client interface, and the effect of discovery's list on calls.
+//! Guards against malformed, idle or excessively many clients that harm others.
+//! Guards against messages that are accepted twice or not at all, and calls to draining endpoints.
 
 mod common;
 use common::*;
@@ -14,7 +14,7 @@
 const SYNC: &str = "c=sync,d=15000,dest=3";
 const PAY: &str = "c=pay,d=15000,dest=3";
 
-/// Time limit, with room for a busy machine, of what must happen within 3 s after a client connects.
+/// Time limit for what must happen within 3 s after a client connects; longer to allow for a busy machine.
 const MAX_CLOSE_DELAY: Duration = Duration::from_secs(8);
 
 fn sender_with_endpoint() -> (Endpoint, Platform, Sender) {
@@ -37,7 +37,7 @@
     client.stream.set_read_timeout(Some(Duration::from_millis(1500))).unwrap();
     assert!(client.stream.read(&mut [0; 8]).is_err(), "PING was answered although no list is known");
 
-    // With a known list, which may be old, the sender becomes ready after a while.
+    // With a known list from the configuration, which may be old, the sender becomes ready after a while.
     let endpoint = Endpoint::new(|_| status(200));
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let sender = Sender::with(&platform, |c| {
@@ -173,7 +173,7 @@
     for (n, byte) in command.iter().enumerate() {
         slow.write(&[*byte]);
         std::thread::sleep(Duration::from_millis(30));
-        // The rest of the second command comes after two seconds of silence.
+        // The client sends the rest of the second command after a pause of two seconds.
         if n == command.len() * 2 / 3 {
             wait_until("two seconds to pass", || start.elapsed() > Duration::from_millis(2050));
             halves.write(&other[30..]);
@@ -250,7 +250,7 @@
     for _ in 0..5 {
         let mut client = sender.client();
         client.write(b"*5\r\n$7\r\nMSG.PUT\r\n$60000000\r\nxxx");
-        // The error has arrived; the following bytes reach a connection that is being closed.
+        // The error reply has arrived; the client's next bytes reach a connection that is being closed.
         client.stream.peek(&mut [0; 1]).unwrap();
         (0..10).for_each(|_| client.write(&[b'x'; 10_000]));
         assert!(client.read().starts_with("-ERR"));
@@ -262,14 +262,14 @@
 fn long_commands_take_turns_in_little_memory() {
     let endpoint = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
-    // An eighth of the memory is room for seven long commands.
+    // An eighth of the sender's memory limit is room for seven long commands.
     let sender = Sender::with(&platform, |c| c["limits"]["memory_mb"] = 8.into());
     let mut client = sender.client();
     client.ping();
     let before = sender.memory_kb();
     let long = resp(&[b"MSG.PUT", &[7; 60_000], &[7; 60_000]]);
     let mut clients: Vec<Client> = (0..60).map(|_| sender.client()).collect();
-    // All but the last byte of each command: those without room wait, and are read once others are done.
+    // Each client sends all but the last byte. Commands without room wait and are read once others are done.
     clients.iter_mut().for_each(|c| c.write(&long[..long.len() - 1]));
     (0..50).for_each(|_| client.ping());
     let grown = sender.memory_kb().saturating_sub(before);
@@ -295,7 +295,7 @@
 
 #[test]
 fn a_client_that_leaves_before_its_answer_withdraws_its_message() {
-    // Without a list the reply is delayed: the client has closed its connection before it.
+    // Without an endpoint list the reply is delayed, so the client closes its connection before the reply.
     let endpoint = Endpoint::new(|_| status(200));
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
@@ -330,7 +330,7 @@
 
 #[test]
 fn a_second_copy_is_not_accepted_before_the_first_is_journaled() {
-    // Before the list is known nothing is accepted; a journal record of this size does not fit.
+    // Before the endpoint list is known no message is accepted; a journal record of this size does not fit.
     let endpoint = Endpoint::new(|_| status(200));
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
@@ -413,7 +413,7 @@
 
 #[test]
 fn a_message_that_ends_while_its_calls_connection_comes_up_is_left_out() {
-    // Two messages share a call; one reaches its deadline before the connection is established.
+    // Two messages share a call; one of them reaches its deadline before the connection is established.
     let mut endpoint = FullBacklogEndpoint::new();
     let platform = Platform::new(vec![placeholder(3)]);
     let sender = Sender::start(&platform);
@@ -446,7 +446,7 @@
     other.wait_sent("a1");
 }
 
-/// Keeps `size` idle connections open, replacing them one after another, until `stop` is set.
+/// Keeps `size` idle client connections open, replacing them one after another, until `stop` is set.
 fn idle_crowd(addr: std::net::SocketAddr, size: usize, stop: Arc<AtomicBool>) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         let mut connections: Vec<Option<TcpStream>> = (0..size).map(|_| None).collect();
@@ -454,7 +454,7 @@
             if stop.load(Ordering::SeqCst) {
                 return;
             }
-            // The old connection is closed only after the new one is open.
+            // The assignment closes the old connection only after the new connection is open.
             connections[place] = TcpStream::connect(addr).ok();
             thread::sleep(Duration::from_millis(if place % 8 == 0 { 4 } else { 0 }));
         }
@@ -501,7 +501,7 @@
     );
     for n in 0..10 {
         let id = format!("a{n}");
-        // Among so many a new connection may be closed unread: its client tries again.
+        // Among so many connections, a new one may be closed before its request is read: the client tries again.
         wait_until("an accepted put", || {
             sender.try_put(&id, "c=sync,d=15000,dest=3").as_deref() == Some("+OK")
         });
--- a/crates/sender/tests/common/mod.rs
+++ b/crates/sender/tests/common/mod.rs
@@ -15,10 +15,10 @@
 /// Time limit of each wait; longer than any awaited step takes on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Polls `ready` until it holds.
+/// Polls `ready` until it returns true; `what` names the awaited condition in the panic message.
 ///
 /// # Panics
-/// If it does not hold within [`TEST_TIMEOUT`].
+/// If `ready` does not return true within [`TEST_TIMEOUT`].
 pub fn wait_until(what: &str, mut ready: impl FnMut() -> bool) {
     let start = Instant::now();
     while !ready() {
@@ -33,7 +33,7 @@
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Number of the stub's connection that carried it, from 0 in order of acceptance.
+    /// Number of the stub's connection that carried the request, from 0 in order of acceptance.
     pub connection: usize,
     pub at: Instant,
 }
@@ -47,7 +47,7 @@
         self.line.contains("/v1/messages:batch")
     }
 
-    /// Returns the ids of the messages that it carries.
+    /// Returns the ids of the messages that the request carries.
     pub fn ids(&self) -> Vec<String> {
         if self.is_batch() {
             let items: Vec<Value> = serde_json::from_slice(&self.body).unwrap();
@@ -76,17 +76,17 @@
 /// How a stub endpoint responds to a request.
 #[derive(Clone, Debug)]
 pub enum StubResponse {
-    /// Sends an answer with this status, these headers and this body.
+    /// Sends an answer with the given status, headers and body.
     Answer(u16, Vec<(&'static str, String)>, String),
-    /// Writes these bytes and keeps the connection open.
+    /// Writes the given bytes in place of an HTTP answer and keeps the connection open.
     Raw(String),
-    /// Sends nothing and keeps the connection open.
+    /// Leaves the request unanswered and keeps the connection open.
     Silence,
-    /// Closes the connection without an answer.
+    /// Closes the connection without answering the request.
     Close,
 }
 
-/// An answer with this status, without headers or a body.
+/// Returns a stub response with the given status, without headers or a body.
 pub fn status(code: u16) -> StubResponse {
     StubResponse::Answer(code, Vec::new(), String::new())
 }
@@ -149,43 +149,44 @@
         endpoint
     }
 
-    /// Replaces the script for later requests.
+    /// Replaces the script that answers the endpoint's later requests.
     pub fn set_script(&self, script: impl Fn(&Request) -> StubResponse + Send + Sync + 'static) {
         *self.script.lock().unwrap() = Box::new(script);
     }
 
-    /// Returns the received requests in order of arrival.
+    /// Returns the requests that the endpoint received, in order of arrival.
     pub fn requests(&self) -> Vec<Request> {
         self.requests.lock().unwrap().clone()
     }
 
-    /// Returns the ids of the received messages in order of arrival, once for each call.
+    /// Returns the ids of the messages of all received calls, in order of arrival.
+    /// A message id occurs once for each call that carried the message.
     pub fn sent(&self) -> Vec<String> {
         self.requests().iter().flat_map(Request::ids).collect()
     }
 
-    /// Returns how many calls carried the message.
+    /// Returns how many calls to the endpoint carried the message.
     pub fn call_count(&self, id: &str) -> usize {
         self.sent().iter().filter(|s| *s == id).count()
     }
 
-    /// Waits until a call with the message has arrived.
+    /// Waits until a call that carries the message has arrived at the endpoint.
     pub fn wait_sent(&self, id: &str) {
         wait_until(&format!("a call with {id}"), || self.call_count(id) > 0);
     }
 
-    /// Returns the numbers of the connections that have ended.
+    /// Returns the numbers of the endpoint's connections that have ended.
     pub fn closed_connections(&self) -> Vec<usize> {
         self.closed.lock().unwrap().clone()
     }
 }
 
-/// A listing entry that makes a destination known but accepts no calls, because the endpoint is draining.
+/// Returns a listing entry of a draining endpoint: its destination becomes known, but no call is sent to it.
 pub fn placeholder(group: i64) -> Value {
     listed_endpoint(&format!("away-{group}"), "127.0.0.1:9".parse().unwrap(), "one", group, "Terminating")
 }
 
-/// An endpoint's entry in a listing.
+/// Returns an endpoint's entry in a listing.
 pub fn listed_endpoint(name: &str, addr: SocketAddr, kind: &str, group: i64, status: &str) -> Value {
     json!({"name": name, "address": addr.to_string(), "zone": "a", "type": kind, "group": group,
            "status": status, "weight": 100.0, "since_ms": 0})
@@ -198,7 +199,7 @@
     request_lines: Vec<String>,
     index: u64,
     full_list_index: u64,
-    /// How many further list requests are answered with 503.
+    /// Number of the next list requests that the stub platform answers with 503.
     polls_to_reject: usize,
 }
 
@@ -208,12 +209,12 @@
     discovery: Arc<Mutex<DiscoveryState>>,
     notices: Arc<Mutex<Vec<Value>>>,
     reject_notices: Arc<Mutex<bool>>,
-    /// Number of open connections.
+    /// Number of open connections to the stub platform.
     open: Arc<AtomicUsize>,
 }
 
 impl Platform {
-    /// Starts a platform whose first full list has these entries.
+    /// Starts a platform whose first full endpoint list consists of `endpoints`.
     pub fn new(endpoints: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -284,8 +285,8 @@
                             .filter(|(i, _)| since.is_some_and(|s| *i > s))
                             .map(|(_, l)| l.clone())
                             .collect();
-                        // A full list is not in the log of changes: a watch from an earlier index gets the
-                        // full list again.
+                        // The log of changes contains no full list.
+                        // So a watch from an index before the full list is sent that list again.
                         let first = if since.is_some_and(|s| s > 0 && s >= discovery.full_list_index) {
                             json!({"index": discovery.index, "snapshot": false, "endpoints": changes_since})
                         } else {
@@ -327,23 +328,24 @@
         self.discovery.lock().unwrap().polls_to_reject = count;
     }
 
-    /// Sets the index of the list that is sent from now on.
+    /// Sets the index that the stub platform reports with its list from now on.
     pub fn set_index(&self, index: u64) {
         self.discovery.lock().unwrap().index = index;
     }
 
-    /// Returns the request lines of all list and watch requests.
+    /// Returns the HTTP request lines of all list and watch requests that the platform received.
     pub fn request_lines(&self) -> Vec<String> {
         self.discovery.lock().unwrap().request_lines.clone()
     }
 
-    /// Returns the recorded notices.
+    /// Returns the notices that the platform received and recorded.
     pub fn notices(&self) -> Vec<Value> {
         self.notices.lock().unwrap().clone()
     }
 
-    /// Waits until everything that a killed process had written is read. Its last bytes may still be unread, on a
-    /// connection that is not yet accepted. Connections are accepted in order, so one opened here comes last.
+    /// Waits until the platform has read everything that a killed process had written.
+    /// The killed process's last bytes may be on a connection that the platform has not accepted yet.
+    /// Connections are accepted in order, so the one that this function opens is accepted last.
     pub fn wait_connections_closed(&self) {
         let mut last = TcpStream::connect(self.addr).unwrap();
         last.write_all(b"GET /v1/servers HTTP/1.1\r\n\r\n").unwrap();
@@ -352,27 +354,27 @@
         wait_until("the connections of a killed process to close", || self.open.load(Ordering::SeqCst) == 0);
     }
 
-    /// Sets whether notices are answered with 500 and not recorded.
+    /// Sets whether the platform answers notices with 500 and does not record them.
     pub fn set_reject_notices(&self, reject_notices: bool) {
         *self.reject_notices.lock().unwrap() = reject_notices;
     }
 
-    /// Returns the state in the first notice of a message, if there is one.
+    /// Returns the state in the first notice of a message, or `None` if no notice has arrived.
     pub fn notice_state(&self, id: &str) -> Option<String> {
         let notices = self.notices();
         let notice = notices.iter().find(|n| n["id"] == id)?;
         Some(notice["state"].as_str()?.to_string())
     }
 
-    /// Waits for a notice of the message and asserts its state.
+    /// Waits for a notice of the message and asserts the state that the notice reports.
     pub fn wait_notice(&self, id: &str, state: &str) {
         wait_until(&format!("a notice for {id}"), || self.notice_state(id).is_some());
         assert_eq!(self.notice_state(id).as_deref(), Some(state), "{id}");
     }
 }
 
-/// A stub platform whose script writes each answer itself. The script receives the request, the number of earlier
-/// requests for the same path, and the connection; nothing else is written.
+/// A stub platform whose script writes every byte of each answer.
+/// The script receives the request, the number of earlier requests for the same path, and the connection.
 pub struct ScriptedPlatform {
     pub addr: SocketAddr,
     requests: Arc<Mutex<Vec<(Instant, String)>>>,
@@ -383,7 +385,7 @@
         Self::at(TcpListener::bind("127.0.0.1:0").unwrap(), script)
     }
 
-    /// Starts one on a listener that is already bound.
+    /// Starts a scripted platform on a listener that is already bound.
     pub fn at(
         listener: TcpListener,
         script: impl Fn(&Request, usize, &mut TcpStream) + Send + Sync + 'static,
@@ -413,7 +415,7 @@
         ScriptedPlatform { addr, requests }
     }
 
-    /// Returns the arrival times of the requests for a path, or for a watch if the path is `watch`.
+    /// Returns the arrival times of the requests for a path; the path `watch` selects the watch requests.
     pub fn request_times(&self, path: &str) -> Vec<Instant> {
         let requests = self.requests.lock().unwrap();
         requests.iter().filter(|(_, p)| p == path).map(|(at, _)| *at).collect()
@@ -426,12 +428,12 @@
     _ = stream.write_all(text.as_bytes());
 }
 
-/// Writes the head of a chunked answer.
+/// Writes the head of an HTTP answer whose body follows in chunks.
 pub fn begin_chunked(stream: &mut TcpStream) {
     _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
 }
 
-/// Writes one chunk of an answer. Returns false once the reader has closed the connection.
+/// Writes one chunk of an HTTP answer. Returns false once the reader has closed the connection.
 pub fn write_chunk(stream: &mut TcpStream, text: &str) -> bool {
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).is_ok()
 }
@@ -441,8 +443,9 @@
     _ = stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
 }
 
-/// Settings with one class for each effect: `push` is keyed with a window of 3 s, `sync` is safe, `pay` is
-/// unsafe. Kind `one` takes one message in a call, kind `many` up to ten.
+/// Returns settings with one message class for each effect.
+/// Class `push` is keyed with a window of 3 s, class `sync` is safe, class `pay` is unsafe.
+/// Endpoint kind `one` takes one message in a call, kind `many` up to ten.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, limit: i64| {
         json!({"Name": name, "Effect": effect, "Group": "all", "HardLimitUs": limit, "ObjectiveUs": 2_500_000,
@@ -463,7 +466,7 @@
     })
 }
 
-/// The configuration of a sender that listens at `addr`.
+/// Returns the configuration of a sender that listens at `addr`.
 pub fn config(addr: SocketAddr, platform: &Platform, sockets: usize) -> Value {
     json!({
         "name": "n0", "listen": addr.to_string(), "discovery": platform.addr.to_string(),
@@ -480,22 +483,23 @@
     assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
 }
 
-/// A sender process and its folder, which outlives restarts.
+/// A sender process and its state folder, which is retained over restarts.
 pub struct Sender {
     pub addr: SocketAddr,
     /// Address of the management interface, if the sender has one.
     pub mgmt: SocketAddr,
     pub folder: tempfile::TempDir,
-    /// Limit on open file descriptors (`ulimit -n`) for the next process, if set.
+    /// Limit on open file descriptors (`ulimit -n`) of the next sender process, if set.
     pub max_files: Option<usize>,
     child: Option<Child>,
 }
 
 const EXECUTABLE: &str = env!("CARGO_BIN_EXE_embershore");
 
-/// Reserves an address whose port stays the same over a sender's restarts. The socket is bound but does not
-/// listen: a child process that another test is starting may briefly hold a copy of the socket, and a
-/// listening copy would accept the sender's connections and keep the sender from listening.
+/// Reserves an address whose port stays the same over a sender's restarts.
+/// The socket is bound but does not listen.
+/// A child process that another test is starting may briefly hold a copy of the socket.
+/// A listening copy would accept the sender's connections and keep the sender from listening.
 fn reserve_address(own: Ipv4Addr) -> SocketAddr {
     let port = tokio::net::TcpSocket::new_v4().unwrap();
     port.set_reuseaddr(true).unwrap();
@@ -509,10 +513,10 @@
         Self::with(platform, |_| {})
     }
 
-    /// Starts a sender with a configuration that `change` has edited.
+    /// Starts a sender with the default configuration as edited by `change`.
     pub fn with(platform: &Platform, change: impl Fn(&mut Value)) -> Self {
-        // The port must be the same after a restart. No other process is given it on an address of the
-        // sender's own.
+        // The sender's port must be the same after a restart.
+        // On a loopback address that only one sender uses, no other process is given that port.
         static SENDERS: AtomicU8 = AtomicU8::new(1);
         let [.., high, low] = std::process::id().to_be_bytes();
         let own = Ipv4Addr::new(127, high | 0x80, low, SENDERS.fetch_add(1, Ordering::Relaxed));
@@ -549,7 +553,7 @@
         serde_json::from_str(&text).unwrap()
     }
 
-    /// Edits the configuration file, for the next start or SIGHUP.
+    /// Edits the configuration file; the edit takes effect at the sender's next start or SIGHUP.
     pub fn change_config(&self, change: impl Fn(&mut Value)) {
         let path = self.folder.path().join("config.json");
         let mut config = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
@@ -557,17 +561,17 @@
         std::fs::write(path, config.to_string()).unwrap();
     }
 
-    /// Starts the process and waits until it listens.
+    /// Starts the sender process and waits until it accepts connections.
     pub fn spawn(&mut self) {
         self.launch();
         wait_until("the sender to listen", || TcpStream::connect(self.addr).is_ok());
     }
 
-    /// Starts the process without waiting until it listens.
+    /// Starts the sender process without waiting until it accepts connections.
     pub fn launch(&mut self) {
         let log = std::fs::File::create(self.log_file()).unwrap();
         let mut command = match self.max_files {
-            // The limit stays in force when the shell replaces itself by the sender.
+            // The limit on open files stays in force when the shell replaces itself by the sender (`exec`).
             Some(files) => {
                 let mut shell = Command::new("sh");
                 shell.args(["-c", &format!("ulimit -n {files} && exec \"$0\""), EXECUTABLE]);
@@ -575,7 +579,7 @@
             }
             None => Command::new(EXECUTABLE),
         };
-        // The operator's options file, if the test has written one.
+        // The operator's options file is passed only if the test has written one.
         let options = self.folder.path().join("options.toml");
         if options.exists() {
             command.env("LB_OPTIONS", options);
@@ -597,7 +601,7 @@
         self.folder.path().join("log")
     }
 
-    /// Returns the log of the latest process.
+    /// Returns the log of the sender process that was started last.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.log_file()).unwrap()
     }
@@ -606,7 +610,7 @@
         self.state().join("journal")
     }
 
-    /// Returns the resident memory (`VmRSS`).
+    /// Returns the resident memory (`VmRSS`) of the sender process in KB.
     pub fn memory_kb(&self) -> usize {
         let path = format!("/proc/{}/status", self.child.as_ref().unwrap().id());
         let text = std::fs::read_to_string(path).unwrap();
@@ -623,8 +627,7 @@
         self.journal_count(text) > 0
     }
 
-    /// Runs `trigger` and waits until the journal shows that the sender knows that the endpoint is draining
-    /// or gone.
+    /// Runs `trigger`, then waits until the sender's journal records the endpoint as draining or gone.
     pub fn wait_drain_recorded(&self, trigger: impl Fn(), endpoint: &str) {
         let before = self.journal_count(endpoint);
         trigger();
@@ -637,7 +640,7 @@
         Client::new(self.addr)
     }
 
-    /// Puts a message on a new connection. Returns `None` if the connection ends without an answer.
+    /// Puts a message on a new client connection. Returns `None` if the connection ends without an answer.
     pub fn try_put(&self, id: &str, fields: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.addr).ok()?;
         stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
@@ -647,19 +650,19 @@
         Some(line.trim_end().to_string()).filter(|line| !line.is_empty())
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL to the sender process.
     pub fn kill(&mut self) {
         let mut child = self.child.take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM to the sender process.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// SIGHUP.
+    /// Sends SIGHUP to the sender process, which then reloads its configuration.
     pub fn send_sighup(&self) {
         self.signal("-HUP");
     }
@@ -668,7 +671,7 @@
         signal(self.child.as_ref().unwrap(), name);
     }
 
-    /// Waits until the process exits.
+    /// Waits until the sender process exits.
     pub fn wait_exit(&mut self) -> ExitStatus {
         let child = self.child.as_mut().unwrap();
         let mut status = None;
@@ -697,7 +700,7 @@
     }
 }
 
-/// Sends a request to a management interface. Returns `None` if nothing answers there.
+/// Sends a request to a management interface. Returns `None` if the interface does not answer.
 pub fn mgmt_request(mgmt: SocketAddr, call: &str) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(mgmt).ok()?;
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -708,7 +711,7 @@
     Some((status, answer.split_once("\r\n\r\n").map(|(_, body)| body.to_string()).unwrap_or_default()))
 }
 
-/// Encodes a command in RESP.
+/// Encodes a command in RESP, the protocol of the client interface.
 pub fn resp(args: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", args.len()).into_bytes();
     for a in args {
@@ -724,7 +727,7 @@
     resp(&[b"MSG.PUT", b"0000000000000000", id.as_bytes(), fields.as_bytes(), body])
 }
 
-/// A client connection.
+/// A connection of a client to a sender.
 pub struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -742,27 +745,27 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Reads the next reply line; empty once the connection has ended.
+    /// Reads the next reply line. Returns an empty string once the connection has ended.
     pub fn read(&mut self) -> String {
         let mut line = String::new();
         _ = self.reader.read_line(&mut line);
         line.trim_end().to_string()
     }
 
-    /// Sends `PING` and asserts the reply, which comes once the sender is ready.
+    /// Sends `PING` and asserts the reply, which a sender gives only once it is ready.
     pub fn ping(&mut self) {
         self.write(&resp(&[b"PING"]));
         assert_eq!(self.read(), "+PONG");
     }
 
-    /// Puts a message with these fields and the tenant, and returns the reply.
+    /// Puts a message with the given fields and the tests' tenant, and returns the sender's reply.
     pub fn put(&mut self, id: &str, fields: &str) -> String {
         self.write(&put(id, &format!("{fields},t=acme"), b"hello"));
         self.read()
     }
 }
 
-/// Returns the size of the files in a folder, each rounded up to blocks of 512 bytes.
+/// Returns the total size of the files in a folder, each rounded up to blocks of 512 bytes.
 pub fn folder_size(folder: &Path) -> u64 {
     std::fs::read_dir(folder)
         .unwrap()
@@ -770,7 +773,7 @@
         .sum()
 }
 
-/// A gate at which a stub waits until the test opens it.
+/// A gate at which a stub waits until the test opens the gate.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -804,7 +807,7 @@
         RefusingAddress { addr: socket.local_addr().unwrap(), socket }
     }
 
-    /// Accepts connections from now on.
+    /// Accepts connections at the formerly refusing address from now on.
     pub fn listen(self) -> TcpListener {
         listen_with_backlog(self.socket, 64)
     }
@@ -816,7 +819,7 @@
     pub addr: SocketAddr,
     pub fillers: Vec<TcpStream>,
     accepted: Vec<TcpStream>,
-    /// Bytes received on the accepted connections, one entry a read.
+    /// Bytes that the endpoint received on its accepted connections, one entry for each read.
     pub calls: Vec<String>,
 }
 
@@ -830,7 +833,7 @@
         FullBacklogEndpoint { listener, addr, fillers, accepted: Vec::new(), calls: Vec::new() }
     }
 
-    /// Accepts a connection, if one is waiting, and reads the bytes that have arrived on the accepted ones.
+    /// Accepts a waiting connection, if any, and reads what has arrived on the accepted connections.
     pub fn accept_and_read(&mut self) {
         if let Ok((stream, _)) = self.listener.accept() {
             stream.set_nonblocking(true).unwrap();
--- a/crates/sender/tests/common/placement/clients.rs
+++ b/crates/sender/tests/common/placement/clients.rs
@@ -1,6 +1,6 @@
-//! Clients that put messages at any sender and follow the protocol. They wait no longer than
-//! [`ANSWER_TIMEOUT`] for an answer, and put a message that was refused, or had no answer, again under a new
-//! id.
+//! Clients that put messages at any sender and follow the protocol.
+//! The clients wait no longer than [`ANSWER_TIMEOUT`] for an answer.
+//! A message that was refused, or had no answer, is put again under a new id.
 
 use super::deployment::{DEADLINE, FLOW, TENANT, classes};
 use super::directory::Returned;
@@ -18,29 +18,29 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// How long a client waits for an answer.
+/// How long a client waits for the answer to a put.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Wait after the first refusal that names no wait; it doubles with each further one.
+/// A client's wait after a first refusal that advertises no wait; each further refusal doubles the wait.
 const FIRST_RETRY_WAIT: Duration = Duration::from_millis(150);
-/// Limit on the doublings of that wait.
+/// Maximum number of times that a client doubles [`FIRST_RETRY_WAIT`].
 const MAX_DOUBLINGS: u32 = 3;
 const BODY: &[u8] = b"hello";
 
-/// A message with the number of times that it was put again.
+/// A client's message, with the number of times that it was put again.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub origin: String,
     pub class: usize,
     pub destination: i64,
-    /// Ordering key, in a class that keeps order.
+    /// The message's ordering key, if its class keeps order.
     pub order_key: Option<String>,
-    /// The sender at which it is put first.
+    /// Index of the sender at which the message is put first.
     pub entry: usize,
     deadline: Micros,
     resubmissions: u32,
 }
 
-/// An answer as a client received it.
+/// An answer to a put, as a client received it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ClientReply {
     answered: PutOutcome,
@@ -69,7 +69,7 @@
 pub struct Clients {
     ledger: Rc<Ledger>,
     fleet: Rc<Fleet>,
-    /// Connections without an outstanding request, by sender.
+    /// Client connections without an outstanding request, by index of the sender.
     idle: RefCell<Vec<Vec<Connection>>>,
     /// Accepted messages that a notice may still return, by id.
     accepted: RefCell<HashMap<String, Message>>,
@@ -78,21 +78,21 @@
     put_count: Cell<usize>,
 }
 
-/// The messages that the clients put.
+/// Describes the messages that the clients put: their rate, classes, destinations and senders.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Messages per second.
+    /// Messages that the clients put per second.
     pub rate: u32,
-    /// Indices of classes, used in turn.
+    /// Indices of message classes, used in turn.
     pub classes: Vec<usize>,
-    /// Destinations, used in turn.
+    /// Destinations of the messages, used in turn.
     pub destinations: Vec<i64>,
-    /// Senders at which messages are put, used in turn.
+    /// Indices of the senders at which messages are put, used in turn.
     pub entries: Vec<usize>,
 }
 
 impl Load {
-    /// A load of all classes to all destinations at all members.
+    /// Returns a load of all message classes to all destinations, put at all members.
     pub fn of(fleet: &Fleet, rate: u32) -> Self {
         Load {
             rate,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Strides with which the n-th message picks from each list, so that all combinations occur.
+/// Strides with which the n-th message picks its destination and its sender, so that all combinations occur.
 const DESTINATION_STRIDE: usize = 101;
 const ENTRY_STRIDE: usize = 7;
 /// Number of destinations of an ordered class: few, so that several messages of a key are open at once.
@@ -122,7 +122,7 @@
         clients
     }
 
-    /// Puts a load until `during` completes. Each message is put on schedule, however late other answers are.
+    /// Puts messages at the load's rate until `during` completes. Late answers do not delay later messages.
     pub async fn run_load(self: &Rc<Self>, load: &Load, during: impl Future<Output = ()>) {
         tokio::select! {
             () = during => {}
@@ -175,7 +175,7 @@
     /// Waits until no message is being put and all accepted messages have ended or passed their deadline.
     pub async fn wait_all_ended(&self) {
         super::wait_until("the clients' last answers", || self.in_progress.get() == 0).await;
-        // A notice is due 0.3 s after its message's deadline.
+        // A message's notice is due 0.3 s after the message's deadline.
         let latest = self.ledger.now() + DEADLINE + 1_000_000;
         while self.ledger.now() < latest && !self.all_ended() {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -188,7 +188,7 @@
         super::verdict::unended(&self.ledger.records()).is_empty()
     }
 
-    /// Puts messages again that a notice returned after they had been accepted.
+    /// Puts accepted messages again after a notice has returned them to the client.
     async fn resubmit_returned(self: Rc<Self>, mut returned: mpsc::UnboundedReceiver<Returned>) {
         while let Some(Returned { id, after_ms }) = returned.recv().await {
             let Some(message) = self.accepted.borrow_mut().remove(&id) else { continue };
@@ -237,7 +237,7 @@
         answered
     }
 
-    /// Records that a message is put under an id, and returns the request.
+    /// Records that a message is put under an id, and returns the encoded request.
     fn offer(&self, message: &Message, id: &str, sender: usize) -> Vec<u8> {
         let class = &classes()[message.class];
         let left = (message.deadline - self.ledger.now()) / 1000;
@@ -286,7 +286,7 @@
             self.idle.borrow_mut()[entry].push(connection);
             return reply;
         }
-        // The idle connection was closed between requests: the client sends the request again on a new one.
+        // The idle connection was closed between requests: the request is sent again on a new connection.
         let Ok(connection) = connect(self.fleet.addr(entry)).await else {
             return ClientReply::without_wait(PutOutcome::Unreachable);
         };
@@ -297,7 +297,7 @@
         reply
     }
 
-    /// Writes a request and reads its answer. Returns `None` if the connection ended without one.
+    /// Writes a request and reads the answer. Returns `None` if the connection ended without an answer.
     async fn exchange(
         &self,
         mut connection: Connection,
--- a/crates/sender/tests/common/placement/control.rs
+++ b/crates/sender/tests/common/placement/control.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for the control agents, one for each sender. Each answers `GET /v1/members?since=EPOCH` from a
-//! common history of member lists, with its own delay, and can be made silent or serve an invalid list.
+//! Stand-ins for the control agents, one for each sender.
+//! All agents answer `GET /v1/members?since=EPOCH` from one history of member lists, each with its own delay.
+//! An agent can be made silent, or made to serve an invalid member list.
 
 use super::http;
 use hyper::{Response, body::Incoming};
@@ -10,28 +11,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A member list and the time from which it is in force.
+/// A member list, and the time from which the list is in force.
 struct Epoch {
     list: Value,
-    /// Changes since the previous epoch.
+    /// Changes of the member list since the previous epoch.
     changes: Vec<Value>,
     in_force_since: Instant,
 }
 
-/// Behaviour of one agent.
+/// Behaviour of one control agent.
 #[derive(Default)]
 struct Agent {
-    /// How long after an epoch takes effect the agent starts to serve it.
+    /// Time from the start of an epoch until the agent serves the epoch's member list.
     delay: Cell<Duration>,
-    /// Whether it accepts requests without answering them.
+    /// Whether the agent accepts requests without answering them.
     silent: Cell<bool>,
-    /// Answer that it gives to every request in place of the real one, if set.
+    /// Answer that the agent gives to every request in place of the real answer, if set.
     override_with: RefCell<Option<Value>>,
-    /// Number of requests received.
+    /// Number of requests that the agent has received.
     requests: Cell<u64>,
 }
 
-/// All control agents and their common history.
+/// All control agents, and the history of member lists that they share.
 #[derive(Default)]
 pub struct Control {
     epochs: RefCell<Vec<Epoch>>,
@@ -43,7 +44,7 @@
         Rc::default()
     }
 
-    /// Starts the agent of the next sender and returns its address.
+    /// Starts the control agent of the next sender and returns the agent's address.
     pub async fn listen(self: &Rc<Self>) -> SocketAddr {
         let agent = Rc::new(Agent::default());
         self.agents.borrow_mut().push(agent.clone());
@@ -51,13 +52,13 @@
         http::serve(move |request| control.clone().answer(agent.clone(), request)).await
     }
 
-    /// Sets the list of the first epoch.
+    /// Sets the member list of the first epoch.
     pub fn set_first_list(&self, list: Value) {
         let epoch = Epoch { list, changes: Vec::new(), in_force_since: Instant::now() };
         *self.epochs.borrow_mut() = vec![epoch];
     }
 
-    /// Starts the next epoch with these changes and returns its number.
+    /// Starts the next epoch with the given changes of the member list. Returns the number of the new epoch.
     pub fn change(&self, changes: Vec<Value>) -> u64 {
         let mut epochs = self.epochs.borrow_mut();
         let mut list = epochs.last().unwrap().list.clone();
@@ -69,27 +70,27 @@
         number
     }
 
-    /// Returns the list in force.
+    /// Returns the member list of the latest epoch.
     pub fn list(&self) -> Value {
         self.epochs.borrow().last().unwrap().list.clone()
     }
 
-    /// Delays the epochs that an agent serves.
+    /// Sets the delay with which a control agent serves new epochs.
     pub fn set_delay(&self, agent: usize, by: Duration) {
         self.agents.borrow()[agent].delay.set(by);
     }
 
-    /// Sets whether an agent leaves requests unanswered.
+    /// Sets whether a control agent leaves requests unanswered.
     pub fn set_silent(&self, agent: usize, silent: bool) {
         self.agents.borrow()[agent].silent.set(silent);
     }
 
-    /// Sets a fixed answer for all requests to an agent; `None` restores the real answers.
+    /// Sets a fixed answer for all requests to a control agent; `None` restores the real answers.
     pub fn override_answer(&self, agent: usize, answer: Option<Value>) {
         *self.agents.borrow()[agent].override_with.borrow_mut() = answer;
     }
 
-    /// Returns how many requests an agent has received.
+    /// Returns how many requests a control agent has received.
     pub fn requests(&self, agent: usize) -> u64 {
         self.agents.borrow()[agent].requests.get()
     }
@@ -104,7 +105,7 @@
         }
         agent.requests.set(agent.requests.get() + 1);
         if agent.silent.get() {
-            // The request is never answered: this outlasts any scenario.
+            // A silent agent never answers a request: the pending future outlasts any scenario.
             std::future::pending::<()>().await;
         }
         let since = http::query_number(&request, "since");
@@ -113,8 +114,8 @@
         http::with_body(200, answer.to_string())
     }
 
-    /// Returns the answer of an agent with this delay to a sender that knows the epoch `since`: the changes,
-    /// or the full list if the agent does not know that epoch.
+    /// Returns the answer of an agent with the given delay to a sender that knows the epoch `since`.
+    /// The answer contains the changes, or the full member list if the agent does not know the epoch `since`.
     fn answer_since(&self, delay: Duration, since: Option<u64>) -> Value {
         let epochs = self.epochs.borrow();
         let latest = epochs.iter().rposition(|e| e.in_force_since.elapsed() >= delay).unwrap_or(0);
@@ -127,7 +128,7 @@
     }
 }
 
-/// Applies one change to a full list.
+/// Applies one change to a full member list.
 fn apply(list: &mut Value, change: &Value) {
     if let Some(seat) = change["seat"].as_u64() {
         list["seats"][seat as usize]["member"] = change["member"].clone();
--- a/crates/sender/tests/common/placement/deployment.rs
+++ b/crates/sender/tests/common/placement/deployment.rs
@@ -1,31 +1,31 @@
-//! The deployment that all scenarios share: classes, settings, and the judge's parameters for them.
+//! The deployment that all placement scenarios share: message classes, settings, and the judge's parameters.
 
 use embershore_rehearsal::parameters::{Class, Effect, Parameters, Receiver, Rules, Sender, Tenant};
 use embershore_rehearsal::span::Micros;
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The tenant of all messages.
+/// The tenant of all messages in the placement tests.
 pub const TENANT: &str = "acme";
-/// How long a receiver remembers an idempotency key.
+/// How long a receiver remembers an idempotency key, in microseconds.
 pub const KEY_WINDOW: Micros = 2_000_000;
-/// Time from the put of a message to its deadline.
+/// Time from the put of a message to the message's deadline, in microseconds.
 pub const DEADLINE: Micros = 2_500_000;
-/// How long a key is blocked after an attempt that may still run.
+/// How long the messages of an ordering key wait after an attempt that may still run, in microseconds.
 const ORDER_SETTLE: Micros = 300_000;
-/// How long calls to a draining endpoint may still start.
+/// How long after the start of a drain calls to the endpoint may still start, in microseconds.
 const DRAIN_GRACE: Micros = 1_000_000;
 const MAX_ATTEMPTS: u32 = 6;
 const SLOTS: u32 = 40;
 
-/// The values that differ between scenarios.
+/// The values of a deployment that differ between scenarios.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Number of members in the first list.
+    /// Number of members in the first member list.
     pub members: usize,
-    /// Number of processes that run but are not in the first list.
+    /// Number of sender processes that run but are not in the first member list.
     pub spares: usize,
-    /// Destinations, numbered from 1.
+    /// Number of destinations, which are numbered from 1.
     pub destinations: i64,
     /// Number of owners of a destination.
     pub replicas: usize,
@@ -55,17 +55,17 @@
 }
 
 impl Deployment {
-    /// Returns the number of processes, spares included.
+    /// Returns the number of sender processes, spares included.
     pub fn processes(&self) -> usize {
         self.members + self.spares
     }
 
-    /// Returns how long a sender accepts nothing for a destination that it has newly gained.
+    /// Returns the hold: how long a sender accepts no message for a destination that it has newly gained.
     pub fn hold(&self) -> Duration {
         self.lease + self.agent_lag + Duration::from_micros(DEADLINE as u64)
     }
 
-    /// Returns the `settings` of a sender's configuration.
+    /// Returns the section `settings` of a sender's configuration.
     pub fn settings(&self) -> Value {
         let profile = |class: &Class| {
             let effect = match class.effect {
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Returns the parameters of the run for the judge.
+    /// Returns the parameters of the scenario with which the judge works.
     pub fn parameters(&self, scenario: &str) -> Parameters {
         let receiver = |number| Receiver {
             number,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns the first member list, that of a new fleet without an earlier epoch.
+    /// Returns the first member list, which is that of a new fleet without an earlier epoch.
     pub fn first_list(&self, addresses: &[String]) -> Value {
         let seats = (0..self.members).map(|index| seat(index, &addresses[index]));
         json!({
@@ -139,14 +139,14 @@
     }
 }
 
-/// Returns the seat of a sender, occupied by it.
+/// Returns the entry of a sender's seat in a member list, with the sender as its member.
 pub fn seat(index: usize, address: &str) -> Value {
     let zone = zone(index);
     json!({"region": "r1", "zone": zone, "rack": format!("{zone}{}", index / 3), "weight": 1.0,
            "member": {"name": name(index), "address": address}})
 }
 
-/// Returns the name of a sender.
+/// Returns the name that a sender has in the member list.
 pub fn name(index: usize) -> String {
     format!("n{index}")
 }
@@ -155,7 +155,7 @@
     ["a", "b", "c"][index % 3]
 }
 
-/// Returns the classes by index: one for each effect, and an ordered one.
+/// Returns the message classes by index: one for each effect, and an ordered class.
 pub fn classes() -> Vec<Class> {
     let class = |name: &str, effect: Effect, ordered: bool| Class {
         name: name.into(),
@@ -176,7 +176,7 @@
     ]
 }
 
-/// Indices into [`classes`].
+/// Indices of the message classes in [`classes`].
 pub const PUSH: usize = 0;
 pub const SYNC: usize = 1;
 pub const PAY: usize = 2;
--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -1,5 +1,6 @@
-//! A stand-in for the directory: serves each sender the endpoints of all destinations, at addresses of the
-//! sender's own, and receives its notices.
+//! A stand-in for the directory.
+//! The directory serves each sender the endpoints of all destinations, at addresses for that sender only.
+//! The directory also receives the senders' notices.
 
 use super::http::{self, Body};
 use super::ledger::Ledger;
@@ -17,14 +18,14 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Index of the first list.
+/// Index of the directory's first endpoint list.
 const FIRST_INDEX: u64 = 7;
-/// How often a watch without changes sends an empty line.
+/// How often a watch without changes sends an empty line as a heartbeat.
 const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Maximum number of chunks of a watch that are queued for writing.
+/// Maximum number of chunks that are queued for writing on one watch.
 const MAX_QUEUED_CHUNKS: usize = 16;
 
-/// Number of generations of endpoints: those of the first list, and their replacements.
+/// Number of generations of endpoints: the endpoints of the first list, and their replacements.
 pub const GENERATIONS: usize = 2;
 
 /// The directory's entry for one endpoint.
@@ -61,14 +62,15 @@
     after_ms: Option<u64>,
 }
 
-/// Returns the name of a destination's endpoint.
+/// Returns the name of a destination's endpoint of the given generation.
 pub fn endpoint_name(destination: i64, generation: usize) -> String {
     format!("d{destination}-{generation}")
 }
 
 impl Directory {
-    /// Creates a directory that lists one endpoint for each destination, and the queue on which clients
-    /// receive returned messages. The number of messages that the clients put bounds the queue.
+    /// Creates a directory that lists one endpoint for each destination.
+    /// Returns too the queue on which clients receive returned messages.
+    /// The number of messages that the clients put bounds the queue.
     pub fn new(ledger: Rc<Ledger>, destinations: i64) -> (Rc<Self>, mpsc::UnboundedReceiver<Returned>) {
         let entry = |destination| Entry {
             destination,
@@ -86,13 +88,13 @@
         (Rc::new(Directory { ledger, entries, index, returned }), queue)
     }
 
-    /// Starts the directory's agent for one sender and returns its address.
+    /// Starts the server with which the directory serves one sender, and returns the server's address.
     pub async fn listen(self: &Rc<Self>, sender: usize, addresses: Addresses) -> SocketAddr {
         let directory = self.clone();
         http::serve(move |request| directory.clone().answer(sender, addresses, request)).await
     }
 
-    /// Lists a new endpoint for a destination and drains the present one.
+    /// Lists a new endpoint for a destination and drains the destination's present endpoint.
     pub fn replace(&self, destination: i64) {
         let index = self.index.borrow().to_owned() + 1;
         let mut entries = self.entries.borrow_mut();
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Returns the listing for one sender: the full list, or the changes since an index.
+    /// Returns the endpoint listing for one sender: the full list, or the changes since an index.
     fn listing(&self, sender: usize, addresses: Addresses, since: Option<u64>) -> Value {
         let (entries, index) = (self.entries.borrow(), *self.index.borrow());
         let changed_entries: Vec<&Entry> =
--- a/crates/sender/tests/common/placement/fleet.rs
+++ b/crates/sender/tests/common/placement/fleet.rs
@@ -22,16 +22,16 @@
 
 /// Maximum number of idle connections from one sender to all others.
 const OWNER_CONNECTIONS: usize = 32;
-/// Time limit of one request to a management interface, after which the request is repeated.
+/// Time limit of one request to a sender's management interface, after which the request is repeated.
 const MGMT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often the fleet checks for processes that ended by themselves.
+/// How often the fleet checks for sender processes that ended by themselves.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How often the rig measures how late its own timers are, and how many measurements make one record.
+/// Interval at which the rig measures how late its own timers are, and number of measurements in one record.
 const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const CHECKS_PER_RECORD: u32 = 100;
 
-/// The addresses at which a process listens. They stay the same over its restarts, on a loopback address of
-/// its own, so that no other process is given the ports.
+/// The addresses at which a sender process listens, which stay the same over restarts.
+/// The sender has its own loopback address, so that no other process is given its ports.
 struct Addresses {
     clients: SocketAddr,
     mgmt: SocketAddr,
@@ -45,25 +45,25 @@
         let [.., high, low] = std::process::id().to_be_bytes();
         let last = PROCESSES.fetch_add(1, Ordering::Relaxed) % 254 + 1;
         let own = Ipv4Addr::new(127, high | 0x80, low, last);
-        // All listeners are open at once, so that the ports differ.
+        // All three listeners are open at once, so that their ports differ.
         let [clients, mgmt, forward] = [(); 3].map(|()| std::net::TcpListener::bind((own, 0)).unwrap());
         let [clients, mgmt, forward] = [clients, mgmt, forward].map(|l| l.local_addr().unwrap());
         Addresses { clients, mgmt, forward }
     }
 }
 
-/// One sender process.
+/// One sender process with its folder, addresses and relay.
 struct Process {
     index: usize,
     folder: PathBuf,
     addresses: Addresses,
     relay: Rc<Relay>,
     child: RefCell<Option<Child>>,
-    /// Whether clients avoid it.
+    /// Whether clients avoid the sender.
     excluded: Cell<bool>,
 }
 
-/// All sender processes.
+/// All sender processes of a scenario.
 pub struct Fleet {
     pub deployment: Deployment,
     ledger: Rc<Ledger>,
@@ -71,7 +71,7 @@
     processes: Vec<Process>,
 }
 
-/// The fleet and the stand-ins of a scenario.
+/// The fleet of sender processes and the stand-ins of a scenario.
 pub struct Rig {
     pub ledger: Rc<Ledger>,
     pub control: Rc<Control>,
@@ -82,12 +82,12 @@
 }
 
 impl Rig {
-    /// Starts the stand-ins and all processes, and waits until the processes are ready.
+    /// Starts the stand-ins and all sender processes, and waits until the processes are ready.
     pub async fn start(deployment: Deployment) -> Rig {
         Rig::start_with(deployment, true).await
     }
 
-    /// Does the same with processes that run without an options file, and so without placement.
+    /// Starts the stand-ins and sender processes that run without an options file, and so without placement.
     pub async fn start_without_placement(deployment: Deployment) -> Rig {
         Rig::start_with(deployment, false).await
     }
@@ -101,7 +101,7 @@
         rig
     }
 
-    /// Starts the stand-ins and writes the files of the processes.
+    /// Starts the stand-ins and writes the configuration files of the sender processes.
     async fn prepare(deployment: Deployment, with_placement: bool) -> Rig {
         let ledger = Rc::new(Ledger::new());
         let (directory, returned) = Directory::new(ledger.clone(), deployment.destinations);
@@ -182,7 +182,7 @@
         &self.processes[index].relay
     }
 
-    /// Returns a sender's address in the member list, which is that of its relay.
+    /// Returns a sender's address in the member list, which is the address of the sender's relay.
     pub fn address(&self, index: usize) -> String {
         self.processes[index].relay.addr.to_string()
     }
@@ -192,7 +192,7 @@
         self.processes[index].folder.join("state")
     }
 
-    /// Returns the sender that a client uses: the wanted one, or the next that clients do not avoid.
+    /// Returns the sender that a client uses: the wanted sender, or the next one that clients do not avoid.
     pub fn entry_for(&self, wanted: usize) -> usize {
         let count = self.processes.len();
         let mut candidates = (0..count).map(|n| (wanted + n) % count);
@@ -204,7 +204,7 @@
         self.processes[index].excluded.set(!open);
     }
 
-    /// Starts a process with the files in its folder.
+    /// Starts a sender process with the configuration in its folder.
     pub fn spawn(&self, index: usize) {
         let process = &self.processes[index];
         let log = File::options().create(true).append(true).open(process.folder.join("log")).unwrap();
@@ -222,8 +222,8 @@
         *process.child.borrow_mut() = Some(command.spawn().unwrap());
     }
 
-    /// Waits until a process answers clients, and knows the member list and the endpoints of the destinations
-    /// that it owns.
+    /// Waits until a sender answers clients and knows the member list.
+    /// Waits too until the sender knows the endpoints of the destinations that it owns.
     pub async fn wait_ready(&self, index: usize) {
         let started = tokio::time::Instant::now();
         while !self.answers_ping(index).await {
@@ -264,7 +264,7 @@
         tokio::time::timeout(Duration::from_secs(2), request).await.is_ok_and(|a| a.is_some())
     }
 
-    /// Sends SIGKILL and waits until the process has ended.
+    /// Sends SIGKILL to a sender process and waits until the process has ended.
     pub fn kill(&self, index: usize) {
         self.ledger.record(Event::Signal { sender: index, signal: Signal::Kill });
         let mut child = self.processes[index].child.take().unwrap();
@@ -273,13 +273,13 @@
         self.ledger.record(Event::Exited { sender: index, planned: true, how });
     }
 
-    /// Sends SIGSTOP.
+    /// Sends SIGSTOP to a sender process, which suspends the process.
     pub fn stop(&self, index: usize) {
         self.ledger.record(Event::Signal { sender: index, signal: Signal::Stop });
         self.signal(index, "-STOP");
     }
 
-    /// Sends SIGCONT.
+    /// Sends SIGCONT to a sender process, which resumes the process.
     pub fn resume(&self, index: usize) {
         self.signal(index, "-CONT");
         self.ledger.record(Event::Signal { sender: index, signal: Signal::Cont });
@@ -314,7 +314,7 @@
         serde_json::from_str(answer.split_once("\r\n\r\n")?.1).ok()
     }
 
-    /// Returns the log of a process over all its starts.
+    /// Returns the log of a sender over all starts of its process.
     pub fn log(&self, index: usize) -> String {
         let text = std::fs::read_to_string(self.processes[index].folder.join("log")).unwrap_or_default();
         format!("{}'s log:\n{text}", name(index))
@@ -337,7 +337,7 @@
     }
 }
 
-/// Records processes that end by themselves.
+/// Records sender processes that end by themselves.
 async fn watch_exits(fleet: Rc<Fleet>) {
     loop {
         for process in &fleet.processes {
--- a/crates/sender/tests/common/placement/http.rs
+++ b/crates/sender/tests/common/placement/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 servers on loopback ports that the system assigns.
+//! HTTP/1.1 servers for the stand-ins, on loopback ports that the system assigns.
 
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
@@ -14,7 +14,7 @@
 
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// Listens on a port that the system assigns and answers each request with `answer`, until the runtime ends.
+/// Listens on a port that the system assigns and answers requests with `answer` until the runtime ends.
 pub async fn serve<F, A>(answer: F) -> SocketAddr
 where
     F: Fn(Request<Incoming>) -> A + Clone + 'static,
@@ -31,7 +31,7 @@
                 async move { Ok::<_, Infallible>(answered.await) }
             });
             tokio::task::spawn_local(async move {
-                // A killed process resets its connections, which is expected here.
+                // A killed sender process resets its connections, so errors are expected here and ignored.
                 _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
@@ -39,26 +39,26 @@
     addr
 }
 
-/// Returns an answer with a body.
+/// Returns an HTTP answer with a status and a body.
 pub fn with_body(status: u16, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Full::new(body.into()).boxed());
     *response.status_mut() = status.try_into().unwrap();
     response
 }
 
-/// Returns an answer without a body.
+/// Returns an HTTP answer with a status and no body.
 pub fn empty(status: u16) -> Response<Body> {
     with_body(status, Bytes::new())
 }
 
-/// Returns the value of a query parameter as a number.
+/// Returns the value of a query parameter as a number, or `None` if the parameter is missing or not a number.
 pub fn query_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(n, _)| *n == name)?.1.parse().ok()
 }
 
-/// Reads the body of a request.
+/// Reads the body of an HTTP request. Returns `None` if the body can't be read.
 pub async fn read_body(request: Request<Incoming>) -> Option<Bytes> {
     Some(request.into_body().collect().await.ok()?.to_bytes())
 }
--- a/crates/sender/tests/common/placement/ledger.rs
+++ b/crates/sender/tests/common/placement/ledger.rs
@@ -1,4 +1,4 @@
-//! The observations of all stand-ins, in the format of the rehearsal kit's history.
+//! The ledger: observations of all stand-ins, in the format of the rehearsal kit's history.
 
 use embershore_rehearsal::history::{Event, Record};
 use embershore_rehearsal::span::Micros;
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// The records of one scenario, and the destination of each message by its id.
+/// The records of one scenario, and the destinations of its messages by message id.
 pub struct Ledger {
     started: Instant,
     records: RefCell<Vec<Record>>,
@@ -29,7 +29,7 @@
         self.started.elapsed().as_micros() as Micros
     }
 
-    /// Records an event with the current time.
+    /// Records an event in the ledger with the current time.
     pub fn record(&self, event: Event) {
         if let Event::Offer { id, receiver, .. } = &event {
             self.destinations.borrow_mut().insert(id.clone(), *receiver);
@@ -37,23 +37,23 @@
         self.records.borrow_mut().push(Record { t: self.now(), event });
     }
 
-    /// Returns the number of the next call to a receiver.
+    /// Returns a new number for a call to a receiver; calls are numbered in turn.
     pub fn next_call(&self) -> u64 {
         self.calls.set(self.calls.get() + 1);
         self.calls.get()
     }
 
-    /// Returns the destination of a message that a client has put, by its id.
+    /// Returns the destination of the message with this id, or `None` if no client has put the message.
     pub fn destination(&self, id: &str) -> Option<i64> {
         self.destinations.borrow().get(id).copied()
     }
 
-    /// Returns all records so far.
+    /// Returns all records that the ledger contains so far.
     pub fn records(&self) -> Vec<Record> {
         self.records.borrow().clone()
     }
 
-    /// Counts the events for which `holds` is true.
+    /// Counts the recorded events for which `holds` returns true.
     pub fn count(&self, holds: impl Fn(&Event) -> bool) -> usize {
         self.records.borrow().iter().filter(|r| holds(&r.event)).count()
     }
--- a/crates/sender/tests/common/placement/mod.rs
+++ b/crates/sender/tests/common/placement/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet of real senders with placement enabled, between stand-ins on loopback: control agents, a directory,
-//! receivers, clients, and a relay in front of each member's forward address.
+//! A fleet of real senders with placement enabled, between stand-ins on loopback.
+//! The stand-ins are control agents, a directory, receivers, clients, and a relay in front of each member.
 //!
-//! All stand-ins run on the test's own thread and record what they observe in one [`ledger::Ledger`], in the
-//! format of the rehearsal kit's history, so that the kit's judge can read it.
+//! All stand-ins run on the test's own thread and record what they observe in one [`ledger::Ledger`].
+//! The ledger has the format of the rehearsal kit's history, so that the kit's judge can read the records.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -22,10 +22,10 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// Allows one fleet of processes at a time: the verdicts must not depend on how many tests run at once.
+/// Allows one fleet of processes at a time: test results must not depend on how many tests run at once.
 static ONE_FLEET: std::sync::Mutex<()> = std::sync::Mutex::new(());
 
-/// Time limit of a scenario, including the wait for the end of each message.
+/// Time limit of a scenario, including the wait until all messages have ended.
 const MAX_SCENARIO_TIME: Duration = Duration::from_secs(60);
 
 /// Runs a scenario on a single-threaded runtime of its own, while no other scenario runs.
@@ -37,10 +37,10 @@
     assert!(result.is_ok(), "the scenario did not end within {MAX_SCENARIO_TIME:?}");
 }
 
-/// Polls `ready` until it holds, while the stand-ins keep running.
+/// Polls `ready` until it returns true, while the stand-ins keep running.
 ///
 /// # Panics
-/// If it does not hold within the time limit of the tests.
+/// If `ready` does not return true within the tests' time limit.
 pub async fn wait_until(what: &str, mut ready: impl FnMut() -> bool) {
     let started = tokio::time::Instant::now();
     while !ready() {
--- a/crates/sender/tests/common/placement/owners.rs
+++ b/crates/sender/tests/common/placement/owners.rs
@@ -4,17 +4,17 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The owners of all destinations under one list.
+/// The owners of all destinations under one member list.
 pub struct Owners {
     list: MemberList,
     table: Table,
 }
 
 impl Owners {
-    /// Builds the table of owners.
+    /// Builds the table of owners under a member list.
     ///
     /// # Panics
-    /// If the list is invalid.
+    /// If the member list is invalid.
     pub fn of(list: &Value) -> Self {
         let list = MemberList::parse_json(list.to_string().as_bytes()).unwrap();
         let table = Table::build(&list);
--- a/crates/sender/tests/common/placement/receivers.rs
+++ b/crates/sender/tests/common/placement/receivers.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for the receivers of all destinations. Each sender reaches them at addresses of its own, which
-//! identifies the caller; the destination of a call is that of the message that it carries.
+//! Stand-ins for the receivers of all destinations.
+//! Each sender reaches the receivers at addresses that only that sender uses, which identifies the caller.
+//! The destination of a call is the destination of the message that the call carries.
 
 use super::deployment::KEY_WINDOW;
 use super::directory::{Addresses, GENERATIONS, endpoint_name};
@@ -15,35 +16,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Default time that a receiver takes for a call.
+/// Default time that a receiver takes to answer a call.
 const DEFAULT_DELAY: Duration = Duration::from_millis(5);
 
-/// How a receiver treats calls.
+/// How a receiver responds to calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Conduct {
-    /// Runs each message and answers 200.
+    /// Runs each message and answers 200 after the default delay.
     #[default]
     Normal,
-    /// Does the same after this delay.
+    /// Runs each message and answers 200 after the given delay.
     Slow(Duration),
     /// Runs each message and answers 500.
     RunThenFail,
     /// Rejects each call with 503 without running it.
     Refuse,
-    /// Rejects the next call with 429 and an advertised wait, then returns to normal.
+    /// Rejects the next call with 429 and an advertised wait, then treats calls normally.
     WaitOnce(Duration),
 }
 
-/// All receivers.
+/// The stand-ins for all receivers.
 pub struct Receivers {
     ledger: Rc<Ledger>,
     conduct: RefCell<HashMap<i64, Conduct>>,
     default_delay: Cell<Duration>,
-    /// When each idempotency key took effect.
+    /// Time of each idempotency key's latest effect.
     keys: RefCell<HashMap<String, Micros>>,
 }
 
-/// A call in progress, which is recorded as broken off by the sender unless it is answered.
+/// A call in progress; an unanswered call is recorded as broken off by the sender.
 struct OpenCall<'a> {
     ledger: &'a Ledger,
     call: u64,
@@ -72,7 +73,7 @@
         Rc::new(Receivers { ledger, conduct, default_delay: Cell::new(DEFAULT_DELAY), keys })
     }
 
-    /// Opens the addresses at which one sender reaches the endpoints.
+    /// Opens the addresses at which one sender reaches the receivers' endpoints.
     pub async fn listen(self: &Rc<Self>, sender: usize) -> Addresses {
         let mut addresses = [SocketAddr::from(([127, 0, 0, 1], 0)); GENERATIONS];
         for (generation, address) in addresses.iter_mut().enumerate() {
@@ -82,12 +83,12 @@
         addresses
     }
 
-    /// Sets how the receiver of a destination treats calls from now on.
+    /// Sets how the receiver of a destination responds to calls from now on.
     pub fn set_conduct(&self, destination: i64, conduct: Conduct) {
         self.conduct.borrow_mut().insert(destination, conduct);
     }
 
-    /// Sets how long a call takes from now on at receivers that treat calls normally.
+    /// Sets how long a call takes from now on at receivers that respond normally.
     pub fn set_default_delay(&self, time: Duration) {
         self.default_delay.set(time);
     }
@@ -105,7 +106,7 @@
         if http::read_body(request).await.is_none() {
             return http::empty(400);
         }
-        // A message that no client has put has no destination.
+        // No destination is recorded for a message that no client has put.
         let Some(destination) = self.ledger.destination(&id) else { return http::empty(400) };
         let call = self.ledger.next_call();
         let endpoint = endpoint_name(destination, generation);
@@ -145,7 +146,7 @@
         http::empty(status)
     }
 
-    /// Records a key and returns whether it is new: not seen within the window since its first effect.
+    /// Records an idempotency key. Returns whether the key is new: without an effect within the key window.
     fn is_new(&self, key: String) -> bool {
         let now = self.ledger.now();
         let mut keys = self.keys.borrow_mut();
--- a/crates/sender/tests/common/placement/relay.rs
+++ b/crates/sender/tests/common/placement/relay.rs
@@ -1,5 +1,5 @@
-//! A relay in front of a member's forward address: passes bytes in both directions, and cuts or delays connections
-//! according to its mode.
+//! A relay in front of a member's forward address.
+//! The relay passes bytes in both directions, and cuts or delays connections according to its mode.
 
 use bytes::BytesMut;
 use embershore_protocol::resp;
@@ -12,34 +12,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// How long the owner's side stays open after a cut: the owner's answer arrives, but is not passed on.
+/// How long the owner's side stays open after a cut: the relay receives the owner's answer, but drops it.
 const OWNER_SIDE_LINGER: Duration = Duration::from_secs(1);
 
-/// How a relay treats its connections.
+/// How a relay treats the connections that it passes on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
     Pass,
     /// Closes the forwarder's side after a complete `MSG.PUT` has passed, before its answer.
     CutAfterRequest,
-    /// Closes a new connection before any byte passes, and an open one when its next bytes arrive, which are
-    /// not passed on.
+    /// Closes a new connection before any byte passes.
+    /// Closes an open connection when its next bytes arrive, and drops these bytes.
     CutBefore,
-    /// Passes each request on after this delay.
+    /// Passes each request on after the given delay.
     Delay(Duration),
 }
 
-/// One relay.
+/// A relay in front of the forward address of one member.
 pub struct Relay {
     pub addr: SocketAddr,
     mode: Cell<Mode>,
-    /// Number of requests whose connection was cut after their last byte had passed.
+    /// Number of requests whose connection the relay cut after the request's last byte had passed.
     cut: Cell<usize>,
-    /// Number of complete requests that passed.
+    /// Number of complete requests that passed through the relay.
     passed: Cell<usize>,
 }
 
 impl Relay {
-    /// Starts a relay to `owner`.
+    /// Starts a relay to the forward address `owner`.
     pub async fn start(owner: SocketAddr) -> Rc<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
@@ -54,17 +54,17 @@
         relay
     }
 
-    /// Sets the mode for new and open connections.
+    /// Sets the relay's mode for new and open connections.
     pub fn set(&self, mode: Mode) {
         self.mode.set(mode);
     }
 
-    /// Returns how many requests had their connection cut after their last byte had passed.
+    /// Returns how many requests passed the relay completely before the relay cut their connection.
     pub fn cut(&self) -> usize {
         self.cut.get()
     }
 
-    /// Returns how many complete requests passed, including those whose connection was cut afterwards.
+    /// Returns how many complete requests passed, including requests whose connection was cut afterwards.
     pub fn passed(&self) -> usize {
         self.passed.get()
     }
@@ -73,7 +73,7 @@
         if self.mode.get() == Mode::CutBefore {
             return;
         }
-        // The owner is down: the forwarder's connection ends before any byte passes.
+        // If the owner is down, the forwarder's connection ends before any byte passes.
         let Ok(owner) = TcpStream::connect(owner).await else { return };
         _ = (forwarder.set_nodelay(true), owner.set_nodelay(true));
         let ((from_forwarder, to_forwarder), (from_owner, to_owner)) =
@@ -83,7 +83,7 @@
         self.pass_requests(from_forwarder, to_owner, &cut).await;
     }
 
-    /// Passes requests on until the forwarder closes its connection or is cut off.
+    /// Passes requests on until the forwarder closes its connection or the relay cuts the connection.
     async fn pass_requests(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, cut: &Notify) {
         let mut unparsed = BytesMut::new();
         let mut buffer = [0; 16 * 1024];
@@ -114,7 +114,7 @@
     }
 }
 
-/// Removes the complete commands from the buffer and returns how many of them are `MSG.PUT`.
+/// Removes the complete commands from the buffer and returns how many of these commands are `MSG.PUT`.
 fn take_puts(unparsed: &mut BytesMut) -> usize {
     let mut requests = 0;
     while let Ok(Some(args)) = resp::decode_command(unparsed) {
@@ -123,7 +123,7 @@
     requests
 }
 
-/// Passes answers on until either side closes its connection or the forwarder is cut off.
+/// Passes answers on until either side closes its connection or the relay cuts the forwarder's connection.
 async fn pass_answers(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, cut: Rc<Notify>) {
     tokio::select! {
         biased;
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -1,10 +1,11 @@
-//! The verdict on a scenario's records: the rehearsal kit's judge over the whole fleet, and the rules that
-//! only a fleet with placement can break.
+//! Checks of a scenario's records: the rehearsal kit's judge is applied to the whole fleet.
+//! Further checks cover the rules that only a fleet with placement can break.
 //!
-//! The judge receives all records that rules 1 (no message lost), 2 (no effect twice), 3 (drains kept), 5
-//! (order kept) and 6 (waits heeded) need. Rule 5 is judged twice: for each owner, and over the whole fleet,
-//! since all messages of a key go to one owner at a time. Rule 4 (a returning receiver is not overloaded) is
-//! not covered: the stand-in receivers have no capacity that could be exceeded.
+//! The records suffice to judge rules 1 (no message lost), 2 (no effect twice) and 3 (drains kept).
+//! The records also suffice to judge rules 5 (order kept) and 6 (waits heeded).
+//! Rule 5 is judged for each owner and over the whole fleet: all messages of a key go to one owner at a time.
+//! Rule 4 (a returning receiver is not overloaded) is not covered.
+//! For rule 4, the stand-in receivers would need a capacity that could be exceeded.
 
 use super::deployment::Deployment;
 use super::ledger::Ledger;
@@ -13,21 +14,21 @@
 use embershore_rehearsal::parameters::Effect;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The results of a completed scenario.
+/// The judge's results for a completed scenario, and the records behind them.
 pub struct Findings {
     pub judgement: Judgement,
-    /// Rule 5, judged as if all owners were one sender.
+    /// Result of rule 5 (order kept), judged as if all owners were one sender.
     pub fleet_order: Ruling,
     pub table: Table,
 }
 
-/// How many puts of the clients had each kind of answer.
+/// Numbers of the clients' puts by kind of answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
     pub accepted: usize,
     pub busy: usize,
     pub failed: usize,
-    /// No answer in time, no connection, or a connection that ended.
+    /// Number of puts without an answer in time, without a connection, or whose connection ended.
     pub none: usize,
 }
 
@@ -44,12 +45,13 @@
         Findings { judgement: verdict(&table), fleet_order, table }
     }
 
-    /// Asserts that no message was lost, took effect twice or had a second owner, that the judge finds no
-    /// rule broken, and that the `tested` rules were tested. The judge's rules depend on times, so a run in
-    /// which the rig itself stalled is void: then only the checks of loss, effects and owners count.
+    /// Asserts that no message was lost, took effect twice or had a second owner.
+    /// Asserts too that the judge finds no rule broken and that the scenario exercised the `tested` rules.
+    /// The judge's rules depend on times, so a run in which the rig itself stalled is void.
+    /// For a void run, only the checks of loss, effects and owners count.
     ///
     /// # Panics
-    /// If a check fails, with the offences.
+    /// If a check fails; the panic message lists the violations.
     pub fn assert_rules_kept(&self, tested: &[Rule]) {
         println!("{:?}; void: {:?}", self.answers(), self.judgement.void);
         let rulings = self.judgement.rules.iter().chain([&self.fleet_order]);
@@ -79,13 +81,13 @@
         }
     }
 
-    /// Returns whether the rig itself stalled, so that measurements of the service mean nothing.
+    /// Returns whether the rig itself stalled, so that times measured in the run mean nothing.
     pub fn is_void(&self) -> bool {
         self.judgement.void.is_some()
     }
 
-    /// Returns the messages that must not take effect twice but were sent by two senders, although the first
-    /// may have delivered them.
+    /// Returns the messages sent by two senders that must not take effect twice.
+    /// A message counts only if the first of the two senders may have delivered it.
     pub fn second_owners(&self) -> Vec<String> {
         let harmful = self.table.messages.iter().filter(|m| self.effect(m) != Effect::Safe);
         let by_two = harmful.filter(|m| {
@@ -102,8 +104,8 @@
         open.map(|m| m.id.clone()).collect()
     }
 
-    /// Returns the messages, by the id of their first put, that took effect twice but must not. A put without
-    /// an answer counts too if the message was never accepted under another id.
+    /// Returns the messages, by the id of their first put, that took effect twice but must not.
+    /// A put without an answer counts too if the message was never accepted under another id.
     pub fn double_effects(&self) -> Vec<String> {
         let mut effects: BTreeMap<&str, usize> = BTreeMap::new();
         for message in
@@ -132,7 +134,7 @@
         calls.filter(|call| call.ids.iter().any(|id| elsewhere(id, call.sender))).count()
     }
 
-    /// Counts the answers to all puts.
+    /// Counts the answers to all puts by kind of answer.
     pub fn answers(&self) -> Answers {
         let mut answers = Answers::default();
         for message in &self.table.messages {
@@ -146,17 +148,17 @@
         answers
     }
 
-    /// Returns the number of messages, each counted once however often it was put.
+    /// Returns the number of distinct messages; a message that was put repeatedly counts once.
     pub fn origins(&self) -> usize {
         self.table.first_offers().len()
     }
 
-    /// Returns how many messages were delivered under any of their ids.
+    /// Returns how many messages were delivered under any of their ids (each put has a new id).
     pub fn delivered(&self) -> usize {
         self.delivered_origins().len()
     }
 
-    /// Returns, by destination, the messages that were delivered under none of their ids.
+    /// Returns, by destination, the messages that were not delivered under any of their ids.
     pub fn undelivered(&self) -> BTreeMap<i64, BTreeSet<&str>> {
         let delivered = self.delivered_origins();
         let mut missing: BTreeMap<i64, BTreeSet<&str>> = BTreeMap::new();
@@ -195,7 +197,7 @@
     open
 }
 
-/// Returns the id of a put message and the sender at which it was put.
+/// Returns the message id and the sender of a record of a put, or `None` for other records.
 fn entry(record: &Record) -> Option<(String, usize)> {
     match &record.event {
         Event::Offer { id, sender, .. } => Some((id.clone(), *sender)),
@@ -203,7 +205,7 @@
     }
 }
 
-/// Judges rule 5 over all senders together.
+/// Judges rule 5 (order kept) as if all senders were one.
 fn fleet_order(records: &[Record]) -> Ruling {
     let mut records = records.to_vec();
     for record in &mut records {
@@ -215,9 +217,9 @@
     judgement.ruling(Rule::OrderKept).unwrap().clone()
 }
 
-/// Attributes each accepted message to its owner, which its first call or its notice shows. The judge holds
-/// the sender of a put responsible for the message; with placement that is the owner, not the sender at which
-/// the client put it.
+/// Attributes each accepted message to its owner, which the message's first call or notice shows.
+/// The judge holds the sender in the record of a put responsible for the message.
+/// With placement the responsible sender is the owner, not the sender at which the client put the message.
 fn attribute_to_owners(records: &mut [Record]) {
     let mut owners: HashMap<String, usize> = HashMap::new();
     let mut accepted: BTreeSet<String> = BTreeSet::new();
--- a/crates/sender/tests/common/placement/wrong_lists.rs
+++ b/crates/sender/tests/common/placement/wrong_lists.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-/// Returns lists, with the reason, each of which a sender must refuse while `list` is in force.
+/// Returns member lists that a sender must refuse while `list` is in force, each with the reason.
 pub fn invalid_lists(list: &Value) -> Vec<(&'static str, Value)> {
     let altered = |change: &dyn Fn(&mut Value)| {
         let mut altered = list.clone();
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -1,8 +1,8 @@
-//! Two events that overlap: a watch that stalls, trickles or is indented, a change of discovery's address,
-//! signals during a start and a stop, a notice that is not answered, a client that has shut down its sending
-//! side. Guards against a lost change, message or answer when the second event arrives before the first is
-//! handled.
-//! `docs/design/crossings.md` has one row for each pair.
+//! Tests of two events that overlap.
+//! Guards against a lost change, message or answer when the second event arrives before the first is handled.
+//! Events of discovery: a watch stalls, trickles or is indented, and discovery's address changes.
+//! Other events: signals during a start and a stop, an unanswered notice, a client that shut its sending side.
+//! `docs/design/crossings.md` has one table row for each pair of events.
 
 mod common;
 use common::*;
@@ -12,12 +12,12 @@
 use std::time::{Duration, Instant};
 
 const SYNC: &str = "c=sync,d=15000,dest=3";
-/// Within this the sender must know a change that a stalled watch did not deliver.
+/// Time within which the sender must know a change that a stalled watch did not deliver.
 const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
 
-/// Starts a sender with one endpoint of destination 3, whose watches a script answers. The script receives
-/// the number of earlier watch requests, a function that gives the list with an index and the endpoint's
-/// status, and the connection.
+/// Starts a sender that knows one endpoint, of destination 3. A script answers the sender's watch requests.
+/// The script receives the number of earlier watch requests and the connection.
+/// The script also receives a function that returns the list for an index and a status of the endpoint.
 fn sender_with_scripted_watch(
     script: impl Fn(usize, &dyn Fn(u64, &str) -> serde_json::Value, &mut TcpStream) + Send + Sync + 'static,
 ) -> (Endpoint, ScriptedPlatform, Platform, Sender) {
@@ -33,14 +33,14 @@
         }
         _ => write_answer(stream, 204, ""),
     });
-    // Notices go to the script as well: this platform only provides an address at the start.
+    // The script receives the notices too: this stub platform only provides an address at the start.
     let platform = Platform::new(Vec::new());
     let sender = Sender::with(&platform, |c| c["discovery"] = scripted.addr.to_string().into());
     (endpoint, scripted, platform, sender)
 }
 
-/// Returns the time from the first watch request until the sender knows a drain that the first watch did not
-/// deliver. After the first watch, `hang` further ones are not answered.
+/// Returns the time from the first watch request until the sender knows a drain.
+/// The first watch does not deliver the drain, and the next `hang` watch requests are not answered.
 fn drain_delay(first: impl Fn(&mut TcpStream) + Send + Sync + 'static, hang: usize) -> Duration {
     let (_endpoint, scripted, _platform, sender) = sender_with_scripted_watch(move |before, list, stream| {
         if before == 0 {
@@ -75,7 +75,7 @@
 fn bytes_that_never_end_a_line_are_no_sign_of_life() {
     let trickle = |stream: &mut TcpStream| {
         write_chunk(stream, "{");
-        // Until the sender closes the connection.
+        // The script writes spaces until the sender closes the connection.
         while write_chunk(stream, " ") {
             sleep(Duration::from_millis(200));
         }
@@ -103,8 +103,8 @@
     assert_eq!(endpoint.call_count("a1"), 0);
 }
 
-/// Starts a sender without an endpoint that accepts calls, and waits until it is ready. A script answers its
-/// notices; it receives the number of earlier posts.
+/// Starts a sender without an endpoint that accepts calls, and waits until the sender is ready.
+/// A script answers the sender's notices; the script receives the number of earlier posts of notices.
 fn sender_without_endpoint(
     reports: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
 ) -> (ScriptedPlatform, Platform, Sender) {
@@ -133,7 +133,8 @@
     assert_eq!(client.put("a1", "c=sync,d=300,dest=3"), "+OK");
     wait_until("a second post", || scripted.request_times("/reports").len() > 1);
     let posts = scripted.request_times("/reports");
-    // The first post has 0.1 s to be answered. With 1 s the second one came long after the notice was due.
+    // The first post of a notice has 0.1 s to be answered.
+    // With a time-out of 1 s, the second post came long after the notice was due.
     assert!(posts[1] - posts[0] < Duration::from_millis(600), "{:?}", posts[1] - posts[0]);
 }
 
@@ -149,14 +150,14 @@
         let requests: Vec<u8> =
             ids.iter().flat_map(|id| put(id, &format!("{SYNC},t=acme"), b"hello")).collect();
         client.write(&requests);
-        // The end of the client's sending side reaches the driver at a different moment in each round.
+        // The end of the client's sending side reaches the sender at a different moment in each round.
         sleep(Duration::from_micros(400 * round));
         client.stream.shutdown(Shutdown::Write).unwrap();
         for id in &ids {
             match &*client.read() {
                 "+OK" => endpoint.wait_sent(id),
                 "-BUSY" => {
-                    // The message was withdrawn: put again, it is accepted as new.
+                    // The message was withdrawn: put again, the message is accepted as new.
                     assert_eq!(endpoint.call_count(id), 0, "{id}");
                     wait_until("the second put to be accepted", || sender.client().put(id, SYNC) == "+OK");
                 }
@@ -257,7 +258,7 @@
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     wait_until("a watch request", || scripted.request_times("watch").len() == 1);
-    // The new platform has its own sequence of indexes, and lists a drain.
+    // The new platform has its own sequence of list indexes, and lists the endpoint as draining.
     let (other, addr) = (Endpoint::new(|_| status(200)), endpoint.addr);
     let lines = [
         listed_endpoint("s-1", addr, "one", 3, "Terminating"),
@@ -274,7 +275,7 @@
         other.wait_sent(&format!("b{n}"));
     }
     assert_eq!(endpoint.sent(), ["a1"]);
-    // Changes are followed by the indexes of the new platform.
+    // The sender follows further changes by the list indexes of the new platform.
     sender.wait_drain_recorded(
         || successor.publish(false, vec![listed_endpoint("s-2", other.addr, "one", 3, "Gone")]),
         "s-2",
@@ -298,8 +299,8 @@
     one.wait_sent("a3");
     assert_eq!(client.put("a4", &dest(4)), "+OK");
     two.wait_sent("a4");
-    // Each name is now at the other's address, and both have an idle connection. The third entry shows when
-    // the list is known.
+    // Each endpoint name is now listed at the other endpoint's address, and both have an idle connection.
+    // The third entry shows when the sender knows the list.
     let mut swapped = both(&two, &one);
     swapped.push(listed_endpoint("s-3", one.addr, "one", 5, "Terminating"));
     sender.wait_drain_recorded(|| platform.publish(true, swapped.clone()), "s-3");
@@ -309,7 +310,7 @@
         assert_eq!(client.put(&format!("b4{n}"), &dest(4)), "+OK");
         one.wait_sent(&format!("b4{n}"));
     }
-    // The endpoint is gone, and is listed again as one that was restarted at a third address.
+    // The endpoint is listed as gone, and is then listed again as restarted at a third address.
     let three = Endpoint::new(|_| status(200));
     sender.wait_drain_recorded(
         || platform.publish(false, vec![listed_endpoint("s-1", two.addr, "one", 3, "Gone")]),
@@ -362,7 +363,7 @@
         let state = move |state: &str| listed_endpoint("s-1", endpoint.addr, "one", 3, state);
         let scripted = ScriptedPlatform::new(move |request, before, stream| {
             if !request.line.contains("follow") {
-                // A second request is not answered.
+                // Only the first request is answered.
                 if before == 0 {
                     write_answer(stream, 200, &list(7, true, vec![state("Ready")]));
                 }
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -1,6 +1,6 @@
-//! Forwarding by one sender with placement enabled, between scripted owners. Guards against a wrong reply to
-//! the client for each answer, or missing answer, of an owner, and against a second owner for a message that
-//! may have been accepted.
+//! Forwarding by one sender with placement enabled, between scripted owners.
+//! Guards against a wrong reply to the client for each answer, or missing answer, of an owner.
+//! Guards against a second owner for a message that the first owner may have accepted.
 
 mod common;
 use bytes::BytesMut;
@@ -15,28 +15,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Destinations from which the tests choose.
+/// Destinations from which the forwarding tests choose.
 const DESTINATIONS: RangeInclusive<i64> = 1..=60;
-/// The sender under test.
+/// Seat of the sender under test.
 const OWN_SEAT: SeatId = SeatId(0);
-/// Time limit of a reply to a client.
+/// Time limit of the sender's reply to a client.
 const MAX_ANSWER_TIME: Duration = Duration::from_millis(400);
-/// Fields of a message of each effect, with a time that all their classes allow.
+/// Put fields of a message of each effect, with a time to the deadline that all classes allow.
 const PUSH: &str = "c=push,d=15000,k=5c0f6e1a2b3d4c59";
 const SYNC: &str = "c=sync,d=15000";
 const PAY: &str = "c=pay,d=15000";
 
-/// How an owner responds to a message.
+/// How a stub owner responds to a forwarded message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Conduct {
     Answer(&'static str),
-    /// Reads it completely and closes the connection.
+    /// Reads the message completely and closes the connection without an answer.
     Cut,
-    /// Reads it completely and does not answer.
+    /// Reads the message completely, does not answer, and keeps the connection open.
     Silent,
 }
 
-/// A stub owner that responds as its conduct says.
+/// A stub owner that responds to forwarded messages according to its [`Conduct`].
 struct ScriptedOwner {
     addr: SocketAddr,
     conduct: Arc<Mutex<Conduct>>,
@@ -66,7 +66,7 @@
         *self.conduct.lock().unwrap() = conduct;
     }
 
-    /// Returns the messages that were received completely.
+    /// Returns the messages that the stub owner received completely.
     fn put(&self) -> Vec<Put> {
         self.put.lock().unwrap().clone()
     }
@@ -102,7 +102,7 @@
            "seats": [seat(0), seat(1), seat(2)], "wide": []})
 }
 
-/// The table of owners under any of these lists; it does not depend on addresses.
+/// The table of owners, which is the same for all member lists of these tests: it does not depend on addresses.
 static TABLE: LazyLock<Table> = LazyLock::new(|| {
     let list = member_list([1, 2, 3].map(|port| SocketAddr::from(([127, 0, 0, 1], port))));
     Table::build(&MemberList::parse_json(list.to_string().as_bytes()).unwrap())
@@ -113,12 +113,12 @@
     TABLE.owners(shard)
 }
 
-/// Returns the destinations that the sender under test owns, or those that only the two others own.
+/// Returns the destinations that the sender under test owns, or the destinations that it does not own.
 fn destinations(own: bool) -> Vec<i64> {
     DESTINATIONS.filter(|dest| owners(*dest).contains(&OWN_SEAT) == own).collect()
 }
 
-/// A sender with placement enabled, and the stubs around it.
+/// A sender with placement enabled, and the stub owners, platform and endpoint around the sender.
 struct Rig {
     sender: Sender,
     forward: SocketAddr,
@@ -137,7 +137,7 @@
         let owners = [ScriptedOwner::new(), ScriptedOwner::new()];
         let mut sender = Sender::with_mgmt(&platform);
         sender.kill();
-        // The sender has its own address, on which no other process is given a port.
+        // The sender has its own loopback address, on which no other process is given a port.
         let forward = SocketAddr::new(sender.addr.ip(), sender.addr.port() ^ 1);
         let list = member_list([forward, owners[0].addr, owners[1].addr]).to_string();
         let control = Endpoint::new(move |_| status_with(&list));
@@ -172,7 +172,7 @@
         self.owners.iter().for_each(|owner| owner.set_conduct(conduct));
     }
 
-    /// Returns how many owners received a message.
+    /// Returns how many stub owners received a message.
     fn seen_by(&self, id: &str) -> usize {
         self.owners.iter().filter(|owner| owner.saw(id)).count()
     }
@@ -269,7 +269,7 @@
         assert_eq!(rig.seen_by(&id), 2, "{conduct:?}");
     }
     assert!(rig.metrics()["forwarded"]["unknown"].as_u64() >= Some(12), "{}", rig.metrics());
-    // One of the owners serves again.
+    // One of the two stub owners accepts messages again.
     rig.owners[0].set_conduct(Conduct::Answer("+OK"));
     for n in 0..4 {
         assert_eq!(rig.put(&format!("again-{n}"), SYNC, dest), "+OK");
@@ -283,7 +283,7 @@
     wait_until("the lease to expire", || rig.metrics()["lease_left_ms"] == 0);
     let (own, other) = (destinations(true)[0], destinations(false)[0]);
     assert_eq!(rig.put("other", PAY, other), "+OK");
-    // The other owner of the destination is tried, which has its own lease.
+    // The sender tries the destination's other owner, which has its own lease.
     assert_eq!(rig.put("own", PAY, own), "+OK");
     assert_eq!(rig.seen_by("own"), 1);
     let refused = Client::new(rig.forward).put("forwarded", &format!("{PAY},dest={own}"));
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -1,5 +1,6 @@
-//! Replacement of a running process by another while clients connect and calls are in flight. Guards against
-//! messages that are lost or sent twice because both processes, or neither, consider themselves their owner.
+//! Replacement of a running sender process by another while clients connect and calls are in flight.
+//! Guards against messages that are lost because neither process considers itself their owner.
+//! Guards against messages that are sent twice because both processes consider themselves their owner.
 
 mod common;
 use common::*;
@@ -14,13 +15,13 @@
 const SYNC: &str = "c=sync,d=15000,dest=3";
 const PAY: &str = "c=pay,d=15000,dest=3";
 
-/// Processes of a sender on a listening socket that the test holds, as the platform does where processes are
-/// replaced.
+/// Processes of one sender that share a listening socket, which the test keeps open.
+/// The platform keeps the socket open in the same way when it replaces a process.
 struct SharedSocket {
     listener: std::net::TcpListener,
     addr: std::net::SocketAddr,
     folder: tempfile::TempDir,
-    /// Processes, with the addresses of their management interfaces.
+    /// Running sender processes, with the addresses of their management interfaces.
     running: Vec<(Child, std::net::SocketAddr)>,
 }
 
@@ -31,19 +32,19 @@
         let folder = tempfile::tempdir().unwrap();
         std::fs::create_dir(folder.path().join("state")).unwrap();
         let mut config = config(addr, platform, 1024);
-        // Enough for all messages that a test puts at once: with fewer, some are returned for lack of room on
-        // a slow machine.
+        // 400 open messages are enough for all messages that a test puts at once.
+        // With a lower limit, some messages would be returned for lack of room on a slow machine.
         config["settings"]["Limits"]["MaxOpen"] = 400.into();
         std::fs::write(folder.path().join("config.json"), config.to_string()).unwrap();
         SharedSocket { listener, addr, folder, running: Vec::new() }
     }
 
-    /// Starts a process next to the running ones and returns its number.
+    /// Starts a process next to the running processes and returns the number of the new process.
     fn start(&mut self) -> usize {
         let spare = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let mgmt = spare.local_addr().unwrap();
         drop(spare);
-        // A duplicate that stays open across exec; the listener itself does not.
+        // The duplicate of the listening socket stays open across exec; the listener itself does not.
         let inherit = rustix::io::dup(&self.listener).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_embershore"))
             .env("LB_CONFIG", self.folder.path().join("config.json"))
@@ -141,7 +142,7 @@
     thread::sleep(Duration::from_millis(100));
     processes.start();
     processes.wait_ready(1);
-    // The second process has the message, but does not send it.
+    // The second process has received the message, but does not send the message.
     let mgmt = processes.running[1].1;
     wait_until("one open message in the second process", || {
         mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"outstanding\":1")
@@ -220,8 +221,8 @@
     platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Terminating")]);
     platform.publish(false, vec![listed_endpoint("s-2", other.addr, "one", 3, "Ready")]);
     wait_until("an accepted put", || processes.client().put("b1", SYNC) == "+OK");
-    // The connection is being established. The first process exits once it has passed on the wait that its
-    // call received.
+    // The second process is now establishing its connection to the new endpoint.
+    // The first process exits once it has passed on the wait that the answer to its call advertised.
     thread::sleep(Duration::from_millis(150));
     let released_at = Instant::now();
     gate.open();
@@ -268,7 +269,7 @@
         client.write(&put(&id, &format!("{SYNC},t=acme"), b"hello")[..cut]);
         clients.push((client, cut));
     }
-    // The first process has accepted all of them once a later client is answered.
+    // Once a later client is answered, the first process has accepted all earlier connections.
     processes.client().ping();
     processes.start();
     processes.wait_ready(1);
@@ -293,8 +294,7 @@
 fn a_stopped_owner_is_waited_for_and_its_journal_is_not_written() {
     let (endpoint, platform, mut processes) = start_first(|_| status(200));
     assert_eq!(processes.client().put("a1", PAY), "+OK");
-    // The outcome must be read before the process is stopped: otherwise the message counts as one that may
-    // have run.
+    // The outcome must be read before the process is stopped: otherwise the message counts as possibly run.
     let mgmt = processes.running[0].1;
     wait_until("the outcome of a1 in the metrics", || {
         mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1")
@@ -303,7 +303,7 @@
     let before = std::fs::read(processes.folder.path().join("state/journal")).unwrap();
     let started = Instant::now();
     processes.start();
-    // It reports ready in time, so that the platform ends the process that does not answer.
+    // The new process reports ready in time, so that the platform ends the stopped process.
     processes.wait_ready(1);
     assert!(
         started.elapsed() < Duration::from_secs(6),
@@ -322,15 +322,15 @@
 #[test]
 fn a_replacement_that_dies_during_its_start_leaves_the_owner_serving() {
     let (endpoint, _platform, mut processes) = start_first(|_| status(200));
-    // The new process is killed at many moments of its start.
+    // The new process is killed at a different moment of its start in each round.
     for n in 0..12 {
         let replacement = processes.start();
         thread::sleep(Duration::from_millis(3 * n));
         _ = processes.running[replacement].0.kill();
         _ = processes.running[replacement].0.wait();
         let id = format!("a{n}");
-        // If it had not taken over, the first process continues to serve. Otherwise the first process exits,
-        // and the next one that starts continues with the journal.
+        // If the killed process had not taken over, the first process continues to serve.
+        // Otherwise the first process exits, and the next process that starts continues with the journal.
         let mut served = false;
         wait_until("an accepted put or the exit of the first process", || {
             let mut client = processes.client();
@@ -355,7 +355,7 @@
     let first = listed_endpoint("s-1", old.addr, "one", 3, "Ready");
     let platform = Platform::new(vec![first.clone()]);
     let mut processes = SharedSocket::new(&platform);
-    // The known list in the configuration of each process is the old one.
+    // The configuration of each process contains the old endpoint list as its known list.
     let path = processes.folder.path().join("config.json");
     let mut config: serde_json::Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
     config["known"] = serde_json::json!({"index": 7, "snapshot": true, "endpoints": [first]});
@@ -385,7 +385,7 @@
     let (endpoint, platform, mut processes) = start_first(|_| status(200));
     for n in 0..3 {
         let (first, second) = (processes.start(), processes.start());
-        // One takes over from the running process, and the other from that one.
+        // One new process takes over from the running one, then the other takes over from the first new one.
         wait_until("exactly one of the two to be ready", || processes.ready(first) ^ processes.ready(second));
         let id = format!("a{n}");
         wait_until("an accepted put", || processes.client().put(&id, SYNC) == "+OK");
@@ -415,8 +415,7 @@
                     let id = format!("m{c}x{n}");
                     match client.put(&id, PAY).as_str() {
                         "+OK" => accepted.lock().unwrap().push(id),
-                        // The connection was closed between requests: the client sends the request again on a
-                        // new one.
+                        // The connection was closed between requests: the request is sent again on a new one.
                         "" => {
                             client = Client::new(addr);
                             match client.put(&id, PAY).as_str() {
@@ -445,7 +444,7 @@
     clients.into_iter().for_each(|c| c.join().unwrap());
     let accepted = accepted.lock().unwrap();
     assert!(accepted.len() > 50);
-    // Each message is either delivered or returned for lack of room, not both.
+    // Each message is either delivered or returned to the client for lack of room, not both.
     wait_until("each accepted message to be sent or returned", || {
         let sent: HashSet<String> = endpoint.sent().into_iter().collect();
         accepted
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -1,6 +1,8 @@
-//! Placement under faults, with twelve and more real senders. Guards against requests that are forwarded more
-//! than once, accepted messages that are lost, and messages that take effect twice, when members are killed,
-//! stopped, added or removed, connections are cut, and control agents are late, silent or wrong.
+//! Tests of placement under faults, with twelve and more real senders.
+//! Guards against requests that are forwarded more than once.
+//! Guards against accepted messages that are lost, and messages that take effect twice.
+//! The faults: members are killed, stopped, added or removed, and connections are cut.
+//! Further faults: control agents are late, do not answer, or serve invalid member lists.
 
 mod common;
 #[path = "common/placement/mod.rs"]
@@ -22,10 +24,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Messages per second that the clients of the whole fleet put.
+/// Messages per second that all clients of the fleet put together.
 const RATE: u32 = 150;
 
-/// The destination whose receiver once advertises a wait to its sender.
+/// The destination whose receiver rejects one call with an advertised wait.
 const WAITING: i64 = 7;
 
 /// Rules that every scenario must test.
@@ -35,8 +37,8 @@
     Findings::from_ledger(scenario, &rig.fleet.deployment, &rig.ledger)
 }
 
-/// Puts a load of all classes at all members while `faults` happen and for `seconds_after` after them, then
-/// waits for the end of each message.
+/// Puts messages of all classes at all members while `faults` happen and for `seconds_after` seconds more.
+/// Then waits until each message has ended.
 async fn play(rig: &Rig, seconds_after: u64, faults: impl Future<Output = ()>) {
     let load = Load::of(&rig.fleet, RATE);
     let during = async {
@@ -47,7 +49,7 @@
     rig.clients.wait_all_ended().await;
 }
 
-/// Waits until a sender has called a receiver at `since` or later.
+/// Waits until a sender has made a call to any receiver at the time `since` or later.
 async fn until_it_calls(rig: &Rig, sender: usize, since: Micros) {
     let is_such_a_call = |r: &Record| {
         r.t >= since && matches!(r.event, Event::Call { sender: caller, .. } if caller == sender)
@@ -60,7 +62,7 @@
     time.as_micros() as Micros
 }
 
-/// Asserts that at least `of_ten` of every ten messages were delivered.
+/// Asserts that at least `of_ten` tenths of all messages were delivered.
 fn assert_delivered(findings: &Findings, of_ten: usize) {
     if findings.is_void() {
         return;
@@ -72,7 +74,7 @@
     );
 }
 
-/// Counts the forwarded requests whose outcome the senders do not know. A put fails for no other reason.
+/// Counts the forwarded requests whose outcome the senders do not know. A put may fail only for this reason.
 async fn unknown_outcomes(rig: &Rig) -> usize {
     let mut unknown = 0;
     for index in 0..rig.fleet.deployment.processes() {
@@ -82,7 +84,7 @@
     unknown
 }
 
-/// Asserts that each caller of a destination owned it under one of these lists.
+/// Asserts that each sender that called a destination owned the destination under one of the member lists.
 fn assert_only_owners_call(findings: &Findings, lists: &[Value]) {
     let owners: Vec<Owners> = lists.iter().map(Owners::of).collect();
     for (destination, callers) in findings.callers() {
@@ -116,12 +118,12 @@
         assert!(answers.failed <= unknown_outcomes(&rig).await, "{answers:?}");
         let unanswered = answers.failed + answers.none;
         assert!(findings.is_void() || unanswered * 20 <= answers.accepted, "{answers:?}");
-        // Only the receiver that advertised a wait is tried so rarely that a message may reach its deadline first.
+        // The receiver that advertised a wait is tried so rarely that a message may reach its deadline first.
         let mut undelivered = findings.undelivered();
         undelivered.remove(&WAITING);
         assert!(undelivered.values().flatten().count() <= unanswered, "{undelivered:?}");
         assert_only_owners_call(&findings, &[rig.control.list()]);
-        // Each put is forwarded at most once, and once more after a refusal.
+        // Each put is forwarded at most once, or twice if the first owner refused the message.
         let forwarded = findings.forwarded(&rig.ledger);
         assert!(forwarded * 2 > findings.origins(), "only {forwarded} messages were forwarded");
         let members = rig.fleet.deployment.members;
@@ -171,7 +173,7 @@
                 fleet.spawn(second);
                 fleet.wait_ready(first).await;
                 fleet.wait_ready(second).await;
-                // Their folders record what they owned, so they accept messages again without a hold.
+                // The restarted senders' folders record what they owned, so they need no hold before they accept.
                 let back = rig.ledger.now();
                 until_it_calls(&rig, first, back).await;
                 until_it_calls(&rig, second, back).await;
@@ -238,13 +240,13 @@
     });
 }
 
-/// The time of a change of the member list, and the list before it.
+/// The time of a change of the member list, and the member list before the change.
 struct Changed {
     at: Micros,
     before: Value,
 }
 
-/// Adds a seat with a new member and vacates the seat of another.
+/// Adds a seat with a new member to the member list and vacates the seat of another member.
 fn add_and_remove(rig: &Rig, added: usize, removed: usize) -> Changed {
     let changed = Changed { at: rig.ledger.now(), before: rig.control.list() };
     let append = json!({"append": seat(added, &rig.fleet.address(added))});
@@ -271,8 +273,8 @@
         findings.assert_rules_kept(&ALWAYS);
         assert_only_owners_call(&findings, &[before, rig.control.list()]);
         assert_delivered(&findings, 9);
-        // The new member accepts nothing before the previous owners of its shards must have finished their
-        // messages.
+        // The new member accepts no message during the hold of its shards.
+        // After the hold the previous owners must have finished their messages.
         let first = findings.table.calls.values().find(|call| call.sender == added).unwrap();
         let hold = micros(rig.fleet.deployment.hold());
         assert!(
@@ -280,7 +282,7 @@
             "first call {} us after the start, expected a hold of {hold} us",
             first.t - at
         );
-        // The removed member has learnt of its removal, or its lease has expired.
+        // By then the removed member has received the list without it, or its lease has expired.
         let lease = micros(rig.fleet.deployment.lease);
         let offered = |id: &String| findings.table.message(id).unwrap().offered;
         let calls = findings.table.calls.values().filter(|call| call.sender == removed);
@@ -300,7 +302,7 @@
         let mut changes = Vec::new();
         play(&rig, 1, async {
             sleep(Duration::from_secs(1)).await;
-            // First a member whose agent is delayed is removed, then one whose agent is not.
+            // First a member whose control agent is delayed is removed, then a member whose agent is not.
             changes.push(add_and_remove(&rig, added, removed).before);
             sleep(Duration::from_millis(800)).await;
             changes.push(rig.control.list());
@@ -317,7 +319,7 @@
         changes.push(rig.control.list());
         assert_only_owners_call(&findings, &changes);
         assert_delivered(&findings, 8);
-        // The removed member, whose agent is delayed, is done before the new owner starts.
+        // The removed member, whose control agent is delayed, has finished before the new owner starts.
         let first = findings.table.calls.values().find(|call| call.sender == added).unwrap();
         let late = findings.table.calls.values().find(|call| call.sender == removed && call.t > first.t);
         assert!(late.is_none(), "{late:?}");
@@ -366,7 +368,7 @@
         for (n, class) in [PAY, PUSH, SYNC, FLOW].into_iter().cycle().take(40).enumerate() {
             let destination = 1 + n as i64;
             let owned_by = owners.owners(destination);
-            // Put at a sender that has to forward it.
+            // The message is put at a sender that does not own the destination and must forward the message.
             let entry = (0..12).map(|index| (index + n) % 12).find(|index| !owned_by.contains(index));
             put.push((class, rig.clients.send(class, destination, entry.unwrap())));
         }
@@ -379,7 +381,7 @@
                 findings.table.attempts(message).map(|(call, ..)| call.sender).collect();
             let answered = message.reply.unwrap().1;
             if class == SYNC {
-                // It goes to the next owner too, and is refused once no owner is left.
+                // The message is forwarded to the next owner too, and is refused once no owner is left.
                 assert_eq!(answered, PutOutcome::Busy, "{id}");
             } else {
                 assert_eq!(answered, PutOutcome::Failed, "{id}");
@@ -401,8 +403,8 @@
         assert_only_owners_call(&findings, &[rig.control.list()]);
         let answers = findings.answers();
         assert!(answers.busy > 0 && answers.accepted > 100, "{answers:?}");
-        // A full owner refuses, which is no failure. On a busy machine an owner may not answer in time, which
-        // is one.
+        // A refusal by an owner whose queue is full does not count as a failure.
+        // An owner that does not answer in time, as may happen on a busy machine, counts as a failure.
         assert!(answers.failed <= unknown_outcomes(&rig).await, "{answers:?}");
     });
 }
@@ -417,7 +419,7 @@
         let (mut silent_at, mut answering_at) = (0, 0);
         play(&rig, 2, async {
             sleep(Duration::from_secs(1)).await;
-            // Requests from now on are not answered, so that all leases expire within the lease time.
+            // From now on no control agent answers, so that all leases expire within the lease time.
             silence(true);
             silent_at = rig.ledger.now();
             sleep(lease + Duration::from_millis(1500)).await;
@@ -452,7 +454,7 @@
 fn invalid_lists_are_refused_and_the_last_good_one_stays() {
     placement::run(async {
         let rig = Rig::start(Deployment { spares: 1, ..Deployment::default() }).await;
-        // Epoch 2 is in force, so that an older one exists.
+        // Epoch 2 is brought into force, so that an older epoch exists.
         rig.control.change(vec![json!({"append": seat(12, &rig.fleet.address(12))})]);
         for index in 0..13 {
             until_epoch(&rig, index, 2).await;
@@ -477,7 +479,7 @@
         for index in 0..13 {
             assert_eq!(rig.fleet.metrics(index).await["placement"]["epoch"], 2, "{}", name(index));
         }
-        // A valid list that follows an invalid one is applied.
+        // A sender applies a valid member list that follows an invalid one.
         rig.control.change(vec![json!({"seat": 12, "member": null})]);
         for index in 0..13 {
             until_epoch(&rig, index, 3).await;
@@ -485,14 +487,14 @@
     });
 }
 
-/// Starts epoch 2 with unchanged owners, so that the fleet no longer counts as new, without earlier owners.
+/// Starts epoch 2 with unchanged owners, so that the fleet no longer counts as new (without earlier owners).
 async fn begin_second_epoch(rig: &Rig) {
     let unused_destination = 1_000_000;
     rig.control.change(vec![json!({"wide": {"dest": unused_destination, "width": 2}})]);
     for index in 0..rig.fleet.deployment.processes() {
         until_epoch(rig, index, 2).await;
     }
-    // A sender stores the epoch once it has no shard on hold in it and control has answered after that.
+    // A sender stores the epoch once none of its shards is on hold and its control agent has answered since.
     for index in 0..rig.fleet.deployment.processes() {
         while rig.fleet.metrics(index).await["placement"]["on_hold_ms"] != 0 {
             sleep(Duration::from_millis(50)).await;
@@ -501,7 +503,7 @@
     sleep(rig.fleet.deployment.lease).await;
 }
 
-/// Waits until a sender reports an epoch.
+/// Waits until a sender's metrics report the given epoch.
 async fn until_epoch(rig: &Rig, index: usize, epoch: u64) {
     let begun = tokio::time::Instant::now();
     while rig.fleet.metrics(index).await["placement"]["epoch"] != epoch {
@@ -515,7 +517,7 @@
     }
 }
 
-/// Waits until a sender reports a refused list.
+/// Waits until a sender's metrics report a refused member list.
 async fn until_refused(rig: &Rig, index: usize, what: &str) {
     let begun = tokio::time::Instant::now();
     while rig.fleet.metrics(index).await["placement"]["lists_refused"].as_u64().unwrap_or(0) == 0 {
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -1,6 +1,6 @@
-//! The rehearsal kit with real daemons: hard cases, command line, control and capture. Guards against a
-//! daemon that breaks a rule under lagging discovery, late answers, outages and kills, and against a kit that
-//! misjudges a run.
+//! The rehearsal kit with real daemons: hard cases, command line, control and capture.
+//! Guards against a daemon that breaks a rule under lagging discovery, late answers, outages and kills.
+//! Guards against a rehearsal kit that misjudges a run.
 
 use embershore_rehearsal::capture::{Tap, capture};
 use embershore_rehearsal::history::{EndpointStatus, Event, NoticeState};
@@ -16,7 +16,7 @@
 
 const EXECUTABLE: &str = env!("CARGO_BIN_EXE_embershore");
 
-/// Three receivers and the three effects, with short times so that deadlines and windows end within a test.
+/// Scenario with three receivers and the three effects; its deadlines and windows end within a test.
 const BASE: &str = r#"
 name = "hard case"
 seed = 11
@@ -81,7 +81,7 @@
     Scenario::parse("hard case", &text, Path::new(".")).unwrap()
 }
 
-/// Runs a scenario with real daemons. No rule may be broken and the rig must have kept up.
+/// Runs a scenario with real daemons. Asserts that no rule was broken and that the rig was not late.
 fn rehearse(scenario: Scenario) -> (Report, Table) {
     let folder = tempfile::tempdir().unwrap();
     let (subject, folder_path) = (Subject::Spawn(EXECUTABLE.into()), folder.path().to_path_buf());
@@ -89,7 +89,7 @@
     let (report, table) = report(&rig::run(scenario, &options, |_| {}).unwrap()).unwrap();
     assert_eq!(report.judgement.void, None);
     for r in &report.judgement.rules {
-        // The records of the first message with which the rule was broken.
+        // For the failure message: the records of the first message with which the rule was broken.
         let first = r.violations.iter().find_map(|o| table.message(o.message.as_ref()?));
         let same = first.map(|f| table.messages.iter().filter(|m| m.origin == f.origin).collect::<Vec<_>>());
         let calls = same.iter().flatten().flat_map(|m| table.attempts(m)).collect::<Vec<_>>();
@@ -108,9 +108,9 @@
         [[event]]\nat = \"0s\"\ndo = \"directory-lag\"\nby = \"5s\"\nfor = \"8s\"
         [[event]]\nat = \"500ms\"\ndo = \"replace\"\nshare = 0.58\nover = \"3s\"\ngone_after = \"7s\"";
     let (report, table) = rehearse(scenario("14s", 40, events));
-    // 7 of 12 endpoints, at two senders.
+    // 7 of 12 endpoints are drained, and each drain is tested at two senders.
     assert_eq!(tested(&report, Rule::DrainsKept), 14);
-    // The senders learned of the drains with the intended lag, and used the endpoints until then.
+    // The senders learned of the drains with the intended lag, and used the draining endpoints during that lag.
     let drains = table.status_updates.values().flatten().filter(|(_, s)| *s != EndpointStatus::Ready);
     assert!(drains.map(|(t, _)| *t).min().unwrap() > 7_000_000);
     assert!(report.judgement.service.whole.share > 0.95, "{}", report.text());
@@ -118,14 +118,14 @@
 
 #[test]
 fn a_payout_answered_after_it_was_given_up_is_counted_and_answered_once() {
-    // The payouts are given up at their deadlines, or by a sender that is killed long before.
+    // The payouts are given up at their deadlines, or because their sender is killed long before.
     let events = "
         [[event]]\nat = \"500ms\"\ndo = \"late\"\nreceiver = 1\nby = \"6s\"\nfor = \"2s\"
         [[event]]\nat = \"1200ms\"\ndo = \"sigkill\"\nsender = \"n0\"";
     let (report, table) = rehearse(scenario("5s", 30, events));
     assert!(tested(&report, Rule::NoEffectTwice) > 0);
     let payouts: Vec<_> = table.messages.iter().filter(|m| table.is_unsafe(m)).collect();
-    // Messages that were given up and ran after that.
+    // Selects the messages that ran after they had been given up.
     let late: Vec<_> = payouts
         .iter()
         .filter(|m| m.runs.iter().any(|(ran, _)| m.notices.iter().any(|(told, _)| told < ran)))
@@ -152,8 +152,8 @@
     assert!(report.receivers.iter().all(|r| !r.overloaded), "{}", report.text());
 }
 
-/// Kills senders that hold messages in all states: never sent, call written in part, call unanswered, and end not
-/// confirmed by the platform.
+/// Kills senders that have messages in all states.
+/// The states: never sent, call written in part, call unanswered, and end not confirmed by the platform.
 #[test]
 fn a_sender_killed_at_any_point_ends_each_message_once() {
     let events = "
@@ -180,8 +180,7 @@
         let taken = |m: &&Message| m.sender == sender && m.accepted().is_some_and(|t| t < at);
         table.messages.iter().filter(|m| taken(m) && open(m)).collect()
     };
-    // At one of the kills there was a message that had not been sent, and at one a message whose call was in
-    // flight.
+    // At one of the kills a message had not been sent, and at one a message's call was in flight.
     let unsent = |m: &Message, at: i64| table.attempts(m).all(|(c, ..)| c.t > at);
     assert!(kills.iter().any(|(s, at)| open_at(*s, *at).iter().any(|m| unsent(m, *at))));
     let out = |m: &Message, at: i64| {
@@ -211,7 +210,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Writes a small scenario to a file.
+/// Writes a small scenario of the given length to a file and returns the file's path.
 fn file(folder: &Path, length: &str) -> PathBuf {
     let path = folder.join("evening.toml");
     let traffic = "[[traffic]]\nshape = \"steady\"\nrate = 30";
@@ -239,7 +238,7 @@
     assert_eq!(report.judgement.ruling(Rule::NoMessageLost).unwrap().verdict, Verdict::Kept);
     let page = std::fs::read_to_string(path("a.html")).unwrap();
     assert!(page.contains("<svg") && page.contains("no message lost") && !page.contains("http-equiv"));
-    // The verdict from the evidence is the same, whether the folder or the file is named.
+    // Judging the evidence again gives the same verdict, whether its folder or its history file is named.
     for evidence in [path("a"), path("a/history.jsonl")] {
         let again = rehearse_command(&["judge", &evidence, "--json"]);
         let again: Report = serde_json::from_slice(&again.stdout).unwrap();
@@ -248,7 +247,7 @@
     let compared = rehearse_command(&["compare", &path("a"), &path("a")]);
     assert_eq!(compared.status.code(), Some(0));
     assert!(text(&compared.stdout).contains("+0.0000"));
-    // A truncated history proves nothing.
+    // A run whose history is truncated can't be judged.
     let history = std::fs::read_to_string(path("a/history.jsonl")).unwrap();
     let is_end = |l: &&str| l.contains("\"ev\":\"over\"");
     let truncated: Vec<&str> = history.lines().filter(|l| !is_end(l)).collect();
@@ -303,7 +302,7 @@
     let tell = |words: &str| {
         rehearse_command(&[&["tell", &address], &words.split(' ').collect::<Vec<_>>()[..]].concat())
     };
-    // The control port is printed before the senders are ready; earlier commands do no harm.
+    // The control port is printed before the senders are ready; commands sent before readiness do no harm.
     let status = tell("status");
     assert!(text(&status.stdout).contains("offered="), "{}", text(&status.stderr));
     assert_eq!(tell("shut receiver=1 for=500ms").status.code(), Some(0));
@@ -340,7 +339,7 @@
         std::thread::spawn(move || capture(&tap, &out, |at| address_sender.send(at).unwrap()).unwrap());
     let mut client = TcpStream::connect(address_receiver.recv().unwrap()).unwrap();
     let put = "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$2\r\na1\r\n$33\r\nc=sync,t=acme,d=8000,dest=7,q=123\r\n$5\r\nhello\r\n";
-    // A command in two pieces, and then bytes that are no command, which are passed on too.
+    // The client writes a command in two pieces, then bytes that are no command, which are passed on too.
     client.write_all(&put.as_bytes()[..20]).unwrap();
     client.write_all(&put.as_bytes()[20..]).unwrap();
     let mut line = String::new();
@@ -352,7 +351,7 @@
     assert_eq!(answered.join().unwrap(), [put.as_bytes(), b"what?\r\n"].concat());
     let trace = trace::read(&path).unwrap();
     assert_eq!((trace[0].class.as_str(), trace[0].receiver, trace[0].size), ("sync", 7, 5));
-    // The trace does not contain the body.
+    // The captured trace does not contain the message's body.
     assert!(!std::fs::read_to_string(&path).unwrap().contains("hello"));
 }
 
@@ -382,7 +381,7 @@
         found.filter(|p| p.is_file() && p.to_string_lossy().contains(&format!("-n{n}-"))).collect::<Vec<_>>()
     };
     let written = std::fs::metadata(&report(1)[0]).unwrap().modified().unwrap();
-    // An interrupted run has left no report, and is run again.
+    // An interrupted run has left no report, so the kit runs it again.
     let interrupted = report(1)[0].parent().unwrap().to_string_lossy().replace("-n1-", "-n3-");
     std::fs::create_dir(&interrupted).unwrap();
     std::fs::write(Path::new(&interrupted).join("history.jsonl"), "{}").unwrap();
--- a/crates/sender/tests/restart.rs
+++ b/crates/sender/tests/restart.rs
@@ -1,6 +1,6 @@
-//! Restarts by SIGKILL and SIGTERM, and the journal with its limits. Guards against accepted messages that
-//! are lost, messages that are sent again although they may have run, and limits and drains that a restart
-//! forgets.
+//! Restarts by SIGKILL and SIGTERM, and the journal with its limits.
+//! Guards against accepted messages that are lost, or are sent again although they may have run.
+//! Guards against limits and drains that a restarted sender does not restore.
 
 mod common;
 use common::*;
@@ -24,7 +24,7 @@
 #[test]
 fn a_message_that_was_never_sent_is_delivered_after_a_kill() {
     let endpoint = Endpoint::new(|_| status(200));
-    // No endpoint of their destination is listed until the sender has been killed.
+    // No endpoint of the messages' destination is listed until the sender has been killed.
     let platform =
         Platform::new(vec![listed_endpoint("s-0", endpoint.addr, "one", 1, "Ready"), placeholder(3)]);
     let mut sender = Sender::start(&platform);
@@ -67,7 +67,7 @@
     let sent = Instant::now();
     sender.kill();
     endpoint.set_script(|_| status(200));
-    // The class's window is 3 s; it keeps running while the sender is down.
+    // The class's idempotency window is 3 s; the window keeps running while the sender is down.
     wait_until("the window's end", || sent.elapsed() > Duration::from_millis(3100));
     sender.spawn();
     wait_until("a notice for a1", || platform.notice_state("a1").is_some());
@@ -115,7 +115,7 @@
     let (_endpoint, platform, mut sender) = sender_with_endpoint(|_| status(500));
     platform.set_reject_notices(true);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
-    // The journal records the end as soon as it is decided.
+    // The journal records the end of a message as soon as the end is decided.
     wait_until("the end in the journal", || {
         sender.journal_contains("a1") && std::fs::metadata(sender.journal()).is_ok_and(|m| m.len() > 0)
     });
@@ -143,7 +143,7 @@
     platform.publish(true, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
     sender.spawn();
     endpoint.wait_sent("a1");
-    // Records that are written after the cut are read at the next start.
+    // Records written after the point at which the journal was cut are read at the next start.
     assert_eq!(endpoint.call_count("a2"), 0);
     sender.wait_drain_recorded(|| platform.publish(true, vec![]), "s-1");
     assert_eq!(sender.client().put("a3", PAY), "+OK");
@@ -180,14 +180,14 @@
     let mut sender = Sender::with(&platform, |c| c["limits"]["disk_mb"] = 0.5.into());
     let mut client = sender.client();
     let body = vec![7; 20_000];
-    // Far more data passes through than the folder may hold.
+    // The messages' data exceeds the journal folder's limit many times over.
     for n in 0..120 {
         client.write(&put(&format!("p{n}"), "c=sync,d=20000,dest=3,t=acme", &body));
         assert_eq!(client.read(), "+OK");
         endpoint.wait_sent(&format!("p{n}"));
         assert!(folder_size(&sender.state()) <= 500_000);
     }
-    // Without an endpoint the messages stay, and those that do not fit are refused.
+    // Without an endpoint the messages stay in the journal, and messages that do not fit are refused.
     let mut accepted = Vec::new();
     let mut refused = 0;
     for n in 0..25 {
@@ -228,7 +228,7 @@
     sender.spawn();
     sender.client().ping();
     wait_until("a trial after the restart", || endpoint.requests().len() > before);
-    // Six messages wait, but an unhealthy endpoint gets one trial at a time.
+    // Six messages are pending, but an unhealthy endpoint gets one trial at a time.
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(endpoint.requests().len(), before + 1);
 }
@@ -260,15 +260,15 @@
         Duration::from_millis(3700)
     );
     assert_eq!(endpoint.call_count("a1"), 1);
-    // The delivered message has ended; the next process must deliver the other one.
+    // The message that was delivered has ended; the next process must deliver the other message.
     sender.spawn();
     endpoint.wait_sent("a2");
     sender.client().ping();
     assert_eq!((endpoint.call_count("a1"), platform.notice_state("a1")), (1, None));
 }
 
-/// Waits until the journal shows an attempt at the endpoint. The stub records a request only after its gate
-/// has opened.
+/// Waits until the journal records an attempt at the endpoint.
+/// The stub's own records do not show the attempt yet: it records a request only after its gate has opened.
 fn wait_attempt_journaled(_endpoint: &Endpoint, sender: &Sender) {
     wait_until("the attempt in the journal", || sender.journal_contains("s-1"));
 }
@@ -309,7 +309,7 @@
         "s-1",
     );
     sender.kill();
-    // Discovery does not answer from now on.
+    // From now on discovery accepts connections but does not answer.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     sender.change_config(|c| c["discovery"] = silent.local_addr().unwrap().to_string().into());
     sender.spawn();
@@ -324,7 +324,7 @@
 /// Time within which nine of ten restarted processes must be ready.
 const MAX_START_TIME: Duration = Duration::from_secs(10);
 
-/// Fills a sender's journal up to its limit, kills the sender and returns the journal's bytes.
+/// Fills a sender's journal up to the size limit, kills the sender and returns the journal's content.
 fn full_journal(platform: &Platform) -> Vec<u8> {
     let mut sender = Sender::with(platform, allow_many_open);
     let mut client = sender.client();
@@ -355,7 +355,7 @@
         "the journal is full at {} bytes, expected over 1,000,000",
         journal.len()
     );
-    // Discovery refuses connections, or accepts them without answering, or is available.
+    // In the three cases, discovery refuses connections, does not answer requests, or is available.
     let (refusing, silent) = (RefusingAddress::new(), ScriptedPlatform::new(|_, _, _| {}));
     for discovery in [refusing.addr, silent.addr, platform.addr] {
         let mut senders: Vec<Sender> = (0..10).map(|_| Sender::with_mgmt(&platform)).collect();
@@ -388,8 +388,9 @@
     }
 }
 
-/// Puts a keyed message whose window is 1 s, kills the sender while the first call is unanswered, and starts
-/// it again `down` after that call. Returns how long after the first call each further one came.
+/// Puts a keyed message whose window is 1 s and kills the sender while the first call is unanswered.
+/// Then starts the sender again `down` after the first call.
+/// Returns the time from the first call to each further call.
 fn repeats_in_window_of_1s(down: Duration) -> Vec<Duration> {
     let endpoint = Endpoint::new(|_| StubResponse::Silence);
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
@@ -400,16 +401,16 @@
     sender.kill();
     std::thread::sleep(down.saturating_sub(first.elapsed()));
     sender.spawn();
-    // The message fails at once, or its calls stay unanswered until the window is over.
+    // The message fails immediately, or its calls stay unanswered until the window is over.
     std::thread::sleep(Duration::from_millis(1600));
     platform.wait_notice("a1", "failed");
     endpoint.requests()[1..].iter().map(|request| request.at - first).collect()
 }
 
 const WINDOW: Duration = Duration::from_secs(1);
-/// The sender checks the window right before the first byte of a repeat, without a margin for the transfer.
-/// On a busy machine the stub reads a request up to 62 ms later (4 of 200 restarts at a load of 30 on 8
-/// cores).
+/// Maximum time from the first byte of a repeated call until the stub endpoint reads the request.
+/// The sender checks the window right before it writes that byte, without a margin for the transfer.
+/// On a busy machine the stub read a request up to 62 ms later (4 of 200 restarts, load of 30 on 8 cores).
 const TRANSIT: Duration = Duration::from_millis(200);
 
 #[test]
