--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,9 +1,9 @@
-//! Measures the slopes behind `docs/CAPACITY.md` (how costs grow with size): with real daemon processes if they fit on
-//! one machine, otherwise with simulated senders ("hollow" in reports and names), which run the real decision code and
-//! its messages without clients and endpoints.
+//! Measures the slopes behind `docs/CAPACITY.md`: how costs grow with the size of the fleet and its list.
+//! The measurements use real daemon processes if these fit on one machine, otherwise simulated senders.
+//! Simulated senders ("hollow" in reports and names) run the real decision code without clients and endpoints.
 //!
-//! Each subcommand prints its inputs and its metrics with their spread and budget.
-//! It fails with the name of every budget that a metric exceeds.
+//! Each subcommand prints its inputs and its metrics, with the spread and budget of each metric.
+//! A subcommand fails with the name of every budget that a metric exceeds.
 
 #![forbid(unsafe_code)]
 
@@ -38,7 +38,7 @@
     /// Path of the daemon's binary [default: the release build of this workspace].
     #[arg(long, global = true)]
     binary: Option<PathBuf>,
-    /// Override a budget's limit, in the budget's unit (bytes, seconds, cores or a ratio).
+    /// Override the limit of the budget NAME, in the budget's unit (bytes, seconds, cores or a ratio).
     #[arg(long, global = true, value_name = "NAME=LIMIT")]
     budget: Vec<String>,
     /// Seed of all random numbers.
@@ -70,7 +70,7 @@
     HollowCheck,
     /// Number of destinations that simulated senders own, compared with those kept by real processes.
     OwnersCheck,
-    /// All slopes, one after another.
+    /// Measure all slopes, one after another.
     All,
 }
 
--- a/crates/scale/src/process/client.rs
+++ b/crates/scale/src/process/client.rs
@@ -1,4 +1,4 @@
-//! Clients that put messages over RESP2, and a function that calls the management interface.
+//! Clients that put messages at a daemon over RESP2, and a function that calls the management interface.
 
 use anyhow::{Context, Result};
 use bytes::BytesMut;
@@ -8,16 +8,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, MissedTickBehavior, timeout};
 
-/// Time-out for an answer; the measurement fails after it.
+/// Time-out for the daemon's answer to a client; a late answer fails the measurement.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Body of every message. With another length, results can't be compared with earlier ones.
+/// Body of every message. With another length, results can't be compared with earlier results.
 const BODY: [u8; 200] = [b'm'; 200];
 /// Number of unanswered messages per connection; the daemon processes this many at a time.
 pub const MAX_UNANSWERED: usize = 64;
-/// Number of connections that share a paced load.
+/// Number of client connections that share a load at a fixed rate.
 const CONNECTIONS: usize = 8;
 
-/// Number of messages by the daemon's reply.
+/// Numbers of accepted and refused messages, by the daemon's reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PutCounts {
     /// Number of messages answered with `+OK`.
@@ -33,7 +33,7 @@
     }
 }
 
-/// Connection of a client.
+/// Client with one connection to a daemon.
 pub struct Client {
     stream: BufReader<TcpStream>,
     prefix: String,
@@ -54,7 +54,7 @@
     /// Puts one message for each destination in a single write and reads all answers. `time_left` is in milliseconds.
     ///
     /// # Errors
-    /// Fails if the connection ends, or an answer does not arrive in time.
+    /// Fails if the client's connection ends, or an answer does not arrive in time.
     pub async fn put(&mut self, class: &str, time_left: u64, destinations: &[usize]) -> Result<PutCounts> {
         let mut commands = BytesMut::new();
         for destination in destinations {
@@ -91,11 +91,11 @@
     }
 }
 
-/// Offers `rate` messages per second for `span` over several connections.
-/// The destinations `0..destinations` get messages in turn.
+/// Puts `rate` messages per second for the duration `span`, over several connections.
+/// The messages go to the destinations `0..destinations` in turn.
 ///
 /// # Errors
-/// Fails if a connection ends, or an answer does not arrive in time.
+/// Fails if a client connection ends, or an answer does not arrive in time.
 pub async fn offer(
     address: SocketAddr,
     prefix: &str,
@@ -127,8 +127,8 @@
     Ok(counts)
 }
 
-/// Requests a path of the management interface.
-/// Returns the status and the body, or `None` if there is no valid answer in time.
+/// Requests a path of the daemon's management interface.
+/// Returns the HTTP status and the body, or `None` if there is no valid answer in time.
 pub async fn get(management_address: SocketAddr, path: &str) -> Option<(u16, String)> {
     let call = async {
         let mut stream = TcpStream::connect(management_address).await.ok()?;
--- a/crates/scale/src/process/control.rs
+++ b/crates/scale/src/process/control.rs
@@ -10,23 +10,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// A running stand-in, which serves requests until it is dropped.
+/// A running stand-in for a control agent, which serves requests until it is dropped.
 pub struct ControlAgent {
-    /// Address on which the stand-in listens.
+    /// Address on which the stand-in for the control agent listens.
     pub address: SocketAddr,
     serving: JoinHandle<()>,
 }
 
-/// The two possible answers of the stand-in.
+/// The two possible answers of the stand-in: the full list, or the report that the list is unchanged.
 struct Answers {
-    /// Part of the request line that a sender with the current list sends.
+    /// Part of the request line by which the stand-in recognises a sender that has the current member list.
     known_epoch: String,
     unchanged: Bytes,
     full_list: Bytes,
 }
 
 impl ControlAgent {
-    /// Starts to serve the list.
+    /// Starts to serve the member list.
     ///
     /// # Errors
     /// Fails if no port is free.
--- a/crates/scale/src/process/daemon.rs
+++ b/crates/scale/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! A real `embershore` process.
+//! Starts a real `embershore` process, waits until it is ready, and reads its memory, times and counters.
 
 use super::client::get;
 use super::usage;
@@ -12,7 +12,7 @@
 use tokio::net::TcpSocket;
 use tokio::process::{Child, Command};
 
-/// Interval at which the daemon's readiness is polled.
+/// Interval at which a measurement polls whether the daemon is ready.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Time limit of messages of the class `kept`: ten hours, so that none expires during a measurement.
 pub const KEPT_CLASS_TTL_MS: u64 = 36_000_000;
@@ -24,9 +24,9 @@
     pub max_open: u64,
     /// Memory limit of the daemon, in MB.
     pub memory_mb: u64,
-    /// Limit of the daemon's journal, in MB.
+    /// Limit on the size of the daemon's journal, in MB.
     pub disk_mb: u64,
-    /// Section `[placement]`, for a sender in a fleet.
+    /// Section `[placement]` of the daemon's options file, for a sender in a fleet.
     pub placement: Option<PlacementOptions>,
 }
 
@@ -83,7 +83,7 @@
     child: Child,
 }
 
-/// Number of the next free address; see [`free_address`].
+/// Number of the loopback address that [`free_address`] returns next.
 static NEXT_ADDRESS: AtomicU16 = AtomicU16::new(1);
 
 /// Returns an address whose IP address no other process listens on or connects from.
@@ -100,7 +100,7 @@
 }
 
 impl Daemon {
-    /// Starts a daemon that polls this discovery address.
+    /// Starts a daemon that polls the discovery service at `discovery`.
     ///
     /// # Errors
     /// Fails if the daemon's directory can't be written or the binary can't be started.
@@ -125,7 +125,7 @@
         self.child.id().context("the daemon has exited")
     }
 
-    /// Waits until the daemon is ready and has this many endpoints. Returns the time that this took.
+    /// Waits until the daemon is ready and has read `endpoints` endpoints. Returns the waiting time.
     ///
     /// # Errors
     /// Fails if the daemon exits or is not ready within the time limit.
@@ -183,12 +183,12 @@
         serde_json::from_str(&text).ok()
     }
 
-    /// Returns the number with this name in `/_vars`.
+    /// Returns the number that the daemon's metrics page `/_vars` reports under `name`.
     pub async fn variable(&self, name: &str) -> Option<u64> {
         self.variables().await?.get(name)?.as_u64()
     }
 
-    /// Returns the resident memory of the process in bytes.
+    /// Returns the resident memory of the daemon process in bytes.
     ///
     /// # Errors
     /// Fails if the process has exited.
@@ -196,7 +196,7 @@
         usage::resident_bytes(self.pid()?)
     }
 
-    /// Returns the processor time that the process has used since its start, in seconds.
+    /// Returns the processor time that the daemon process has used since its start, in seconds.
     ///
     /// # Errors
     /// Fails if the process has exited.
@@ -218,7 +218,7 @@
         text.lines().last().unwrap_or("(the log is empty)").to_string()
     }
 
-    /// Kills the process and starts a new one with the same directory.
+    /// Kills the daemon process and starts a new process with the same state directory.
     ///
     /// # Errors
     /// Fails if the process can't be killed or started.
--- a/crates/scale/src/process/directory.rs
+++ b/crates/scale/src/process/directory.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: discovery with a list that never changes, and an interface that accepts notices.
+//! A stand-in for the platform: discovery with an endpoint list that never changes, and an interface for notices.
 
 use super::http::request_line;
 use anyhow::Result;
@@ -10,23 +10,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Interval of the heartbeats on a watch.
+/// Interval of the heartbeats (empty lines) on a watch.
 const HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// A list of one endpoint for each destination, all at one address.
+/// An endpoint list with one endpoint for each destination, all at one address.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoints {
-    /// Number of destinations; they are numbered from 0.
+    /// Number of destinations in the list, which are numbered from 0.
     pub count: usize,
-    /// Address of all endpoints.
+    /// Address of all endpoints in the list.
     pub address: SocketAddr,
 }
 
 impl Endpoints {
-    /// Returns the full list as discovery sends it.
+    /// Returns the full endpoint list in the JSON form in which discovery sends it.
     ///
     /// # Errors
-    /// Never fails in practice, since the list can always be encoded.
+    /// Never fails in practice, since the endpoint list can always be encoded.
     pub fn to_json(self) -> Result<Vec<u8>> {
         let address = self.address.to_string();
         let line = |n: usize| {
@@ -38,17 +38,17 @@
     }
 }
 
-/// A running stand-in, which serves requests until it is dropped.
+/// A running stand-in for the platform, which serves requests until it is dropped.
 pub struct Directory {
-    /// Address on which the stand-in listens.
+    /// Address on which the stand-in for the platform listens.
     pub address: SocketAddr,
-    /// Length of the served list in bytes.
+    /// Length of the served endpoint list in bytes.
     pub list_bytes: usize,
     serving: JoinHandle<()>,
 }
 
 impl Directory {
-    /// Starts to serve the list.
+    /// Starts to serve the endpoint list.
     ///
     /// # Errors
     /// Fails if no port is free.
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// Serves a watch on which nothing changes.
+/// Serves a watch that reports no changes, only heartbeats.
 async fn watch(mut stream: BufReader<TcpStream>) -> io::Result<()> {
     stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await?;
     chunk(&mut stream, "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n").await?;
--- a/crates/scale/src/process/http.rs
+++ b/crates/scale/src/process/http.rs
@@ -6,7 +6,7 @@
 /// Maximum length of a request body; a call of ten messages is far shorter.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Reads one request with its body. Returns its first line, or `None` at the end of the connection.
+/// Reads one HTTP request with its body. Returns the request line, or `None` at the end of the connection.
 pub async fn request_line(reader: &mut (impl AsyncBufRead + Unpin)) -> io::Result<Option<String>> {
     let mut first = String::new();
     if reader.read_line(&mut first).await? == 0 {
--- a/crates/scale/src/process/receiver.rs
+++ b/crates/scale/src/process/receiver.rs
@@ -16,7 +16,7 @@
 }
 
 impl Receiver {
-    /// Starts the receiver.
+    /// Starts a receiver on a free loopback port.
     ///
     /// # Errors
     /// Fails if no port is free.
@@ -25,7 +25,7 @@
         let address = listener.local_addr()?;
         let serving = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // The number of tasks is bounded by the daemon's limit on sockets.
+                // The daemon's limit on sockets bounds the number of these tasks.
                 tokio::spawn(serve(stream));
             }
         });
--- a/crates/scale/src/process/usage.rs
+++ b/crates/scale/src/process/usage.rs
@@ -5,7 +5,7 @@
 
 /// Clock ticks per second in `/proc/PID/stat`: every Linux reports 100 to user space.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Positions of user and system time in `/proc/PID/stat`, counted from the field after the command's name.
+/// Position of the user time in `/proc/PID/stat`, counted from the field after the command's name.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -11,19 +11,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unit {
-    /// Number of bytes.
+    /// The metric is a number of bytes.
     Bytes,
-    /// Bytes per second.
+    /// The metric is a rate in bytes per second.
     BytesPerSecond,
-    /// Seconds.
+    /// The metric is a time in seconds.
     Seconds,
-    /// Processor cores.
+    /// The metric is a number of processor cores in use.
     Cores,
-    /// Number without a unit.
+    /// The metric is a number without a unit.
     Count,
-    /// Events per second.
+    /// The metric is a rate in events per second.
     PerSecond,
-    /// Quotient of two quantities of the same unit.
+    /// The metric is a quotient of two quantities of the same unit.
     Ratio,
 }
 
@@ -67,24 +67,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// The median is at most the budget's limit.
+    /// The metric's median is at most the budget's limit.
     Within,
-    /// The median exceeds the budget's limit, so the command fails.
+    /// The metric's median exceeds the budget's limit, so the command fails.
     Over,
 }
 
-/// One measured metric.
+/// One measured metric, with its spread and budget.
 #[derive(Clone, Debug, Serialize)]
 pub struct Metric {
     /// Name of the metric.
     pub name: String,
-    /// Unit of the values.
+    /// Unit of the metric's values.
     pub unit: Unit,
-    /// Spread of the values of repeated measurements.
+    /// Spread of the metric's values over repeated measurements.
     pub spread: Spread,
-    /// Budget of the median, if the metric has one.
+    /// Upper bound for the metric's median, if the metric has a budget.
     pub budget: Option<Budget>,
-    /// Whether the median is within the budget, if there is one.
+    /// Whether the metric's median is within the budget, if the metric has one.
     pub verdict: Option<Verdict>,
 }
 
@@ -95,20 +95,21 @@
     pub slope: &'static str,
     /// Parameters of the measurement, by name.
     pub inputs: BTreeMap<&'static str, String>,
-    /// The measured metrics.
+    /// The measured metrics of the slope.
     #[serde(rename = "figures")]
     pub metrics: Vec<Metric>,
     /// Remarks that a reader of the metrics needs.
     pub remarks: Vec<String>,
     #[serde(skip)]
     overrides: Overrides,
-    /// Factor by which the limits of budgets of times are multiplied.
+    /// Factor by which the limits of budgets in seconds are multiplied.
     #[serde(skip)]
     time_margin: f64,
 }
 
-/// Factor for the limits of times at small sizes: the code is not optimised then and the machine is busy with other
-/// tests, so a time can only reveal a gross fault.
+/// Factor for the limits of time budgets at small sizes (`--small`).
+/// At small sizes the code is not optimised and the machine is busy with other tests.
+/// So a measured time can only reveal a gross fault.
 const SMALL_TIME_MARGIN: f64 = 30.0;
 
 impl Report {
@@ -124,17 +125,17 @@
         }
     }
 
-    /// Records a parameter of the measurement.
+    /// Records a parameter of the measurement in the report.
     pub fn input(&mut self, name: &'static str, value: impl fmt::Display) {
         self.inputs.insert(name, value.to_string());
     }
 
-    /// Adds a metric without a budget.
+    /// Adds a metric without a budget to the report.
     pub fn metric(&mut self, name: impl Into<String>, unit: Unit, spread: Spread) {
         self.metrics.push(Metric { name: name.into(), unit, spread, budget: None, verdict: None });
     }
 
-    /// Adds a metric whose median must be within the budget.
+    /// Adds a metric whose median must be within the budget to the report.
     pub fn bounded_metric(&mut self, name: impl Into<String>, unit: Unit, spread: Spread, budget: Budget) {
         let margin = if unit.is_time() { self.time_margin } else { 1.0 };
         let budget = self.overrides.applied(Budget { limit: budget.limit * margin, ..budget });
--- a/crates/scale/src/simulated_fleet.rs
+++ b/crates/scale/src/simulated_fleet.rs
@@ -5,7 +5,7 @@
 use embershore_placement::wire::{ListForm, MemberForm, RegionForm, SeatForm};
 use embershore_placement::{Change, Changes, MemberList, SCHEME, SeatId, Table, shard};
 
-/// Port of every member's address.
+/// Port in the address of every simulated member.
 const MEMBER_PORT: u16 = 7001;
 
 /// Returns the region of each zone, and the zone's number in its region.
@@ -21,7 +21,7 @@
     MemberForm { name: format!("sender-{seat:05}-{incarnation}"), address }
 }
 
-/// Returns one seat of the fleet.
+/// Returns the seat with the given number in the simulated fleet.
 /// Consecutive seats are in different zones; within a zone, one rack after another is filled.
 pub fn seat(number: usize) -> SeatForm {
     let zones = zones();
@@ -59,36 +59,36 @@
     Ok(MemberList::from_form(list_form(senders))?)
 }
 
-/// Returns the changes that vacate these seats.
+/// Returns the changes of the member list that vacate `seats`.
 pub fn vacated(list: &MemberList, seats: impl IntoIterator<Item = usize>) -> Changes {
     let change = |seat: usize| Change::Vacate { seat: SeatId(seat as u16) };
     following(list, seats.into_iter().map(change).collect())
 }
 
-/// Returns the changes that fill these seats with members of this incarnation.
+/// Returns the changes of the member list that fill `seats` with members of the given incarnation.
 pub fn filled(list: &MemberList, seats: impl IntoIterator<Item = usize>, incarnation: usize) -> Changes {
     let change = |seat: usize| Change::Fill { seat: SeatId(seat as u16), member: member(seat, incarnation) };
     following(list, seats.into_iter().map(change).collect())
 }
 
-/// Returns these changes as the step from the list's epoch to the next one.
+/// Returns `changes` as the step from the member list's epoch to the next epoch.
 pub fn following(list: &MemberList, changes: Vec<Change>) -> Changes {
     Changes { epoch: list.epoch() + 1, since: list.epoch(), changes }
 }
 
-/// Returns the seats of the first rack.
+/// Returns the seats in the first rack of a fleet of `senders` senders.
 pub fn first_rack(senders: usize) -> Vec<usize> {
     let zones = zones().len();
     (0..senders).filter(|seat| seat % zones == 0 && seat / zones < SENDERS_PER_RACK as usize).collect()
 }
 
-/// Returns the seats of the first zone.
+/// Returns the seats in the first zone of a fleet of `senders` senders.
 pub fn first_zone(senders: usize) -> Vec<usize> {
     let zones = zones().len();
     (0..senders).filter(|seat| seat % zones == 0).collect()
 }
 
-/// Returns for each seat the destinations that its simulated sender owns, of those numbered from 0.
+/// Returns for each seat which of the destinations `0..destinations` its simulated sender owns.
 pub fn owned_destinations(table: &Table, seats: usize, destinations: u64) -> Vec<Vec<u32>> {
     let mut owned = vec![Vec::new(); seats];
     for destination in 0..destinations {
--- a/crates/scale/src/simulated_module.rs
+++ b/crates/scale/src/simulated_module.rs
@@ -8,7 +8,7 @@
 };
 use std::time::Duration;
 
-/// Simulated time between two rounds, in microseconds; the daemon's settings have the same value.
+/// Simulated time between two rounds, in microseconds, equal to the quantum in the daemon's settings.
 pub const QUANTUM_US: Micros = 5_000;
 /// Simulated duration of a call, in microseconds.
 const CALL_DURATION_US: Micros = 1_000;
@@ -25,10 +25,10 @@
 }
 
 impl Module {
-    /// Creates a module with a list of this many destinations.
+    /// Creates a decision module whose endpoint list has `destinations` destinations.
     ///
     /// # Errors
-    /// Fails if the module rejects its settings.
+    /// Fails if the decision module rejects its settings.
     pub fn new(destinations: usize, seed: u64) -> Result<Self> {
         let mut dispatcher = Dispatcher::new(0, seed, settings())?;
         let entries = (0..destinations).map(entry).collect();
@@ -36,7 +36,7 @@
         Ok(Module { dispatcher, now: 0, next_message: 0, events: Vec::new(), actions: Vec::new() })
     }
 
-    /// Runs this many rounds without events and returns their processor time.
+    /// Runs `count` rounds without events and returns the processor time of these rounds.
     ///
     /// # Errors
     /// Fails if the system does not provide a thread's processor time.
@@ -49,7 +49,7 @@
         Ok(thread_cpu_time()? - started)
     }
 
-    /// Runs one round with a message for each of these destinations and the outcomes of the previous round's calls.
+    /// Runs one round with a message for each of `destinations` and the outcomes of the previous round's calls.
     /// Returns the processor time of the round.
     ///
     /// # Errors
--- a/crates/scale/src/slopes/held.rs
+++ b/crates/scale/src/slopes/held.rs
@@ -12,14 +12,14 @@
 use anyhow::{Result, ensure};
 use std::time::Duration;
 
-/// Number of destinations; all of them are down.
+/// Number of destinations in the measurement, all of which are down.
 const DESTINATIONS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// Number of refused batches that is tolerated: the daemon refuses a message if its destination's queue is full.
+/// Maximum number of refused batches: the daemon refuses a message if the queue of its destination is full.
 const MAX_REFUSED_BATCHES: u64 = 10;
 
-/// Measurements of a single daemon.
+/// Memory, journal size and restart time of a single daemon.
 struct Sample {
     queued: f64,
     resident: f64,
@@ -27,7 +27,7 @@
     restart: f64,
 }
 
-/// Puts messages until the daemon has accepted this many.
+/// Puts messages until the daemon has accepted `count` messages.
 async fn fill(daemon: &Daemon, count: usize) -> Result<PutCounts> {
     let mut client = Client::connect(daemon.address, "held").await?;
     let mut counts = PutCounts::default();
@@ -65,7 +65,7 @@
     Ok(Sample { queued, resident, journal, restart })
 }
 
-/// Measures the slope `held`.
+/// Measures memory, journal size and restart time of daemons with growing numbers of queued messages.
 ///
 /// # Errors
 /// Fails if the daemon can't be started or accepts too few messages.
--- a/crates/scale/src/spread.rs
+++ b/crates/scale/src/spread.rs
@@ -8,25 +8,25 @@
 /// Spread of repeated measurements of one metric.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Spread {
-    /// Number of measurements.
+    /// Number of repeated measurements.
     pub samples: u64,
-    /// Smallest value.
+    /// Smallest measured value.
     pub min: f64,
-    /// Median of the values.
+    /// Median of the measured values.
     pub median: f64,
-    /// 99th percentile of the values.
+    /// 99th percentile of the measured values.
     pub p99: f64,
-    /// Largest value.
+    /// Largest measured value.
     pub max: f64,
 }
 
 impl Spread {
-    /// Returns the spread of a single exact value.
+    /// Returns the spread of a single exact value, which is its minimum, median and maximum.
     pub fn exact(value: f64) -> Self {
         Spread { samples: 1, min: value, median: value, p99: value, max: value }
     }
 
-    /// Returns the spread of a few values; all its fields are zero if there are no values.
+    /// Returns the spread of a few values; all fields of the spread are zero if there are no values.
     pub fn of(values: &[f64]) -> Self {
         let mut sorted = values.to_vec();
         sorted.sort_by(f64::total_cmp);
@@ -37,18 +37,18 @@
         Spread { samples: sorted.len() as u64, min: at(0.0), median: at(0.5), p99: at(0.99), max: at(1.0) }
     }
 
-    /// Multiplies all values by a factor, for example to change the unit.
+    /// Multiplies all values of the spread by a factor, for example to change the unit.
     pub fn scaled(self, factor: f64) -> Self {
         let Spread { samples, min, median, p99, max } = self;
         Spread { samples, min: min * factor, median: median * factor, p99: p99 * factor, max: max * factor }
     }
 }
 
-/// Returns the processor time that this thread has used.
-/// Unlike wall-clock time, it does not depend on the machine's other load.
+/// Returns the processor time that the current thread has used.
+/// Processor time, unlike wall-clock time, does not depend on the machine's other load.
 ///
 /// # Errors
-/// Fails if the system has no such clock.
+/// Fails if the operating system has no clock for a thread's processor time.
 pub fn thread_cpu_time() -> anyhow::Result<Duration> {
     Ok(clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)?.into())
 }
@@ -56,9 +56,9 @@
 /// Histogram of many short times, in nanoseconds.
 pub struct Times(Histogram<u64>);
 
-/// Significant digits of the histogram: finer than the differences between any two runs.
+/// Significant digits of the histogram: the resolution is finer than the differences between any two runs.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Longest time that the histogram can represent; longer times count as this time.
+/// Longest time that the histogram can represent, in nanoseconds; a longer time counts as the longest.
 const MAX_NANOSECONDS: u64 = 60_000_000_000;
 
 impl Times {
@@ -70,7 +70,7 @@
         Ok(Times(Histogram::new_with_max(MAX_NANOSECONDS, SIGNIFICANT_DIGITS)?))
     }
 
-    /// Records a time; times above the maximum count as the maximum.
+    /// Records a time in the histogram; times above the maximum count as the maximum.
     pub fn record(&mut self, time: Duration) {
         self.0.saturating_record(u64::try_from(time.as_nanos()).unwrap_or(u64::MAX));
     }
@@ -86,9 +86,9 @@
 /// The straight line `intercept + slope * x`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// Growth per unit of `x`.
+    /// Growth of the line per unit of `x`.
     pub slope: f64,
-    /// Value at `x = 0`.
+    /// Value of the line at `x = 0`.
     pub intercept: f64,
 }
 
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -12,7 +12,7 @@
 pub const ZONES_BY_REGION: [u32; 4] = [3, 3, 3, 2];
 /// Number of senders in a rack.
 pub const SENDERS_PER_RACK: u32 = 40;
-/// Number of owners of each destination.
+/// Number of senders that own each destination.
 pub const REPLICAS: u8 = 2;
 /// Number of configuration changes per day.
 pub const CHANGES_PER_DAY: u32 = 27_000;
--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -44,7 +44,7 @@
     wait_until("the watch requests", || platform.request_lines().len() == 4);
     let paths = platform.request_lines();
     assert!(paths.iter().all(|p| p.contains("follow=1&since=7")), "{paths:?}");
-    // After the full list, the sender follows a watch and sends no further list requests.
+    // The fourth watch request is not rejected: from then on the sender follows its watch.
     let lines = vec![
         listed_endpoint("s-1", endpoint.addr, "one", 3, "Gone"),
         listed_endpoint("s-2", fresh.addr, "one", 3, "Ready"),
--- a/crates/sender/tests/check.rs
+++ b/crates/sender/tests/check.rs
@@ -1,5 +1,7 @@
-//! `embershore check`. Guards against an invalid options file that passes, findings without their place, exit
-//! codes that scripts cannot tell apart, and a daemon that starts with an invalid options file.
+//! Tests of the command `embershore check`.
+//! Guards against an invalid options file that passes the check, and against findings without their place.
+//! Guards against exit codes that scripts can't tell apart.
+//! Guards against a daemon that starts with an invalid options file.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -92,7 +94,7 @@
     let (_, out, _) = check(folder.path(), FLEET, &["--config", "config.json", "--json"]);
     let report: serde_json::Value = serde_json::from_str(&out).expect("JSON");
     assert_eq!((&report["fleet"]["majority"], &report["owed"]), (&2.into(), &serde_json::Value::Null));
-    // Findings of all sections are reported together, in the order of the file.
+    // Findings of all sections are reported together, in the order of the options file.
     let wrong = FLEET.replace("10.0.0.12:7946", "10.0.0.11:7946") + "[owed]\nmax_mb = 0\n";
     let (code, _, err) = check(folder.path(), &wrong, &["--config", "config.json"]);
     let lines: Vec<&str> = err.lines().map(|l| l.split(": ").next().unwrap_or("")).collect();
@@ -124,7 +126,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let wrong = PLACEMENT.replace("8s", "1s");
     std::fs::write(folder.path().join("options.toml"), wrong).expect("written");
-    // An address in use: a daemon that tries to listen reports an error with it.
+    // The options contain an address in use: a daemon that tries to listen there reports an error.
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
     let address = taken.local_addr().expect("bound").to_string();
     std::fs::write(folder.path().join("config.json"), CONFIG.replace("127.0.0.1:0", &address))
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -501,7 +501,7 @@
     );
     for n in 0..10 {
         let id = format!("a{n}");
-        // Among so many connections, a new one may be closed before its request is read: the client tries again.
+        // Among so many connections, a new one may be closed before its request is read: retry.
         wait_until("an accepted put", || {
             sender.try_put(&id, "c=sync,d=15000,dest=3").as_deref() == Some("+OK")
         });
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! Tests of two events that overlap.
 //! Guards against a lost change, message or answer when the second event arrives before the first is handled.
 //! Events of discovery: a watch stalls, trickles or is indented, and discovery's address changes.
-//! Other events: signals during a start and a stop, an unanswered notice, a client that shut its sending side.
+//! Other events: signals during a start and a stop, an unanswered notice, the end of a client's sending side.
 //! `docs/design/crossings.md` has one table row for each pair of events.
 
 mod common;
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -1,6 +1,7 @@
-//! Evenness of the load that a hundred real processes put on a few receivers. Guards against uneven endpoints
-//! where each sender sees little of the load, also when endpoints join, stall or are slow, and when half of
-//! the processes are killed in the same second.
+//! Evenness of the load that a hundred real sender processes put on a few receivers.
+//! Guards against an uneven load of endpoints where each sender sees little of the total load.
+//! The load must stay even when endpoints join, stall or are slow.
+//! It must also stay even when half of the sender processes are killed in the same second.
 
 use embershore_rehearsal::judge::{Spread, Table, Verdict};
 use embershore_rehearsal::report::{Report, report};
@@ -9,12 +10,12 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// Allows one fleet at a time, since it needs the whole machine.
+/// Allows one fleet at a time, since a fleet needs the whole machine.
 static ONE_FLEET: Mutex<()> = Mutex::new(());
 
 const SENDERS: usize = 100;
-/// Limit of the rig's lateness at the 99th percentile: a quarter of the shortest period over which calls are
-/// counted.
+/// Limit of the rig's lateness at the 99th percentile, in microseconds.
+/// The limit is a quarter of the shortest period over which calls are counted.
 const MAX_RIG_LATENESS_US: i64 = 250_000;
 
 fn receiver(number: usize, endpoints: usize) -> String {
@@ -24,7 +25,7 @@
     )
 }
 
-/// Runs a scenario with real processes. No rule may be broken and the rig must have kept up.
+/// Runs a scenario with real sender processes. Asserts that no rule was broken and that the rig was not late.
 fn rehearse(length: &str, rate: u32, receivers: &[String], events: &str) -> (Report, Table) {
     let _lock = ONE_FLEET.lock().unwrap_or_else(|e| e.into_inner());
     let text = format!(
@@ -41,8 +42,8 @@
     let path = folder.path().to_path_buf();
     let options = Options { subject, folder: path, control: None, serve_only: false, stall: None };
     let (report, table) = report(&rig::run(scenario, &options, |_| {}).unwrap()).unwrap();
-    // Fifty debug builds that start in the same second make the rig late on few cores; calls are counted over
-    // seconds here, so more lateness than usual is allowed.
+    // Fifty debug builds that start in the same second make the rig late on a machine with few cores.
+    // More lateness than usual is allowed, since this test counts calls over seconds.
     let late = report.judgement.lateness.p99_us < MAX_RIG_LATENESS_US;
     let void = report.judgement.void.as_deref().filter(|why| !why.contains("ran late") || !late);
     assert_eq!(void, None);
@@ -71,7 +72,7 @@
     names.into_iter().map(|n| (n.clone(), of(n))).collect()
 }
 
-/// Returns the share of the calls that these endpoints got, relative to an even share.
+/// Returns the share of the calls that the endpoints selected by `of` got, relative to an even share.
 fn share_over_even(calls_by_endpoint: &[(String, f64)], of: impl Fn(&str) -> bool) -> f64 {
     let sum: f64 = calls_by_endpoint.iter().map(|c| c.1).sum();
     let mine: Vec<f64> = calls_by_endpoint.iter().filter(|c| of(&c.0)).map(|c| c.1).collect();
@@ -97,7 +98,7 @@
         [[event]]\nat = \"12s\"\ndo = \"sigkill\"\nshare = 0.5";
     let (report, table) = rehearse("20s", 60, &[receiver(1, 4)], events);
     let new = |name: &str| matches!(name, "r1-4" | "r1-5" | "r1-6" | "r1-7");
-    // The directory's own lag of 2 s comes first.
+    // The directory's own lag of 2 s passes before the senders learn of a change.
     let (first, later) = (
         share_over_even(&calls_by_endpoint(&table, 1, 5.0, 6.0), new),
         share_over_even(&calls_by_endpoint(&table, 1, 12.0, 20.0), new),
@@ -125,12 +126,12 @@
         [[event]]\nat = \"2s\"\ndo = \"silent\"\nreceiver = 1\nendpoints = 1\nfor = \"6s\"
         [[event]]\nat = \"2s\"\ndo = \"slow\"\nreceiver = 2\nendpoints = 1\nfactor = 3\nfor = \"8s\"";
     let (report, table) = rehearse("20s", 80, &[receiver(1, 6), receiver(2, 6)], events);
-    // The other endpoints share the load of the silent one evenly.
+    // The other endpoints share evenly the load of the endpoint that does not answer.
     let during = calls_by_endpoint(&table, 1, 4.0, 8.0);
     let rest: Vec<_> = during.iter().filter(|c| c.0 != "r1-0").cloned().collect();
     let busiest = rest.iter().map(|c| share_over_even(&rest, |n| n == c.0)).fold(0.0, f64::max);
     assert!(busiest < 1.7 && share_over_even(&during, |n| n == "r1-0") < 0.8, "{during:?}");
-    // Within 5 s after its return it has its share again.
+    // Within 5 s after its return, the endpoint `r1-0` has its share of the load again.
     let back = share_over_even(&calls_by_endpoint(&table, 1, 13.0, 20.0), |n| n == "r1-0");
     assert!(back > 0.5, "{back:.2} of an even share\n{}", report.text());
     let slow = share_over_even(&calls_by_endpoint(&table, 2, 4.0, 10.0), |n| n == "r2-0");
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -1,5 +1,6 @@
-//! Endpoint lists that exceed the sender's memory limit. Guards against a sender that runs out of memory,
-//! drops its last good list, polls in a tight loop or does not report the limit.
+//! Endpoint lists that exceed the sender's memory limit.
+//! Guards against a sender that runs out of memory or drops its last good list.
+//! Guards against a sender that polls in a tight loop or does not report the limit.
 
 mod common;
 use common::*;
@@ -10,11 +11,11 @@
 use std::time::Duration;
 
 const SYNC: &str = "c=sync,d=15000,dest=3";
-/// Limit of a list: 1/48 of the configured 192 MB.
+/// Limit on the size of an endpoint list: 1/48 of the configured memory limit of 192 MB.
 const MAX_LIST_BYTES: u64 = 4_000_000;
-/// Number of endpoints over the limit: about 125 bytes each, of which the sender retains 108.
+/// Number of endpoints whose list exceeds the limit: about 125 bytes each, of which the sender retains 108.
 const TOO_MANY: usize = 45_000;
-/// Time in which a sender that polls in a tight loop would poll tens of times.
+/// Observation time, in which a sender that polls in a tight loop would poll tens of times.
 const OBSERVATION_TIME: Duration = Duration::from_millis(4500);
 
 /// Returns a list with one endpoint of destination 3 and `more` endpoints of destination 4.
@@ -39,9 +40,9 @@
     })
 }
 
-/// Starts a sender with this discovery and a management interface.
+/// Starts a sender with the scripted discovery and a management interface.
 fn sender(discovery: &ScriptedPlatform, known: &Value) -> Sender {
-    // This platform only provides an address at the start.
+    // This stub platform only provides a discovery address at the start; the scripted discovery replaces it.
     let platform = Platform::new(Vec::new());
     let mut sender = Sender::with_mgmt(&platform);
     sender.kill();
@@ -62,14 +63,14 @@
     text.matches(part).count()
 }
 
-/// Returns the number before a word in a log line.
+/// Returns the number that stands before `word` in a log line.
 fn number(line: &str, word: &str) -> u64 {
     let before = line.split(word).next().unwrap().trim_end();
     before.rsplit(' ').next().unwrap().parse().unwrap()
 }
 
-/// Asserts that a rejected list was logged once, with the limit, the size and the consequence, and that the
-/// metrics show the same limit and the size of the latest list.
+/// Asserts that a rejected list was logged once, with the limit, the list's size and the consequence.
+/// Asserts too that the metrics show the limit in the log and the size of the latest list.
 fn assert_logged_once(sender: &Sender, what: &str, consequence: &str) {
     let log = sender.log();
     assert_eq!(count(&log, what), 1, "{log}");
@@ -96,7 +97,7 @@
     let (status, text) = sender.mgmt_request("GET /_ready");
     assert_eq!(status, 503);
     assert!(text.starts_with("starting: no list of endpoints: discovery's list is too long: "), "{text}");
-    // The list is polled again, but not in a tight loop.
+    // The sender polls the rejected list again, but not in a tight loop.
     let polls = discovery.request_times("/v1/servers").len();
     assert!((2..=7).contains(&polls), "the list was polled {polls} times");
     assert_eq!(sender.metrics()["discovered"], 0);
@@ -106,7 +107,7 @@
 fn with_a_known_list_the_sender_serves_by_it() {
     let endpoint = Endpoint::new(|_| status(200));
     let discovery = discovery(&listing(9, &endpoint, TOO_MANY), |_, stream| {
-        // Discovery knows no older index and sends the full list.
+        // Discovery knows no older list index, so it sends the full list.
         begin_chunked(stream);
         write_chunk(stream, "{\"index\": 9, \"snapshot\": true, \"endpoints\": [");
         let lines =
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -1,5 +1,7 @@
-//! The management interface. Guards against requests that idle callers or crowds of clients delay, metrics
-//! that disagree with what clients and endpoints observe, and a lame duck that drops or keeps its clients.
+//! Tests of the management interface.
+//! Guards against requests that are delayed by idle callers or by crowds of clients.
+//! Guards against metrics that disagree with what clients and endpoints observe.
+//! Guards against a lame duck that drops or keeps its clients.
 
 mod common;
 use common::*;
@@ -44,7 +46,7 @@
 #[test]
 fn idle_and_half_written_requests_delay_no_one() {
     let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
-    // More than twice as many as the interface accepts at once.
+    // The test opens more than twice as many connections as the management interface accepts at once.
     let mut open_connections = Vec::new();
     for n in 0..60 {
         let mut stream = TcpStream::connect(sender.mgmt).unwrap();
@@ -90,7 +92,7 @@
             _ = stream.write_all(b"*5\r\n$7\r\nMSG.");
             connections.push(stream);
         }
-        // Connections that the sender closed are opened again, as a crowd of clients does.
+        // Client connections that the sender closed are opened again, as a crowd of clients does.
         let mut answer_times: Vec<Duration> = (0..300)
             .map(|n| {
                 if let Some(stream) = connections.get_mut(n % size.max(1)) {
@@ -137,7 +139,7 @@
     assert_eq!(metrics["aborted"], json!({"pay": 1, "push": 0, "sync": 1}));
     assert_eq!(metrics["declined"], none);
     assert_eq!((&metrics["forwards"], &metrics["outstanding"]), (&json!(8), &json!(1)));
-    // Each process counts from zero. A message that an earlier process accepted counts where it ends.
+    // The counters of each process start at zero. A message counts in the process in which it ends.
     sender.kill();
     sender.spawn();
     platform.wait_notice("s1", "failed");
@@ -208,19 +210,19 @@
     assert_eq!(sender.mgmt_request("POST /_lameduck/on").0, 200);
     assert_eq!(sender.mgmt_request("GET /_ready").0, 503);
     assert!(ping_reply(&sender).starts_with("-ERR"));
-    // Messages that are put at the same time are still served, on existing connections and on new ones.
+    // Messages put right after the start of the lame duck state are served, on existing and new connections.
     assert_eq!(busy.put("a1", SYNC), "+OK");
     assert_eq!(sender.client().put("a2", SYNC), "+OK");
-    // Both connections are closed.
+    // The lame duck closes both client connections.
     let drained_at = Instant::now();
     assert_eq!((idle.read(), busy.read()), (String::new(), String::new()));
     assert!(drained_at.elapsed() < Duration::from_millis(1500));
-    // A new connection is still answered, and closed after its answer.
+    // A new client connection is still answered, and closed after the answer.
     let mut late = sender.client();
     late.write(&resp(&[b"PING"]));
     assert!(late.read().starts_with("-ERR"));
     assert_eq!(late.read(), "");
-    // Later messages are refused with `-BUSY`.
+    // Messages that are put later at the lame duck are refused with `-BUSY`.
     wait_until("a refused put", || sender.client().put("b1", SYNC).starts_with("-BUSY"));
     assert_eq!(sender.mgmt_request("POST /_lameduck/off").0, 200);
     assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -1,6 +1,6 @@
-//! Answers of endpoints and the outcomes that the sender derives from them. Guards against messages that are
-//! sent again although they may have run, messages that fail although they never ran, ignored waits, and
-//! slots that stay occupied.
+//! Answers of endpoints, and the outcomes that the sender derives from these answers.
+//! Guards against messages that are sent again although they may have run.
+//! Guards against messages that fail although they never ran, ignored waits, and slots that stay occupied.
 
 mod common;
 use common::*;
@@ -23,7 +23,7 @@
     (endpoint, platform, sender)
 }
 
-/// Starts an endpoint that gives this answer to the first call with a message and delivers from then on.
+/// Starts an endpoint that responds to the first call with `act` and accepts all later calls.
 fn first_call_answered_with(act: StubResponse) -> (Endpoint, Platform, Sender) {
     let seen = std::sync::atomic::AtomicBool::new(false);
     sender_with_endpoint(move |r| {
@@ -40,7 +40,7 @@
     for id in ["a1", "a2", "a3"] {
         assert_eq!(client.put(id, PUSH), "+OK");
         endpoint.wait_sent(id);
-        // The connection is idle again once the sender has read the answer.
+        // The connection to the endpoint is idle again once the sender has read the answer.
         std::thread::sleep(Duration::from_millis(200));
     }
     let requests = endpoint.requests();
@@ -142,7 +142,7 @@
     let mut client = sender.client();
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    // Gives the sender time to read the answer that the stub has written.
+    // The pause gives the sender time to read the answer that the stub has written.
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(client.put("a2", PAY), "+OK");
     assert_eq!(client.put("a3", PUSH), "+OK");
@@ -155,8 +155,9 @@
     }
 }
 
-/// Starts an endpoint of the batching kind. It answers the first call, with `w0`, with a wait, so that
-/// messages that are put in the meantime share one call.
+/// Starts an endpoint of the kind that takes several messages in a call.
+/// The endpoint answers its first call, which carries `w0`, with a wait.
+/// Messages that are put during the wait share one call.
 fn batching(
     answer: impl Fn(&Request) -> StubResponse + Send + Sync + 'static,
 ) -> (Endpoint, Platform, Sender) {
@@ -198,7 +199,7 @@
         StubResponse::Answer(200, vec![], Value::from(ends).to_string())
     });
     put_in_one_call(&endpoint, &sender, &states.map(|(id, _)| (id, PAY)));
-    // b2 is unsafe and may have run; b3 and b5 never ran.
+    // Message b2 is unsafe and may have run; messages b3 and b5 never ran.
     platform.wait_notice("b2", "failed");
     wait_until("the second call with b3", || endpoint.call_count("b3") == 2);
     let first = endpoint.requests().into_iter().find(Request::is_batch).unwrap();
@@ -243,7 +244,7 @@
 fn a_call_is_given_up_when_the_first_of_its_messages_runs_out_of_time() {
     let (endpoint, platform, sender) =
         batching(|r| if r.is_batch() { StubResponse::Silence } else { status(200) });
-    // The sender measures how long an answer takes.
+    // With this first message, the sender measures how long an answer takes.
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     wait_until("the second call with a1", || endpoint.call_count("a1") == 2);
     let waited = std::sync::atomic::AtomicBool::new(false);
@@ -256,7 +257,7 @@
     let start = Instant::now();
     put_in_one_call(&endpoint, &sender, &[("b1", "c=pay,d=4500,dest=3"), ("b2", PAY), ("b3", PAY)]);
     platform.wait_notice("b1", "failed");
-    // The other messages of the call may have run too, and their outcome is not awaited after the call has ended.
+    // The other messages of the call may have run too; the sender awaits no outcome after the call has ended.
     platform.wait_notice("b2", "failed");
     assert!(
         start.elapsed() < Duration::from_secs(10),
@@ -270,8 +271,8 @@
     assert!(timeout.parse::<u32>().unwrap() <= 4_500, "{timeout}");
 }
 
-/// Time limit for a slot to be free: far less than the time limit of a call, far more than that of a started
-/// answer.
+/// Time limit within which a slot must be free again.
+/// The limit is far below the time limit of a call, and far above the time limit of a started answer.
 const MAX_RELEASE_DELAY: Duration = Duration::from_secs(6);
 
 fn raw(text: &str) -> StubResponse {
@@ -294,7 +295,7 @@
         let mut client = sender.client();
         assert_eq!(client.put("a1", PAY), "+OK");
         endpoint.wait_sent("a1");
-        // Another message for the same destination, whose calls are limited, and time for the first one to end.
+        // Message a2 goes to the destination of a1, whose calls are limited. The pause lets a1 end.
         assert_eq!(client.put("a2", PAY), "+OK");
         endpoint.wait_sent("a2");
         std::thread::sleep(Duration::from_millis(500));
@@ -357,7 +358,7 @@
     wait_until("the second call", || endpoint.call_count("a1") == 2);
     assert!(platform.notices().is_empty());
 
-    // The second answer belongs to no call: the next message is answered 500 and fails.
+    // The endpoint's second answer belongs to no call: the next message is answered 500 and fails.
     let seen = std::sync::atomic::AtomicBool::new(false);
     let ok = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
     let (endpoint, platform, sender) = sender_with_endpoint(move |_| {
@@ -376,7 +377,7 @@
 
 #[test]
 fn idle_connections_that_are_reset_at_their_next_request_fail_at_most_one_message() {
-    // The endpoint closes each connection at the second request on it, without an answer.
+    // The endpoint closes each connection at the connection's second request, without an answer.
     let seen = std::sync::Mutex::new(std::collections::HashSet::new());
     let (endpoint, platform, sender) = sender_with_endpoint(move |r| {
         let fresh = seen.lock().unwrap().insert(r.connection);
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -173,7 +173,7 @@
                 fleet.spawn(second);
                 fleet.wait_ready(first).await;
                 fleet.wait_ready(second).await;
-                // The restarted senders' folders record what they owned, so they need no hold before they accept.
+                // The restarted senders' folders record what they owned, so they accept without a hold.
                 let back = rig.ledger.now();
                 until_it_calls(&rig, first, back).await;
                 until_it_calls(&rig, second, back).await;
--- a/crates/sender/tests/placement_standins.rs
+++ b/crates/sender/tests/placement_standins.rs
@@ -1,5 +1,5 @@
-//! Tests of the stand-ins of the placement tests, against each other and against one sender. Guards against
-//! faults of the stand-ins themselves, which would hide or imitate faults of the fleet.
+//! Tests of the stand-ins of the placement tests, against each other and against one sender.
+//! Guards against faults of the stand-ins themselves, which would hide or imitate faults of the fleet.
 
 mod common;
 #[path = "common/placement/mod.rs"]
@@ -25,7 +25,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The destination whose receiver once advertises a wait to its sender.
+/// The destination whose receiver rejects one call with an advertised wait.
 const WAITING: i64 = 3;
 
 async fn get(addr: SocketAddr, path: &str) -> Value {
@@ -106,8 +106,8 @@
     }
 }
 
-/// Starts an owner that answers each request with `+OK`; returns its address and a queue of the bytes that it
-/// reads.
+/// Starts a stub owner that answers each request with `+OK`.
+/// Returns the owner's address and a queue of the bytes that the owner reads.
 async fn owner() -> (SocketAddr, tokio::sync::mpsc::UnboundedReceiver<Vec<u8>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -162,7 +162,7 @@
     });
 }
 
-/// Records that a message is put and answered.
+/// Records in the ledger that a message is put and answered.
 fn record_put(ledger: &Ledger, id: &str, class: usize, answered: PutOutcome) {
     ledger.record(Event::Offer {
         sender: 0,
@@ -180,7 +180,7 @@
     ledger.record(Event::Reply { id: id.into(), answered, after_ms: None });
 }
 
-/// Records that a sender delivers a message.
+/// Records in the ledger that a sender delivers a message.
 fn record_delivery(ledger: &Ledger, id: &str, sender: usize) {
     let (call, items) = (ledger.next_call(), vec![Item { id: id.into(), key: None }]);
     let (first_byte, new_connection, batch) = (ledger.now(), false, false);
@@ -256,7 +256,7 @@
     record_delivery(&ledger, "a", 7);
     let message = judged(&ledger).table.message("a").unwrap().clone();
     assert_eq!(message.sender, 7);
-    // A message that was not accepted stays with the sender at which it was put.
+    // The judge holds the sender at which a message was put responsible for a message that was not accepted.
     record_put(&ledger, "b", PAY, PutOutcome::TimedOut);
     record_delivery(&ledger, "b", 7);
     assert_eq!(judged(&ledger).table.message("b").unwrap().sender, 0);
@@ -268,7 +268,7 @@
     ledger.record(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
     let record_keyed_put = |id: &str| {
         record_put(&ledger, id, FLOW, PutOutcome::Accepted);
-        // The judge orders records by time, and two records may have the same time.
+        // The pause separates the times of two records, since the judge orders records by time.
         std::thread::sleep(Duration::from_millis(1));
     };
     record_keyed_put("a");
@@ -303,7 +303,7 @@
             Rule::OrderKept,
             Rule::WaitsHeeded,
         ]);
-        // Only the receiver that advertised a wait is tried so rarely that a message may reach its deadline first.
+        // The receiver that advertised a wait is tried so rarely that a message may reach its deadline first.
         let mut undelivered = findings.undelivered();
         undelivered.remove(&WAITING);
         assert_eq!(undelivered, BTreeMap::new());
--- a/crates/sender/tests/reload.rs
+++ b/crates/sender/tests/reload.rs
@@ -1,6 +1,7 @@
-//! Reload of the configuration on SIGHUP. Guards against a reload that applies part of an invalid file, loses
-//! changes or notices at a new discovery address, or changes the rules of messages that were accepted before
-//! it.
+//! Reload of the configuration on SIGHUP.
+//! Guards against a reload that applies part of an invalid file.
+//! Guards against a reload that loses changes or notices at a new discovery address.
+//! Guards against a reload that changes the rules of messages that were accepted before the reload.
 
 mod common;
 use common::*;
@@ -16,7 +17,7 @@
     let mut sender = Sender::start(&first);
     let mut client = sender.client();
     client.ping();
-    // The new platform's indexes start lower, and its list lacks the old endpoint.
+    // The new platform's list indexes start lower, and its list lacks the old endpoint.
     let second = Platform::new(vec![listed_endpoint("s-2", new.addr, "one", 3, "Ready")]);
     second.set_index(2);
     sender.wait_drain_recorded(
@@ -30,7 +31,7 @@
     second.wait_notice("a1", "failed");
     assert_eq!((old.call_count("a1"), new.call_count("a1")), (0, 1));
     assert!(first.notices().is_empty());
-    // Changes at the new address are followed too.
+    // The sender follows later changes at the new discovery address too.
     let third = Endpoint::new(|_| status(200));
     let lines = vec![
         listed_endpoint("s-2", new.addr, "one", 3, "Gone"),
@@ -102,7 +103,7 @@
     client.ping();
     assert!(client.put("a0", "c=wire,d=1000,dest=3").starts_with("-ERR"));
     reload_classes(&sender, |classes| {
-        // A new unsafe class replaces a safe one.
+        // A new unsafe class replaces a safe class.
         let mut wire = classes[2].clone();
         wire["Name"] = "wire".into();
         classes[1] = wire;
@@ -129,7 +130,7 @@
 
 #[test]
 fn open_messages_keep_the_rules_under_which_they_came_also_after_a_kill() {
-    // Each call is broken off: a safe message is sent again, an unsafe one fails.
+    // Each call is broken off: a safe message is sent again, an unsafe message fails.
     let (safe, once) = (Endpoint::new(|_| StubResponse::Close), Endpoint::new(|_| StubResponse::Close));
     let platform = Platform::new(vec![placeholder(3), placeholder(4)]);
     let mut sender = Sender::with_mgmt(&platform);
@@ -184,8 +185,8 @@
     client.ping();
     let path = sender.folder.path().join("config.json");
     let good = std::fs::read_to_string(&path).unwrap();
-    // Twenty files, each with a changed discovery, an additional class and an error. Odd ones are also cut in
-    // half.
+    // Each of twenty configuration files has a changed discovery address, an additional class and an error.
+    // Every other file is also cut in half.
     let flaws: [fn(&mut serde_json::Value); 5] = [
         |c| c["settings"]["Profiles"][0]["HardLimitUs"] = (-5).into(),
         |c| c["settings"]["Limits"]["MaxAttempts"] = 0.into(),
@@ -202,7 +203,7 @@
             flaws[n % 5](c);
         });
         if n % 2 == 1 {
-            // As if read while it is being written.
+            // A file that is cut in half looks like a file that is read while it is being written.
             let text = std::fs::read_to_string(&path).unwrap();
             std::fs::write(&path, &text[..text.len() / 2]).unwrap();
         }
@@ -213,7 +214,8 @@
         });
         std::fs::write(&path, &good).unwrap();
     }
-    // On a busy machine this takes longer than the 2 s after which an idle connection is closed.
+    // The test needs a new client: on a busy machine the twenty reloads take longer than 2 s.
+    // After 2 s the sender closes an idle client connection.
     let mut client = sender.client();
     let reply = client.put("a0", "c=more,d=1000,dest=3");
     assert!(reply.starts_with("-ERR"), "{reply}");
--- a/crates/sender/tests/return_restart.rs
+++ b/crates/sender/tests/return_restart.rs
@@ -1,6 +1,7 @@
-//! Guards against thirty restarted senders that overload two small receivers: the senders are killed one
-//! second after the receivers returned cold, and must not forget that they are warming up. Alone in its file,
-//! since so many processes next to other rehearsals would make the rig late.
+//! Guards against thirty restarted senders that overload two small receivers.
+//! The senders are killed one second after the receivers returned cold.
+//! The restarted senders must not forget that the receivers are warming up.
+//! This test is alone in its file: so many processes next to other rehearsals would make the rig late.
 
 use embershore_rehearsal::judge::{Rule, Verdict};
 use embershore_rehearsal::report::report;
--- a/crates/sender/tests/settings.rs
+++ b/crates/sender/tests/settings.rs
@@ -1,5 +1,6 @@
-//! Configurations in which one field is missing, null or out of bounds. Guards against a sender that panics,
-//! hangs or exits without naming the field: it must either serve or name it.
+//! Configurations in which one field is missing, null or out of bounds.
+//! Guards against a sender that panics, hangs or exits without naming the field.
+//! The sender must either serve or name the field.
 
 mod common;
 use common::*;
@@ -11,14 +12,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// Returns the values to which each field is set in turn; `None` removes the field.
+/// Returns the wrong values to which each configuration field is set in turn; `None` removes the field.
 fn wrong_values() -> Vec<Option<Value>> {
     let metrics = [json!(0), json!(-1), json!(u32::MAX), json!(i64::MAX), json!(-1e300), json!(1e300)];
     let others = [Value::Null, json!("x"), json!([]), json!({}), json!(true)];
     [None].into_iter().chain(metrics.into_iter().chain(others).map(Some)).collect()
 }
 
-/// Collects the paths of all fields in a value, including those of the first entry of each list.
+/// Collects the paths of all fields in a JSON value, including the fields of the first entry of each list.
 fn paths(value: &Value, at: &str, found: &mut Vec<String>) {
     if !at.is_empty() {
         found.push(at.to_string());
@@ -44,7 +45,7 @@
     }
 }
 
-/// Starts a sender with this configuration. Returns its log as the error if it exits.
+/// Starts a sender with the given configuration. Returns the sender's log as the error if the sender exits.
 fn start(config: &Value, listen: SocketAddr) -> Result<(), String> {
     let folder = tempfile::tempdir().unwrap();
     std::fs::create_dir(folder.path().join("state")).unwrap();
@@ -68,7 +69,7 @@
         let mut answer = client.read();
         if answer == "+PONG" {
             answer = client.put("a1", "c=sync,d=400,dest=3");
-            // Lets the sender run some more rounds.
+            // The pause lets the sender run some more rounds.
             thread::sleep(Duration::from_millis(30));
         }
         exited = child.try_wait().unwrap().is_some();
@@ -92,7 +93,7 @@
 fn a_field_that_is_missing_or_out_of_bounds_is_served_or_named() {
     let endpoint = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
-    // The port is that of a closed listener; each sender has its own address.
+    // All senders use the port of a closed listener, each on its own loopback address.
     let port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port();
     let address = |n: usize| SocketAddr::from((Ipv4Addr::new(127, 77, (n >> 8) as u8, n as u8), port));
     let mut valid_config = config(address(0), &platform, 256);
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -1,6 +1,7 @@
-//! Accepted messages that were not tried before a kill. Guards against a restart that returns or drops them
-//! without a call: from one message up to the limit of open messages, with receivers that are prompt, slow,
-//! refusing or unreachable.
+//! Accepted messages that were not tried before the sender was killed.
+//! Guards against a restarted sender that returns or drops such messages without a call.
+//! The tests use one message up to the limit of open messages.
+//! Their receivers are prompt, slow, refusing or unreachable.
 
 mod common;
 use common::*;
@@ -9,7 +10,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Limit of open messages, of which the sender keeps the last places free.
+/// Limit of open messages of the sender, which keeps the last places free.
 const MAX_OPEN: usize = 40;
 const MAX_ACCEPTED: usize = MAX_OPEN - 3;
 const CLASSES: [&str; 3] = ["c=sync", "c=push,k=5c0f6e1a2b3d4c59", "c=pay"];
@@ -18,8 +19,8 @@
     format!("m{n}")
 }
 
-/// Starts a sender, puts this many messages, none of which can be tried, and kills it. Message n goes to
-/// destination 3 + n % `dests`.
+/// Starts a sender, puts `count` messages, none of which can be tried, and kills the sender.
+/// Message n goes to destination 3 + n % `dests`.
 fn killed_with_untried(count: usize, dests: i64, time: u32) -> (Platform, Sender, Instant) {
     let platform = Platform::new((3..3 + dests).map(placeholder).collect());
     let mut sender = Sender::start(&platform);
@@ -38,7 +39,7 @@
     listed_endpoint(&format!("s-{group}"), addr, "one", group, "Ready")
 }
 
-/// Returns the time after `begun` at which the platform received the notice of each message.
+/// Returns, for each message, the time after `begun` at which the platform received the message's notice.
 fn notice_times(platform: &Platform, count: usize, begun: Instant) -> Vec<(String, Duration)> {
     let mut seen: Vec<(String, Duration)> = Vec::new();
     wait_until("a notice for each message", || {
@@ -84,13 +85,13 @@
     let mut client = sender.client();
     client.ping();
     for n in 0..12 {
-        // A refusal for lack of room does not matter here.
+        // A put that is refused for lack of room does not matter here.
         _ = client.put(&format!("new{n}"), &format!("c=pay,d=15000,dest={}", 3 + n % 2));
     }
     (0..20).for_each(|n| [&slow, &prompt][n % 2].wait_sent(&id(n)));
-    // Each message has been called. The slow receiver answers one call at a time: a call that waits in its
-    // queue for too long is given up as silent, and its message ends if it may not be sent again (unsafe) or
-    // only within a window (keyed).
+    // Each message has been sent in a call. The slow receiver answers one call at a time.
+    // A call that waits in the receiver's queue for too long is given up as unanswered.
+    // The message of such a call ends if it may not be sent again (unsafe) or only within a window (keyed).
     let ends = platform.notices();
     let mut found = ends.iter().filter_map(|n| n["id"].as_str().unwrap().strip_prefix('m'));
     assert!(found.all(|n| n.parse::<usize>().unwrap() % 3 != 0), "{ends:?}");
@@ -104,8 +105,8 @@
     sender.spawn();
     let ends = notice_times(&platform, 12, begun);
     let uncalled: Vec<_> = ends.iter().filter(|(id, _)| endpoint.call_count(id) == 0).collect();
-    // An unhealthy endpoint gets single trials, in the end one second apart: within nine seconds some of the
-    // twelve may get no trial, and end at their deadline.
+    // An unhealthy endpoint gets single trials, in the end one second apart.
+    // Within nine seconds some of the twelve messages may get no trial, and end at their deadline.
     assert!(uncalled.len() < 6, "ended without a call, expected fewer than 6 of 12: {uncalled:?}");
     assert!(uncalled.iter().all(|(_, at)| *at >= Duration::from_millis(8_900)), "{uncalled:?}");
 }
@@ -115,7 +116,7 @@
     let refusing = RefusingAddress::new();
     let addr = refusing.addr;
     let (platform, mut sender, begun) = killed_with_untried(4, 1, 9_000);
-    // Three attempts would be used up within a second if a refused connection counted as one.
+    // If a refused connection counted as an attempt, three attempts would be used up within a second.
     sender.change_config(|c| c["settings"]["Limits"]["MaxAttempts"] = 3.into());
     platform.publish(true, vec![ready_endpoint(3, addr)]);
     sender.spawn();
@@ -148,7 +149,7 @@
     sleep(Duration::from_millis(30));
     sender.kill();
     sender.spawn();
-    // A call that was in flight at the last kill may have run, so an unsafe message in it fails.
+    // A call that was in flight at the last kill may have run, so an unsafe message in that call fails.
     wait_until("a call or a notice for each message", || {
         let called = |n: &usize| endpoint.call_count(&id(*n)) > 0 || platform.notice_state(&id(*n)).is_some();
         (0..MAX_ACCEPTED).all(|n| called(&n))
