--- a/crates/scale/src/budget.rs
+++ b/crates/scale/src/budget.rs
@@ -13,7 +13,7 @@
     pub reason: &'static str,
 }
 
-/// Budget of the memory that a sender may use for control data, such as lists and tables.
+/// Budget of the memory that a sender may use for control.
 pub const SENDER_MEMORY: Budget =
     Budget { name: "sender-memory", limit: 32e6, reason: "target: 32 MB per sender for control" };
 /// Budget of the processor time that a sender may use for the decision module's idle rounds.
@@ -73,10 +73,10 @@
 /// Budget of the load of the busiest owner, divided by the mean load of the owner's region.
 pub const BUSIEST_OWNER: Budget =
     Budget { name: "busiest-owner", limit: 1.15, reason: "evenness of the placement" };
-/// Budget of the positions moved by the loss or addition of one member, divided by the member's own share.
+/// Budget of the movement when one member is lost or added: positions moved, divided by the member's own share.
 pub const MOVEMENT: Budget =
     Budget { name: "movement", limit: 1.3, reason: "a change moves little more than it must" };
-/// Budget of the positions moved between members that were neither added nor removed.
+/// Budget of the positions (of an owner in a shard) moved between members that were neither added nor removed.
 pub const MOVED_BETWEEN_OTHERS: Budget =
     Budget { name: "moved-between-others", limit: 0.0, reason: "no handover without need" };
 /// Budget of the busiest owner's load after the loss of a zone, divided by the new mean of the owner's region.
--- a/crates/scale/src/skew.rs
+++ b/crates/scale/src/skew.rs
@@ -16,7 +16,7 @@
 }
 
 /// Returns the number of parts into which a destination is split, at most `max_width`.
-/// With fewer parts, a part would get more than `max_part_rate` messages per second.
+/// Unless `max_width` limits the number, no part gets more than `max_part_rate` messages per second.
 pub fn width(rate: f64, max_part_rate: f64, max_width: u16) -> u16 {
     (rate / max_part_rate).ceil().clamp(1.0, f64::from(max_width)) as u16
 }
--- a/crates/scale/src/slopes/fleet.rs
+++ b/crates/scale/src/slopes/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of simulated senders: the number of destinations that each owns, their load, and the traffic that informs
-//! each sender of changes.
+//! Measures a fleet of simulated senders.
+//! The metrics: owned destinations and load of each sender, and the traffic that informs a sender of changes.
 
 use super::Setup;
 use crate::budget::SENDER_TRAFFIC;
@@ -22,20 +22,20 @@
 
 /// Exponents of Zipf's law for which the load is measured.
 const EXPONENTS: [f64; 3] = [0.8, 1.0, 1.15];
-/// Maximum messages per second of a part: busier destinations are split into several parts.
+/// Maximum messages per second of a part of a destination: busier destinations are split into several parts.
 const MAX_PART_RATE: f64 = 100.0;
 /// Default interval, in seconds, at which a sender polls its control agent: a quarter of the lease of 10 s.
 const POLL_INTERVAL_S: f64 = 2.5;
-/// Assumed length of the HTTP/1.1 heads of a poll and its answer.
+/// Assumed length, in bytes, of the HTTP/1.1 heads of a control agent's poll and its answer.
 const HTTP_HEAD_BYTES: f64 = 300.0;
 /// Seconds within which a change must be in force at every sender.
 const MAX_CHANGE_S: f64 = 18.0;
 const DAY_S: f64 = 86_400.0;
 const HOUR_S: f64 = 3_600.0;
-/// Assumed duration of a rolling restart of all senders.
+/// Assumed duration, in seconds, of a rolling restart of all senders.
 const ROLLING_RESTART_S: f64 = 6.0 * HOUR_S;
 
-/// Load of a fleet.
+/// Load of a fleet: the message rate of each destination.
 struct Load {
     /// Messages per second of each destination.
     rates: Vec<f64>,
@@ -53,7 +53,7 @@
         self.rates.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Returns the widths of the destinations that are split into more than one part.
+    /// Returns the widths (numbers of parts) of the destinations that are split into more than one part.
     fn wide(&self) -> Vec<WideForm> {
         let rates = self.rates.iter().enumerate().filter(|(_, rate)| **rate > MAX_PART_RATE);
         let form = |(dest, rate): (usize, &f64)| WideForm {
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-/// Control traffic to each sender for one event, and the time over which it is sent.
+/// Control traffic to each sender for one event, and the time over which the traffic is sent.
 struct EventTraffic {
     name: &'static str,
     bytes: f64,
@@ -240,10 +240,10 @@
     Ok(())
 }
 
-/// Measures the slope `fleet`.
+/// Measures the owned destinations, load and control traffic of the senders of a simulated fleet.
 ///
 /// # Errors
-/// Fails if a list or a change is invalid.
+/// Fails if a member list or a change of the list is invalid.
 pub fn run(setup: &Setup) -> Result<Report> {
     let senders = if setup.small { 500 } else { SENDERS as usize };
     let destinations = if setup.small { 100_000 } else { DESTINATIONS };
--- a/crates/scale/src/slopes/held.rs
+++ b/crates/scale/src/slopes/held.rs
@@ -16,7 +16,7 @@
 const DESTINATIONS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// Maximum number of refused batches: the daemon refuses a message if the queue of its destination is full.
+/// Number of refused batches that is tolerated: the daemon refuses a message if its destination's queue is full.
 const MAX_REFUSED_BATCHES: u64 = 10;
 
 /// Memory, journal size and restart time of a single daemon.
--- a/crates/scale/src/slopes/hollow_check.rs
+++ b/crates/scale/src/slopes/hollow_check.rs
@@ -1,5 +1,5 @@
-//! Compares a simulated result with real processes: how the processor time of a message grows with the length of the
-//! list, in the decision module alone and in the daemon.
+//! Compares a simulated result with real processes: the processor time of a message by the endpoint list's length.
+//! The simulated result is that of the decision module alone, the real result that of the daemon.
 
 use super::{Setup, message_cpu};
 use crate::budget::SIMULATED_AGAINST_REAL;
@@ -10,10 +10,10 @@
 use anyhow::Result;
 use std::time::Duration;
 
-/// Rounds per second: one round per quantum of 5 ms.
+/// Rounds of the decision module per second: one round per quantum of 5 ms.
 const ROUNDS_PER_SECOND: usize = 200;
 
-/// Measures the processor time per message, in seconds, of the module alone at the load of the real measurement.
+/// Measures the decision module's processor time per message, in seconds, at the load of the real measurement.
 fn simulated_cost(listed: usize, seconds: usize, seed: u64) -> Result<f64> {
     let mut module = Module::new(listed, seed)?;
     let active = message_cpu::ACTIVE_DESTINATIONS.min(listed) as i64;
@@ -28,7 +28,7 @@
     Ok(used.as_secs_f64() / offered as f64)
 }
 
-/// Measures the slope `hollow-check`.
+/// Measures how far the simulated growth of a message's processor time deviates from the real growth.
 ///
 /// # Errors
 /// Fails if the daemon can't be started or refuses messages.
--- a/crates/scale/src/slopes/list_memory.rs
+++ b/crates/scale/src/slopes/list_memory.rs
@@ -1,4 +1,4 @@
-//! Resident memory and time to readiness of a real daemon by the length of its list.
+//! Measures resident memory and time to readiness of a real daemon, by the length of its endpoint list.
 
 use super::Setup;
 use crate::budget::{LIST_BYTES, READY_TIME, SENDER_MEMORY};
@@ -9,14 +9,14 @@
 use anyhow::Result;
 use std::time::Duration;
 
-/// Maximum length of a list that the daemon accepts; the same limit as in the sender's `discovery.rs`.
+/// Maximum length of a list that the daemon accepts, in bytes: the limit in the sender's `discovery.rs`.
 const MAX_LIST_BYTES: f64 = (4 << 20) as f64;
-/// Time-out for readiness, with a margin for a machine with other load.
+/// Time-out for the daemon's readiness, with a margin for a machine with other load.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time without load before the daemon's memory is measured.
+/// Time that the daemon runs without load before its memory is measured.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Measurements of a single daemon.
+/// Memory and time to readiness of a single daemon.
 struct Sample {
     resident: f64,
     ready: f64,
@@ -31,7 +31,7 @@
     Ok((Sample { resident: daemon.resident_bytes()?, ready: ready.as_secs_f64() }, directory.list_bytes))
 }
 
-/// Measures the slope `list-memory`.
+/// Measures memory and time to readiness of daemons with growing endpoint lists.
 ///
 /// # Errors
 /// Fails if the daemon can't be started or is not ready in time.
--- a/crates/scale/src/slopes/list_stream.rs
+++ b/crates/scale/src/slopes/list_stream.rs
@@ -1,4 +1,4 @@
-//! Measures how a sender reads the list of all destinations as a stream and keeps only the entries that it owns.
+//! Measures how a sender reads the list of all destinations as a stream and retains only the entries that it owns.
 
 use super::Setup;
 use crate::budget::{CHANGE_TIME, SENDER_MEMORY};
@@ -9,12 +9,12 @@
 use embershore_protocol::listing_stream::FilteredListingReader;
 use std::io::{Read, Write};
 
-/// Of this many entries, the sender owns one: each destination has two owners.
+/// Number of list entries for each entry that the sender owns: each destination has two owners.
 const DESTINATIONS_PER_OWNED: u64 = SENDERS as u64 / 2;
-/// Number of bytes per read.
+/// Number of bytes of the list that are read at a time.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Writes the full list as discovery sends it.
+/// Writes the full endpoint list in the JSON form in which discovery sends it.
 fn write_list(file: &mut impl Write, count: u64) -> Result<()> {
     write!(file, "{{\"index\":1,\"snapshot\":true,\"endpoints\":[")?;
     for number in 0..count {
@@ -28,15 +28,15 @@
     Ok(writeln!(file, "]}}")?)
 }
 
-/// Result of reading the list once.
+/// Result of reading the endpoint list once.
 struct ReadResult {
     count: usize,
-    /// Largest number of bytes that the reader buffered, as reported by the reader.
+    /// Largest number of list bytes that the reader buffered, as reported by the reader.
     max_buffered: usize,
     seconds: f64,
 }
 
-/// Reads the list with the daemon's reader, piece by piece as from a socket.
+/// Reads the endpoint list with the daemon's reader, piece by piece as from a socket.
 fn read_owned(mut source: impl Read) -> Result<ReadResult> {
     let owns = |destination: i64| destination.unsigned_abs().is_multiple_of(DESTINATIONS_PER_OWNED);
     let started = thread_cpu_time()?;
@@ -55,14 +55,14 @@
     }
 }
 
-/// Returns the peak resident memory of this process in bytes.
+/// Returns the peak resident memory of the current process in bytes.
 fn peak_bytes() -> Result<f64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or("0 kB");
     Ok(line.trim().trim_end_matches(" kB").parse::<f64>()? * 1024.0)
 }
 
-/// Measures the slope `list-stream`.
+/// Measures time and memory to read the full endpoint list as a stream.
 ///
 /// # Errors
 /// Fails if the list can't be written to a file or read back.
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -1,5 +1,5 @@
-//! Datagrams and bytes of the membership gossip: the protocol code of `embershore-peer` with its real encoding over a
-//! simulated network.
+//! Measures datagrams and bytes of the membership gossip.
+//! The protocol code of `embershore-peer` runs with its real encoding over a simulated network.
 
 use super::Setup;
 use crate::report::{Report, Unit};
@@ -14,16 +14,16 @@
 const SECOND_US: Micros = 1_000_000;
 /// Simulated time between two steps of the members, in microseconds.
 const STEP_US: Micros = 10_000;
-/// Maximum delay of a datagram, in microseconds.
+/// Maximum delay of a datagram in the simulated network, in microseconds.
 const MAX_DELAY_US: Micros = 5_000;
-/// Port of every member's address.
+/// Port in the address of every simulated member.
 const MEMBER_PORT: u16 = 7100;
 
 const REPEATS: u64 = 3;
-/// Number of members from which on a run takes minutes and is not repeated.
+/// Number of members from which on a run takes minutes and so is done only once.
 const SINGLE_RUN_FROM: usize = 500;
 
-/// Members and their network in simulated time.
+/// Members of the gossip protocol and the network between them, in simulated time.
 struct Network {
     now: Micros,
     members: Vec<Peers>,
@@ -37,7 +37,7 @@
     ([127, 0, (number >> 8) as u8, number as u8], MEMBER_PORT).into()
 }
 
-/// Returns the number of the member with this address.
+/// Returns the number of the member whose address is `address`.
 fn number(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else { return None };
     let [_, _, high, low] = address.ip().octets();
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Runs for `seconds` and returns the datagrams and bytes per second that each member sent.
+    /// Runs the network for `seconds`. Returns the datagrams and bytes per second that each member sent.
     fn rates(&mut self, seconds: i64) -> Result<(f64, f64)> {
         let before = (self.datagrams, self.bytes);
         self.advance(seconds * SECOND_US)?;
@@ -111,7 +111,7 @@
     }
 }
 
-/// Measures the slope `membership`.
+/// Measures datagrams and bytes per member and second with growing numbers of members.
 ///
 /// # Errors
 /// Fails if the member list is invalid.
--- a/crates/scale/src/slopes/message_cpu.rs
+++ b/crates/scale/src/slopes/message_cpu.rs
@@ -1,4 +1,4 @@
-//! Processor time per message of a real daemon by the length of its list.
+//! Measures the processor time per message of a real daemon, by the length of the daemon's endpoint list.
 
 use super::Setup;
 use crate::budget::{BUSIEST_OWNER, MESSAGE_CPU};
@@ -9,16 +9,17 @@
 use anyhow::{Result, ensure};
 use std::time::Duration;
 
-/// Number of messages offered per second.
+/// Number of messages put at the daemon per second.
 pub const MESSAGE_RATE: f64 = 300.0;
 /// Number of destinations that get messages if more are listed.
-/// This separates the cost of a listed idle destination from the cost of a connection.
+/// The limit separates the cost of a listed idle destination from the cost of a connection.
 pub const ACTIVE_DESTINATIONS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Before the measurement, the load runs for the measured span divided by this, to open the connections.
+/// Divisor of the measured span that gives the duration of the load before the measurement.
+/// The load before the measurement opens the connections.
 const WARM_UP_DIVISOR: u32 = 4;
 
-/// Measures the processor time per accepted message, in seconds.
+/// Measures the daemon's processor time per accepted message, in seconds.
 pub async fn sample(setup: &Setup, listed: usize, active: usize, span: Duration) -> Result<f64> {
     let receiver = Receiver::start().await?;
     let endpoints = Endpoints { count: listed, address: receiver.address };
@@ -39,7 +40,7 @@
     Ok(used / counts.accepted as f64)
 }
 
-/// Measures the slope `message-cpu`.
+/// Measures the processor time per message with growing endpoint lists.
 ///
 /// # Errors
 /// Fails if the daemon can't be started or refuses more than one message in twenty.
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -1,4 +1,5 @@
-//! The slopes, one module for each. Each module has a function `run` that returns a [`Report`](crate::report::Report).
+//! The slopes: measurements of how a cost grows with size, in one module each.
+//! Each module has a function `run` that returns a [`Report`](crate::report::Report).
 
 pub mod fleet;
 pub mod held;
@@ -14,14 +15,14 @@
 use crate::budget::Overrides;
 use std::path::PathBuf;
 
-/// Options common to all slopes.
+/// Command-line options that all slopes share.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Whether to use sizes that take seconds in all, with wide margins on budgets of times.
+    /// Whether to use small sizes, which take seconds in all, with wide margins on time budgets.
     pub small: bool,
     /// Path of the daemon's binary.
     pub binary: PathBuf,
-    /// Limits of budgets from the command line.
+    /// Limits that replace the limits of budgets, from the command line.
     pub overrides: Overrides,
     /// Seed of all random numbers.
     pub seed: u64,
--- a/crates/scale/src/slopes/module_round.rs
+++ b/crates/scale/src/slopes/module_round.rs
@@ -1,4 +1,4 @@
-//! Processor time of the decision module's idle rounds, measured without a process around the module.
+//! Measures the processor time of the decision module's idle rounds, without a daemon around the module.
 
 use super::Setup;
 use crate::budget::{BUSIEST_OWNER, SENDER_CPU};
@@ -11,15 +11,15 @@
 
 /// Maximum number of rounds per second in the daemon: one round per quantum of 5 ms.
 const ROUNDS_PER_SECOND: f64 = 200.0;
-/// Number of rounds that are timed together: a single one is too short for the clock.
+/// Number of rounds that are timed together: a single round is too short for the clock.
 const ROUNDS_PER_BATCH: u32 = 20;
 /// Time after which the measurement of one list size ends.
 const MAX_MEASURING_TIME: Duration = Duration::from_secs(10);
 
-/// Measures the slope `module-round`.
+/// Measures the processor time of idle rounds with growing endpoint lists.
 ///
 /// # Errors
-/// Fails if the module rejects its settings.
+/// Fails if the decision module rejects its settings.
 pub fn run(setup: &Setup) -> Result<Report> {
     let owned = (SENDER_DESTINATIONS * BUSIEST_OWNER.limit) as usize;
     let sizes: &[usize] =
--- a/crates/scale/src/slopes/owners_check.rs
+++ b/crates/scale/src/slopes/owners_check.rs
@@ -1,5 +1,5 @@
-//! Compares simulated senders with real ones: the number of listed destinations that each keeps, in real processes with
-//! `[placement]` and in as many simulated senders with the same member list.
+//! Compares simulated senders with real senders: the number of listed destinations that each sender retains.
+//! The real processes have the section `[placement]`; as many simulated senders have the same member list.
 
 use super::Setup;
 use crate::budget::{READY_TIME, SIMULATED_AGAINST_REAL};
@@ -15,11 +15,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Number of listed destinations; the list is shorter than the limit for a list that is read in one piece.
+/// Number of listed destinations. Their list is shorter than the limit for a list that is read in one piece.
 const DESTINATIONS: usize = 10_000;
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Returns the member list of senders that have these addresses.
+/// Returns a member list whose senders have the given addresses.
 fn member_list(addresses: &[SocketAddr]) -> Result<MemberList> {
     let mut form = list_form(addresses.len());
     for (seat, address) in form.seats.iter_mut().zip(addresses) {
@@ -30,7 +30,7 @@
     Ok(MemberList::from_form(form)?)
 }
 
-/// Measurements of the real processes.
+/// Owned destinations, memory and times of the real processes.
 struct ProcessResults {
     destinations: Vec<f64>,
     resident: Vec<f64>,
@@ -64,7 +64,7 @@
     Ok(ProcessResults { destinations, resident, cpu, seconds })
 }
 
-/// Measures the slope `owners-check`.
+/// Measures how many destinations simulated senders own and real processes retain, and compares the numbers.
 ///
 /// # Errors
 /// Fails if a daemon can't be started or does not read the endpoints of its shards in time.
@@ -92,8 +92,8 @@
             SIMULATED_AGAINST_REAL,
         );
         report.metric(format!("{size} real: resident"), Unit::Bytes, Spread::of(&real.resident));
-        // All processes build their tables at once on one machine,
-        // so the budget applies to a sender's own processor time.
+        // All processes build their placement tables at the same time on one machine.
+        // So the budget applies to the processor time of each sender, not to wall-clock time.
         let all = Spread::exact(real.seconds);
         report.metric(format!("{size} real: until all have read what they own"), Unit::Seconds, all);
         let name = format!("{size} real: processor time of each until then");
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -1,4 +1,4 @@
-//! Times, size, evenness and movement of the placement table of `embershore-placement`.
+//! Measures times, size, evenness and movement of the placement table of `embershore-placement`.
 
 use super::Setup;
 use crate::budget::{
@@ -19,9 +19,9 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Number of lookups that are timed together: a single one is too short for the clock.
+/// Number of table lookups that are timed together: a single lookup is too short for the clock.
 const LOOKUPS_PER_BATCH: usize = 1_000;
-/// Number of lists that are in memory at once when the memory of one list is measured.
+/// Number of member lists that are in memory at once when the memory of one list is measured.
 const LIST_COPIES: usize = 8;
 
 /// Numbers of shards and destinations that each seat owns.
@@ -43,7 +43,7 @@
 }
 
 /// Returns the load of the busiest filled seat divided by the mean of its region's filled seats.
-/// The result is the maximum over all regions.
+/// The result is the highest such quotient of all regions.
 fn busiest_by_region(list: &MemberList, counts: &[u32]) -> f64 {
     let mut regions: HashMap<u16, (f64, f64, f64)> = HashMap::new();
     for seat in list.seat_ids().filter(|seat| list.member(*seat).is_some()) {
@@ -59,8 +59,8 @@
     f64::from(largest) * counts.len() as f64 / counts.iter().map(|c| f64::from(*c)).sum::<f64>()
 }
 
-/// Returns the load of the busiest seat during the hold of new owners, divided by the mean of all seats before. Each
-/// shard is shared by those of its owners that owned it before.
+/// Returns the load of the busiest seat during the hold of new owners, divided by the mean of all seats before.
+/// During the hold, those of a shard's owners that owned the shard before share its load.
 fn busiest_during_hold(before: &Table, after: &Table, seats: usize) -> f64 {
     let mut load = vec![0.0; seats];
     for number in 0..SHARDS {
@@ -83,12 +83,12 @@
     busiest_by_region(&placement.list, &counts)
 }
 
-/// Positions that changed their seat between two tables.
+/// Numbers of positions (of an owner in a shard) whose seat differs between two placement tables.
 #[derive(Default)]
 struct Movement {
-    /// Number of positions that any seat gained.
+    /// Number of positions in the table that any seat gained.
     gained: usize,
-    /// Number of gained positions that moved neither from nor to the changed seats.
+    /// Number of gained positions that moved neither from nor to the seats that were added or removed.
     between_others: usize,
 }
 
@@ -130,7 +130,7 @@
     (0..repeats).map(time).collect()
 }
 
-/// Measures the processor time to apply a change given as JSON: the table's part, and the total.
+/// Measures the processor time to apply a list change given as JSON: the placement table's part, and the total.
 fn change_times(placement: &Placement, text: &[u8]) -> Result<(f64, f64)> {
     let mut table = placement.table.clone();
     let started = thread_cpu_time()?;
@@ -157,7 +157,7 @@
     Ok(times.seconds().scaled(1.0 / LOOKUPS_PER_BATCH as f64))
 }
 
-/// Measures the resident bytes that one parsed list needs.
+/// Measures the resident bytes that one parsed member list needs.
 fn list_memory(text: &[u8]) -> Result<f64> {
     let before = resident_bytes(std::process::id())?;
     let lists = (0..LIST_COPIES).map(|_| MemberList::parse_json(text)).collect::<Result<Vec<_>, _>>()?;
@@ -252,7 +252,7 @@
     );
 }
 
-/// Removes members and appends seats one at a time, and measures the movement of each change.
+/// Removes members and appends seats one at a time, and measures the positions that each change moves.
 fn measure_movement(report: &mut Report, setup: &Setup, placement: &Placement) -> Result<()> {
     let mut random = ChaCha8Rng::seed_from_u64(setup.seed);
     let (senders, samples) = (placement.list.seat_count(), if setup.small { 3 } else { 20 });
@@ -284,10 +284,10 @@
     Ok(())
 }
 
-/// Measures the slope `placement`.
+/// Measures how the placement table's times, size, evenness and movement compare with their budgets.
 ///
 /// # Errors
-/// Fails if a list or a change is invalid.
+/// Fails if a member list or a change of the list is invalid.
 pub fn run(setup: &Setup) -> Result<Report> {
     let senders = if setup.small { 500 } else { SENDERS as usize };
     let destinations = if setup.small { 100_000 } else { DESTINATIONS };
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,8 +1,9 @@
-//! Developer tasks of this repository.
+//! Developer tasks of this repository. The only task is `guards`.
 //!
-//! `cargo run -p xtask -- guards` removes each guard of `scripts/guards.toml` from a copy of the sources, one at a
-//! time, and checks that the test or scenario named there fails. This takes long, so developers run it by hand;
-//! `docs/design/guards.md` contains the last result.
+//! A guard is a piece of source code that enforces a rule; `scripts/guards.toml` lists the guards.
+//! `cargo run -p xtask -- guards` removes each guard from a copy of the sources, one guard at a time.
+//! After each removal, the task checks that the test or scenario in the guard's list entry fails.
+//! The task takes long, so developers run it by hand; `docs/design/guards.md` contains the last result.
 
 use anyhow::{Context, Result, bail, ensure};
 use clap::{Parser, Subcommand};
@@ -12,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode, Output};
 
-/// Paths that are copied for a build, which needs nothing else.
+/// Paths of the repository that are copied, since a build without the guard needs them and nothing else.
 const COPIED_PATHS: [&str; 9] = [
     "Cargo.toml",
     "Cargo.lock",
@@ -24,7 +25,7 @@
     "deploy",
     "README.md",
 ];
-/// Maximum number of failing tests that the table names for a guard; further tests are only counted.
+/// Maximum number of failing tests that the result table names for a guard; further tests are only counted.
 const MAX_NAMED_TESTS: usize = 3;
 
 #[derive(Parser)]
@@ -38,12 +39,12 @@
 enum Task {
     /// Remove guards from a copy of the sources, one at a time, and check that a test or scenario fails.
     ///
-    /// Exit codes: 0 every removal was detected, 1 some was not, 2 the list is invalid or a command failed.
+    /// Exit codes: 0 every removal was detected, 1 some removal was not, 2 the list is invalid or a command failed.
     Guards {
-        /// Only check guards whose name contains this text.
+        /// Only check guards whose name contains the given text.
         #[arg(long, default_value = "")]
         only: String,
-        /// Write the table to this file instead of standard output.
+        /// Write the table of results to the given file instead of standard output.
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
         /// File with the list of guards.
@@ -68,13 +69,13 @@
     rule: u8,
     #[serde(default = "default_file")]
     file: String,
-    /// Text that occurs exactly once in the file.
+    /// Source text of the guard, which occurs exactly once in the file.
     find: String,
     replace: String,
-    /// Arguments of a `cargo test` that must fail without the guard.
+    /// Arguments of a `cargo test` command that must fail once the guard is removed.
     #[serde(default)]
     test: Vec<String>,
-    /// Name of a shipped scenario that must break the rule without the guard.
+    /// Name of a shipped rehearsal scenario that must break the rule once the guard is removed.
     #[serde(default)]
     scenario: Option<String>,
 }
@@ -83,11 +84,11 @@
     "src/logic.rs".into()
 }
 
-/// Result of the removal of one guard.
+/// Result of the removal of one guard: whether the named tests or the scenario detected the removal.
 enum Outcome {
-    /// Names of the tests, or of the scenario, that failed.
+    /// Names of the tests, or of the scenario, that failed without the guard.
     Detected(Vec<String>),
-    /// All tests, or the scenario, passed.
+    /// All tests, or the scenario, passed without the guard.
     Undetected,
     /// The sources do not build without the guard.
     BuildFailed,
@@ -137,7 +138,7 @@
     Ok(results.iter().all(|(_, outcome)| matches!(outcome, Outcome::Detected(_))))
 }
 
-/// Checks an entry of the list: its rule, that it names one check, and that its text occurs exactly once.
+/// Checks an entry of the list of guards: its rule, its single check, and that its text occurs exactly once.
 fn check(root: &Path, guard: &Guard) -> Result<()> {
     ensure!((1..=6).contains(&guard.rule), "rule {} does not exist; the rules are 1 to 6", guard.rule);
     ensure!(
@@ -157,7 +158,7 @@
     for part in COPIED_PATHS {
         sync(&root.join(part), &work.join(part)).with_context(|| format!("{part} can't be copied"))?;
     }
-    // The sources may have changed since the whole list was checked.
+    // The sources may have changed since the full list of guards was checked.
     check(work, guard)?;
     let path = work.join(&guard.file);
     let text = std::fs::read_to_string(&path)?;
@@ -170,7 +171,7 @@
 
 fn cargo(work: &Path) -> Command {
     let mut cargo = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
-    // Removed guards leave unused items, so warnings are off. There are many builds, so they are optimised less.
+    // Removed guards leave unused items, so warnings are off. There are many builds, so the builds are optimised less.
     cargo.current_dir(work).env("RUSTFLAGS", "-Awarnings").env("CARGO_TARGET_DIR", work.join("target"));
     cargo.env("CARGO_PROFILE_RELEASE_LTO", "off").env("CARGO_PROFILE_RELEASE_CODEGEN_UNITS", "16");
     cargo
@@ -265,7 +266,7 @@
 
 fn table(results: &[(&Guard, Outcome)]) -> String {
     let mut out = String::new();
-    // Writing to a string can't fail, so the results are ignored.
+    // Writing to a string can't fail, so the results of `writeln!` are ignored.
     _ = writeln!(out, "| rule | removed guard | detected by |\n| --- | --- | --- |");
     let mut sorted: Vec<_> = results.iter().collect();
     sorted.sort_by_key(|(g, _)| g.rule);
--- a/crates/xtask/tests/guards.rs
+++ b/crates/xtask/tests/guards.rs
@@ -1,5 +1,5 @@
-//! Checks that the list of guards matches the sources: the text of each guard must occur exactly once in its file, so
-//! that the edit removes that guard and nothing else.
+//! Checks that the list of guards (`scripts/guards.toml`) matches the sources.
+//! The text of each guard must occur exactly once in its file, so that the edit removes only that guard.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -11,7 +11,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Runs the check of the list with which `xtask guards` begins. Returns its error output if it fails.
+/// Runs the check of the list with which `xtask guards` begins. Returns the error output if the check fails.
 fn check(list: &Path) -> Result<(), String> {
     let output = Command::new(env!("CARGO_BIN_EXE_xtask"))
         .current_dir(repository())
@@ -22,7 +22,7 @@
     if output.status.success() { Ok(()) } else { Err(String::from_utf8(output.stderr).unwrap()) }
 }
 
-/// Checks a list that contains only this guard.
+/// Checks a list of guards that contains a single guard with the given name, file and text.
 fn check_one(name: &str, file: &str, find: &str) -> Result<(), String> {
     let list = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
     let text = format!(
