--- a/crates/scale/src/budget.rs
+++ b/crates/scale/src/budget.rs
@@ -92,7 +92,7 @@
     reason: "a fifth; docs/CAPACITY.md explains any larger deviation",
 };
 
-/// All budgets.
+/// All budgets whose limit the command line can override.
 pub const ALL: [Budget; 19] = [
     SENDER_MEMORY,
     SENDER_CPU,
@@ -115,7 +115,7 @@
     SIMULATED_AGAINST_REAL,
 ];
 
-/// Limits from the command line, which replace the limits of the budgets.
+/// Limits from `--budget` arguments, which replace the limits of the named budgets.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides(Vec<(&'static str, f64)>);
 
@@ -137,7 +137,7 @@
     /// Parses the `NAME=LIMIT` pairs of `--budget` arguments.
     ///
     /// # Errors
-    /// Fails for a pair that can't be parsed, or a name that no budget has.
+    /// Fails for a `NAME=LIMIT` pair that can't be parsed, or a name that no budget has.
     pub fn parse(pairs: &[String]) -> Result<Self, OverrideError> {
         let read = |pair: &String| {
             let (name, limit) = pair.split_once('=').ok_or_else(|| OverrideError::Form(pair.clone()))?;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -29,7 +29,7 @@
 #[derive(Parser)]
 #[command(name = "embershore-scale", version)]
 struct Arguments {
-    /// Use small sizes that take a few seconds in all; CI runs these.
+    /// Use small sizes that take a few seconds in all; CI runs the small sizes.
     #[arg(long, global = true)]
     small: bool,
     /// Print one JSON object per slope instead of text.
@@ -50,11 +50,11 @@
 
 #[derive(Clone, Copy, Subcommand)]
 enum Slope {
-    /// Memory and time to readiness of a real daemon, by the length of its list.
+    /// Memory and time to readiness of a real daemon, by the length of its endpoint list.
     ListMemory,
-    /// Processor time per message of a real daemon, by the length of its list.
+    /// Processor time per message of a real daemon, by the length of its endpoint list.
     MessageCpu,
-    /// Processor time of the decision module's idle rounds, by the length of its list.
+    /// Processor time of the decision module's idle rounds, by the length of its endpoint list.
     ModuleRound,
     /// Memory, journal size and restart time of a real daemon, by the number of queued messages.
     Held,
@@ -64,11 +64,11 @@
     Placement,
     /// Owned destinations, load and control traffic of each of 15,000 simulated senders.
     Fleet,
-    /// Time and memory to read the full list as a stream.
+    /// Time and memory to read the full endpoint list as a stream.
     ListStream,
     /// Cost of a message in a simulated sender, compared with real processes.
     HollowCheck,
-    /// Number of destinations that simulated senders own, compared with those kept by real processes.
+    /// Number of destinations that simulated senders own, compared with the number that real processes retain.
     OwnersCheck,
     /// Measure all slopes, one after another.
     All,
--- a/crates/scale/src/process/client.rs
+++ b/crates/scale/src/process/client.rs
@@ -12,7 +12,7 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Body of every message. With another length, results can't be compared with earlier results.
 const BODY: [u8; 200] = [b'm'; 200];
-/// Number of unanswered messages per connection; the daemon processes this many at a time.
+/// Number of unanswered messages per connection, which equals the number that the daemon processes at a time.
 pub const MAX_UNANSWERED: usize = 64;
 /// Number of client connections that share a load at a fixed rate.
 const CONNECTIONS: usize = 8;
@@ -22,7 +22,7 @@
 pub struct PutCounts {
     /// Number of messages answered with `+OK`.
     pub accepted: u64,
-    /// Number of messages answered with anything else.
+    /// Number of messages answered with anything but `+OK`.
     pub refused: u64,
 }
 
@@ -44,7 +44,7 @@
     /// Connects to the daemon; the ids of the client's messages begin with `prefix`.
     ///
     /// # Errors
-    /// Fails if nothing listens at the address.
+    /// Fails if no daemon listens at the address.
     pub async fn connect(address: SocketAddr, prefix: impl Into<String>) -> Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
--- a/crates/scale/src/process/control.rs
+++ b/crates/scale/src/process/control.rs
@@ -29,7 +29,7 @@
     /// Starts to serve the member list.
     ///
     /// # Errors
-    /// Fails if no port is free.
+    /// Fails if no port is free for the stand-in.
     pub async fn start(list: &MemberList) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -41,7 +41,7 @@
         });
         let serving = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // The number of tasks is bounded by the number of started senders: each has one open request.
+                // The number of tasks is bounded by the number of started senders: each sender has one open request.
                 tokio::spawn(serve(stream, answers.clone()));
             }
         });
--- a/crates/scale/src/process/daemon.rs
+++ b/crates/scale/src/process/daemon.rs
@@ -17,7 +17,7 @@
 /// Time limit of messages of the class `kept`: ten hours, so that none expires during a measurement.
 pub const KEPT_CLASS_TTL_MS: u64 = 36_000_000;
 
-/// The part of the configuration that differs between measurements.
+/// The part of the daemon's configuration that differs between measurements.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Maximum number of open messages of the daemon.
@@ -86,7 +86,7 @@
 /// Number of the loopback address that [`free_address`] returns next.
 static NEXT_ADDRESS: AtomicU16 = AtomicU16::new(1);
 
-/// Returns an address whose IP address no other process listens on or connects from.
+/// Returns a loopback address whose IP address no other process listens on or connects from.
 ///
 /// # Errors
 /// Fails if no port of the IP address is free.
@@ -156,7 +156,7 @@
     /// Waits until the daemon has read the endpoints of all shards that it owns. Returns the number of these endpoints.
     ///
     /// # Errors
-    /// Fails if the daemon has not read them within the time limit.
+    /// Fails if the daemon has not read the endpoints of its shards within the time limit.
     pub async fn wait_until_owned_read(&self, time_limit: Duration) -> Result<u64> {
         let started = Instant::now();
         loop {
@@ -207,7 +207,7 @@
     /// Returns the size of the daemon's journal in bytes.
     ///
     /// # Errors
-    /// Fails if there is no journal.
+    /// Fails if the daemon has no journal.
     pub fn journal_bytes(&self) -> Result<f64> {
         Ok(std::fs::metadata(self.folder.path().join("state/journal"))?.len() as f64)
     }
@@ -221,7 +221,7 @@
     /// Kills the daemon process and starts a new process with the same state directory.
     ///
     /// # Errors
-    /// Fails if the process can't be killed or started.
+    /// Fails if the daemon process can't be killed or started.
     pub async fn restart(&mut self) -> Result<()> {
         self.child.kill().await?;
         self.child = spawn(&self.binary, self.folder.path())?;
--- a/crates/scale/src/process/directory.rs
+++ b/crates/scale/src/process/directory.rs
@@ -51,7 +51,7 @@
     /// Starts to serve the endpoint list.
     ///
     /// # Errors
-    /// Fails if no port is free.
+    /// Fails if no port is free for the stand-in.
     pub async fn start(list: Vec<u8>) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (address, list) = (listener.local_addr()?, Bytes::from(list));
--- a/crates/scale/src/process/http.rs
+++ b/crates/scale/src/process/http.rs
@@ -1,4 +1,4 @@
-//! The part of HTTP/1.1 that the stand-ins use.
+//! Reads the HTTP/1.1 requests that daemons send to the stand-ins.
 
 use std::io;
 use tokio::io::{AsyncBufRead, AsyncBufReadExt, AsyncReadExt};
--- a/crates/scale/src/process/mod.rs
+++ b/crates/scale/src/process/mod.rs
@@ -21,7 +21,7 @@
 /// Runs a measurement with its stand-ins on the current thread.
 ///
 /// # Errors
-/// Returns the error of the measurement.
+/// Returns the error with which the measurement fails.
 pub fn on_this_thread<T>(work: impl Future<Output = Result<T>>) -> Result<T> {
     tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(work)
 }
--- a/crates/scale/src/process/usage.rs
+++ b/crates/scale/src/process/usage.rs
@@ -3,7 +3,7 @@
 use anyhow::{Context, Result};
 use std::fs;
 
-/// Clock ticks per second in `/proc/PID/stat`: every Linux reports 100 to user space.
+/// Clock ticks per second of the times in `/proc/PID/stat`: every Linux reports 100 to user space.
 const TICKS_PER_SECOND: f64 = 100.0;
 /// Position of the user time in `/proc/PID/stat`, counted from the field after the command's name.
 const USER_TIME_FIELD: usize = 11;
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -88,12 +88,12 @@
     pub verdict: Option<Verdict>,
 }
 
-/// All measurements of one slope.
+/// The results of one slope: its inputs, metrics and remarks.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// Name of the slope's subcommand.
     pub slope: &'static str,
-    /// Parameters of the measurement, by name.
+    /// Inputs: parameters of the measurement, by name.
     pub inputs: BTreeMap<&'static str, String>,
     /// The measured metrics of the slope.
     #[serde(rename = "figures")]
--- a/crates/scale/src/simulated_fleet.rs
+++ b/crates/scale/src/simulated_fleet.rs
@@ -14,7 +14,7 @@
     zones.flat_map(|(region, &count)| (0..count).map(move |zone| (region, zone))).collect()
 }
 
-/// Returns the member that fills a seat; `incarnation` counts the members of the seat from 0.
+/// Returns the member that fills a seat; `incarnation` is the number of members that the seat had before.
 pub fn member(seat: usize, incarnation: usize) -> MemberForm {
     let [_, high, middle, low] = (seat as u32 + 1).to_be_bytes();
     let address = format!("127.{}.{middle}.{low}:{MEMBER_PORT}", usize::from(high) + incarnation);
--- a/crates/scale/src/simulated_module.rs
+++ b/crates/scale/src/simulated_module.rs
@@ -50,7 +50,7 @@
     }
 
     /// Runs one round with a message for each of `destinations` and the outcomes of the previous round's calls.
-    /// Returns the processor time of the round.
+    /// Returns the processor time that the round used.
     ///
     /// # Errors
     /// Fails if the system does not provide a thread's processor time.
--- a/crates/scale/src/slopes/fleet.rs
+++ b/crates/scale/src/slopes/fleet.rs
@@ -37,7 +37,7 @@
 
 /// Load of a fleet: the message rate of each destination.
 struct Load {
-    /// Messages per second of each destination.
+    /// Messages per second of each destination, by the destination's number.
     rates: Vec<f64>,
 }
 
--- a/crates/scale/src/slopes/held.rs
+++ b/crates/scale/src/slopes/held.rs
@@ -1,4 +1,5 @@
-//! Memory, journal size and restart time of a real daemon by the number of messages queued for receivers that are down.
+//! Measures memory, journal size and restart time of a real daemon, by the number of queued messages.
+//! The messages are queued for receivers that are down.
 
 use super::Setup;
 use crate::budget::{HELD_BYTES, HELD_JOURNAL, READY_TIME};
--- a/crates/scale/src/slopes/module_round.rs
+++ b/crates/scale/src/slopes/module_round.rs
@@ -13,7 +13,7 @@
 const ROUNDS_PER_SECOND: f64 = 200.0;
 /// Number of rounds that are timed together: a single round is too short for the clock.
 const ROUNDS_PER_BATCH: u32 = 20;
-/// Time after which the measurement of one list size ends.
+/// Time after which the measurement with one length of the endpoint list ends.
 const MAX_MEASURING_TIME: Duration = Duration::from_secs(10);
 
 /// Measures the processor time of idle rounds with growing endpoint lists.
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -106,7 +106,7 @@
     movement
 }
 
-/// The member list and the placement table of one epoch.
+/// The member list of one epoch, and the placement table that belongs to the list.
 struct Placement {
     list: MemberList,
     table: Table,
--- a/crates/scale/src/spread.rs
+++ b/crates/scale/src/spread.rs
@@ -62,7 +62,7 @@
 const MAX_NANOSECONDS: u64 = 60_000_000_000;
 
 impl Times {
-    /// Creates an empty histogram.
+    /// Creates an empty histogram of times.
     ///
     /// # Errors
     /// Never fails in practice: the histogram's precision is a constant.
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -16,7 +16,7 @@
 pub const REPLICAS: u8 = 2;
 /// Number of configuration changes per day.
 pub const CHANGES_PER_DAY: u32 = 27_000;
-/// Number of senders per day that fail and only return by a replacement.
+/// Number of senders per day that fail and must be replaced.
 pub const LOST_PER_DAY: u32 = 36;
 /// Number of senders that are restarted or replaced per day.
 pub const REPLACED_PER_DAY: u32 = 2_600;
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn ping_is_answered_only_once_the_list_is_known() {
-    // Discovery accepts connections without answering, and there is no known list.
+    // Discovery accepts connections without answering, and the configuration contains no known list.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
     let silent_addr = silent.local_addr().unwrap().to_string();
@@ -154,7 +154,7 @@
             MAX_CLOSE_DELAY
         );
     }
-    // A connection with regular requests is kept open.
+    // The sender does not close a client connection with regular requests.
     let mut client = sender.client();
     while start.elapsed() < Duration::from_secs(4) {
         client.ping();
@@ -201,7 +201,7 @@
             0 => {}
             1 => one.write(half_command),
             _ => {
-                // The sender may have closed this connection already to make room for a later one.
+                // The sender may have closed the client's connection already to make room for another.
                 one.write(&resp(&[b"PING"]));
             }
         }
@@ -234,7 +234,7 @@
     let (endpoint, _platform, sender) = sender_with_endpoint();
     let mut active = sender.client();
     active.ping();
-    // 256 descriptors leave room for 85 clients.
+    // A limit of 256 file descriptors leaves room for 85 client connections.
     let silent: Vec<Client> = (0..200).map(|_| sender.client()).collect();
     let mut last = sender.client();
     assert_eq!(last.put("a1", SYNC), "+OK");
--- a/crates/sender/tests/common/mod.rs
+++ b/crates/sender/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time limit of each wait; longer than any awaited step takes on a busy machine.
+/// Time limit of each wait in a test; longer than any awaited step takes on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Polls `ready` until it returns true; `what` names the awaited condition in the panic message.
@@ -316,7 +316,7 @@
         discovery.watches.iter_mut().for_each(|s| write_list(s, &update));
     }
 
-    /// Closes all watches.
+    /// Closes all open watches of the endpoint list.
     pub fn drop_watches(&self) {
         for s in self.discovery.lock().unwrap().watches.drain(..) {
             _ = s.shutdown(Shutdown::Both);
@@ -422,7 +422,7 @@
     }
 }
 
-/// Writes a complete answer with a content length.
+/// Writes a complete HTTP answer with a content length.
 pub fn write_answer(stream: &mut TcpStream, code: u16, body: &str) {
     let text = format!("HTTP/1.1 {code} X\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     _ = stream.write_all(text.as_bytes());
--- a/crates/sender/tests/common/placement/clients.rs
+++ b/crates/sender/tests/common/placement/clients.rs
@@ -65,13 +65,13 @@
 
 type Connection = BufReader<TcpStream>;
 
-/// All clients of the fleet.
+/// All clients that put messages at the fleet, with their connections and open messages.
 pub struct Clients {
     ledger: Rc<Ledger>,
     fleet: Rc<Fleet>,
     /// Client connections without an outstanding request, by index of the sender.
     idle: RefCell<Vec<Vec<Connection>>>,
-    /// Accepted messages that a notice may still return, by id.
+    /// Accepted messages that a notice may still return to the client, by message id.
     accepted: RefCell<HashMap<String, Message>>,
     /// Number of messages that are being put or wait to be put again.
     in_progress: Cell<usize>,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Puts one message at a sender, from a task of its own, and returns its id.
+    /// Puts one message at a sender, in a task of its own, and returns the message's id.
     pub fn send(self: &Rc<Self>, class: usize, destination: i64, entry: usize) -> String {
         let message = self.new_message(class, destination, entry);
         let id = message.origin.clone();
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Waits until no message is being put and all accepted messages have ended or passed their deadline.
+    /// Waits until no put is in progress and all accepted messages have ended or passed their deadline.
     pub async fn wait_all_ended(&self) {
         super::wait_until("the clients' last answers", || self.in_progress.get() == 0).await;
         // A message's notice is due 0.3 s after the message's deadline.
--- a/crates/sender/tests/common/placement/deployment.rs
+++ b/crates/sender/tests/common/placement/deployment.rs
@@ -29,7 +29,7 @@
     pub destinations: i64,
     /// Number of owners of a destination.
     pub replicas: usize,
-    /// How long a sender may accept messages as an owner after an answer of its control agent.
+    /// The lease: how long a sender may accept messages as an owner after an answer of its control agent.
     pub lease: Duration,
     /// How often a sender polls its control agent.
     pub poll_interval: Duration,
--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -37,7 +37,7 @@
     index: u64,
 }
 
-/// Addresses at which one sender reaches the endpoints, by generation.
+/// Addresses at which one sender reaches the endpoints, by generation of the endpoint.
 pub type Addresses = [SocketAddr; GENERATIONS];
 
 /// A notice that returns a message to its client.
--- a/crates/sender/tests/common/placement/fleet.rs
+++ b/crates/sender/tests/common/placement/fleet.rs
@@ -199,7 +199,7 @@
         candidates.find(|n| !self.processes[*n].excluded.get()).unwrap_or(wanted % count)
     }
 
-    /// Sets whether clients use a sender.
+    /// Sets whether clients put messages at a sender.
     pub fn set_accepts_clients(&self, index: usize, open: bool) {
         self.processes[index].excluded.set(!open);
     }
--- a/crates/sender/tests/common/placement/receivers.rs
+++ b/crates/sender/tests/common/placement/receivers.rs
@@ -27,9 +27,9 @@
     Normal,
     /// Runs each message and answers 200 after the given delay.
     Slow(Duration),
-    /// Runs each message and answers 500.
+    /// Runs each message, but answers 500.
     RunThenFail,
-    /// Rejects each call with 503 without running it.
+    /// Rejects each call with 503 without running its messages.
     Refuse,
     /// Rejects the next call with 429 and an advertised wait, then treats calls normally.
     WaitOnce(Duration),
--- a/crates/sender/tests/common/placement/relay.rs
+++ b/crates/sender/tests/common/placement/relay.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
     Pass,
-    /// Closes the forwarder's side after a complete `MSG.PUT` has passed, before its answer.
+    /// Closes the forwarder's side after a complete `MSG.PUT` has passed, before the owner's answer passes.
     CutAfterRequest,
     /// Closes a new connection before any byte passes.
     /// Closes an open connection when its next bytes arrive, and drops these bytes.
@@ -130,7 +130,7 @@
         () = cut.notified() => drop(to),
         _ = tokio::io::copy(&mut from, &mut to) => return,
     }
-    // The owner's remaining bytes are read, so that its side is closed without a reset.
+    // The owner's remaining bytes are read, so that the owner's side is closed without a TCP reset.
     let rest = async { while matches!(from.read(&mut [0; 1024]).await, Ok(1..)) {} };
     _ = tokio::time::timeout(OWNER_SIDE_LINGER, rest).await;
 }
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -33,7 +33,7 @@
 }
 
 impl Findings {
-    /// Judges the records of a ledger.
+    /// Judges the records that the ledger of a scenario contains.
     pub fn from_ledger(scenario: &str, deployment: &Deployment, ledger: &Ledger) -> Findings {
         let parameters = Box::new(deployment.parameters(scenario));
         let mut records = vec![Record { t: 0, event: Event::Run { format: FORMAT, parameters } }];
--- a/crates/sender/tests/common/placement/wrong_lists.rs
+++ b/crates/sender/tests/common/placement/wrong_lists.rs
@@ -1,4 +1,4 @@
-//! Invalid member lists, which a sender must refuse.
+//! Invalid member lists for tests in which a sender must refuse the list.
 
 use serde_json::{Value, json};
 
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -83,7 +83,7 @@
 fn one_message_each_in_five_seconds_over_thirty_endpoints() {
     let (report, table) = rehearse("12s", 20, &[receiver(1, 30)], "");
     let spread = spread_over_longest_window(&report, 1);
-    // When endpoints were used in the order of the list, the variance was over 60.
+    // When senders used the endpoints in the order of the list, the variance of the calls was over 60.
     assert!(spread.variance < 4.0, "{}", report.text());
     let idle = calls_by_endpoint(&table, 1, 0.0, 12.0).iter().filter(|c| c.1 == 0.0).count();
     assert!(idle <= 3, "{idle} endpoints had no call\n{}", report.text());
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -27,7 +27,7 @@
     json!({"index": index, "snapshot": true, "endpoints": lines})
 }
 
-/// Starts a discovery that answers list requests with a full list and watches by a script.
+/// Starts a discovery stub that answers list requests with a full list; a script answers its watch requests.
 fn discovery(
     full_list: &Value,
     watch: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -58,7 +58,7 @@
         assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
         assert!(started.elapsed() < Duration::from_secs(1));
     }
-    // The oldest idle caller was closed to make room.
+    // The management interface closed the oldest idle caller's connection to make room.
     open_connections[1].set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert_eq!(open_connections[1].read(&mut [0; 64]).unwrap_or(0), 0);
 }
@@ -242,7 +242,7 @@
         assert_eq!(sender.mgmt_request("GET /_ready").0 == 200, ready);
         assert_eq!(ping_reply(&sender) == "+PONG", ready);
     }
-    // The existing connection must survive, since the last request was `off`.
+    // The existing client connection must stay open, since the last lame duck request was `off`.
     std::thread::sleep(Duration::from_millis(700));
     client.ping();
     assert_eq!(client.put("a1", PUSH), "+OK");
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -30,7 +30,7 @@
 /// The destination whose receiver rejects one call with an advertised wait.
 const WAITING: i64 = 7;
 
-/// Rules that every scenario must test.
+/// Rules of the judge that every scenario must exercise.
 const ALWAYS: [Rule; 2] = [Rule::NoMessageLost, Rule::OrderKept];
 
 fn judge(scenario: &str, rig: &Rig) -> Findings {
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -254,7 +254,7 @@
     let end = history.lines().find(is_end).unwrap().to_string();
     std::fs::write(path("cut.jsonl"), truncated.join("\n")).unwrap();
     assert_eq!(rehearse_command(&["judge", &path("cut.jsonl")]).status.code(), Some(3));
-    // If the first listing had reported a draining endpoint, the later calls to it would break the rule.
+    // If the first listing had reported an endpoint as draining, later calls to it would break the rule.
     let drained_lines = "\"lines\":[[\"r1-0\",\"terminating\"],[\"r1-1\",\"gone\"]]";
     let with_drained_lines = |l: &str| l.replace("\"lines\":[]", drained_lines);
     let drained: Vec<String> = truncated.iter().map(|l| with_drained_lines(l)).chain([end]).collect();
--- a/crates/sender/tests/reload.rs
+++ b/crates/sender/tests/reload.rs
@@ -111,7 +111,7 @@
     assert_eq!(client.put("f1", "c=wire,d=1000,dest=3"), "+OK");
     platform.wait_notice("f1", "failed");
     assert_eq!(endpoint.call_count("f1"), 1);
-    // Clients may not know yet that the old class is gone.
+    // Clients may not know yet that the old class has been removed.
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     // A message counts as succeeded when its answer arrives, which is later than the send.
--- a/crates/sender/tests/restart.rs
+++ b/crates/sender/tests/restart.rs
@@ -80,7 +80,7 @@
     let mut client = sender.client();
     assert_eq!(client.put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
-    // Once a second message has been sent on the same connection, the answer to the first one has been read.
+    // A second message on the same endpoint connection shows that the answer to the first one was read.
     assert_eq!(client.put("a2", PAY), "+OK");
     endpoint.wait_sent("a2");
     std::thread::sleep(Duration::from_millis(100));
@@ -321,7 +321,7 @@
     assert_eq!(old.sent(), Vec::<String>::new());
 }
 
-/// Time within which nine of ten restarted processes must be ready.
+/// Time within which nine of ten restarted sender processes must be ready.
 const MAX_START_TIME: Duration = Duration::from_secs(10);
 
 /// Fills a sender's journal up to the size limit, kills the sender and returns the journal's content.
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -138,7 +138,8 @@
 fn a_second_kill_within_the_first_second_changes_nothing() {
     let endpoint = Endpoint::new(|_| status(200));
     let (platform, mut sender, _) = killed_with_untried(MAX_ACCEPTED, 1, 15_000);
-    // Three starts without an endpoint, each killed at a different moment; the last start finds the endpoint.
+    // The sender starts three times without an endpoint and is killed at a different moment each time.
+    // At its last start, the sender finds the endpoint.
     for wait in [0, 40, 400] {
         sender.spawn();
         sleep(Duration::from_millis(wait));
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -65,7 +65,7 @@
 #[serde(deny_unknown_fields)]
 struct Guard {
     name: String,
-    /// Number of the rule that the guard enforces, 1 to 6.
+    /// Number of the delivery rule that the guard enforces, 1 to 6.
     rule: u8,
     #[serde(default = "default_file")]
     file: String,
@@ -90,7 +90,7 @@
     Detected(Vec<String>),
     /// All tests, or the scenario, passed without the guard.
     Undetected,
-    /// The sources do not build without the guard.
+    /// The sources without the guard do not compile.
     BuildFailed,
     /// The rehearsal was void because its rig was late; it must be repeated on a less busy machine.
     Void,
