--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,9 +1,9 @@
-//! Measures the slopes behind `docs/CAPACITY.md` (how costs grow with size): with real daemon processes if they fit on
-//! one machine, otherwise with simulated senders ("hollow" in reports and names), which run the real decision code and
-//! its messages without clients and endpoints.
+//! Measures the slopes behind `docs/CAPACITY.md`: how costs grow with the size of the fleet and its list.
+//! The measurements use real daemon processes if these fit on one machine, otherwise simulated senders.
+//! Simulated senders ("hollow" in reports and names) run the real decision code without clients and endpoints.
 //!
-//! Each subcommand prints its inputs and its metrics with their spread and budget.
-//! It fails with the name of every budget that a metric exceeds.
+//! Each subcommand prints its inputs and its metrics, with the spread and budget of each metric.
+//! A subcommand fails with the name of every budget that a metric exceeds.
 
 #![forbid(unsafe_code)]
 
@@ -29,7 +29,7 @@
 #[derive(Parser)]
 #[command(name = "embershore-scale", version)]
 struct Arguments {
-    /// Use small sizes that take a few seconds in all; CI runs these.
+    /// Use small sizes that take a few seconds in all; CI runs the small sizes.
     #[arg(long, global = true)]
     small: bool,
     /// Print one JSON object per slope instead of text.
@@ -38,7 +38,7 @@
     /// Path of the daemon's binary [default: the release build of this workspace].
     #[arg(long, global = true)]
     binary: Option<PathBuf>,
-    /// Override a budget's limit, in the budget's unit (bytes, seconds, cores or a ratio).
+    /// Override the limit of the budget NAME, in the budget's unit (bytes, seconds, cores or a ratio).
     #[arg(long, global = true, value_name = "NAME=LIMIT")]
     budget: Vec<String>,
     /// Seed of all random numbers.
@@ -50,11 +50,11 @@
 
 #[derive(Clone, Copy, Subcommand)]
 enum Slope {
-    /// Memory and time to readiness of a real daemon, by the length of its list.
+    /// Memory and time to readiness of a real daemon, by the length of its endpoint list.
     ListMemory,
-    /// Processor time per message of a real daemon, by the length of its list.
+    /// Processor time per message of a real daemon, by the length of its endpoint list.
     MessageCpu,
-    /// Processor time of the decision module's idle rounds, by the length of its list.
+    /// Processor time of the decision module's idle rounds, by the length of its endpoint list.
     ModuleRound,
     /// Memory, journal size and restart time of a real daemon, by the number of queued messages.
     Held,
@@ -64,13 +64,13 @@
     Placement,
     /// Owned destinations, load and control traffic of each of 15,000 simulated senders.
     Fleet,
-    /// Time and memory to read the full list as a stream.
+    /// Time and memory to read the full endpoint list as a stream.
     ListStream,
     /// Cost of a message in a simulated sender, compared with real processes.
     HollowCheck,
-    /// Number of destinations that simulated senders own, compared with those kept by real processes.
+    /// Number of destinations that simulated senders own, compared with the number that real processes retain.
     OwnersCheck,
-    /// All slopes, one after another.
+    /// Measure all slopes, one after another.
     All,
 }
 
--- a/crates/scale/src/process/control.rs
+++ b/crates/scale/src/process/control.rs
@@ -10,26 +10,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// A running stand-in, which serves requests until it is dropped.
+/// A running stand-in for a control agent, which serves requests until it is dropped.
 pub struct ControlAgent {
-    /// Address on which the stand-in listens.
+    /// Address on which the stand-in for the control agent listens.
     pub address: SocketAddr,
     serving: JoinHandle<()>,
 }
 
-/// The two possible answers of the stand-in.
+/// The two possible answers of the stand-in: the full list, or the report that the list is unchanged.
 struct Answers {
-    /// Part of the request line that a sender with the current list sends.
+    /// Part of the request line by which the stand-in recognises a sender that has the current member list.
     known_epoch: String,
     unchanged: Bytes,
     full_list: Bytes,
 }
 
 impl ControlAgent {
-    /// Starts to serve the list.
+    /// Starts to serve the member list.
     ///
     /// # Errors
-    /// Fails if no port is free.
+    /// Fails if no port is free for the stand-in.
     pub async fn start(list: &MemberList) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -41,7 +41,7 @@
         });
         let serving = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // The number of tasks is bounded by the number of started senders: each has one open request.
+                // The number of tasks is bounded by the number of started senders: each sender has one open request.
                 tokio::spawn(serve(stream, answers.clone()));
             }
         });
