--- a/crates/rehearsal/src/event.rs
+++ b/crates/rehearsal/src/event.rs
@@ -1,63 +1,65 @@
-//! Events of a rehearsal: faults of the stand-ins and actions on the senders, from the timeline of a scenario or over
-//! the control port.
+//! Events of a rehearsal: faults of the stand-ins, and actions on the senders.
+//! Events come from the timeline of a scenario or over the control port.
 
 use crate::span::{Micros, Span};
 use serde::Deserialize;
 use std::fmt;
 
-/// Kind of an event, as the scenario names it.
+/// Kind of an event, under its name in the scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
     /// Receivers read and run calls but answer none.
     Silent,
-    /// Receivers read nothing, so that no call arrives.
+    /// Receivers read nothing from their connections, so that no call arrives.
     Hang,
-    /// Receivers answer every call with 503, some with the time until the end of the event as wait.
+    /// Receivers answer every call with 503.
+    /// Some of these answers advertise the time until the end of the event as wait.
     Shut,
     /// Receivers reset every connection.
     Down,
-    /// Receivers take `factor` times longer.
+    /// Receivers take `factor` times longer to run messages.
     Slow,
     /// Receivers reset the connection of a share of the calls after having run them.
     Reset,
     /// Receivers answer a share of the calls with an error; half of these calls run.
     Fail,
-    /// Receivers run each call later, whether or not the sender still waits.
+    /// Receivers run each call later than normal, whether or not the sender still waits for the answer.
     Late,
-    /// Receivers reject calls with 429 and the time until the end of the event as wait.
+    /// Receivers reject calls with 429 and advertise the time until the end of the event as wait.
     Wait,
     /// Receivers become cold, as after an outage that no sender saw.
     Cold,
-    /// Endpoints drain and are removed.
+    /// Endpoints drain and are then removed.
     Drain,
-    /// Endpoints drain and are removed, and new ones replace them, in waves.
+    /// Endpoints drain and are removed, and new endpoints replace them in several waves.
     Replace,
-    /// New endpoints are added.
+    /// New endpoints of receivers are added to the directory.
     Join,
-    /// The directory publishes its changes later.
+    /// The directory publishes its changes later than normal.
     DirectoryLag,
-    /// The directory sends nothing.
+    /// The directory sends nothing to the senders.
     DirectorySilent,
-    /// The directory sends complete lists only, and ends the watch after each.
+    /// The directory sends complete lists only, and ends a sender's watch after each list.
     DirectorySnapshots,
-    /// The directory rejects notices with an error.
+    /// The directory rejects the senders' notices with an error.
     DirectoryDeaf,
     /// The directory's version decreases, as after a restore from a backup.
     DirectoryBack,
-    /// A sender gets SIGTERM, SIGKILL 3.7 s later if it still runs, and is started again.
+    /// A sender gets SIGTERM, SIGKILL 3.7 s later if the process still runs, and is started again.
     Sigterm,
     /// A sender gets SIGKILL and is started again.
     Sigkill,
     /// A sender gets SIGHUP and reads its configuration again.
     Sighup,
-    /// A sender is stopped with SIGSTOP, and continued after a while.
+    /// A sender is stopped with SIGSTOP, and continued with SIGCONT at the end of the event.
     Sigstop,
     /// A sender's process is replaced by a new one that starts while the old one still runs.
     Upgrade,
-    /// A sender is put into lame duck mode, and out of it after a while.
+    /// A sender is put into lame duck mode, and out of lame duck mode at the end of the event.
     LameDuck,
-    /// A sender's configuration gains a class and halves the attempts, and is restored after a while.
+    /// A sender's configuration gains a class and halves the attempts.
+    /// The previous configuration is restored at the end of the event.
     Retune,
     /// A sender's configuration is replaced by an invalid one, which it must reject as a whole.
     RetuneWrong,
@@ -66,7 +68,7 @@
 }
 
 impl EventKind {
-    /// Returns the fields that the kind requires, and those that it also allows.
+    /// Returns the fields that the event's kind requires, and the fields that the kind also allows.
     fn fields(self) -> Fields {
         match self {
             EventKind::Silent | EventKind::Hang | EventKind::Shut | EventKind::Down => {
@@ -98,16 +100,16 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawEvent {
-    /// Time on the timeline; absent over the control port, where the event happens at once.
+    /// Time of the event on the timeline; absent over the control port, where an event happens at once.
     #[serde(default)]
     pub at: Option<Span>,
     /// Kind of the event.
     #[serde(rename = "do")]
     pub kind: EventKind,
-    /// Number of the receiver; all receivers if absent.
+    /// Number of the affected receiver; all receivers if absent.
     #[serde(default)]
     pub receiver: Option<i64>,
-    /// Number of the receiver's endpoints that are affected; all if absent.
+    /// Number of endpoints affected at each receiver; all endpoints if absent.
     #[serde(default)]
     pub endpoints: Option<usize>,
     /// How long the event lasts.
@@ -119,7 +121,7 @@
     /// Share of the calls, endpoints or senders that are affected, from 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Delay that the event adds.
+    /// Delay that the event adds to normal operation.
     #[serde(default)]
     pub by: Option<Span>,
     /// Time over which the waves of a replacement are spread.
@@ -128,24 +130,24 @@
     /// How long a draining endpoint stays listed before it is removed.
     #[serde(default)]
     pub gone_after: Option<Span>,
-    /// Name of the sender; all senders if absent.
+    /// Name of the affected sender; all senders if absent.
     #[serde(default)]
     pub sender: Option<String>,
     /// How long a sender stays down before it is started again.
     #[serde(default)]
     pub down: Option<Span>,
-    /// Number of connections to each sender.
+    /// Number of crowd connections to each sender.
     #[serde(default)]
     pub connections: Option<usize>,
 }
 
-/// Maximum number of crowd connections to each sender: they use descriptors of this process too.
+/// Maximum number of crowd connections to each sender: the connections use descriptors of the rehearsal's process too.
 const MAX_CROWD_CONNECTIONS: usize = 10_000;
 
-/// Fields that are required, and fields that are also allowed.
+/// Names of the fields that an event kind requires, and of the fields that the kind also allows.
 pub(crate) type Fields = (&'static [&'static str], &'static [&'static str]);
 
-/// Returns a message for each given field that is not allowed, and for each required field that is missing.
+/// Returns a message for each given field that is not allowed, and one for each required field that is missing.
 pub(crate) fn field_problems(given: &[(&str, bool)], (required, allowed): Fields, what: &str) -> Vec<String> {
     let problems = given.iter().filter_map(|(name, is_given)| {
         if *is_given && !required.contains(name) && !allowed.contains(name) {
@@ -169,7 +171,7 @@
 }
 
 impl RawEvent {
-    /// Returns all problems of the event, each with the way to correct it.
+    /// Returns all problems of the event, each with a way to correct the problem.
     pub fn problems(&self, targets: Targets<'_>) -> Vec<String> {
         let mut problems = Vec::new();
         let given = [
@@ -214,7 +216,8 @@
         problems
     }
 
-    /// Returns whether the event applies to the sender: the named one, or one of its share of all, spread evenly.
+    /// Returns whether the event applies to the sender.
+    /// An event applies to the sender that it names, or to its share of all senders, spread evenly.
     pub fn applies_to(&self, sender: usize, name: &str) -> bool {
         let share = self.share.unwrap_or(1.0);
         let upto = |n: usize| (n as f64 * share).floor();
@@ -229,7 +232,7 @@
     /// Parses an event from a line such as `slow receiver=3 for=10s factor=8`.
     ///
     /// # Errors
-    /// Describes what cannot be parsed, and how to correct it.
+    /// Fails with a description of what cannot be parsed, and how to correct the line.
     pub fn from_line(line: &str) -> Result<RawEvent, String> {
         let mut words = line.split_whitespace();
         let kind = words
@@ -240,7 +243,7 @@
         for word in words {
             let (name, value) =
                 word.split_once('=').ok_or_else(|| format!("'{word}' is not of the form name=value"))?;
-            // Numbers are passed as numbers, everything else as text; quotes keep a number-like sender name as text.
+            // Numbers become TOML numbers, all other values text; quotes keep a number-like sender name as text.
             let value = match (value.parse::<i64>(), value.parse::<f64>()) {
                 (Ok(n), _) => n.into(),
                 (_, Ok(n)) => n.into(),
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -1,10 +1,10 @@
 //! The history of a run: one JSON record per line, in the order in which the stand-ins recorded the events.
 //!
-//! The history is written before it is judged. A separate thread streams it to disk from a queue of at most
-//! [`MAX_QUEUED_RECORDS`] records, so that memory stays bounded with a slow disk or a long run.
-//! A disk that can't keep up blocks the rig, which the history records as lateness and which makes the run void.
+//! The history is written before the judge reads it. A separate thread streams it to disk.
+//! The thread's queue holds at most [`MAX_QUEUED_RECORDS`] records, which bounds memory with a slow disk or a long run.
+//! A disk that can't keep up blocks the rig. The history records that as lateness, which makes the run void.
 //!
-//! Tags, fields and values are a stored format: a renamed member keeps its old name by a serde attribute.
+//! The serde tags, fields and values are a stored format: a renamed member keeps its old name by a serde attribute.
 
 use crate::parameters::Parameters;
 use crate::span::Micros;
@@ -17,7 +17,7 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-/// Capacity of the queue of unwritten records: some seconds of a busy run.
+/// Capacity of the queue of records that are not yet written to disk: some seconds of a busy run.
 pub const MAX_QUEUED_RECORDS: usize = 65_536;
 /// Version of the history's format; a history of another version is rejected.
 pub const FORMAT: u32 = 1;
@@ -26,11 +26,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointStatus {
-    /// Listed as ready.
+    /// The endpoint is listed as ready for calls.
     Ready,
-    /// Draining: no new calls may be sent to it.
+    /// The endpoint is draining: no new calls may be sent to it.
     Terminating,
-    /// No longer listed.
+    /// The endpoint is no longer listed.
     Gone,
 }
 
@@ -48,9 +48,9 @@
     /// No reply arrived within [`Clients::patience`](crate::scenario::Clients::patience).
     #[serde(rename = "silence")]
     TimedOut,
-    /// The connection ended without a reply, also on a second, new connection.
+    /// The connection ended without a reply. On a reused connection, the put was first repeated on a new one.
     Closed,
-    /// No connection could be opened.
+    /// No connection to the sender could be opened in time.
     Unreachable,
     /// The client closed the connection without waiting for the reply.
     #[serde(rename = "left")]
@@ -71,9 +71,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClosedBy {
-    /// The sender.
+    /// The sender closed the connection.
     Sender,
-    /// The receiver.
+    /// The receiver closed the connection.
     Receiver,
 }
 
@@ -81,22 +81,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Signal {
-    /// SIGTERM, followed by SIGKILL if the process does not end in time.
+    /// SIGTERM asks the process to end. SIGKILL follows if it does not end in time.
     Term,
-    /// SIGKILL.
+    /// SIGKILL ends the process at once.
     Kill,
-    /// SIGHUP.
+    /// SIGHUP makes the process read its configuration again.
     Hup,
-    /// SIGSTOP.
+    /// SIGSTOP suspends the process.
     Stop,
-    /// SIGCONT.
+    /// SIGCONT continues a process suspended by SIGSTOP.
     Cont,
 }
 
 /// One message of a call, as the receiver saw it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item {
-    /// Id of the message.
+    /// Id of the message in the call.
     pub id: String,
     /// Idempotency key of the message, if it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -109,58 +109,58 @@
 pub enum Event {
     /// First record of the history: the parameters of the run.
     Run {
-        /// Format version, [`FORMAT`].
+        /// Version of the history's format, [`FORMAT`].
         format: u32,
         /// Everything of the scenario that the verdict depends on.
         #[serde(rename = "facts")]
         parameters: Box<Parameters>,
     },
-    /// An endpoint was opened.
+    /// A stand-in receiver opened an endpoint.
     Endpoint {
         /// Name of the endpoint.
         endpoint: String,
-        /// Number of its receiver.
+        /// Number of the endpoint's receiver.
         receiver: i64,
         /// Zone of the endpoint.
         zone: String,
     },
-    /// A sender answered `PING`.
+    /// A sender answered `PING`, which shows that its process is ready.
     Ready {
-        /// Index of the sender.
+        /// Index of the sender that is ready.
         sender: usize,
     },
-    /// A sender was sent a signal.
+    /// The rehearsal sent a signal to a sender's process.
     Signal {
-        /// Index of the sender.
+        /// Index of the sender that got the signal.
         sender: usize,
-        /// The signal that was sent.
+        /// The signal that the sender got.
         signal: Signal,
     },
     /// A sender's process ended.
     Exited {
-        /// Index of the sender.
+        /// Index of the sender whose process ended.
         sender: usize,
-        /// Whether a signal of the rehearsal ended it.
+        /// Whether the rehearsal ended the process with a signal; otherwise the process ended by itself.
         planned: bool,
         /// Exit status of the process, in words.
         how: String,
     },
-    /// A client put a message.
+    /// A client put a message to a sender for the first time, or again.
     Offer {
-        /// Index of the sender.
+        /// Index of the sender to which the message was put.
         sender: usize,
-        /// Id of the message; each put has a new one.
+        /// Id of the message; each repeated put of a message has a new id.
         id: String,
-        /// Id under which it was put first.
+        /// Id of the message at its first put.
         origin: String,
         /// Number of earlier puts of the same message.
         #[serde(rename = "again")]
         retries: u32,
-        /// Index of the class.
+        /// Index of the message's class.
         class: usize,
-        /// Index of the tenant.
+        /// Index of the message's tenant.
         tenant: usize,
-        /// Number of the receiver.
+        /// Number of the receiver that the message is for.
         receiver: i64,
         /// Idempotency key of the message, if it has one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -171,12 +171,12 @@
         /// Time left until the message's deadline.
         #[serde(rename = "left")]
         time_left: Micros,
-        /// Time of the first put in the plan.
+        /// Time at which the plan puts the message for the first time.
         due: Micros,
     },
-    /// A client's put ended.
+    /// A client's put ended, with or without a reply.
     Reply {
-        /// Id of the message.
+        /// Id of the message that was put.
         id: String,
         /// Result of the put.
         answered: PutOutcome,
@@ -184,39 +184,39 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         after_ms: Option<u64>,
     },
-    /// The platform received the notice of a message's end.
+    /// The platform received a sender's notice of a message's end.
     Notice {
-        /// Index of the sender.
+        /// Index of the sender that sent the notice.
         sender: usize,
-        /// Id of the message.
+        /// Id of the message that ended.
         id: String,
         /// How the message ended.
         state: NoticeState,
-        /// Retry-after for the client, in milliseconds.
+        /// Retry-after in the notice for the client, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         after_ms: Option<u64>,
     },
-    /// The directory sent a sender endpoints and their status.
+    /// The directory sent endpoints and their status to a sender.
     #[serde(rename = "told")]
     Listing {
-        /// Index of the sender.
+        /// Index of the sender that received the list or change.
         sender: usize,
-        /// Version of the list.
+        /// Version of the directory's list.
         index: u64,
-        /// Whether this was the complete list and not a change.
+        /// Whether the directory sent its complete list and not only the changes.
         #[serde(rename = "whole")]
         complete: bool,
-        /// Endpoints by name, each with its status.
+        /// Listed or changed endpoints by name, each with its status.
         #[serde(rename = "lines")]
         endpoints: Vec<(String, EndpointStatus)>,
     },
     /// The last byte of a call arrived at a receiver.
     Call {
-        /// Number of the call.
+        /// Number of the call, unique in the run.
         call: u64,
-        /// Index of the sender.
+        /// Index of the sender that made the call.
         sender: usize,
-        /// Name of the endpoint.
+        /// Name of the endpoint that received the call.
         endpoint: String,
         /// When the first byte of the call arrived.
         #[serde(rename = "first")]
@@ -226,14 +226,14 @@
         new_connection: bool,
         /// Whether this was a batch call.
         batch: bool,
-        /// Messages of the call.
+        /// Messages that the call carried.
         items: Vec<Item>,
     },
-    /// A call started to arrive, but its last byte never arrived.
+    /// A call started to arrive, but its last byte never arrived, so that none of its messages ran.
     Partial {
-        /// Index of the sender.
+        /// Index of the sender that made the incomplete call.
         sender: usize,
-        /// Name of the endpoint.
+        /// Name of the endpoint at which the incomplete call arrived.
         endpoint: String,
     },
     /// A receiver ran a message.
@@ -247,85 +247,85 @@
     },
     /// A receiver answered a call.
     Answer {
-        /// Number of the call.
+        /// Number of the answered call.
         call: u64,
-        /// HTTP status of the answer.
+        /// HTTP status of the call's answer.
         status: u16,
-        /// Wait that the answer advertised, in milliseconds; 0 if none.
+        /// Wait that the call's answer advertised, in milliseconds; 0 if none.
         #[serde(default)]
         wait_ms: u32,
         /// State of each message in a batch call, in the order of the call's items.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         states: Option<Vec<String>>,
     },
-    /// A call's connection ended without an answer.
+    /// A call's connection ended before the receiver answered.
     #[serde(rename = "broke")]
     Disconnected {
-        /// Number of the call.
+        /// Number of the unanswered call.
         call: u64,
         /// Which side closed the connection.
         by: ClosedBy,
     },
     /// An endpoint refused a sender's connection.
     Refused {
-        /// Index of the sender.
+        /// Index of the sender whose connection was refused.
         sender: usize,
-        /// Name of the endpoint.
+        /// Name of the endpoint that refused the connection.
         endpoint: String,
     },
     /// A sender probed an endpoint.
     Probe {
-        /// Index of the sender.
+        /// Index of the sender that probed.
         sender: usize,
-        /// Name of the endpoint.
+        /// Name of the probed endpoint.
         endpoint: String,
-        /// HTTP status of the answer; 0 if there was none.
+        /// HTTP status of the probe's answer; 0 if there was none.
         status: u16,
     },
     /// An outage of a receiver, or of one of its separate routes, began.
     Down {
-        /// Number of the receiver.
+        /// Number of the receiver in the outage.
         receiver: i64,
-        /// The route, where routes are separate.
+        /// Name of the route in the outage, if the receiver has separate routes.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         endpoint: Option<String>,
     },
-    /// A receiver or route came back from an outage, cold.
+    /// A receiver or route returned from an outage, cold.
     Back {
-        /// Number of the receiver.
+        /// Number of the receiver that returned.
         receiver: i64,
-        /// The route, where routes are separate.
+        /// Name of the route that returned, if the receiver has separate routes.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         endpoint: Option<String>,
     },
     /// A cold receiver or route was overloaded and stays down.
     #[serde(rename = "fell")]
     Overloaded {
-        /// Number of the receiver.
+        /// Number of the overloaded receiver.
         receiver: i64,
-        /// The route, where routes are separate.
+        /// Name of the overloaded route, if the receiver has separate routes.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         endpoint: Option<String>,
     },
-    /// An event of the timeline; the charts show it.
+    /// An event of the timeline, recorded for the charts.
     Mark {
-        /// Description of the event.
+        /// Description of the event on the timeline.
         text: String,
     },
-    /// Lateness of the rig's own timers since the last record of this kind.
+    /// Lateness of the rig's own timers since the previous record of their lateness.
     Lag {
-        /// Longest delay of any such timer.
+        /// Longest delay of any of the rig's timers.
         max_us: Micros,
     },
-    /// Last record of the history: all messages have ended, or the time for them has passed.
+    /// Last record of the history: all messages have ended, or the time for their ends has passed.
     #[serde(rename = "over")]
     End,
 }
 
-/// An event with the time at which it was recorded.
+/// A recorded event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When the event was recorded.
+    /// When the event was recorded, in microseconds since the run began.
     pub t: Micros,
     /// The event that was recorded.
     #[serde(flatten)]
@@ -335,31 +335,31 @@
 /// A history that cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
-    /// The file cannot be read.
+    /// The history file cannot be read.
     #[error("cannot read history {}: {error}", path.display())]
     Io {
-        /// Path of the file.
+        /// Path of the history file.
         path: PathBuf,
-        /// The I/O error.
+        /// The I/O error from reading the history file.
         error: io::Error,
     },
-    /// A line is not a valid record.
+    /// A line of the history is not a valid record.
     #[error(
         "{}: line {line} is not a valid record: {error}; use the file that 'rehearse run' wrote, unchanged",
         path.display()
     )]
     Line {
-        /// Path of the file.
+        /// Path of the history file with the invalid line.
         path: PathBuf,
-        /// Number of the line, from 1.
+        /// Number of the invalid line, counted from 1.
         line: usize,
-        /// The JSON error.
+        /// The JSON error of the invalid line.
         error: serde_json::Error,
     },
-    /// The first line is not a `run` record of the supported format.
+    /// The history's first line is not a `run` record of the supported format.
     #[error("{}: the first line is not a 'run' record of format {FORMAT}; record the run again", path.display())]
     Format {
-        /// Path of the file.
+        /// Path of the history file whose format is not supported.
         path: PathBuf,
     },
 }
@@ -412,16 +412,16 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// Converts a time of the run to an instant of the runtime's clock.
+    /// Converts a time since the run began to an instant of the runtime's clock.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         (self.start + crate::span::duration(at)).into()
     }
 
-    /// Records an event with the current time; returns that time.
+    /// Records an event with the current time, and returns the recorded time.
     pub fn record(&self, event: Event) -> Micros {
         let t = self.now();
         if let Some(queue) = &*self.queue.borrow() {
-            // The writer ends early only with an error, which `close` returns.
+            // The writer's thread ends early only after an I/O error, which `close` returns.
             _ = queue.send(Record { t, event });
         }
         t
@@ -442,7 +442,7 @@
 }
 
 impl Drop for Recorder {
-    /// Writes what is queued, so that an aborted rehearsal still leaves its evidence.
+    /// Writes the queued records to the file, so that an aborted rehearsal still leaves its evidence.
     fn drop(&mut self) {
         _ = self.close();
     }
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -1,8 +1,8 @@
 //! The judge: derives the verdict on the six rules and the service from a history.
-//! It does no I/O, and its only input is what the stand-ins recorded.
+//! The judge does no I/O, and its only input is what the stand-ins recorded.
 //!
-//! Records are sorted by time first. Records of the same instant are sorted by kind, then by content, so that a verdict
-//! does not depend on which of them was written first.
+//! Records are sorted by time, and records with equal times by kind and then by content.
+//! A verdict therefore does not depend on which of several simultaneous records was written first.
 
 mod even;
 mod returns;
@@ -29,15 +29,15 @@
 
 /// Added to each time limit to allow for scheduling and transfer delays on sockets.
 pub const SOCKET_ALLOWANCE_US: Micros = 50_000;
-/// Maximum number of violations of a rule that are reported with their evidence; further ones are only counted.
+/// Maximum number of violations that are reported with their evidence for each rule; further ones are only counted.
 pub const MAX_REPORTED_VIOLATIONS: usize = 10;
-/// The run is void if the 99th percentile of the puts' delays against the plan exceeds this:
-/// the rig then measured itself and not the senders.
+/// Limit on the 99th percentile of the puts' delays against the plan, above which the run is void:
+/// with longer delays the rig has measured itself and not the senders.
 pub const MAX_LATE_P99_US: Micros = 50_000;
-/// The run is void if the rig once stalled for longer than this.
+/// Limit on a stall of the rig's event loop: a single longer stall makes the run void.
 pub const MAX_STALL_US: Micros = 250_000;
 
-/// The six rules. Names in JSON are part of the report's format.
+/// The six rules. The names of the rules in JSON are part of the report's format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
@@ -47,9 +47,9 @@
     NoEffectTwice,
     /// No call starts to an endpoint that drains or is gone.
     DrainsKept,
-    /// Senders that saw a receiver fail do not overload it on its return.
+    /// Senders that saw a receiver fail do not overload it when it returns from its outage.
     ReturnNotPushedOver,
-    /// Messages of one key are sent one at a time and in order.
+    /// Messages of one order key are sent one at a time and in order.
     OrderKept,
     /// A sender observes the waits that receivers advertise.
     WaitsHeeded,
@@ -80,22 +80,22 @@
     }
 }
 
-/// One violation of a rule, with its evidence.
+/// One violation of a rule, with the evidence for the violation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
     /// When the violation happened.
     pub t: Micros,
-    /// The message concerned, if any.
+    /// Id of the message that the violation concerns, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub message: Option<String>,
-    /// The endpoint concerned, if any.
+    /// Name of the endpoint that the violation concerns, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<String>,
-    /// Description of what happened.
+    /// Description of the violation.
     pub what: String,
 }
 
-/// Result of a rule's check.
+/// Result of checking one rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
@@ -103,7 +103,7 @@
     Kept,
     /// At least one violation was found.
     Broken,
-    /// Nothing in the run tested the rule, so its result is unknown.
+    /// Nothing in the run tested the rule, so it is unknown whether the senders keep it.
     Untested,
 }
 
@@ -117,32 +117,32 @@
     }
 }
 
-/// How close a run came to a rule's limit.
+/// Safety margin to a rule's limit: how close the run came to breaking the rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Margin {
-    /// Description of the measured value.
+    /// Description of the value that is compared with the rule's limit.
     pub what: String,
-    /// The worst value observed.
+    /// The observed value that was closest to the rule's limit, or furthest beyond it.
     pub worst: f64,
-    /// The rule's limit.
+    /// The limit that the rule sets for the value.
     pub limit: f64,
-    /// Unit of the values: `ms`, or empty for a share.
+    /// Unit of the margin's values: `ms`, or empty for a share.
     pub unit: String,
-    /// When the worst value was observed.
+    /// When the worst value of the margin was observed.
     pub t: Micros,
-    /// Whether higher values are worse; otherwise lower ones are.
+    /// Whether higher values are closer to breaking the rule; otherwise lower values are.
     #[serde(rename = "upward")]
     pub higher_is_worse: bool,
 }
 
 impl Margin {
-    /// Makes a margin whose worst value is the highest.
+    /// Returns a safety margin to a rule's upper limit, without observations: higher values are worse.
     fn highest(what: &str, unit: &str, limit: f64) -> Margin {
         let (what, unit) = (what.into(), unit.into());
         Margin { what, worst: f64::NEG_INFINITY, limit, unit, t: 0, higher_is_worse: true }
     }
 
-    /// Makes a margin whose worst value is the lowest.
+    /// Returns a safety margin to a rule's lower limit, without observations: lower values are worse.
     fn lowest(what: &str, unit: &str, limit: f64) -> Margin {
         Margin { worst: f64::INFINITY, higher_is_worse: false, ..Margin::highest(what, unit, limit) }
     }
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Returns the margin if any value was observed.
+    /// Returns the safety margin, or `None` if no value was observed.
     fn observed(self) -> Option<Margin> {
         self.worst.is_finite().then_some(self)
     }
@@ -169,29 +169,29 @@
     }
 }
 
-/// A rule with its verdict and the evidence for it.
+/// The result for one rule: the verdict, with the evidence for it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ruling {
-    /// The rule.
+    /// The rule that was checked.
     pub rule: Rule,
     /// The verdict on the rule.
     pub verdict: Verdict,
     /// How often the run tested the rule.
     pub tested: usize,
-    /// Description of what counts as one test.
+    /// Description of what counts as one test of the rule.
     pub test: String,
-    /// Total number of violations.
+    /// Total number of violations of the rule, including those not reported.
     pub broken: usize,
-    /// The first [`MAX_REPORTED_VIOLATIONS`] violations.
+    /// The first [`MAX_REPORTED_VIOLATIONS`] violations of the rule.
     #[serde(rename = "offences")]
     pub violations: Vec<Violation>,
-    /// How close the run came to breaking the rule, where a test has a measurable distance.
+    /// How close the run came to breaking the rule, if the rule has a measurable distance.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub margin: Option<Margin>,
-    /// Number of tests by kind of test.
+    /// Number of tests of the rule by kind of test.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub counts: BTreeMap<String, usize>,
-    /// Remarks that qualify the verdict.
+    /// Remarks that qualify the verdict on the rule.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub remarks: Vec<String>,
 }
@@ -235,16 +235,16 @@
     }
 }
 
-/// How late the rig itself was: delays of its own, not of the senders.
+/// Lateness of the rig: delays that the rig caused itself, not the senders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lateness {
     /// Number of messages that were put as planned, without clients' retries.
     pub planned: usize,
     /// Median delay of a put against the plan, in microseconds.
     pub p50_us: Micros,
-    /// 99th percentile of the delay, in microseconds.
+    /// 99th percentile of the puts' delays against the plan, in microseconds.
     pub p99_us: Micros,
-    /// Longest delay, in microseconds.
+    /// Longest delay of a put against the plan, in microseconds.
     pub max_us: Micros,
     /// Longest stall of the rig's event loop, in microseconds.
     pub stall_us: Micros,
@@ -253,7 +253,7 @@
 /// The judge's result for one history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Judgement {
-    /// Why the run is void, if it is: the rig ran late, or the history has no last record.
+    /// Reason why the run is void: the rig ran late, or the history has no last record. `None` for a valid run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub void: Option<String>,
     /// Rulings on the six rules, in the order of [`Rule::ALL`].
@@ -266,7 +266,7 @@
     pub evenness: Vec<Evenness>,
     /// The service score and its terms.
     pub service: Service,
-    /// How late the rig itself was.
+    /// Lateness of the rig, which can make the run void.
     pub lateness: Lateness,
 }
 
@@ -276,7 +276,7 @@
         self.rules.iter().any(|r| r.verdict == Verdict::Broken)
     }
 
-    /// Returns the ruling on a rule.
+    /// Returns the judge's ruling on the given rule.
     pub fn ruling(&self, rule: Rule) -> Option<&Ruling> {
         self.rules.iter().find(|r| r.rule == rule)
     }
@@ -285,27 +285,27 @@
 /// Key values of one return from an outage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReturnSummary {
-    /// The receiver's number.
+    /// Number of the receiver that returned.
     pub receiver: i64,
-    /// The route, where routes are separate.
+    /// Name of the route that returned, if the receiver has separate routes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub route: Option<String>,
-    /// When the receiver was up again.
+    /// When the receiver's outage ended.
     pub back: Micros,
     /// Number of senders that saw the receiver fail during the outage.
     #[serde(rename = "knowing")]
     pub aware: usize,
-    /// Number of calls and probes that arrived before the receiver was warm.
+    /// Number of calls and probes that arrived after the return, before the receiver was warm.
     #[serde(rename = "pushes")]
     pub arrivals: usize,
-    /// Highest load reached, as a share of the overload limit.
+    /// Highest load during the return, as a share of the overload limit.
     pub peak: f64,
-    /// Time from the return to the highest load.
+    /// Time from the receiver's return to its highest load.
     pub peak_after: Micros,
-    /// Time from the return until the deliveries of one second reached half of the usual.
+    /// Time from the return until the deliveries of one second reached half of the usual number.
     #[serde(rename = "half")]
     pub half_load_after: Option<Micros>,
-    /// Time from the return until the deliveries of one second reached nine tenths of the usual.
+    /// Time from the return until the deliveries of one second reached nine tenths of the usual number.
     #[serde(rename = "full")]
     pub full_load_after: Option<Micros>,
 }
@@ -330,7 +330,7 @@
 /// A history that cannot be judged.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JudgeError {
-    /// The history has no `run` record.
+    /// The history has no `run` record, so the parameters of the run are unknown.
     #[error(
         "the history has no 'run' record, which names the classes and rules; it was cut at its beginning"
     )]
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -7,19 +7,19 @@
 use heronroute::Outcome;
 use std::collections::{BTreeMap, HashMap};
 
-/// How a call ended.
+/// How a call ended, as the receiver's records show it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEnd {
-    /// The receiver answered.
+    /// The receiver answered the call.
     Answer {
-        /// HTTP status of the answer.
+        /// HTTP status of the call's answer.
         status: u16,
-        /// Wait that the answer advertised; 0 if none.
+        /// Wait that the call's answer advertised; 0 if none.
         wait: Micros,
-        /// State of each message, for a batch call.
+        /// State of each message in the answer to a batch call.
         states: Option<Vec<String>>,
     },
-    /// The connection ended without an answer.
+    /// The connection ended without an answer to the call.
     Disconnected(ClosedBy),
 }
 
@@ -30,11 +30,11 @@
     pub t: Micros,
     /// When the first byte of the call arrived.
     pub first_byte: Micros,
-    /// Index of the sender.
+    /// Index of the sender that made the call.
     pub sender: usize,
-    /// Name of the endpoint.
+    /// Name of the endpoint that received the call.
     pub endpoint: String,
-    /// Number of the receiver; `None` if the endpoint is unknown.
+    /// Number of the receiver that got the call; `None` if the endpoint is unknown.
     pub receiver: Option<i64>,
     /// Whether this was the first call on its connection.
     pub new_connection: bool,
@@ -42,23 +42,23 @@
     pub batch: bool,
     /// Ids of the call's messages, in order.
     pub ids: Vec<String>,
-    /// When and how the call ended; `None` if no end was recorded.
+    /// When and how the call ended; `None` if the history has no end of the call.
     pub end: Option<(Micros, CallEnd)>,
 }
 
 /// Outcome of one message in a call, as the receiver's answer shows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Attempt {
-    /// The message was delivered.
+    /// The attempt delivered the message.
     Delivered,
-    /// The message did not run.
+    /// The attempt did not run the message.
     NeverRan,
-    /// The message may have run, or may still be running.
+    /// The attempt may have run the message, or may still be running it.
     MayHaveRun,
 }
 
 impl Call {
-    /// Returns the outcome of the message at this index in the call, and when it was known.
+    /// Returns the outcome of the message at `index` in the call, and when the outcome was known.
     pub fn attempt(&self, index: usize) -> (Option<Micros>, Attempt) {
         let Some((t, end)) = &self.end else { return (None, Attempt::MayHaveRun) };
         let outcome = match end {
@@ -82,23 +82,23 @@
 /// A message as its client put it once. A retry is another message with the same origin.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Id of the message.
+    /// Id of the message at the put.
     pub id: String,
-    /// Id under which the message was put first.
+    /// Id of the message at its first put.
     pub origin: String,
     /// Number of earlier puts of the same message.
     pub retries: u32,
     /// When the message was put.
     pub offered: Micros,
-    /// Time of the first put in the plan.
+    /// Time at which the plan puts the message for the first time.
     pub due: Micros,
-    /// Index of the sender.
+    /// Index of the sender to which the message was put.
     pub sender: usize,
-    /// Index of the class.
+    /// Index of the message's class.
     pub class: usize,
-    /// Index of the tenant.
+    /// Index of the message's tenant.
     pub tenant: usize,
-    /// Number of the receiver.
+    /// Number of the receiver that the message is for.
     pub receiver: i64,
     /// Order key of the message, in an ordered class.
     pub order: Option<String>,
@@ -108,25 +108,25 @@
     pub reply: Option<(Micros, PutOutcome)>,
     /// Notices of the message's end that the platform received.
     pub notices: Vec<(Micros, NoticeState)>,
-    /// Calls that carried the message, by time: number of the call, and index of the message in it.
+    /// Calls that carried the message, by time: number of the call, and index of the message in the call.
     pub calls: Vec<(u64, usize)>,
-    /// When the message ran, and whether the receiver dropped the run because it remembered the key.
+    /// When the message ran, and whether the receiver dropped the run because it remembered the message's key.
     pub runs: Vec<(Micros, bool)>,
 }
 
 impl Message {
-    /// Returns when the client received the reply that the message is accepted.
+    /// Returns when the client received the reply that the message is accepted; `None` if it received none.
     pub fn accepted(&self) -> Option<Micros> {
         self.reply.filter(|(_, a)| *a == PutOutcome::Accepted).map(|(t, _)| t)
     }
 
-    /// Returns whether the message was refused, at once or after it had been accepted.
+    /// Returns whether the sender refused the message, at once or after having accepted it.
     pub fn refused(&self) -> bool {
         matches!(self.reply, Some((_, PutOutcome::Busy)))
             || self.notices.iter().any(|n| n.1 == NoticeState::Returned)
     }
 
-    /// Returns whether the client got no reply. The outcome under this id then does not count,
+    /// Returns whether the client got no reply to its put. The outcome under the put's id then does not count,
     /// since the client may put the message again under another id.
     pub fn unacknowledged(&self) -> bool {
         matches!(
@@ -139,67 +139,67 @@
     }
 }
 
-/// The unit with one limit, one wait and one outage: the receiver's number, and the endpoint's name if routes are
-/// separate (see [`Receiver::separate_routes`]).
+/// The unit with one limit, one wait and one outage.
+/// It is the receiver's number, and the endpoint's name if routes are separate (see [`Receiver::separate_routes`]).
 pub type Lane = (i64, Option<String>);
 /// Start of an outage, and its end unless it still lasts.
 pub type Outage = (Micros, Option<Micros>);
 
-/// Changes of an endpoint's status, each with the time at which a sender was notified.
+/// Changes of an endpoint's status, each with the time at which the directory notified a sender.
 pub type StatusUpdates = Vec<(Micros, EndpointStatus)>;
 
-/// A period in which a sender's process was unavailable: from a signal until the process is ready again.
+/// A period in which a sender's process was unavailable: from a signal, or its end, until it was ready again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Absence {
-    /// Time of the signal.
+    /// Time of the signal or of the process's end that began the absence.
     pub from: Micros,
-    /// Whether the process ended in that period.
+    /// Whether the sender's process ended during the absence, and did not only stop and continue.
     pub restarted: bool,
-    /// When the process was seen to have ended.
+    /// When the rig saw that the sender's process had ended.
     pub ended: Option<Micros>,
-    /// When the process answered again; `None` if it never did.
+    /// When the sender's process was ready again; `None` if it never was.
     pub ready: Option<Micros>,
 }
 
 /// A history indexed by message, call and sender.
 #[derive(Clone, Debug)]
 pub struct Table {
-    /// Parameters of the run.
+    /// Parameters of the run that the history records.
     pub parameters: Parameters,
     /// Endpoints by name: number of the receiver, and zone of the endpoint.
     pub endpoints: HashMap<String, (i64, String)>,
     /// Messages in the order in which they were put.
     pub messages: Vec<Message>,
-    /// Index in `messages` of each id.
+    /// Index in `messages` of each message id.
     pub by_id: HashMap<String, usize>,
-    /// Calls by number.
+    /// Calls by their number.
     pub calls: BTreeMap<u64, Call>,
-    /// For each sender and endpoint, the changes of status that the sender was notified of.
+    /// For each sender and endpoint, the changes of status that the directory reported to the sender.
     pub status_updates: BTreeMap<(usize, String), StatusUpdates>,
-    /// For each sender, the periods in which it was unavailable.
+    /// For each sender, the periods in which its process was unavailable.
     pub absences: Vec<Vec<Absence>>,
-    /// Processes that ended by themselves: when, index of the sender, and exit status in words.
+    /// Processes that ended without a signal of the rehearsal: when, index of the sender, and exit status in words.
     pub crashes: Vec<(Micros, usize, String)>,
     /// Refused connections: when, name of the endpoint, and index of the sender.
     pub refused_connections: Vec<(Micros, String, usize)>,
     /// Probes: when, name of the endpoint, index of the sender, and HTTP status.
     pub probes: Vec<(Micros, String, usize, u16)>,
-    /// Outages of each receiver or route.
+    /// Outages of each lane, by time.
     pub outages: BTreeMap<Lane, Vec<Outage>>,
     /// Overloads of cold receivers: when, and number of the receiver.
     pub overloaded: Vec<(Micros, i64)>,
-    /// Events of the timeline, which the charts show.
+    /// Events of the timeline for the charts: when, and description of the event.
     pub marks: Vec<(Micros, String)>,
     /// Longest stall of the rig's event loop.
     pub stall: Micros,
-    /// Whether the history has its last record.
+    /// Whether the history is complete: it has its last record, `end`.
     pub complete: bool,
-    /// Time of the last record.
+    /// Time of the history's last record.
     pub end: Micros,
 }
 
-/// Returns the position of an event's kind among records of one instant:
-/// information that a sender or client received is sorted before its actions.
+/// Returns the sort position of an event's kind among records with equal times.
+/// Information that a sender or client received is sorted before the actions that follow from it.
 fn rank(event: &Event) -> u8 {
     match event {
         Event::Run { .. } => 0,
@@ -220,11 +220,11 @@
 }
 
 impl Table {
-    /// Indexes a history; `None` if it has no `run` record.
+    /// Indexes the records of a history; returns `None` if there is no `run` record.
     pub fn new(records: &[Record]) -> Option<Table> {
         let mut order: Vec<(Micros, u8, String, &Event)> = Vec::with_capacity(records.len());
         for record in records {
-            // The content is serialized below, only for the few records with equal time and kind.
+            // The sort key's content is serialized further down, only for the few records with equal time and kind.
             order.push((record.t, rank(&record.event), String::new(), &record.event));
         }
         order.sort_by_key(|o| (o.0, o.1));
@@ -269,7 +269,7 @@
     }
 
     fn apply(&mut self, t: Micros, event: &Event, listed: &mut [BTreeMap<String, EndpointStatus>]) {
-        // Records of the shutdown after the run's end are not evidence, so they are ignored.
+        // Records of the shutdown after the `end` record are not evidence, so they are ignored.
         if self.complete {
             return;
         }
@@ -347,7 +347,7 @@
                 }
                 changes.extend(endpoints.iter().cloned());
                 for (name, status) in changes {
-                    // A repeated status is no change: the grace period starts with the first notification.
+                    // A repeated status is no change: the drain grace starts with the first notification.
                     if known.insert(name.clone(), status) != Some(status) {
                         self.status_updates.entry((*sender, name)).or_default().push((t, status));
                     }
@@ -393,7 +393,7 @@
             }
             Event::Down { receiver, endpoint } => {
                 let list = self.outages.entry((*receiver, endpoint.clone())).or_default();
-                // Overlapping outages count as one.
+                // Overlapping outages of a lane count as one outage.
                 if list.last().is_none_or(|(_, until)| until.is_some()) {
                     list.push((t, None));
                 }
@@ -402,7 +402,7 @@
                 let list = self.outages.entry((*receiver, endpoint.clone())).or_default();
                 match list.last_mut() {
                     Some((_, until @ None)) => *until = Some(t),
-                    // The receiver became cold without an outage.
+                    // The receiver became cold without an outage, which counts as an outage of zero length.
                     _ => list.push((t, Some(t))),
                 }
             }
@@ -421,7 +421,8 @@
         match signal {
             Signal::Term | Signal::Kill => self.begin_absence(t, sender, true),
             Signal::Stop => self.begin_absence(t, sender, false),
-            // The process continues; no record shows when it is ready, so the signal's time counts as that time.
+            // After SIGCONT the process continues.
+            // No record shows when the process is ready again, so the time of SIGCONT counts as the time of readiness.
             Signal::Cont => {
                 if let Some(a) = self.absences.get_mut(sender).and_then(|a| a.last_mut()) {
                     a.ready.get_or_insert(t);
@@ -439,12 +440,12 @@
         }
     }
 
-    /// Returns the message with this id.
+    /// Returns the message with the given id.
     pub fn message(&self, id: &str) -> Option<&Message> {
         self.messages.get(*self.by_id.get(id)?)
     }
 
-    /// Returns when each message was put first, by its first id.
+    /// Returns the time of each message's first put, by the id of that put.
     pub fn first_offers(&self) -> BTreeMap<&str, Micros> {
         let mut first = BTreeMap::new();
         for message in &self.messages {
@@ -453,7 +454,7 @@
         first
     }
 
-    /// Returns the class of a message; `None` for an index that the run does not have.
+    /// Returns the class of a message; `None` if the run has no class with the message's index.
     pub fn class(&self, message: &Message) -> Option<&Class> {
         self.parameters.classes.get(message.class)
     }
@@ -463,12 +464,12 @@
         self.class(message).is_none_or(|c| c.effect == Effect::Unsafe)
     }
 
-    /// Returns the receiver with this number.
+    /// Returns the receiver with the given number.
     pub fn receiver(&self, number: i64) -> Option<&Receiver> {
         self.parameters.receivers.iter().find(|r| r.number == number)
     }
 
-    /// Returns the attempts of a message: the call, the time at which its outcome was known, and the outcome.
+    /// Returns the attempts of a message: the call, the time at which the attempt's outcome was known, and the outcome.
     pub fn attempts<'a>(
         &'a self,
         message: &'a Message,
@@ -480,14 +481,14 @@
         })
     }
 
-    /// Returns when a message was delivered: its answer was written, and its client had the reply that it was accepted.
+    /// Returns when a message was delivered: its answer was written, and its client had the reply `+OK`.
     pub fn delivered(&self, message: &Message) -> Option<Micros> {
         let taken = message.accepted()?;
         let done = self.attempts(message).filter(|(_, _, outcome)| *outcome == Attempt::Delivered);
         done.filter_map(|(_, known, _)| known).min().map(|t| t.max(taken))
     }
 
-    /// Returns the absence of a sender at time `t`, or one that ended at most `after` before `t`.
+    /// Returns the absence of a sender at time `t`, or an absence that ended at most `after` before `t`.
     pub fn away_at(&self, sender: usize, t: Micros, after: Micros) -> Option<Absence> {
         let list = self.absences.get(sender)?;
         list.iter().copied().find(|a| a.from <= t && a.ready.is_none_or(|r| t <= r + after))
--- a/crates/rehearsal/src/parameters.rs
+++ b/crates/rehearsal/src/parameters.rs
@@ -1,5 +1,5 @@
 //! Parameters of a run: everything besides the recorded events that the judge needs.
-//! The first record of the history contains them.
+//! The first record of the history contains the parameters.
 
 use crate::span::Micros;
 use serde::{Deserialize, Serialize};
@@ -8,20 +8,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// A repeat is harmless.
+    /// A repeated delivery is harmless.
     Safe,
-    /// The receiver drops a repeat as long as it remembers the key.
+    /// The receiver drops a repeated delivery as long as it remembers the message's key.
     Keyed,
-    /// A repeat takes effect again.
+    /// A repeated delivery takes effect again.
     Unsafe,
 }
 
-/// A class of messages.
+/// A class of messages, with its limits and its worth.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// Name of the class.
     pub name: String,
-    /// What a second delivery of a message does.
+    /// Effect of delivering a message of the class a second time.
     pub effect: Effect,
     /// How long a receiver remembers a key, from the first attempt that may have run; only in a keyed class.
     pub window: Micros,
@@ -39,28 +39,28 @@
     pub order_settle: Micros,
 }
 
-/// A tenant.
+/// A tenant, on whose behalf clients put messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
     /// Name of the tenant.
     pub name: String,
-    /// Quota in messages per second, over all senders; see [`Parameters::over_share_worth`] for messages beyond it.
+    /// Quota in messages per second over all senders. [`Parameters::over_share_worth`] applies to messages beyond it.
     pub quota: f64,
 }
 
-/// A receiver.
+/// A receiver, as the scenario defines it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Receiver {
     /// Number of the receiver.
     pub number: i64,
-    /// Name of its kind.
+    /// Name of the receiver's kind.
     pub kind: String,
-    /// Whether its endpoints are separate routes, each with limits, waits and outages of its own.
+    /// Whether the receiver's endpoints are separate routes, each with its own limits, waits and outages.
     #[serde(rename = "apart")]
     pub separate_routes: bool,
-    /// Messages per second that it can handle when warm.
+    /// Messages per second that the receiver can handle when warm.
     pub capacity: f64,
-    /// Calls per second that it accepts from all senders together.
+    /// Calls per second that the receiver accepts from all senders together.
     pub rate: f64,
     /// Share of its capacity that the receiver has right after an outage.
     pub cold_from: f64,
@@ -76,10 +76,10 @@
     }
 }
 
-/// Limits of the six rules.
+/// Limits that the six rules use.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// Time after the notification within which calls to a draining or removed endpoint must stop.
+    /// Time after the notification of a drain or removal within which calls to the endpoint must stop.
     pub drain_grace: Micros,
     /// Multiple of its current capacity at which a cold receiver is overloaded.
     pub fall_multiple: f64,
@@ -87,39 +87,40 @@
     pub fall_window: Micros,
     /// Maximum number of attempts of a message.
     pub max_attempts: u32,
-    /// Whether a message may have two attempts in flight at once.
+    /// Whether a message may have two attempts in flight at the same time.
     pub second_copies: bool,
-    /// Load of each further message of a call, as a share of the load of the first.
+    /// Load of each message of a call after the first, as a share of the first message's load.
     pub batch_weight: f64,
 }
 
 impl Rules {
-    /// Lower bound of the overload limit. Below it, one call of each sender would overload a small receiver.
+    /// Lower bound of the overload limit. With a lower limit, one call of each sender would overload a small receiver.
     pub const MIN_OVERLOAD_LIMIT: f64 = 6.0;
 
-    /// Returns the load in one [`Rules::fall_window`] above which a receiver is overloaded whose current capacity is
-    /// `capacity` messages per second. The allowance for chance is one standard deviation of as many arrivals.
+    /// Returns the load in one [`Rules::fall_window`] above which a receiver is overloaded.
+    /// `capacity` is the receiver's current capacity in messages per second.
+    /// The allowance for chance is one standard deviation of that number of arrivals.
     pub fn overload_limit(&self, capacity: f64) -> f64 {
         let budget = self.fall_multiple * capacity * self.fall_window as f64 / 1e6;
         (budget + budget.sqrt()).max(Self::MIN_OVERLOAD_LIMIT)
     }
 
-    /// Returns the load of a call with this many messages.
+    /// Returns the load of a call with the given number of messages.
     pub fn weight(&self, messages: usize) -> f64 {
         1.0 + self.batch_weight * messages.saturating_sub(1) as f64
     }
 }
 
-/// A sender.
+/// A sender, with its limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sender {
     /// Name of the sender.
     pub name: String,
-    /// Zone in which it runs.
+    /// Zone in which the sender runs.
     pub zone: String,
-    /// Maximum number of calls in flight.
+    /// Maximum number of the sender's calls in flight.
     pub slots: u32,
-    /// Maximum number of open messages.
+    /// Maximum number of the sender's open messages.
     pub max_open: u32,
 }
 
@@ -132,16 +133,16 @@
     pub seed: u64,
     /// Length of the planned traffic.
     pub length: Micros,
-    /// Limits of the rules.
+    /// Limits that the six rules use.
     pub rules: Rules,
     /// Share of its worth that a message beyond its tenant's quota has.
     pub over_share_worth: f64,
-    /// Classes; other records refer to them by index.
+    /// Classes of messages. Other records refer to a class by its index.
     pub classes: Vec<Class>,
-    /// Tenants; other records refer to them by index.
+    /// Tenants of the run. Other records refer to a tenant by its index.
     pub tenants: Vec<Tenant>,
-    /// Receivers; other records refer to them by number.
+    /// Receivers of the run. Other records refer to a receiver by its number.
     pub receivers: Vec<Receiver>,
-    /// Senders; other records refer to them by index.
+    /// Senders of the run. Other records refer to a sender by its index.
     pub senders: Vec<Sender>,
 }
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -1,5 +1,5 @@
 //! The plan: which messages clients put and when.
-//! It depends only on the scenario and its seed, and is complete before anything starts.
+//! The plan depends only on the scenario and its seed, and is complete before anything starts.
 
 use crate::scenario::Scenario;
 use crate::span::Micros;
@@ -9,29 +9,30 @@
 use serde::Deserialize;
 use std::f64::consts::TAU;
 
-/// Maximum number of messages of a plan; each occupies 40 bytes until it is put.
+/// Maximum number of messages of a plan; each message occupies 40 bytes until it is put.
 pub const MAX_MESSAGES: usize = 4_000_000;
 
 /// Course of the traffic's rate over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// A constant rate.
+    /// The rate is constant.
     Steady,
-    /// A linear change from one rate to another.
+    /// The rate changes linearly from one value to another.
     Ramp,
-    /// A sine wave around a rate.
+    /// The rate follows a sine wave around a given rate.
     Wave,
-    /// A linear rise to a second rate in the first third, that rate in the second, and the fall back in the last.
+    /// The rate rises linearly to a second rate in the first third of the time, stays there for the second third,
+    /// and falls back in the last third.
     Rush,
-    /// A burst of messages for one receiver at regular intervals.
+    /// Bursts of messages, each for one receiver, start at regular intervals.
     Clumps,
-    /// A replay of captured traffic.
+    /// Captured traffic is replayed.
     Replay,
 }
 
 impl Shape {
-    /// Returns the fields that the shape requires, and those that it also allows.
+    /// Returns the fields that the traffic's shape requires, and the fields that the shape also allows.
     pub fn fields(self) -> (&'static [&'static str], &'static [&'static str]) {
         match self {
             Shape::Steady => (&["rate"], &["zipf"]),
@@ -43,18 +44,18 @@
     }
 }
 
-/// One piece of a scenario's traffic.
+/// One piece of a scenario's traffic, with a shape and a time of its own.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// Course of the rate.
+    /// Course of the traffic's rate over time.
     pub shape: Shape,
-    /// When this piece of traffic starts.
+    /// When the piece of traffic starts.
     pub from: Micros,
-    /// When this piece of traffic ends.
+    /// When the piece of traffic ends.
     pub to: Micros,
-    /// Rate in messages per second.
+    /// Rate of the traffic in messages per second.
     pub rate: f64,
-    /// Second rate of a ramp or rush.
+    /// Second rate of a ramp or rush, in messages per second.
     pub to_rate: f64,
     /// Period of a wave, or time between clumps.
     pub period: Micros,
@@ -62,7 +63,7 @@
     pub swing: f64,
     /// Number of messages of a clump.
     pub clump: u32,
-    /// Zipf exponent: if given, receivers are drawn by rank with it and not by their shares.
+    /// Zipf exponent. If given, receivers are drawn by their rank and not by their shares of the traffic.
     pub zipf: Option<f64>,
     /// Index of the class to which the traffic is limited, if any.
     pub class: Option<usize>,
@@ -70,14 +71,14 @@
     pub tenant: Option<usize>,
     /// Number of the receiver to which the traffic is limited, if any.
     pub receiver: Option<i64>,
-    /// Captured messages to replay.
+    /// Captured messages that the traffic replays.
     pub trace: Vec<trace::Line>,
     /// Speed of the replay, as a multiple of the captured speed.
     pub speed: f64,
 }
 
 impl Traffic {
-    /// Returns the rate in messages per second at a time of the run.
+    /// Returns the rate in messages per second at time `t` of the run.
     fn rate_at(&self, t: Micros) -> f64 {
         let part = (t - self.from) as f64 / (self.to - self.from).max(1) as f64;
         let between = |x: f64| self.rate + (self.to_rate - self.rate) * x.clamp(0.0, 1.0);
@@ -115,15 +116,15 @@
 /// A planned message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Planned {
-    /// When the message is put.
+    /// When the message is put, in microseconds since the start of the traffic.
     pub at: Micros,
-    /// Index of the sender.
+    /// Index of the sender to which the message is put.
     pub sender: usize,
-    /// Index of the class.
+    /// Index of the message's class.
     pub class: usize,
-    /// Index of the tenant.
+    /// Index of the message's tenant.
     pub tenant: usize,
-    /// Index of the receiver.
+    /// Index of the receiver that the message is for.
     pub receiver: usize,
     /// Number of the message's order key; used in ordered classes only.
     pub order: u32,
@@ -136,7 +137,7 @@
 /// Reason why no plan can be made.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// The plan has too many messages.
+    /// The plan has more than [`MAX_MESSAGES`] messages.
     #[error("the plan has more than {MAX_MESSAGES} messages; lower the rates or shorten the scenario")]
     TooLong,
     /// A trace names a class, tenant or receiver that the scenario does not have.
@@ -144,16 +145,16 @@
         "the trace's message at {at_ms} ms names the {what} '{name}', which the scenario lacks; add it there"
     )]
     Unknown {
-        /// The message's time in the trace.
+        /// The message's time in the trace, in milliseconds.
         at_ms: u64,
-        /// `class`, `tenant` or `receiver`.
+        /// What the name stands for: `class`, `tenant` or `receiver`.
         what: &'static str,
-        /// The unknown name or number.
+        /// The name or number that the scenario does not have.
         name: String,
     },
 }
 
-/// Draws a random index; each index has the weight by which `cumulative` grows at it.
+/// Draws a random index. The weight of each index is the amount by which `cumulative` grows at the index.
 fn draw(rng: &mut ChaCha8Rng, cumulative: &[f64]) -> usize {
     let total = cumulative.last().copied().unwrap_or(0.0);
     let x = rng.random::<f64>() * total;
@@ -169,14 +170,14 @@
     weights.map(add).collect()
 }
 
-/// Makes the plan, sorted by time.
+/// Makes the plan of all messages, sorted by time.
 ///
 /// # Errors
-/// Fails if the plan has too many messages, or a trace names something that the scenario lacks.
+/// Fails if the plan has too many messages, or a trace names a class, tenant or receiver that the scenario lacks.
 pub fn plan(scenario: &Scenario) -> Result<Vec<Planned>, PlanError> {
     let mut all = Vec::new();
     for (n, traffic) in scenario.traffic.iter().enumerate() {
-        // Each piece of traffic has a generator of its own, so that adding one does not change the others.
+        // Each piece of traffic has its own random generator, so that adding a piece does not change the others.
         let rng = ChaCha8Rng::seed_from_u64(
             scenario.parameters.seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         );
@@ -199,7 +200,7 @@
         Some(exponent) => (n as f64 + 1.0).powf(-exponent),
         None => scenario.receivers[n].share,
     };
-    // For each class, the cumulative weights of the receivers that its messages may have.
+    // For each class, the cumulative weights of the receivers to which its messages may be sent.
     let by_class: Vec<Vec<f64>> = scenario
         .classes
         .iter()
@@ -216,7 +217,7 @@
                            captured: Option<(usize, usize, u32)>| {
         let mut class = captured.map(|t| t.0).or(traffic.class).unwrap_or_else(|| draw(rng, &classes));
         let receiver = receiver.or(only_receiver).unwrap_or_else(|| draw(rng, &by_class[class]));
-        // If the receiver does not accept the drawn class, draws again among the classes that it accepts.
+        // If the receiver does not accept the drawn class, draws again among the classes that the receiver accepts.
         let fits = |c: usize| {
             scenario.classes[c].kinds.is_empty()
                 || scenario.classes[c].kinds.contains(&scenario.receivers[receiver].kind)
@@ -275,7 +276,7 @@
             }
         }
         _ => {
-            // A Poisson process at the highest rate, thinned to the rate at each time.
+            // Draws a Poisson process at the highest rate, and thins it to the rate at each time.
             let max_rate = traffic.rate.max(traffic.to_rate) * (1.0 + traffic.swing);
             let mut t = traffic.from as f64;
             if max_rate <= 0.0 {
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a rehearsal: the judge's result with statistics by class and receiver, as text and as JSON.
+//! The report of a rehearsal as text and as JSON: the judge's result, with statistics by class and receiver.
 
 use crate::history::{Record, read};
 use crate::judge::{
@@ -11,34 +11,34 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Upper bound of recorded latencies: one day in microseconds. The histogram has three significant digits.
+/// Upper bound of recorded latencies: one day in microseconds. The latency histogram has three significant digits.
 const DAY_US: u64 = 24 * 3600 * 1_000_000;
 
-/// Maximum number of returns that the text lists; the JSON has all.
+/// Maximum number of returns from outages that the text lists; the JSON lists all.
 const MAX_LISTED_RETURNS: usize = 30;
-/// Maximum number of receivers that the text lists; the JSON has all.
+/// Maximum number of receivers that the text lists; the JSON lists all.
 const MAX_LISTED_RECEIVERS: usize = 20;
 
 /// Distribution of a latency, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
-    /// Name of the class, or `all`.
+    /// Name of the class of the messages, or `all`.
     pub name: String,
-    /// Number of deliveries.
+    /// Number of deliveries whose latency was measured.
     pub count: u64,
-    /// Median latency.
+    /// Median of the latency, in milliseconds.
     pub p50_ms: f64,
-    /// 90th percentile of the latency.
+    /// 90th percentile of the latency, in milliseconds.
     pub p90_ms: f64,
-    /// 99th percentile of the latency.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: f64,
-    /// Maximum latency.
+    /// Maximum of the latency, in milliseconds.
     pub max_ms: f64,
 }
 
 impl Latency {
     fn of(name: &str, micros: impl Iterator<Item = Micros>) -> Latency {
-        // Never fails: bounds of 1 us and a day with three digits are valid.
+        // Creating the histogram never fails: bounds of 1 us and a day with three digits are valid.
         let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, DAY_US, 3) else {
             return Latency::default();
         };
@@ -54,26 +54,26 @@
     }
 }
 
-/// Counts of one receiver.
+/// Counts of the calls and messages of one receiver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReceiverStats {
     /// Number of the receiver.
     pub number: i64,
-    /// Name of its kind.
+    /// Name of the receiver's kind.
     pub kind: String,
     /// Calls per second that the receiver accepts.
     pub rate: f64,
-    /// Number of calls that arrived.
+    /// Number of calls that arrived at the receiver.
     pub calls: usize,
-    /// Number of messages in these calls.
+    /// Number of messages in the calls that arrived.
     pub messages: usize,
-    /// Number of messages delivered.
+    /// Number of messages delivered to the receiver.
     pub delivered: usize,
     /// Number of calls that the receiver rejected with 429 or 503.
     pub refused: usize,
-    /// Number of calls without an answer, or with another error.
+    /// Number of calls that the receiver did not answer, or answered with an error other than 429 and 503.
     pub unanswered: usize,
-    /// Highest number of calls in one second.
+    /// Highest number of calls that arrived in one second.
     #[serde(rename = "most")]
     pub max_per_second: usize,
     /// Whether the receiver was overloaded.
@@ -81,7 +81,7 @@
     pub overloaded: bool,
 }
 
-/// A rehearsal's report.
+/// A rehearsal's report, as it is printed and written as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the scenario.
@@ -90,29 +90,29 @@
     pub seed: u64,
     /// Length of the history in seconds.
     pub seconds: f64,
-    /// The judge's result.
+    /// The judge's result for the history.
     #[serde(flatten)]
     pub judgement: Judgement,
-    /// Latencies by class, from a message's first put to its delivery.
+    /// Latencies of each class and of all messages, from the first put to the delivery.
     pub latencies: Vec<Latency>,
-    /// Counts of each receiver.
+    /// Counts of calls and messages at each receiver.
     pub receivers: Vec<ReceiverStats>,
-    /// Path of the history or its folder.
+    /// Path of the history or of its folder, where the evidence is.
     pub evidence: String,
 }
 
 /// Reason why no report can be made.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// The history cannot be read.
+    /// The history that the report is about cannot be read.
     #[error("{0}")]
     History(#[from] crate::history::HistoryError),
-    /// The history cannot be judged.
+    /// The history that the report is about cannot be judged.
     #[error("{0}")]
     Judge(#[from] crate::judge::JudgeError),
 }
 
-/// Reads and judges a history, and makes the report. `path` is the history, or the folder that contains it.
+/// Reads and judges a history, and makes the report. `path` is the history file, or the folder that contains it.
 ///
 /// # Errors
 /// Fails if the history cannot be read or judged.
@@ -121,7 +121,7 @@
     from_records(&read(&file)?, &file.display().to_string())
 }
 
-/// Makes the report of a history. `evidence` is its path.
+/// Makes the report of a history's records. `evidence` is the path of the history.
 ///
 /// # Errors
 /// Fails if the history cannot be judged.
@@ -327,7 +327,7 @@
             "\n  {:<20} {:>7} {:>7} {:>8} {:>9} {:>8} {:>10} {:>10}",
             "receiver", "rate/s", "calls", "messages", "delivered", "refused", "unanswered", "most in 1s"
         )?;
-        // Lists the receivers with the most calls first.
+        // Lists first the receivers with the most calls.
         let mut busiest: Vec<&ReceiverStats> = self.receivers.iter().collect();
         busiest.sort_by_key(|r| (std::cmp::Reverse(r.calls), r.number));
         for receiver in busiest.iter().take(MAX_LISTED_RECEIVERS) {
@@ -366,8 +366,8 @@
     }
 }
 
-/// Writes the evenness of each receiver: for each window length the busiest and idlest endpoint over the mean, and the
-/// variance over that of random choices.
+/// Writes for each receiver how evenly calls were spread over its endpoints. For each window length, these are
+/// the calls of the busiest and the idlest endpoint over the mean, and the variance over that of random choices.
 fn write_evenness(out: &mut String, all: &[Evenness]) -> std::fmt::Result {
     if all.is_empty() {
         return Ok(());
--- a/crates/rehearsal/src/rig/mod.rs
+++ b/crates/rehearsal/src/rig/mod.rs
@@ -1,6 +1,6 @@
-//! The rig: stand-in receivers, directory and clients on loopback around real senders, on one thread.
+//! The rig runs real senders against stand-in receivers, a directory and clients on loopback, all on one thread.
 //!
-//! The rig only acts and records what it sees; it judges nothing.
+//! The rig only acts and records what its stand-ins see. The judge works from the records alone.
 
 mod clients;
 mod control;
@@ -32,61 +32,61 @@
 
 /// Period of the timer that measures the lateness of the rig itself.
 const LAG_CHECK_INTERVAL_US: Micros = 5_000;
-/// Capacity of the queue of refused messages for their clients.
-/// While it is full, senders wait for the answers to their notices.
+/// Capacity of the queue of refused messages that are on their way back to their clients.
+/// While the queue is full, senders wait for the answers to their notices.
 const MAX_PENDING_REFUSALS: usize = 1024;
-/// Time-out for senders to become ready.
+/// Time-out for a sender to become ready after its start.
 const READY_TIMEOUT_US: Micros = 30_000_000;
-/// Time after the last deadline within which a notice may still arrive.
+/// Time after the last deadline within which a sender's notice may still arrive.
 const NOTICE_TAIL_US: Micros = 2_500_000;
 
 /// The senders under rehearsal.
 #[derive(Clone, Debug)]
 pub enum Subject {
-    /// Processes of this executable, which the rig starts and restarts.
+    /// Sender processes of the given executable, which the rig starts and restarts.
     Spawn(PathBuf),
-    /// Senders that were started by someone else: their addresses for clients, in the scenario's order. The rig writes
-    /// their configurations but cannot send them signals.
+    /// Senders that the rig did not start: their addresses for clients, in the scenario's order.
+    /// The rig writes the configurations of these senders but cannot send them signals.
     External(Vec<SocketAddr>),
 }
 
 /// Options of a rehearsal besides its scenario.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The senders under rehearsal.
+    /// The senders to rehearse, and who starts them.
     pub subject: Subject,
     /// Folder for the history and the senders' configurations, states and logs.
     pub folder: PathBuf,
-    /// Address of the control port; `None` to have no control port.
+    /// Address of the control port; `None` to run without a control port.
     pub control: Option<SocketAddr>,
-    /// If true, puts no messages, for example because clients run elsewhere.
+    /// If true, the rig puts no messages, for example because clients run elsewhere.
     pub serve_only: bool,
-    /// For tests of the void verdict: blocks the rig's thread at the first time after the start, for the second.
+    /// Time after the start at which the rig's thread blocks, and for how long. Used by tests of void runs.
     pub stall: Option<(Micros, Micros)>,
 }
 
 /// A rehearsal that could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum RigError {
-    /// The plan is invalid.
+    /// The plan of messages is invalid.
     #[error("{0}")]
     Plan(#[from] crate::plan::PlanError),
-    /// An operation of the system failed.
+    /// An operation of the operating system failed.
     #[error("{what}: {error}")]
     Io {
-        /// The operation, or the path or address concerned.
+        /// The failed operation, or the path or address that it used.
         what: String,
-        /// The I/O error.
+        /// The I/O error of the failed operation.
         error: io::Error,
     },
-    /// A sender did not become ready in time.
+    /// A sender did not become ready within the time-out.
     #[error("sender {sender} did not answer PING within {seconds} s; see its log {}", log.display())]
     NotReady {
-        /// Name of the sender.
+        /// Name of the sender that is not ready.
         sender: String,
-        /// The time-out in seconds.
+        /// The time-out for readiness in seconds.
         seconds: i64,
-        /// Path of the sender's log.
+        /// Path of the unready sender's log.
         log: PathBuf,
     },
 }
@@ -109,9 +109,9 @@
     pub offered: u64,
     /// Number of messages delivered so far.
     pub delivered: u64,
-    /// Number of refusals so far, including those of retries.
+    /// Number of refusals so far, including refusals of retries.
     pub refused: u64,
-    /// Number of messages given up so far.
+    /// Number of messages given up by senders so far.
     pub failed: u64,
 }
 
@@ -121,7 +121,7 @@
     recorder: Recorder,
     calls: Cell<u64>,
     progress: Cell<Progress>,
-    /// Messages that were put and have not ended, by id, so that their clients can retry after a refusal.
+    /// Messages that were put and have not ended, by id. Clients retry these messages after a refusal.
     open_messages: RefCell<HashMap<String, clients::ClientMessage>>,
     /// Queue of messages refused after their acceptance, each with the retry-after in milliseconds (0 if none).
     returned_messages: tokio::sync::mpsc::Sender<(clients::ClientMessage, u64)>,
@@ -149,7 +149,7 @@
         self.calls.get()
     }
 
-    /// Counts the message as delivered; further calls for the same message have no effect.
+    /// Counts the message as delivered. Only the first invocation for a message has an effect.
     fn delivered(&self, id: &str) {
         if self.open_messages.borrow_mut().remove(id).is_some() {
             self.count(|p| p.delivered += 1);
@@ -157,7 +157,7 @@
     }
 }
 
-/// The parts of the rig that events act on.
+/// The parts of the rig that timeline events act on.
 struct Rig {
     world: Rc<World>,
     receivers: Rc<Receivers>,
@@ -165,11 +165,11 @@
     senders: Rc<Senders>,
 }
 
-/// Runs a rehearsal and records its history as `history.jsonl` in the options' folder; returns the history's path.
-/// `watch` is called with the progress a few times per second.
+/// Runs a rehearsal and records `history.jsonl` in the options' folder; returns the path of the history.
+/// `watch` is called with the rehearsal's progress a few times per second.
 ///
 /// # Errors
-/// Fails if something could not be started or the history could not be written; then there is nothing to judge.
+/// Fails if something could not be started or the history could not be written; there is then nothing to judge.
 pub fn run(
     scenario: Scenario,
     options: &Options,
@@ -214,7 +214,7 @@
     senders.start_all()?;
     senders.wait_ready(READY_TIMEOUT_US).await?;
 
-    // Times of the traffic and the timeline count from this moment.
+    // Times of the traffic and the timeline count from the moment at which all senders are ready.
     let traffic_start = world.now();
     world.count(|p| p.length = traffic_start + world.scenario.parameters.length);
     tokio::task::spawn_local(measure_lag(world.clone()));
@@ -243,10 +243,10 @@
     Ok(path)
 }
 
-/// Waits until all messages have ended, or until no notice can still arrive in time.
+/// Waits until all messages have ended, or until it is too late for any notice.
 async fn settle(world: &World, traffic_start: Micros) {
     let longest = world.scenario.parameters.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-    // Clients may still retry during the longest deadline.
+    // Clients may still retry up to the longest deadline after the traffic's end, so the deadline counts twice.
     let latest = traffic_start + world.scenario.parameters.length + 2 * longest + NOTICE_TAIL_US;
     loop {
         let idle = world.pending_puts.get() == 0 && world.open_messages.borrow().is_empty();
@@ -255,7 +255,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // Leaves time to record what senders still do after all messages have ended.
+    // Leaves time to record what senders still send after all messages have ended.
     tokio::time::sleep(Duration::from_millis(500)).await;
 }
 
@@ -292,7 +292,7 @@
 }
 
 impl Rig {
-    /// Applies an event, and returns when the event is over.
+    /// Applies an event to its targets, and returns when the event is over.
     async fn apply(self: Rc<Self>, event: RawEvent) {
         self.world.record(Event::Mark { text: event.to_string() });
         let span = duration(event.span());
@@ -327,7 +327,7 @@
     }
 }
 
-/// Returns the folder for a sender's files.
+/// Returns the folder for a sender's configuration, state and log.
 fn sender_folder(options: &Options, name: &str) -> PathBuf {
     Path::new(&options.folder).join(name)
 }
