--- a/crates/rehearsal/src/judge/returns.rs
+++ b/crates/rehearsal/src/judge/returns.rs
@@ -1,5 +1,5 @@
-//! Returns from outages: the load that arrived at a returning receiver, against its capacity at that moment. The rule,
-//! the report and the charts use the same values.
+//! Returns from outages: the load that arrived at a returning receiver, against its capacity at that moment.
+//! The rule on returns, the report and the charts all use the values computed here.
 
 use super::{Attempt, Call, Table};
 use crate::parameters::Receiver;
@@ -8,13 +8,13 @@
 
 /// Time before an outage over which the usual rate of deliveries is measured.
 const BASELINE_SPAN_US: Micros = 5_000_000;
-/// Window in which deliveries are counted to decide whether the load is back to its usual level.
+/// Window in which deliveries are counted to decide whether the load after an outage is back to its usual level.
 const RECOVERY_WINDOW_US: Micros = 1_000_000;
 
 /// Result of a call or probe that arrived at a returning receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArrivalEnd {
-    /// At least one message was delivered, or the probe succeeded.
+    /// The arrival delivered at least one message, or the probe succeeded.
     Delivered,
     /// The receiver rejected the call or probe without running it.
     Rejected,
@@ -25,30 +25,30 @@
 /// A call or probe that arrived at a returning receiver, whether or not it was rejected.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When the call or probe arrived.
+    /// When the call or probe arrived at the receiver.
     pub t: Micros,
-    /// Index of the sender.
+    /// Index of the sender that made the call or probe.
     pub sender: usize,
-    /// Load of the arrival, in calls of one message.
+    /// Load of the arrival, in units of a call with one message.
     pub weight: f64,
     /// Number of the call; `None` for a probe.
     pub call: Option<u64>,
-    /// Result of the call or probe.
+    /// Result of the arrived call or probe.
     pub end: ArrivalEnd,
 }
 
-/// The load within one fall window, and the overload limit at that moment.
+/// The load within one fall window, and the receiver's overload limit at that moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// When the window ended.
+    /// When the fall window ended.
     pub t: Micros,
-    /// Load that arrived within the window.
+    /// Load that arrived within the fall window.
     pub sent: f64,
-    /// Overload limit at the end of the window.
+    /// Overload limit at the end of the fall window.
     pub limit: f64,
     /// Part of the load that came from senders that saw the outage.
     pub aware: f64,
-    /// Index in [`Return::arrivals`] of the last arrival of the window.
+    /// Index in [`Return::arrivals`] of the last arrival of the fall window.
     pub arrival: usize,
 }
 
@@ -62,37 +62,37 @@
 /// One return of a receiver, or of one of its routes, from an outage.
 #[derive(Clone, Debug)]
 pub struct Return {
-    /// The receiver's number.
+    /// Number of the receiver that returned.
     pub receiver: i64,
-    /// The route, where routes are separate.
+    /// Name of the route that returned, if the receiver has separate routes.
     pub route: Option<String>,
-    /// Share of the receiver's capacity that returned: 1, or one route's share.
+    /// Share of the receiver's capacity that returned: 1, or one route's share of it.
     pub part: f64,
     /// When the outage began.
     pub down_at: Micros,
     /// When the outage ended.
     pub back_at: Micros,
-    /// End of the judged time: the receiver is warm, or the next outage begins.
+    /// End of the judged time: when the receiver is warm or the next outage begins, whichever is first.
     pub until: Micros,
     /// Indices of the senders that saw a call or probe fail, or a connection refused, during the outage.
     pub aware: BTreeSet<usize>,
     /// Calls and probes that arrived after the return, in order of time.
     pub arrivals: Vec<Arrival>,
-    /// The load at each arrival, until the receiver is warm.
+    /// The load at each arrival, until the receiver is warm again.
     pub loads: Vec<Load>,
-    /// Time from the return until the deliveries of one second reached half of the usual.
+    /// Time from the return until the deliveries of one second reached half of the usual number.
     pub half_load_after: Option<Micros>,
-    /// Time from the return until the deliveries of one second reached nine tenths of the usual.
+    /// Time from the return until the deliveries of one second reached nine tenths of the usual number.
     pub full_load_after: Option<Micros>,
 }
 
 impl Return {
-    /// Returns the load that was highest as a share of the overload limit.
+    /// Returns the load that was highest in relation to the overload limit.
     pub fn peak(&self) -> Option<Load> {
         self.loads.iter().copied().max_by(|a, b| a.share().total_cmp(&b.share()))
     }
 
-    /// Returns the load per fall window that overloads the receiver when `since` has passed after its return.
+    /// Returns the load per fall window above which the receiver is overloaded, at the time `since` after its return.
     pub fn overload_limit(&self, table: &Table, since: Micros) -> f64 {
         let capacity = table.receiver(self.receiver).map_or(0.0, |r| r.capacity_after(since));
         table.parameters.rules.overload_limit(capacity * self.part)
@@ -195,7 +195,7 @@
     loads
 }
 
-/// Returns the senders that saw a call or probe fail, or a connection refused, during the outage.
+/// Returns the indices of the senders that saw a call or probe fail, or a connection refused, during the outage.
 fn aware(
     table: &Table,
     calls: &[(u64, &Call)],
@@ -221,7 +221,7 @@
     senders
 }
 
-/// Returns the times from the return until the deliveries of one second reached half, and nine tenths, of the usual.
+/// Returns the times from the return until the deliveries of one second reached half and nine tenths of the usual.
 fn recovery_times(
     calls: &[(u64, &Call)],
     down_at: Micros,
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -1,8 +1,9 @@
-//! Service: the worth of the delivered messages divided by the worth of all messages. A message earns its full worth
-//! within its aim, and part of it until its deadline.
+//! Service score: the worth of the delivered messages divided by the worth of all messages.
+//! A message earns its full worth within its aim, and part of its worth until its deadline.
 //!
-//! The score is 45% the whole run, 25% the worst 10 s, 20% the worst-served class and 10% the worst-served tenant
-//! within its share, less the penalties. A client's retries count with its first put as one message.
+//! The score weighs four shares: 45% the whole run, 25% the worst 10 s, 20% the worst-served class,
+//! and 10% the worst-served tenant, counting only messages within its quota. Penalties are deducted from the score.
+//! A client's retries count with the first put as one message.
 
 use super::{Attempt, CallEnd, Table};
 use crate::history::NoticeState;
@@ -10,19 +11,19 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Length of the windows among which the worst is found.
+/// Length of the windows among which the one with the lowest share of worth is found.
 const WINDOW_US: Micros = 10_000_000;
 /// Time between the starts of successive windows.
 const WINDOW_STEP_US: Micros = 1_000_000;
-/// Windows whose total worth is below this share of the average window's are skipped as not significant.
+/// Minimum worth of a window's messages, as a share of the average window's, for the window to be significant.
 const MIN_WINDOW_SHARE: f64 = 0.25;
 
-/// A group of messages and how it was served.
+/// A group of messages, and how well the senders served it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Served {
-    /// Name of the group.
+    /// Name of the group of messages.
     pub name: String,
-    /// Number of messages; retries of a message do not count again.
+    /// Number of messages in the group; retries of a message do not count again.
     pub messages: usize,
     /// Number of messages delivered within their aim.
     pub in_time: usize,
@@ -30,50 +31,50 @@
     pub late: usize,
     /// Number of messages whose last put or notice was a refusal.
     pub refused: usize,
-    /// Number of messages given up, or without an end.
+    /// Number of messages given up, or without an end in the history.
     pub failed: usize,
     /// Total worth of all messages.
     pub asked: f64,
     /// Total worth earned by deliveries.
     pub worth: f64,
-    /// Worth earned divided by the total worth; 1 if the total is 0.
+    /// Worth earned divided by the total worth of the group; 1 if the total is 0.
     pub share: f64,
 }
 
-/// A deduction from the score.
+/// A deduction from the service score.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Penalty {
     /// Name of the penalized behaviour.
     pub name: String,
-    /// Number of occurrences.
+    /// Number of occurrences of the penalized behaviour.
     pub count: f64,
-    /// Points out of 100 that are deducted at one occurrence per message.
+    /// Points out of 100 that are deducted if the behaviour occurs once per message.
     pub points: f64,
-    /// Deduction from the score; 100 points are 1.
+    /// Deduction from the service score; 100 points are 1.
     pub off: f64,
 }
 
 /// The service score with all its terms.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// The score: the weighted terms minus the penalties.
+    /// The service score: the weighted terms minus the penalties.
     #[serde(rename = "figure")]
     pub score: f64,
-    /// All messages of the run.
+    /// How all messages of the run were served.
     pub whole: Served,
-    /// The 10 s window with the lowest share.
+    /// How the messages of the worst window, the 10 s with the lowest share of worth, were served.
     pub worst_window: Served,
     /// Start of the worst window.
     pub worst_window_from: Micros,
-    /// One group of messages for each class.
+    /// How each class of messages was served.
     pub classes: Vec<Served>,
-    /// One group for each tenant, of the messages within the tenant's share only.
+    /// How each tenant was served, counting only messages within the tenant's quota.
     pub tenants: Vec<Served>,
-    /// Lowest share of any class.
+    /// Lowest share of worth that any class earned.
     pub worst_class: f64,
-    /// Lowest share of any tenant.
+    /// Lowest share of worth that any tenant earned.
     pub worst_tenant: f64,
-    /// Deductions from the score.
+    /// Deductions from the service score.
     pub penalties: Vec<Penalty>,
 }
 
@@ -162,7 +163,7 @@
 }
 
 fn client_messages(table: &Table) -> Vec<ClientMessage> {
-    // Each tenant's quota is a token bucket that holds one second's worth: the tokens left, and the time of that count.
+    // Token bucket of each tenant, which holds one second of the quota: the tokens left, and when they were counted.
     let mut buckets: HashMap<usize, (f64, Micros)> = HashMap::new();
     let mut client_messages: Vec<ClientMessage> = Vec::new();
     let mut by_origin: BTreeMap<&str, usize> = BTreeMap::new();
@@ -230,7 +231,7 @@
     let messages = client_messages.len().max(1) as f64;
     let calls = || table.calls.values();
     let new_connection = calls().filter(|c| c.new_connection).count();
-    // Counts wasted work: runs beyond the one that each delivered message needed.
+    // Counts wasted work: runs of messages beyond the one run that each delivered message needed.
     let runs: usize = table.messages.iter().map(|m| m.runs.len()).sum();
     let delivered =
         client_messages.iter().filter(|message| matches!(message.end, End::InTime | End::Late)).count();
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -1,5 +1,5 @@
-//! Aggregates the reports of many runs by scenario and number of senders, as a table and as a page with charts.
-//! This module does no I/O.
+//! Aggregates the reports of many runs by scenario and number of senders.
+//! The result is a text table and an HTML page with charts. Aggregating does no I/O.
 
 use crate::html::{AMBER, CRIMSON, GREEN, SLATE, escape, legend};
 use crate::judge::{Rule, Spread, Verdict};
@@ -10,19 +10,19 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Identifies a run of a matrix.
+/// Identifies a run of a matrix: a scenario, a number of senders and a seed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cell {
     /// Name of the scenario.
     pub scenario: String,
-    /// Number of senders.
+    /// Number of senders in the run.
     pub senders: usize,
     /// Seed of the run.
     pub seed: u64,
 }
 
 impl Cell {
-    /// Returns the name of the folder for the run's evidence.
+    /// Returns the name of the folder in which the run's evidence is stored.
     pub fn folder(&self) -> String {
         format!("{}-n{}-s{}", self.scenario, self.senders, self.seed)
     }
@@ -33,39 +33,40 @@
 pub struct Row {
     /// Name of the scenario.
     pub scenario: String,
-    /// Number of senders.
+    /// Number of senders in each run.
     pub senders: usize,
     /// Number of runs that are not void.
     pub runs: usize,
     /// Number of void runs, in which the rig itself was late.
     pub void: usize,
-    /// Broken rules, with the number of runs that broke each.
+    /// Broken rules, with the number of runs that broke each rule.
     pub broken: BTreeMap<String, usize>,
-    /// Service score: minimum, mean and maximum.
+    /// Service score of the runs: minimum, mean and maximum.
     pub service: [f64; 3],
     /// Highest load on a returning receiver as a share of its overload limit: mean and maximum over the runs.
     pub share_of_fall: [f64; 2],
-    /// Mean seconds from a return to half of the usual load, and to nine tenths; `None` if a return never reached it.
+    /// Mean seconds from a return to half, and to nine tenths, of the usual load; `None` if a return never reached it.
     pub back: [Option<f64>; 2],
-    /// Shares of messages that were late, refused in the end, and failed.
+    /// Shares of messages that were delivered late, refused in the end, and failed.
     pub late_refused_failed: [f64; 3],
-    /// New connections per message.
+    /// New connections to endpoints per message.
     pub connections: f64,
-    /// Refused calls per message.
+    /// Calls refused by receivers per message.
     pub refused_calls: f64,
-    /// Evenness of the worst receiver in windows of 10 s, as the mean over the runs: busiest endpoint over the mean,
-    /// idlest over the mean, and variance over that of random choices. `None` if no receiver has enough endpoints and
-    /// calls to compute the evenness.
+    /// Evenness of the worst receiver in windows of 10 s, as the mean over the runs.
+    /// Its values are the calls of the busiest endpoint over the mean, the idlest endpoint's calls over the mean,
+    /// and the variance over that of random choices.
+    /// The values are `None` if no receiver has enough endpoints and calls to compute the evenness.
     #[serde(default)]
     pub uneven: [Option<f64>; 3],
-    /// Median and 90th percentile of the latency in ms, each as the mean over the runs.
+    /// Median and 90th percentile of the latency in ms; each percentile is the mean over the runs.
     #[serde(default)]
     pub latency_ms: [f64; 2],
-    /// Worst observed value of each rule that has a margin, in the margin's own unit.
+    /// Worst value, by rule, that any run came to in relation to the rule's limit, in the unit of the rule's margin.
     pub margins: BTreeMap<String, f64>,
 }
 
-/// Aggregates all runs to rows, in order of scenario and number of senders.
+/// Aggregates all runs to table rows, in order of scenario and number of senders.
 pub fn rows(runs: &BTreeMap<Cell, Report>) -> Vec<Row> {
     let mut groups: BTreeMap<(&str, usize), Vec<&Report>> = BTreeMap::new();
     for (cell, report) in runs {
@@ -142,7 +143,7 @@
     }
 }
 
-/// Returns the rows as a text table.
+/// Returns the aggregated rows as a text table.
 pub fn text(rows: &[Row]) -> String {
     let mut out = String::new();
     // Writing to a string cannot fail.
@@ -196,13 +197,13 @@
     Ok(())
 }
 
-/// Function that returns the value of a row that a chart shows.
+/// Function that returns the value of a table row that a chart shows.
 type RowValue = fn(&Row) -> f64;
 
-/// Returns the rows as an HTML page with a table and charts.
+/// Returns the aggregated rows as an HTML page with a table and charts.
 ///
 /// # Errors
-/// Fails if a chart cannot be drawn; names the chart and the cause.
+/// Fails if a chart cannot be drawn; the error names the chart and the cause.
 pub fn page(rows: &[Row]) -> Result<String, String> {
     let titles_and_values: [(&str, RowValue); 7] = [
         ("Service", |r| r.service[1]),
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -1,4 +1,4 @@
-//! The senders under rehearsal: real processes with the environment and configuration that the platform gives them.
+//! Processes of the senders under rehearsal, with the environment and configuration that the platform gives them.
 
 use super::crowd;
 use super::directory::Directory;
@@ -24,15 +24,15 @@
 use tokio::process::Command;
 use tokio::sync::Notify;
 
-/// Time from SIGTERM to SIGKILL.
+/// Time from SIGTERM until a sender's process gets SIGKILL.
 const TERM_TIMEOUT: Duration = Duration::from_millis(3700);
-/// Default time from the end of a process to its next start.
+/// Default time from the end of a sender's process to its next start.
 const DEFAULT_DOWN_US: Micros = 600_000;
-/// Time-out for a new process to become ready when it replaces another.
+/// Time-out for a new process to become ready when it replaces the sender's old process.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Time from the start of a sender's lame duck mode until the front end routes its clients to other senders.
 const FRONT_LAG_US: Micros = 300_000;
-/// Time for processes to end after SIGKILL.
+/// Time-out for processes to end after SIGKILL.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(4500);
 
 struct Process {
@@ -40,16 +40,16 @@
     name: String,
     addr: SocketAddr,
     folder: PathBuf,
-    /// Socket that is bound but does not listen: it reserves the sender's port over restarts.
+    /// Reserves the sender's port over restarts: a socket that is bound but does not listen.
     _port: Option<TcpSocket>,
-    /// Listening socket for clients, if the rig owns one for all processes of this sender.
+    /// Listening socket for clients, if the rig owns one socket for all processes of the sender.
     listener: Option<std::net::TcpListener>,
-    /// Management address of the process started last, and the socket that reserves its port.
+    /// Management address of the sender's latest process, and the socket that reserves the address's port.
     management: RefCell<Option<(SocketAddr, TcpSocket)>>,
-    /// Start of the sender's lame duck mode, if it is in that mode.
+    /// When the sender's lame duck mode started; `None` outside that mode.
     lame_duck_since: Cell<Option<Micros>>,
     pid: Cell<Option<i32>>,
-    /// Whether the rehearsal itself is ending the process.
+    /// Whether the rehearsal itself is ending the sender's process.
     planned: Cell<bool>,
     ended: Notify,
 }
@@ -69,13 +69,13 @@
 pub struct Senders {
     world: Rc<World>,
     executable: Option<PathBuf>,
-    /// Whether processes have a management interface.
+    /// Whether the senders' processes have a management interface.
     with_management: bool,
     all: Vec<Rc<Process>>,
 }
 
 impl Senders {
-    /// Creates a folder, a port and a configuration for each sender. Starts nothing.
+    /// Creates a folder, a port and a configuration for each sender. Starts no process.
     pub fn prepare(
         world: Rc<World>,
         directory: &Directory,
@@ -139,12 +139,12 @@
         Ok(Rc::new(Senders { world, executable, with_management, all }))
     }
 
-    /// Returns the address of a sender for clients.
+    /// Returns the address at which clients reach a sender.
     pub fn addr(&self, sender: usize) -> SocketAddr {
         self.all[sender].addr
     }
 
-    /// Returns the sender to which the front end routes a client of this sender: another one during lame duck mode.
+    /// Returns the sender to which the front end routes a client of `sender`: another sender during lame duck mode.
     pub fn route_client(&self, sender: usize) -> usize {
         let now = self.world.now();
         let is_open =
@@ -163,7 +163,7 @@
         let log = File::options().create(true).append(true).open(&path);
         let log = log.map_err(RigError::io(path.display().to_string()))?;
         let mut command = Command::new(executable);
-        // The process gets no arguments and none of this process's own settings, as when the platform starts it.
+        // The sender's process gets no arguments and no LB_ settings of the rehearsal, as when the platform starts it.
         let is_own_setting = |name: &str| name.starts_with("LB_");
         for (name, _) in std::env::vars().filter(|(n, _)| is_own_setting(n)) {
             command.env_remove(name);
@@ -175,7 +175,7 @@
             command.env("LB_MGMT", addr.to_string());
             *process.management.borrow_mut() = Some((addr, port));
         }
-        // A copy of the socket that survives exec; it is dropped here once the process is started.
+        // A copy of the listening socket survives exec; the rehearsal drops it once the sender's process is started.
         let inherited = process.listener.as_ref().map(nix::unistd::dup).transpose();
         let inherited =
             inherited.map_err(|e| RigError::io("duplicating the clients' listening socket")(e.into()))?;
@@ -280,7 +280,7 @@
             }
             EventKind::RetuneWrong => {
                 let Some(before) = self.configure(process, invalid_config) else { return };
-                // The valid configuration is restored soon, so that a restart finds it.
+                // The valid configuration is restored soon, so that a restarted sender finds a valid file.
                 tokio::time::sleep(Duration::from_millis(200)).await;
                 self.write_config(process, &before);
             }
@@ -303,7 +303,7 @@
         }
     }
 
-    /// Starts a second process while the first one runs; ends the first one when the second is ready.
+    /// Starts a second process while the sender's first one runs, and ends the first when the second is ready.
     async fn upgrade(self: &Rc<Self>, process: &Rc<Process>) {
         let Some(old) = process.pid.get() else { return };
         let started = self.world.now();
@@ -324,7 +324,7 @@
             false => format!("{}: the process in its place was not ready within {took} ms", process.name),
         };
         self.world.record(Event::Mark { text });
-        // The old process may have ended by itself, so errors of both signals are ignored.
+        // The old process may have ended by itself, so errors of SIGTERM and SIGKILL are ignored.
         _ = unix::kill(Pid::from_raw(old), unix::Signal::SIGTERM);
         let gone = async {
             while unix::kill(Pid::from_raw(old), None).is_ok() {
@@ -345,7 +345,7 @@
         self.world.record(Event::Mark { text });
     }
 
-    /// Changes the sender's configuration with `change` and sends SIGHUP; returns the previous text.
+    /// Changes the sender's configuration with `change` and sends SIGHUP; returns the configuration's previous text.
     fn configure(&self, process: &Process, change: impl FnOnce(&mut Value)) -> Option<Vec<u8>> {
         let before = std::fs::read(process.config()).ok()?;
         let mut config = serde_json::from_slice(&before).ok()?;
@@ -397,7 +397,8 @@
         }
     }
 
-    /// Kills all processes. To be called after the end of the history.
+    /// Kills all senders' processes.
+    /// Must be called after the history's last record, so that the kills are not evidence.
     pub async fn end(&self) {
         for process in &self.all {
             process.planned.set(true);
@@ -414,7 +415,7 @@
     }
 }
 
-/// Adds a class to the configuration and halves the maximum number of attempts.
+/// Adds a class to a sender's configuration and halves the maximum number of attempts.
 fn extra_class_and_half_attempts(config: &mut Value) {
     let attempts = &mut config["settings"]["Limits"]["MaxAttempts"];
     *attempts = json!((attempts.as_i64().unwrap_or(2) / 2).max(1));
@@ -426,7 +427,7 @@
     }
 }
 
-/// Makes the configuration invalid by a negative deadline, and also changes the directory and the class names:
+/// Makes a sender's configuration invalid with a negative deadline, and changes the directory and the class names:
 /// a sender that applied any part of the configuration could not continue.
 fn invalid_config(config: &mut Value) {
     config["discovery"] = json!("127.0.0.1:9");
@@ -436,8 +437,8 @@
     }
 }
 
-/// Reserves a port on loopback. The socket is bound but does not listen,
-/// so that each process of the sender can listen on the port.
+/// Reserves a port on loopback with a socket that is bound but does not listen,
+/// so that each process of the sender can listen on the reserved port.
 fn reserve_port() -> std::io::Result<(SocketAddr, TcpSocket)> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -456,7 +457,7 @@
     tokio::time::timeout(Duration::from_secs(2), exchange).await.map_err(std::io::Error::other)?
 }
 
-/// Returns the configuration that the platform would write for this sender.
+/// Returns the configuration that the platform would write for the sender with the given index.
 fn config(world: &World, directory: &Directory, index: usize, addr: SocketAddr) -> Value {
     let scenario = &world.scenario;
     let sender = &scenario.senders[index];
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -1,5 +1,6 @@
-//! A scenario: the file in which an operator describes a rehearsal. It is parsed and checked completely before anything
-//! starts; every finding has its line and column and states how to correct it.
+//! A scenario: the file in which an operator describes a rehearsal.
+//! A scenario is parsed and checked completely before anything starts.
+//! Every finding has its line and column in the file and states how to correct the fault.
 
 mod checks;
 mod class;
@@ -15,7 +16,7 @@
 mod traffic;
 
 pub use class::Class;
-/// A scenario that cannot be run. `name` is that of the file, or of a shipped scenario. Nothing has been started.
+/// A scenario that cannot be run. `name` is that of the file or of a shipped scenario. No process has been started.
 pub use embershore_finding::FileError as ScenarioError;
 pub use kind::Kind;
 pub use receiver::{Latency, Limit, MAX_ENDPOINTS, Receiver};
@@ -41,49 +42,49 @@
 use toml::Spanned;
 use traffic::traffic;
 
-/// Maximum size of a scenario file; the shipped ones have about 3 KiB.
+/// Maximum size of a scenario file; the shipped scenarios have about 3 KiB.
 const MAX_FILE_BYTES: u64 = 4 << 20;
-/// Minimum length of a scenario: 1 s.
+/// Minimum length of a scenario's traffic: 1 s.
 const MIN_LENGTH_US: Micros = 1_000_000;
 /// Assumed mean latency of a call, in seconds, if no receiver has a share of the traffic.
 const DEFAULT_MEAN_LATENCY_S: f64 = 0.15;
 
-/// A scenario that has passed all checks.
+/// A scenario that has passed all checks and can be run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// One-line description of the scenario.
     pub about: String,
-    /// The parameters that a verdict depends on.
+    /// The parameters of the run that a verdict depends on.
     pub parameters: Parameters,
-    /// Zones and the delays between them.
+    /// Zones and the network delays between them.
     pub network: Network,
-    /// Settings of all senders.
+    /// Settings that all senders share.
     pub settings: SenderSettings,
-    /// Behaviour of the directory.
+    /// Behaviour of the stand-in directory.
     pub directory: Directory,
-    /// Behaviour of the clients.
+    /// Behaviour of the clients when they put messages.
     pub clients: Clients,
-    /// Classes, in the order of `parameters`.
+    /// Properties of the classes of messages, in the order of the classes in `parameters`.
     pub classes: Vec<Class>,
-    /// Each tenant's share of the traffic, in the order of `parameters`.
+    /// Each tenant's share of the traffic, in the order of the tenants in `parameters`.
     pub tenant_shares: Vec<f64>,
-    /// Kinds of receiver.
+    /// Kinds of receiver in the scenario.
     pub kinds: Vec<Kind>,
-    /// Receivers, in the order of `parameters`.
+    /// Properties of the stand-in receivers, in the order of the receivers in `parameters`.
     pub receivers: Vec<Receiver>,
-    /// Senders, in the order of `parameters`.
+    /// Properties of the senders to start, in the order of the senders in `parameters`.
     pub senders: Vec<Sender>,
-    /// Pieces of the traffic.
+    /// Pieces of the traffic that clients produce.
     pub traffic: Vec<Traffic>,
-    /// Events of the timeline, by time.
+    /// Events of the timeline, each with its time, in order of time.
     pub events: Vec<(Micros, RawEvent)>,
 }
 
 impl Scenario {
-    /// Reads a scenario from a file. Paths of traces are relative to its folder.
+    /// Reads a scenario from a file. Paths of traces are relative to the file's folder.
     ///
     /// # Errors
-    /// Fails if the file cannot be read, or with all findings in it.
+    /// Fails if the file cannot be read, or if the scenario has faults; the error lists all findings.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let io = |error| ScenarioError::Io { path: path.into(), error };
         let text = embershore_finding::read(path, MAX_FILE_BYTES, "a scenario").map_err(io)?;
@@ -91,10 +92,10 @@
         Scenario::parse(&path.display().to_string(), &text, folder)
     }
 
-    /// Parses a scenario. `name` is used in messages, and `folder` is where traces are looked up.
+    /// Parses a scenario. `name` is used in messages, and `folder` is where the scenario's traces are looked up.
     ///
     /// # Errors
-    /// Fails with all findings in the text.
+    /// Fails if the text has faults; the error lists all findings.
     pub fn parse(name: &str, text: &str, folder: &Path) -> Result<Scenario, ScenarioError> {
         let wrong = |findings| ScenarioError::Invalid { name: name.into(), findings };
         let raw: Raw = toml::from_str(text).map_err(|e| wrong(vec![Finding::from_toml_error(text, &e)]))?;
@@ -153,7 +154,7 @@
     if shares > 0.0 { mean / shares } else { DEFAULT_MEAN_LATENCY_S }
 }
 
-/// Checks the events and sorts them by time.
+/// Checks the scenario's events and sorts them by time.
 fn events(
     raw: &Raw,
     checks: &mut Checks<'_>,
--- a/crates/rehearsal/src/scenario/receiver.rs
+++ b/crates/rehearsal/src/scenario/receiver.rs
@@ -9,27 +9,28 @@
 use std::collections::BTreeSet;
 use toml::Spanned;
 
-/// Maximum number of endpoints of a scenario: each needs one socket per sender, within the usual limit on descriptors.
+/// Maximum number of endpoints of a scenario: each endpoint needs one socket per sender,
+/// within the usual limit on descriptors.
 pub const MAX_ENDPOINTS: usize = 4096;
 
-/// Log-normal distribution of a receiver's time per message, given by two of its percentiles.
+/// Log-normal distribution of a receiver's time per message, given by its median and 99th percentile.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Latency {
-    /// Median of the time.
+    /// Median of the time per message.
     pub median: Span,
-    /// 99th percentile of the time.
+    /// 99th percentile of the time per message.
     pub p99: Span,
 }
 
 impl Latency {
-    /// Returns the standard deviation of the logarithm of the time.
+    /// Returns the standard deviation of the logarithm of the time per message.
     pub fn sigma(&self) -> f64 {
         // The 99th percentile of a normal distribution is 2.326 standard deviations above its mean.
         ((self.p99.0.max(1) as f64) / (self.median.0.max(1) as f64)).ln().max(0.0) / 2.326
     }
 
-    /// Returns the mean time in seconds.
+    /// Returns the mean time per message in seconds.
     pub fn mean(&self) -> f64 {
         self.median.secs() * (self.sigma().powi(2) / 2.0).exp()
     }
@@ -39,15 +40,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Number of calls per window, or per second if there is no window.
+    /// Number of calls per window, or per second for a limit without windows.
     pub calls: f64,
-    /// Length of the fixed windows; if absent, the limit is a rate per second, which refused calls use up too.
+    /// Length of the fixed windows. If absent, the limit is a rate per second, which refused calls use up too.
     #[serde(default)]
     pub window: Option<Span>,
 }
 
 impl Limit {
-    /// Returns the limit in calls per second.
+    /// Returns the limit on calls as a rate in calls per second.
     pub fn rate(&self) -> f64 {
         self.calls / self.window.map_or(1.0, Span::secs)
     }
@@ -83,36 +84,36 @@
     pub(super) error_share: f64,
 }
 
-/// A stand-in receiver.
+/// A stand-in receiver, as the scenario defines it.
 #[derive(Clone, Debug)]
 pub struct Receiver {
     /// Number of the receiver.
     pub number: i64,
-    /// Index of the receiver's kind.
+    /// Index of the receiver's kind in the scenario.
     pub kind: usize,
-    /// Number of endpoints at the start.
+    /// Number of the receiver's endpoints at the start of the run.
     pub endpoints: usize,
     /// Share of the traffic that the receiver gets.
     pub share: f64,
-    /// Limit on the calls from all senders together.
+    /// Limit on the calls that the receiver accepts from all senders together.
     pub limit: Option<Limit>,
     /// Messages per second that the receiver can handle when warm.
     pub capacity: f64,
-    /// Distribution of the time per message.
+    /// Distribution of the receiver's time per message.
     pub latency: Latency,
     /// Share of the receiver's refusals that advertise a wait.
     pub tells_waits: f64,
-    /// Range of the advertised waits; a limit with windows advertises the rest of its window instead.
+    /// Range of the advertised waits. A limit with windows instead advertises the time until its window ends.
     pub wait: [Span; 2],
     /// Maximum number of messages that queue at an endpoint.
     pub queue: usize,
-    /// How long the receiver remembers keys; 0 if not at all.
+    /// How long the receiver remembers idempotency keys; 0 to remember none.
     pub key_memory: Micros,
     /// Share of the calls that the receiver answers with an error.
     pub error_share: f64,
 }
 
-/// Checks the receivers; returns the properties that the rig needs, and the parameters for the judge.
+/// Checks the `[[receiver]]` tables; returns the properties for the rig, and the parameters for the judge.
 pub(super) fn receivers(
     raw: &Raw,
     checks: &mut Checks<'_>,
@@ -150,8 +151,8 @@
     (receivers, all_parameters)
 }
 
-/// Sets how long receivers remember keys: at least the longest window of the keyed classes.
-/// With a shorter time, repeats would take effect.
+/// Sets how long receivers remember idempotency keys: at least the longest window of the keyed classes.
+/// With a shorter memory, repeated deliveries would take effect.
 fn set_key_memory(raw: &Raw, checks: &mut Checks<'_>, receivers: &mut [Receiver]) {
     let keyed = raw.class.get_ref().iter().filter(|k| k.effect == Effect::Keyed);
     let windows = keyed.filter_map(|k| k.window.as_ref()).map(|w| w.get_ref().0);
@@ -172,7 +173,7 @@
 }
 
 impl RawReceiver {
-    /// Returns the number of identical receivers that the table defines; their numbers are consecutive.
+    /// Returns the number of identical receivers that the table defines; the receivers' numbers are consecutive.
     pub(super) fn count(&self) -> usize {
         self.count.as_ref().map_or(1, |n| *n.get_ref())
     }
--- a/crates/rehearsal/tests/common/stub.rs
+++ b/crates/rehearsal/tests/common/stub.rs
@@ -1,5 +1,6 @@
-//! A minimal sender that is correct except for one selected fault. The tests use it to show that the judge attributes
-//! each fault to its rule only, and the benchmark to measure the rig.
+//! A minimal sender that is correct except for one selected fault.
+//! The tests show with the stub that the judge attributes each fault to its rule only.
+//! The benchmark measures the rig with the stub.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -24,36 +25,36 @@
     None,
     /// Forgets every tenth accepted message, unless it is in an ordered class.
     LosesMessages,
-    /// Sends the notices of undelivered messages one second too late.
+    /// Sends the notices of undelivered messages one second after they are due.
     SendsLateNotices,
-    /// Closes the connection without a reply on some messages, however often they are put.
+    /// Closes the connection without a reply to some messages, however often the client puts them.
     ClosesWithoutReply,
-    /// Repeats unsafe messages regardless of the outcome.
+    /// Repeats unsafe messages whatever the outcome of the earlier attempt.
     RepeatsUnsafe,
-    /// Sends every tenth message to two endpoints at once.
+    /// Sends every tenth message in two calls at once.
     SendsCopies,
-    /// Returns unsafe messages that may have run as safe to retry.
+    /// Returns unsafe messages that may have run to the client, as if a retry were safe.
     RefusesAfterRun,
-    /// Keeps using the first list of endpoints.
+    /// Ignores all updates after the first list of endpoints.
     IgnoresDrains,
-    /// Sends a returning receiver everything that it holds at once.
+    /// Sends all pending messages for a returning receiver at once.
     OverloadsReturning,
-    /// Sends messages of one key without waiting for each other.
+    /// Sends messages of one order key without waiting for the previous message's end.
     IgnoresOrder,
-    /// Ignores advertised waits.
+    /// Ignores the waits that receivers advertise.
     IgnoresWaits,
-    /// Accepts everything and sends nothing, to measure the rig.
+    /// Accepts every message and sends none, to measure the rig alone.
     SendsNothing,
 }
 
 /// Time-out of a call to a receiver.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long before its deadline a message is given up.
+/// How long before its deadline the stub gives a message up.
 const GIVE_UP_LEAD: Duration = Duration::from_millis(250);
-/// Interval between calls to a receiver that returned recently.
+/// Interval between calls to a receiver that returned from an outage recently.
 const PACE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// An endpoint of a receiver.
+/// An endpoint of a receiver, as the directory lists it.
 struct Endpoint {
     addr: SocketAddr,
 }
@@ -64,10 +65,10 @@
     endpoints: Vec<Rc<Endpoint>>,
     turn: usize,
     wait_until: Option<Instant>,
-    /// Whether the receiver failed; then one trial call at a time checks whether it works again.
+    /// Whether the receiver failed. If so, the stub makes one trial call at a time to check whether the receiver works.
     failing: bool,
     on_trial: bool,
-    /// End of the time in which calls to the receiver are paced.
+    /// End of the time after an outage in which calls to the receiver are paced.
     warm_until: Option<Instant>,
     next: Option<Instant>,
 }
@@ -84,8 +85,8 @@
     frozen: Cell<bool>,
 }
 
-/// Starts a stub in a separate thread, which ends with the process, and returns its address. The stub reads its
-/// configuration from this file as soon as the rig has written it.
+/// Starts a stub in a separate thread, which ends with the process, and returns the stub's address.
+/// The stub reads `config` as soon as the rig has written the file.
 pub fn start(fault: Fault, config: PathBuf) -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Polls the complete list repeatedly.
+    /// Polls the directory's complete list of endpoints repeatedly.
     async fn follow(self: Rc<Self>) {
         loop {
             if let Ok((200, _, body)) = self.request(self.discovery, "GET /v1/servers", &[], b"").await
@@ -170,7 +171,7 @@
                 let Ok(put) = decode_put(&args) else { return };
                 self.taken.set(self.taken.get() + 1);
                 let number = self.taken.get();
-                // The client puts the message again on a new connection under the same id, and gets no reply either.
+                // The client puts the message again on a new connection under the same id, and again gets no reply.
                 if self.fault == Fault::ClosesWithoutReply && put.request_id.ends_with("07") {
                     return;
                 }
@@ -192,7 +193,7 @@
     async fn deliver(self: Rc<Self>, put: Put, number: u64) {
         let until = Instant::now() + Duration::from_micros(put.time_left as u64) - GIVE_UP_LEAD;
         let ordered = self.classes[&put.class].1 && self.fault != Fault::IgnoresOrder;
-        // The lock is fair, so messages of a key are sent in the order of their arrival.
+        // The lock on the order key is fair, so messages of a key are sent in the order of their arrival.
         let key = ordered.then(|| {
             let name = format!("{}/{}", put.class, put.order_key);
             self.keys.borrow_mut().entry(name).or_default().clone()
@@ -208,7 +209,7 @@
         if let Some(turn) = turn.as_deref_mut().filter(|_| unknown) {
             *turn = Some(Instant::now() + self.settle);
         }
-        // A message with an order key has ended only when the platform has received its notice.
+        // A message with an order key ends only when the platform has received the message's notice.
         if let Some(state) = end {
             self.notice(&put.request_id, state, until).await;
         }
@@ -228,7 +229,7 @@
     }
 
     /// Repeats attempts until the message is delivered or given up.
-    /// Returns the state of the notice, if one is due, and whether an attempt may still be running.
+    /// Returns the state for the notice, if one is due, and whether an attempt may still be running.
     async fn attempts(
         self: &Rc<Self>,
         put: &Put,
@@ -246,7 +247,7 @@
                 (Some(_), "single_shot") if self.fault != Fault::RepeatsUnsafe => break,
                 _ => {}
             }
-            // Waits for an endpoint only as long as a repeat is still allowed.
+            // Waits for an endpoint only until the deadline for a repeat of the message.
             let last = match may_have_run.filter(|_| effect == "guarded") {
                 Some(first) => until.min(first + *window - CALL_TIMEOUT),
                 None => until,
@@ -272,7 +273,7 @@
         (refused(may_have_run.is_some()), may_have_run.is_some())
     }
 
-    /// Waits for an endpoint that may be called now; returns `None` if none is free until then.
+    /// Waits for an endpoint that may be called now; returns `None` if there is none before `until`.
     async fn endpoint(&self, dest: i64, until: Instant) -> Option<Rc<Endpoint>> {
         while Instant::now() < until {
             if let Some(endpoint) = self.next_endpoint(dest) {
@@ -291,7 +292,7 @@
             return None;
         }
         if r.failing {
-            // One trial call runs at a time; other messages wait.
+            // Only one trial call to a failing receiver runs at a time; other messages wait.
             if r.on_trial || r.next.is_some_and(|t| now < t) {
                 return None;
             }
@@ -360,7 +361,7 @@
                 let stream = TcpStream::connect(addr).await?;
                 stream.set_nodelay(true)?;
                 let mut stream = BufReader::new(stream);
-                // A connection that is reset at once has not carried the request: it counts as not connected.
+                // A connection that is reset at once has not carried the request, so it counts as not connected.
                 let ended = tokio::time::timeout(Duration::from_millis(3), stream.fill_buf()).await;
                 if ended.is_ok() {
                     return Err(io::ErrorKind::NotConnected.into());
@@ -398,7 +399,7 @@
     }
 }
 
-/// Outcome of a call.
+/// Outcome of the stub's call to a receiver.
 enum CallOutcome {
     Answered(u16, Duration),
     NoConnection,
--- a/crates/rehearsal/tests/judge.rs
+++ b/crates/rehearsal/tests/judge.rs
@@ -1,5 +1,6 @@
-//! Tests of the judge with hand-written histories. Each rule has several histories that break it in different ways, one
-//! of them just past the limit, and some just within the limit.
+//! Tests of the judge with hand-written histories.
+//! Each rule has several histories that break it in different ways, one of them just past the limit.
+//! Other histories are just within the rule's limit.
 
 mod common;
 use common::*;
@@ -8,7 +9,7 @@
 };
 use embershore_rehearsal::judge::{Rule, Verdict, judge};
 
-// Rule 1, no message lost: a deadline of 10 s, 300 ms for the notice, and 50 ms of allowance.
+// Tests of rule 1, no message lost: the deadline is 10 s, plus 300 ms for the notice and 50 ms of socket allowance.
 
 #[test]
 fn a_message_that_is_never_ended_is_lost() {
@@ -35,7 +36,8 @@
 
 #[test]
 fn a_notice_after_the_grace_of_a_restart_is_late() {
-    // The deadline of 10 s passes while the sender is down; it is ready at 12 s and then has 1.5 s for the notice.
+    // The deadline of 10 s passes while the sender is down.
+    // The sender is ready at 12 s and then has 1.5 s for the notice.
     let restarted = |ms| {
         let mut h = History::new();
         h.accepted(0, 0, "m1", SAFE).signal(9_000, 0, Signal::Kill).ready(12_000, 0);
@@ -84,7 +86,7 @@
     assert_eq!(h.judge().ruling(Rule::NoMessageLost).unwrap().verdict, Verdict::Untested);
 }
 
-// Rule 2, no effect twice.
+// Tests of rule 2, no effect twice.
 
 #[test]
 fn an_unsafe_message_is_sent_again_only_if_it_never_ran() {
@@ -109,7 +111,7 @@
 
 #[test]
 fn a_keyed_message_is_sent_again_within_its_window_only() {
-    // The window of 3 s starts with the first attempt that may have run; 50 ms of allowance are added.
+    // The key's window of 3 s starts with the first attempt that may have run; 50 ms of socket allowance are added.
     let again = |ms| {
         let mut h = History::new();
         h.accepted(0, 0, "m1", KEYED).sent(10, 0, "e1", "m1", 503).sent(1_000, 0, "e1", "m1", 500);
@@ -121,7 +123,7 @@
 
 #[test]
 fn two_attempts_are_never_in_flight_at_once() {
-    // The first attempt ends at 1 s. A second attempt may begin up to 50 ms, the allowance, before that.
+    // The first attempt ends at 1 s. A second attempt may begin up to 50 ms (the socket allowance) before 1 s.
     let second = |ms| {
         let mut h = History::new();
         h.accepted(0, 0, "m1", SAFE);
@@ -192,7 +194,7 @@
     ends("what?").breaks(Rule::NoEffectTwice);
 }
 
-// Rule 3, drains kept: 1 s of grace and 50 ms of allowance.
+// Tests of rule 3, drains kept: 1 s of drain grace and 50 ms of socket allowance.
 
 fn drained(notify: impl Fn(&mut History), ms: i64) -> History {
     let mut h = History::new();
@@ -261,12 +263,12 @@
     h.answer(3_100, call, 200).over(20_000).keeps(Rule::DrainsKept);
 }
 
-// Rule 4, a returning receiver. It handles 10 messages per second when warm, a fifth of them right after its return,
-// and is warm after 10 s.
-// The overload limit is twice the capacity over 2 s plus one standard deviation, and at least 6.
+// Tests of rule 4, returning receivers. Receiver 1 handles 10 messages per second when warm.
+// Right after its return the receiver handles a fifth of them, and it is warm after 10 s.
+// The overload limit is twice the capacity over 2 s plus one standard deviation for chance, and at least 6.
 
-/// Returns a history with an outage of receiver 1 from 1 s to 5 s, which the senders `aware` see. `loads` gives each
-/// sender and its number of messages, which are sent 10 ms apart from `from` on.
+/// Returns a history with an outage of receiver 1 from 1 s to 5 s, which the senders `aware` see.
+/// `loads` gives each sender and its number of messages; the messages are sent 10 ms apart, starting at `from`.
 fn returned(aware: &[usize], loads: &[(usize, usize)], from: i64) -> History {
     let mut h = History::new();
     h.at(1_000, Event::Down { receiver: 1, endpoint: None });
@@ -293,21 +295,22 @@
 
 #[test]
 fn one_message_over_the_limit_overloads_a_cold_receiver() {
-    // At 5.31 s the capacity is 2.25 per second: twice that over 2 s is 8.99, and 3.00 is added for chance.
+    // The receiver's capacity at 5.31 s is 2.25 per second: twice that over 2 s is 8.99, and 3.00 is added for chance.
     returned(&[0], &[(0, 11)], 5_200).keeps(Rule::ReturnNotPushedOver);
     returned(&[0], &[(0, 12)], 5_200).breaks(Rule::ReturnNotPushedOver);
 }
 
 #[test]
 fn a_warmer_receiver_has_a_higher_limit() {
-    // At 10.3 s the capacity is 6.2 per second: twice that over 2 s is 24.9, and 5 is added for chance.
+    // The receiver's capacity at 10.3 s is 6.2 per second: twice that over 2 s is 24.9, and 5 is added for chance.
     returned(&[0], &[(0, 29)], 10_000).keeps(Rule::ReturnNotPushedOver);
     returned(&[0], &[(0, 30)], 10_000).breaks(Rule::ReturnNotPushedOver);
 }
 
 #[test]
 fn the_rule_is_broken_if_two_thirds_of_the_load_came_from_aware_senders() {
-    // The twelfth message exceeds the limit: eight from the aware sender are two thirds, seven are not.
+    // The twelfth message exceeds the overload limit.
+    // Eight messages from the aware sender are two thirds of the load and break the rule; seven do not.
     returned(&[0], &[(0, 8), (1, 4)], 5_200).breaks(Rule::ReturnNotPushedOver);
     returned(&[0], &[(0, 7), (1, 5)], 5_200).keeps(Rule::ReturnNotPushedOver);
 }
@@ -323,7 +326,7 @@
     };
     seen(Event::Refused { sender: 0, endpoint: "e1".into() }).breaks(Rule::ReturnNotPushedOver);
     seen(Event::Probe { sender: 0, endpoint: "e1".into(), status: 503 }).breaks(Rule::ReturnNotPushedOver);
-    // Neither a successful probe nor a refusal by another receiver shows the outage.
+    // A successful probe does not show the outage to the sender, nor does a refusal by another receiver.
     for event in [
         Event::Probe { sender: 0, endpoint: "e1".into(), status: 200 },
         Event::Refused { sender: 0, endpoint: "e3".into() },
@@ -334,7 +337,7 @@
 
 #[test]
 fn further_messages_of_a_call_weigh_a_quarter() {
-    // Calls of five messages weigh 2: five calls stay below the limit of 11.8 at 5.25 s, six exceed it.
+    // A call of five messages weighs 2: five such calls stay below the limit of 11.8 at 5.25 s, six exceed the limit.
     let batches = |count: usize| {
         let mut h = returned(&[0], &[], 0);
         for n in 0..count {
@@ -363,8 +366,8 @@
 
 #[test]
 fn separate_routes_have_returns_of_their_own() {
-    // Each route has half the capacity: 1.08 per second at 5.2 s.
-    // Twice that over 2 s is 4.3, and 2.1 is added for chance.
+    // Each separate route has half the receiver's capacity: 1.08 messages per second at 5.2 s.
+    // The route's overload limit is twice its capacity over 2 s, which is 4.3, and 2.1 for chance.
     let routed = |count: usize, endpoint: &str| {
         let mut h = History::new();
         h.at(1_000, Event::Down { receiver: 3, endpoint: Some("f1".into()) });
@@ -381,7 +384,7 @@
     routed(7, "f2").keeps(Rule::ReturnNotPushedOver);
 }
 
-// Rule 5, order kept: no message of a key is sent for 1 s after an attempt that may still be running.
+// Tests of rule 5, order kept: no message of a key is sent for 1 s after an attempt that may still be running.
 
 #[test]
 fn a_message_waits_until_the_one_before_it_is_delivered() {
@@ -429,7 +432,7 @@
         .sent(100, 0, "e1", "m2", 200)
         .sent(300, 0, "e1", "m1", 200);
     assert!(!h.over(20_000).judge().broken());
-    // The second message was put before the first one was accepted, so either may have been accepted first.
+    // The second message was put before the first one was accepted, so the sender may have accepted either one first.
     let mut h = History::new();
     h.accepted_ordered(0, "m1", "k")
         .accepted_ordered(3, "m2", "k")
@@ -438,7 +441,8 @@
     assert!(!h.over(20_000).judge().broken());
 }
 
-// Rule 6, waits heeded: a call within 100 ms after the answer may have been sent before the answer arrived.
+// Tests of rule 6, waits heeded.
+// A call within 100 ms after the answer may have been sent before the sender received the answer.
 
 fn waited(ms: i64, sender: usize, endpoint: &str) -> History {
     let mut h = History::new();
@@ -538,7 +542,7 @@
     h.offer(0, 0, "m3", "m3", SAFE, None).reply(5, "m3", PutOutcome::Busy);
     h.accepted(0, 0, "m4", SAFE).notice(1_000, "m4", NoticeState::Failed).over(20_000);
     let s = h.judge().service;
-    // The delivery is half-way between 2.5 s and 10 s, and half the worth is left at 10 s, so it earns three quarters.
+    // A delivery half-way between 2.5 s and 10 s earns three quarters of its worth, since half is left at 10 s.
     assert!((s.whole.worth - 1.75).abs() < 1e-9, "{s:?}");
     assert!((s.whole.share - 0.4375).abs() < 1e-9);
     assert_eq!((s.whole.in_time, s.whole.late, s.whole.refused, s.whole.failed), (1, 1, 1, 1));
@@ -581,14 +585,14 @@
 }
 
 impl History {
-    /// Asserts that no rule is broken; this rule may be untested.
+    /// Asserts that no rule is broken; the rule under test may be untested by the history.
     fn keeps_or_untested(&self) {
         let judgement = self.judge();
         assert!(!judgement.broken(), "{:?}", judgement.rules);
     }
 }
 
-// Tests of margins, which show how close a run came to each limit.
+// Tests of safety margins, which show how close a run came to each rule's limit.
 
 fn margin(h: &History, rule: Rule) -> Option<(f64, f64)> {
     let judgement = h.judge();
@@ -597,7 +601,7 @@
 
 #[test]
 fn the_margin_of_a_message_is_the_time_left_at_its_end() {
-    // The deadline is at 10 s, and the limit for the notice 350 ms later.
+    // The message's deadline is 10 s, and the notice must arrive within 350 ms after the deadline.
     let h = History::new()
         .accepted(0, 0, "m1", SAFE)
         .notice(10_100, "m1", NoticeState::Failed)
@@ -639,21 +643,21 @@
 
 #[test]
 fn the_margin_of_a_return_is_the_highest_share_of_the_overload_limit() {
-    // Eleven messages arrive at an overload limit of 11.99.
+    // Eleven messages arrive at a receiver with an overload limit of 11.99.
     let (share, limit) = margin(&returned(&[0], &[(0, 11)], 5_200), Rule::ReturnNotPushedOver).unwrap();
     assert!((0.9..1.0).contains(&share) && limit == 1.0, "{share}");
     let (share, _) = margin(&returned(&[0], &[(0, 14)], 5_200), Rule::ReturnNotPushedOver).unwrap();
     assert!((1.1..1.3).contains(&share), "{share}");
     let returns = returned(&[0], &[(0, 11)], 5_200).judge().returns;
     assert_eq!((returns.len(), returns[0].receiver, returns[0].aware, returns[0].arrivals), (1, 1, 1, 11));
-    // No sender saw the outage, so the rule is not tested.
+    // No sender saw the outage, so the history does not test the rule on returning receivers.
     assert_eq!(margin(&returned(&[], &[(0, 11)], 5_200), Rule::ReturnNotPushedOver), None);
 }
 
 #[test]
 fn recovery_ends_when_the_usual_load_is_back() {
-    // The receiver gets ten messages per second before the outage, then one every 200 ms.
-    // From the third second on it gets one every 100 ms.
+    // The receiver gets ten messages per second before the outage, and one every 200 ms after its return.
+    // From the third second after its return, the receiver gets one message every 100 ms.
     let mut h = History::new();
     let send = |h: &mut History, ms: i64, n: usize| {
         let id = format!("m{n}");
@@ -666,7 +670,7 @@
     (0..20).for_each(|n| send(&mut h, 10_100 + 100 * n, 200 + n as usize));
     h.over(20_000);
     let returned = h.judge().returns[0].clone();
-    // The fifth message is answered one second after the return; nine in a second are reached with the faster messages.
+    // The fifth message is answered one second after the return. Nine answers in a second need the faster messages.
     assert_eq!(returned.half_load_after, Some(1_000_000));
     assert!(
         (2_700_000..3_100_000).contains(&returned.full_load_after.unwrap()),
@@ -698,7 +702,7 @@
 
 #[test]
 fn a_wait_ends_with_the_process_that_received_it() {
-    // The new process may send before the rig sees it ready; the old one must observe the wait until it has ended.
+    // The new process may send before the rig sees it ready. The old process must observe the wait until it has ended.
     let restarted = |sent: i64| {
         let mut h = History::new();
         h.accepted(0, 0, "m1", SAFE).accepted(0, 0, "m2", SAFE);
