--- a/crates/rehearsal/src/event.rs
+++ b/crates/rehearsal/src/event.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
-    /// Receivers read and run calls but answer none.
+    /// Receivers read and run calls but answer no call.
     Silent,
     /// Receivers read nothing from their connections, so that no call arrives.
     Hang,
@@ -103,7 +103,7 @@
     /// Time of the event on the timeline; absent over the control port, where an event happens at once.
     #[serde(default)]
     pub at: Option<Span>,
-    /// Kind of the event.
+    /// Kind of the event, which decides which other fields it has.
     #[serde(rename = "do")]
     pub kind: EventKind,
     /// Number of the affected receiver; all receivers if absent.
@@ -115,19 +115,19 @@
     /// How long the event lasts.
     #[serde(default, rename = "for")]
     pub duration: Option<Span>,
-    /// Factor by which receivers become slower, from 1.
+    /// Factor by which the event makes receivers slower, from 1.
     #[serde(default)]
     pub factor: Option<f64>,
-    /// Share of the calls, endpoints or senders that are affected, from 0 to 1.
+    /// Share of the calls, endpoints or senders that the event affects, from 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
     /// Delay that the event adds to normal operation.
     #[serde(default)]
     pub by: Option<Span>,
-    /// Time over which the waves of a replacement are spread.
+    /// Time over which the waves of an endpoint replacement are spread.
     #[serde(default)]
     pub over: Option<Span>,
-    /// How long a draining endpoint stays listed before it is removed.
+    /// How long a draining endpoint stays listed before the event removes it.
     #[serde(default)]
     pub gone_after: Option<Span>,
     /// Name of the affected sender; all senders if absent.
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -38,12 +38,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PutOutcome {
-    /// The sender replied `+OK`.
+    /// The sender accepted the message: it replied `+OK`.
     #[serde(rename = "taken")]
     Accepted,
-    /// The sender replied `-BUSY`.
+    /// The sender refused the message for now: it replied `-BUSY`.
     Busy,
-    /// The sender replied with any other line.
+    /// The sender replied with a line other than `+OK` and `-BUSY`.
     Failed,
     /// No reply arrived within [`Clients::patience`](crate::scenario::Clients::patience).
     #[serde(rename = "silence")]
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NoticeState {
-    /// The sender gave the message up.
+    /// The sender gave the message up without having delivered it.
     Failed,
     /// The sender refused the message after having accepted it.
     Returned,
@@ -103,7 +103,7 @@
     pub key: Option<String>,
 }
 
-/// An event of the history.
+/// An event of the history, as a stand-in or the rig recorded it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ev", rename_all = "kebab-case")]
 pub enum Event {
@@ -117,11 +117,11 @@
     },
     /// A stand-in receiver opened an endpoint.
     Endpoint {
-        /// Name of the endpoint.
+        /// Name of the opened endpoint.
         endpoint: String,
         /// Number of the endpoint's receiver.
         receiver: i64,
-        /// Zone of the endpoint.
+        /// Zone of the opened endpoint.
         zone: String,
     },
     /// A sender answered `PING`, which shows that its process is ready.
@@ -136,13 +136,13 @@
         /// The signal that the sender got.
         signal: Signal,
     },
-    /// A sender's process ended.
+    /// A sender's process ended, planned or not.
     Exited {
         /// Index of the sender whose process ended.
         sender: usize,
         /// Whether the rehearsal ended the process with a signal; otherwise the process ended by itself.
         planned: bool,
-        /// Exit status of the process, in words.
+        /// Exit status of the ended process, in words.
         how: String,
     },
     /// A client put a message to a sender for the first time, or again.
@@ -153,7 +153,7 @@
         id: String,
         /// Id of the message at its first put.
         origin: String,
-        /// Number of earlier puts of the same message.
+        /// Number of earlier puts of the same message by its client.
         #[serde(rename = "again")]
         retries: u32,
         /// Index of the message's class.
@@ -168,7 +168,7 @@
         /// Order key of the message, in an ordered class.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         order: Option<String>,
-        /// Time left until the message's deadline.
+        /// Time left at the put until the message's deadline.
         #[serde(rename = "left")]
         time_left: Micros,
         /// Time at which the plan puts the message for the first time.
@@ -178,7 +178,7 @@
     Reply {
         /// Id of the message that was put.
         id: String,
-        /// Result of the put.
+        /// Result of the put, as the client saw it.
         answered: PutOutcome,
         /// Retry-after of a `-BUSY` reply, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -190,7 +190,7 @@
         sender: usize,
         /// Id of the message that ended.
         id: String,
-        /// How the message ended.
+        /// How the message ended, as the notice states it.
         state: NoticeState,
         /// Retry-after in the notice for the client, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -218,13 +218,13 @@
         sender: usize,
         /// Name of the endpoint that received the call.
         endpoint: String,
-        /// When the first byte of the call arrived.
+        /// When the first byte of the call arrived at the receiver.
         #[serde(rename = "first")]
         first_byte: Micros,
         /// Whether this was the first call on its connection.
         #[serde(rename = "fresh")]
         new_connection: bool,
-        /// Whether this was a batch call.
+        /// Whether this was a batch call, which may carry several messages.
         batch: bool,
         /// Messages that the call carried.
         items: Vec<Item>,
@@ -236,11 +236,11 @@
         /// Name of the endpoint at which the incomplete call arrived.
         endpoint: String,
     },
-    /// A receiver ran a message.
+    /// A receiver ran a message of a call.
     Ran {
         /// Number of the call that carried the message.
         call: u64,
-        /// Id of the message.
+        /// Id of the message that ran.
         id: String,
         /// Whether the run took no effect because the receiver remembered the message's key.
         dropped: bool,
@@ -263,7 +263,7 @@
     Disconnected {
         /// Number of the unanswered call.
         call: u64,
-        /// Which side closed the connection.
+        /// Which side closed the call's connection.
         by: ClosedBy,
     },
     /// An endpoint refused a sender's connection.
@@ -327,12 +327,12 @@
 pub struct Record {
     /// When the event was recorded, in microseconds since the run began.
     pub t: Micros,
-    /// The event that was recorded.
+    /// The recorded event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// A history that cannot be read.
+/// Error for a history that cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
     /// The history file cannot be read.
@@ -364,7 +364,7 @@
     },
 }
 
-/// Reads a history from a file.
+/// Reads all records of a history from a file.
 ///
 /// # Errors
 /// Fails if the file cannot be read or a line is not a valid record; the error names the file and the line.
@@ -394,7 +394,7 @@
 }
 
 impl Recorder {
-    /// Starts a history in a new file.
+    /// Starts recording a history in a new file.
     ///
     /// # Errors
     /// Fails if the file or the writer's thread cannot be created.
@@ -430,7 +430,7 @@
     /// Ends the history and waits until it is written to the file.
     ///
     /// # Errors
-    /// Fails if not all records could be written.
+    /// Fails if not all records could be written to the file.
     pub fn close(&self) -> io::Result<()> {
         self.queue.take();
         match self.writer.take().map(JoinHandle::join) {
--- a/crates/rehearsal/src/html/mod.rs
+++ b/crates/rehearsal/src/html/mod.rs
@@ -9,7 +9,7 @@
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 
-/// Size of a chart in pixels.
+/// Width and height of a chart in pixels.
 const CHART_SIZE_PX: (u32, u32) = (900, 260);
 /// Maximum number of receivers with their own chart; the receivers with the most calls get one.
 const MAX_LISTED_RECEIVERS: usize = 8;
--- a/crates/rehearsal/src/html/returns.rs
+++ b/crates/rehearsal/src/html/returns.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of charts on a page; further returns from outages are only in the tables.
 const MAX_PICTURES: usize = 24;
-/// Size of a return's chart in pixels.
+/// Width and height of a return's chart in pixels.
 const CHART_SIZE_PX: (u32, u32) = (900, 420);
 /// Maximum number of rows for senders in a chart; further senders share the last row.
 const MAX_ROWS: usize = 100;
--- a/crates/rehearsal/src/judge/even.rs
+++ b/crates/rehearsal/src/judge/even.rs
@@ -37,7 +37,7 @@
 /// How evenly the calls to one receiver were spread over its endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evenness {
-    /// Number of the receiver.
+    /// Number of the receiver whose endpoints are compared.
     pub receiver: i64,
     /// Number of the receiver's endpoints over the whole run.
     pub endpoints: usize,
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -27,7 +27,7 @@
 pub use service::{Penalty, Served, Service};
 pub use table::{Absence, Attempt, Call, CallEnd, Lane, Message, Outage, Table};
 
-/// Added to each time limit to allow for scheduling and transfer delays on sockets.
+/// Allowance for scheduling and transfer delays on sockets, which is added to each time limit.
 pub const SOCKET_ALLOWANCE_US: Micros = 50_000;
 /// Maximum number of violations that are reported with their evidence for each rule; further ones are only counted.
 pub const MAX_REPORTED_VIOLATIONS: usize = 10;
@@ -41,11 +41,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// An accepted message gets one final end in time, also over a restart.
+    /// An accepted message gets one final end in time, even if its sender restarts.
     NoMessageLost,
     /// No message takes effect, or is sent, more often than its class allows.
     NoEffectTwice,
-    /// No call starts to an endpoint that drains or is gone.
+    /// No call starts to an endpoint that drains or is gone, once the drain grace has passed.
     DrainsKept,
     /// Senders that saw a receiver fail do not overload it when it returns from its outage.
     ReturnNotPushedOver,
@@ -101,7 +101,7 @@
 pub enum Verdict {
     /// The rule was tested and no violation was found.
     Kept,
-    /// At least one violation was found.
+    /// At least one violation of the rule was found.
     Broken,
     /// Nothing in the run tested the rule, so it is unknown whether the senders keep it.
     Untested,
@@ -196,7 +196,7 @@
     pub remarks: Vec<String>,
 }
 
-/// Collects the findings of one rule's check.
+/// Collects the findings of one rule's check: tests, violations and safety margin.
 #[derive(Debug)]
 struct Findings {
     tested: usize,
@@ -250,7 +250,7 @@
     pub stall_us: Micros,
 }
 
-/// The judge's result for one history.
+/// The judge's result for one history: rulings on the rules, service score and lateness of the rig.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Judgement {
     /// Reason why the run is void: the rig ran late, or the history has no last record. `None` for a valid run.
@@ -264,7 +264,7 @@
     /// How evenly the load of each receiver with several endpoints was spread.
     #[serde(default)]
     pub evenness: Vec<Evenness>,
-    /// The service score and its terms.
+    /// The service score, with the terms from which it is computed.
     pub service: Service,
     /// Lateness of the rig, which can make the run void.
     pub lateness: Lateness,
@@ -327,7 +327,7 @@
     }
 }
 
-/// A history that cannot be judged.
+/// Error for a history that cannot be judged.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JudgeError {
     /// The history has no `run` record, so the parameters of the run are unknown.
--- a/crates/rehearsal/src/judge/returns.rs
+++ b/crates/rehearsal/src/judge/returns.rs
@@ -18,7 +18,7 @@
     Delivered,
     /// The receiver rejected the call or probe without running it.
     Rejected,
-    /// The call or probe failed, or no end was recorded.
+    /// The call or probe failed, or the history has no end of it.
     Failed,
 }
 
@@ -31,7 +31,7 @@
     pub sender: usize,
     /// Load of the arrival, in units of a call with one message.
     pub weight: f64,
-    /// Number of the call; `None` for a probe.
+    /// Number of the arrived call; `None` for a probe.
     pub call: Option<u64>,
     /// Result of the arrived call or probe.
     pub end: ArrivalEnd,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns all returns from outages of a run, in order of receiver and time.
+/// Lists all returns from outages of a run, in order of receiver and time.
 pub fn returns(table: &Table) -> Vec<Return> {
     let mut all = Vec::new();
     for ((number, route), outages) in &table.outages {
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -13,7 +13,7 @@
 
 /// Length of the windows among which the one with the lowest share of worth is found.
 const WINDOW_US: Micros = 10_000_000;
-/// Time between the starts of successive windows.
+/// Time between the starts of successive windows for the worst window.
 const WINDOW_STEP_US: Micros = 1_000_000;
 /// Minimum worth of a window's messages, as a share of the average window's, for the window to be significant.
 const MIN_WINDOW_SHARE: f64 = 0.25;
@@ -25,17 +25,17 @@
     pub name: String,
     /// Number of messages in the group; retries of a message do not count again.
     pub messages: usize,
-    /// Number of messages delivered within their aim.
+    /// Number of messages in the group that were delivered within their aim.
     pub in_time: usize,
-    /// Number of messages delivered after their aim.
+    /// Number of messages in the group that were delivered after their aim.
     pub late: usize,
     /// Number of messages whose last put or notice was a refusal.
     pub refused: usize,
     /// Number of messages given up, or without an end in the history.
     pub failed: usize,
-    /// Total worth of all messages.
+    /// Total worth of all messages in the group.
     pub asked: f64,
-    /// Total worth earned by deliveries.
+    /// Total worth that the group's deliveries earned.
     pub worth: f64,
     /// Worth earned divided by the total worth of the group; 1 if the total is 0.
     pub share: f64,
@@ -64,7 +64,7 @@
     pub whole: Served,
     /// How the messages of the worst window, the 10 s with the lowest share of worth, were served.
     pub worst_window: Served,
-    /// Start of the worst window.
+    /// Start of the window with the lowest share of worth.
     pub worst_window_from: Micros,
     /// How each class of messages was served.
     pub classes: Vec<Served>,
@@ -78,7 +78,7 @@
     pub penalties: Vec<Penalty>,
 }
 
-/// A client's message with all its puts.
+/// A client's message with all its puts, as one unit of the service score.
 struct ClientMessage {
     at: Micros,
     class: usize,
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -26,9 +26,9 @@
 /// A call as a stand-in receiver recorded it.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// When the last byte of the call arrived.
+    /// When the last byte of the call arrived at the receiver.
     pub t: Micros,
-    /// When the first byte of the call arrived.
+    /// When the first byte of the call arrived at the receiver.
     pub first_byte: Micros,
     /// Index of the sender that made the call.
     pub sender: usize,
@@ -38,9 +38,9 @@
     pub receiver: Option<i64>,
     /// Whether this was the first call on its connection.
     pub new_connection: bool,
-    /// Whether this was a batch call.
+    /// Whether this was a batch call, which may carry several messages.
     pub batch: bool,
-    /// Ids of the call's messages, in order.
+    /// Ids of the messages that the call carried, in order.
     pub ids: Vec<String>,
     /// When and how the call ended; `None` if the history has no end of the call.
     pub end: Option<(Micros, CallEnd)>,
@@ -86,9 +86,9 @@
     pub id: String,
     /// Id of the message at its first put.
     pub origin: String,
-    /// Number of earlier puts of the same message.
+    /// Number of earlier puts of the same message by its client.
     pub retries: u32,
-    /// When the message was put.
+    /// When the client put the message.
     pub offered: Micros,
     /// Time at which the plan puts the message for the first time.
     pub due: Micros,
@@ -126,8 +126,8 @@
             || self.notices.iter().any(|n| n.1 == NoticeState::Returned)
     }
 
-    /// Returns whether the client got no reply to its put. The outcome under the put's id then does not count,
-    /// since the client may put the message again under another id.
+    /// Returns whether the client got no reply to its put. The outcome under the put's id then does not count.
+    /// The client may put the message again under another id.
     pub fn unacknowledged(&self) -> bool {
         matches!(
             self.reply,
@@ -142,7 +142,7 @@
 /// The unit with one limit, one wait and one outage.
 /// It is the receiver's number, and the endpoint's name if routes are separate (see [`Receiver::separate_routes`]).
 pub type Lane = (i64, Option<String>);
-/// Start of an outage, and its end unless it still lasts.
+/// Start and end of an outage; the end is `None` while the outage lasts.
 pub type Outage = (Micros, Option<Micros>);
 
 /// Changes of an endpoint's status, each with the time at which the directory notified a sender.
@@ -459,7 +459,7 @@
         self.parameters.classes.get(message.class)
     }
 
-    /// Returns whether delivering the message again would take effect again.
+    /// Returns whether another delivery of the message would take effect again.
     pub fn is_unsafe(&self, message: &Message) -> bool {
         self.class(message).is_none_or(|c| c.effect == Effect::Unsafe)
     }
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -13,11 +13,11 @@
 /// Identifies a run of a matrix: a scenario, a number of senders and a seed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cell {
-    /// Name of the scenario.
+    /// Name of the run's scenario.
     pub scenario: String,
     /// Number of senders in the run.
     pub senders: usize,
-    /// Seed of the run.
+    /// Seed of the run's random choices.
     pub seed: u64,
 }
 
@@ -28,14 +28,14 @@
     }
 }
 
-/// Aggregate of all runs of a scenario with the same number of senders.
+/// Aggregate of all runs of a scenario with the same number of senders, as a row of the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Name of the scenario.
+    /// Name of the scenario of all aggregated runs.
     pub scenario: String,
     /// Number of senders in each run.
     pub senders: usize,
-    /// Number of runs that are not void.
+    /// Number of aggregated runs, without void runs.
     pub runs: usize,
     /// Number of void runs, in which the rig itself was late.
     pub void: usize,
--- a/crates/rehearsal/src/parameters.rs
+++ b/crates/rehearsal/src/parameters.rs
@@ -25,13 +25,13 @@
     pub effect: Effect,
     /// How long a receiver remembers a key, from the first attempt that may have run; only in a keyed class.
     pub window: Micros,
-    /// Time within which a delivered message earns its full worth.
+    /// Time within which a delivered message of the class earns its full worth.
     pub aim: Micros,
-    /// Time within which a message must be delivered.
+    /// Time within which a message of the class must be delivered.
     pub deadline: Micros,
-    /// Worth of a message that is delivered within its aim.
+    /// Worth of a message of the class that is delivered within its aim.
     pub worth: f64,
-    /// Share of the worth that is left at the deadline.
+    /// Share of a message's worth that a delivery at the deadline earns.
     pub late_share: f64,
     /// Whether messages of one key are sent one at a time, in the order in which the sender accepted them.
     pub ordered: bool,
@@ -51,7 +51,7 @@
 /// A receiver, as the scenario defines it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Receiver {
-    /// Number of the receiver.
+    /// Number by which records refer to the receiver.
     pub number: i64,
     /// Name of the receiver's kind.
     pub kind: String,
@@ -64,7 +64,7 @@
     pub rate: f64,
     /// Share of its capacity that the receiver has right after an outage.
     pub cold_from: f64,
-    /// Time from the receiver's return until it has its full capacity.
+    /// Time from the receiver's return until its capacity is fully back.
     pub warm_up: Micros,
 }
 
@@ -81,11 +81,11 @@
 pub struct Rules {
     /// Time after the notification of a drain or removal within which calls to the endpoint must stop.
     pub drain_grace: Micros,
-    /// Multiple of its current capacity at which a cold receiver is overloaded.
+    /// Multiple of a cold receiver's current capacity above which the receiver is overloaded.
     pub fall_multiple: f64,
-    /// Window over which the load is summed for the overload limit.
+    /// Length of the fall window, over which the load is summed for the overload limit.
     pub fall_window: Micros,
-    /// Maximum number of attempts of a message.
+    /// Maximum number of attempts that a message may have.
     pub max_attempts: u32,
     /// Whether a message may have two attempts in flight at the same time.
     pub second_copies: bool,
@@ -129,13 +129,13 @@
 pub struct Parameters {
     /// Name of the scenario.
     pub scenario: String,
-    /// Seed of the run.
+    /// Seed of the run's random choices.
     pub seed: u64,
-    /// Length of the planned traffic.
+    /// Length of the planned traffic, in microseconds.
     pub length: Micros,
     /// Limits that the six rules use.
     pub rules: Rules,
-    /// Share of its worth that a message beyond its tenant's quota has.
+    /// Worth of a message beyond its tenant's quota, as a share of its normal worth.
     pub over_share_worth: f64,
     /// Classes of messages. Other records refer to a class by its index.
     pub classes: Vec<Class>,
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -57,11 +57,11 @@
     pub rate: f64,
     /// Second rate of a ramp or rush, in messages per second.
     pub to_rate: f64,
-    /// Period of a wave, or time between clumps.
+    /// Period of a wave, or time between the bursts of clumps.
     pub period: Micros,
-    /// Amplitude of a wave, as a share of its rate.
+    /// Amplitude of a wave, as a share of the traffic's rate.
     pub swing: f64,
-    /// Number of messages of a clump.
+    /// Number of messages in each burst of clumps.
     pub clump: u32,
     /// Zipf exponent. If given, receivers are drawn by their rank and not by their shares of the traffic.
     pub zipf: Option<f64>,
@@ -113,7 +113,7 @@
     }
 }
 
-/// A planned message.
+/// A planned message: when, by which sender and to which receiver it is put.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Planned {
     /// When the message is put, in microseconds since the start of the traffic.
@@ -130,11 +130,11 @@
     pub order: u32,
     /// Size of the message's body in bytes.
     pub size: u32,
-    /// Random number from 0 to 1 that decides the behaviour of the message's client.
+    /// Random number from 0 to 1 that decides how the client of the message behaves.
     pub client_draw: f32,
 }
 
-/// Reason why no plan can be made.
+/// Reason why no plan of messages can be made.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
     /// The plan has more than [`MAX_MESSAGES`] messages.
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -19,7 +19,7 @@
 /// Maximum number of receivers that the text lists; the JSON lists all.
 const MAX_LISTED_RECEIVERS: usize = 20;
 
-/// Distribution of a latency, in milliseconds.
+/// Distribution of the latency of a class's messages, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
     /// Name of the class of the messages, or `all`.
@@ -57,7 +57,7 @@
 /// Counts of the calls and messages of one receiver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReceiverStats {
-    /// Number of the receiver.
+    /// Number of the receiver whose calls are counted.
     pub number: i64,
     /// Name of the receiver's kind.
     pub kind: String,
@@ -69,14 +69,14 @@
     pub messages: usize,
     /// Number of messages delivered to the receiver.
     pub delivered: usize,
-    /// Number of calls that the receiver rejected with 429 or 503.
+    /// Number of calls that the receiver refused with 429 or 503.
     pub refused: usize,
     /// Number of calls that the receiver did not answer, or answered with an error other than 429 and 503.
     pub unanswered: usize,
     /// Highest number of calls that arrived in one second.
     #[serde(rename = "most")]
     pub max_per_second: usize,
-    /// Whether the receiver was overloaded.
+    /// Whether the receiver was overloaded after an outage.
     #[serde(rename = "fell")]
     pub overloaded: bool,
 }
@@ -86,7 +86,7 @@
 pub struct Report {
     /// Name of the scenario.
     pub scenario: String,
-    /// Seed of the run.
+    /// Seed of the run's random choices.
     pub seed: u64,
     /// Length of the history in seconds.
     pub seconds: f64,
@@ -115,7 +115,7 @@
 /// Reads and judges a history, and makes the report. `path` is the history file, or the folder that contains it.
 ///
 /// # Errors
-/// Fails if the history cannot be read or judged.
+/// Fails if the history at `path` cannot be read or judged.
 pub fn report(path: &Path) -> Result<(Report, Table), ReportError> {
     let file = if path.is_dir() { path.join("history.jsonl") } else { path.to_path_buf() };
     from_records(&read(&file)?, &file.display().to_string())
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Returns the report as text.
+    /// Returns the report as text for a terminal.
     pub fn text(&self) -> String {
         let mut out = String::new();
         // Writing to a string cannot fail.
@@ -396,7 +396,7 @@
     Ok(())
 }
 
-/// Compares two reports and returns the differences as text.
+/// Compares two reports and returns their differences as text.
 pub fn compare(a: &Report, b: &Report) -> String {
     let mut out = String::new();
     _ = write_comparison(&mut out, a, b);
--- a/crates/rehearsal/src/rig/clients.rs
+++ b/crates/rehearsal/src/rig/clients.rs
@@ -22,7 +22,7 @@
 const MAX_QUEUED_REQUESTS: usize = 64;
 /// Maximum number of client connections to a sender; beyond that, a client waits for a free connection.
 const MAX_CONNECTIONS_PER_SENDER: usize = 200;
-/// Maximum length of a sender's reply line.
+/// Maximum length of a sender's reply line, in bytes.
 const MAX_LINE_BYTES: usize = 4096;
 
 /// A client's message with the state of all its puts.
@@ -56,7 +56,7 @@
     }
 }
 
-/// Outcome of a request on a connection.
+/// Outcome of a client's request on a connection.
 enum RequestOutcome {
     Replied(PutReply),
     /// The connection ended before the reply to the request.
--- a/crates/rehearsal/src/rig/mod.rs
+++ b/crates/rehearsal/src/rig/mod.rs
@@ -50,7 +50,7 @@
     External(Vec<SocketAddr>),
 }
 
-/// Options of a rehearsal besides its scenario.
+/// Options of a rehearsal that its scenario does not define.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The senders to rehearse, and who starts them.
@@ -65,7 +65,7 @@
     pub stall: Option<(Micros, Micros)>,
 }
 
-/// A rehearsal that could not be run.
+/// Reason why a rehearsal could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum RigError {
     /// The plan of messages is invalid.
@@ -105,9 +105,9 @@
     pub t: Micros,
     /// Time at which the planned traffic ends.
     pub length: Micros,
-    /// Number of messages put so far, without retries.
+    /// Number of messages that clients put so far, without retries.
     pub offered: u64,
-    /// Number of messages delivered so far.
+    /// Number of messages that were delivered so far.
     pub delivered: u64,
     /// Number of refusals so far, including refusals of retries.
     pub refused: u64,
@@ -115,7 +115,7 @@
     pub failed: u64,
 }
 
-/// State shared by all parts of the rig.
+/// State that all parts of the rig share: scenario, recorder and counters.
 struct World {
     scenario: Scenario,
     recorder: Recorder,
--- a/crates/rehearsal/src/rig/receivers/fault.rs
+++ b/crates/rehearsal/src/rig/receivers/fault.rs
@@ -6,7 +6,7 @@
 use crate::span::Micros;
 use std::rc::Rc;
 
-/// A temporary fault of an endpoint.
+/// A temporary fault of an endpoint, caused by an event.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fault {
     pub(super) number: u64,
--- a/crates/rehearsal/src/rig/receivers/first_byte.rs
+++ b/crates/rehearsal/src/rig/receivers/first_byte.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Wraps a connection and records when the first byte of a request arrived.
+/// Wraps an endpoint's connection, and records when the first byte of each request arrived.
 pub(super) struct FirstByteRecorder {
     pub(super) stream: TcpStream,
     pub(super) world: Rc<World>,
--- a/crates/rehearsal/src/rig/receivers/load.rs
+++ b/crates/rehearsal/src/rig/receivers/load.rs
@@ -11,11 +11,11 @@
 /// Recent load of a lane, and the lane's state after an outage.
 #[derive(Default)]
 pub(super) struct Lane {
-    /// When the lane returned from an outage; `None` once it is warm.
+    /// When the lane returned from an outage; `None` if the lane is warm.
     pub(super) cold_since: Option<Micros>,
     /// Whether the lane was overloaded while cold; an overloaded lane stays down.
     pub(super) overloaded: bool,
-    /// Load of the calls and probes within the last fall window.
+    /// Loads of the calls and probes within the last fall window, each with its time of arrival.
     pub(super) load: VecDeque<(Micros, f64)>,
     /// State of a limit with windows: number of the current window, and number of calls accepted in that window.
     pub(super) window: (i64, f64),
--- a/crates/rehearsal/src/rig/receivers/request.rs
+++ b/crates/rehearsal/src/rig/receivers/request.rs
@@ -16,7 +16,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Maximum size of a batch call: 100 messages with Base64 bodies.
+/// Maximum size of a batch call in bytes: 100 messages with Base64 bodies.
 const MAX_CALL_BYTES: usize = 100 * 2 * MAX_BODY_BYTES;
 
 /// An answer, or an error for which the HTTP server breaks the connection.
@@ -45,7 +45,7 @@
 
 /// How a receiver refuses a call before any of the call's messages runs.
 enum Refusal {
-    /// The receiver resets the connection.
+    /// The receiver resets the call's connection.
     Reset,
     /// The receiver answers with the HTTP status and, if a wait is given, advertises the wait.
     Status(u16, Option<Micros>),
--- a/crates/rehearsal/src/scenario/checks.rs
+++ b/crates/rehearsal/src/scenario/checks.rs
@@ -6,7 +6,7 @@
 
 /// The findings collected so far in a scenario file.
 pub(super) struct Checks<'a> {
-    /// Text of the scenario file.
+    /// Text of the scenario file, in which findings have their positions.
     pub(super) text: &'a str,
     pub(super) findings: Vec<Finding>,
 }
--- a/crates/rehearsal/src/scenario/kind.rs
+++ b/crates/rehearsal/src/scenario/kind.rs
@@ -9,7 +9,7 @@
 /// Maximum of a kind's `batch`.
 const MAX_BATCH: u32 = 100;
 
-/// A kind of receiver.
+/// A kind of receiver, as a `[[kind]]` table defines it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
--- a/crates/rehearsal/src/scenario/receiver.rs
+++ b/crates/rehearsal/src/scenario/receiver.rs
@@ -87,7 +87,7 @@
 /// A stand-in receiver, as the scenario defines it.
 #[derive(Clone, Debug)]
 pub struct Receiver {
-    /// Number of the receiver.
+    /// Number by which the scenario refers to the receiver.
     pub number: i64,
     /// Index of the receiver's kind in the scenario.
     pub kind: usize,
@@ -97,7 +97,7 @@
     pub share: f64,
     /// Limit on the calls that the receiver accepts from all senders together.
     pub limit: Option<Limit>,
-    /// Messages per second that the receiver can handle when warm.
+    /// Messages per second that the receiver can handle when it is warm.
     pub capacity: f64,
     /// Distribution of the receiver's time per message.
     pub latency: Latency,
@@ -109,7 +109,7 @@
     pub queue: usize,
     /// How long the receiver remembers idempotency keys; 0 to remember none.
     pub key_memory: Micros,
-    /// Share of the calls that the receiver answers with an error.
+    /// Share of all calls that the receiver answers with an error.
     pub error_share: f64,
 }
 
--- a/crates/rehearsal/src/scenario/sender.rs
+++ b/crates/rehearsal/src/scenario/sender.rs
@@ -39,7 +39,7 @@
 pub struct Sender {
     /// Share of the traffic that clients put to the sender.
     pub share: f64,
-    /// Index of the sender's zone.
+    /// Index of the zone in which the sender runs.
     pub zone: usize,
     /// Memory limit in the sender's configuration, in MB.
     pub memory_mb: f64,
--- a/crates/rehearsal/src/scenario/settings.rs
+++ b/crates/rehearsal/src/scenario/settings.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// Names of the zones.
+    /// Names of the zones in which senders and endpoints run.
     pub zones: Vec<String>,
     /// One-way network delay within a zone.
     pub same: Span,
@@ -39,7 +39,7 @@
     pub idle_close: Span,
     /// Time-out for a sender to open a connection to an endpoint.
     pub connect_timeout: Span,
-    /// Share of its worth that a message beyond its tenant's quota has.
+    /// Worth of a message beyond its tenant's quota, as a share of its normal worth.
     pub over_share_worth: f64,
     /// Number of senders that the senders' configurations state; the actual number if absent.
     pub senders: Option<usize>,
--- a/crates/rehearsal/src/shipped.rs
+++ b/crates/rehearsal/src/shipped.rs
@@ -3,9 +3,9 @@
 /// A scenario that is compiled into `rehearse`.
 #[derive(Clone, Copy, Debug)]
 pub struct Shipped {
-    /// Name of the scenario.
+    /// Name of the shipped scenario.
     pub name: &'static str,
-    /// Text of the scenario's TOML file.
+    /// Text of the shipped scenario's TOML file.
     pub text: &'static str,
 }
 
@@ -39,7 +39,7 @@
     "fleet-troubles",
 ];
 
-/// Returns the shipped scenario with this name.
+/// Returns the shipped scenario with the given name.
 pub fn find(name: &str) -> Option<&'static Shipped> {
     ALL.iter().find(|s| s.name == name)
 }
--- a/crates/rehearsal/tests/common/stub.rs
+++ b/crates/rehearsal/tests/common/stub.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
-    /// Forgets every tenth accepted message, unless it is in an ordered class.
+    /// Forgets every tenth accepted message, except messages of ordered classes.
     LosesMessages,
     /// Sends the notices of undelivered messages one second after they are due.
     SendsLateNotices,
@@ -47,7 +47,7 @@
     SendsNothing,
 }
 
-/// Time-out of a call to a receiver.
+/// Time-out of the stub's calls to receivers.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long before its deadline the stub gives a message up.
 const GIVE_UP_LEAD: Duration = Duration::from_millis(250);
@@ -340,7 +340,7 @@
         match tokio::time::timeout(patience, exchange).await {
             Ok(Ok((status, wait, _))) => CallOutcome::Answered(status, wait),
             Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => CallOutcome::NoConnection,
-            // An endpoint that is down resets connections before it reads anything from them.
+            // An endpoint in an outage resets connections before it reads anything from them.
             Ok(Err(e)) if e.kind() == io::ErrorKind::NotConnected => CallOutcome::NoConnection,
             Ok(Err(_)) | Err(_) => CallOutcome::Broken,
         }
