--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -1,5 +1,5 @@
-//! The base table of one region. It has a row of seats for each shard:
-//! the owners' seats first, then the spares. Vacant seats are included.
+//! The base table of one region. Each shard has a row of seats: owners first, then spares, which replace lost owners.
+//! The rows also contain vacant seats.
 //!
 //! The table is built by consistent hashing with bounded loads, one seat after another.
 //! Each added seat takes its quota of positions from seats that hold more than their new target.
@@ -30,10 +30,10 @@
 /// The seats from which an added seat may take positions.
 #[derive(Clone, Copy, Debug)]
 enum Donors {
-    /// Seats that hold more than their target, in rows whose cost does not rise.
+    /// Seats that hold more positions than their target, in rows whose cost does not rise.
     AboveTarget,
-    /// Seats that hold at least as many positions for their weight as the added seat,
-    /// even after the transfer, in rows whose cost does not rise.
+    /// Seats that hold at least as many positions for their weight as the added seat, even after the transfer.
+    /// Only rows whose cost does not rise are considered.
     MoreLoaded,
     /// Seats that hold more than 15/16 of their target, in rows whose cost falls.
     NearTarget,
@@ -41,10 +41,10 @@
     Overloaded,
 }
 
-/// The order in which an added seat searches for donors.
+/// The order in which an added seat tries the groups of seats that it may take positions from.
 const DONOR_ORDER: [Donors; 3] = [Donors::AboveTarget, Donors::MoreLoaded, Donors::Overloaded];
 
-/// A search ends after this number of consecutive probes that found no position to take.
+/// An added seat's search ends after this number of consecutive probes that found no position to take.
 const MAX_PROBE_MISSES: u32 = 64;
 
 /// Number of consecutive rows that one probe visits. At two replicas their seats total 64 bytes, as a cache line does.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct BaseTable {
     layout: Layout,
-    /// The seats of each row, by ordinal (their order within the region).
+    /// The seats of each row, as ordinals (a seat's ordinal is its place in the order of the region's seats).
     rows: Vec<[u16; ROW_LENGTH]>,
     /// The ids of the seats, by ordinal. Each property has its own array, so that a probe's data fit into the L1 cache.
     ids: Vec<SeatId>,
@@ -70,9 +70,9 @@
     loads: [Vec<u32>; 2],
     total: Weights,
     zones: Vec<u16>,
-    /// The rows with conflicts, by [`ConflictScope`].
+    /// Rows whose seats share a zone or rack avoidably, one list for each [`ConflictScope`].
     conflicts: [ConflictRows; 2],
-    /// The empty position that displaced owners move to while the first seats are added.
+    /// The empty position of each row that displaced owners move to while the first seats are added.
     open_position: Option<usize>,
     /// The rows that the last added seat changed.
     changed_rows: Vec<u32>,
@@ -92,11 +92,11 @@
     kind: PositionKind,
     weight: Units,
     shares: Shares,
-    /// Number of positions of this kind in the region.
+    /// Number of positions of the searched kind (owner or spare) in the region.
     positions: u64,
-    /// The greatest load with which a seat of the same weight is not above its target.
+    /// Greatest number of positions with which a seat of the searching seat's weight is not above its target.
     target: u32,
-    /// Number of positions that the seat has yet to take.
+    /// Number of positions that the searching seat has yet to take.
     missing: u32,
     /// The key that the pseudo-random sequence of probes is derived from.
     key: u64,
@@ -190,7 +190,7 @@
         self.take_quota(ordinal as u16, PositionKind::Spare);
     }
 
-    /// Adds one of the first seats. Each row still has an empty position, so the seat is added to every row.
+    /// Adds one of the region's first seats. Each row still has an empty position, so the seat is added to every row.
     fn append_to_open_rows(&mut self, ordinal: usize) {
         let seat = ordinal as u16;
         if ordinal >= self.layout.owners {
@@ -207,7 +207,7 @@
         self.changed_rows.extend(0..self.rows());
     }
 
-    /// Rebuilds the lists of conflict rows, whose cost could be lower.
+    /// Rebuilds the lists of conflict rows: rows whose cost could be lower.
     fn rebuild_conflicts(&mut self) {
         let min_cost = self.layout.min_cost(self.zones.len());
         for (conflicts, scope) in self.conflicts.iter_mut().zip([ConflictScope::Owners, ConflictScope::Any]) {
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Takes positions in listed conflict rows, where this lowers the row's cost.
+    /// Takes positions in listed conflict rows, if taking the position lowers the row's cost.
     fn take_from_conflicts(&mut self, search: &mut Search, scope: ConflictScope, donors: Donors) {
         let mut misses = 0;
         while search.missing > 0 && misses < MAX_CONFLICT_MISSES && !self.conflicts[scope as usize].is_empty()
@@ -412,7 +412,7 @@
         self.layout.cost(&self.rows[row as usize].map(|seat| self.domain(seat)))
     }
 
-    /// Returns the change of a row's cost if `seat` takes the position. Returns `None` if the row already has the seat.
+    /// Returns by how much a row's cost changes if `seat` takes the position; `None` if the row already has the seat.
     #[inline]
     fn cost_change(&self, seats: &[u16; ROW_LENGTH], position: usize, seat: u16) -> Option<i32> {
         if seats.contains(&seat) {
--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -11,7 +11,7 @@
     pub epoch: u64,
     /// Epoch of the list that the changes apply to.
     pub since: u64,
-    /// The changes, in order.
+    /// Changes to the list, in the order in which they are applied.
     pub changes: Vec<Change>,
 }
 
@@ -20,7 +20,7 @@
 pub enum Change {
     /// A member leaves its seat.
     Vacate {
-        /// The seat, which stays in the list.
+        /// The seat that the member leaves. The seat itself stays in the list.
         seat: SeatId,
     },
     /// A member takes a vacant seat.
@@ -41,8 +41,8 @@
     ///
     /// # Errors
     /// Fails if the changes do not begin at this list's epoch or do not raise it,
-    /// if one of them can't be applied after the changes before it,
-    /// or if a region then has fewer members than each shard has replicas.
+    /// if one of the changes can't be applied after the changes before it,
+    /// or if the changes leave a region with fewer members than each shard has replicas.
     pub fn apply(&self, changes: &Changes) -> Result<Self, ListError> {
         self.check_epochs(changes)?;
         let mut next = self.successor(changes.epoch);
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -6,8 +6,8 @@
 /// and the shards of a lost zone go to seats in proportion to their quotas.
 pub(crate) const SPARES: usize = 2;
 
-/// Length of the longest row. Shorter rows are filled up with [`EMPTY`]:
-/// a fixed length lets the compiler unroll the hottest loops.
+/// Length of the longest row. Shorter rows are filled up with [`EMPTY`],
+/// because a fixed row length lets the compiler unroll the hottest loops.
 pub(crate) const ROW_LENGTH: usize = MAX_REPLICAS + SPARES;
 
 /// Marks a position that no seat holds: the region has fewer seats than a row has positions, or the row is shorter.
@@ -18,23 +18,23 @@
 /// Cost of two seats of a row that share a zone. If they share a rack too, the costs add up.
 const SHARED_ZONE_COST: u32 = 1 << 3;
 
-/// Weight of a pair of owners in the cost. It outweighs all other pairs:
+/// Weight of a pair of owners in a row's cost. One pair of owners outweighs all pairs with a spare:
 /// a row has at most six pairs of owners, and 15 pairs in all.
 const OWNER_PAIR_WEIGHT: u32 = 1 << 8;
-/// Weight of a pair with a spare in the cost.
+/// Weight in a row's cost of a pair of seats of which at least one is a spare.
 const OTHER_PAIR_WEIGHT: u32 = 1;
 
-/// Which conflicts a search resolves.
+/// Which seats of a row count as a conflict when they share a zone or rack.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConflictScope {
-    /// Owners that share a zone.
+    /// Two owners of the row that share a zone.
     Owners,
-    /// Any two seats of the row that share a domain.
+    /// Any two seats of the row that share a zone or a rack.
     Any,
 }
 
 impl ConflictScope {
-    /// Returns the least amount by which a row's cost falls when such a conflict is resolved.
+    /// Returns the least amount by which a row's cost falls when a conflict of this scope is resolved.
     pub(crate) const fn min_gain(self) -> i32 {
         match self {
             // Half of the conflict's cost, because smaller conflicts may replace the resolved one.
@@ -98,7 +98,7 @@
     }
 
     /// Returns the lowest cost that a row can have in a region with this number of zones:
-    /// the minimum over all assignments of its seats to the zones, in distinct racks.
+    /// the minimum over all assignments of the row's seats to zones, in distinct racks.
     pub(crate) fn min_cost(&self, zones: usize) -> u32 {
         let zones = zones.clamp(1, self.positions) as u32;
         let assignments = zones.pow(self.positions as u32);
@@ -131,7 +131,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ConflictRows {
     rows: Vec<u32>,
-    /// One bit per row, set if the row is in `rows`.
+    /// One bit per row of the region, set if the row is in `rows`.
     listed: Vec<u64>,
     threshold: u32,
 }
@@ -141,8 +141,8 @@
         Self { rows: Vec::new(), listed: vec![0; (rows as usize).div_ceil(u64::BITS as usize)], threshold: 0 }
     }
 
-    /// Removes all rows and sets the threshold. `min_cost` is the cost of a row without avoidable conflicts;
-    /// one conflict of this scope raises it above the threshold.
+    /// Removes all rows and sets the threshold. `min_cost` is the cost of a row without avoidable conflicts.
+    /// One conflict of this scope raises a row's cost above the threshold.
     pub(crate) fn reset(&mut self, min_cost: u32, scope: ConflictScope) {
         self.rows = Vec::new();
         self.listed.fill(0);
@@ -192,7 +192,7 @@
     }
 }
 
-/// Returns the index of a row's word in `listed` and its bit in the word.
+/// Returns the index of a row's word in `listed` and the row's bit in the word.
 fn word_and_bit(row: u32) -> (usize, u64) {
     ((row / u64::BITS) as usize, 1 << (row % u64::BITS))
 }
--- a/crates/placement/src/domains.rs
+++ b/crates/placement/src/domains.rs
@@ -5,11 +5,11 @@
 
 use crate::list::RegionId;
 
-/// Number of a zone, in the order in which the list first names them.
+/// Number of a zone. Zones are numbered in the order in which the member list first names them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ZoneId(pub u16);
 
-/// Number of a rack, in the order in which the list first names them.
+/// Number of a rack. Racks are numbered in the order in which the member list first names them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RackId(pub u16);
 
@@ -25,7 +25,7 @@
     name: Arc<str>,
 }
 
-/// The zones and racks of a list. There are never more zones, or more racks, than seats.
+/// The zones and racks of a member list. There are never more zones, or more racks, than seats.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Domains {
     zones: Vec<Zone>,
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -3,7 +3,7 @@
 /// The reason why a member list, or changes to one, were rejected. The list in force stays in force.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ListError {
-    /// The text is not JSON of the expected form.
+    /// The text is not a JSON member list, list of changes, or answer of a control agent.
     #[error("malformed member list: {reason}: send one of the forms of docs/design/placement.md")]
     Malformed {
         /// The parser's message, with line and column.
@@ -14,15 +14,15 @@
         "scheme is {scheme}, this version supports only {known}: update this program or keep to scheme {known}"
     )]
     UnknownScheme {
-        /// The scheme of the list.
+        /// Placement scheme that the list names.
         scheme: u16,
-        /// The scheme that this version supports.
+        /// Placement scheme that this version supports.
         known: u16,
     },
-    /// The number of replicas is out of range.
+    /// The number of replicas per shard is out of range.
     #[error("replicas is {replicas}: must be 1 to {max}, usually 2")]
     Replicas {
-        /// The number in the list.
+        /// Number of replicas per shard in the list.
         replicas: u64,
         /// The maximum number of replicas.
         max: usize,
@@ -33,23 +33,23 @@
     /// The list has more regions, seats or wide destinations than allowed.
     #[error("{what} has {count} entries, at most {max} are allowed: remove some")]
     TooMany {
-        /// Name of the field.
+        /// Name of the list's field that has too many entries.
         what: &'static str,
-        /// Number of entries in the field.
+        /// Number of entries in the list's field.
         count: usize,
-        /// The maximum number of entries.
+        /// Maximum number of entries that the field may have.
         max: usize,
     },
-    /// A name is empty.
+    /// A name in the list is empty.
     #[error("{field} is empty: give it a name")]
     EmptyName {
-        /// The field, such as `seats[3].rack`.
+        /// Position of the empty name in the list, such as `seats[3].rack`.
         field: String,
     },
     /// Two regions have the same name.
     #[error("regions[{second}] repeats the name {name:?} of regions[{first}]: list each region once")]
     DuplicateRegion {
-        /// The repeated name.
+        /// Name that occurs twice.
         name: String,
         /// Index of the first region with this name.
         first: usize,
@@ -59,9 +59,9 @@
     /// A region has share 0, and so would own no shards.
     #[error("regions[{index}] ({name}) has share 0: set a share of at least 1 or remove the region")]
     ZeroShare {
-        /// Index of the region.
+        /// Index of the region in the list.
         index: usize,
-        /// Name of the region.
+        /// Name of the invalid region.
         name: String,
     },
     /// A seat is in a region that the list does not have.
@@ -69,7 +69,7 @@
         "seats[{seat}].region is {region:?}, which is not in regions: add the region or correct the seat"
     )]
     UnknownRegion {
-        /// Index of the seat.
+        /// Index of the invalid seat in the list.
         seat: usize,
         /// Name of the region that the seat refers to.
         region: String,
@@ -79,19 +79,19 @@
         "seats[{seat}].weight is {weight}: must be at least 1/1024 and at most {max}, 1 for a usual machine"
     )]
     Weight {
-        /// Index of the seat.
+        /// Index of the invalid seat in the list.
         seat: usize,
-        /// The weight in the list.
+        /// Weight of the seat in the list.
         weight: f64,
-        /// The maximum weight.
+        /// Maximum weight of a seat.
         max: u32,
     },
     /// A member's address is not an IP address with a port.
     #[error("seats[{seat}].member.address is {address:?}: must be an IP address and a port other than 0")]
     Address {
-        /// Index of the seat.
+        /// Index of the invalid seat in the list.
         seat: usize,
-        /// The address in the list.
+        /// Member's address as it stands in the list.
         address: String,
     },
     /// A member fills two seats.
@@ -99,11 +99,11 @@
         "seats[{second}] repeats the member name {name:?} of seats[{first}]: a member fills only one seat, vacate one of them"
     )]
     DuplicateName {
-        /// The repeated name.
+        /// Name that occurs twice.
         name: String,
-        /// Index of the seat that has it already.
+        /// Index of the first seat with this member name or address.
         first: usize,
-        /// Index of the seat that repeats it.
+        /// Index of the second seat with this member name or address.
         second: usize,
     },
     /// Two members have the same address.
@@ -111,11 +111,11 @@
         "seats[{second}] repeats the address {address} of seats[{first}]: give each member its own address"
     )]
     DuplicateAddress {
-        /// The repeated address.
+        /// Address that two members have.
         address: std::net::SocketAddr,
-        /// Index of the seat that has it already.
+        /// Index of the first seat with this member name or address.
         first: usize,
-        /// Index of the seat that repeats it.
+        /// Index of the second seat with this member name or address.
         second: usize,
     },
     /// A region has fewer filled seats than replicas.
@@ -123,9 +123,9 @@
         "region {region} has {members} members for {replicas} replicas: fill seats there or lower replicas"
     )]
     TooFewMembers {
-        /// Name of the region.
+        /// Name of the invalid region.
         region: String,
-        /// Number of its filled seats.
+        /// Number of filled seats in the region.
         members: usize,
         /// Replicas that each shard needs.
         replicas: usize,
@@ -135,20 +135,20 @@
         "wide destination {dest} has width {width}: must be 2 to {max}, or 1 in a change to make it plain again"
     )]
     Width {
-        /// Number of the destination.
+        /// Number of the invalid wide destination.
         dest: i64,
         /// The width in the list or the change.
         width: u64,
-        /// The maximum width.
+        /// Maximum width of a wide destination.
         max: u16,
     },
     /// A wide destination is listed twice.
     #[error("wide lists destination {dest} twice: list it once")]
     DuplicateWide {
-        /// Number of the destination.
+        /// Number of the invalid wide destination.
         dest: i64,
     },
-    /// The list is older than the one in force.
+    /// The received list is older than the list in force.
     #[error("epoch {offered} is older than epoch {current} in force: send an epoch above {current}")]
     StaleEpoch {
         /// Epoch in force.
@@ -156,10 +156,10 @@
         /// Epoch of the rejected list.
         offered: u64,
     },
-    /// The list has the epoch in force but other contents.
+    /// The received list has the epoch in force, but its contents differ from the list in force.
     #[error("epoch {epoch} is already in force with another list: raise the epoch with each change")]
     DifferentList {
-        /// The epoch of both lists.
+        /// Epoch of the list in force and of the rejected list.
         epoch: u64,
     },
     /// The changes do not begin at the epoch in force.
@@ -181,7 +181,7 @@
     /// A change names a seat that the list does not have.
     #[error("seat {seat} does not exist, the list has {seats} seats: append it or correct the number")]
     SeatOutOfRange {
-        /// Number of the seat.
+        /// Number of the seat that the change names.
         seat: u64,
         /// Number of seats of the list.
         seats: usize,
@@ -189,7 +189,7 @@
     /// A change fills a seat that has a member.
     #[error("seat {seat} is filled by {member}: vacate it first")]
     SeatFilled {
-        /// Number of the seat.
+        /// Number of the seat that the change names.
         seat: usize,
         /// The member that fills the seat.
         member: String,
@@ -197,13 +197,13 @@
     /// A change vacates a seat that has no member.
     #[error("seat {seat} is vacant already: correct the number")]
     SeatVacant {
-        /// Number of the seat.
+        /// Number of the seat that the change names.
         seat: usize,
     },
     /// An entry of `changes` is no known change, or several at once.
     #[error("changes[{index}] is not exactly one change: give either seat with member, or append, or wide")]
     AmbiguousChange {
-        /// Index of the entry.
+        /// Index of the invalid entry in `changes`.
         index: usize,
     },
 }
--- a/crates/placement/src/fallback.rs
+++ b/crates/placement/src/fallback.rs
@@ -5,7 +5,7 @@
 use crate::hash::{mix_pair, scale};
 use crate::shard::ShardId;
 
-/// Exclusive upper bound of ranks and ordinals.
+/// Exclusive upper bound of seats' ranks in a fallback order, and of their ordinals.
 pub(crate) const RANKS: u32 = 1 << 16;
 
 const ROUNDS: usize = 4;
@@ -18,13 +18,13 @@
 
 impl FallbackOrder {
     pub(crate) fn of(shard: ShardId) -> Self {
-        // Separates this hash from other hashes of shard numbers. The value is part of the scheme.
+        // Makes this hash differ from other hashes of shard numbers. The value is part of the placement scheme.
         const DOMAIN_TAG: u64 = 0x7761_6c6b;
         let hash = mix_pair(DOMAIN_TAG, u64::from(shard.0));
         Self { keys: [hash as u16, (hash >> 16) as u16, (hash >> 32) as u16, (hash >> 48) as u16] }
     }
 
-    /// Returns the ordinal at a rank.
+    /// Returns the ordinal of the seat at a rank of the fallback order.
     pub(crate) fn ordinal(&self, rank: u16) -> u16 {
         let (mut left, mut right) = ((rank >> 8) as u8, rank as u8);
         for key in self.keys {
@@ -33,7 +33,7 @@
         join(left, right)
     }
 
-    /// Returns the rank of an ordinal; the inverse of [`Self::ordinal`].
+    /// Returns the rank in the fallback order of the seat with this ordinal, which is the inverse of [`Self::ordinal`].
     pub(crate) fn rank(&self, ordinal: u16) -> u16 {
         let (mut left, mut right) = ((ordinal >> 8) as u8, ordinal as u8);
         for key in self.keys.iter().rev() {
@@ -47,7 +47,7 @@
     (left as u16) << 8 | right as u16
 }
 
-/// The round function of the network: the top bits of a product with an odd multiplier.
+/// The round function of the Feistel network: the top bits of a product with an odd multiplier.
 const fn round(half: u8, key: u16) -> u8 {
     const MULTIPLIER: u32 = 0x9E37_79B1;
     let product = ((half as u32) << 16 | key as u32).wrapping_mul(MULTIPLIER);
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -19,8 +19,8 @@
 use crate::SeatId;
 use heronroute::{Effect, Micros};
 
-/// The shortest answer timeout. With less time left, no further candidate is tried:
-/// on a loaded machine the answer would arrive too late, and the outcome would be unknown unnecessarily.
+/// The shortest time in which an owner may be expected to answer. With less time left, no further owner is tried:
+/// on a loaded machine the owner's answer would arrive too late, and the outcome would be unknown unnecessarily.
 pub const MIN_ANSWER_TIMEOUT_US: Micros = 20_000;
 
 /// The wait that is reported to a client, in milliseconds, if no owner reported one.
@@ -44,7 +44,7 @@
     Unknown,
 }
 
-/// The reply to the client.
+/// The reply to the client whose request was forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientReply {
     /// An owner has accepted the request.
@@ -60,7 +60,7 @@
     Invalid(String),
 }
 
-/// What the caller has to do next.
+/// What the caller of [`Forwarding`] has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Send the request to an owner.
@@ -68,13 +68,13 @@
         /// The seat of the owner to send to.
         to: SeatId,
         /// The time from now within which the first byte must be written.
-        /// If it expires, the caller must not write any, and the outcome is [`ForwardOutcome::NotSent`].
+        /// If that time passes, the caller must not write any byte, and the outcome is [`ForwardOutcome::NotSent`].
         write_timeout: Micros,
         /// The time from now within which the answer must arrive.
-        /// If it expires, the outcome is [`ForwardOutcome::Unknown`].
+        /// If the owner has not answered by then, the outcome is [`ForwardOutcome::Unknown`].
         answer_timeout: Micros,
     },
-    /// Send the reply to the client. The request is finished.
+    /// Send the reply to the client. The forwarded request is finished.
     Reply(ClientReply),
 }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns the first step.
+    /// Returns the request's first step.
     pub fn start(&mut self, now: Micros) -> Step {
         self.try_next(now)
     }
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -47,7 +47,7 @@
         digest
     }
 
-    /// Returns the digest of everything added so far.
+    /// Returns the digest of all numbers and texts added so far.
     pub const fn value(self) -> u64 {
         self.0
     }
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -1,5 +1,5 @@
 //! Tracks the shards and keys that this sender has newly gained,
-//! and until when it must wait for their former owners to finish.
+//! and until when this sender must wait for the former owners to finish.
 //!
 //! When an epoch changes ownership, the following are on hold for [`LeaseTimes::hold`](crate::LeaseTimes::hold)
 //! after this sender received the epoch, because another sender may still be using them:
@@ -29,7 +29,7 @@
 /// The holds of one owned shard.
 #[derive(Clone, Debug, Default)]
 struct ShardHold {
-    /// Until this time another sender may still act as an owner of the shard.
+    /// Time until which another sender may still act as an owner of the shard.
     ready_at: Option<Micros>,
     /// Earlier owner lists that include this sender. Under them, keys may have preferred another owner.
     superseded: Vec<Superseded<Vec<SeatId>>>,
@@ -75,7 +75,7 @@
 }
 
 impl OwnershipDiff {
-    /// Compares the shards owned before and after. Without `before`, all owned shards count as gained.
+    /// Compares the shards that this sender owns under two placements. Without `before`, all count as gained.
     pub(crate) fn between(before: Option<SeatedPlacement<'_>>, after: SeatedPlacement<'_>) -> Self {
         let owned_before = |shard: ShardId| before.is_some_and(|before| before.owns(shard));
         let mut gained = after.shards();
@@ -163,14 +163,15 @@
         });
     }
 
-    /// Returns the latest end of any hold after `now`.
+    /// Returns the end of the last hold on a shard or key; `None` if no hold ends after `now`.
     pub(crate) fn last_end(&self, now: Micros) -> Option<Micros> {
         let shards = self.shards.values().filter_map(ShardHold::last_end).max();
         shards.max(self.all_until).filter(|&end| now < end)
     }
 }
 
-/// Superseded replica counts and widths, which determine how many owners share a limit while senders still use them.
+/// Superseded replica counts and widths of destinations.
+/// While senders may still use them, they affect how many owners share a destination's limit.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentSharing {
     replicas: Vec<Superseded<usize>>,
@@ -234,7 +235,7 @@
         self.superseded_widths(dest, now).filter(moved).map(|superseded| superseded.until).max()
     }
 
-    /// Removes superseded values that no sender uses any more.
+    /// Removes superseded replica counts and widths that no sender uses any more.
     pub(crate) fn prune(&mut self, now: Micros) {
         self.replicas.retain(|superseded| now < superseded.until);
         self.widths.retain(|_, widths| {
@@ -243,7 +244,7 @@
         });
     }
 
-    /// Returns the latest time after `now` until which a superseded value may be in use.
+    /// Returns the latest time after `now` until which a sender may use a superseded replica count or width.
     pub(crate) fn last_end(&self, now: Micros) -> Option<Micros> {
         let widths = self.widths.values().flatten().map(|superseded| superseded.until);
         let replicas = self.replicas.iter().map(|superseded| superseded.until);
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -2,7 +2,7 @@
 //!
 //! A sender polls its control agent periodically.
 //! An answer to a request that was sent at `polled_at` renews the lease until `polled_at + lease`.
-//! The lease counts from the request, so a delay of the answer shortens the remaining lease by the same time.
+//! The lease counts from the poll, so a delayed answer shortens the remaining lease by its delay.
 //!
 //! All times are from one monotonic clock of this process, which also advances while the process is stopped and,
 //! where the system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`). Clock readings of different
@@ -10,7 +10,7 @@
 
 use heronroute::Micros;
 
-/// The hold is longer by one part in this number:
+/// The hold on gained shards is longer by one part in this number, because clocks run at different rates:
 /// two clocks that are each off by up to 500 parts in a million differ by one part in a thousand.
 pub const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
@@ -19,11 +19,11 @@
 pub struct LeaseTimes {
     /// How long an answer of the control agent, counted from the poll, allows a sender to accept requests.
     pub lease: Micros,
-    /// How far an agent may lag behind. It may answer with an epoch for at most this long
-    /// after a later epoch was first sent to any sender; after that the agent must not answer until it has caught up.
-    /// It is 0 if the agent confirms each answer with the control service after the poll.
+    /// How far a control agent may lag behind. The agent may answer with an epoch for at most this long
+    /// after a later epoch was first sent to any sender. Later, the agent must not answer until it has caught up.
+    /// The lag is 0 if the agent confirms each answer with the control service after the poll.
     pub agent_lag: Micros,
-    /// The longest deadline of any class, plus how long a call may still run after it (`order_settle`).
+    /// The longest deadline of any class, plus how long a call may still run after the deadline (`order_settle`).
     pub longest_deadline: Micros,
 }
 
@@ -50,24 +50,24 @@
 }
 
 impl Lease {
-    /// Creates a lease of this length that no answer has renewed yet.
+    /// Creates a lease of this length that no control agent's answer has renewed yet.
     pub fn new(length: Micros) -> Self {
         Lease { length, expires_at: None }
     }
 
-    /// Renews the lease by the answer to the poll sent at `polled_at`.
+    /// Renews the lease by a control agent's answer to the poll sent at `polled_at`.
     /// An answer to an earlier poll never shortens the lease.
     pub fn renew(&mut self, polled_at: Micros) {
         let expires_at = polled_at + self.length;
         self.expires_at = Some(self.expires_at.map_or(expires_at, |earlier| earlier.max(expires_at)));
     }
 
-    /// Returns whether requests may be accepted at `now`.
+    /// Returns whether the lease allows this sender to accept requests at `now`.
     pub fn is_valid(&self, now: Micros) -> bool {
         self.expires_at.is_some_and(|expires_at| now < expires_at)
     }
 
-    /// Returns when the lease expires or expired; `None` before the first answer.
+    /// Returns when the lease expires or expired; `None` before the first answer of a control agent.
     pub fn expires_at(&self) -> Option<Micros> {
         self.expires_at
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decides which senders own which destinations, by shards, replicas, epochs and leases.
+//! Decides which senders own which destinations, by means of shards, replicas, epochs and leases.
 //! The crate does no I/O; time and randomness are parameters.
 //!
 //! A destination belongs to a shard ([`shard`]), a shard to the seats that own it ([`Table::owners`]),
@@ -47,5 +47,5 @@
 
 /// The placement scheme that this version supports.
 /// Senders with the same scheme and the same member list compute the same owners.
-/// The golden digests in the tests pin the scheme.
+/// Golden digests in the tests pin the scheme's results.
 pub const SCHEME: u16 = 1;
--- a/crates/placement/src/list.rs
+++ b/crates/placement/src/list.rs
@@ -32,7 +32,7 @@
 pub struct SeatId(pub u16);
 
 impl SeatId {
-    /// Returns the number as an index.
+    /// Returns the number as an index into the member list.
     pub const fn index(self) -> usize {
         self.0 as usize
     }
@@ -43,7 +43,7 @@
 pub struct RegionId(pub u16);
 
 impl RegionId {
-    /// Returns the number as an index.
+    /// Returns the number as an index into the member list.
     pub const fn index(self) -> usize {
         self.0 as usize
     }
@@ -58,7 +58,7 @@
 }
 
 impl Region {
-    /// Returns the name, which no other region of the list has.
+    /// Returns the region's name, which no other region of the list has.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -82,7 +82,7 @@
 }
 
 impl Member {
-    /// Returns the name, which no other member of the list has.
+    /// Returns the member's name, which no other member of the list has.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -153,7 +153,7 @@
         Ok(list)
     }
 
-    /// Returns the epoch: the version number of the list, which grows with each change.
+    /// Returns the list's epoch: its version number, which grows with each change.
     pub const fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -219,17 +219,17 @@
         self.wide.iter().map(|(&dest, &width)| (dest, width))
     }
 
-    /// Returns the region of a seat, which must be of this list.
+    /// Returns the region of a seat. The seat must be in this list.
     pub fn region(&self, seat: SeatId) -> RegionId {
         self.domains.region(self.zone(seat))
     }
 
-    /// Returns the zone of a seat, which must be of this list.
+    /// Returns the zone of a seat. The seat must be in this list.
     pub fn zone(&self, seat: SeatId) -> ZoneId {
         self.domains.zone(self.rack(seat))
     }
 
-    /// Returns the rack of a seat, which must be of this list.
+    /// Returns the rack of a seat. The seat must be in this list.
     pub fn rack(&self, seat: SeatId) -> RackId {
         self.seats[seat.index()].rack
     }
@@ -249,12 +249,12 @@
         self.domains.rack_name(self.rack(seat))
     }
 
-    /// Returns the weight of a seat, which must be of this list.
+    /// Returns the weight of a seat. The seat must be in this list.
     pub fn weight(&self, seat: SeatId) -> Weight {
         self.seats[seat.index()].weight
     }
 
-    /// Checks that `next` may replace this list.
+    /// Checks that the list `next` may replace this list.
     ///
     /// # Errors
     /// Fails for an older epoch, and for other contents under the same epoch.
@@ -414,7 +414,7 @@
         Err(ListError::SeatOutOfRange { seat: u64::from(seat.0), seats: self.seats.len() })
     }
 
-    /// Sets the member of a seat, and updates the counts and the digest accordingly.
+    /// Sets the member of a seat, and updates the counts of filled seats and the list's digest.
     fn set_member(&mut self, seat: SeatId, member: Option<Member>) {
         let region = self.region(seat).index();
         let before = self.seat_digest(seat);
@@ -442,20 +442,19 @@
         self.member(seat).map_or("", Member::name)
     }
 
-    /// Returns the index in `by_name` of the member of this name, or else the index at which it would be inserted.
+    /// Returns the index in `by_name` of the member of this name, or else the index for inserting the member.
     fn find_name(&self, name: &str) -> Result<usize, usize> {
         self.by_name.binary_search_by(|&seat| self.name_at(seat).cmp(name))
     }
 
-    /// Returns the index in `by_address` of the member with this address,
-    /// or else the index at which it would be inserted.
+    /// Returns the index in `by_address` of the member with this address, or else the index for inserting the member.
     fn find_address(&self, address: SocketAddr) -> Result<usize, usize> {
         self.by_address.binary_search_by_key(&Some(address), |&seat| self.member(seat).map(Member::address))
     }
 }
 
 fn wide_digest(dest: i64, width: u16) -> u64 {
-    // Digests of seats begin with the seat's number, which is never this value.
+    // Distinguishes the digest of a wide destination from that of a seat, which begins with the seat's number instead.
     const WIDE: u64 = u64::MAX;
     Digest::new(WIDE).number(dest as u64).number(u64::from(width)).value()
 }
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -15,8 +15,8 @@
 const MAX_NAME_BYTES: usize = 128;
 /// Maximum number of control agents. A longer list only lengthens the search for an agent that answers.
 const MAX_CONTROL_AGENTS: usize = 8;
-/// A shorter lease would expire between two polls on a busy machine;
-/// a longer one would keep gained shards on hold for longer than most outages last.
+/// Bounds of the lease. A shorter lease would expire between two polls on a busy machine.
+/// A longer lease would keep gained shards on hold for longer than most outages last.
 const LEASE_BOUNDS: RangeInclusive<Duration> = Duration::from_secs(2)..=Duration::from_secs(300);
 const DEFAULT_LEASE: Duration = Duration::from_secs(10);
 /// Default number of polls to the control agent during one lease.
@@ -26,11 +26,11 @@
 /// A longer lag of an agent would keep gained shards on hold for longer than most outages last.
 const MAX_AGENT_LAG: Duration = Duration::from_secs(300);
 /// Allowed numbers of persistent connections to other members.
-/// Each uses a descriptor that is then not available for connections to endpoints.
+/// Each connection uses a file descriptor that is then not available for connections to endpoints.
 const OWNER_CONNECTIONS_BOUNDS: RangeInclusive<usize> = 1..=1024;
 const DEFAULT_OWNER_CONNECTIONS: usize = 64;
 
-/// The section as written in the file. [`Section::check`] validates it and returns [`PlacementOptions`].
+/// The section `[placement]` as written in the options file. [`Section::check`] turns it into [`PlacementOptions`].
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
@@ -46,14 +46,14 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 struct Span(#[serde(with = "humantime_serde")] Duration);
 
-/// The validated options, with defaults filled in.
+/// The validated options of the section `[placement]`, with defaults filled in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementOptions {
     /// This sender's name in the member list.
     pub name: String,
     /// The address at which this sender listens for requests that other members forward.
     pub listen: SocketAddr,
-    /// The control agents that serve the member list. If one does not answer, the next is polled.
+    /// The control agents that serve the member list. If one agent does not answer, the next agent is polled.
     pub control_agents: Vec<SocketAddr>,
     /// How long an answer of a control agent is valid, counted from the poll, in microseconds.
     pub lease: Micros,
@@ -171,10 +171,10 @@
 }
 
 impl Section {
-    /// Validates the section.
+    /// Validates the section `[placement]`.
     ///
     /// # Errors
-    /// Returns all findings; their spans are byte ranges of the text that was read.
+    /// Returns all findings; their spans are byte ranges of the options file's text.
     pub fn check(&self) -> Result<PlacementOptions, Vec<SpanFinding>> {
         let mut checker = Checker::default();
         let name = checker.name(&self.name);
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -1,5 +1,5 @@
-//! One sender's view of the placement: the epoch in force,
-//! the routing of requests, and which requests this sender may accept.
+//! One sender's view of the placement: its member list, the routing of client requests to owners,
+//! and which requests this sender may accept.
 //!
 //! # What a sender may do
 //!
@@ -16,29 +16,30 @@
 //!
 //! Let epoch `g` first be sent to any sender at time `t`.
 //! An agent answers with an earlier epoch until `t + agent_lag` at most.
-//! A lease under an earlier epoch therefore ends by `t + agent_lag + lease`,
-//! and messages accepted under it end within `longest_deadline` of that.
+//! A lease under an earlier epoch therefore ends by `t + agent_lag + lease`.
+//! Messages accepted under that lease end by `t + agent_lag + lease + longest_deadline`.
 //! A sender that becomes an owner in epoch `g` receives `g` at `t` or later,
-//! and then waits for `agent_lag + lease + longest_deadline`.
+//! and puts the gained shards on hold for `agent_lag + lease + longest_deadline`.
 //! Therefore members of the owner sets of two epochs never act for one shard at the same time,
-//! except members of both sets. This requires that a sender which keeps a shard without a hold
-//! owned the shard *in each epoch* between the two epochs that it compares:
+//! except members of both sets. A sender may keep a shard without a hold only if it owned the shard
+//! *in each epoch* between the two epochs that the sender compares:
 //!
 //! - A step to the next epoch: the sender compares the owners under both epochs.
-//! - Changes over several epochs: the sender replays them one by one, in the order in which they were made. A shard
-//!   that this sender did not own after one of the changes is new to this sender.
-//! - A full list that skips epochs, or more changes than [`MAX_REPLAYED_CHANGES`]: the epochs in between are unknown,
-//!   so all shards are treated as new.
+//! - Changes over several epochs: the sender replays the changes one by one, in the order in which they were made.
+//!   A shard that this sender did not own after one of the changes is new to this sender.
+//! - A full list that skips epochs, or more changes than [`MAX_REPLAYED_CHANGES`]:
+//!   the owners in the skipped epochs are unknown, so all shards are treated as new.
 //!
 //! # Order
 //!
 //! All messages of an order key are sent to one owner, the key's preferred owner of the shard ([`crate::Request`]).
-//! There is no fallback: if that owner rejects the message or can't be reached, the client is answered busy.
+//! There is no fallback: if the preferred owner rejects the message or can't be reached, the client is answered busy.
 //! Another owner accepts messages of the key only after an epoch makes it the preferred owner and the hold has ended;
-//! by then each message of the key that the former owner accepted has ended.
+//! when the hold ends, each message of the key that the former owner accepted has ended.
 //! The owner checks the preference itself, by its own epoch, and rejects messages that prefer another owner,
-//! so that a forwarder on an older epoch can't spread a key over two owners. The cost: if the preferred owner is down,
-//! messages of the key are rejected until an epoch without that owner has been received and the hold has ended.
+//! so that a forwarder on an older epoch can't spread a key over two owners.
+//! The cost: if the preferred owner is down, messages of the key are rejected
+//! until an epoch without that owner has been received and the hold has ended.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -60,13 +61,13 @@
 /// Maximum number of changes that are replayed one by one. Each replay takes up to 5 ms with 15,000 seats.
 pub const MAX_REPLAYED_CHANGES: usize = 32;
 
-/// Where a client's request is processed.
+/// Which sender processes a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// By this sender, which accepts the request if [`Ownership::admission`] allows it, and otherwise answers busy.
+    /// This sender processes the request: accepts it if [`Ownership::admission`] allows it, and otherwise answers busy.
     Local,
-    /// By one of these owners, to which [`crate::Forwarding`] sends the request,
-    /// preferred owner first. An ordered request has only one owner.
+    /// One of these owners processes the request. [`crate::Forwarding`] sends it to them, preferred owner first.
+    /// An ordered request has only one owner.
     Forward(Vec<SeatId>),
     /// No list has been received yet, or the destination has no owner.
     Unknown,
@@ -85,7 +86,7 @@
     LeaseExpired,
 }
 
-/// The effect of a control agent's answer on this sender's ownership.
+/// How a control agent's answer changed this sender's epoch and shards.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EpochUpdate {
     /// The epoch in force.
@@ -105,11 +106,11 @@
     pub epoch: u64,
     /// The [`MemberList::digest`] of the list in force.
     pub digest: u64,
-    /// Whether all holds had ended when the state was written.
+    /// Whether all of this sender's holds on gained shards and keys had ended when the state was written.
     pub settled: bool,
-    /// The maximum number of replicas among which a destination's limit was shared.
+    /// Greatest number of replicas among which a destination's rate limit may still be shared.
     pub replicas: usize,
-    /// The destinations that were wide, with their maximum width.
+    /// Destinations that are or were wide, each with the greatest width that senders may still use.
     pub wide: BTreeMap<i64, u16>,
 }
 
@@ -128,7 +129,7 @@
     address: Option<SocketAddr>,
     times: LeaseTimes,
     lease: Lease,
-    /// The state that the last run persisted.
+    /// The placement state that this sender's last run persisted.
     persisted: Option<PersistedPlacement>,
     view: Option<View>,
     holds: Holds,
@@ -160,14 +161,14 @@
     }
 
     /// Sets this process's address for forwarded requests.
-    /// A member of the same name with another address is another process, which has replaced this one.
+    /// A listed member with this sender's name but another address is another process, which has replaced this process.
     #[must_use]
     pub fn with_address(mut self, address: SocketAddr) -> Self {
         self.address = Some(address);
         self
     }
 
-    /// Sets the state that the last run persisted.
+    /// Sets the placement state that this sender's last run persisted.
     #[must_use]
     pub fn with_persisted(mut self, persisted: Option<PersistedPlacement>) -> Self {
         self.persisted = persisted;
@@ -179,7 +180,7 @@
     ///
     /// # Errors
     /// Fails for an older epoch, another list under the epoch in force, and changes that do not apply.
-    /// The list in force stays, and the lease is not renewed.
+    /// After an error, the member list in force stays, and the lease is not renewed.
     pub fn apply_answer(
         &mut self,
         polled_at: Micros,
@@ -192,7 +193,7 @@
     /// Like [`Self::apply_answer`], but takes tables from `placements`, which senders in one process may share.
     ///
     /// # Errors
-    /// Fails as [`Self::apply_answer`] does.
+    /// Fails in the cases in which [`Self::apply_answer`] fails.
     pub fn apply_answer_with(
         &mut self,
         placements: &mut impl PlacementSource,
@@ -211,17 +212,17 @@
         Ok(update)
     }
 
-    /// Returns the epoch in force; `None` before the first list.
+    /// Returns the epoch of the member list in force; `None` before the first list.
     pub fn epoch(&self) -> Option<u64> {
         self.list().map(MemberList::epoch)
     }
 
-    /// Returns the list in force.
+    /// Returns the member list in force; `None` before the first list.
     pub fn list(&self) -> Option<&MemberList> {
         self.placement().map(Placement::list)
     }
 
-    /// Returns the placement in force.
+    /// Returns the member list in force together with its table of owners; `None` before the first list.
     pub fn placement(&self) -> Option<&Placement> {
         self.view.as_ref().map(|view| &*view.placement)
     }
@@ -246,7 +247,7 @@
         self.holds.last_end(now).max(self.recent_sharing.last_end(now))
     }
 
-    /// Returns the state to persist. The caller writes it whenever it has changed.
+    /// Returns the placement state for the next run. The caller persists it whenever it has changed.
     /// If replicas or widths have changed, the state must be on disk before this sender acts under the new list.
     pub fn persisted_state(&self, now: Micros) -> Option<PersistedPlacement> {
         let list = self.list()?;
@@ -309,12 +310,13 @@
             let by_shard = self.holds.shard_hold(sub_shard(dest, part), now);
             by_shard.max(self.recent_sharing.part_hold(dest, part, now))
         });
-        // `None` is the minimum: the request is accepted if at least one owned part is not on hold.
+        // `None` (no hold) is the minimum of the hold ends: one owned part that is not on hold is enough to accept.
         hold_ends.min().map_or(Admission::NotOwner, |hold_end| self.admission_under_lease(now, hold_end))
     }
 
-    /// Returns whether this sender needs the endpoints of a destination, because it owns a part of the destination, or
-    /// lost one and may still be delivering to it. The caller must retain the destinations of restored messages itself.
+    /// Returns whether this sender needs the endpoints of a destination: it owns a part of the destination,
+    /// or lost a part and may still be delivering to it.
+    /// The caller itself must retain the destinations of messages restored from the journal.
     pub fn needs_destination(&self, dest: i64) -> bool {
         let Some(view) = &self.view else { return false };
         let needs = |shard: ShardId| view.seated().owns(shard) || self.holds.recently_lost(shard);
@@ -322,8 +324,8 @@
     }
 
     /// Returns the number of owners that share a destination's limit equally.
-    /// While other senders may still act under an epoch with more owners, this is the number of that epoch.
-    /// Before the first list, it is the number that the last run persisted.
+    /// An epoch with more owners counts as long as other senders may still act under that epoch.
+    /// Before the first list, the number of owners is the one that the last run persisted.
     pub fn limit_sharers(&self, now: Micros, dest: i64) -> usize {
         match (self.list(), &self.persisted) {
             (Some(list), _) => self.recent_sharing.max_sharers(list, dest, now),
@@ -378,7 +380,7 @@
     }
 
     /// Sets the holds for this process's first list. All shards are put on hold,
-    /// unless all holds of the last run had ended under the same list, or the list is the first of a new fleet.
+    /// unless all holds of the last run had ended under the same member list, or the list is the first of a new fleet.
     fn hold_for_first_list(&mut self, now: Micros, list: &MemberList) -> Result<(), ListError> {
         let until = self.hold_end(now);
         if let Some(last) = &self.persisted {
@@ -420,8 +422,8 @@
         Ok(self.activate(after))
     }
 
-    /// Replays changes over several epochs one by one and records their holds.
-    /// Returns false if there are too many changes, or if one can't be applied alone.
+    /// Replays changes over several epochs one by one, and records the holds that each change causes.
+    /// Returns false if there are more than [`MAX_REPLAYED_CHANGES`], or if one of the changes can't be applied alone.
     fn replay(
         &mut self,
         placements: &mut impl PlacementSource,
@@ -432,7 +434,7 @@
         if changes.len() > MAX_REPLAYED_CHANGES {
             return false;
         }
-        // Replayed steps get epochs from 0 on: the epoch of each change is unknown, as one epoch may have several.
+        // Replayed changes get epochs from 0 on: their real epochs are unknown, as one epoch may have several changes.
         let mut before = Arc::new(before.with_epoch(0));
         for (since, change) in changes.iter().enumerate() {
             let since = since as u64;
@@ -452,7 +454,7 @@
         self.recent_sharing.advance(before.list(), after.list(), until);
     }
 
-    /// Puts a placement in force.
+    /// Makes a placement the one in force for this sender.
     fn activate(&mut self, placement: Arc<Placement>) -> EpochUpdate {
         let before = self.view.as_ref().map(View::seated);
         let after = self.seated(&placement);
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -1,4 +1,4 @@
-//! A member list with the table computed from it, and the derivation of the next placement from changes.
+//! A placement: a member list with the table of owners computed from it. Changes to the list give the next placement.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 pub struct Placement {
     list: MemberList,
     table: Arc<Table>,
-    /// The only shards that [`Self::shards_of`] returns, for simulations; `None` for all.
+    /// The only shards that [`Self::shards_of`] returns, which simulations set; `None` for all shards.
     visible_shards: Option<Arc<[ShardId]>>,
 }
 
@@ -37,7 +37,7 @@
         self
     }
 
-    /// Returns the placement after `changes` to this one.
+    /// Returns the placement that results from applying `changes` to this placement.
     ///
     /// # Errors
     /// Fails if the changes do not apply to the list, see [`MemberList::apply`].
@@ -73,25 +73,25 @@
         }
     }
 
-    /// Returns the same placement with another epoch, to which changes are then replayed one by one.
+    /// Returns a copy of this placement with another epoch, to which changes are then replayed one by one.
     pub(crate) fn with_epoch(&self, epoch: u64) -> Self {
         Placement { list: self.list.successor(epoch), ..self.clone() }
     }
 }
 
-/// Provides a sender's placements. Many senders in one process may share theirs; otherwise each computes its own.
+/// Provides a sender's placements. Many senders in one process may share placements instead of each computing its own.
 pub trait PlacementSource {
     /// Returns the placement of a full list.
     fn build(&mut self, list: MemberList) -> Arc<Placement>;
 
-    /// Returns the placement after `changes` to `before`.
+    /// Returns the placement that results from applying `changes` to the placement `before`.
     ///
     /// # Errors
     /// Fails if the changes do not apply to the list.
     fn apply(&mut self, before: &Arc<Placement>, changes: &Changes) -> Result<Arc<Placement>, ListError>;
 }
 
-/// Computes each placement anew, shared with no other sender.
+/// Computes each placement for one sender alone, without sharing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UnsharedPlacements;
 
--- a/crates/placement/src/preference.rs
+++ b/crates/placement/src/preference.rs
@@ -19,7 +19,7 @@
     pub dest: i64,
     /// The order key, in a class that keeps order.
     pub order_key: Option<&'a str>,
-    /// The id that the client gave the request.
+    /// The id that the client assigned to the request.
     pub request_id: &'a str,
 }
 
@@ -34,14 +34,14 @@
         part(self.spread_hash(), width)
     }
 
-    /// Returns the owner that the request prefers; `None` without owners.
+    /// Returns the owner that the request prefers; `None` if the shard has no owners.
     pub fn preferred(&self, owners: &[SeatId]) -> Option<SeatId> {
         preferred(owners, self.spread_hash())
     }
 
     /// Returns the hash by which requests to one destination are spread over its parts and owners.
     pub(crate) fn spread_hash(&self) -> u64 {
-        // Separates this digest from digests of other data. The value is part of the scheme.
+        // Makes this digest differ from digests of other data. The value is part of the placement scheme.
         const DOMAIN_TAG: u64 = 0x7370_7265_6164;
         Digest::new(DOMAIN_TAG).text(self.order_key.unwrap_or(self.request_id)).value()
     }
@@ -52,19 +52,19 @@
     scale((spread_hash >> 32) as u32, u32::from(width)) as u16
 }
 
-/// Returns all owners, the preferred one first.
+/// Returns all owners of a shard in the order in which a request prefers them.
 pub(crate) fn by_preference(owners: &[SeatId], spread_hash: u64) -> Vec<SeatId> {
     let mut owners = owners.to_vec();
     owners.sort_by_key(|&seat| std::cmp::Reverse(rank(seat, spread_hash)));
     owners
 }
 
-/// Returns the preferred owner; `None` without owners.
+/// Returns the owner that a request prefers; `None` if the shard has no owners.
 pub(crate) fn preferred(owners: &[SeatId], spread_hash: u64) -> Option<SeatId> {
     owners.iter().copied().max_by_key(|&seat| rank(seat, spread_hash))
 }
 
-/// Returns the rank of a seat for a request. The seat itself is the second key, so that ranks never tie.
+/// Returns the rank of a seat for a request. Seats with equal hashes are ranked by number, so that ranks never tie.
 fn rank(seat: SeatId, spread_hash: u64) -> (u64, SeatId) {
     (mix_pair(spread_hash, u64::from(seat.0)), seat)
 }
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -1,4 +1,4 @@
-//! One region's part of the table: the base rows, which seats are filled, and the owners resolved from both.
+//! One region's part of the table of owners: base rows, filled seats, and the owners that result from both.
 
 use crate::base::{BaseSeat, BaseTable};
 use crate::conflicts::EMPTY;
@@ -17,20 +17,20 @@
 /// The shards of a region and their owners.
 #[derive(Clone, Debug)]
 pub(crate) struct RegionTable {
-    /// Position of the first row in the interleaved order of shards.
+    /// Position of the region's first row in the interleaved order of shards.
     first_position: u32,
     replicas: usize,
     base: BaseTable,
-    /// Whether each seat is filled, by ordinal.
+    /// Whether each seat of the region is filled, by ordinal.
     filled: Vec<bool>,
-    /// Ordinals of the filled seats, in order.
+    /// Ordinals of the region's filled seats, in ascending order.
     members: Vec<u16>,
     owners: Vec<SeatId>,
-    /// Whether each row has an owner that is not in its base row, by row.
+    /// Whether each row has an owner from the fallback order, which is not in its base row.
     uses_fallback: Vec<bool>,
 }
 
-/// The owners of a row while they are being selected, by ordinal.
+/// The owners of a row while they are being selected, as ordinals of their seats.
 struct OwnerSelection {
     seats: [u16; MAX_REPLICAS],
     len: usize,
@@ -81,7 +81,7 @@
         self.base.changed_rows()
     }
 
-    /// Sets whether a seat is filled. Returns whether that is a change.
+    /// Sets whether a seat is filled. Returns whether the seat's state has changed.
     pub(crate) fn set_filled(&mut self, ordinal: u16, filled: bool) -> bool {
         let before = std::mem::replace(&mut self.filled[usize::from(ordinal)], filled);
         match (self.members.binary_search(&ordinal), filled) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Resolves the owners that may have changed: those of `rows`, and of rows that depend on the seats in `toggled`.
+    /// Resolves the owners that may have changed: owners of `rows`, and of rows that depend on the seats in `toggled`.
     pub(crate) fn update(&mut self, rows: &[u32], toggled: &[u16]) {
         for &row in rows {
             self.resolve(row);
--- a/crates/placement/src/shard.rs
+++ b/crates/placement/src/shard.rs
@@ -1,5 +1,5 @@
 //! The mapping from destinations to shards.
-//! The number of shards is fixed and does not depend on the number of destinations or members.
+//! The number of shards is fixed: it does not depend on the number of destinations or members.
 
 use crate::hash::{FIBONACCI_MULTIPLIER, mix_pair};
 
@@ -7,7 +7,7 @@
 pub const SHARD_BITS: u32 = 18;
 
 /// Number of shards. With 15,000 members and two replicas each member owns about 35 shards,
-/// which keeps loads within 3% of the mean, and a table of all shards takes a few megabytes.
+/// which keeps members' loads within 3% of the mean, and a table of all shards takes a few megabytes.
 pub const SHARDS: u32 = 1 << SHARD_BITS;
 
 /// Number of a shard, below [`SHARDS`]. A shard is a set of destinations that always have the same owners.
@@ -21,7 +21,7 @@
         reverse_bits(self.0)
     }
 
-    /// Returns the shard at a position of the interleaved order; the inverse of [`Self::position`].
+    /// Returns the shard at a position of the interleaved order, which is the inverse of [`Self::position`].
     pub(crate) const fn at_position(position: u32) -> Self {
         Self(reverse_bits(position))
     }
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -18,7 +18,7 @@
     seats: Vec<(RegionId, u16)>,
 }
 
-/// The rows and seats of one region whose owners must be resolved again.
+/// The rows of one region whose owners must be resolved again, and the seats that were filled or vacated.
 #[derive(Clone, Debug, Default)]
 struct Pending {
     rows: Vec<u32>,
@@ -41,7 +41,7 @@
     }
 
     /// Applies `changes`, which lead from this table's list to `next`.
-    /// Afterwards the table is the same as one built from `next`.
+    /// The updated table is the same as a table built from the list `next`.
     pub fn apply(&mut self, next: &MemberList, changes: &Changes) {
         let mut pending = vec![Pending::default(); self.regions.len()];
         for change in &changes.changes {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Appends a seat of a list to its region. Returns its ordinal within the region.
+/// Appends a seat of a list to its region. Returns the seat's ordinal within the region.
 fn append(region: &mut RegionTable, list: &MemberList, seat: SeatId) -> u16 {
     let ordinal = region.seat_count() as u16;
     let domain = Domain::new(list.zone(seat), list.rack(seat));
--- a/crates/placement/src/target.rs
+++ b/crates/placement/src/target.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Weights {
     total: Units,
-    /// The greatest weights, in descending order. At most this many seats can have more weight than one seat may use.
+    /// The greatest weights, in descending order. No more seats than these can have more weight than one seat may use.
     greatest: [Units; MAX_REPLICAS],
 }
 
@@ -55,12 +55,12 @@
         ((exact + self.total / 2) / self.total) as u32
     }
 
-    /// Returns the greatest load of a seat of this weight that is not above its target.
+    /// Returns the greatest number of positions with which a seat of this weight is not above its target.
     pub(crate) fn target(self, positions: u64, weight: Units) -> u32 {
         (positions * weight.min(self.cap) / self.total) as u32
     }
 
-    /// Returns whether a load exceeds `sixteenths` / 16 of the target.
+    /// Returns whether a seat's load exceeds `sixteenths` / 16 of its target.
     pub(crate) fn exceeds(self, load: u32, positions: u64, weight: Units, sixteenths: u64) -> bool {
         let target = positions * weight.min(self.cap);
         u64::from(load) * self.total * 16 > target * sixteenths
--- a/crates/placement/src/weight.rs
+++ b/crates/placement/src/weight.rs
@@ -5,13 +5,13 @@
 
 const UNITS_PER_ONE: u32 = 1024;
 
-/// Capacity relative to a usual machine, which has weight 1; in units of 1/1024.
+/// A seat's capacity relative to a usual machine, which has weight 1; in units of 1/1024.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Weight(u32);
 
 impl Weight {
     /// Converts a decimal number, rounded to the nearest 1/1024.
-    /// Returns `None` if it is not finite, rounds to 0, or exceeds [`MAX_WEIGHT`].
+    /// Returns `None` if the number is not finite, rounds to 0, or exceeds [`MAX_WEIGHT`].
     pub fn new(decimal: f64) -> Option<Self> {
         let in_range = decimal > 0.0 && decimal <= f64::from(MAX_WEIGHT);
         let units = if in_range { (decimal * f64::from(UNITS_PER_ONE)).round() as u32 } else { 0 };
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -7,10 +7,10 @@
 use crate::error::ListError;
 use crate::list::{MAX_SEATS, Member, MemberList, SeatId};
 
-/// A full member list.
+/// A full member list in its JSON form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListForm {
-    /// Version number of the list, which grows with each change.
+    /// Epoch: the version number of the list, which grows with each change.
     pub epoch: u64,
     /// Placement scheme, see [`crate::SCHEME`].
     pub scheme: u16,
@@ -28,10 +28,10 @@
     pub wide: Vec<WideForm>,
 }
 
-/// A region of the list.
+/// A region of the member list in its JSON form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionForm {
-    /// Name, which no other region of the list has.
+    /// Name of the region, which no other region of the list has.
     pub name: String,
     /// The region's share of the shards, relative to the sum of all regions' shares.
     pub share: u32,
@@ -55,9 +55,9 @@
 /// A member: a sender process that fills a seat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberForm {
-    /// Name, which no other member of the list has.
+    /// Name of the member, which no other member of the list has.
     pub name: String,
-    /// IP address and port at which it accepts forwarded requests.
+    /// IP address and port at which the member accepts forwarded requests.
     pub address: String,
 }
 
@@ -66,7 +66,7 @@
 pub struct WideForm {
     /// Number of the destination.
     pub dest: i64,
-    /// Number of shards over which its requests are spread.
+    /// Number of shards over which the destination's requests are spread.
     pub width: u64,
 }
 
@@ -77,7 +77,7 @@
     pub epoch: u64,
     /// Epoch of the list that the changes apply to.
     pub since: u64,
-    /// The changes, in order.
+    /// Changes to the list, in the order in which they are applied.
     pub changes: Vec<ChangeForm>,
 }
 
@@ -121,7 +121,7 @@
     /// Parses the JSON text of an answer.
     ///
     /// # Errors
-    /// Fails if the text has none of the three forms, or if a full list is invalid.
+    /// Fails if the text is neither a full list, changes nor an epoch, or if a full list is invalid.
     pub fn parse_json(bytes: &[u8]) -> Result<Self, ListError> {
         let kind: AnswerKind = parse(bytes)?;
         if kind.seats.is_some() {
@@ -205,7 +205,7 @@
         Self::from_form(parse(bytes)?)
     }
 
-    /// Converts changes from their wire form.
+    /// Converts changes from their JSON form.
     ///
     /// # Errors
     /// Fails for an entry that is not exactly one change.
@@ -215,7 +215,7 @@
         Ok(Self { epoch: form.epoch, since: form.since, changes })
     }
 
-    /// Returns the changes in their wire form.
+    /// Returns the changes in their JSON form.
     pub fn to_form(&self) -> ChangesForm {
         ChangesForm {
             epoch: self.epoch,
@@ -262,8 +262,8 @@
     }
 }
 
-/// Serializes a form. This can't fail:
-/// JSON can express all values of the forms (a weight that is not finite becomes `null`).
+/// Serializes a list or changes to JSON.
+/// Serialization can't fail: JSON can express all values (a weight that is not finite becomes `null`).
 fn to_json<T: Serialize>(form: &T) -> Vec<u8> {
     serde_json::to_vec(form).unwrap_or_default()
 }
