--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -16,9 +16,9 @@
 /// The state of the owner that the journal does not contain.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// The number of the next message, which the successor continues from.
+    /// The number that the successor gives to the next message.
     pub next_message: u64,
-    /// The number of the next call, which the successor continues from.
+    /// The number that the successor gives to the next call.
     pub next_call: u64,
     /// Whether the sender is in lame-duck mode, in which it drains and accepts no new messages.
     pub lame_duck: bool,
@@ -32,18 +32,18 @@
     /// The calls of the owner that are in flight.
     #[serde(rename = "out")]
     pub in_flight: Vec<InFlightCall>,
-    /// The number of the call in flight that carries the message, for each message that has one.
+    /// Each message that a call in flight carries, with the number of that call.
     pub calls: Vec<(MsgId, u64)>,
 }
 
 /// The outcome of a call for one of its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageOutcome {
-    /// The number of the message.
+    /// The number of the message that the call carried.
     pub id: MsgId,
-    /// The number of the attempt, from 0.
+    /// The number of the message's attempt, counted from 0.
     pub attempt: u32,
-    /// How the attempt ended.
+    /// How the attempt to deliver the message ended.
     pub outcome: Outcome,
     /// Whether the message needs no further attempt.
     #[serde(rename = "over")]
@@ -54,14 +54,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// The first frame on every connection, sent by both sides.
-    /// Its encoding never changes, so that processes of any two versions can compare them.
+    /// The encoding of Hello never changes, so that processes of any two versions can compare their versions.
     Hello {
         /// The [`VERSION`] of the process that sends the frame.
         version: u16,
     },
     /// Sent by the successor to request the journal, after it has done everything that it can do without the journal.
     Take,
-    /// Sent by the owner to decline the request, because it can't hand over now.
+    /// Sent by the owner to decline the request for the journal, because the owner can't hand over now.
     Later,
     /// Sent by the owner after it has completed the journal and released the lock.
     State(Box<State>),
@@ -69,30 +69,30 @@
     Taken,
     /// Sent by the former owner after the handover, to forward a message that a client has sent to it.
     Put {
-        /// A number that the reply to this message repeats.
+        /// A number that identifies the forwarded message; the frame with the reply repeats it.
         number: u64,
         /// The message of the client.
         put: Put,
     },
     /// Sent by the successor with the reply to a forwarded message.
     Reply {
-        /// The number of the [`Frame::Put`] that this answers.
+        /// The number of the [`Frame::Put`] that the reply answers.
         number: u64,
-        /// The reply for the client.
+        /// The reply to the client's message.
         reply: Reply,
     },
     /// Sent by the former owner after the handover, when one of its calls has ended.
     Ended {
         /// The number of the call.
         call: u64,
-        /// The outcome for each message of the call.
+        /// The outcome for each message that the call carried.
         #[serde(rename = "fates")]
         outcomes: Vec<MessageOutcome>,
         /// The time from the start of the call to its end.
         elapsed: Micros,
-        /// The wait that the response advertised; 0 if it advertised none.
+        /// The wait that the receiver's response advertised; 0 if the response advertised none.
         wait: Micros,
-        /// The load report that the response carried.
+        /// The load report in the receiver's response; `None` without one.
         report: Option<LoadReport>,
     },
     /// Sent by the successor to make the former owner cancel one of its calls.
@@ -102,10 +102,10 @@
     },
 }
 
-/// Why a frame can't be encoded or decoded. No later frame on the same connection can be decoded either.
+/// Why a frame can't be encoded or decoded. After a decoding error, no later frame of the connection can be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The payload is longer than [`MAX_FRAME_BYTES`]: this many bytes.
+    /// The payload is longer than [`MAX_FRAME_BYTES`]: the given number of bytes.
     TooLong(usize),
     /// The payload is not a valid frame.
     Malformed,
@@ -129,7 +129,7 @@
 /// Encodes a frame, including its length.
 ///
 /// # Errors
-/// When the payload is longer than [`MAX_FRAME_BYTES`].
+/// When the encoded payload is longer than [`MAX_FRAME_BYTES`].
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, FrameError> {
     let mut bytes = postcard::to_extend(frame, vec![0; 4]).map_err(|_| FrameError::Malformed)?;
     let length = bytes.len() - 4;
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,11 +1,11 @@
 //! # embershore-handover
 //!
 //! Replaces a sender's process by another one without interrupting service. Both processes run for a while and act
-//! as one sender: the journal has one writer at any time, and each message has one process that is responsible for it.
+//! as one sender. The journal has one writer at any time, and one process is responsible for each message.
 //! A call in flight stays with the process that started it, which reports the outcome to the other process.
 //!
 //! The process that holds the lock on the journal's folder owns the journal; nothing else decides the ownership.
-//! That process is the *owner*, and the process that requests the journal is the *successor*.
+//! The process that owns the journal is the *owner*, and the process that requests the journal is the *successor*.
 //! [`Owner`] and [`Successor`] are the state machines of the two sides,
 //! [`Frame`] is the message format between them, and [`Decoder`] reads it. None of them does any I/O.
 //!
--- a/crates/handover/src/owner.rs
+++ b/crates/handover/src/owner.rs
@@ -22,7 +22,7 @@
     Aborted,
 }
 
-/// An input of [`Owner`].
+/// An event that the state machine [`Owner`] handles.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OwnerEvent<'a> {
     /// A frame from the successor.
@@ -33,16 +33,16 @@
     TimedOut,
     /// The connection to the successor has ended.
     Disconnected,
-    /// The result of an attempt to reclaim the lock, see [`OwnerAction::Reclaim`]; true if it succeeded.
+    /// The result of an attempt to reclaim the lock, see [`OwnerAction::Reclaim`]; true if the lock was acquired.
     Reclaimed(bool),
 }
 
-/// What the owner does next.
+/// What the owner of the journal does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerAction {
     /// Waits for the successor's next frame.
     Wait,
-    /// Sends Hello.
+    /// Sends the frame Hello to the successor.
     SendHello,
     /// Finishes pending work, releases the lock and sends the state.
     Release,
@@ -57,7 +57,7 @@
 }
 
 impl Owner {
-    /// Handles an event and returns the next action.
+    /// Handles an event and returns the owner's next action.
     pub fn on(&mut self, event: OwnerEvent<'_>) -> OwnerAction {
         use OwnerEvent::{Disconnected, Received, Reclaimed, Released, TimedOut};
         let (next, action) = match (*self, event) {
@@ -76,7 +76,7 @@
                 (Owner::Aborted, OwnerAction::KeepServing)
             }
             // Another process owns the journal, but is not connected and so can't report it.
-            // Waiting any longer would serve no client.
+            // The owner retires, because waiting any longer for the lock would serve no client.
             (Owner::SuccessorLost, Reclaimed(false)) => (Owner::Retired, OwnerAction::Retire),
             (Owner::Released, Released | Reclaimed(false)) => (Owner::Released, OwnerAction::Wait),
             (Owner::Retired, Received(Frame::Reply { .. } | Frame::Cancel { .. })) => {
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -18,10 +18,10 @@
     Owning,
 }
 
-/// An input of [`Successor`].
+/// An event that the state machine [`Successor`] handles.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SuccessorEvent<'a> {
-    /// The result of an attempt to acquire the lock; true if it succeeded.
+    /// The result of an attempt to acquire the lock; true if the lock was acquired.
     LockTried(bool),
     /// A frame from the owner.
     Received(&'a Frame),
@@ -34,13 +34,13 @@
 pub enum SuccessorAction {
     /// Waits for the owner's next frame.
     Wait,
-    /// Tries to acquire the lock at once.
+    /// Tries to acquire the lock on the journal without a pause.
     TryLock,
-    /// Drops the connection, pauses, and tries to acquire the lock.
+    /// Drops the connection to the owner, pauses, and tries to acquire the lock.
     RetryLater,
     /// Connects to the owner and sends Hello.
     Connect,
-    /// Requests the journal.
+    /// Requests the journal from the owner.
     RequestJournal,
     /// Starts as the owner without a predecessor's state,
     /// because this is the first process of the sender, or the predecessor has exited.
@@ -50,7 +50,7 @@
 }
 
 impl Successor {
-    /// Handles an event and returns the next action.
+    /// Handles an event and returns the successor's next action.
     pub fn on(&mut self, event: SuccessorEvent<'_>) -> SuccessorAction {
         use SuccessorEvent::{LockTried, OwnerLost, Received};
         let (next, action) = match (*self, event) {
@@ -63,12 +63,12 @@
                 (Successor::StateReceived, SuccessorAction::TryLock)
             }
             (Successor::StateReceived, LockTried(true)) => (Successor::Owning, SuccessorAction::Resume),
-            // The owner may have died after it sent its state. It has released the lock in any case.
+            // The owner may have died after it sent its state. Dead or alive, the owner has released the lock.
             (Successor::StateReceived, OwnerLost | Received(_)) => {
                 (Successor::StateReceived, SuccessorAction::TryLock)
             }
             (Successor::Owning, _) => (Successor::Owning, SuccessorAction::Wait),
-            // Starts over in all other cases, because a state received so far would be out of date at the next try.
+            // Starts over after all other events, because a state received so far would be out of date at the next try.
             _ => (Successor::Searching, SuccessorAction::RetryLater),
         };
         *self = next;
--- a/crates/handover/tests/handover.rs
+++ b/crates/handover/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Both state machines and the lock between them: at most one side owns the journal,
-//! whichever frames are lost, late or out of order, and one of them owns it once the faults have ended.
+//! Tests of the state machines of owner and successor, with the lock. At most one side owns the journal,
+//! whichever frames are lost, late or out of order, and one side owns the journal once the faults have ended.
 
 use embershore_handover::*;
 use heronroute::{MsgId, Outcome};
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Performs the step with this number, if it is possible in the current state.
+    /// Performs the numbered step of the simulation, if the step is possible in the current state.
     fn step(&mut self, number: u8) {
         match number {
             0 if !self.to_owner.is_empty() => {
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operator's options file, in TOML. Each section enables one subsystem; a subsystem without a section is off.
 //!
-//! The complete file is checked before any of it takes effect.
+//! The complete options file is checked before any part of the file takes effect.
 //! Unknown keys are errors, and each finding has its line and column.
 #![warn(missing_docs)]
 
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// The maximum size of the file in bytes. It is several times the size of 256 rules of a few hundred bytes each.
+/// The maximum size of the options file in bytes: several times the size of 256 rules of a few hundred bytes each.
 pub const MAX_FILE_BYTES: u64 = 1 << 20;
 
 #[derive(Deserialize)]
@@ -38,10 +38,10 @@
 pub use embershore_finding::FileError as OptionsError;
 
 impl Options {
-    /// Reads a file and checks it against the message classes of the daemon's settings.
+    /// Reads an options file and checks it against the message classes of the daemon's settings.
     ///
     /// # Errors
-    /// When the file can't be read, or has any finding.
+    /// When the options file can't be read, or contains any error.
     pub fn read(path: &Path, classes: &[ClassFacts]) -> Result<Options, OptionsError> {
         let io = |error| OptionsError::Io { path: path.into(), error };
         let text = embershore_finding::read(path, MAX_FILE_BYTES, "an options file").map_err(io)?;
@@ -52,7 +52,7 @@
     /// Parses and checks the text of an options file.
     ///
     /// # Errors
-    /// Returns all findings, in the order of the file.
+    /// Returns all errors found, in the order of the options file.
     pub fn parse(text: &str, classes: &[ClassFacts]) -> Result<Options, Vec<Finding>> {
         let root: Root = toml::from_str(text).map_err(|e| vec![Finding::from_toml_error(text, &e)])?;
         let mut findings: Vec<SpanFinding> = Vec::new();
--- a/crates/owed/benches/cost.rs
+++ b/crates/owed/benches/cost.rs
@@ -1,5 +1,5 @@
 //! Measures the cost of a debt: its size on disk and in memory, and the time to open the store and to list debts.
-//! Run it with `cargo bench -p embershore-owed`, with numbers of debts as arguments after `--`.
+//! Usage: `cargo bench -p embershore-owed`, with numbers of debts to store as arguments after `--`.
 //! One process fills each store and another measures it, so that the measured memory is only that of an open store.
 
 use bytes::Bytes;
@@ -37,7 +37,7 @@
     Debt::new(message, attempts, Reason::ALL[n as usize % 6], n as i64)
 }
 
-/// Returns a size limit in bytes that is large enough for this number of debts.
+/// Returns a size limit of the store, in bytes, that is large enough for this number of debts.
 fn max_bytes(size: u64) -> u64 {
     64_000_000 + size * 8_000
 }
--- a/crates/owed/src/debt.rs
+++ b/crates/owed/src/debt.rs
@@ -4,8 +4,9 @@
 use heronroute::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How many attempts are retained in full. Of older attempts, only the time of the earliest that may have run is kept,
-/// which decides whether a resend could have a second effect. A message has a few attempts, and each resend adds some.
+/// How many attempts of a debt are retained in full. A message has a few attempts, and each resend adds some.
+/// Of older attempts, only the time of the earliest that may have run is retained:
+/// that time decides whether a resend could have a second effect.
 pub const MAX_RETAINED_ATTEMPTS: usize = 32;
 /// The maximum number of resolutions of one debt. A higher number indicates a faulty client program.
 pub const MAX_RESOLUTIONS: usize = 16;
@@ -14,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DebtId(pub u64);
 
-/// How an attempt ended.
+/// How an attempt to deliver a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptOutcome {
@@ -34,7 +35,7 @@
 }
 
 impl AttemptOutcome {
-    /// Returns whether the attempt may have taken effect.
+    /// Returns whether an attempt with this outcome may have taken effect.
     pub fn may_have_run(self) -> bool {
         !matches!(self, AttemptOutcome::Rejected | AttemptOutcome::NoConnection)
     }
@@ -45,14 +46,14 @@
 pub struct Attempt {
     /// The name of the endpoint in the directory.
     pub endpoint: String,
-    /// When the call began.
+    /// When the attempt's call to the endpoint began.
     pub at: Micros,
-    /// How the attempt ended.
+    /// How the attempt to deliver the message ended.
     #[serde(rename = "ending")]
     pub outcome: AttemptOutcome,
 }
 
-/// Why delivery of a message was given up. Rules and counts refer to these categories, so the set is closed.
+/// Why delivery of a message was given up. Rules and counts refer to these reasons, so the set of reasons is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -72,7 +73,7 @@
 }
 
 impl Reason {
-    /// All reasons, in the order in which they are listed.
+    /// All reasons for giving up delivery, in the order in which lists show them.
     pub const ALL: [Reason; 6] = [
         Reason::Unsent,
         Reason::Rejected,
@@ -94,9 +95,9 @@
         }
     }
 
-    /// Derives the reason from the attempts made.
+    /// Derives the reason for giving up delivery from the attempts made.
     ///
-    /// `listed` tells whether the receiver still had an endpoint.
+    /// `listed` is true if the receiver still had an endpoint when delivery was given up.
     pub fn of(attempts: &[Attempt], listed: bool, max_attempts: u32) -> Reason {
         if attempts.iter().any(|a| a.outcome.may_have_run()) {
             Reason::MayHaveRun
@@ -127,10 +128,10 @@
     pub tenant: String,
     /// The number of the receiver.
     pub dest: i64,
-    /// The subject of the message. A newer message with the same key supersedes it if its rule says so.
+    /// The subject of the message. A newer message with the same key supersedes this message if its rule allows it.
     pub key: String,
     /// The position of the message in the order in which this sender accepted messages.
-    /// It decides which of two messages is newer, because the clock may have been set back.
+    /// This position decides which of two messages is newer, because the clock may have been set back.
     pub order: u64,
     /// The body of the message, as the client sent it.
     pub body: Bytes,
@@ -140,13 +141,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// The message took effect.
+    /// The verdict is that the message took effect.
     Ran,
-    /// The message did not take effect, and none of its attempts will still do so.
+    /// The verdict is that the message did not take effect, and that none of its attempts will still take effect.
     NeverRan,
 }
 
-/// A verdict with its author, justification and time. It is retained as long as the debt itself.
+/// A verdict with its author, justification and time. The resolution is retained as long as the debt itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resolution {
     /// Whether the message ran, according to the author.
@@ -172,7 +173,7 @@
     Ran,
     /// A newer message with the same receiver, class and key replaced the message.
     Superseded,
-    /// The time limit of the rule passed.
+    /// The matching rule's time limit for the debt passed.
     Expired,
     /// An operator dropped the message.
     Dropped,
@@ -182,7 +183,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// The message is not being sent. The rules decide on the next step.
+    /// The message is not being sent. The operator's rules decide on the next step.
     Owed,
     /// The message has been handed to the decision module, and may be sent at any moment.
     #[serde(rename = "out")]
@@ -205,14 +206,14 @@
     /// When delivery was given up for the first time.
     #[serde(rename = "since")]
     pub given_up_at: Micros,
-    /// When the state last changed.
+    /// When the state of the debt last changed.
     #[serde(rename = "last")]
     pub changed_at: Micros,
-    /// The number of resends so far.
+    /// The number of resends of the debt so far.
     pub resends: u32,
     /// Whether the message is owed, in flight or settled.
     pub state: State,
-    /// The verdicts given so far.
+    /// The verdicts on the message given so far.
     #[serde(rename = "words")]
     pub resolutions: Vec<Resolution>,
 }
@@ -223,13 +224,13 @@
     /// No attempt may have run, so there is no doubt to resolve.
     #[error("no attempt of the message may have run: there is nothing to resolve")]
     NotInDoubt,
-    /// The message is being resent.
+    /// The message is being resent, so no verdict on it is accepted.
     #[error("the message is being sent now: try again when this resend has ended")]
     InFlight,
-    /// The debt has been settled.
+    /// The debt has been settled, so no verdict on it is accepted.
     #[error("the debt is already settled as {0:?}")]
     Settled(Settled),
-    /// The author or the justification is missing.
+    /// The verdict lacks its author or its justification.
     #[error("author or justification is empty: give both, as they are stored with the verdict")]
     Unsigned,
     /// The debt already has [`MAX_RESOLUTIONS`] resolutions.
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Returns the latest time in the debt's history. If the clock shows an earlier time, it has been set back.
+    /// Returns the latest time in the debt's history. If the clock shows an earlier time, the clock has been set back.
     pub fn latest_time(&self) -> Micros {
         let attempts = self.attempts.iter().map(|a| a.at);
         let times = attempts.chain([self.given_up_at, self.changed_at]).chain(self.may_have_run);
@@ -282,7 +283,7 @@
         (self.state, self.changed_at) = (State::Owed, now);
     }
 
-    /// Settles the debt: the message is never sent again.
+    /// Settles the debt, so that its message is never sent again.
     pub fn settle(&mut self, how: Settled, now: Micros) {
         (self.state, self.changed_at) = (State::Settled(how), now);
     }
@@ -291,7 +292,7 @@
     ///
     /// # Errors
     /// When no attempt may have run, when the message is in flight or settled,
-    /// when it has too many resolutions, or when the author or the justification is empty.
+    /// when the debt has too many resolutions, or when the verdict's author or justification is empty.
     pub fn resolve(
         &mut self,
         verdict: Verdict,
--- a/crates/owed/src/lib.rs
+++ b/crates/owed/src/lib.rs
@@ -1,8 +1,8 @@
 //! Undeliverable messages (debts): retains them, lists them for inspection, and resends them by the operator's rules.
 //!
 //! [`debt`] defines the data, and [`rules`] the operator's rules and their checks. [`plan`] derives the next step of a
-//! debt from both, and [`pace`] limits the rate of resends. None of these modules does I/O or reads a clock. [`store`]
-//! persists debts on disk. The decision module makes all resends: a debt that is due is handed to it as a message.
+//! debt from both, and [`pace`] limits the rate of resends. None of these modules does I/O or reads a clock.
+//! [`store`] persists debts on disk. The decision module makes all resends: it is given each due debt as a message.
 #![warn(missing_docs)]
 
 pub mod debt;
--- a/crates/owed/src/pace.rs
+++ b/crates/owed/src/pace.rs
@@ -4,14 +4,14 @@
 use heronroute::Micros;
 use std::collections::BTreeMap;
 
-/// The maximum number of receivers tracked. The receiver with the oldest call is evicted,
-/// and then counts as a receiver without any call.
+/// The maximum number of receivers tracked. The receiver with the oldest call is evicted.
+/// An evicted receiver counts as a receiver without any call.
 pub const MAX_RECEIVERS: usize = 10_000;
-/// The burst limit, in seconds of the rate, so that a pause is not followed by a large burst of resends.
+/// The burst limit, in seconds of the resend rate. The limit avoids a large burst of resends after a pause.
 const BURST_SECONDS: f64 = 1.0;
 /// The minimum time without a call after which a receiver whose last call failed may be tried again.
 const MIN_SILENCE_US: Micros = 10_000_000;
-/// The maximum share of the total rate for one receiver while others have debts due.
+/// The maximum share of the total resend rate for one receiver while other receivers have debts due.
 const MAX_RECEIVER_SHARE: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug)]
@@ -71,8 +71,9 @@
 
     /// Returns whether a receiver has been healthy for at least `healthy_for`. A receiver without any call,
     /// or without a call since its last failure, may be tried after the same time without calls;
-    /// otherwise a receiver that gets no fresh messages would never be tried.
-    /// Each resend to such a receiver restarts that time, so that its debts are tried one by one and not all at once.
+    /// otherwise a receiver that gets no fresh messages would never get a resend.
+    /// Each resend to a receiver not known to be healthy restarts the wait, so that its debts are tried one by one
+    /// and not all at once.
     pub fn is_healthy(&self, dest: i64, healthy_for: Micros, now: Micros) -> bool {
         match self.receivers.get(&dest) {
             Some(Receiver { healthy_since: Some(since), .. }) => now - since >= healthy_for,
@@ -104,7 +105,7 @@
         true
     }
 
-    /// Changes the rate. The state of receivers is unchanged.
+    /// Changes the total rate of resends. The tracked state of receivers is unchanged.
     pub fn set_rate(&mut self, rate: f64, now: Micros) {
         self.total.refill(now, self.rate);
         self.rate = rate.max(1e-6);
--- a/crates/owed/src/plan.rs
+++ b/crates/owed/src/plan.rs
@@ -12,9 +12,9 @@
 use crate::rules::{ExpiryAction, Rule, Rules};
 use heronroute::{Effect, Micros};
 
-/// A repeat may begin only within this share of the time for which a receiver remembers a key:
+/// A keyed message may be repeated only within this share of the time for which a receiver remembers the key:
 /// a later repeat may arrive after the receiver has forgotten the key.
-/// The decision module has the same bound for its own repeats.
+/// The decision module limits its own repeats of keyed messages to the same share.
 const REPEAT_WINDOW_SHARE: f64 = 0.45;
 
 /// The settings of a message class that matter for resends.
@@ -22,11 +22,11 @@
 pub struct ClassFacts {
     /// The name of the class.
     pub name: String,
-    /// The effect of a second delivery.
+    /// The effect that a second delivery of a message of the class would have.
     pub effect: Effect,
     /// How long a receiver remembers a key, in a keyed class.
     pub window: Micros,
-    /// The time from the acceptance of a message to its deadline. A resend has the same time.
+    /// The time from the acceptance of a message to its deadline. A resend gets a deadline after the same time.
     pub deadline: Micros,
 }
 
@@ -52,11 +52,11 @@
     InFlight,
     /// Wait for a verdict: the message may have run and must not be sent again.
     InDoubt,
-    /// Resend the message.
+    /// Resend the message, at a time when the receiver has been healthy for long enough.
     Resend {
-        /// The earliest time of the resend.
+        /// The earliest time at which the message may be resent.
         at: Micros,
-        /// How long the receiver must have been healthy by then.
+        /// How long the receiver must have been healthy before the resend, in microseconds.
         healthy_for: Micros,
     },
     /// No step: the debt is retained unchanged.
@@ -77,7 +77,7 @@
     if let Some(rule) = rule
         && rule.owed_for.is_some_and(|span| now >= debt.given_up_at.saturating_add(span))
     {
-        // An expired debt in doubt is kept, so that an operator can still find out whether the message ran.
+        // An expired debt in doubt is retained, so that an operator can still find out whether the message ran.
         let on_expiry = if in_doubt(debt, classes, now) { ExpiryAction::Keep } else { rule.on_expiry };
         return Step::Expired(on_expiry);
     }
@@ -95,8 +95,8 @@
     Step::Resend { at: resend_time(debt, rule, now), healthy_for: resend.healthy_for }
 }
 
-/// Returns when a rule resends a debt. If the clock was set back, the gap counts from `now`,
-/// because counting from the debt's times would lengthen the wait by the amount that the clock was set back.
+/// Returns when a rule resends a debt. If the clock was set back, the gap before the resend counts from `now`.
+/// Counting from the debt's times would lengthen the wait by the amount that the clock was set back.
 fn resend_time(debt: &Debt, rule: &Rule, now: Micros) -> Micros {
     let Some(resend) = &rule.resend else { return Micros::MAX };
     let set_back = now < debt.changed_at;
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -1,5 +1,5 @@
 //! The operator's rules: which undeliverable messages are retained, and when each is resent.
-//! The first rule that matches a message applies to it.
+//! The first rule that matches a message is the one that applies to the message.
 //!
 //! The rules are the section `[owed]` of the options file, in TOML.
 //! The complete section is checked, and every finding reports its position and a remedy.
@@ -21,7 +21,7 @@
 const MAX_SPAN: Duration = Duration::from_secs(3650 * 24 * 3600);
 const MINUTES_PER_DAY: u32 = 24 * 60;
 
-/// The section `[owed]` as written in the file. [`Section::check`] turns it into [`Rules`].
+/// The section `[owed]` as written in the options file. [`Section::check`] turns it into [`Rules`].
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
@@ -30,7 +30,7 @@
     /// The rate of resends per second, to all receivers together.
     #[serde(default = "default_resends_per_s")]
     resends_per_s: Spanned<f64>,
-    /// The rules, in the order of the file.
+    /// The operator's rules, in the order of the options file.
     #[serde(default)]
     rule: Vec<Spanned<RawRule>>,
 }
@@ -98,13 +98,14 @@
     /// How long the receiver must have been healthy before a resend, in microseconds.
     pub healthy_for: Micros,
     /// The start and the end of the daily window for resends, in minutes of the day, UTC.
-    /// If the end is smaller than the start, the window spans midnight.
+    /// If the window's end is smaller than its start, the window spans midnight.
     pub window: Option<(u32, u32)>,
-    /// The minimum time between giving up delivery and a resend, in microseconds.
+    /// The minimum time between giving up delivery and any resend, in microseconds.
     pub not_before: Micros,
     /// The maximum number of resends of a debt.
     pub times: u32,
-    /// The gap before the second resend. Each further gap is longer by the factor `growth`, up to `max_gap`.
+    /// The gap between the first two resends, in microseconds.
+    /// Each further gap between resends is longer by the factor `growth`, up to `max_gap`.
     pub gap: Micros,
     /// The factor by which the gap grows with each resend.
     pub growth: f64,
@@ -113,7 +114,7 @@
 }
 
 impl Resend {
-    /// Returns the gap before the next resend, given the number of resends so far. There is no gap before the first.
+    /// Returns the gap before the next resend, given the number of resends so far; 0 before the first resend.
     pub fn gap_after(&self, resends: u32) -> Micros {
         let grown = self.gap as f64 * self.growth.powi(resends.saturating_sub(1).min(1000) as i32);
         if resends == 0 { 0 } else { grown.min(self.max_gap as f64) as Micros }
@@ -135,10 +136,10 @@
     }
 }
 
-/// A checked rule.
+/// One of the operator's rules after it has been checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// The name shown in lists. A rule without a name is named by its position in the file.
+    /// The name of the rule in lists. A rule without a name is named by its position in the file.
     pub name: String,
     receivers: Option<BTreeSet<i64>>,
     classes: Option<BTreeSet<String>>,
@@ -171,17 +172,17 @@
     pub max_bytes: u64,
     /// The rate of resends per second, to all receivers together.
     pub resends_per_s: f64,
-    /// The checked rules, in the order of the file.
+    /// The checked rules, in the order of the options file.
     pub rules: Vec<Rule>,
 }
 
-/// Why a section of rules is rejected. None of its rules has taken effect.
+/// Why a section `[owed]` is rejected. None of the rules in a rejected section takes effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RulesError {
     /// The text is not TOML, or does not have the form of a section `[owed]`.
     #[error("{0}")]
     Unreadable(String),
-    /// The section has these findings.
+    /// The section `[owed]` has these errors.
     #[error("{}", .0.iter().map(|f| f.message.as_str()).collect::<Vec<_>>().join("; "))]
     Invalid(Vec<Finding>),
 }
@@ -190,7 +191,7 @@
     /// Parses and checks the text of a section, without the rest of the options file.
     ///
     /// # Errors
-    /// When the text can't be parsed, or has any finding.
+    /// When the text can't be parsed, or the check of the rules finds any error.
     pub fn parse(text: &str, classes: &[ClassFacts]) -> Result<Rules, RulesError> {
         let section: Section = toml::from_str(text).map_err(|e| RulesError::Unreadable(e.to_string()))?;
         section.check(classes).map_err(RulesError::Invalid)
@@ -201,7 +202,7 @@
         self.rules.iter().find(|r| r.matches(dest, class, reason))
     }
 
-    /// Returns the receivers named in any rule. The same rules apply to all other receivers.
+    /// Returns the receivers named in any rule. For all receivers that no rule names, the same rules apply.
     pub fn named_receivers(&self) -> BTreeSet<i64> {
         self.rules.iter().filter_map(|r| r.receivers.as_ref()).flatten().copied().collect()
     }
@@ -217,7 +218,7 @@
     }
 }
 
-/// Checks rules and collects the findings.
+/// Checks the operator's rules and collects the errors found.
 struct Check<'a> {
     classes: &'a [ClassFacts],
     findings: Vec<Finding>,
@@ -241,7 +242,7 @@
     /// Checks the complete section against the message classes of the daemon's settings.
     ///
     /// # Errors
-    /// Returns all findings, with their byte ranges in the text.
+    /// Returns all errors found, with their byte ranges in the options file's text.
     pub fn check(&self, classes: &[ClassFacts]) -> Result<Rules, Vec<Finding>> {
         let mut check = Check { classes, findings: Vec::new() };
         let max_mb = *self.max_mb.get_ref();
@@ -419,7 +420,7 @@
                 format!("'growth' must be between 1 and 100, so that gaps never shrink; got {growth}"),
             );
         }
-        // Without a gap, a resend that fails would be due again at once.
+        // Without a gap between resends, a resend that fails would be due again immediately.
         if raw.gap < Duration::from_secs(1) {
             self.report(place.clone(), format!("'gap' must be a second at least, got {:?}", raw.gap));
         }
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -4,11 +4,11 @@
 //! | --- | --- | --- |
 //! | `debts` | number | the [`Debt`] without its body, and its due time, encoded with postcard |
 //! | `bodies` | number | the body of the message |
-//! | `requests` | request id | number; a message is owed only once |
+//! | `requests` | request id | number of the debt; a message is owed only once |
 //! | `due` | time, number | none; the order in which debts are due |
 //! | `facets` | receiver, class, reason, number | none; the index for lists |
 //! | `counts` | receiver, class, reason, state | number of debts |
-//! | `meta` | name | the format version, the next number, the live bytes |
+//! | `meta` | name | the format version, the number of the next debt, the live bytes |
 //!
 //! All calls block on disk I/O. A caller that must not block runs them on a separate thread.
 
@@ -33,12 +33,12 @@
 const FORMAT_VERSION: u64 = 1;
 /// The bytes booked for a debt in addition to its row and body: its keys in all tables, and page overhead.
 const ENTRY_OVERHEAD_BYTES: u64 = 256;
-/// The maximum ratio of the file size to the live bytes:
-/// until a commit, old pages coexist with new ones, and pages are only partly filled.
+/// The maximum ratio of the store's file size to its live bytes.
+/// The file is larger because old pages coexist with new pages until a commit, and pages are only partly filled.
 const FILE_SIZE_FACTOR: u64 = 2;
-/// The size of an empty file.
+/// The size of the store's file without debts, in bytes.
 const EMPTY_FILE_BYTES: u64 = 1 << 20;
-/// The size of the page cache. It is small enough for a daemon that runs in 32 MB of memory.
+/// The size of the page cache in bytes. The cache is small enough for a daemon that runs in 32 MB of memory.
 const CACHE_BYTES: usize = 1 << 20;
 
 /// Why an operation of the store failed. A failed operation changes nothing.
@@ -49,7 +49,7 @@
         "the store of owed messages is full: {live} of {max} bytes in use; raise 'max_mb', or settle some debts"
     )]
     Full {
-        /// The number of live bytes.
+        /// The number of live bytes in the store.
         live: u64,
         /// The maximum number of live bytes, derived from the operator's limit on the file size.
         max: u64,
@@ -66,9 +66,9 @@
     /// A stored debt can't be read. Other debts still can be.
     #[error("owed message {number} can't be read: {cause}")]
     Damaged {
-        /// The number of the debt.
+        /// The number of the debt that can't be read.
         number: u64,
-        /// The cause, as reported by the decoder.
+        /// The cause of the damage, as reported by the decoder.
         cause: String,
     },
     /// No debt has this number.
@@ -91,11 +91,11 @@
 #[derive(Serialize, Deserialize)]
 struct Row {
     debt: Debt,
-    /// The time at which the plan of the debt is due to be checked next; `None` if never.
+    /// The time at which the debt's next step must be determined again; `None` if never.
     due: Option<Micros>,
 }
 
-/// A stored row, and the length of its encoding.
+/// A row of the table `debts`, and the length of its encoding in bytes.
 struct StoredRow {
     row: Row,
     length: u64,
@@ -104,31 +104,31 @@
 /// The result of inserting a debt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Inserted {
-    /// The debt is stored under this number.
+    /// The debt is new, and is stored under this number.
     New(DebtId),
-    /// The message was already owed under this number; nothing has changed.
+    /// The message was already owed under this number; the store has not changed.
     Existing(DebtId),
 }
 
-/// Selects the debts of a list. A debt must match all fields that are set.
+/// Selects debts for a list. A debt must match all fields of the filter that are set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Filter {
-    /// Debts to this receiver.
+    /// Selects debts to this receiver.
     pub receiver: Option<i64>,
-    /// Debts of this class.
+    /// Selects debts of this message class.
     pub class: Option<String>,
-    /// Debts given up for this reason.
+    /// Selects debts whose delivery was given up for this reason.
     pub reason: Option<Reason>,
-    /// Debts given up before this time.
+    /// Selects debts whose delivery was given up before this time.
     pub before: Option<Micros>,
 }
 
 /// The debts that match a filter.
 #[derive(Debug, Default)]
 pub struct DebtList {
-    /// The debts, without bodies.
+    /// The debts that match the filter, without message bodies.
     pub debts: Vec<(DebtId, Debt)>,
-    /// The errors for the stored debts that can't be read.
+    /// One error for each stored debt that can't be read.
     pub damaged: Vec<StoreError>,
 }
 
@@ -143,7 +143,7 @@
     pub reason: Reason,
     /// The state of the debts: `owed`, `out` (in flight) or `settled`.
     pub state: &'static str,
-    /// The number of debts with these properties.
+    /// The number of debts with this receiver, class, reason and state.
     pub debts: u64,
 }
 
@@ -165,7 +165,7 @@
     }
 }
 
-/// The names of the states, by [`state_index`].
+/// The names of the states of debts, in the order of [`state_index`].
 const STATE_NAMES: [&str; 3] = ["owed", "out", "settled"];
 
 fn damaged(number: u64) -> impl Fn(postcard::Error) -> StoreError {
@@ -229,7 +229,7 @@
         Store::from_database(builder().create(path)?, max_bytes)
     }
 
-    /// Opens or creates the store on another storage backend. Tests use a backend that fails on command.
+    /// Opens or creates the store on a given storage backend. Tests use a backend that fails on command.
     ///
     /// # Errors
     /// Fails in the same cases as [`Store::open`].
@@ -254,7 +254,7 @@
     /// because an interrupted transfer into the store is repeated at the next start.
     ///
     /// # Errors
-    /// When there is no room, or the disk fails. The message is not stored then.
+    /// When the store has no room for the debt, or the disk fails. In both cases the message is not stored.
     pub fn insert(&self, debt: &Debt, due: Option<Micros>) -> Result<Inserted, StoreError> {
         let transaction = self.db.begin_write()?;
         let inserted = self.insert_in(&transaction, debt, due)?;
@@ -263,10 +263,10 @@
     }
 
     /// Stores many debts in one transaction with one sync, and returns the result of each in the same order.
-    /// If there is no room for one of them, the others are still stored.
+    /// If the store has no room for one of the debts, the others are still stored.
     ///
     /// # Errors
-    /// When the disk fails. None of the debts is stored then.
+    /// When the disk fails. In this case none of the debts is stored.
     pub fn insert_all<'a>(
         &self,
         debts: impl IntoIterator<Item = (&'a Debt, Option<Micros>)>,
@@ -283,7 +283,7 @@
         Ok(results)
     }
 
-    /// Inserts a debt within a transaction. The room is checked first, so a rejected debt leaves no partial entry.
+    /// Inserts a debt within a transaction. Checks for room first, so that a rejected debt leaves no partial entry.
     fn insert_in(
         &self,
         transaction: &WriteTransaction,
@@ -307,7 +307,7 @@
     /// Replaces a stored debt and syncs it to disk. The receiver, class, reason and body must not change.
     ///
     /// # Errors
-    /// When there is no such debt, or the disk fails. The stored debt is unchanged then.
+    /// When no debt has this number, or the disk fails. In both cases the store is unchanged.
     pub fn update(&self, id: DebtId, debt: &Debt, due: Option<Micros>) -> Result<(), StoreError> {
         let transaction = self.db.begin_write()?;
         let before = self.row(&transaction, id.0)?;
@@ -316,10 +316,10 @@
         Ok(())
     }
 
-    /// Removes a debt and its index entries.
+    /// Removes a debt from the store, with its index entries.
     ///
     /// # Errors
-    /// When there is no such debt, or the disk fails. The stored debt is unchanged then.
+    /// When no debt has this number, or the disk fails. In both cases the store is unchanged.
     pub fn remove(&self, id: DebtId) -> Result<(), StoreError> {
         let transaction = self.db.begin_write()?;
         let StoredRow { row, length } = self.row(&transaction, id.0)?;
@@ -345,7 +345,7 @@
     }
 
     /// Replaces `before` by `after` in the count of live bytes. Only a new entry, whose `before` is 0, is checked
-    /// against the limit, so that debts in a full store can still be updated and settled.
+    /// against the size limit, so that debts in a full store can still be updated and settled.
     fn book_bytes(&self, transaction: &WriteTransaction, before: u64, after: u64) -> Result<(), StoreError> {
         let mut meta = transaction.open_table(META)?;
         let live = meta.get("live")?.map_or(0, |n| n.value());
@@ -396,7 +396,7 @@
     /// Returns a debt, with its body if `with_body` is set.
     ///
     /// # Errors
-    /// When there is no such debt, or it can't be read.
+    /// When no debt has this number, or the debt can't be read.
     pub fn get(&self, id: DebtId, with_body: bool) -> Result<Debt, StoreError> {
         let r = self.db.begin_read()?;
         let debts = r.open_table(DEBTS)?;
@@ -411,7 +411,7 @@
         Ok(debt)
     }
 
-    /// Returns the number under which a message is owed, if it is.
+    /// Returns the number of a message's debt; `None` if the message is not owed.
     ///
     /// # Errors
     /// When the disk fails.
@@ -474,7 +474,7 @@
     }
 
     /// Returns the number of debts by receiver, class, reason and state.
-    /// The cost depends on the number of combinations, not on the number of debts.
+    /// The cost of counting depends on the number of such combinations, not on the number of debts.
     ///
     /// # Errors
     /// When the disk fails.
@@ -491,7 +491,7 @@
         Ok(list)
     }
 
-    /// Returns the number of live bytes and its maximum.
+    /// Returns the number of live bytes in the store, and the maximum number of live bytes.
     ///
     /// # Errors
     /// When the disk fails.
--- a/crates/owed/tests/common/mod.rs
+++ b/crates/owed/tests/common/mod.rs
@@ -51,7 +51,7 @@
     written: Vec<u8>,
     pending: Vec<(u64, Vec<u8>)>,
     ops: u64,
-    /// After this number of writes, syncs and length changes, every operation fails.
+    /// Number of writes, syncs and length changes after which every operation of the disk fails.
     pub fails_after_ops: Option<u64>,
 }
 
@@ -76,7 +76,7 @@
     }
 
     /// Returns the disk after a power failure: with all synced writes,
-    /// and with those other writes that the bits of the seed select.
+    /// and with those unsynced writes that the bits of the seed select.
     pub fn after_power_failure(&self, seed: u64) -> FaultyDisk {
         let disk = self.disk();
         let mut bytes = disk.synced.clone();
--- a/crates/owed/tests/pace.rs
+++ b/crates/owed/tests/pace.rs
@@ -29,7 +29,7 @@
     assert!(three.iter().all(|n| *n <= 106), "one receiver took more than half of the rate: {three:?}");
     // An hour without resends accumulates only one second of burst.
     assert!(resends(&mut pacer, &[1], 3600 * S, 1)[0] <= 21);
-    // A clock that is set back does not refill the same time twice.
+    // A clock that is set back does not make the limiter grant tokens twice for the same time.
     assert!(resends(&mut pacer, &[1], 1800 * S, 10)[0] <= 1);
 }
 
@@ -62,7 +62,7 @@
         if pacer.is_healthy(2, 20 * S, now) && pacer.try_take(2, false, false, now) {
             tried.push(now / S);
         }
-        // Each try fails three seconds later.
+        // Each attempted resend fails three seconds after it was sent.
         if tried.last().is_some_and(|at| now == (at + 3) * S) {
             pacer.record_call(2, false, now);
         }
--- a/crates/owed/tests/plan.rs
+++ b/crates/owed/tests/plan.rs
@@ -121,7 +121,7 @@
         Step::Expired(ExpiryAction::Keep),
         "a rule never drops a message in doubt"
     );
-    // The clock is set back by an hour: the gap counts from now, not from an hour ahead.
+    // The clock is set back by an hour: the gap before the resend counts from now, not from an hour ahead.
     let mut owed = debt("quota", &[AttemptOutcome::NoConnection]);
     (owed.given_up_at, owed.changed_at, owed.resends) = (7200 * S, 7200 * S, 1);
     assert_eq!(
@@ -196,7 +196,7 @@
             rules("[[rule]]\nreceiver = [9]"),
         ];
         let (mut set, mut now, mut owed) = (0, 20 * S, debt(&name, &[]));
-        // The receiver's ledger. The receiver has its own clock, which is correct.
+        // The receiver's ledger of executed messages. The receiver has its own clock, which is correct.
         let (mut effects, mut true_now, mut first_run, mut set_back) = (0u32, 0, None::<Micros>, false);
         for act in acts {
             match act {
@@ -241,7 +241,7 @@
                 _ => {}
             }
             // The sender measures by its own clock how long a key is remembered. If that clock is set back unnoticed
-            // and catches up again, a keyed message can take effect twice. This case is not checked here.
+            // and catches up again, a keyed message can take effect twice. This test does not check that case.
             if classes[class].effect == Effect::Unsafe || !set_back {
                 prop_assert!(effects <= 1, "it took effect {effects} times: {owed:?}");
             }
--- a/crates/owed/tests/rules.rs
+++ b/crates/owed/tests/rules.rs
@@ -86,7 +86,7 @@
         (0..300).map(|n| format!("[[rule]]\nreceiver = [{n}]\n")).collect::<String>()
     );
     assert!(rejected(&many)[0].message.contains("more than 256 rules"));
-    // All findings are reported at once.
+    // All errors in the rules are reported together, not only the first.
     assert_eq!(rejected("max_mb = 0\nresends_per_s = 0\n[[rule]]\nclass = [\"x\", \"y\"]").len(), 4);
 }
 
--- a/crates/owed/tests/store.rs
+++ b/crates/owed/tests/store.rs
@@ -20,7 +20,7 @@
     inserted: Vec<u64>,
     resends: Vec<u64>,
     removed: Vec<u64>,
-    /// The debt whose operation was interrupted. The operation may have taken effect or not.
+    /// The debt whose store operation the disk failure interrupted. The operation may have taken effect or not.
     interrupted: Option<u64>,
 }
 
@@ -53,7 +53,8 @@
     completed
 }
 
-/// Checks that the disk holds the results of all completed operations, and the interrupted one either whole or not.
+/// Checks that the disk holds the results of all completed operations,
+/// and of the interrupted operation either the complete result or none of it.
 fn check_store(disk: FaultyDisk, completed: &Completed, case: &str) {
     let store =
         Store::with_backend(disk, 64 * MB).unwrap_or_else(|e| panic!("{case}: it does not open: {e}"));
--- a/crates/peer/src/fleet.rs
+++ b/crates/peer/src/fleet.rs
@@ -19,22 +19,22 @@
     /// The list has no members.
     #[error("the fleet's member list is empty; it must contain at least this sender")]
     Empty,
-    /// The list has more than [`MAX_MEMBERS`] members: this many.
+    /// The list has more than [`MAX_MEMBERS`] members: the given number.
     #[error("the fleet's member list has {0} members; the maximum is {MAX_MEMBERS}")]
     TooMany(usize),
     /// A member's name is empty or too long.
     #[error("member name '{0}' is invalid: it must be 1 to {MAX_NAME_BYTES} bytes long")]
     InvalidName(String),
-    /// Two members have this name.
+    /// Two members of the list have this name.
     #[error("the fleet's member list contains '{0}' twice; give each sender a unique name")]
     DuplicateName(String),
-    /// Two members have the same address.
+    /// Two members of the list have the same address.
     #[error("members '{0}' and '{1}' have the same address; give each member its own address")]
     DuplicateAddress(String, String),
     /// This sender's name is not on the list.
     #[error("this sender's name '{0}' is not on the fleet's member list; add it there, or correct 'name'")]
     MissingSelf(String),
-    /// The list adds or removes this many members at once.
+    /// The new list adds or removes more than one member: the given number.
     #[error(
         "the new member list differs from the current one by {0} members; add or remove one at a time, so that any \
          majority of one list shares a member with any majority of the other"
@@ -46,7 +46,7 @@
     /// Validates a member list and creates the fleet from it.
     ///
     /// # Errors
-    /// When it is empty or too long, or when a name or address is invalid or used twice.
+    /// When the list is empty or too long, or when a name or address is invalid or used twice.
     pub fn new(list: impl IntoIterator<Item = (String, SocketAddr)>) -> Result<Fleet, FleetError> {
         let mut members = BTreeMap::new();
         let mut addresses: BTreeMap<SocketAddr, String> = BTreeMap::new();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Checks that `next` may replace this list on the member `own_name`.
+    /// Checks that the list `next` may replace this member list on the member `own_name`.
     /// All addresses may change, but at most one name may be added or removed at a time.
     ///
     /// # Errors
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -9,21 +9,22 @@
 /// The maximum incarnation of a valid record.
 /// No process restarts this often, and a malformed record with a higher number could never be replaced by a valid one.
 const MAX_INCARNATION: u64 = 1 << 40;
-/// The maximum revision of a valid record, for the same reason. No process changes its record this often.
+/// The maximum revision of a valid record. No process changes its record this often,
+/// and a malformed record with a higher revision could never be replaced by a valid record.
 const MAX_REVISION: u32 = 1 << 24;
 
 /// The status of a member's process, as shown on all of its interfaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
-    /// The process has started but is not serving yet.
+    /// The member's process has started but is not serving yet.
     Starting,
-    /// The process is serving.
+    /// The member's process is serving.
     Serving,
-    /// The process is draining on request.
+    /// The member's process is draining on request.
     LameDuck,
-    /// The process is handing over to another process.
+    /// The member's process is handing over to another process.
     HandingOver,
-    /// The process is stopping on request.
+    /// The member's process is stopping on request.
     Stopping,
 }
 
@@ -36,15 +37,15 @@
     /// This is not the incarnation number of SWIM, which `foca` manages itself.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// A counter within an incarnation.
-    /// It grows with each change of the record and each refutation of a reported death.
+    /// The revision of the record within an incarnation.
+    /// The revision grows with each change of the record and each refutation of a reported death.
     #[serde(rename = "turn")]
     pub revision: u32,
     /// The address from which the member sends datagrams and at which it receives them.
     pub address: SocketAddr,
-    /// The failure domain, such as a machine, rack or building. All of its members may fail together.
+    /// The failure domain, such as a machine, rack or building. All members in a failure domain may fail together.
     pub domain: String,
-    /// The status of the process.
+    /// The status of the member's process.
     #[serde(rename = "standing")]
     pub status: Status,
 }
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The maximum of each time in the section. Detecting a failure later than that would be useless.
+/// The maximum of each time in the section `[fleet]`. Detecting a failure even later would be useless.
 const MAX_TIME: Duration = Duration::from_secs(600);
 /// The minimum interval between probes. With more frequent probes, a fleet of 300 members would do little else.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The section as written in the file. [`Section::check`] turns it into [`FleetOptions`].
+/// The section `[fleet]` as written in the options file. [`Section::check`] turns it into [`FleetOptions`].
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
@@ -50,7 +50,7 @@
     pub domain: String,
     /// The address at which this sender receives datagrams.
     pub address: SocketAddr,
-    /// All members, including this one.
+    /// All members of the fleet, including this sender.
     pub fleet: Fleet,
     /// The failure domain of each member, by name.
     pub domains: BTreeMap<String, String>,
@@ -59,20 +59,20 @@
 }
 
 impl FleetOptions {
-    /// Returns the failure domain with the most members, and the number of its members, which one fault may take down.
+    /// Returns the failure domain with the most members, all of which one fault may take down, and their number.
     pub fn largest_domain(&self) -> (&str, usize) {
         let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
         self.domains.values().for_each(|domain| *sizes.entry(domain).or_insert(0) += 1);
         sizes.into_iter().max_by_key(|(_, size)| *size).unwrap_or(("", 0))
     }
 
-    /// Returns whether a majority remains when any one failure domain fails.
+    /// Returns whether a majority of the fleet remains when any single failure domain fails.
     pub fn survives_domain_failure(&self) -> bool {
         self.fleet.size() - self.largest_domain().1 >= self.fleet.majority()
     }
 }
 
-/// Validates the fields of the section and collects the findings.
+/// Validates the fields of the section `[fleet]` and collects the errors found.
 #[derive(Default)]
 struct Check {
     findings: Vec<SpanFinding>,
@@ -115,10 +115,10 @@
 }
 
 impl Section {
-    /// Validates the complete section.
+    /// Validates the complete section `[fleet]`.
     ///
     /// # Errors
-    /// Returns all findings, with their byte ranges in the text.
+    /// Returns all errors found, with their byte ranges in the options file's text.
     pub fn check(&self) -> Result<FleetOptions, Vec<SpanFinding>> {
         let mut check = Check::default();
         check.check_text("name", &self.name);
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -21,17 +21,17 @@
 /// The maximum size of a datagram in bytes, so that it fits into one Ethernet frame with its headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The maximum number of datagrams waiting to be sent.
-/// If there are more, the oldest are dropped, which the protocol tolerates as it does any lost datagram.
+/// If more datagrams wait, the oldest are dropped, which the protocol tolerates as it does any lost datagram.
 const MAX_SEND_QUEUE: usize = 1024;
 /// The interval at which requests to join are sent to members that are not active.
 const ANNOUNCE_INTERVAL_US: Micros = 1_000_000;
-/// The number of requests to join that are sent in each interval.
+/// The maximum number of requests to join that are sent in each [`ANNOUNCE_INTERVAL_US`].
 const ANNOUNCES_PER_INTERVAL: usize = 3;
 /// A majority counts as reachable only if at least this many members, including this one,
-/// or all members of a smaller majority, have sent a datagram within [`Times::recent_window`].
+/// or all members of a smaller majority, have sent this member a datagram within [`Times::recent_window`].
 /// A member receives datagrams from the members that it probes and from those that probe it, at least two a second.
 const MIN_RECENT_MEMBERS: usize = 6;
-/// A process that has to refute its own death this often within [`Times::recent_window`] is displaced:
+/// A process that must refute reports of its own death this often within [`Times::recent_window`] is displaced:
 /// the fleet has accepted another process of the same name.
 const DISPLACING_REFUTATIONS: usize = 3;
 /// The factor by which each member repeats updates more often than the library's default, to tolerate one-way cuts.
@@ -42,9 +42,10 @@
 pub struct Times {
     /// The interval at which each member probes another member, in microseconds.
     pub probe_interval: Micros,
-    /// The time within which a probe must be answered, less than half of `probe_interval`, in microseconds.
+    /// The time within which a probe must be answered, in microseconds. It is less than half of `probe_interval`.
     pub probe_timeout: Micros,
-    /// The maximum gap between two calls, in microseconds. A longer gap means that this process was suspended.
+    /// The maximum gap between two calls of [`Peers`], in microseconds.
+    /// A longer gap between the calls means that this process was suspended.
     pub max_pause: Micros,
     /// The time for which a received datagram counts as recent, in microseconds.
     pub recent_window: Micros,
@@ -94,7 +95,7 @@
 #[derive(Clone)]
 struct CheckedCodec(Rc<RefCell<Admission>>);
 
-/// Why a datagram was dropped.
+/// Why a received datagram was dropped.
 #[derive(Debug, thiserror::Error)]
 enum DecodeError {
     #[error(transparent)]
@@ -144,12 +145,12 @@
     send_queue: VecDeque<(SocketAddr, Bytes)>,
     /// The time of the last datagram from each member.
     last_received: BTreeMap<String, Micros>,
-    /// The last record that another incarnation's record replaced, by name.
+    /// The last record of each name that the record of another incarnation has replaced.
     replaced: BTreeMap<String, Member>,
     suspected_since: BTreeMap<String, Micros>,
-    /// The addresses of two processes with the same name, by name.
+    /// The addresses of two processes that use the same name, by that name.
     duplicates: BTreeMap<String, (SocketAddr, SocketAddr)>,
-    /// The times at which this process refuted its own death.
+    /// The times at which this process refuted a report of its own death.
     refutations: VecDeque<Micros>,
     displaced: bool,
     dropped: u64,
@@ -210,14 +211,15 @@
     /// Replaces the agreed member list.
     ///
     /// # Errors
-    /// When more than one member is added or removed, or this one is not on the new list. The old list stays then.
+    /// When more than one member is added or removed, or this member is not on the new list.
+    /// After an error the old list stays in force.
     pub fn set_fleet(&mut self, fleet: Fleet) -> Result<(), FleetError> {
         self.fleet.check_change(&fleet, &self.foca.identity().name)?;
-        // The list differs by at most one member, which changes the configuration marginally: a failure is harmless.
+        // The new list differs by at most one member, so the library's settings hardly change: a failure is harmless.
         _ = self.foca.set_config(config(&fleet, self.times));
         self.last_received.retain(|name, _| fleet.contains(name));
         self.fleet = Rc::new(fleet);
-        // Resets the unlisted names, because the new list may contain some of them.
+        // Clears the names recorded as unlisted, because the new list may contain some of them.
         *self.admission.borrow_mut() =
             Admission { source: None, fleet: self.fleet.clone(), unlisted: BTreeSet::new() };
         Ok(())
@@ -253,7 +255,7 @@
         self.drain_runtime(now);
     }
 
-    /// Runs all work that is due. It must be called no later than the time that [`Peers::next_tick`] returns.
+    /// Runs all work that is due. `tick` must be called no later than the time that [`Peers::next_tick`] returns.
     pub fn tick(&mut self, now: Micros) {
         self.check_for_pause(now);
         if self.displaced {
@@ -274,7 +276,7 @@
     }
 
     /// Returns the time by which [`Peers::tick`] must be called next.
-    /// The calls are frequent enough to distinguish a suspended process from an idle one.
+    /// The calls of [`Peers::tick`] are frequent enough to distinguish a suspended process from an idle one.
     pub fn next_tick(&self) -> Micros {
         let pause_check = self.last_call + self.times.max_pause / 2;
         // A displaced process has no other work than to detect a suspension.
@@ -308,7 +310,7 @@
                     Some(State::Alive) => Liveness::Alive,
                     Some(State::Suspect) => Liveness::Suspected,
                     Some(State::Down) => Liveness::Down,
-                    // The library removes members some time after they went down.
+                    // The library `foca` forgets members some time after they went down.
                     None if self.last_received.contains_key(name) => Liveness::Down,
                     None => Liveness::Unknown,
                 };
@@ -335,7 +337,7 @@
     }
 
     /// Detects by the clock whether this process was suspended. If so, postpones pending timers by the gap,
-    /// so that no member is declared down because this process did not read the member's datagrams.
+    /// so that no member is declared down because this suspended process did not read the member's datagrams.
     fn check_for_pause(&mut self, now: Micros) {
         let gap = now - self.last_call;
         self.last_call = now;
@@ -350,7 +352,7 @@
         (self.stale_until, self.announce_at) = (now + self.settle_time, now);
     }
 
-    /// Ends suspicions that would otherwise last forever. Only the member that raised a suspicion runs a timer for it.
+    /// Ends suspicions that would otherwise last forever. Only the member that raised a suspicion has a timer for it.
     /// A suspicion that arrives late, for example from a process that was stopped, has an outdated incarnation number,
     /// so the suspect does not refute it. If datagrams from the suspect arrived meanwhile, the suspicion is renewed
     /// with a higher incarnation number, which makes the suspect refute it; otherwise the suspect is declared down.
@@ -378,7 +380,7 @@
         let own_record = self.foca.identity();
         let missing: Vec<Member> = (self.fleet.members())
             .filter(|(name, _)| *name != own_record.name && !active.contains(name))
-            // A request to join is addressed by name, so any incarnation and revision will do.
+            // A request to join is addressed by name, so the incarnation and the revision in the record do not matter.
             .map(|(name, address)| Member {
                 name: name.into(),
                 incarnation: 1,
@@ -423,7 +425,7 @@
     }
 
     /// Records that one record of a name has replaced another. After a restart the old record never returns.
-    /// If it does return, two processes use the same name at the same time.
+    /// If the old record does return, two processes use the same name at the same time.
     fn note_replacement(&mut self, before: Member, after: Member) {
         if before.same_incarnation(&after) {
             return;
--- a/crates/peer/src/view.rs
+++ b/crates/peer/src/view.rs
@@ -38,12 +38,12 @@
     /// The other members of the agreed list, by name.
     pub others: Vec<PeerView>,
     /// Whether more than half of the agreed list is reachable, as confirmed by recent datagrams from other members.
-    /// It may become true late, but becomes false early.
+    /// This flag may become true late, but becomes false early.
     pub majority: bool,
     /// Whether this process was suspended recently, so that the view is out of date and must not be acted on yet.
     pub stale: bool,
     /// Whether the fleet has accepted another process with this process's name.
-    /// If so, this process sends nothing more and must not act under the name until it is restarted.
+    /// If so, this displaced process sends nothing more and must not act under the name until it is restarted.
     pub displaced: bool,
     /// The number of datagrams dropped so far because they were too long, malformed, or had invalid records.
     pub dropped: u64,
--- a/crates/peer/tests/fleet.rs
+++ b/crates/peer/tests/fleet.rs
@@ -89,7 +89,7 @@
     let mut world = converged(12, 7);
     world.nodes[4].stopped = true;
     world.pass(60 * S);
-    // The clock alone shows the suspension, before the member has processed any datagram or timer.
+    // The gap in the clock alone reveals the suspension, before the member has processed any datagram or timer.
     let view = world.view(4);
     assert!(view.stale && !view.majority);
     world.nodes[4].stopped = false;
@@ -142,7 +142,7 @@
     world.pass(15 * S);
     assert_eq!(world.agreed(), Ok(()));
     assert_eq!(world.majorities().len(), 12);
-    // The outdated list of member 0 lacks member 9, so the view does not contain it.
+    // The outdated list of member 0 lacks member 9, so the view of member 0 does not contain member 9.
     assert!(world.view(0).others.iter().all(|k| k.name != name(9)));
 }
 
