--- a/crates/placement/examples/bounds.rs
+++ b/crates/placement/examples/bounds.rs
@@ -1,6 +1,6 @@
-//! Compares the times of placement operations at 15,000 seats with their budgets. Exits with 1 if one is exceeded.
+//! Compares the times of placement operations at 15,000 seats with their budgets. Exits with 1 if a budget is exceeded.
 //!
-//! `cargo run --release -p embershore-placement --example bounds`, on an otherwise idle machine.
+//! Usage: `cargo run --release -p embershore-placement --example bounds`, on an otherwise idle machine.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -14,7 +14,7 @@
 
 const ROUNDS: u32 = 5;
 
-/// The measured times of an operation and their budget. Without a budget they are printed for information only.
+/// The measured times of an operation and their budget. Times without a budget are printed for information only.
 struct Measurement {
     name: &'static str,
     best: Duration,
@@ -22,14 +22,14 @@
     budget: Option<Duration>,
 }
 
-/// Runs `work` [`ROUNDS`] times. `work` returns the time that it measured.
+/// Runs `work` [`ROUNDS`] times and returns the best and the worst of the times that `work` returned.
 fn measured(name: &'static str, budget: Option<Duration>, mut work: impl FnMut() -> Duration) -> Measurement {
     let times: Vec<Duration> = (0..ROUNDS).map(|_| work()).collect();
     let best = times.iter().copied().min().unwrap_or_default();
     Measurement { name, best, worst: times.into_iter().max().unwrap_or_default(), budget }
 }
 
-/// Returns how long `work` takes.
+/// Runs `work` and returns how long it took.
 fn timed<T>(work: impl FnOnce() -> T) -> Duration {
     let start = Instant::now();
     black_box(work());
--- a/crates/placement/examples/schemes.rs
+++ b/crates/placement/examples/schemes.rs
@@ -1,8 +1,8 @@
-//! Compares the placement scheme in use with well-known schemes, at 15,000 members with two replicas:
-//! evenness, the shards that the loss of one member moves, time and memory.
-//! The well-known schemes ignore failure domains here; with failure domains they would only be less even.
+//! Compares the placement scheme in use with well-known schemes, at 15,000 members with two replicas.
+//! Compared are the evenness of loads, the shards that the loss of one member moves, time and memory.
+//! The well-known schemes ignore failure domains here; respecting them would only make their loads less even.
 //!
-//! `cargo run --release -p embershore-placement --example schemes`
+//! Usage: `cargo run --release -p embershore-placement --example schemes`
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -18,7 +18,7 @@
 const LOST: u32 = 7_000;
 const REPLICAS: usize = 2;
 const RING_POINTS: u32 = 100;
-/// A prime about a hundred times the number of members, as the authors of Maglev advise.
+/// Size of the Maglev table: a prime about a hundred times the number of members, as the authors of Maglev advise.
 const MAGLEV_SLOTS: u32 = 1_500_007;
 const LOOKUPS: u32 = 1_000_000;
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// Returns the members with the greatest hashes of the pair (shard, member).
+/// Returns a shard's owners by rendezvous hashing: the members with the greatest hashes of the pair (shard, member).
 fn rendezvous_owners(shard: u32, lost: Option<u32>) -> Owners {
     let mut best = [(0, u32::MAX); REPLICAS];
     for member in (0..MEMBERS).filter(|&member| Some(member) != lost) {
--- a/crates/placement/tests/forwarding.rs
+++ b/crates/placement/tests/forwarding.rs
@@ -13,7 +13,7 @@
     Forwarding::new(effect, (0..candidates).map(SeatId).collect(), 0, BUDGET)
 }
 
-/// Returns the seat that a step sends to.
+/// Returns the seat to which a step sends the request.
 fn target_seat(step: &Step) -> SeatId {
     match step {
         Step::Send { to, .. } => *to,
@@ -123,8 +123,8 @@
 }
 
 proptest! {
-    /// For any outcomes, no owner is tried twice,
-    /// and no owner is tried after a possible acceptance unless a repeat does no harm.
+    /// Whatever the outcomes are, no owner is tried twice,
+    /// and after a possible acceptance no further owner is tried unless a repeat does no harm.
     /// The reply is sent within the budget, and is "accepted" only if an owner answered `+OK`.
     #[test]
     fn every_sequence_of_outcomes_ends_in_time_without_a_harmful_repeat(
--- a/crates/placement/tests/full_size.rs
+++ b/crates/placement/tests/full_size.rs
@@ -1,6 +1,6 @@
 //! Checks the bounds of docs/design/placement.md at 15,000 seats and 4.1 million destinations.
-//! `--nocapture` prints the values.
-//! `examples/bounds.rs` measures the times, which need a release build and an idle machine.
+//! With `--nocapture` the tests print the measured values.
+//! `examples/bounds.rs` checks the bounds on times, which need a release build and an idle machine.
 
 mod support;
 
@@ -31,7 +31,7 @@
 });
 
 impl Fleet {
-    /// Returns the fleet after changes, and the shards that they moved.
+    /// Returns the fleet after changes, and the shards that the changes moved.
     fn changed(&self, entries: Vec<Change>) -> (Self, Moves) {
         let (next, changes) = applied(&self.list, entries);
         let mut table = self.table.clone();
@@ -44,7 +44,7 @@
         Evenness::of_members(&shard_loads(&self.table, &self.list), &self.list, region)
     }
 
-    /// Returns the mean number of shards of a member.
+    /// Returns the mean number of shards that a member owns.
     fn share(&self) -> f64 {
         self.evenness(None).mean
     }
--- a/crates/placement/tests/golden.rs
+++ b/crates/placement/tests/golden.rs
@@ -1,5 +1,5 @@
 //! Pins the values of scheme 1, which must be the same on each machine and in each version that supports the scheme.
-//! A code change that alters one of them needs a new scheme number.
+//! A code change that alters one of the pinned values needs a new scheme number.
 
 mod support;
 
--- a/crates/placement/tests/histories.rs
+++ b/crates/placement/tests/histories.rs
@@ -1,6 +1,6 @@
 //! Simulates thousands of histories of a fleet with faults of members, network and control agents.
-//! In none of them may a message be lost or take effect twice,
-//! a key lose its order, or the shares of a destination's limit exceed the limit.
+//! In no history may a message be lost or take effect twice, a key lose its order,
+//! or the shares of a destination's limit exceed the limit.
 
 mod history;
 #[path = "support/tables.rs"]
@@ -19,7 +19,7 @@
 /// Maximum number of violations printed for one history.
 const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// Simulates some seeds of a world. Panics at the first seed that breaks a rule.
+/// Simulates one history of a world for each seed. Panics at the first seed whose history breaks a rule.
 fn simulate_seeds(world: &World, number: u64, seeds: impl Iterator<Item = u64>) -> Counts {
     let mut counts = Counts::default();
     for seed in seeds {
@@ -57,7 +57,7 @@
     assert_reached(&counts);
 }
 
-/// Checks that the histories reached the cases under test. A history that never reaches them proves nothing.
+/// Checks that the histories reached the cases under test. Histories that never reach these cases prove nothing.
 fn assert_reached(counts: &Counts) {
     let histories = WORLDS.end * SEEDS_PER_WORLD;
     assert!(counts.promised * 2 > counts.messages, "{counts:?}");
--- a/crates/placement/tests/history/ledger.rs
+++ b/crates/placement/tests/history/ledger.rs
@@ -1,5 +1,5 @@
 //! A ledger that records the acceptances and calls of each message.
-//! It checks the rules independently of the code under test.
+//! The ledger checks the rules independently of the code under test.
 
 use heronroute::{Effect, Micros};
 
@@ -17,9 +17,9 @@
 pub struct Job {
     pub message: usize,
     pub member: usize,
-    /// The time from which on no call may begin.
+    /// Deadline of the accepted message: the time from which on no call for the message may begin.
     pub deadline: Micros,
-    /// The time until which the receiver may still process the last call.
+    /// The time until which the receiver may still process the message's last call.
     pub call_until: Micros,
     pub effects: u32,
     pub promised: bool,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Rounding error allowed in a sum of shares. Each share is one divided by a small integer.
+/// Rounding error allowed in a sum of limit shares. Each share is one divided by a small integer.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 #[derive(Default)]
@@ -128,7 +128,7 @@
         self.jobs[job].promised = true;
     }
 
-    /// Records that the client receives `-BUSY`, so that it may submit the message again.
+    /// Records that the client receives `-BUSY`, so that the client may submit the message again.
     pub fn answered_busy(&mut self, now: Micros, message: usize) {
         self.counts.busy += 1;
         let accepted = self.jobs.iter().any(|job| job.message == message);
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Records the start of a call.
+    /// Records the start of a call for an accepted message.
     /// `shares` are the limit shares of all members that may now begin a call to the same destination.
     pub fn begin_call(&mut self, now: Micros, job: usize, until: Micros, takes_effect: bool, shares: &[f64]) {
         self.counts.calls += 1;
--- a/crates/placement/tests/history/mod.rs
+++ b/crates/placement/tests/history/mod.rs
@@ -1,5 +1,5 @@
-//! Histories of a fleet in simulated time. Simulated senders run the real placement code;
-//! a seed decides the behaviour of the network, the control agents and the clients; a ledger checks the rules.
+//! Histories of a fleet in simulated time. Simulated senders run the real placement code.
+//! A seed decides the behaviour of the network, the control agents and the clients. A ledger checks the rules.
 
 pub mod ledger;
 pub mod model;
@@ -15,7 +15,7 @@
 pub const LEASE: Micros = 10 * SECOND;
 /// The maximum time by which a control agent lags behind.
 pub const AGENT_LAG: Micros = 3 * SECOND;
-/// The time after its acceptance within which a call for a message may begin.
+/// The time after a message's acceptance within which a call for the message may begin.
 pub const DEADLINE: Micros = 8 * SECOND;
-/// Maximum duration of a call.
+/// Maximum duration of a simulated call to a receiver.
 pub const MAX_CALL_TIME: Micros = 200 * MILLISECOND;
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -23,7 +23,7 @@
 const CLIENT_TIMEOUT: Micros = 400 * MILLISECOND;
 const FORWARD_BUDGET: Micros = 300 * MILLISECOND;
 const POLL_INTERVAL: Micros = 2_500 * MILLISECOND;
-/// Number of order keys of each destination.
+/// Number of order keys that messages to each destination use.
 const KEYS: usize = 2;
 /// Maximum number of times that a client submits a message.
 const MAX_SUBMISSIONS: u32 = 12;
@@ -39,7 +39,7 @@
         member: usize,
     },
     /// An answer of a control agent reaches a member.
-    /// If it is not `regular`, it is an invalid list that the member must reject.
+    /// An answer that is not `regular` contains an invalid list that the member must reject.
     AnswerReceived {
         member: usize,
         incarnation: u32,
@@ -86,7 +86,7 @@
         outcome: ForwardOutcome,
         job: Option<usize>,
     },
-    /// A reply reaches a client; `None` if it gives up waiting.
+    /// A reply reaches a client; `None` if the client gives up waiting.
     Reply {
         message: usize,
         submission: u32,
@@ -121,11 +121,12 @@
     clock_error_ppm: Micros,
     ownership: Ownership,
     persisted: Option<PersistedPlacement>,
-    /// The highest epoch that the member received. It is tracked for the ledger,
-    /// independently of the code under test, and so is `lease_until`, the end of the lease by the member's clock.
+    /// The highest epoch that the member received. This field and `lease_until`, the end of the lease by the
+    /// member's clock, are tracked for the ledger, independently of the code under test.
     received_epoch: u64,
     lease_until: Option<Micros>,
-    /// Jobs that have not ended, in the order of acceptance; the flag tells whether a call for the job is in flight.
+    /// Accepted messages that have not ended, as jobs of the ledger, in the order of acceptance.
+    /// The flag tells whether a call for the job is in flight.
     jobs: Vec<(usize, bool)>,
 }
 
@@ -135,17 +136,17 @@
         now + now * self.clock_error_ppm / MILLION
     }
 
-    /// Returns the simulated time at which `span` has passed by the member's own clock.
+    /// Returns the simulated time at which the duration `span` has passed by the member's own clock.
     fn after(&self, now: Micros, span: Micros) -> Micros {
         now + span - span * self.clock_error_ppm / MILLION
     }
 }
 
-/// A client's state of one message.
+/// A client's state for one of its messages.
 struct ClientMessage {
     id: String,
     key: Option<String>,
-    /// Number of the current submission. Replies to earlier submissions are ignored.
+    /// Number of the client's current submission of the message. Replies to earlier submissions are ignored.
     submission: u32,
     done: bool,
     stream: Option<usize>,
@@ -157,7 +158,7 @@
     message: usize,
     submission: u32,
     forwarding: Forwarding,
-    /// Number of the current send. Outcomes of earlier sends are ignored.
+    /// Number of the request's current send to an owner. Outcomes of earlier sends are ignored.
     sends: u32,
 }
 
@@ -175,7 +176,7 @@
     pub ledger: Ledger,
 }
 
-/// Simulates the history of a seed in a world and returns its ledger.
+/// Simulates the history of a seed in a world and returns the history's ledger.
 pub fn simulate(world: &World, seed: u64) -> Ledger {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let plan = FaultPlan::generate(&mut rng, world);
@@ -302,7 +303,7 @@
         }
     }
 
-    // Events of control agents.
+    // Handlers of events of control agents.
 
     fn poll(&mut self, member: usize) {
         if self.now < ENDS_AT {
@@ -347,7 +348,7 @@
         }
     }
 
-    /// Sometimes sends an additional list that must be rejected: an older one, or another one under the same epoch.
+    /// Sometimes sends a member an additional list that must be rejected: an older one, or another of the same epoch.
     fn maybe_send_invalid_list(&mut self, member: usize, polled_at: Micros) {
         let Some(epoch) = self.members[member].ownership.epoch() else { return };
         let list = if epoch > 1 && self.rng.random_bool(0.1) {
@@ -389,7 +390,7 @@
         member.persisted = member.ownership.persisted_state(local).or(member.persisted.take());
     }
 
-    // Events of faults.
+    // Handlers of events of process faults.
 
     fn fault(&mut self, number: usize, fault: Fault, until: Micros) {
         match fault {
@@ -423,7 +424,7 @@
         }
     }
 
-    // Events of clients.
+    // Handlers of events of clients.
 
     fn random_effect(&mut self) -> Effect {
         *[Effect::Safe, Effect::Keyed, Effect::Unsafe].choose(&mut self.rng).expect("the list is not empty")
@@ -509,7 +510,7 @@
         self.after(delay, Event::Reply { message, submission, reply: Some(reply), job });
     }
 
-    // Events of requests.
+    // Handlers of events of requests.
 
     fn request(&mut self, number: usize, message: usize, submission: u32) {
         let local = self.members[number].local(self.now);
@@ -546,7 +547,7 @@
         act(&Request { dest, order_key: client_message.key.as_deref(), request_id: &client_message.id })
     }
 
-    /// Lets a member accept a message if its ownership allows it. Returns the job, or `None` if it is rejected.
+    /// Lets a member accept a message if the member's ownership allows it. Returns the job; `None` if rejected.
     fn admit(&mut self, number: usize, message: usize) -> Option<usize> {
         let member = &self.members[number];
         let local = member.local(self.now);
@@ -655,7 +656,7 @@
         self.take_step(index, step, job);
     }
 
-    // Events of calls.
+    // Handlers of events of calls.
 
     fn add_job(&mut self, number: usize, job: usize) {
         self.members[number].jobs.push((job, false));
@@ -697,7 +698,7 @@
     }
 
     /// Returns the limit shares of all members that may now begin a call to a destination,
-    /// because they accept requests for it or have accepted messages for it.
+    /// because the members accept requests for the destination or have accepted messages for it.
     fn shares(&self, dest: i64) -> Vec<f64> {
         let running = self.members.iter().filter(|member| member.state == State::Running);
         let may_call = running.filter(|member| {
--- a/crates/placement/tests/history/network.rs
+++ b/crates/placement/tests/history/network.rs
@@ -8,15 +8,15 @@
 use super::world::World;
 use super::{AGENT_LAG, MILLISECOND, SECOND};
 
-/// The time by which all faults have ended.
+/// The time in a history by which all faults have ended.
 pub const FAULTS_END_AT: Micros = 75 * SECOND;
 
-/// A fault of one process.
+/// A fault of one member's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The process is killed, and later restarted on the same state folder.
     Killed,
-    /// The process is stopped, and continued later.
+    /// The process is stopped (suspended), and continued later.
     Stopped,
 }
 
@@ -29,12 +29,12 @@
 
 /// The faults of one history.
 pub struct FaultPlan {
-    /// When each epoch is first sent to any member.
+    /// The time at which each epoch is first sent to any member.
     pub epochs_sent_at: Vec<Micros>,
     /// The member, fault, start and end of each process fault.
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
     partitions: Vec<Partition>,
-    /// Whether the control agent of each member lags behind.
+    /// For each member, whether its control agent lags behind.
     lagging: Vec<bool>,
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// Moves two epochs to within a second of each other.
+/// Moves the first sending of two epochs to within a second of each other.
 fn make_two_epochs_close(rng: &mut ChaCha8Rng, epochs_sent_at: &mut [Micros]) {
     if epochs_sent_at.len() >= 2 {
         let index = rng.random_range(1..epochs_sent_at.len());
--- a/crates/placement/tests/history/world.rs
+++ b/crates/placement/tests/history/world.rs
@@ -14,7 +14,7 @@
 /// Number of epochs after the first one.
 const LATER_EPOCHS: usize = 8;
 const MAX_WIDTH: u16 = 8;
-/// Distance between the destination numbers of successive worlds, so that each world has other destinations.
+/// Distance between the destination numbers of successive worlds, so that no two worlds use the same destinations.
 const DEST_STRIDE: i64 = 7_919;
 
 /// The member lists of epochs 1 and later, the changes between them, and the destinations.
@@ -62,7 +62,7 @@
         world
     }
 
-    /// Returns the list of an epoch.
+    /// Returns the member list of an epoch.
     pub fn list(&self, epoch: u64) -> &MemberList {
         &self.lists[epoch as usize - 1]
     }
@@ -75,7 +75,7 @@
         all.map(|all| Changes { epoch, since, changes: all.concat() })
     }
 
-    /// Returns a list of the same epoch with other contents.
+    /// Returns a member list of the given epoch with contents other than the epoch's real list.
     pub fn conflicting_list(&self, epoch: u64) -> MemberList {
         let mut form = self.list(epoch).to_form();
         form.seats[0].weight += 1.0;
--- a/crates/placement/tests/lease.rs
+++ b/crates/placement/tests/lease.rs
@@ -1,5 +1,5 @@
-//! Tests that the lease counts from the poll, is never shortened, and is invalid from its end on,
-//! and that the hold covers lag, lease and longest deadline.
+//! Tests that the lease counts from the poll, is never shortened, and is invalid from its end on.
+//! Also tests that the hold on gained shards covers agent lag, lease and longest deadline.
 
 use embershore_placement::{Lease, LeaseTimes};
 
--- a/crates/placement/tests/options.rs
+++ b/crates/placement/tests/options.rs
@@ -1,9 +1,9 @@
-//! Tests of the section `[placement]`: its defaults, its limits, and the lines of its findings.
+//! Tests of the section `[placement]` of the options file: defaults, limits, and the lines reported with errors.
 
 use embershore_finding::SpanFinding;
 use embershore_placement::options::{PlacementOptions, Section};
 
-/// Parses the text of a section. Returns the options, or each finding with its line.
+/// Parses the text of a section `[placement]`. Returns the options, or each error found with its line.
 fn read(text: &str) -> Result<PlacementOptions, Vec<(usize, String)>> {
     let section: Section = toml::from_str(text).map_err(|e| vec![(0, e.to_string())])?;
     section.check().map_err(|found| {
--- a/crates/placement/tests/ownership.rs
+++ b/crates/placement/tests/ownership.rs
@@ -51,12 +51,12 @@
     AgentAnswer::Full(Box::new(list.clone()))
 }
 
-/// Returns the sender that fills a seat, before it has received any list.
+/// Returns the sender that fills a seat, before the sender has received any list.
 fn new_sender(seat: SeatId) -> Ownership {
     Ownership::new(member_form(seat.index()).name, LEASE, DEADLINE)
 }
 
-/// Returns the sender that fills a seat, after it has received this list at time 0.
+/// Returns the sender that fills a seat, after the sender has received this list at time 0.
 fn sender_with_list(seat: SeatId, list: &MemberList) -> Ownership {
     let mut ownership = new_sender(seat);
     receive(&mut ownership, 0, 0, full(list)).unwrap();
@@ -87,13 +87,13 @@
     Request { dest, order_key: Some(order_key), request_id: "r" }
 }
 
-/// Returns the first destination whose owners satisfy `wanted`.
+/// Returns the first destination whose owners satisfy the condition `wanted`.
 fn dest_where(list: &MemberList, wanted: impl Fn(&[SeatId]) -> bool) -> i64 {
     let table = table(list);
     (0..100_000).find(|&dest| wanted(table.owners(shard(dest)))).expect("no destination with such owners")
 }
 
-/// Returns the first order key that satisfies `wanted`.
+/// Returns the first order key that satisfies the condition `wanted`.
 fn key_where(wanted: impl Fn(&str) -> bool) -> String {
     (0..1_000).map(|number| format!("key-{number}")).find(|key| wanted(key)).expect("no such key")
 }
@@ -264,7 +264,7 @@
 }
 
 /// A sender owns a shard in place of a vacant seat, loses it while the seat is filled, and owns it again afterwards.
-/// The shard must be on hold, because the other owner may still be delivering.
+/// When the sender owns the shard again, the shard must be on hold: the other owner may still be delivering.
 #[test]
 fn a_shard_that_another_owned_between_two_epochs_is_on_hold() {
     let vacant = list(ListForm { first: true, ..with_vacant(5) });
@@ -293,7 +293,7 @@
 }
 
 /// Keys prefer seats, not members: after a member has moved to another seat,
-/// even a shard that it still owns is on hold.
+/// even a shard that the member still owns is on hold.
 #[test]
 fn a_member_that_moves_to_another_seat_has_everything_on_hold() {
     let vacant = list(ListForm { first: true, ..with_vacant(5) });
@@ -556,7 +556,8 @@
     assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::OnHold(SECOND + HOLD));
 }
 
-/// Senders of all versions that support scheme 1 must agree on these values. A change needs a new scheme number.
+/// Senders of all versions that support scheme 1 must agree on the pinned preferred owners and parts.
+/// A change of a pinned value needs a new scheme number.
 #[test]
 fn preferences_are_pinned_to_the_scheme() {
     let owners: Vec<SeatId> = [3, 141, 5_926, 53_589].map(SeatId).to_vec();
--- a/crates/placement/tests/properties.rs
+++ b/crates/placement/tests/properties.rs
@@ -46,7 +46,7 @@
         Self::new(form)
     }
 
-    /// Applies changes and returns the moved shards. Checks that the table is the same as one built from the new list.
+    /// Applies changes and returns the moved shards. Checks that the updated table equals one built from the new list.
     #[track_caller]
     fn change(&mut self, entries: Vec<Change>) -> Moves {
         let (next, changes) = applied(&self.list, entries);
@@ -176,7 +176,7 @@
 }
 
 /// In a row with a vacant owner, a new seat can change which spare replaces that owner.
-/// Only in these rows may shards move between other seats.
+/// Only in rows with a vacant owner may shards move between seats other than the new one.
 #[test]
 fn a_seat_appended_while_seats_are_vacant_moves_few_shards_between_others() {
     for seed in 0..SEEDS {
@@ -236,8 +236,8 @@
     }
 }
 
-/// With as many zones as replicas, each zone has to own each shard exactly once,
-/// which rounded quotas can't fully achieve.
+/// With as many zones as replicas, each zone has to own each shard exactly once.
+/// The seats' rounded quotas can't fully achieve that, so a few shards may have two owners in one zone.
 #[test]
 fn with_as_many_zones_as_replicas_owners_share_a_zone_in_at_most_two_percent_of_the_shards() {
     for (zones, replicas) in [(2, 2), (3, 3), (4, 4)] {
@@ -250,7 +250,7 @@
     }
 }
 
-/// Returns a fleet of one region whose seats are listed zone by zone, or one from each zone in turn.
+/// Returns a fleet of one region whose seats are listed zone by zone, or one seat from each zone in turn.
 fn fleet_by(zones: usize, replicas: u64, by_zone: bool) -> Fleet {
     let mut form = fleet(&[zones], zones * 9, 3);
     form.replicas = replicas;
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use embershore_placement::wire::{ListForm, MemberForm, RegionForm, SeatForm};
 use embershore_placement::{Change, Changes, MemberList, SHARDS, SeatId, ShardId, Table, shard};
 
-/// Number of seats of a rack.
+/// Number of seats in each rack of a test fleet.
 pub const SEATS_PER_RACK: usize = 40;
 
 /// Number of zones of each region at full size.
@@ -40,12 +40,12 @@
     }
 }
 
-/// Returns the fleet of full size.
+/// Returns the member list of a fleet of full size, [`FULL_SEATS`] seats.
 pub fn full_size() -> MemberList {
     list(fleet(&FULL_ZONES, FULL_SEATS, SEATS_PER_RACK))
 }
 
-/// Validates a list.
+/// Validates a member list; panics if the list is invalid.
 pub fn list(form: ListForm) -> MemberList {
     MemberList::from_form(form).expect("the list is valid")
 }
@@ -60,7 +60,7 @@
     RegionForm { name: format!("r{region}"), share }
 }
 
-/// Returns a seat. `member` is the number of the member that fills it.
+/// Returns a seat of a member list. `member` is the number of the member that fills the seat.
 pub fn seat_form(region: usize, zone: usize, rack: usize, member: Option<usize>) -> SeatForm {
     SeatForm {
         region: format!("r{region}"),
@@ -71,7 +71,7 @@
     }
 }
 
-/// Returns the member with a number, which determines its name and address.
+/// Returns the member with a number. The number determines the member's name and address.
 pub fn member_form(number: usize) -> MemberForm {
     let address = format!("127.{}.{}.{}:7001", number >> 16, (number >> 8) & 255, number & 255);
     MemberForm { name: format!("sender-{number:05}"), address }
@@ -87,7 +87,7 @@
     Changes { epoch: list.epoch() + 1, since: list.epoch(), changes }
 }
 
-/// Applies changes to a list. Returns the resulting list and the changes.
+/// Applies changes to a member list. Returns the resulting list and the changes.
 pub fn applied(list: &MemberList, entries: Vec<Change>) -> (MemberList, Changes) {
     let changes = changes(list, entries);
     (list.apply(&changes).expect("the changes apply to the list"), changes)
@@ -160,7 +160,7 @@
     loads
 }
 
-/// Mean, minimum and maximum of some seats' loads.
+/// Mean, minimum and maximum of the loads of some seats.
 #[derive(Clone, Copy, Debug)]
 pub struct Evenness {
     pub mean: f64,
@@ -185,7 +185,7 @@
         Self::of(chosen.map(|seat| f64::from(loads[seat.index()])))
     }
 
-    /// Returns the maximum load relative to the mean.
+    /// Returns the maximum load of a seat relative to the mean load.
     pub fn busiest(&self) -> f64 {
         self.max / self.mean
     }
--- a/crates/placement/tests/support/tables.rs
+++ b/crates/placement/tests/support/tables.rs
@@ -1,25 +1,25 @@
-//! Tables that all senders of a test share. Each table is built only once, because it depends on the list alone.
+//! Tables of owners that all senders of a test share. A table depends only on its list, so it is built only once.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
 use embershore_placement::{Changes, ListError, MemberList, Placement, PlacementSource, ShardId, Table};
 
-/// Tables by the digests of their lists.
+/// Tables of owners, by the digests of the member lists that they belong to.
 #[derive(Default)]
 pub struct SharedTables {
     tables: Mutex<HashMap<u64, Arc<Table>>>,
-    /// The only shards that the placements list as owned; `None` for all.
+    /// The only shards that the placements list as owned; `None` for all shards.
     visible_shards: Option<Arc<[ShardId]>>,
 }
 
 impl SharedTables {
-    /// Creates a store whose placements show only these shards; `None` for all.
+    /// Creates shared tables whose placements list only the given shards as owned; `None` for all shards.
     pub fn new(visible_shards: Option<Arc<[ShardId]>>) -> Self {
         SharedTables { visible_shards, ..Self::default() }
     }
 
-    /// Returns the table of a list.
+    /// Returns the table of owners of a member list.
     pub fn table(&self, list: &MemberList) -> Arc<Table> {
         self.get_or_build(list, || Table::build(list))
     }
