--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The version of the frames and of the handed-over state.
+/// The version of the encoding of frames and of the handed-over state.
 /// Processes of different versions do not hand over to each other: the successor waits until the owner has exited.
 pub const VERSION: u16 = 3;
 /// The maximum length of a frame's payload in bytes.
@@ -36,7 +36,7 @@
     pub calls: Vec<(MsgId, u64)>,
 }
 
-/// The outcome of a call for one of its messages.
+/// The outcome of a call for one of the messages that the call carried.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageOutcome {
     /// The number of the message that the call carried.
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! The process that holds the lock on the journal's folder owns the journal; nothing else decides the ownership.
 //! The process that owns the journal is the *owner*, and the process that requests the journal is the *successor*.
-//! [`Owner`] and [`Successor`] are the state machines of the two sides,
-//! [`Frame`] is the message format between them, and [`Decoder`] reads it. None of them does any I/O.
+//! [`Owner`] and [`Successor`] are the state machines of the two sides.
+//! [`Frame`] is the message format between the two sides, and [`Decoder`] reads frames. None of them does any I/O.
 //!
 //! ```text
 //! successor                        owner
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -2,7 +2,7 @@
 
 use crate::frame::{Frame, VERSION};
 
-/// The progress of this process towards owning the journal.
+/// The progress of the successor towards owning the journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Successor {
     /// The successor does not know yet whether another process owns the journal.
@@ -23,7 +23,7 @@
 pub enum SuccessorEvent<'a> {
     /// The result of an attempt to acquire the lock; true if the lock was acquired.
     LockTried(bool),
-    /// A frame from the owner.
+    /// A frame received from the owner.
     Received(&'a Frame),
     /// The owner can't be reached, has closed the connection, or has not answered in time.
     OwnerLost,
@@ -42,8 +42,8 @@
     Connect,
     /// Requests the journal from the owner.
     RequestJournal,
-    /// Starts as the owner without a predecessor's state,
-    /// because this is the first process of the sender, or the predecessor has exited.
+    /// Starts as the owner without a predecessor's state.
+    /// Either this process is the sender's first one, or the predecessor has exited.
     Start,
     /// Starts as the owner with the predecessor's state, and notifies the predecessor that it has acquired the lock.
     Resume,
--- a/crates/owed/src/debt.rs
+++ b/crates/owed/src/debt.rs
@@ -44,7 +44,7 @@
 /// An attempt to deliver a message. Times are wall-clock microseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The name of the endpoint in the directory.
+    /// The name in the directory of the endpoint that was called.
     pub endpoint: String,
     /// When the attempt's call to the endpoint began.
     pub at: Micros,
@@ -66,7 +66,7 @@
     Down,
     /// An attempt may have run, and the class allows no further attempt.
     MayHaveRun,
-    /// The maximum number of attempts was reached.
+    /// The message's maximum number of attempts was reached.
     AttemptsUsedUp,
     /// The receiver no longer had any endpoint.
     Gone,
@@ -118,15 +118,15 @@
 /// The message as its client handed it over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The client's id of the message.
+    /// The id that the client assigned to the message.
     pub request_id: String,
     /// The key by which the receiver recognizes a repeat, in a keyed class.
     pub idempotency_key: Option<String>,
-    /// The name of the class in the settings.
+    /// The name of the message's class in the settings.
     pub class: String,
-    /// The name of the tenant in the settings.
+    /// The name of the message's tenant in the settings.
     pub tenant: String,
-    /// The number of the receiver.
+    /// The number of the message's receiver.
     pub dest: i64,
     /// The subject of the message. A newer message with the same key supersedes this message if its rule allows it.
     pub key: String,
@@ -153,7 +153,7 @@
     /// Whether the message ran, according to the author.
     #[serde(rename = "word")]
     pub verdict: Verdict,
-    /// Who gave the verdict.
+    /// The author of the verdict: who gave it.
     #[serde(rename = "by")]
     pub author: String,
     /// The author's reason for the verdict.
@@ -163,7 +163,7 @@
     pub at: Micros,
 }
 
-/// How a debt was settled. A settled debt is never sent again.
+/// How a debt was settled. The message of a settled debt is never sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Settled {
@@ -179,7 +179,7 @@
     Dropped,
 }
 
-/// The state of a debt.
+/// The state of a debt: owed, in flight or settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
@@ -192,7 +192,7 @@
     Settled(Settled),
 }
 
-/// A message that is owed, or was owed until it was settled.
+/// A message that is owed, or was owed until its debt was settled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debt {
     /// The undeliverable message.
@@ -218,7 +218,7 @@
     pub resolutions: Vec<Resolution>,
 }
 
-/// Why a verdict is rejected.
+/// Why a verdict on a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResolveError {
     /// No attempt may have run, so there is no doubt to resolve.
--- a/crates/owed/src/pace.rs
+++ b/crates/owed/src/pace.rs
@@ -1,5 +1,5 @@
-//! The pace of resends. Resends have a rate limit of their own,
-//! are sent only to healthy receivers, and wait while fresh messages are pending.
+//! The pace of resends. Resends have a rate limit of their own.
+//! Resends are sent only to healthy receivers, and wait while fresh messages are pending.
 
 use heronroute::Micros;
 use std::collections::BTreeMap;
@@ -69,11 +69,10 @@
         self.receivers.entry(dest).or_insert(Receiver { healthy_since: None, last_call: now, bucket })
     }
 
-    /// Returns whether a receiver has been healthy for at least `healthy_for`. A receiver without any call,
-    /// or without a call since its last failure, may be tried after the same time without calls;
-    /// otherwise a receiver that gets no fresh messages would never get a resend.
-    /// Each resend to a receiver not known to be healthy restarts the wait, so that its debts are tried one by one
-    /// and not all at once.
+    /// Returns whether a receiver has been healthy for at least `healthy_for`.
+    /// A receiver whose last call failed, or that had no call, counts as healthy after `healthy_for` without calls:
+    /// without that rule, a receiver that gets no fresh messages would never get a resend.
+    /// Each resend to a receiver whose last call failed restarts that wait, so that debts are tried one by one.
     pub fn is_healthy(&self, dest: i64, healthy_for: Micros, now: Micros) -> bool {
         match self.receivers.get(&dest) {
             Some(Receiver { healthy_since: Some(since), .. }) => now - since >= healthy_for,
--- a/crates/owed/src/plan.rs
+++ b/crates/owed/src/plan.rs
@@ -20,7 +20,7 @@
 /// The settings of a message class that matter for resends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassFacts {
-    /// The name of the class.
+    /// The name of the message class.
     pub name: String,
     /// The effect that a second delivery of a message of the class would have.
     pub effect: Effect,
@@ -30,22 +30,22 @@
     pub deadline: Micros,
 }
 
-/// Why a debt is not resent unless something changes.
+/// Why a debt is not resent unless the debt, the rules or the settings change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleReason {
     /// No rule matches the debt any longer.
     NoRule,
-    /// The matching rule has no resends.
+    /// The rule that matches the debt has no resends.
     NotResent,
     /// The debt has been resent as often as the matching rule allows.
     ResendsUsedUp,
     /// The class of the debt is no longer in the settings, so the effect of a repeat is unknown.
     UnknownClass,
-    /// The debt is settled.
+    /// The debt is settled, so its message is never sent again.
     Settled(Settled),
 }
 
-/// The next step of a debt.
+/// The next step of a debt, as determined by its history and the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// No step: the decision module is delivering the message.
@@ -61,7 +61,7 @@
     },
     /// No step: the debt is retained unchanged.
     Idle(IdleReason),
-    /// Settle the debt as expired.
+    /// Settle the debt, because the rule's time limit has passed.
     Expired(ExpiryAction),
 }
 
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -85,14 +85,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ExpiryAction {
-    /// The debt is retained for inspection.
+    /// The expired debt is retained for inspection.
     #[default]
     Keep,
-    /// The debt is removed from the store.
+    /// The expired debt is removed from the store.
     Drop,
 }
 
-/// The settings of a rule for resends.
+/// A rule's settings for resends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resend {
     /// How long the receiver must have been healthy before a resend, in microseconds.
@@ -144,9 +144,9 @@
     receivers: Option<BTreeSet<i64>>,
     classes: Option<BTreeSet<String>>,
     reasons: Option<BTreeSet<Reason>>,
-    /// Whether matching messages are retained at all.
+    /// Whether messages that match the rule are retained at all.
     pub keep: bool,
-    /// When debts are resent; never if `None`.
+    /// When debts that match the rule are resent; never if `None`.
     pub resend: Option<Resend>,
     /// How long after delivery was given up a debt expires; never if `None`.
     pub owed_for: Option<Micros>,
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -3,7 +3,7 @@
 //! | table | key | value |
 //! | --- | --- | --- |
 //! | `debts` | number | the [`Debt`] without its body, and its due time, encoded with postcard |
-//! | `bodies` | number | the body of the message |
+//! | `bodies` | number | the body of the debt's message |
 //! | `requests` | request id | number of the debt; a message is owed only once |
 //! | `due` | time, number | none; the order in which debts are due |
 //! | `facets` | receiver, class, reason, number | none; the index for lists |
@@ -54,16 +54,16 @@
         /// The maximum number of live bytes, derived from the operator's limit on the file size.
         max: u64,
     },
-    /// The file was written by a later release.
+    /// The store's file was written by a later release.
     #[error(
         "the store of owed messages has format version {found}, but this release reads only up to {FORMAT_VERSION}: \
          start the release that wrote it"
     )]
     Version {
-        /// The format version of the file.
+        /// The format version of the store's file.
         found: u64,
     },
-    /// A stored debt can't be read. Other debts still can be.
+    /// A stored debt can't be read. Other debts in the store still can be read.
     #[error("owed message {number} can't be read: {cause}")]
     Damaged {
         /// The number of the debt that can't be read.
@@ -71,10 +71,10 @@
         /// The cause of the damage, as reported by the decoder.
         cause: String,
     },
-    /// No debt has this number.
+    /// No debt in the store has the requested number.
     #[error("no message is owed under number {number}")]
     Unknown {
-        /// The requested number of a debt.
+        /// The requested debt number, which no debt in the store has.
         number: u64,
     },
     /// The disk or the database failed.
@@ -135,11 +135,11 @@
 /// The number of debts with the same receiver, class, reason and state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Count {
-    /// The number of the receiver.
+    /// The number of the debts' receiver.
     pub receiver: i64,
-    /// The name of the message class.
+    /// The name of the debts' message class.
     pub class: String,
-    /// The reason why delivery was given up.
+    /// The reason why delivery of the debts' messages was given up.
     pub reason: Reason,
     /// The state of the debts: `owed`, `out` (in flight) or `settled`.
     pub state: &'static str,
@@ -182,7 +182,7 @@
     builder
 }
 
-/// Adds a debt to the counts or removes it from them.
+/// Adds a debt to the table `counts`, or removes the debt from it.
 fn adjust_count(transaction: &WriteTransaction, debt: &Debt, add: bool) -> Result<(), StoreError> {
     let (dest, class, reason) = facets_of(debt);
     let mut counts = transaction.open_table(COUNTS)?;
@@ -434,7 +434,7 @@
     }
 
     /// Returns at most `limit` debts that match a filter, ordered by receiver, class, reason and number.
-    /// Debts that can't be read are reported separately.
+    /// Debts that can't be read are returned separately, as errors.
     ///
     /// # Errors
     /// When the disk fails.
--- a/crates/owed/tests/common/mod.rs
+++ b/crates/owed/tests/common/mod.rs
@@ -55,7 +55,7 @@
     pub fails_after_ops: Option<u64>,
 }
 
-/// A handle on a simulated disk. Its clones share the disk.
+/// A handle on a simulated disk. Clones of a handle share the disk.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(pub Arc<Mutex<Disk>>);
 
--- a/crates/peer/src/fleet.rs
+++ b/crates/peer/src/fleet.rs
@@ -25,7 +25,7 @@
     /// A member's name is empty or too long.
     #[error("member name '{0}' is invalid: it must be 1 to {MAX_NAME_BYTES} bytes long")]
     InvalidName(String),
-    /// Two members of the list have this name.
+    /// Two members of the list have the same name, which is given.
     #[error("the fleet's member list contains '{0}' twice; give each sender a unique name")]
     DuplicateName(String),
     /// Two members of the list have the same address.
@@ -89,12 +89,12 @@
         self.members.contains_key(name)
     }
 
-    /// Returns the number of members, at least one.
+    /// Returns the number of members on the list, at least one.
     pub fn size(&self) -> usize {
         self.members.len()
     }
 
-    /// Returns the smallest number of members that is a majority.
+    /// Returns the smallest number of members that is a majority of the list.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,9 +1,9 @@
 //! # embershore-peer
 //!
 //! Tracks which senders of the fleet are alive, suspected or down,
-//! and whether a majority of the agreed member list is reachable. The crate does no I/O:
-//! [`Peers`] takes received datagrams and the current time,
-//! and returns datagrams to send and the time of its next call.
+//! and whether a majority of the agreed member list is reachable. The crate does no I/O.
+//! [`Peers`] takes received datagrams and the current time.
+//! [`Peers`] returns datagrams to send, and the time by which it must be called next.
 //!
 //! Failure detection is SWIM (Das, Gupta and Motivala, 2002), from the library `foca`.
 //! Its results are hints that may be out of date; a [`View`] reports their age.
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -6,7 +6,7 @@
 /// The maximum length of a name or a failure domain in bytes. Several records must fit into one datagram.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The maximum incarnation of a valid record.
+/// The maximum incarnation number of a valid record.
 /// No process restarts this often, and a malformed record with a higher number could never be replaced by a valid one.
 const MAX_INCARNATION: u64 = 1 << 40;
 /// The maximum revision of a valid record. No process changes its record this often,
@@ -28,7 +28,7 @@
     Stopping,
 }
 
-/// A member's record of itself.
+/// The record that a member publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The name on the agreed member list, at most [`MAX_NAME_BYTES`] bytes.
@@ -75,8 +75,8 @@
 impl foca::Identity for Member {
     type Addr = String;
 
-    /// Returns the next revision of the record,
-    /// which refutes a report of this member's death; `None` after the last possible revision.
+    /// Returns the record with the next revision; `None` after the last possible revision.
+    /// The next revision refutes a report of this member's death.
     fn renew(&self) -> Option<Self> {
         Some(Member { revision: self.revision + 1, ..self.clone() })
             .filter(|next| next.revision <= MAX_REVISION)
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -46,7 +46,7 @@
 pub struct FleetOptions {
     /// This sender's name on the member list.
     pub name: String,
-    /// This sender's failure domain.
+    /// This sender's failure domain, such as a machine, rack or building.
     pub domain: String,
     /// The address at which this sender receives datagrams.
     pub address: SocketAddr,
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -20,7 +20,7 @@
 
 /// The maximum size of a datagram in bytes, so that it fits into one Ethernet frame with its headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The maximum number of datagrams waiting to be sent.
+/// The maximum number of datagrams that wait to be sent.
 /// If more datagrams wait, the oldest are dropped, which the protocol tolerates as it does any lost datagram.
 const MAX_SEND_QUEUE: usize = 1024;
 /// The interval at which requests to join are sent to members that are not active.
@@ -143,7 +143,7 @@
     timers: BTreeMap<(Micros, u64), Timer<Member>>,
     timer_sequence: u64,
     send_queue: VecDeque<(SocketAddr, Bytes)>,
-    /// The time of the last datagram from each member.
+    /// The time at which the last datagram from each member was received.
     last_received: BTreeMap<String, Micros>,
     /// The last record of each name that the record of another incarnation has replaced.
     replaced: BTreeMap<String, Member>,
@@ -164,7 +164,7 @@
 
 impl Peers {
     /// Creates the state of a process that has just started and knows no other member.
-    /// `seed` determines the random choice of members to probe and to send gossip to.
+    /// The number `seed` determines the random choice of members to probe and to send gossip to.
     ///
     /// # Errors
     /// When the name of `own_record` is not on the agreed list.
@@ -208,11 +208,11 @@
         })
     }
 
-    /// Replaces the agreed member list.
+    /// Replaces the fleet's agreed member list.
     ///
     /// # Errors
     /// When more than one member is added or removed, or this member is not on the new list.
-    /// After an error the old list stays in force.
+    /// After an error the old member list stays in force.
     pub fn set_fleet(&mut self, fleet: Fleet) -> Result<(), FleetError> {
         self.fleet.check_change(&fleet, &self.foca.identity().name)?;
         // The new list differs by at most one member, so the library's settings hardly change: a failure is harmless.
@@ -237,7 +237,7 @@
         self.drain_runtime(now);
     }
 
-    /// Processes a received datagram.
+    /// Processes a datagram received from another process, or counts it as dropped.
     pub fn receive(&mut self, now: Micros, data: &[u8]) {
         self.check_for_pause(now);
         if self.displaced {
--- a/crates/peer/src/view.rs
+++ b/crates/peer/src/view.rs
@@ -7,7 +7,7 @@
 /// The state of a member according to failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// The member answered, or another member reports that it did.
+    /// The member answered a probe, or another member reports that the member answered.
     Alive,
     /// The member did not answer a probe, and has not refuted the suspicion yet.
     Suspected,
@@ -17,7 +17,7 @@
     Unknown,
 }
 
-/// The view of one member of the agreed list.
+/// What this process knows of one other member of the agreed list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerView {
     /// The member's name on the list.
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -1,5 +1,5 @@
 //! The base table of one region. Each shard has a row of seats: owners first, then spares, which replace lost owners.
-//! The rows also contain vacant seats.
+//! The rows of the base table also contain vacant seats.
 //!
 //! The table is built by consistent hashing with bounded loads, one seat after another.
 //! Each added seat takes its quota of positions from seats that hold more than their new target.
@@ -33,7 +33,7 @@
     /// Seats that hold more positions than their target, in rows whose cost does not rise.
     AboveTarget,
     /// Seats that hold at least as many positions for their weight as the added seat, even after the transfer.
-    /// Only rows whose cost does not rise are considered.
+    /// Such positions are taken only in rows whose cost does not rise.
     MoreLoaded,
     /// Seats that hold more than 15/16 of their target, in rows whose cost falls.
     NearTarget,
@@ -56,7 +56,7 @@
 /// A search of the conflict rows ends after this number of consecutive rows that the seat can't improve.
 const MAX_CONFLICT_MISSES: u32 = 64;
 
-/// The base table of one region.
+/// The base table of one region: a row of seats for each shard.
 #[derive(Clone, Debug)]
 pub(crate) struct BaseTable {
     layout: Layout,
@@ -86,7 +86,7 @@
     increases_cost: bool,
 }
 
-/// An added seat's search for positions of one kind.
+/// An added seat's search for positions of one kind, owner or spare.
 struct Search {
     seat: u16,
     kind: PositionKind,
@@ -147,7 +147,7 @@
         &self.changed_rows
     }
 
-    /// Returns the size of the table in memory, in bytes.
+    /// Returns the size of the base table in memory, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.rows.capacity() * size_of::<[u16; ROW_LENGTH]>()
             + self.ids.capacity() * size_of::<BaseSeat>()
@@ -162,7 +162,7 @@
         self.conflicts.iter_mut().for_each(ConflictRows::shrink);
     }
 
-    /// Adds a seat after the region's last one.
+    /// Adds a seat after the region's last seat.
     pub(crate) fn append(&mut self, seat: BaseSeat) {
         let ordinal = self.ids.len();
         self.ids.push(seat.id);
@@ -394,7 +394,7 @@
         self.loads[kind as usize][usize::from(seat)]
     }
 
-    /// Assigns a position to the searching seat.
+    /// Assigns a position in a row to the searching seat.
     fn assign(&mut self, row: u32, position: usize, search: &mut Search) {
         let donor = std::mem::replace(&mut self.rows[row as usize][position], search.seat);
         self.loads[search.kind as usize][usize::from(donor)] -= 1;
@@ -407,7 +407,7 @@
         }
     }
 
-    /// Returns the cost of a row, see [`pair_cost`].
+    /// Returns the cost of a row's shared zones and racks, see [`pair_cost`].
     fn row_cost(&self, row: u32) -> u32 {
         self.layout.cost(&self.rows[row as usize].map(|seat| self.domain(seat)))
     }
--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -15,22 +15,22 @@
     pub changes: Vec<Change>,
 }
 
-/// One change to a member list.
+/// One change to a member list, of a seat or of a wide destination.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A member leaves its seat.
+    /// A member leaves its seat, which becomes vacant.
     Vacate {
         /// The seat that the member leaves. The seat itself stays in the list.
         seat: SeatId,
     },
     /// A member takes a vacant seat.
     Fill {
-        /// The vacant seat.
+        /// The vacant seat that the member takes.
         seat: SeatId,
-        /// The member that fills the seat.
+        /// The member that takes the vacant seat.
         member: MemberForm,
     },
-    /// A seat is appended to the list.
+    /// A seat is appended to the member list.
     Append(SeatForm),
     /// A destination's width changes. Width 1 makes the destination plain again.
     SetWidth(WideForm),
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -2,8 +2,8 @@
 
 use crate::domains::{RackId, ZoneId};
 use crate::list::MAX_REPLICAS;
-/// Number of spare seats of a row, which replace lost owners. With two, a lost owner's shards stay in distinct zones,
-/// and the shards of a lost zone go to seats in proportion to their quotas.
+/// Number of spare seats of a row, which replace lost owners. With two spares, a lost owner's shards stay in
+/// distinct zones, and the shards of a lost zone go to seats in proportion to the seats' quotas.
 pub(crate) const SPARES: usize = 2;
 
 /// Length of the longest row. Shorter rows are filled up with [`EMPTY`],
@@ -114,7 +114,7 @@
     }
 }
 
-/// Returns the weight of a pair of positions.
+/// Returns the weight in a row's cost of a pair of the row's positions.
 fn pair_weight(owners: usize, first: usize, second: usize) -> u32 {
     if first.max(second) < owners { OWNER_PAIR_WEIGHT } else { OTHER_PAIR_WEIGHT }
 }
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -6,7 +6,7 @@
     /// The text is not a JSON member list, list of changes, or answer of a control agent.
     #[error("malformed member list: {reason}: send one of the forms of docs/design/placement.md")]
     Malformed {
-        /// The parser's message, with line and column.
+        /// The JSON parser's message, with line and column.
         reason: String,
     },
     /// The list names a placement scheme that this version does not support.
@@ -24,7 +24,7 @@
     Replicas {
         /// Number of replicas per shard in the list.
         replicas: u64,
-        /// The maximum number of replicas.
+        /// Maximum number of replicas per shard.
         max: usize,
     },
     /// The list has no regions.
@@ -74,7 +74,7 @@
         /// Name of the region that the seat refers to.
         region: String,
     },
-    /// A weight is not a number above 0 and up to the maximum.
+    /// A seat's weight is not a number above 0 and up to the maximum.
     #[error(
         "seats[{seat}].weight is {weight}: must be at least 1/1024 and at most {max}, 1 for a usual machine"
     )]
@@ -127,7 +127,7 @@
         region: String,
         /// Number of filled seats in the region.
         members: usize,
-        /// Replicas that each shard needs.
+        /// Number of replicas that each shard needs.
         replicas: usize,
     },
     /// The width of a wide destination is out of range.
@@ -137,7 +137,7 @@
     Width {
         /// Number of the invalid wide destination.
         dest: i64,
-        /// The width in the list or the change.
+        /// Width of the destination in the list or the change.
         width: u64,
         /// Maximum width of a wide destination.
         max: u16,
@@ -151,7 +151,7 @@
     /// The received list is older than the list in force.
     #[error("epoch {offered} is older than epoch {current} in force: send an epoch above {current}")]
     StaleEpoch {
-        /// Epoch in force.
+        /// Epoch of the list in force.
         current: u64,
         /// Epoch of the rejected list.
         offered: u64,
@@ -165,7 +165,7 @@
     /// The changes do not begin at the epoch in force.
     #[error("changes since epoch {since} do not apply to epoch {current} in force: send the full list")]
     SinceMismatch {
-        /// Epoch in force; 0 before the first list.
+        /// Epoch of the list in force; 0 before the first list.
         current: u64,
         /// Epoch that the changes begin at.
         since: u64,
@@ -183,7 +183,7 @@
     SeatOutOfRange {
         /// Number of the seat that the change names.
         seat: u64,
-        /// Number of seats of the list.
+        /// Number of seats that the list has.
         seats: usize,
     },
     /// A change fills a seat that has a member.
@@ -191,7 +191,7 @@
     SeatFilled {
         /// Number of the seat that the change names.
         seat: usize,
-        /// The member that fills the seat.
+        /// The member that already fills the seat.
         member: String,
     },
     /// A change vacates a seat that has no member.
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -56,7 +56,7 @@
     },
     /// An owner may have accepted the request, and a repeat could take effect twice.
     Failed,
-    /// No sender can accept the request, for this reason.
+    /// No sender can accept the request, for the given reason.
     Invalid(String),
 }
 
@@ -65,12 +65,12 @@
 pub enum Step {
     /// Send the request to an owner.
     Send {
-        /// The seat of the owner to send to.
+        /// The seat of the owner to which the request is sent.
         to: SeatId,
         /// The time from now within which the first byte must be written.
         /// If that time passes, the caller must not write any byte, and the outcome is [`ForwardOutcome::NotSent`].
         write_timeout: Micros,
-        /// The time from now within which the answer must arrive.
+        /// The time from now within which the owner's answer must arrive.
         /// If the owner has not answered by then, the outcome is [`ForwardOutcome::Unknown`].
         answer_timeout: Micros,
     },
@@ -84,14 +84,14 @@
     effect: Effect,
     candidates: std::vec::IntoIter<SeatId>,
     deadline: Micros,
-    /// The shortest wait that an owner has reported.
+    /// The shortest wait that an owner has reported, in milliseconds.
     min_wait_ms: Option<u64>,
     reply: Option<ClientReply>,
 }
 
 impl Forwarding {
     /// Creates the state of a request that was read at `read_at` and must be answered within `budget` of that.
-    /// `candidates` are tried in order, each at most once.
+    /// The owners in `candidates` are tried in order, each at most once.
     pub fn new(effect: Effect, candidates: Vec<SeatId>, read_at: Micros, budget: Micros) -> Self {
         Forwarding {
             effect,
@@ -108,7 +108,7 @@
     }
 
     /// Records the outcome of the last [`Step::Send`] and returns the next step.
-    /// Once the reply is decided, later outcomes do not change it.
+    /// Once the reply is decided, later outcomes do not change the reply.
     pub fn record_outcome(&mut self, now: Micros, outcome: ForwardOutcome) -> Step {
         if let Some(reply) = &self.reply {
             return Step::Reply(reply.clone());
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -10,7 +10,7 @@
     value ^ (value >> 31)
 }
 
-/// Hashes two numbers. Swapping them gives another hash.
+/// Hashes a pair of numbers. Swapping the numbers gives another hash.
 pub const fn mix_pair(first: u64, second: u64) -> u64 {
     mix(mix(first.wrapping_add(FIBONACCI_MULTIPLIER)).wrapping_add(second))
 }
@@ -35,7 +35,7 @@
         Self(mix_pair(self.0, value))
     }
 
-    /// Returns the digest extended by a text and its length.
+    /// Returns the digest extended by a text and the text's length.
     /// The length distinguishes consecutive texts from a different split of the same bytes.
     pub fn text(self, text: &str) -> Self {
         let mut digest = self.number(text.len() as u64);
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -26,7 +26,7 @@
     until: Micros,
 }
 
-/// The holds of one owned shard.
+/// The holds on one owned shard and on its keys.
 #[derive(Clone, Debug, Default)]
 struct ShardHold {
     /// Time until which another sender may still act as an owner of the shard.
@@ -104,8 +104,8 @@
         ready_at.max(self.all_until).filter(|&until| now < until)
     }
 
-    /// Returns the end of the hold of a key whose preferred owner is `own_seat`:
-    /// the time until which another sender may have messages of the key.
+    /// Returns the end of the hold of a key whose preferred owner is `own_seat`.
+    /// Until the hold ends, another sender may have messages of the key.
     pub(crate) fn key_hold(
         &self,
         shard: ShardId,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Removes holds that have ended.
+    /// Removes holds on shards and keys that have ended.
     pub(crate) fn prune(&mut self, now: Micros) {
         self.all_until = self.all_until.filter(|&until| now < until);
         self.lost.retain(|_, until| now < *until);
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -5,8 +5,9 @@
 //! The lease counts from the poll, so a delayed answer shortens the remaining lease by its delay.
 //!
 //! All times are from one monotonic clock of this process, which also advances while the process is stopped and,
-//! where the system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`). Clock readings of different
-//! machines are never compared. Their rates may differ, so the hold is longer by one part in [`CLOCK_DRIFT_DIVISOR`].
+//! where the system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`).
+//! Clock readings of different machines are never compared.
+//! Clocks may run at different rates, so the hold is longer by one part in [`CLOCK_DRIFT_DIVISOR`].
 
 use heronroute::Micros;
 
@@ -20,7 +21,7 @@
     /// How long an answer of the control agent, counted from the poll, allows a sender to accept requests.
     pub lease: Micros,
     /// How far a control agent may lag behind. The agent may answer with an epoch for at most this long
-    /// after a later epoch was first sent to any sender. Later, the agent must not answer until it has caught up.
+    /// after a later epoch was first sent to any sender. After that, an agent that lags must not answer.
     /// The lag is 0 if the agent confirms each answer with the control service after the poll.
     pub agent_lag: Micros,
     /// The longest deadline of any class, plus how long a call may still run after the deadline (`order_settle`).
--- a/crates/placement/src/list.rs
+++ b/crates/placement/src/list.rs
@@ -1,5 +1,5 @@
-//! The member list of one epoch. [`MemberList`] is validated when it is constructed,
-//! so code that uses it needs no further checks.
+//! The member list of one epoch.
+//! [`MemberList`] is validated when it is constructed, so code that uses a list needs no further checks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::weight::{MAX_WEIGHT, Weight};
 use crate::wire::{ListForm, MemberForm, RegionForm, SeatForm, WideForm};
 
-/// Maximum number of replicas.
+/// Maximum number of replicas, which are the owners of one shard.
 pub const MAX_REPLICAS: usize = 4;
 
 /// Maximum number of seats: a seat number has 16 bits, and one of its values is reserved for "no seat".
@@ -183,17 +183,17 @@
         digest.number(self.seats.len() as u64).number(self.contents_digest).value()
     }
 
-    /// Returns the number of seats, filled or vacant.
+    /// Returns the number of seats in the list, filled or vacant.
     pub fn seat_count(&self) -> usize {
         self.seats.len()
     }
 
-    /// Returns the number of filled seats.
+    /// Returns the number of filled seats in the list.
     pub fn member_count(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Returns all seats in order.
+    /// Returns all seats in the order of their numbers.
     pub fn seat_ids(&self) -> impl Iterator<Item = SeatId> + use<> {
         (0..self.seats.len() as u32).map(|seat| SeatId(seat as u16))
     }
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,6 +1,5 @@
-//! The section `[placement]` of the operator's options: this member's name,
-//! the address at which it accepts forwarded requests, the control agents that serve the member list,
-//! and the related times and limits.
+//! The section `[placement]` of the operator's options file. The section sets this member's name, the address
+//! at which this member accepts forwarded requests, the control agents that serve the member list, times and limits.
 
 use embershore_finding::SpanFinding;
 use heronroute::Micros;
@@ -11,7 +10,7 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Maximum length of a member's name.
+/// Maximum length of a member's name in bytes.
 const MAX_NAME_BYTES: usize = 128;
 /// Maximum number of control agents. A longer list only lengthens the search for an agent that answers.
 const MAX_CONTROL_AGENTS: usize = 8;
@@ -59,8 +58,8 @@
     pub lease: Micros,
     /// The interval between polls of a control agent, in microseconds.
     pub poll_interval: Micros,
-    /// How long an agent may still answer with an epoch after a later one was first sent to any sender,
-    /// in microseconds; see [`crate::LeaseTimes::agent_lag`].
+    /// How long, in microseconds, a control agent may still answer with an epoch after a later epoch was first sent
+    /// to any sender, see [`crate::LeaseTimes::agent_lag`].
     pub agent_lag: Micros,
     /// Maximum number of persistent connections to other members.
     pub max_owner_connections: usize,
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -76,11 +76,11 @@
 /// Whether this sender accepts a request as an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// The request is accepted.
+    /// This sender accepts the request.
     Accepted,
     /// Another sender is the owner, or an ordered request prefers another owner.
     NotOwner,
-    /// A former owner may still be delivering until this time.
+    /// The request's shard or key is on hold: a former owner may still be delivering until this time.
     OnHold(Micros),
     /// The lease has expired, or no answer of a control agent has been received yet.
     LeaseExpired,
@@ -89,9 +89,9 @@
 /// How a control agent's answer changed this sender's epoch and shards.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EpochUpdate {
-    /// The epoch in force.
+    /// Epoch of the member list in force.
     pub epoch: u64,
-    /// Whether the answer changed the epoch.
+    /// Whether the control agent's answer changed the epoch.
     pub changed: bool,
     /// The shards that this sender owns now and did not own before, in order.
     pub gained: Vec<ShardId>,
@@ -102,9 +102,9 @@
 /// The state that is persisted in the state folder for the next run of this sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedPlacement {
-    /// The epoch in force.
+    /// Epoch of the member list in force.
     pub epoch: u64,
-    /// The [`MemberList::digest`] of the list in force.
+    /// Digest of the member list in force, see [`MemberList::digest`].
     pub digest: u64,
     /// Whether all of this sender's holds on gained shards and keys had ended when the state was written.
     pub settled: bool,
@@ -114,14 +114,14 @@
     pub wide: BTreeMap<i64, u16>,
 }
 
-/// The placement in force, and this sender's seat in it.
+/// The placement in force, and this sender's seat in that placement.
 #[derive(Clone, Debug)]
 struct View {
     placement: Arc<Placement>,
     seat: Option<SeatId>,
 }
 
-/// One sender's view of the placement.
+/// One sender's view of the placement: lease, list in force, holds and routes.
 #[derive(Clone, Debug)]
 pub struct Ownership {
     name: String,
@@ -138,7 +138,7 @@
 
 impl Ownership {
     /// Creates the view of a sender that has received no list yet.
-    /// `lease` and `longest_deadline` are as in [`LeaseTimes`].
+    /// For `lease` and `longest_deadline`, see the fields of [`LeaseTimes`].
     /// The agent lag is 0 unless set by [`Self::with_agent_lag`].
     pub fn new(own_name: impl Into<String>, lease: Micros, longest_deadline: Micros) -> Self {
         Ownership {
@@ -227,17 +227,17 @@
         self.view.as_ref().map(|view| &*view.placement)
     }
 
-    /// Returns the seat that this sender fills.
+    /// Returns the seat that this sender fills in the member list in force.
     pub fn seat(&self) -> Option<SeatId> {
         self.view.as_ref()?.seat
     }
 
-    /// Returns whether the lease is valid at `now`.
+    /// Returns whether this sender's lease is valid at `now`.
     pub fn lease_valid(&self, now: Micros) -> bool {
         self.lease.is_valid(now)
     }
 
-    /// Returns the lease, for the metrics.
+    /// Returns the lease under which this sender accepts requests, for the metrics.
     pub fn lease(&self) -> Lease {
         self.lease
     }
@@ -260,7 +260,7 @@
         })
     }
 
-    /// Returns where a client's request is processed.
+    /// Returns which sender processes a client's request.
     /// A request that another sender forwarded is never routed again: [`Self::admission`] accepts or rejects it.
     pub fn route(&self, now: Micros, request: &Request<'_>) -> Route {
         let Some(view) = &self.view else { return Route::Unknown };
@@ -342,7 +342,7 @@
         }
     }
 
-    /// Handles an answer that the epoch in force is the latest.
+    /// Handles a control agent's answer that the epoch in force is the latest.
     fn confirm_epoch(&self, epoch: u64) -> Result<EpochUpdate, ListError> {
         let current = self.epoch().unwrap_or(0);
         if epoch < current {
@@ -469,7 +469,7 @@
         SeatedPlacement { placement, seat: self.seat_in(placement.list()) }
     }
 
-    /// Returns the seat that this process fills in a list.
+    /// Returns the seat that this process fills in a member list.
     fn seat_in(&self, list: &MemberList) -> Option<SeatId> {
         let seat = list.seat_of(&self.name)?;
         let listed = list.member(seat)?.address();
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -8,7 +8,7 @@
 use crate::shard::ShardId;
 use crate::table::Table;
 
-/// The member list of one epoch and its table.
+/// The member list of one epoch, and the table of owners computed from it.
 #[derive(Clone, Debug)]
 pub struct Placement {
     list: MemberList,
@@ -81,13 +81,13 @@
 
 /// Provides a sender's placements. Many senders in one process may share placements instead of each computing its own.
 pub trait PlacementSource {
-    /// Returns the placement of a full list.
+    /// Returns the placement of a full member list.
     fn build(&mut self, list: MemberList) -> Arc<Placement>;
 
     /// Returns the placement that results from applying `changes` to the placement `before`.
     ///
     /// # Errors
-    /// Fails if the changes do not apply to the list.
+    /// Fails if the changes do not apply to the member list of `before`.
     fn apply(&mut self, before: &Arc<Placement>, changes: &Changes) -> Result<Arc<Placement>, ListError>;
 }
 
--- a/crates/placement/src/preference.rs
+++ b/crates/placement/src/preference.rs
@@ -2,11 +2,11 @@
 //! by rendezvous hashing (Thaler and Ravishankar, 1998) over the owners.
 //!
 //! All senders must agree on the preference, whatever their versions:
-//! it is part of the scheme ([`crate::SCHEME`]) and pinned by a test.
+//! the preference is part of the scheme ([`crate::SCHEME`]) and pinned by a test.
 //!
 //! An ordered request is hashed by its order key, any other request by its id.
-//! The preference depends only on the set of owners, not on their order in the table, and each request
-//! ranks the owners in its own order. When an owner is lost, its requests are therefore spread over all other owners.
+//! The preference depends only on the set of owners, not on their order in the table. Each request ranks
+//! the owners in its own order, so that the requests of a lost owner are spread over all other owners.
 //! A key whose preferred owner remains can only move to a newly added owner.
 
 use crate::hash::{Digest, mix_pair, scale};
@@ -15,9 +15,9 @@
 /// The fields of a request that placement depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
-    /// The number of the destination.
+    /// The number of the request's destination.
     pub dest: i64,
-    /// The order key, in a class that keeps order.
+    /// The request's order key, in a class that keeps order.
     pub order_key: Option<&'a str>,
     /// The id that the client assigned to the request.
     pub request_id: &'a str,
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -145,12 +145,12 @@
         FallbackOrder::of(self.shard(row))
     }
 
-    /// Returns the shard of a row.
+    /// Returns the shard that a row of the region stands for.
     pub(crate) fn shard(&self, row: u32) -> ShardId {
         ShardId::at_position(self.first_position + row)
     }
 
-    /// Returns a row's owners in order.
+    /// Returns the owners of a row's shard, in order.
     pub(crate) fn owners(&self, row: u32) -> &[SeatId] {
         let start = row as usize * self.replicas;
         let owners = &self.owners[start..start + self.replicas];
@@ -158,7 +158,7 @@
         &owners[..len]
     }
 
-    /// Returns the shards that a seat owns.
+    /// Returns the region's shards that a seat owns.
     pub(crate) fn shards_of(&self, seat: SeatId) -> impl Iterator<Item = ShardId> + '_ {
         let rows = self.owners.chunks_exact(self.replicas).zip(0..);
         rows.filter(move |(owners, _)| owners.contains(&seat)).map(|(_, row)| self.shard(row))
@@ -190,9 +190,8 @@
         seat != EMPTY && self.filled[usize::from(seat)]
     }
 
-    /// Selects a filled spare for each missing owner:
-    /// the spare that shares the fewest domains with the row's other base owners. Vacant base owners count too,
-    /// so that vacating or filling one seat does not change which spare replaces another seat.
+    /// Selects for each missing owner the filled spare that shares the fewest domains with the row's other base owners.
+    /// Vacant base owners count too, so that vacating or filling one seat does not change which spare replaces another.
     fn add_spares(&self, row: u32, owner_count: usize, selection: &mut OwnerSelection) {
         let (owners, spares) = self.base.row(row);
         for missing in owners.iter().filter(|&&owner| !self.is_filled(owner)) {
@@ -226,7 +225,7 @@
         }
     }
 
-    /// Adds all owners to a digest.
+    /// Adds the owners of all the region's shards to a digest.
     pub(crate) fn digest(&self, digest: Digest) -> Digest {
         self.owners.iter().fold(digest, |digest, owner| digest.number(u64::from(owner.0)))
     }
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Table {
     regions: Vec<RegionTable>,
-    /// Each seat's region and its ordinal within the region.
+    /// For each seat, its region and its ordinal among the region's seats.
     seats: Vec<(RegionId, u16)>,
 }
 
@@ -114,7 +114,7 @@
     ordinal
 }
 
-/// Returns each seat's region and its ordinal within the region.
+/// Returns for each seat its region and its ordinal among the region's seats.
 fn seat_locations(list: &MemberList, regions: usize) -> Vec<(RegionId, u16)> {
     let mut counts = vec![0; regions];
     let location = |seat| {
--- a/crates/placement/src/target.rs
+++ b/crates/placement/src/target.rs
@@ -1,5 +1,5 @@
-//! The number of a region's positions that each seat should hold:
-//! in proportion to its weight, and at most one position per shard.
+//! The target of each seat: how many of a region's positions the seat should hold.
+//! The target is in proportion to the seat's weight, but at most one position per shard.
 
 use crate::list::MAX_REPLICAS;
 
@@ -26,8 +26,8 @@
     }
 
     /// Returns the share of all positions that each weight is entitled to.
-    /// The `replicas` positions of a shard must be on different seats,
-    /// so a seat holds at most one of them, and a weight counts only up to `1 / replicas` of the sum.
+    /// The `replicas` positions of a shard must be on different seats, so a seat holds at most one of them.
+    /// Therefore a seat's weight counts only up to `1 / replicas` of the sum of weights.
     pub(crate) fn shares(&self, replicas: usize) -> Shares {
         let mut rest = self.total;
         for capped in 0..replicas {
--- a/crates/placement/src/weight.rs
+++ b/crates/placement/src/weight.rs
@@ -10,7 +10,7 @@
 pub struct Weight(u32);
 
 impl Weight {
-    /// Converts a decimal number, rounded to the nearest 1/1024.
+    /// Converts a decimal number to a weight, rounded to the nearest 1/1024.
     /// Returns `None` if the number is not finite, rounds to 0, or exceeds [`MAX_WEIGHT`].
     pub fn new(decimal: f64) -> Option<Self> {
         let in_range = decimal > 0.0 && decimal <= f64::from(MAX_WEIGHT);
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -12,14 +12,14 @@
 pub struct ListForm {
     /// Epoch: the version number of the list, which grows with each change.
     pub epoch: u64,
-    /// Placement scheme, see [`crate::SCHEME`].
+    /// Number of the placement scheme, see [`crate::SCHEME`].
     pub scheme: u16,
     /// Number of owners of each shard.
     pub replicas: u64,
     /// Whether this is the first list of a new fleet: no sender owned any shard before it.
     #[serde(default)]
     pub first: bool,
-    /// Regions and their shares of the shards.
+    /// Regions of the fleet, and their shares of the shards.
     pub regions: Vec<RegionForm>,
     /// Seats in the order of their numbers.
     pub seats: Vec<SeatForm>,
@@ -46,9 +46,9 @@
     pub zone: String,
     /// Name of the seat's rack, unique within the zone.
     pub rack: String,
-    /// Capacity relative to a usual machine, which has weight 1.
+    /// Capacity of the seat relative to a usual machine, which has weight 1.
     pub weight: f64,
-    /// The member that fills the seat; `null` if it is vacant.
+    /// The member that fills the seat; `null` if the seat is vacant.
     pub member: Option<MemberForm>,
 }
 
@@ -64,7 +64,7 @@
 /// A wide destination, whose requests are spread over several shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WideForm {
-    /// Number of the destination.
+    /// Number of the wide destination.
     pub dest: i64,
     /// Number of shards over which the destination's requests are spread.
     pub width: u64,
@@ -90,7 +90,7 @@
     /// The member that fills the seat; `Some(None)`, `null` on the wire, vacates it.
     #[serde(default, skip_serializing_if = "Option::is_none", deserialize_with = "present")]
     pub member: Option<Option<MemberForm>>,
-    /// A seat that is appended to the list.
+    /// A seat that is appended to the member list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub append: Option<SeatForm>,
     /// A destination whose width changes.
@@ -106,11 +106,11 @@
 /// A control agent's answer to `GET /v1/members?since=EPOCH`.
 #[derive(Clone, Debug)]
 pub enum AgentAnswer {
-    /// The full list.
+    /// The full member list.
     Full(Box<MemberList>),
-    /// Changes to the list of epoch `since`.
+    /// Changes to the member list of epoch `since`.
     Changes(Changes),
-    /// The list of epoch `since` is still in force.
+    /// The member list of epoch `since` is still in force.
     Unchanged {
         /// The epoch of the list in force.
         epoch: u64,
@@ -118,7 +118,7 @@
 }
 
 impl AgentAnswer {
-    /// Parses the JSON text of an answer.
+    /// Parses the JSON text of a control agent's answer.
     ///
     /// # Errors
     /// Fails if the text is neither a full list, changes nor an epoch, or if a full list is invalid.
@@ -154,7 +154,7 @@
         Self::from_form(parse(bytes)?)
     }
 
-    /// Returns the list in its wire form.
+    /// Returns the member list in its JSON form.
     pub fn to_form(&self) -> ListForm {
         ListForm {
             epoch: self.epoch(),
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Returns the list as JSON.
+    /// Returns the member list as JSON text.
     pub fn to_json(&self) -> Vec<u8> {
         to_json(&self.to_form())
     }
@@ -208,7 +208,7 @@
     /// Converts changes from their JSON form.
     ///
     /// # Errors
-    /// Fails for an entry that is not exactly one change.
+    /// Fails if an entry of `changes` is not exactly one change.
     pub fn from_form(form: ChangesForm) -> Result<Self, ListError> {
         let entries = form.changes.into_iter().enumerate();
         let changes = entries.map(|(index, entry)| checked_change(index, entry)).collect::<Result<_, _>>()?;
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Returns the changes as JSON.
+    /// Returns the changes as JSON text.
     pub fn to_json(&self) -> Vec<u8> {
         to_json(&self.to_form())
     }
