--- a/crates/handover/src/owner.rs
+++ b/crates/handover/src/owner.rs
@@ -46,7 +46,7 @@
     SendHello,
     /// Finishes pending work, releases the lock and sends the state.
     Release,
-    /// Tries to acquire the lock again. A failure means that another process holds it.
+    /// Tries to acquire the lock again. A failure means that another process holds the lock.
     Reclaim,
     /// Keeps serving as if no successor had connected.
     KeepServing,
@@ -75,7 +75,7 @@
             (Owner::Released | Owner::SuccessorLost, Reclaimed(true)) => {
                 (Owner::Aborted, OwnerAction::KeepServing)
             }
-            // Another process owns the journal, but is not connected and so can't report it.
+            // Another process holds the lock and so owns the journal, but can't report this without a connection.
             // The owner retires, because waiting any longer for the lock would serve no client.
             (Owner::SuccessorLost, Reclaimed(false)) => (Owner::Retired, OwnerAction::Retire),
             (Owner::Released, Released | Reclaimed(false)) => (Owner::Released, OwnerAction::Wait),
--- a/crates/owed/src/plan.rs
+++ b/crates/owed/src/plan.rs
@@ -106,7 +106,7 @@
     resend.in_window(earliest.max(gap_end))
 }
 
-/// Returns whether a debt may have run and another delivery might have a second effect.
+/// Returns whether a debt is in doubt: its message may have run, and another delivery might have a second effect.
 pub fn in_doubt(debt: &Debt, classes: &[ClassFacts], now: Micros) -> bool {
     let Some(first) = debt.may_have_run else { return false };
     match classes.iter().find(|c| c.name == debt.message.class) {
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -29,7 +29,7 @@
 const COUNTS: TableDefinition<(i64, &str, u8, u8), u64> = TableDefinition::new("counts");
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 
-/// The version of the stored format. A file with a later version is rejected rather than misread.
+/// The version of the store's file format. A file with a later version is rejected rather than misread.
 const FORMAT_VERSION: u64 = 1;
 /// The bytes booked for a debt in addition to its row and body: its keys in all tables, and page overhead.
 const ENTRY_OVERHEAD_BYTES: u64 = 256;
@@ -210,8 +210,8 @@
 }
 
 impl Store {
-    /// Opens the store in a file, or creates it. A new file is renamed to `path` only once it is complete,
-    /// because a file that a killed process left incomplete could not be opened.
+    /// Opens the store in the file `path`, or creates the file. A new file is renamed to `path` only when complete:
+    /// a file that a killed process left incomplete could not be opened.
     ///
     /// # Errors
     /// When the file can't be opened, was written by a later release, or is not a store.
@@ -250,8 +250,8 @@
         Ok(Store { db, max_live_bytes: max_bytes.saturating_sub(EMPTY_FILE_BYTES) / FILE_SIZE_FACTOR })
     }
 
-    /// Stores the debt of a message and syncs it to disk. A message that is already owed is left unchanged,
-    /// because an interrupted transfer into the store is repeated at the next start.
+    /// Stores the debt of a message and syncs it to disk. A message that is already owed is left unchanged:
+    /// after an interrupted transfer into the store, the next start of the sender repeats the transfer.
     ///
     /// # Errors
     /// When the store has no room for the debt, or the disk fails. In both cases the message is not stored.
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -42,7 +42,7 @@
 pub struct Times {
     /// The interval at which each member probes another member, in microseconds.
     pub probe_interval: Micros,
-    /// The time within which a probe must be answered, in microseconds. It is less than half of `probe_interval`.
+    /// The time within which a probe must be answered, in microseconds; less than half of `probe_interval`.
     pub probe_timeout: Micros,
     /// The maximum gap between two calls of [`Peers`], in microseconds.
     /// A longer gap between the calls means that this process was suspended.
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -321,7 +321,7 @@
 
     /// Returns the first position that the searching seat may take in the rows of one probe, starting at row `first`.
     fn find_position(&self, first: u32, donors: Donors, search: &Search) -> Option<FoundPosition> {
-        // `AboveTarget` has its own specialised loop, because it runs millions of times per table.
+        // `AboveTarget` has its own specialised loop, because that loop runs millions of times for each table built.
         match donors {
             Donors::AboveTarget => {
                 self.find_position_where(first, false, search, |donor| self.is_above_target(donor, search))
--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -32,7 +32,7 @@
     },
     /// A seat is appended to the member list.
     Append(SeatForm),
-    /// A destination's width changes. Width 1 makes the destination plain again.
+    /// A destination's width changes. With width 1 the destination is no longer wide.
     SetWidth(WideForm),
 }
 
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -13,13 +13,13 @@
 /// Marks a position that no seat holds: the region has fewer seats than a row has positions, or the row is shorter.
 pub(crate) const EMPTY: u16 = u16::MAX;
 
-/// Cost of two seats of a row that share a rack.
+/// Cost that two seats of a row add to the row's cost if they share a rack.
 const SHARED_RACK_COST: u32 = 1;
-/// Cost of two seats of a row that share a zone. If they share a rack too, the costs add up.
+/// Cost that two seats of a row add to the row's cost if they share a zone. The cost of a shared rack is added.
 const SHARED_ZONE_COST: u32 = 1 << 3;
 
 /// Weight of a pair of owners in a row's cost. One pair of owners outweighs all pairs with a spare:
-/// a row has at most six pairs of owners, and 15 pairs in all.
+/// a row has at most 15 pairs of seats, of which at most six are pairs of owners.
 const OWNER_PAIR_WEIGHT: u32 = 1 << 8;
 /// Weight in a row's cost of a pair of seats of which at least one is a spare.
 const OTHER_PAIR_WEIGHT: u32 = 1;
@@ -37,7 +37,7 @@
     /// Returns the least amount by which a row's cost falls when a conflict of this scope is resolved.
     pub(crate) const fn min_gain(self) -> i32 {
         match self {
-            // Half of the conflict's cost, because smaller conflicts may replace the resolved one.
+            // The minimum gain is half of the conflict's cost, because smaller conflicts may replace the resolved one.
             Self::Owners => (OWNER_PAIR_WEIGHT * SHARED_ZONE_COST / 2) as i32,
             Self::Any => 1,
         }
@@ -119,7 +119,7 @@
     if first.max(second) < owners { OWNER_PAIR_WEIGHT } else { OTHER_PAIR_WEIGHT }
 }
 
-/// Returns the cost that a pair of seats adds to its row, multiplied by `weight`.
+/// Returns the cost that a pair of seats adds to its row: the cost of shared zone and rack, multiplied by `weight`.
 pub(crate) fn pair_cost(first: Domain, second: Domain, weight: u32) -> u32 {
     let difference = first.0 ^ second.0;
     let shared_zone = if difference >> u16::BITS == 0 { SHARED_ZONE_COST } else { 0 };
@@ -181,7 +181,8 @@
         }
     }
 
-    /// Removes the row at `index` from the list if its cost is no longer above the threshold. Returns whether it did.
+    /// Removes the row at `index` from the listed rows if its cost is no longer above the threshold.
+    /// Returns whether the row was removed.
     pub(crate) fn remove_if_resolved(&mut self, index: u32, cost: u32) -> bool {
         if cost > self.threshold {
             return false;
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -2,7 +2,7 @@
 //! which owner the request is sent to next, the timeouts of each owner, and the reply to the client.
 //!
 //! The machine does no I/O. It returns [`Step::Send`], is given the [`ForwardOutcome`], and ends with [`Step::Reply`].
-//! Its main rule: a request that one owner may have accepted is sent to another owner only if a repeat does no harm.
+//! Main rule: a request that one owner may have accepted is sent to another owner only if a repeat does no harm.
 //! The caller must therefore report whether the first byte of the request was written:
 //!
 //! | event | outcome | next step |
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -1,4 +1,4 @@
-//! The hash functions of scheme 1. A change to any of them needs a new scheme number.
+//! The hash functions of placement scheme 1. A change to any of these functions needs a new scheme number.
 
 /// The multiplier of Fibonacci hashing (Knuth, TAOCP volume 3, section 6.4): 2^64 divided by the golden ratio, odd.
 pub const FIBONACCI_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -93,7 +93,7 @@
 pub(crate) struct Holds {
     all_until: Option<Micros>,
     shards: BTreeMap<ShardId, ShardHold>,
-    /// Lost shards, with the time until which this sender may still deliver messages of them.
+    /// Lost shards, each with the time until which this sender may still deliver the shard's messages.
     lost: BTreeMap<ShardId, Micros>,
 }
 
@@ -120,7 +120,7 @@
         until.max(self.shard_hold(shard, now))
     }
 
-    /// Returns whether this sender has lost the shard but may still be delivering messages of it.
+    /// Returns whether this sender has lost the shard but may still be delivering the shard's messages.
     pub(crate) fn recently_lost(&self, shard: ShardId) -> bool {
         self.lost.contains_key(&shard)
     }
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -20,8 +20,9 @@
 pub struct LeaseTimes {
     /// How long an answer of the control agent, counted from the poll, allows a sender to accept requests.
     pub lease: Micros,
-    /// How far a control agent may lag behind. The agent may answer with an epoch for at most this long
-    /// after a later epoch was first sent to any sender. After that, an agent that lags must not answer.
+    /// How far a control agent may lag behind: how long the agent may still answer with an epoch
+    /// after a later epoch was first sent to any sender.
+    /// An agent that lags by more must not answer until it has caught up.
     /// The lag is 0 if the agent confirms each answer with the control service after the poll.
     pub agent_lag: Micros,
     /// The longest deadline of any class, plus how long a call may still run after the deadline (`order_settle`).
--- a/crates/placement/src/list.rs
+++ b/crates/placement/src/list.rs
@@ -115,7 +115,7 @@
     by_name: Vec<SeatId>,
     /// Filled seats in the order of their members' addresses.
     by_address: Vec<SeatId>,
-    /// Wrapping sum of the digests of seats and wide destinations, updated by each change.
+    /// Wrapping sum of the digests of all seats and wide destinations, which each change to the list updates.
     contents_digest: u64,
 }
 
@@ -257,7 +257,7 @@
     /// Checks that the list `next` may replace this list.
     ///
     /// # Errors
-    /// Fails for an older epoch, and for other contents under the same epoch.
+    /// Fails if `next` has an older epoch, or the same epoch but other contents than this list.
     pub fn check_successor(&self, next: &Self) -> Result<(), ListError> {
         if next.epoch < self.epoch {
             return Err(ListError::StaleEpoch { current: self.epoch, offered: next.epoch });
@@ -285,7 +285,7 @@
         })
     }
 
-    /// Appends a seat to the list, with its member if the form names one.
+    /// Appends a seat to the list, with its member if the seat's form names one.
     pub(crate) fn append(&mut self, form: &SeatForm) -> Result<(), ListError> {
         check_count("seats", self.seats.len() + 1, MAX_SEATS)?;
         let seat = self.append_vacant(form)?;
@@ -329,7 +329,7 @@
         Ok(())
     }
 
-    /// Sets a destination's width, which the caller has validated. Width 1 makes the destination plain again.
+    /// Sets a destination's width, which the caller has validated. With width 1 the destination is no longer wide.
     pub(crate) fn set_width(&mut self, dest: i64, width: u16) -> Result<(), ListError> {
         if let Some(before) = self.wide.remove(&dest) {
             self.contents_digest = self.contents_digest.wrapping_sub(wide_digest(dest, before));
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -20,9 +20,9 @@
 const DEFAULT_LEASE: Duration = Duration::from_secs(10);
 /// Default number of polls to the control agent during one lease.
 const POLLS_PER_LEASE: u32 = 4;
-/// More frequent polls would cost more than everything else that an idle member does.
+/// Minimum time between polls. More frequent polls would cost more than everything else that an idle member does.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// A longer lag of an agent would keep gained shards on hold for longer than most outages last.
+/// Maximum lag of a control agent. A longer lag would keep gained shards on hold for longer than most outages last.
 const MAX_AGENT_LAG: Duration = Duration::from_secs(300);
 /// Allowed numbers of persistent connections to other members.
 /// Each connection uses a file descriptor that is then not available for connections to endpoints.
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -125,7 +125,7 @@
 #[derive(Clone, Debug)]
 pub struct Ownership {
     name: String,
-    /// This process's address for forwarded requests. `None` skips the check that the listed address is this one.
+    /// This process's address for forwarded requests. With `None`, this sender's address in the list is not checked.
     address: Option<SocketAddr>,
     times: LeaseTimes,
     lease: Lease,
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -29,7 +29,7 @@
         Placement { list, table, visible_shards: None }
     }
 
-    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in those derived from it.
+    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in placements derived from it.
     /// Simulations with many senders use it to examine only a few shards.
     #[must_use]
     pub fn restricted_to(mut self, shards: Arc<[ShardId]>) -> Self {
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -1,5 +1,5 @@
 //! The JSON forms in which a control agent sends member lists and changes.
-//! This module parses and writes them; [`MemberList`] validates them.
+//! This module parses and writes the JSON forms; [`MemberList`] validates their contents.
 
 use serde::{Deserialize, Deserializer, Serialize};
 
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -588,7 +588,7 @@
         let (from, send) = (self.forwards[index].member, self.forwards[index].sends);
         let list = self.members[from].ownership.list().expect("the route was computed from this list");
         let Some(owner) = list.member(to).map(|member| member_number(member.name())) else {
-            // The list has changed since the route was computed, and the seat is now vacant.
+            // The member list has changed since the route was computed, and the owner's seat is now vacant.
             self.outcome_after(0, index, ForwardOutcome::NotSent, None);
             return;
         };
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -82,7 +82,7 @@
     list.seat_ids().filter(|&seat| chosen(seat)).collect()
 }
 
-/// Returns changes from a list to the next epoch.
+/// Returns changes from a member list to the next epoch.
 pub fn changes(list: &MemberList, changes: Vec<Change>) -> Changes {
     Changes { epoch: list.epoch() + 1, since: list.epoch(), changes }
 }
@@ -112,9 +112,9 @@
 /// The shards that one change moved.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Moves {
-    /// Number of shards that each seat gained.
+    /// Number of shards that each seat gained by the change.
     pub gained: BTreeMap<SeatId, u32>,
-    /// Number of shards that each seat lost.
+    /// Number of shards that each seat lost by the change.
     pub lost: BTreeMap<SeatId, u32>,
 }
 
