--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -11,28 +11,28 @@
     pub epoch: u64,
     /// Epoch of the list that the changes apply to.
     pub since: u64,
-    /// The changes, in order.
+    /// Changes to the list, in the order in which they are applied.
     pub changes: Vec<Change>,
 }
 
-/// One change to a member list.
+/// One change to a member list, of a seat or of a wide destination.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A member leaves its seat.
+    /// A member leaves its seat, which becomes vacant.
     Vacate {
-        /// The seat, which stays in the list.
+        /// The seat that the member leaves. The seat itself stays in the list.
         seat: SeatId,
     },
     /// A member takes a vacant seat.
     Fill {
-        /// The vacant seat.
+        /// The vacant seat that the member takes.
         seat: SeatId,
-        /// The member that fills the seat.
+        /// The member that takes the vacant seat.
         member: MemberForm,
     },
-    /// A seat is appended to the list.
+    /// A seat is appended to the member list.
     Append(SeatForm),
-    /// A destination's width changes. Width 1 makes the destination plain again.
+    /// A destination's width changes. With width 1 the destination is no longer wide.
     SetWidth(WideForm),
 }
 
@@ -41,8 +41,8 @@
     ///
     /// # Errors
     /// Fails if the changes do not begin at this list's epoch or do not raise it,
-    /// if one of them can't be applied after the changes before it,
-    /// or if a region then has fewer members than each shard has replicas.
+    /// if one of the changes can't be applied after the changes before it,
+    /// or if the changes leave a region with fewer members than each shard has replicas.
     pub fn apply(&self, changes: &Changes) -> Result<Self, ListError> {
         self.check_epochs(changes)?;
         let mut next = self.successor(changes.epoch);
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -2,42 +2,42 @@
 
 use crate::domains::{RackId, ZoneId};
 use crate::list::MAX_REPLICAS;
-/// Number of spare seats of a row, which replace lost owners. With two, a lost owner's shards stay in distinct zones,
-/// and the shards of a lost zone go to seats in proportion to their quotas.
+/// Number of spare seats of a row, which replace lost owners. With two spares, a lost owner's shards stay in
+/// distinct zones, and the shards of a lost zone go to seats in proportion to the seats' quotas.
 pub(crate) const SPARES: usize = 2;
 
-/// Length of the longest row. Shorter rows are filled up with [`EMPTY`]:
-/// a fixed length lets the compiler unroll the hottest loops.
+/// Length of the longest row. Shorter rows are filled up with [`EMPTY`],
+/// because a fixed row length lets the compiler unroll the hottest loops.
 pub(crate) const ROW_LENGTH: usize = MAX_REPLICAS + SPARES;
 
 /// Marks a position that no seat holds: the region has fewer seats than a row has positions, or the row is shorter.
 pub(crate) const EMPTY: u16 = u16::MAX;
 
-/// Cost of two seats of a row that share a rack.
+/// Cost that two seats of a row add to the row's cost if they share a rack.
 const SHARED_RACK_COST: u32 = 1;
-/// Cost of two seats of a row that share a zone. If they share a rack too, the costs add up.
+/// Cost that two seats of a row add to the row's cost if they share a zone. The cost of a shared rack is added.
 const SHARED_ZONE_COST: u32 = 1 << 3;
 
-/// Weight of a pair of owners in the cost. It outweighs all other pairs:
-/// a row has at most six pairs of owners, and 15 pairs in all.
+/// Weight of a pair of owners in a row's cost. One pair of owners outweighs all pairs with a spare:
+/// a row has at most 15 pairs of seats, of which at most six are pairs of owners.
 const OWNER_PAIR_WEIGHT: u32 = 1 << 8;
-/// Weight of a pair with a spare in the cost.
+/// Weight in a row's cost of a pair of seats of which at least one is a spare.
 const OTHER_PAIR_WEIGHT: u32 = 1;
 
-/// Which conflicts a search resolves.
+/// Which seats of a row count as a conflict when they share a zone or rack.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConflictScope {
-    /// Owners that share a zone.
+    /// Two owners of the row that share a zone.
     Owners,
-    /// Any two seats of the row that share a domain.
+    /// Any two seats of the row that share a zone or a rack.
     Any,
 }
 
 impl ConflictScope {
-    /// Returns the least amount by which a row's cost falls when such a conflict is resolved.
+    /// Returns the least amount by which a row's cost falls when a conflict of this scope is resolved.
     pub(crate) const fn min_gain(self) -> i32 {
         match self {
-            // Half of the conflict's cost, because smaller conflicts may replace the resolved one.
+            // The minimum gain is half of the conflict's cost, because smaller conflicts may replace the resolved one.
             Self::Owners => (OWNER_PAIR_WEIGHT * SHARED_ZONE_COST / 2) as i32,
             Self::Any => 1,
         }
@@ -98,7 +98,7 @@
     }
 
     /// Returns the lowest cost that a row can have in a region with this number of zones:
-    /// the minimum over all assignments of its seats to the zones, in distinct racks.
+    /// the minimum over all assignments of the row's seats to zones, in distinct racks.
     pub(crate) fn min_cost(&self, zones: usize) -> u32 {
         let zones = zones.clamp(1, self.positions) as u32;
         let assignments = zones.pow(self.positions as u32);
@@ -114,12 +114,12 @@
     }
 }
 
-/// Returns the weight of a pair of positions.
+/// Returns the weight in a row's cost of a pair of the row's positions.
 fn pair_weight(owners: usize, first: usize, second: usize) -> u32 {
     if first.max(second) < owners { OWNER_PAIR_WEIGHT } else { OTHER_PAIR_WEIGHT }
 }
 
-/// Returns the cost that a pair of seats adds to its row, multiplied by `weight`.
+/// Returns the cost that a pair of seats adds to its row: the cost of shared zone and rack, multiplied by `weight`.
 pub(crate) fn pair_cost(first: Domain, second: Domain, weight: u32) -> u32 {
     let difference = first.0 ^ second.0;
     let shared_zone = if difference >> u16::BITS == 0 { SHARED_ZONE_COST } else { 0 };
@@ -131,7 +131,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ConflictRows {
     rows: Vec<u32>,
-    /// One bit per row, set if the row is in `rows`.
+    /// One bit per row of the region, set if the row is in `rows`.
     listed: Vec<u64>,
     threshold: u32,
 }
@@ -141,8 +141,8 @@
         Self { rows: Vec::new(), listed: vec![0; (rows as usize).div_ceil(u64::BITS as usize)], threshold: 0 }
     }
 
-    /// Removes all rows and sets the threshold. `min_cost` is the cost of a row without avoidable conflicts;
-    /// one conflict of this scope raises it above the threshold.
+    /// Removes all rows and sets the threshold. `min_cost` is the cost of a row without avoidable conflicts.
+    /// One conflict of this scope raises a row's cost above the threshold.
     pub(crate) fn reset(&mut self, min_cost: u32, scope: ConflictScope) {
         self.rows = Vec::new();
         self.listed.fill(0);
@@ -181,7 +181,8 @@
         }
     }
 
-    /// Removes the row at `index` from the list if its cost is no longer above the threshold. Returns whether it did.
+    /// Removes the row at `index` from the listed rows if its cost is no longer above the threshold.
+    /// Returns whether the row was removed.
     pub(crate) fn remove_if_resolved(&mut self, index: u32, cost: u32) -> bool {
         if cost > self.threshold {
             return false;
@@ -192,7 +193,7 @@
     }
 }
 
-/// Returns the index of a row's word in `listed` and its bit in the word.
+/// Returns the index of a row's word in `listed` and the row's bit in the word.
 fn word_and_bit(row: u32) -> (usize, u64) {
     ((row / u64::BITS) as usize, 1 << (row % u64::BITS))
 }
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -2,7 +2,7 @@
 //! which owner the request is sent to next, the timeouts of each owner, and the reply to the client.
 //!
 //! The machine does no I/O. It returns [`Step::Send`], is given the [`ForwardOutcome`], and ends with [`Step::Reply`].
-//! Its main rule: a request that one owner may have accepted is sent to another owner only if a repeat does no harm.
+//! Main rule: a request that one owner may have accepted is sent to another owner only if a repeat does no harm.
 //! The caller must therefore report whether the first byte of the request was written:
 //!
 //! | event | outcome | next step |
@@ -19,8 +19,8 @@
 use crate::SeatId;
 use heronroute::{Effect, Micros};
 
-/// The shortest answer timeout. With less time left, no further candidate is tried:
-/// on a loaded machine the answer would arrive too late, and the outcome would be unknown unnecessarily.
+/// The shortest time in which an owner may be expected to answer. With less time left, no further owner is tried:
+/// on a loaded machine the owner's answer would arrive too late, and the outcome would be unknown unnecessarily.
 pub const MIN_ANSWER_TIMEOUT_US: Micros = 20_000;
 
 /// The wait that is reported to a client, in milliseconds, if no owner reported one.
@@ -44,7 +44,7 @@
     Unknown,
 }
 
-/// The reply to the client.
+/// The reply to the client whose request was forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientReply {
     /// An owner has accepted the request.
@@ -56,25 +56,25 @@
     },
     /// An owner may have accepted the request, and a repeat could take effect twice.
     Failed,
-    /// No sender can accept the request, for this reason.
+    /// No sender can accept the request, for the given reason.
     Invalid(String),
 }
 
-/// What the caller has to do next.
+/// What the caller of [`Forwarding`] has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Send the request to an owner.
     Send {
-        /// The seat of the owner to send to.
+        /// The seat of the owner to which the request is sent.
         to: SeatId,
         /// The time from now within which the first byte must be written.
-        /// If it expires, the caller must not write any, and the outcome is [`ForwardOutcome::NotSent`].
+        /// If that time passes, the caller must not write any byte, and the outcome is [`ForwardOutcome::NotSent`].
         write_timeout: Micros,
-        /// The time from now within which the answer must arrive.
-        /// If it expires, the outcome is [`ForwardOutcome::Unknown`].
+        /// The time from now within which the owner's answer must arrive.
+        /// If the owner has not answered by then, the outcome is [`ForwardOutcome::Unknown`].
         answer_timeout: Micros,
     },
-    /// Send the reply to the client. The request is finished.
+    /// Send the reply to the client. The forwarded request is finished.
     Reply(ClientReply),
 }
 
@@ -84,14 +84,14 @@
     effect: Effect,
     candidates: std::vec::IntoIter<SeatId>,
     deadline: Micros,
-    /// The shortest wait that an owner has reported.
+    /// The shortest wait that an owner has reported, in milliseconds.
     min_wait_ms: Option<u64>,
     reply: Option<ClientReply>,
 }
 
 impl Forwarding {
     /// Creates the state of a request that was read at `read_at` and must be answered within `budget` of that.
-    /// `candidates` are tried in order, each at most once.
+    /// The owners in `candidates` are tried in order, each at most once.
     pub fn new(effect: Effect, candidates: Vec<SeatId>, read_at: Micros, budget: Micros) -> Self {
         Forwarding {
             effect,
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Returns the first step.
+    /// Returns the request's first step.
     pub fn start(&mut self, now: Micros) -> Step {
         self.try_next(now)
     }
 
     /// Records the outcome of the last [`Step::Send`] and returns the next step.
-    /// Once the reply is decided, later outcomes do not change it.
+    /// Once the reply is decided, later outcomes do not change the reply.
     pub fn record_outcome(&mut self, now: Micros, outcome: ForwardOutcome) -> Step {
         if let Some(reply) = &self.reply {
             return Step::Reply(reply.clone());
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -1,4 +1,4 @@
-//! The hash functions of scheme 1. A change to any of them needs a new scheme number.
+//! The hash functions of placement scheme 1. A change to any of these functions needs a new scheme number.
 
 /// The multiplier of Fibonacci hashing (Knuth, TAOCP volume 3, section 6.4): 2^64 divided by the golden ratio, odd.
 pub const FIBONACCI_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
@@ -10,7 +10,7 @@
     value ^ (value >> 31)
 }
 
-/// Hashes two numbers. Swapping them gives another hash.
+/// Hashes a pair of numbers. Swapping the numbers gives another hash.
 pub const fn mix_pair(first: u64, second: u64) -> u64 {
     mix(mix(first.wrapping_add(FIBONACCI_MULTIPLIER)).wrapping_add(second))
 }
@@ -35,7 +35,7 @@
         Self(mix_pair(self.0, value))
     }
 
-    /// Returns the digest extended by a text and its length.
+    /// Returns the digest extended by a text and the text's length.
     /// The length distinguishes consecutive texts from a different split of the same bytes.
     pub fn text(self, text: &str) -> Self {
         let mut digest = self.number(text.len() as u64);
@@ -47,7 +47,7 @@
         digest
     }
 
-    /// Returns the digest of everything added so far.
+    /// Returns the digest of all numbers and texts added so far.
     pub const fn value(self) -> u64 {
         self.0
     }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -1,4 +1,4 @@
-//! A member list with the table computed from it, and the derivation of the next placement from changes.
+//! A placement: a member list with the table of owners computed from it. Changes to the list give the next placement.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use crate::shard::ShardId;
 use crate::table::Table;
 
-/// The member list of one epoch and its table.
+/// The member list of one epoch, and the table of owners computed from it.
 #[derive(Clone, Debug)]
 pub struct Placement {
     list: MemberList,
     table: Arc<Table>,
-    /// The only shards that [`Self::shards_of`] returns, for simulations; `None` for all.
+    /// The only shards that [`Self::shards_of`] returns, which simulations set; `None` for all shards.
     visible_shards: Option<Arc<[ShardId]>>,
 }
 
@@ -29,7 +29,7 @@
         Placement { list, table, visible_shards: None }
     }
 
-    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in those derived from it.
+    /// Restricts [`Self::shards_of`] to the given shards, in this placement and in placements derived from it.
     /// Simulations with many senders use it to examine only a few shards.
     #[must_use]
     pub fn restricted_to(mut self, shards: Arc<[ShardId]>) -> Self {
@@ -37,7 +37,7 @@
         self
     }
 
-    /// Returns the placement after `changes` to this one.
+    /// Returns the placement that results from applying `changes` to this placement.
     ///
     /// # Errors
     /// Fails if the changes do not apply to the list, see [`MemberList::apply`].
@@ -73,25 +73,25 @@
         }
     }
 
-    /// Returns the same placement with another epoch, to which changes are then replayed one by one.
+    /// Returns a copy of this placement with another epoch, to which changes are then replayed one by one.
     pub(crate) fn with_epoch(&self, epoch: u64) -> Self {
         Placement { list: self.list.successor(epoch), ..self.clone() }
     }
 }
 
-/// Provides a sender's placements. Many senders in one process may share theirs; otherwise each computes its own.
+/// Provides a sender's placements. Many senders in one process may share placements instead of each computing its own.
 pub trait PlacementSource {
-    /// Returns the placement of a full list.
+    /// Returns the placement of a full member list.
     fn build(&mut self, list: MemberList) -> Arc<Placement>;
 
-    /// Returns the placement after `changes` to `before`.
+    /// Returns the placement that results from applying `changes` to the placement `before`.
     ///
     /// # Errors
-    /// Fails if the changes do not apply to the list.
+    /// Fails if the changes do not apply to the member list of `before`.
     fn apply(&mut self, before: &Arc<Placement>, changes: &Changes) -> Result<Arc<Placement>, ListError>;
 }
 
-/// Computes each placement anew, shared with no other sender.
+/// Computes each placement for one sender alone, without sharing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UnsharedPlacements;
 
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -1,5 +1,5 @@
 //! The JSON forms in which a control agent sends member lists and changes.
-//! This module parses and writes them; [`MemberList`] validates them.
+//! This module parses and writes the JSON forms; [`MemberList`] validates their contents.
 
 use serde::{Deserialize, Deserializer, Serialize};
 
@@ -7,19 +7,19 @@
 use crate::error::ListError;
 use crate::list::{MAX_SEATS, Member, MemberList, SeatId};
 
-/// A full member list.
+/// A full member list in its JSON form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListForm {
-    /// Version number of the list, which grows with each change.
+    /// Epoch: the version number of the list, which grows with each change.
     pub epoch: u64,
-    /// Placement scheme, see [`crate::SCHEME`].
+    /// Number of the placement scheme, see [`crate::SCHEME`].
     pub scheme: u16,
     /// Number of owners of each shard.
     pub replicas: u64,
     /// Whether this is the first list of a new fleet: no sender owned any shard before it.
     #[serde(default)]
     pub first: bool,
-    /// Regions and their shares of the shards.
+    /// Regions of the fleet, and their shares of the shards.
     pub regions: Vec<RegionForm>,
     /// Seats in the order of their numbers.
     pub seats: Vec<SeatForm>,
@@ -28,10 +28,10 @@
     pub wide: Vec<WideForm>,
 }
 
-/// A region of the list.
+/// A region of the member list in its JSON form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionForm {
-    /// Name, which no other region of the list has.
+    /// Name of the region, which no other region of the list has.
     pub name: String,
     /// The region's share of the shards, relative to the sum of all regions' shares.
     pub share: u32,
@@ -46,27 +46,27 @@
     pub zone: String,
     /// Name of the seat's rack, unique within the zone.
     pub rack: String,
-    /// Capacity relative to a usual machine, which has weight 1.
+    /// Capacity of the seat relative to a usual machine, which has weight 1.
     pub weight: f64,
-    /// The member that fills the seat; `null` if it is vacant.
+    /// The member that fills the seat; `null` if the seat is vacant.
     pub member: Option<MemberForm>,
 }
 
 /// A member: a sender process that fills a seat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberForm {
-    /// Name, which no other member of the list has.
+    /// Name of the member, which no other member of the list has.
     pub name: String,
-    /// IP address and port at which it accepts forwarded requests.
+    /// IP address and port at which the member accepts forwarded requests.
     pub address: String,
 }
 
 /// A wide destination, whose requests are spread over several shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WideForm {
-    /// Number of the destination.
+    /// Number of the wide destination.
     pub dest: i64,
-    /// Number of shards over which its requests are spread.
+    /// Number of shards over which the destination's requests are spread.
     pub width: u64,
 }
 
@@ -77,7 +77,7 @@
     pub epoch: u64,
     /// Epoch of the list that the changes apply to.
     pub since: u64,
-    /// The changes, in order.
+    /// Changes to the list, in the order in which they are applied.
     pub changes: Vec<ChangeForm>,
 }
 
@@ -90,7 +90,7 @@
     /// The member that fills the seat; `Some(None)`, `null` on the wire, vacates it.
     #[serde(default, skip_serializing_if = "Option::is_none", deserialize_with = "present")]
     pub member: Option<Option<MemberForm>>,
-    /// A seat that is appended to the list.
+    /// A seat that is appended to the member list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub append: Option<SeatForm>,
     /// A destination whose width changes.
@@ -106,11 +106,11 @@
 /// A control agent's answer to `GET /v1/members?since=EPOCH`.
 #[derive(Clone, Debug)]
 pub enum AgentAnswer {
-    /// The full list.
+    /// The full member list.
     Full(Box<MemberList>),
-    /// Changes to the list of epoch `since`.
+    /// Changes to the member list of epoch `since`.
     Changes(Changes),
-    /// The list of epoch `since` is still in force.
+    /// The member list of epoch `since` is still in force.
     Unchanged {
         /// The epoch of the list in force.
         epoch: u64,
@@ -118,10 +118,10 @@
 }
 
 impl AgentAnswer {
-    /// Parses the JSON text of an answer.
+    /// Parses the JSON text of a control agent's answer.
     ///
     /// # Errors
-    /// Fails if the text has none of the three forms, or if a full list is invalid.
+    /// Fails if the text is neither a full list, changes nor an epoch, or if a full list is invalid.
     pub fn parse_json(bytes: &[u8]) -> Result<Self, ListError> {
         let kind: AnswerKind = parse(bytes)?;
         if kind.seats.is_some() {
@@ -154,7 +154,7 @@
         Self::from_form(parse(bytes)?)
     }
 
-    /// Returns the list in its wire form.
+    /// Returns the member list in its JSON form.
     pub fn to_form(&self) -> ListForm {
         ListForm {
             epoch: self.epoch(),
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Returns the list as JSON.
+    /// Returns the member list as JSON text.
     pub fn to_json(&self) -> Vec<u8> {
         to_json(&self.to_form())
     }
@@ -205,17 +205,17 @@
         Self::from_form(parse(bytes)?)
     }
 
-    /// Converts changes from their wire form.
+    /// Converts changes from their JSON form.
     ///
     /// # Errors
-    /// Fails for an entry that is not exactly one change.
+    /// Fails if an entry of `changes` is not exactly one change.
     pub fn from_form(form: ChangesForm) -> Result<Self, ListError> {
         let entries = form.changes.into_iter().enumerate();
         let changes = entries.map(|(index, entry)| checked_change(index, entry)).collect::<Result<_, _>>()?;
         Ok(Self { epoch: form.epoch, since: form.since, changes })
     }
 
-    /// Returns the changes in their wire form.
+    /// Returns the changes in their JSON form.
     pub fn to_form(&self) -> ChangesForm {
         ChangesForm {
             epoch: self.epoch,
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Returns the changes as JSON.
+    /// Returns the changes as JSON text.
     pub fn to_json(&self) -> Vec<u8> {
         to_json(&self.to_form())
     }
@@ -262,8 +262,8 @@
     }
 }
 
-/// Serializes a form. This can't fail:
-/// JSON can express all values of the forms (a weight that is not finite becomes `null`).
+/// Serializes a list or changes to JSON.
+/// Serialization can't fail: JSON can express all values (a weight that is not finite becomes `null`).
 fn to_json<T: Serialize>(form: &T) -> Vec<u8> {
     serde_json::to_vec(form).unwrap_or_default()
 }
