--- a/crates/finding/src/lib.rs
+++ b/crates/finding/src/lib.rs
@@ -1,5 +1,5 @@
-//! Findings: errors with their position in files that people write.
-//! Scenario files and options files share the format of findings.
+//! Findings: errors found in files that operators write, each with its position in the file.
+//! Errors in scenario files and in options files are reported in one format.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -22,7 +22,7 @@
 }
 
 impl Finding {
-    /// Returns a finding at the line and column of a byte offset of a text.
+    /// Returns an error whose line and column are those of a byte offset in a text.
     pub fn at(text: &str, byte: usize, message: impl Into<String>) -> Finding {
         let before = &text.as_bytes()[..byte.min(text.len())];
         let line = before.iter().filter(|b| **b == b'\n').count() + 1;
@@ -31,8 +31,8 @@
         Finding { line, column, message: message.into() }
     }
 
-    /// Returns the finding for a text that is not valid TOML or does not have the expected structure.
-    /// Line ends in the error message are replaced, since every finding is on one line.
+    /// Returns the error for a text that is not valid TOML or does not have the expected structure.
+    /// Line ends in the error message are replaced, since every error is displayed on one line.
     pub fn from_toml_error(text: &str, error: &toml::de::Error) -> Finding {
         Finding::at(text, error.span().map_or(0, |s| s.start), error.message().replace('\n', "; "))
     }
@@ -48,7 +48,7 @@
 }
 
 impl SpanFinding {
-    /// Converts byte ranges to lines and columns and sorts the findings by position.
+    /// Converts the byte ranges of errors to lines and columns and sorts the errors by position.
     pub fn resolve(text: &str, mut found: Vec<SpanFinding>) -> Vec<Finding> {
         found.sort_by_key(|finding| finding.span.start);
         let at_start = |finding: SpanFinding| Finding::at(text, finding.span.start, finding.message);
@@ -56,11 +56,11 @@
     }
 }
 
-/// Displays findings as lines `name:line:column: message`, without a line end after the last.
+/// Displays errors in a file as lines `name:line:column: message`, without a line end after the last line.
 pub struct Findings<'a> {
-    /// The name of the file that the findings refer to.
+    /// The name of the file that contains the errors.
     pub name: &'a str,
-    /// The findings, in the order of their position in the file.
+    /// The errors found in the file, in the order of their position.
     pub findings: &'a [Finding],
 }
 
@@ -74,13 +74,13 @@
     }
 }
 
-/// A file that cannot be used. Nothing in such a file has taken effect.
+/// The error for a file that cannot be used. No setting in such a file has taken effect.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
     /// The file cannot be read.
     #[error("{}: {error}", path.display())]
     Io {
-        /// The path of the file.
+        /// The path of the file that cannot be read.
         path: PathBuf,
         /// The error from reading the file.
         error: io::Error,
@@ -88,15 +88,15 @@
     /// The content of the file is invalid.
     #[error("{}", Findings { name, findings })]
     Invalid {
-        /// The name of the file with the findings.
+        /// The name of the file that contains the errors.
         name: String,
-        /// The findings, in the order of their position in the file.
+        /// The errors found in the file, in the order of their position.
         findings: Vec<Finding>,
     },
 }
 
 /// Reads a text file of at most `max_bytes` bytes; a longer file is not read.
-/// `kind` names the sort of file in the error message.
+/// `kind` is the sort of file, in words for the error message about a file that is too long.
 ///
 /// # Errors
 /// Returns an error if the file cannot be read, is too long or is not UTF-8.
--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -68,7 +68,7 @@
 }
 
 /// Returns the outcome for a message's state in the answer to a batch, and whether the message is closed.
-/// A missing or unknown state counts as an error, after which the message may have run.
+/// A missing or unknown state counts as an error, after which the message may have taken effect.
 pub fn outcome_of_state(state: Option<&str>) -> (Outcome, bool) {
     match state {
         Some("ok") => (Outcome::Done, true),
@@ -100,7 +100,7 @@
         503 if number("x-no-slot") == Some(1) => Outcome::Skipped,
         429 | 503 => Outcome::Busy,
         // These statuses report a malformed request, a too large batch, used up attempts or a closed message.
-        // The messages of a call with such an answer did not run.
+        // The receiver did not process the messages of a call with such an answer.
         400 | 413 | 504 | 410 => Outcome::Skipped,
         _ => Outcome::Error,
     };
--- a/crates/protocol/src/listing.rs
+++ b/crates/protocol/src/listing.rs
@@ -10,10 +10,10 @@
 pub struct Listing {
     /// The version of the endpoint list.
     pub index: u64,
-    /// Whether the listing is a complete list; otherwise it contains changes to a list.
+    /// Whether the listing is a complete endpoint list; otherwise the listing contains changes to one.
     #[serde(default)]
     pub snapshot: bool,
-    /// All entries of a complete list, or the changed entries.
+    /// All entries of a complete endpoint list, or the changed entries.
     #[serde(default)]
     pub endpoints: Vec<ListedEndpoint>,
 }
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     /// Returns an error if the text is not a valid listing.
-    /// A complete list that names an endpoint twice is an error, since it is unclear which entry is valid.
+    /// A complete endpoint list that names an endpoint twice is an error: it is unclear which entry is valid.
     /// Among changes that name an endpoint twice, the later entry is valid.
     pub fn read(text: &[u8]) -> Result<Self, ListingError> {
         let listing: Listing = serde_json::from_slice(text).map_err(ListingError::InvalidListing)?;
@@ -110,7 +110,7 @@
     /// Number of an invalid endpoint entry, counted from 0, and the error in the entry.
     InvalidEntry(usize, serde_json::Error),
     /// Byte that is not valid in the array of entries, and the number of entries before it.
-    /// A valid byte is white space, a comma, the start of an entry or the end of the list.
+    /// A valid byte is white space, a comma, the start of an entry or the bracket that closes the array.
     UnexpectedByteInList(u8, usize),
     /// Name of an endpoint that a complete list names twice.
     DuplicateName(String),
--- a/crates/protocol/src/listing_stream.rs
+++ b/crates/protocol/src/listing_stream.rs
@@ -1,5 +1,5 @@
 //! Reads listings entry by entry and retains only the entries of wanted destinations.
-//! Memory use thus does not depend on the length of a list.
+//! Memory use thus does not depend on the length of an endpoint list.
 
 use crate::listing::{ListedEndpoint, Listing, ListingError, check_unique_names};
 use crate::nesting::Nesting;
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -19,7 +19,7 @@
 /// The content of a `MSG.PUT` command: a message from a client.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Put {
-    /// The message's id, which is new for each put.
+    /// The message's id, which is new for each `MSG.PUT` command.
     pub request_id: String,
     /// The message's order key, in classes that keep order.
     pub order_key: String,
@@ -33,28 +33,28 @@
     pub dest: i64,
     /// In a keyed class, the idempotency key by which the destination drops repeated deliveries.
     pub idempotency_key: Option<String>,
-    /// Whether the message is known to have been put before.
+    /// Whether the client is known to have submitted the message before.
     #[serde(rename = "again")]
     pub resubmitted: bool,
     /// The message's body: the bytes to deliver, in any format.
     pub body: Bytes,
 }
 
-/// The reply to a put.
+/// The reply to a `MSG.PUT` command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The message was accepted: the sender is responsible for the message until its end.
+    /// The message was accepted: the sender is responsible for the message until its final outcome.
     #[serde(rename = "Taken")]
     Accepted,
-    /// The message was refused; the client may put it again without harm.
+    /// The message was refused; the client may submit the message again without harm.
     Busy {
-        /// Time after which the client should put the message again, in milliseconds; 0 if not known.
+        /// Time after which the client should submit the message again, in milliseconds; 0 if not known.
         #[serde(rename = "after_ms")]
         retry_after_ms: u64,
     },
     /// The message failed.
     Failed,
-    /// The put is invalid for this reason, and no sender can accept it.
+    /// The `MSG.PUT` command is invalid for the contained reason, and no sender can accept the command.
     #[serde(rename = "Wrong")]
     Invalid(Cow<'static, str>),
 }
--- a/crates/protocol/tests/listing_stream.rs
+++ b/crates/protocol/tests/listing_stream.rs
@@ -1,5 +1,5 @@
 //! Tests of the filtering reader of endpoint lists.
-//! The reader returns what is left of all entries after the unwanted entries are dropped.
+//! The reader returns the entries of wanted destinations and drops all other entries.
 //! The result does not depend on how the text is split, and little more than the wanted entries is buffered.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
@@ -21,13 +21,13 @@
 
 fn listing() -> impl Strategy<Value = Listing> {
     (any::<u64>(), any::<bool>(), vec(entry(), 0..6)).prop_map(|(index, snapshot, mut endpoints)| {
-        // A valid complete list names each endpoint once.
+        // A valid complete endpoint list names each endpoint once.
         endpoints.iter_mut().enumerate().for_each(|(n, entry)| entry.name += &format!("-{n}"));
         Listing { index, snapshot, endpoints }
     })
 }
 
-/// Returns a list's JSON on one line or indented, with the list's fields in either order, and white space.
+/// Returns an endpoint list's JSON, on one line or indented, with fields in either order, then white space.
 fn written(listing: &Listing, indented: bool, reversed: bool, white_space: &str) -> String {
     let value = serde_json::to_value(listing).expect("JSON");
     let mut text =
@@ -50,7 +50,7 @@
     cuts.windows(2).map(|w| &text[w[0]..w[1]]).collect()
 }
 
-/// Reads the wanted entries of all lists in a text that arrives in pieces, up to the first error.
+/// Reads the wanted entries of all endpoint lists in a text that arrives in pieces, up to the first error.
 fn filtered(pieces: &[&[u8]], is_wanted: &dyn Fn(i64) -> bool) -> (Vec<String>, Option<ListingError>) {
     let (mut listings, mut found) = (FilteredListingReader::default(), Vec::new());
     for bytes in pieces {
@@ -66,7 +66,7 @@
     (found, None)
 }
 
-/// Reads all lists in a text that arrives in pieces, with all entries, up to the first error.
+/// Reads all endpoint lists in a text that arrives in pieces, with all entries, up to the first error.
 fn all(pieces: &[&[u8]]) -> (Vec<Listing>, Option<ListingError>) {
     let (mut listings, mut found) = (ListingReader::default(), Vec::new());
     for bytes in pieces {
@@ -117,7 +117,7 @@
         let (found, error) = filtered(&pieces, &|_| true);
         let (expected, expected_error) = all(&pieces);
         let expected: Vec<String> = expected.iter().map(|list| format!("{list:?}")).collect();
-        // The filtering reader reports an error within an entry before the end of the entry's list.
+        // The filtering reader reports an error within an entry before the endpoint list is complete.
         prop_assert!(expected.starts_with(&found) || found == expected, "{found:?} {expected:?}");
         if expected_error.is_some() {
             prop_assert_eq!(found, expected);
@@ -128,7 +128,7 @@
     }
 }
 
-/// Reads one list and returns the names of its wanted entries.
+/// Reads one endpoint list and returns the names of its wanted entries.
 fn one(text: &str, is_wanted: &dyn Fn(i64) -> bool) -> Result<Vec<String>, String> {
     let mut listings = FilteredListingReader::default();
     listings.extend(text.as_bytes());
--- a/crates/protocol/tests/listings.rs
+++ b/crates/protocol/tests/listings.rs
@@ -1,5 +1,5 @@
 //! Tests of the reader for the stream of endpoint lists from discovery.
-//! The tests generate random lists in random formatting and split the stream at random bytes.
+//! The tests generate random endpoint lists in random formatting and split the stream at random bytes.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing, ListingError, ListingReader};
 use proptest::collection::vec;
@@ -23,18 +23,18 @@
         })
 }
 
-/// Generates a list, a choice whether the list's JSON is indented, and the white space after the list.
+/// Generates an endpoint list, whether the list's JSON is indented, and the white space after the list.
 fn piece() -> impl Strategy<Value = (Listing, bool, String)> {
     let listing =
         (any::<u64>(), any::<bool>(), vec(entry(), 0..4)).prop_map(|(index, snapshot, mut endpoints)| {
-            // A valid complete list names each endpoint once.
+            // A valid complete endpoint list names each endpoint once.
             endpoints.iter_mut().enumerate().for_each(|(n, entry)| entry.name += &format!("-{n}"));
             Listing { index, snapshot, endpoints }
         });
     (listing, any::<bool>(), "[ \r\n\t]{0,4}")
 }
 
-/// Reads all lists in a text that arrives in pieces, up to the first error.
+/// Reads all endpoint lists in a text that arrives in pieces, up to the first error.
 fn read<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> (Vec<String>, Option<ListingError>) {
     let (mut listings, mut found) = (ListingReader::default(), Vec::new());
     for bytes in pieces {
@@ -89,7 +89,7 @@
             text.extend_from_slice(serde_json::to_string(listing).unwrap().as_bytes());
             text.push(b'\n');
         }
-        // The byte '!' is neither white space nor the start of a list.
+        // The byte '!' is neither white space nor the start of an endpoint list.
         text.push(b'!');
         text.extend_from_slice(&noise);
         let (found, error) = read(split(&text, cuts));
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// An entry of an endpoint list, before an instance assigns the endpoint's number.
+/// An entry of an endpoint list, before an instance assigns a number to the endpoint.
 struct TableEntry {
     name: String,
     entry: EndpointEntry,
--- a/src/batching.rs
+++ b/src/batching.rs
@@ -39,7 +39,7 @@
     pub(crate) long_term_rate: f64,
     /// Maximum number of messages in one call.
     pub(crate) max_batch: f64,
-    /// The shortest aim of all classes, in microseconds.
+    /// The shortest aim (age up to which delivery earns full worth) of all classes, in microseconds.
     pub(crate) shortest_aim_us: f64,
     /// Whether the receiver refused a call on the lane recently.
     pub(crate) recently_refused: bool,
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -15,7 +15,7 @@
     dests: Vec<(DestId, Rate, Rate)>,
     lanes: Vec<(LaneKey, Lane)>,
     endpoints: Vec<(EndpointId, Endpoint)>,
-    /// Each order key with the time before which the key's next message must not be sent.
+    /// Order keys, each with the time before which the key's next message must not be sent.
     keys: Vec<(String, Micros)>,
 }
 
@@ -99,8 +99,8 @@
         (state, calls.collect())
     }
 
-    /// Applies another dispatcher's state to destinations, lanes and endpoints that are listed.
-    /// Also adds unlisted endpoints that still have calls in flight.
+    /// Applies another dispatcher's state to the destinations, lanes and endpoints in the endpoint list.
+    /// Also adds endpoints that are missing from the endpoint list and still have calls in flight.
     /// The calls in flight themselves are added afterwards by [`Dispatcher::inherit_calls`].
     pub(crate) fn inherit_state(&mut self, state: &DispatcherState) {
         for (id, arrival_rate, traffic) in &state.dests {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -21,7 +21,7 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct DestId(pub i64);
 
-/// The effect of delivering a message a second time.
+/// What a second delivery of the same message does at the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Effect {
     /// A second delivery of a message does no harm.
@@ -67,7 +67,7 @@
     pub effect: Effect,
     /// For keyed classes: which endpoints share the memory of idempotency keys.
     pub dedup_scope: DedupScope,
-    /// For keyed classes: how long the destination drops repeats, from the first attempt that may have run.
+    /// For keyed classes: how long the destination drops repeats, from the first attempt that may have taken effect.
     pub window: Micros,
     /// Whether messages with the same order key are delivered one at a time, in order.
     pub ordered: bool,
@@ -162,7 +162,7 @@
     pub cold_from: f64,
     /// Time from a destination's return until the destination has its full capacity.
     pub warm_up: Micros,
-    /// For ordered classes: how long a key's next message waits after an attempt that may still be running.
+    /// For ordered classes: how long a key's next message waits after an attempt that the receiver may still process.
     pub order_settle: Micros,
     /// How the worth of a message decays after its aim.
     pub late_decay: LateDecay,
@@ -345,21 +345,21 @@
 pub enum Outcome {
     /// The message was delivered.
     Done,
-    /// The endpoint answered with an error; the message may have run.
+    /// The endpoint answered with an error; the message may have taken effect at the receiver.
     Error,
     /// The receiver refused the message without processing it.
     /// Reasons for a refusal are a rate limit, a full queue, a shutdown or draining.
     Busy,
-    /// No answer came in time; the message may have run or may still be running.
+    /// No answer came in time; the receiver may have processed the message or may still be processing it.
     TimedOut,
-    /// The connection could not be established; the message did not run.
+    /// The connection could not be established; the receiver did not process the message.
     ConnectFailed,
-    /// The connection was lost before the answer; the message may have run.
+    /// The connection was lost before the answer; the message may have taken effect at the receiver.
     Reset,
-    /// The answer could not be parsed; the message may have run. The simulator does not report this outcome.
+    /// The answer could not be parsed; the message may have taken effect. The simulator does not report this outcome.
     #[cfg_attr(feature = "serde", serde(rename = "Spoilt"))]
     MalformedAnswer,
-    /// The attempt was cancelled; the message may have run.
+    /// The attempt was cancelled; the message may have taken effect at the receiver.
     Cancelled,
     /// The message was not sent: no slot was free, the message was closed, or its attempts were used up.
     Skipped,
@@ -370,7 +370,7 @@
 }
 
 impl Outcome {
-    /// Returns whether this outcome proves that the message did not run in this attempt.
+    /// Returns whether this outcome proves that the receiver did not process the message in this attempt.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Busy | Outcome::ConnectFailed | Outcome::Skipped | Outcome::Unreached)
     }
@@ -443,11 +443,11 @@
 /// Events that name an unknown message or endpoint are ignored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list from discovery, or changes to it.
+    /// The endpoint list from discovery, or changes to the endpoint list.
     Listing {
-        /// Whether the list is complete, so that endpoints missing from `entries` no longer exist.
+        /// Whether the endpoint list is complete, so that endpoints missing from `entries` no longer exist.
         complete: bool,
-        /// All entries of a complete list, or the changed entries.
+        /// All entries of a complete endpoint list, or the changed entries.
         entries: Vec<EndpointEntry>,
     },
     /// A message to deliver. Every message gets exactly one final answer.
@@ -464,7 +464,7 @@
         dest: DestId,
         /// Time until the message's deadline.
         time_left: Micros,
-        /// Whether the message is known to have been put before.
+        /// Whether the client is known to have submitted the message before.
         resubmitted: bool,
     },
     /// A message accepted before a restart of this sender, which still needs its final answer.
@@ -483,8 +483,8 @@
         attempts: u32,
         /// Number of attempts before the restart that reached no endpoint.
         unreached: u32,
-        /// The endpoint and time of the first attempt that may have run.
-        /// Attempts without a known outcome may have run.
+        /// The endpoint and time of the first attempt that may have taken effect at the receiver.
+        /// Attempts without a known outcome may have taken effect.
         may_have_run: Option<(EndpointId, Micros)>,
     },
     /// The health of an endpoint before a restart. Must be sent after the endpoint has been listed.
@@ -537,7 +537,7 @@
         /// The endpoint's report on its limit, if the answer contained one.
         report: Option<LoadReport>,
     },
-    /// The client of a message no longer waits for it. The message needs no final answer.
+    /// The client of a message has abandoned the message, which needs no final answer.
     MessageAbandoned {
         /// The sender's number for the message.
         id: MsgId,
@@ -587,11 +587,11 @@
         /// Number of the message's attempt, counted from 0.
         attempt: u32,
     },
-    /// Refuse the message as its final answer. The client may put the message again without harm.
+    /// Refuse the message as its final answer. The client may submit the message again without harm.
     Refuse {
         /// The sender's number for the message.
         id: MsgId,
-        /// How long the client should wait before it puts the message again.
+        /// How long the client should wait before it submits the message again.
         retry_after: Micros,
     },
     /// Fail the message as its final answer.
@@ -599,7 +599,7 @@
         /// The sender's number for the message.
         id: MsgId,
     },
-    /// Request an [`Event::Timer`] at a certain time.
+    /// Request an [`Event::Timer`] at the time `at`.
     Timer {
         /// The time at which the timer expires.
         at: Micros,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -39,7 +39,7 @@
 const ARRIVAL_MEMORY_US: f64 = 8e6;
 /// Time constant of a sender's part of the traffic: long compared with the gaps between messages.
 const TRAFFIC_MEMORY_US: f64 = 6e7;
-/// A call has stalled when it is unanswered for this multiple of p99, and for at least `MIN_STALL_US`.
+/// A call has stalled when it is unanswered for this multiple of the p99 latency, and for at least `MIN_STALL_US`.
 const STALL_P99_FACTOR: f64 = 1.5;
 const MIN_STALL_US: f64 = 4e5;
 /// Weight of one outcome in an endpoint's share of failures: two failures in a row raise it above one half.
@@ -50,7 +50,7 @@
 /// The share is above `MAX_FAILURE_SHARE`, since such an endpoint may answer part of the calls well.
 /// With many senders, all senders would still send at half pace when the endpoint returns.
 const MAX_ERROR_SHARE: f64 = 0.7;
-/// An endpoint gets no unsafe messages while more than this share of its calls failed and may have run.
+/// Maximum share of an endpoint's calls that failed and may have taken effect; above it, no unsafe messages are sent.
 const MAX_AMBIGUOUS_SHARE: f64 = 0.2;
 /// Time constant with which an endpoint's share of ambiguous failures decays while no call updates it.
 const AMBIGUOUS_MEMORY_US: f64 = 8e6;
@@ -82,12 +82,12 @@
 const WARM_UP_SAFETY: f64 = 0.75;
 /// Weight, in calls, of each message after the first of a batch to a cold destination.
 const WARM_UP_BATCH_WEIGHT: f64 = 0.25;
-/// An attempt of a repeatable message times out after this multiple of p99, but not before `MIN_TIMEOUT_US`.
+/// An attempt of a repeatable message times out after this multiple of the p99 latency, or `MIN_TIMEOUT_US` if longer.
 const TIMEOUT_P99_FACTOR: f64 = 4.0;
 const MIN_TIMEOUT_US: f64 = 1.2e6;
 /// Quanta before a message's deadline at which its final answer is due. Rounds are one quantum apart.
 const FINAL_ANSWER_LEAD_QUANTA: Micros = 2;
-/// Time within which the platform receives a message's end even if the first notice is lost.
+/// Time within which the platform receives a message's final outcome even if the first notice is lost.
 const NOTICE_DELIVERY_US: Micros = 150_000;
 /// Maximum share of a keyed class's window for one attempt, so that a second attempt fits into the window.
 const WINDOW_ATTEMPT_SHARE: f64 = 0.45;
@@ -125,7 +125,7 @@
 const MIN_TABLE_CONNECTIONS: f64 = 6.0;
 /// Messages stay in their zone up to this ratio of the load on the zone's endpoints to the load on all.
 const MAX_ZONE_LOAD_FACTOR: f64 = 1.5;
-/// Endpoints listed within this time of a destination's first listing count as part of its first list.
+/// Endpoints listed within this time of a destination's first listing count as part of its first endpoint list.
 const FIRST_LIST_SETTLES_US: Micros = 2_000_000;
 /// Factors that convert prices in the settings to surcharges on the cost of a call.
 const CROSS_ZONE_PRICE_FACTOR: f64 = 30.0;
@@ -137,9 +137,9 @@
 const MIN_CALLS_PER_CONNECTION: f64 = 2.0;
 /// Time during which a past refusal counts as a sign that the limit is nearly used up.
 pub(crate) const REFUSAL_MEMORY_US: Micros = 20_000_000;
-/// Waiting time for which the loss of worth is calculated that ranks late messages.
+/// Waiting time over which the loss of worth is calculated. Late messages are ranked by this loss.
 const LATE_HORIZON_US: f64 = 1.5e6;
-/// Share of a late message's present worth that its rank includes, since a lasting backlog loses all of it.
+/// Share of a late message's present worth that its rank includes, since a lasting backlog loses all of that worth.
 const PRESENT_WORTH_SHARE: f64 = 0.4;
 /// Share of `max_open` that stays free, so that no message is rejected before its worth is compared.
 const FREE_ROOM_SHARE: f64 = 0.06;
@@ -302,7 +302,7 @@
     }
 
     /// Accepts a message from before a restart. Guards against a second effect of the message.
-    /// An attempt with no known outcome may have run, so an unsafe message with such an attempt fails.
+    /// An attempt with no known outcome may have taken effect, so an unsafe message with such an attempt fails.
     /// The window of a keyed message still begins at the message's first attempt.
     fn restore(&mut self, id: MsgId, message: Message, time_left: Micros, out: &mut Vec<Action>) {
         // Only the first restored message counts as demand.
@@ -380,7 +380,7 @@
             self.endpoints.values_mut().for_each(|e| e.listed = false);
             self.ready.extend(self.destinations.keys());
         }
-        // Right after a start, a listing may be a later version of the destination's first list.
+        // Right after a start, a listing may be a later version of the destination's first endpoint list.
         let known = self.destinations.iter().filter(|(_, d)| {
             !d.endpoints.is_empty() && self.now - d.arrival_rate.created_at > FIRST_LIST_SETTLES_US
         });
@@ -435,7 +435,7 @@
         }
     }
 
-    /// Returns the place at which a new endpoint joins the rotation, drawn from this sender's random numbers.
+    /// Returns the position at which a new endpoint joins the rotation, drawn from this sender's random numbers.
     fn initial_rotation(&mut self, dest: DestId, known: bool) -> RotationPlace {
         let (now, place, delay) = (self.now, self.random.next_unit(), self.random.next_unit());
         if !known {
@@ -501,7 +501,7 @@
         }
     }
 
-    /// Removes endpoints, lanes and destinations that are no longer listed, to bound memory use over months.
+    /// Removes endpoints, lanes and destinations that left the endpoint list, to bound memory use over months.
     /// The state of unlisted endpoints, lanes and destinations is retained for the length of a warm-up.
     /// If an endpoint is listed again in that time, the retained waits and health still apply.
     fn evict_stale(&mut self) {
@@ -537,7 +537,7 @@
         self.endpoints.get(&endpoint).and_then(|e| self.lanes.get_mut(&e.lane))
     }
 
-    /// Ends one attempt: updates the message and its call.
+    /// Records the outcome of one attempt: updates the message and its call.
     /// The first outcome of a call also updates the endpoint's health.
     fn end_attempt(
         &mut self,
@@ -926,8 +926,8 @@
         } else {
             Action::Fail { id }
         });
-        // Without a delay, an endpoint could get the order key's next message too early.
-        // The platform must receive the end of this message before the key's next message is sent.
+        // Without a delay, an endpoint could get the order key's next message before the platform gets the notice.
+        // The platform must receive this message's final outcome before the key's next message is sent.
         if let Some(key) = message.key.as_ref().and_then(|k| self.order_keys.get_mut(k)) {
             key.settle_until = key.settle_until.max(self.now + NOTICE_DELIVERY_US);
         }
@@ -1305,7 +1305,7 @@
         }
     }
 
-    /// Returns the worth that a message would earn if delivered `delay_us` from now.
+    /// Returns the worth that a message would earn if delivered `delay_us` microseconds from now.
     fn worth_after(&self, message: &Message, delay_us: f64) -> f64 {
         let class = self.class_of(message);
         let (aim, deadline) = (class.aim.max(1) as f64, class.deadline.max(1) as f64);
@@ -1441,7 +1441,7 @@
     /// Sends one call with the chosen message.
     /// Where the kind batches, other pending messages may share the call.
     /// The call lasts for the usual timeout or the shortest time left of its messages, whichever is longer.
-    /// If an answer arrives after a message of the batch has ended, the answer may be valid for no message.
+    /// An answer that arrives after a message of the batch has reached its outcome may be valid for no message.
     /// The answer is valid for no message if the ended message is the first in the batch.
     /// So the message with the most time left comes first.
     fn send(&mut self, choice: Choice, out: &mut Vec<Action>) {
@@ -1512,7 +1512,7 @@
         }
     }
 
-    /// Refuses pending messages while too many are open, those with the least worth first.
+    /// Refuses pending messages while too many messages are open, starting with the messages of least worth.
     fn shed_excess(&mut self, out: &mut Vec<Action>) {
         let room = ((self.settings.max_open as f64 * FREE_ROOM_SHARE).ceil() as usize).max(1);
         let max_open = (self.settings.max_open as usize).saturating_sub(room).max(1);
@@ -1540,7 +1540,7 @@
 }
 
 impl Endpoint {
-    /// Returns the share of the endpoint's calls that failed and may have run, decayed to `now`.
+    /// Returns the share of the endpoint's calls that failed and may have taken effect, decayed to `now`.
     fn ambiguous_share(&self, now: Micros) -> f64 {
         self.ambiguous_share * (-((now - self.ambiguous_share_at) as f64) / AMBIGUOUS_MEMORY_US).exp()
     }
@@ -1567,7 +1567,7 @@
         self.backoff = (self.backoff * 2).min(MAX_TRIAL_BACKOFF_US);
         self.next_trial = now + self.backoff.max(gap as Micros);
     }
-    /// Delays the next trial past the end of a wait by a random gap.
+    /// Sets the next trial to a random time after the wait that the receiver asked for.
     /// Without the gap, all senders that received the same end of the wait would return at once.
     fn delay_past(&mut self, wait_until: Micros, gap: f64) {
         if self.next_trial < wait_until {
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -4,7 +4,8 @@
 use crate::interface::Micros;
 use crate::state::{Latency, Rate};
 
-/// Observation time below which a rate's lower bound assumes no events in the missing time.
+/// Observation time after which a rate's lower bound needs no correction.
+/// For a rate observed for a shorter time, the bound counts the missing time as free of events.
 const FULL_CONFIDENCE_AFTER_US: f64 = 8e6;
 /// Number of standard deviations by which the lower bound of a rate lies below the rate.
 const LOWER_BOUND_DEVIATIONS: f64 = 1.0;
@@ -20,7 +21,7 @@
 const REUSED_REFUSAL_PRIOR: f64 = 0.2;
 /// Minimum share of refused calls on new connections at which a connection table counts as full.
 /// The share must also be at least `MIN_REFUSAL_RATIO` times the refused share on reused connections.
-/// A rate limit refuses calls on new and reused connections alike, a full table only calls on new ones.
+/// A rate limit refuses calls on new and reused connections alike, a full connection table only on new ones.
 const MIN_REFUSED_SHARE: f64 = 0.6;
 const MIN_REFUSAL_RATIO: f64 = 3.0;
 
--- a/src/rotation.rs
+++ b/src/rotation.rs
@@ -1,13 +1,13 @@
 //! The rotation over endpoints of equal cost, which decides which endpoint gets the next call.
 //! The functions of the rotation work on one endpoint at a time, without I/O.
 //!
-//! Each sender rotates over its endpoints from a random place (`docs/design/even.md`).
+//! Each sender rotates over its endpoints from a random start (`docs/design/even.md`).
 //! The load of many senders thus adds up evenly although each sender has little of the traffic.
 //! Measurements of an endpoint's latency decay.
 
 use crate::interface::Micros;
 
-/// Maximum age of the random last turn with which endpoints of a first list start.
+/// Maximum age of the random last turn that endpoints of a destination's first endpoint list are assigned.
 const FIRST_LIST_SPAN_US: f64 = 1e7;
 /// Time constant of the decay of an endpoint's measured slowness.
 const SLOWNESS_MEMORY_US: f64 = 3e7;
@@ -15,7 +15,7 @@
 /// The latencies of single answers differ by as much.
 const SLOWNESS_TOLERANCE: f64 = 0.4;
 
-/// An endpoint's place in the rotation: its last turn and how slowly it answers.
+/// An endpoint's position in the rotation: the time of its last turn and how slowly it answers.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct RotationPlace {
@@ -29,14 +29,15 @@
     /// Decaying sum of the logarithms of the endpoint's latencies relative to its lane's mean latency.
     /// The sum includes one logarithm for each answer, and is decayed as of `slowness_at`.
     log_slowness_sum: f64,
-    /// Decaying number of the answers that `log_slowness_sum` covers.
+    /// Number of answers in `log_slowness_sum`, decayed like the logarithms in that sum.
     answers: f64,
     slowness_at: Micros,
 }
 
 impl RotationPlace {
-    /// Returns a random place for an endpoint of a first list. `place` is a random number from 0 to 1.
-    /// With random places, senders that receive the same list do not all begin with the same endpoint.
+    /// Returns a random rotation position for an endpoint of a destination's first endpoint list.
+    /// `place` is a random number from 0 to 1.
+    /// With random positions, senders with the same endpoint list do not all begin with the same endpoint.
     pub(crate) fn in_first_list(now: Micros, place: f64) -> RotationPlace {
         RotationPlace {
             last_turn: now - (place * FIRST_LIST_SPAN_US) as Micros,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Returns the place of an endpoint that joins others, given the last turns of the other endpoints.
+    /// Returns the rotation position of an endpoint that joins others, given the last turns of the other endpoints.
     /// All senders see the new endpoint idle at the same moment.
     /// So each sender places the new endpoint at random between the others.
     /// Each sender begins to use the new endpoint at a random time within a warm-up.
--- a/src/state.rs
+++ b/src/state.rs
@@ -63,7 +63,7 @@
     pub(crate) wait_until: Micros,
     /// Call budget: calls a second that this sender allows itself after refusals; infinite before a refusal.
     pub(crate) budget: f64,
-    /// Number of calls that the lane's pace allows now.
+    /// Number of calls that the lane's rate limiter allows at once now.
     pub(crate) tokens: f64,
     pub(crate) refilled_at: Micros,
     /// Rate at which `tokens` is refilled, in calls a second.
@@ -110,7 +110,8 @@
     pub(crate) backoff: Micros,
     /// When the trial in flight was sent; `None` without a trial in flight.
     pub(crate) trial_sent: Option<Micros>,
-    /// Whether every failure so far proves that no message ran, so that a trial may carry an unsafe message.
+    /// Whether every failure so far proves that the receiver processed no message.
+    /// If so, a trial may carry an unsafe message.
     pub(crate) nothing_ran: bool,
     /// Whether a probe of the endpoint is in flight.
     pub(crate) probing: bool,
@@ -125,7 +126,7 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct WarmUp {
     pub(crate) since: Micros,
-    /// Number of calls that the warm-up's pace allows now.
+    /// Number of calls that the warm-up's rate limiter allows at once now.
     pub(crate) tokens: f64,
     /// Rate at which `tokens` is refilled, in calls a second.
     pub(crate) pace: f64,
@@ -138,7 +139,7 @@
     }
 }
 
-/// An endpoint's lane, calls in flight, connections, health and place in the rotation.
+/// An endpoint's lane, calls in flight, connections, health and position in the rotation.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Endpoint {
@@ -161,7 +162,7 @@
     pub(crate) failing_since: Option<Micros>,
     /// Decaying share of the endpoint's calls that failed, from 0 to 1.
     pub(crate) failure_share: f64,
-    /// Share of the endpoint's calls that failed and may have run, as of `ambiguous_share_at`.
+    /// Share of the endpoint's calls that failed and may have taken effect, as of `ambiguous_share_at`.
     pub(crate) ambiguous_share: f64,
     pub(crate) ambiguous_share_at: Micros,
     pub(crate) unhealthy: Option<Unhealthy>,
@@ -169,7 +170,7 @@
     pub(crate) rotation: RotationPlace,
 }
 
-/// An attempt in flight: one message's share in a call.
+/// An attempt in flight: the part of a call that concerns one message.
 pub(crate) struct Attempt {
     pub(crate) number: u32,
     pub(crate) call: u64,
@@ -190,14 +191,14 @@
     /// Number of the message's attempts that reached no endpoint and do not count against the maximum.
     pub(crate) unreached: u32,
     pub(crate) in_flight: Vec<Attempt>,
-    /// When the message's first attempt that may have run was sent, and to which endpoint.
+    /// Time and endpoint of the message's first attempt that may have taken effect at the receiver.
     pub(crate) may_have_run: Option<(Micros, EndpointId)>,
     /// Endpoint of the message's latest attempt; the next attempt prefers another endpoint.
     pub(crate) avoid: Option<EndpointId>,
     /// Whether the message's client needs no further answer; attempts may still be in flight.
     pub(crate) closed: bool,
-    /// Whether the message was accepted before a restart, has certainly not run and has not been sent since.
-    /// A message that was restored in this state gets an attempt before it may be shed.
+    /// Whether the message was accepted before a restart, has certainly not taken effect and has not been sent since.
+    /// A restored message that has not taken effect gets an attempt before the sender may refuse it to reduce load.
     pub(crate) restored_untried: bool,
 }
 
@@ -230,7 +231,8 @@
 #[derive(Default)]
 pub(crate) struct OrderKey {
     pub(crate) queue: BTreeSet<(u64, MsgId)>,
-    /// Time before which no message with the key is first sent: an earlier message may still be running.
+    /// Time before which no message with the key gets its first attempt.
+    /// Before `settle_until`, the receiver may still process an earlier message with the key.
     pub(crate) settle_until: Micros,
 }
 
--- a/tests/common/even.rs
+++ b/tests/common/even.rs
@@ -41,8 +41,8 @@
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
     /// Number of endpoints, counted from endpoint 0, that limit their connections, and the maximum for each endpoint.
     pub connection_cap: Option<(usize, usize)>,
-    /// Number of endpoints that join, the time at which they are listed, and a delay.
-    /// A third of the senders receive the list with the joining endpoints after the delay.
+    /// Number of endpoints that join, the time at which they enter the endpoint list, and a delay for some senders.
+    /// A third of the senders receive the endpoint list with the joining endpoints only after the delay.
     pub joining: Option<(usize, Micros, Micros)>,
     /// `(n, time)`: every n-th sender is restarted at `time` without any state.
     pub restart: Option<(usize, Micros)>,
@@ -139,9 +139,9 @@
     dispatcher: Dispatcher,
     inbox: Vec<Event>,
     timer: Micros,
-    /// The endpoint of each entry in the sender's list.
+    /// The endpoint of each entry in the sender's endpoint list.
     endpoints_by_entry: Vec<usize>,
-    /// For each endpoint, the times since which its idle connections are idle.
+    /// For each endpoint, the times at which its idle connections became idle.
     idle: Vec<Vec<Micros>>,
     attempts: BTreeMap<MsgId, u32>,
     open: BTreeMap<MsgId, Micros>,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -26,7 +26,8 @@
     /// Number of senders in each sender's settings, which may differ from `senders`.
     pub assumed_senders: u32,
     pub receivers: Vec<Receiver>,
-    /// Start, end and remaining share of a cut of every limit; the endpoint list keeps advertising the old limit.
+    /// Start and end of a cut of every limit, and the share of the limit that remains.
+    /// The endpoint list keeps advertising the old limit during the cut.
     pub limit_cut: Option<(Micros, Micros, f64)>,
     /// Share of the receivers' rejections that report a wait.
     pub wait_share: f64,
--- a/tests/common/herd.rs
+++ b/tests/common/herd.rs
@@ -1,7 +1,8 @@
 //! Simulates many senders and one receiver that has an outage and returns cold.
 //! The simulation compares the senders' load with the load that overloads the receiver.
-//! The rule: calls within any fall window of 2 s must not exceed the fall multiple of the receiver's capacity
-//! at the end of the window, plus one standard deviation of as many random arrivals.
+//! The rule limits the calls within any overload window of 2 s (setting `fall_window`).
+//! The limit is `fall_multiple` times the receiver's capacity at the end of the overload window.
+//! One standard deviation of as many random arrivals is added to the limit.
 
 use crate::common::{MS, Rng, S, entry, settings};
 use heronroute::*;
@@ -115,10 +116,11 @@
     /// Time from the receiver's return to the highest load.
     pub peak_at: Micros,
     /// The first overload by the strict bound, which allows for chance.
-    /// If the fall window's budget is N calls, the strict bound is N + 2 sqrt(N) + 2 calls.
+    /// If N calls are allowed in the overload window, the strict bound is N + 2 sqrt(N) + 2 calls.
     pub overload: Option<Overload>,
-    /// The first overload by the wide bound. If the fall window's budget N is below 30 calls, the wide bound is
-    /// N + 3 sqrt(N) + 3 calls; otherwise the wide bound is the strict bound.
+    /// The first overload by the wide bound.
+    /// If N calls are allowed in the overload window and N is below 30, the wide bound is N + 3 sqrt(N) + 3 calls.
+    /// If N is 30 or more, the wide bound is the strict bound.
     pub overload_by_wide_bound: Option<Overload>,
     /// Highest load as a multiple of the strict bound.
     pub worst_load_ratio: f64,
@@ -187,7 +189,7 @@
         Event::Listing { complete: true, entries: (0..self.endpoints).map(endpoint).collect() }
     }
 
-    /// Returns whether the sender is restarted in the step that ends now.
+    /// Returns whether the sender is restarted in the simulation step that ends now.
     fn is_restarted(&self, sender: usize, now: Micros) -> bool {
         let tenth = (10 * sender / self.senders as usize) as Micros;
         let mut times = self.restart_at.into_iter().chain(self.second_restart_at);
@@ -234,7 +236,7 @@
         let mut next: Vec<Micros> = (0..n).map(|i| (rng.unit() * 1e6 / rate(i)) as Micros).collect();
         let mut timers: Vec<Micros> = vec![0; n];
         let mut attempts: BTreeMap<(usize, MsgId), u32> = BTreeMap::new();
-        // The class and deadline of each open message, which a restarted sender restores.
+        // Class and deadline of each open message; a restarted sender restores these messages.
         let mut open: BTreeMap<(usize, MsgId), (usize, Micros)> = BTreeMap::new();
         let mut first_attempts: BTreeMap<(usize, MsgId), (EndpointId, Micros)> = BTreeMap::new();
         let mut queue: BTreeMap<(Micros, u64), (usize, Event)> = BTreeMap::new();
@@ -478,7 +480,7 @@
         results
     }
 
-    /// Updates the results with the load of the fall window that ends now.
+    /// Updates the results with the load of the overload window (setting `fall_window`) that ends now.
     fn record_load(
         &self,
         now: Micros,
@@ -519,19 +521,19 @@
     }
 }
 
-/// Returns a case with the given number of senders, which have 240 slots together and at least 2 each.
+/// Returns simulation parameters with the given number of senders, with 240 slots together and at least 2 each.
 pub fn with_senders(senders: u32) -> ReturnCase {
     ReturnCase { senders, assumed_senders: senders, slots: (240 / senders).max(2), ..ReturnCase::default() }
 }
 
-/// Returns a case with a receiver that handles `capacity` calls per second.
+/// Returns simulation parameters with a receiver that handles `capacity` calls per second.
 /// At small capacities, one trial from each of thirty senders overloads the receiver while it is cold.
 pub fn small_receiver(sender_count: u32, capacity: f64, outage: Outage) -> ReturnCase {
     let (limit, demand) = (1.2 * capacity, 0.8 * capacity);
     ReturnCase { capacity, limit, demand, endpoints: 2, outage, ..with_senders(sender_count) }
 }
 
-/// All kinds of outage.
+/// All kinds of outage that the simulated receiver can have.
 pub const OUTAGES: [Outage; 6] =
     [Outage::Shut, Outage::ShutUnlike, Outage::ShutUntold, Outage::Down, Outage::Silent, Outage::Failing];
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// A message's share in a call that is in flight.
+/// One message's attempt, as part of a call that is in flight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     pub id: u64,
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -283,9 +283,9 @@
 
 #[test]
 fn the_first_message_of_a_call_is_the_last_to_run_out_of_time() {
-    // Guards against batches whose first message ends before the answer.
-    // All other messages of a call whose first message had ended counted as undelivered.
-    // If a later message of the batch has ended, the answer is still valid for the other messages.
+    // Guards against batches whose first message reaches its final outcome before the answer.
+    // All other messages of a call counted as undelivered if the first message had its final outcome.
+    // If a later message of the batch has its final outcome, the answer is still valid for the other messages.
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 1)]);
     sender.serve_steadily(1000, 30, SAFE, 1, 100 * MS);
     let times = [(1, SAFE, 5 * S), (2, KEYED, 12 * S), (3, SAFE, 300 * MS), (4, UNSAFE, 9 * S)];
@@ -339,7 +339,7 @@
     }
     assert_eq!(more, 1, "it is sent once calls succeed again");
     // An unsafe message is sent at once if the destination has another endpoint.
-    // Without another endpoint and further outcomes, an unsafe message waits for a limited time.
+    // If there is no other endpoint and no call reports an outcome, an unsafe message waits for a limited time.
     let sent = fill(&mut sender, 50, 1, SAFE, 2);
     sender.now += 50 * MS;
     sender.round(&[Event::MessageAbandoned { id: MsgId(50) }]);
--- a/tests/even.rs
+++ b/tests/even.rs
@@ -82,7 +82,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// A fleet's load is just as even if each sender's list has a different order and different endpoint numbers.
+    /// A fleet's load is as even if each sender's endpoint list has a different order and other endpoint numbers.
     #[test]
     fn names_numbers_and_order_change_nothing(
         seed in any::<u32>(),
@@ -94,7 +94,7 @@
         let same_order = Simulation { seed: seed.into(), kind, endpoints, ..fleet_of(senders) };
         let other_orders = Simulation { numbers, shuffled: true, ..same_order.clone() };
         let [same_order, other_orders] = [same_order, other_orders].map(|simulation| steady(&simulation));
-        // An endpoint gets 17 calls or more in 10 s. Different seeds alone cause differences of the allowed size.
+        // An endpoint gets 17 calls or more in 10 s. A change of seed alone causes differences of the allowed size.
         let message = format!("same order {same_order:?}, other orders {other_orders:?}");
         prop_assert!(same_order.0 < 6.0 && other_orders.0 < 6.0, "{message}");
         prop_assert!((same_order.0 / other_orders.0).ln().abs() < 1.4, "{message}");
@@ -168,8 +168,8 @@
 
 #[test]
 fn the_known_latency_of_a_rarely_used_endpoint_decays() {
-    // After 90 s of slow answers, an endpoint must regain its load share sooner than in 90 s.
-    // Without the decay of the measured latency, the endpoint's load shares were 0.46 and 0.19.
+    // After 90 s of slow answers, an endpoint must regain its share of the load in less than 90 s.
+    // Without the decay of the measured latency, the endpoint's shares of the load were 0.46 and 0.19.
     for n in [6, 30] {
         let simulation =
             Simulation { faults: vec![(1, Fault::Slow(8.0), 10 * S, 100 * S)], end: 160 * S, ..fleet_of(n) };
--- a/tests/handed.rs
+++ b/tests/handed.rs
@@ -47,7 +47,7 @@
     next.finish(&sent[0], Outcome::Busy);
     let again = next.advance(6 * S);
     assert_eq!((again.len(), again[0].number), (1, 1));
-    // After an outcome with which the unsafe message may have run, the message fails.
+    // An unsafe message fails after an outcome with which the message may have taken effect.
     let (mut other, _) = successor(&first, entries(), &[(1, UNSAFE, 1)]);
     other.finish(&sent[0], Outcome::Cancelled);
     assert_eq!(other.failed, [1]);
@@ -96,7 +96,7 @@
     first.serve_steadily(100, 20, SAFE, 1, S / 10);
     let sent = first.round(&[message(1, UNSAFE, 1)]);
     let unlisted = sent[0].endpoint;
-    // The successor's list does not contain the endpoint of the call in flight.
+    // The new sender's endpoint list does not contain the endpoint of the call in flight.
     let remaining: Vec<EndpointEntry> = entries().into_iter().filter(|e| e.endpoint.0 != unlisted).collect();
     let (mut next, again) = successor(&first, remaining, &[(1, UNSAFE, 1)]);
     assert!(again.is_empty());
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -19,7 +19,7 @@
     for seed in 1..=2 {
         let results = ReturnCase { seed, ..case.clone() }.run();
         assert!(results.peak <= MAX_PEAK, "{name}, seed {seed}: {results:?}");
-        // Excludes runs with hardly any calls after the receiver's return.
+        // Excludes simulations in which hardly any calls follow the receiver's return.
         assert!(
             results.peak >= 0.15 && results.half_traffic_after.is_some(),
             "{name}, seed {seed}: {results:?}"
@@ -126,7 +126,7 @@
     );
 }
 
-/// Asserts that the calls of all senders stay within the load that a cold receiver handles, plus a margin for chance.
+/// Asserts that the calls of all senders stay within a cold receiver's load limit plus an allowance for chance.
 fn assert_within_cold_capacity(name: &str, case: &ReturnCase, seeds: u64) {
     for seed in 1..=seeds {
         let results = ReturnCase { seed, ..case.clone() }.run();
@@ -223,7 +223,7 @@
 /// In an outage of the whole receiver, that trial was due with the sender's next message or when its call timed out.
 /// Without a restart, 20 and 30 processes overloaded a receiver of four calls per second by such trials.
 /// The receiver got 11 calls where 10.9 are allowed (also with 30 senders and two calls per second, seed 110).
-/// Trials at twice the gap hardly helped: 128 in place of 133 runs of the silent grid were overloaded.
+/// Trials at twice the gap hardly helped: receivers were overloaded in 128 instead of 133 simulated silent outages.
 /// Once an outage is known, the first trials are moved to a random time.
 /// The random time of a trial depends on the sender's share of the traffic.
 #[test]
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -162,7 +162,7 @@
     let sent = sender.round(&[first, ordered(2, 1, "k")]);
     assert_eq!(sent.iter().map(|attempt| attempt.id).collect::<Vec<_>>(), [1]);
     sender.now += 100 * MS;
-    // The message has ended, but its attempt from before the restart may still be running.
+    // The message has its final outcome, but the receiver may still process its attempt from before the restart.
     assert!(sender.finish(&sent[0], Outcome::Done).is_empty());
     assert!(sender.advance(800 * MS).is_empty());
     assert_eq!(sender.advance(200 * MS).len(), 1);
@@ -225,7 +225,7 @@
     }
 }
 
-/// A message whose attempts were all rejected has not run, so it gets a call like a message that was never sent.
+/// A message whose attempts were all rejected has not taken effect, so it gets a call like a message never sent.
 #[test]
 fn restored_messages_that_were_only_rejected_are_not_shed() {
     let mut sender = TestSender::new(settings(), vec![]);
--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -36,7 +36,7 @@
 /// Seeds of the simulated runs in the tests that check a part of the grid.
 const TEST_SEEDS: std::ops::RangeInclusive<u64> = 101..=102;
 
-/// A case that has been run, and its results.
+/// A simulated case of the grid, and the results of the simulation.
 struct Run {
     case: ReturnCase,
     results: Results,
@@ -55,7 +55,7 @@
     overload.is_some_and(|overload| overload.aware_share > MAX_AWARE_SHARE)
 }
 
-/// Simulates the cases on all cores and returns the runs in the order of the cases.
+/// Simulates the cases on all cores and returns the results in the order of the cases.
 fn run_all(cases: Vec<ReturnCase>) -> Vec<Run> {
     let next = AtomicUsize::new(0);
     let runs: Mutex<Vec<(usize, Results)>> = Mutex::default();
@@ -187,7 +187,7 @@
 /// Tests the replacement of all senders by new machines with empty state.
 /// The new senders have no messages and cannot know of the outage.
 /// In their first second, the new senders may send as many calls as their clients offer messages.
-/// The bound on these calls adds three standard deviations over all runs.
+/// The bound on the calls in the first second adds three standard deviations over all simulated runs.
 #[test]
 fn replaced_by_new_machines() {
     let cases = grid(&OUTAGES, &[12, 30], &[10.0], &RESTARTS[3..], TEST_SEEDS);
@@ -285,7 +285,7 @@
 
 /// Prints one row of the table of runs. The columns `half s` and `full s` are mean times from the receiver's return.
 /// `half s` is the time until the receiver is sent 50% of the demand within a second, `full s` until it is sent 90%.
-/// A run in which the receiver is never sent as much counts with its whole remaining time.
+/// A run in which the receiver is never sent that share of the demand counts with its whole remaining time.
 fn row(name: &str, runs: &[&Run]) {
     let overloaded = runs.iter().filter(|run| run.is_overloaded()).count();
     let wide = runs.iter().filter(|run| run.is_overloaded_by_wide_bound()).count();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -70,7 +70,7 @@
     assert!(sender.round(&[message(1, SAFE, 1)]).is_empty());
     sender.round(&[Event::Listing { complete: true, entries: vec![] }]);
     assert!(sender.round(&[message(2, SAFE, 2)]).is_empty() && sender.advance(S).is_empty());
-    // An endpoint that is listed again after its removal is used as before.
+    // An endpoint that returns to the endpoint list after its removal is used as before.
     let back =
         sender.round(&[Event::Listing { complete: true, entries: vec![entry(1, 1, 0), entry(2, 2, 0)] }]);
     assert_eq!(back.len(), 2);
@@ -175,7 +175,7 @@
     }
     let back = back.expect("the destination came back");
     let warm_capacity = 10.0;
-    // In each window of two seconds, the calls stay below the fall multiple of the capacity at the window's end.
+    // In each window of two seconds, the calls stay below `fall_multiple` times the capacity at the window's end.
     for t in 0..8 {
         let (from, to) = (back + t * S, back + (t + 2) * S);
         let calls = sender.calls_between(from, to);
@@ -326,7 +326,7 @@
     assert!(!closes_idle_connection(Outcome::Busy), "a rate limit rejects calls on all connections alike");
 }
 
-/// Guards against messages that end after their deadline because the round runs late (by 1.8 ms on a recorded day).
+/// Guards against final answers after the deadline because a round starts late (by 1.8 ms on a recorded day).
 #[test]
 fn a_message_ends_before_its_time_though_rounds_are_a_quantum_apart_and_late() {
     for phase in (0..6 * MS).step_by(500) {
@@ -365,7 +365,7 @@
 }
 
 /// Guards against reordering of a key's messages from the platform's point of view.
-/// The key's next message reached its endpoint before the platform had received the end of the key's previous message.
+/// The key's next message reached its endpoint before the platform received the previous message's final outcome.
 #[test]
 fn the_next_message_of_a_key_waits_until_the_end_before_it_is_reported() {
     let mut sender = TestSender::new(settings(), vec![]);
