--- a/src/handover.rs
+++ b/src/handover.rs
@@ -28,7 +28,8 @@
     messages: Vec<(MsgId, u32, CallMessage)>,
 }
 
-/// The data of a message in a call that the next dispatcher needs if the message itself has already ended.
+/// Data of one message in a call in flight.
+/// The next dispatcher needs this data if the message already has its final outcome.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 struct CallMessage {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -11,7 +11,7 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct MsgId(pub u64);
 
-/// The sender's number for an endpoint, which stays the same when the endpoint is listed again.
+/// The sender's number for an endpoint. The number is unchanged if the endpoint returns to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct EndpointId(pub u32);
@@ -27,7 +27,7 @@
     /// A second delivery of a message does no harm.
     Safe,
     /// The message has an idempotency key.
-    /// By this key, the destination drops repeated deliveries within the class's window.
+    /// By the idempotency key, the destination drops repeated deliveries within the class's idempotency window (`window`).
     Keyed,
     /// A second delivery of a message takes effect again.
     #[default]
@@ -335,7 +335,7 @@
     pub kind: usize,
     /// Index of the endpoint's zone.
     pub zone: usize,
-    /// The endpoint's weight, if one is listed; see [`WeightMeaning`].
+    /// The endpoint's weight, if the endpoint list contains one; see [`WeightMeaning`].
     pub weight: Option<f64>,
 }
 
@@ -487,7 +487,8 @@
         /// Attempts without a known outcome may have taken effect.
         may_have_run: Option<(EndpointId, Micros)>,
     },
-    /// The health of an endpoint before a restart. Must be sent after the endpoint has been listed.
+    /// The health of an endpoint before a restart.
+    /// The event with the health must be sent after the [`Event::Listing`] that contains the endpoint.
     EndpointHealthRestored {
         /// The sender's number for the endpoint.
         endpoint: EndpointId,
@@ -504,7 +505,7 @@
         health: ReceiverHealth,
     },
     /// The state of the dispatcher in the process that this process replaces.
-    /// The event with the state must be sent after the endpoints have been listed.
+    /// The event with the state must be sent after the [`Event::Listing`] that contains the endpoints.
     StateInherited(Box<DispatcherState>),
     /// The calls that the replaced process still has in flight.
     /// The event with the calls must be sent after the replaced process's messages have been restored.
@@ -556,7 +557,7 @@
         /// The endpoint's report on its limit, if the answer contained one.
         report: Option<LoadReport>,
     },
-    /// A note from another sender.
+    /// A note (a short text) that another sender broadcast.
     PeerNote {
         /// Number of the sender that broadcast the note.
         from: u32,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -89,7 +89,7 @@
 const FINAL_ANSWER_LEAD_QUANTA: Micros = 2;
 /// Time within which the platform receives a message's final outcome even if the first notice is lost.
 const NOTICE_DELIVERY_US: Micros = 150_000;
-/// Maximum share of a keyed class's window for one attempt, so that a second attempt fits into the window.
+/// Maximum part of a keyed class's idempotency window that one attempt may take, so that a second attempt fits.
 const WINDOW_ATTEMPT_SHARE: f64 = 0.45;
 /// Share of the rate of accepted calls to which a refusal cuts the call budget.
 const BUDGET_CUT_FACTOR: f64 = 0.75;
@@ -125,7 +125,7 @@
 const MIN_TABLE_CONNECTIONS: f64 = 6.0;
 /// Messages stay in their zone up to this ratio of the load on the zone's endpoints to the load on all.
 const MAX_ZONE_LOAD_FACTOR: f64 = 1.5;
-/// Endpoints listed within this time of a destination's first listing count as part of its first endpoint list.
+/// Endpoints that discovery lists within this time of a destination's first listing belong to its first list.
 const FIRST_LIST_SETTLES_US: Micros = 2_000_000;
 /// Factors that convert prices in the settings to surcharges on the cost of a call.
 const CROSS_ZONE_PRICE_FACTOR: f64 = 30.0;
@@ -303,7 +303,7 @@
 
     /// Accepts a message from before a restart. Guards against a second effect of the message.
     /// An attempt with no known outcome may have taken effect, so an unsafe message with such an attempt fails.
-    /// The window of a keyed message still begins at the message's first attempt.
+    /// A keyed message's idempotency window still begins at the message's first attempt.
     fn restore(&mut self, id: MsgId, message: Message, time_left: Micros, out: &mut Vec<Action>) {
         // Only the first restored message counts as demand.
         // Without any demand, one refusal would leave the destination without a call budget.
@@ -503,7 +503,7 @@
 
     /// Removes endpoints, lanes and destinations that left the endpoint list, to bound memory use over months.
     /// The state of unlisted endpoints, lanes and destinations is retained for the length of a warm-up.
-    /// If an endpoint is listed again in that time, the retained waits and health still apply.
+    /// If an endpoint returns to the list within a warm-up's length, the retained waits and health still apply.
     fn evict_stale(&mut self) {
         let (now, retention) = (self.now, self.settings.warm_up.max(RESIZE_INTERVAL_US));
         if now < self.next_eviction {
@@ -903,7 +903,7 @@
     /// Returns whether the message may be refused, which promises the client that resubmitting is harmless.
     /// A resubmission is a new message, and no sender knows that its idempotency key is in use.
     /// So enough must be left of the time for which the destination remembers the idempotency key.
-    /// Without this rule, a refusal late in the message's window led to a second effect.
+    /// Without this rule, a refusal late in the message's idempotency window led to a second effect.
     fn may_refuse(&self, message: &Message) -> bool {
         let class = self.class_of(message);
         let in_flight = message.in_flight.iter().map(|a| a.sent);
@@ -1442,7 +1442,7 @@
     /// Where the kind batches, other pending messages may share the call.
     /// The call lasts for the usual timeout or the shortest time left of its messages, whichever is longer.
     /// An answer that arrives after a message of the batch has reached its outcome may be valid for no message.
-    /// The answer is valid for no message if the ended message is the first in the batch.
+    /// The answer is valid for no message if the message with its outcome is the first in the batch.
     /// So the message with the most time left comes first.
     fn send(&mut self, choice: Choice, out: &mut Vec<Action>) {
         let (now, Choice { id, endpoint: endpoint_id, excludes_unsafe, .. }) = (self.now, choice);
@@ -1567,7 +1567,7 @@
         self.backoff = (self.backoff * 2).min(MAX_TRIAL_BACKOFF_US);
         self.next_trial = now + self.backoff.max(gap as Micros);
     }
-    /// Sets the next trial to a random time after the wait that the receiver asked for.
+    /// Moves a trial that is due during a wait that the receiver asked for to a random time after the wait.
     /// Without the gap, all senders that received the same end of the wait would return at once.
     fn delay_past(&mut self, wait_until: Micros, gap: f64) {
         if self.next_trial < wait_until {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A sender that tests drive step by step.
+//! A simulated sender for tests, which pass its events and advance its clock.
 //! Tests set the sender's settings, pass events to the decision module and check the resulting actions.
 #![allow(dead_code)]
 
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -49,7 +49,7 @@
     // Message 2 fails instead of being refused, because the receiver may have forgotten the message's key.
     // After a refusal, the client would submit message 2 again.
     assert_eq!((sender.failed.as_slice(), sender.refused.len()), (&[2][..], 0));
-    // A keyed message without an endpoint fails at the end of its window.
+    // A keyed message without an endpoint fails at the end of its idempotency window.
     let mut sender = sender_after_10_s(vec![]);
     sender.round(&[restored(3, KEYED, 1, Some(4 * S))]);
     sender.advance(S);
--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -77,7 +77,7 @@
     cases.into_iter().zip(runs).map(|(case, (_, results))| Run { case, results }).collect()
 }
 
-/// Returns a case for every combination of the given outages, senders, capacities, restarts and seeds.
+/// Returns a simulation case for every combination of the given outages, senders, capacities, restarts and seeds.
 fn grid(
     outages: &[Outage],
     senders: &[u32],
@@ -103,7 +103,7 @@
     cases
 }
 
-/// Asserts that no run overloads the receiver by the strict or the wide bound.
+/// Asserts that no simulated run overloads the receiver by the strict or the wide bound.
 fn assert_none_overloaded(cases: Vec<ReturnCase>) {
     let runs = run_all(cases);
     let overloaded: Vec<_> =
@@ -283,7 +283,7 @@
     }
 }
 
-/// Prints one row of the table of runs. The columns `half s` and `full s` are mean times from the receiver's return.
+/// Prints one row of the results table. The columns `half s` and `full s` are mean times from the receiver's return.
 /// `half s` is the time until the receiver is sent 50% of the demand within a second, `full s` until it is sent 90%.
 /// A run in which the receiver is never sent that share of the demand counts with its whole remaining time.
 fn row(name: &str, runs: &[&Run]) {
