--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,7 +27,7 @@
     /// A second delivery of a message does no harm.
     Safe,
     /// The message has an idempotency key.
-    /// By the idempotency key, the destination drops repeated deliveries within the class's idempotency window (`window`).
+    /// By the key, the destination drops repeated deliveries within the class's idempotency window (`window`).
     Keyed,
     /// A second delivery of a message takes effect again.
     #[default]
