--- a/src/handover.rs
+++ b/src/handover.rs
@@ -15,7 +15,7 @@
     dests: Vec<(DestId, Rate, Rate)>,
     lanes: Vec<(LaneKey, Lane)>,
     endpoints: Vec<(EndpointId, Endpoint)>,
-    /// Each order key with the time before which the key's next message must not be sent.
+    /// Order keys, each with the time before which the key's next message must not be sent.
     keys: Vec<(String, Micros)>,
 }
 
@@ -28,7 +28,8 @@
     messages: Vec<(MsgId, u32, CallMessage)>,
 }
 
-/// The data of a message in a call that the next dispatcher needs if the message itself has already ended.
+/// Data of one message in a call in flight.
+/// The next dispatcher needs this data if the message already has its final outcome.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 struct CallMessage {
@@ -99,8 +100,8 @@
         (state, calls.collect())
     }
 
-    /// Applies another dispatcher's state to destinations, lanes and endpoints that are listed.
-    /// Also adds unlisted endpoints that still have calls in flight.
+    /// Applies another dispatcher's state to the destinations, lanes and endpoints in the endpoint list.
+    /// Also adds endpoints that are missing from the endpoint list and still have calls in flight.
     /// The calls in flight themselves are added afterwards by [`Dispatcher::inherit_calls`].
     pub(crate) fn inherit_state(&mut self, state: &DispatcherState) {
         for (id, arrival_rate, traffic) in &state.dests {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A sender that tests drive step by step.
+//! A simulated sender for tests, which pass its events and advance its clock.
 //! Tests set the sender's settings, pass events to the decision module and check the resulting actions.
 #![allow(dead_code)]
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// A message's share in a call that is in flight.
+/// One message's attempt, as part of a call that is in flight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     pub id: u64,
