--- a/crates/sender/benches/limit.rs
+++ b/crates/sender/benches/limit.rs
@@ -13,9 +13,9 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Duration in seconds of the run at each message rate.
+/// Duration in seconds of the rehearsal at each message rate.
 const RUN_SECONDS: u32 = 5;
-/// Message rates of the benchmark's steps, in messages per second.
+/// Message rates that the benchmark tries in ascending order, in messages per second.
 const RATES_PER_SECOND: [u32; 6] = [400, 800, 1600, 3200, 6400, 9600];
 
 /// Returns the CPU seconds and the resident memory in MB of the daemon, which is a child process of this one.
--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -124,7 +124,7 @@
     }
 
     /// Summarises a response that was not read to its end.
-    /// Status 200 confirms the delivery of a single message even if the rest of the response is lost.
+    /// Status 200 confirms the delivery of a single message even if the rest of the response does not arrive.
     /// An incomplete response with another status proves nothing, but a wait in the response's head applies.
     fn incomplete(&self, spec: &CallSpec, outcome: Outcome) -> ResponseSummary {
         let head = self.head.take().unwrap_or_else(|| ResponseSummary::without_response(outcome));
@@ -229,7 +229,7 @@
 
     /// Returns how long a connection to the endpoint may be idle and still be reused.
     /// The limited idle time guards against connections that the endpoint or the network has dropped unnoticed.
-    /// The next request on a dropped connection is reset and may or may not have run.
+    /// The next request on a dropped connection is reset, and may or may not have taken effect at the receiver.
     /// An unsafe message in such a request can't be repeated and is lost.
     /// For [`STALE_RETENTION`] after such a reset the lifetime is half of the shortest idle time that ended in a reset.
     /// The shorter lifetime costs more new connections.
@@ -400,7 +400,7 @@
         let body =
             connection.drive(Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect()).await.ok()?;
         if summary.outcome == Outcome::Done && spec.batch {
-            // If the response has no readable states, whether the messages ran is unknown.
+            // Without readable states in the response, the messages may or may not have taken effect at the receiver.
             let Ok(states) = serde_json::from_slice::<Vec<BatchState>>(&body.to_bytes()) else {
                 return Some(ResponseSummary {
                     outcome: Outcome::MalformedAnswer,
@@ -440,7 +440,7 @@
 }
 
 /// Opens a connection and waits [`SETTLE_TIME`] for an immediate reset.
-/// Returns None if the connection was reset: nothing had been written, so the message has certainly not run.
+/// Returns None if the connection was reset: nothing had been written, so the message has certainly had no effect.
 async fn open_settled(addr: SocketAddr) -> Option<Connection> {
     let connection = Connection::open(addr).await.ok()?;
     tokio::time::sleep(SETTLE_TIME).await;
--- a/crates/sender/src/class_table.rs
+++ b/crates/sender/src/class_table.rs
@@ -1,6 +1,6 @@
-//! The table of class rules. The rules in a row never change.
+//! The table of class rules. The rules in a row of the table never change.
 //! If a class's rules differ after a reload of the configuration, the class gets a new row for new messages.
-//! Open messages keep the row under which they were accepted.
+//! Open messages keep the table row with the class rules under which they were accepted.
 
 use heronroute::{ClassSettings, Micros};
 
@@ -11,11 +11,11 @@
 /// Which messages use a row of the class table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RowUse {
-    /// The row is for new messages of the class, and for messages accepted under the row.
+    /// The row's rules apply to new messages of the class and to open messages accepted under the row.
     Current,
-    /// The row is used as in `Current` until the given time: the class is no longer in the configuration.
+    /// The row is used as in `Current` until the given time, since the class is no longer in the configuration.
     Dropped(Micros),
-    /// The row is only for messages accepted under it.
+    /// The row's rules apply only to open messages that were accepted under the row.
     MessagesOnly,
 }
 
@@ -24,7 +24,7 @@
     name: String,
     class: ClassSettings,
     used: RowUse,
-    /// Number of open messages accepted under the row.
+    /// Number of open messages that were accepted under this row of the class table.
     open: usize,
 }
 
@@ -41,7 +41,7 @@
         ClassTable { rows: classes.into_iter().map(row).collect() }
     }
 
-    /// Returns the row for a new message of the class.
+    /// Returns the row with the class rules for a new message of the class.
     pub fn current_row(&self, name: &str, now: Micros) -> Option<usize> {
         self.rows.iter().position(|row| {
             row.name == name
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Returns the row for a message that an earlier process accepted.
+    /// Returns the row with the class rules for a message that an earlier process accepted.
     /// If the message's rules are unknown (in an old journal), the rules in the class's current row apply.
     pub fn row_for_restored(
         &mut self,
@@ -126,7 +126,7 @@
         self.rows.iter().map(|row| row.class.clone()).collect()
     }
 
-    /// Returns the class names of all rows.
+    /// Returns the class names of all rows, ordered by row number.
     pub fn names(&self) -> impl Iterator<Item = &String> {
         self.rows.iter().map(|row| &row.name)
     }
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -168,13 +168,13 @@
     idle_since: Cell<Instant>,
     /// When input was last read from the connection.
     last_read: Cell<Instant>,
-    /// Whether the input read so far ends within a command.
+    /// Whether the last command in the input read so far is incomplete.
     partial: Cell<bool>,
     task: OnceCell<AbortHandle>,
 }
 
 impl ClientEntry {
-    /// Returns the connection's place in the order of eviction, lowest first. Busy connections are never evicted.
+    /// Returns the connection's rank for eviction: the lowest is evicted first. Busy connections are never evicted.
     fn rank(&self, now: Instant) -> (u8, Instant) {
         let last = self.idle_since.get().max(self.last_read.get());
         let silent_for = now.saturating_duration_since(last);
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads the configuration and the environment, builds the parts and runs them.
+//! The daemon: reads the configuration and the environment, then builds and runs the daemon's components.
 
 use crate::clients::Origin;
 use crate::clock::Clock;
@@ -36,11 +36,11 @@
 use tokio::sync::{mpsc, watch};
 
 const DEFAULT_CONNECT_TIMEOUT_US: i64 = 1_500_000;
-/// Time after the driver's end for writing the last replies to clients.
+/// Time for writing the last replies to clients after the driver has ended.
 const FINAL_WRITE_TIME: Duration = Duration::from_millis(20);
-/// Time that a start waits for discovery's list before it uses the list in the configuration.
+/// Time that a start waits for discovery's endpoint list before it uses the endpoint list in the configuration.
 const FIRST_LIST_WAIT: Duration = Duration::from_millis(500);
-/// Interval at which a start checks whether discovery's list has arrived.
+/// Interval at which a starting process checks whether discovery's endpoint list has arrived.
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Capacity of the driver's input queue. A task that sends to the full queue waits.
 const MAX_QUEUED_INPUTS: usize = 1024;
@@ -138,7 +138,7 @@
         Ok(Self::read_with_value(path)?.0)
     }
 
-    /// Reads a configuration file. Returns the configuration also as JSON, without the content of the list `known`.
+    /// Reads a configuration file. Returns the configuration also as JSON, without the content of the field `known`.
     fn read_with_value(path: &Path) -> Result<(Self, Value), String> {
         let at = |e: &dyn Display| format!("{}: {e}", path.display());
         let text = std::fs::read_to_string(path).map_err(|e| at(&e))?;
@@ -186,7 +186,7 @@
     format!("settings.{}: must be {}", setting_path(e), e.requirement)
 }
 
-/// The part of a reloaded configuration that a running sender applies.
+/// The settings of a reloaded configuration that a running sender applies.
 struct ReloadedConfig {
     discovery: SocketAddr,
     classes: Vec<(String, ClassSettings)>,
@@ -207,7 +207,7 @@
     }
 }
 
-/// The file to reload, the running configuration, and the channels for the reloaded parts.
+/// The file to reload, the configuration in force, and the channels for the reloaded settings.
 struct Reload {
     path: PathBuf,
     /// The configuration that the sender runs with, as JSON.
@@ -272,7 +272,7 @@
     }
 }
 
-/// Retains the destinations of all messages that an earlier run left, whichever sender owns these destinations now.
+/// Retains the destinations of all messages from an earlier process, whichever sender owns these destinations now.
 fn retain_destinations(placement: &Placement, journal: &journal::Journal) {
     for (id, entry) in journal.entries() {
         if entry.progress.end.is_none() {
@@ -281,7 +281,7 @@
     }
 }
 
-/// Waits for the member list for a limited time: the messages of an earlier run are delivered without it.
+/// Waits for the member list for a limited time: messages of an earlier process are delivered without a member list.
 async fn wait_for_members(placement: &Placement) {
     let begun = tokio::time::Instant::now();
     let waits = || begun.elapsed() < if placement.is_reading() { TABLE_WAIT } else { MEMBER_LIST_WAIT };
@@ -297,7 +297,7 @@
     }
 }
 
-/// Returns the part of an endpoint list that this sender retains; without placement the complete list.
+/// Returns the endpoints of a list that this sender retains; without placement all endpoints.
 fn owned_part(mut list: Listing, placement: Option<&Placement>) -> Listing {
     if let Some(placement) = placement {
         list.endpoints.retain(|line| placement.retains(line.group));
@@ -316,7 +316,7 @@
     }
 }
 
-/// Builds the daemon's parts and runs them until the driver ends.
+/// Builds the daemon's components and runs the components until the driver ends.
 async fn serve(options_file: Option<PathBuf>) -> Result<(), Box<dyn Error>> {
     let inherited = inherited_socket::listener()?;
     // The signal handlers are installed before anything is awaited: by default SIGTERM or SIGHUP ends the process.
@@ -386,13 +386,13 @@
         config.known = None;
     }
     let (discovery, follow_discovery) = watch::channel(config.discovery);
-    // Version 0 in the configuration means that there is no list yet, unless it has endpoints and polls are costly.
+    // Version 0 means that the configuration has no endpoint list yet, unless it has endpoints and polls are costly.
     let index =
         config.known.as_ref().filter(|l| l.index > 0 || (ask_every.is_some() && !l.endpoints.is_empty()));
     let index = index.map(|l| l.index);
     let seed = u64::from_str_radix(&config.seed, 16).unwrap_or(0);
     let schedule = PollSchedule::new(ask_every, seed);
-    // Where polls of many senders are spread over time, the configuration's list is used at first.
+    // Where polls of many senders are spread over time, the configuration's endpoint list is used at first.
     let list_wait = if schedule.is_costly() { Duration::ZERO } else { FIRST_LIST_WAIT };
     if let Some(addr) = mgmt {
         let management = mgmt::Management {
@@ -415,8 +415,8 @@
         // The dispatcher shares a destination's limit among `senders` senders.
         settings.senders = placement.fix_sharers();
     }
-    // A process that waits for the journal may get discovery's list long before the journal.
-    // The configuration's older list is applied now, so that it can't overwrite discovery's list later.
+    // A process that waits for the journal may get discovery's endpoint list long before the journal.
+    // The configuration's older endpoint list is applied now, so that it can't overwrite discovery's list later.
     let known = InitialList::from_config(config.known.map(|list| owned_part(list, placement.as_deref())));
     let taken = match &known {
         InitialList::Configured(list) if matches!(startup, Startup::InheritedSocket(_)) => {
@@ -516,8 +516,8 @@
             });
         }
     }
-    // If discovery has sent nothing yet, the configured list is applied once more.
-    // Endpoints that the journal records as draining are left out of the configured list.
+    // If discovery has sent nothing yet, the configured endpoint list is applied once more.
+    // Endpoints that the journal records as draining are left out of the configured endpoint list.
     let known = match taken {
         Some(entries) if !inbox.is_empty() => InitialList::Applied(entries),
         _ => known,
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -30,7 +30,7 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Timeout for the head of discovery's response where polls cost discovery work: discovery may queue a poll that long.
 const COSTLY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time for reading a listing of which only the owned part is stored; the listing may be long.
+/// Time for reading a listing of which only the owned destinations are stored; the listing may be long.
 const FILTERED_LIST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Follows the endpoint listing for ever; the driver receives the changes in order.
@@ -70,7 +70,7 @@
                 (None, Ok(_)) => {}
             }
             // A watch counts as useful if it brought a new version or stayed open for longer than the stall timeout.
-            // One line without a change, a poll that hung, or a version that was dropped does not make a watch useful.
+            // Neither one line without a change, a poll that hung, nor a dropped version makes a watch useful.
             let (took, advanced) = (begun.elapsed(), index.is_some() && index != before);
             let useful = opened && (advanced || took > STALL_TIMEOUT);
             if rejected.is_some() {
@@ -132,7 +132,7 @@
     RereadRequested,
 }
 
-/// Receives discovery's listings, and decides which part of them is stored.
+/// Receives discovery's listings, and decides which endpoints in them are stored.
 pub struct ListingSink {
     pub endpoints: Rc<RefCell<EndpointTable>>,
     pub driver: mpsc::Sender<Input>,
@@ -226,7 +226,7 @@
         Ok(ListStream { connection, body, listings, limit: sink.limit, last_progress: Instant::now() })
     }
 
-    /// Reads the next part of the response's body; None at the end of the body.
+    /// Reads the next chunk of the response's body; None at the end of the body.
     async fn read(&mut self) -> io::Result<Option<Bytes>> {
         let until = (self.last_progress + STALL_TIMEOUT).into();
         let frame = self.connection.drive(self.body.frame());
@@ -248,7 +248,7 @@
     }
 
     /// Reads one listing of any length and keeps the endpoints that this sender owns.
-    /// The stall timeout applies to each part of the response's body, not to the complete body.
+    /// The stall timeout applies to each chunk of the response's body, not to the complete body.
     async fn read_filtered(mut self) -> io::Result<Listing> {
         let mut listing = None;
         loop {
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -330,7 +330,7 @@
         self.unanswered_puts.insert(id, UnansweredPut { put, deadline, reply });
     }
 
-    /// Whether an unknown destination may be one whose part of the endpoint listing has not been read yet.
+    /// Whether an unknown destination may have endpoints in the endpoint list that have not been read yet.
     fn awaits_endpoints(&self) -> bool {
         self.placement.as_ref().is_some_and(|placement| placement.awaits_endpoints())
     }
@@ -361,7 +361,7 @@
         }
     }
 
-    /// Closes the messages that a call has ended, records the ends of the call's other attempts, queues the outcomes.
+    /// Closes the messages that a call has ended, records how the call's other attempts ended, queues the outcomes.
     fn handle_call_end(&mut self, call: u64, call_end: CallEnd) {
         self.calls_in_flight.remove(&call);
         let CallEnd { endpoint, outcomes, elapsed, wait, report } = call_end;
@@ -428,7 +428,7 @@
         }
     }
 
-    /// Closes a message whose end needs no notice to the platform.
+    /// Closes a message whose final outcome needs no notice to the platform.
     fn close_message(&mut self, id: MsgId) {
         self.remove_pending(id);
         if let Some(entry) = self.journal.borrow().get(id.0) {
@@ -437,7 +437,7 @@
         self.write_journal(|j| j.record_message_ended(id.0, End::Closed));
     }
 
-    /// Runs one round of the dispatcher with the queued events and executes its actions.
+    /// Runs one round of the dispatcher with the queued events and executes the dispatcher's actions.
     fn round(&mut self) {
         let now = self.clock.now();
         while let Some(Reverse((_, token))) = self.timers.peek().copied().filter(|t| t.0.0 <= now) {
@@ -456,7 +456,7 @@
 
     /// Sets each new message's remaining time as of the round that begins now.
     /// The round may run a quantum after the message was read, or later at a start with a long journal.
-    /// With the remaining time as of reading, the dispatcher would end the message too late.
+    /// With the remaining time as of reading, the dispatcher would end the message too late for its deadline.
     /// A response after the message's deadline would not count.
     fn set_time_left(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
@@ -564,7 +564,7 @@
                 Action::Timer { at, token } => self.timers.push(Reverse((at, token))),
                 Action::Probe { endpoint } => self.probe(endpoint),
                 Action::CloseIdle { endpoint } => self.calls.close(endpoint),
-                // The dispatcher can broadcast notes to peers, but the senders of this daemon exchange none.
+                // The dispatcher can broadcast data to peers, but the senders of this daemon exchange none.
                 Action::Broadcast { .. } => {}
             }
         }
@@ -660,7 +660,7 @@
                     return Vec::new();
                 }
                 // A message that ended while the connection was opening must not be sent.
-                // The client may already have been notified of the message's end.
+                // The client may already have been notified of the message's final outcome.
                 let open =
                     |id: &MsgId| journal.borrow().get(id.0).is_some_and(|entry| entry.progress.end.is_none());
                 let wanted: Vec<MsgId> = spec.items.iter().map(|i| i.id).filter(open).collect();
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -1,6 +1,6 @@
-//! The driver's part in replacing one process by another.
+//! What the driver does when one process of a sender replaces another.
 //! The driver handles frames from its predecessor, and hands its own state to a successor.
-//! After a handover the driver forwards to the successor the puts and outcomes that still arrive.
+//! After a handover the driver forwards to the successor the clients' messages and the outcomes that still arrive.
 
 use super::{Driver, EXIT_DEADLINE_US};
 use crate::calls::Lane;
@@ -61,7 +61,7 @@
         Predecessor { send, attempts_in_flight: attempts_in_flight.collect() }
     }
 
-    /// Handles a put or a call's outcomes that the predecessor forwards.
+    /// Handles a client's message or a call's outcomes that the predecessor forwards.
     pub(super) fn handle_predecessor_frame(&mut self, frame: Frame) {
         let Some(predecessor) = &mut self.predecessor else { return };
         match frame {
@@ -96,7 +96,7 @@
     }
 
     /// Ends the predecessor's attempts in flight after the predecessor has exited.
-    /// Attempts of the predecessor that had begun may have run.
+    /// Attempts that the predecessor had begun may have taken effect at the receiver.
     pub(super) fn handle_predecessor_gone(&mut self) {
         self.shared.two_processes.set(false);
         let Some(predecessor) = self.predecessor.take() else { return };
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Forwards puts, replies and outcomes between clients, calls and the successor that has taken over.
+    /// Forwards messages, replies and outcomes between clients, calls and the successor that has taken over.
     /// Returns once no call and no client connection is left, or at the exit deadline.
     pub(super) async fn forward_until_idle(mut self, mut inbox: mpsc::Receiver<Input>, link: Link) {
         _ = self.status.change(Change::HandedOver);
--- a/crates/sender/src/driver/recovered.rs
+++ b/crates/sender/src/driver/recovered.rs
@@ -1,5 +1,5 @@
 //! Counts the messages that a restart recovers from the journal unattempted.
-//! A message counts as unattempted if it had no attempt, or only attempts that certainly did not run.
+//! A message counts as unattempted if it had no attempt, or only attempts that certainly had no effect.
 //! Each unattempted message must get a call before its deadline.
 //! The counts are logged once the last unattempted message has had a call or has ended.
 
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -24,7 +24,7 @@
 }
 
 impl InitialList {
-    /// Creates the initial list from the listing in the configuration; a listing without endpoints counts as missing.
+    /// Creates the initial endpoint list from the configuration; a configured list without endpoints counts as missing.
     pub fn from_config(list: Option<Listing>) -> Self {
         list.filter(|l| !l.endpoints.is_empty()).map_or(InitialList::Missing, InitialList::Configured)
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Passes to the dispatcher the state that an earlier run left in the journal or the predecessor has handed over.
+    /// Passes to the dispatcher the state that an earlier process left in the journal or the predecessor handed over.
     pub(super) fn restore(&mut self) {
         let handed_over = self.handover.as_mut().and_then(|handover| handover.predecessor.take());
         let mut restored = Vec::new();
@@ -93,7 +93,7 @@
             }
             let names: HashMap<EndpointId, String> = names.into_iter().collect();
             let endpoints = self.endpoints.borrow();
-            // An endpoint with calls in flight but not listed any more gets a number that no listed endpoint will have.
+            // An endpoint with calls in flight that has left the endpoint list gets a number that no other will have.
             let unlisted: BTreeSet<EndpointId> = calls.iter().map(InFlightCall::endpoint).collect();
             let number = |id: EndpointId| {
                 let known = names.get(&id).and_then(|name| endpoints.number(name));
@@ -127,12 +127,12 @@
             let request_id = message.request_id.clone();
             if let Some(end) = progress.end {
                 self.unconfirmed_notices += 1;
-                // This process, whose counters began at zero, sends the notice and so counts the end.
+                // This process, whose counters began at zero, sends the notice and so counts the final outcome.
                 self.metrics.count(&message.class, MessageEnd::of(end));
                 _ = self.notices.send(Notice { id, request_id, end });
                 continue;
             }
-            // An endpoint that is no longer listed has no number; an unused number stands for it.
+            // An endpoint that has left the endpoint list has no number; an unused number stands for that endpoint.
             let number = |name: &str| endpoints.number(name).unwrap_or(EndpointId(u32::MAX));
             // The rules under which the message was accepted still apply, even if the configuration has changed.
             let rules = journal.rules(entry);
@@ -183,7 +183,7 @@
     }
 }
 
-/// Returns the receivers' health as of the earlier run.
+/// Returns the receivers' health as the earlier process recorded it in the journal.
 /// A journal of an earlier version does not record receivers' health.
 /// Receivers that have messages in such a journal, or whose endpoints were failing, may be down or warming up.
 /// The health of such receivers is restored as unknown.
--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The table of endpoints as last listed, and the numbers under which the dispatcher knows them.
+//! The table of endpoints by the latest endpoint list, and the numbers by which the dispatcher knows endpoints.
 
 use embershore_protocol::listing::{ListedEndpoint, Listing};
 use embershore_protocol::settings::Names;
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time for which a gone endpoint keeps its number, in case it is listed again.
+/// Time for which an endpoint that is gone keeps its number, in case a later endpoint list contains it again.
 /// The time is short because gone endpoints make up most of the table where endpoints are replaced all the time.
 const GONE_RETENTION: Duration = Duration::from_secs(60);
 /// Time for which a destination stays known after its last endpoint has gone.
@@ -15,7 +15,7 @@
 /// Number of destinations above which those without an endpoint are dropped.
 const MAX_DESTINATIONS: usize = 10_000;
 
-/// An endpoint as last listed.
+/// An endpoint, as described in the latest endpoint list that contained it.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     pub name: String,
@@ -62,7 +62,7 @@
         self.numbers.get(name).copied()
     }
 
-    /// Returns the number of listed endpoints, with whatever status.
+    /// Returns the number of endpoints in the endpoint list, with whatever status.
     pub fn listed(&self) -> usize {
         self.endpoints.values().filter(|e| e.listed()).count()
     }
@@ -100,7 +100,7 @@
         self.remove(Instant::now(), |_, endpoint| !retain(endpoint.dest.0)).collect()
     }
 
-    /// Marks the listed endpoints for which `unwanted` returns true as gone.
+    /// Sets the status of those endpoints to gone for which `unwanted` returns true.
     fn remove(
         &mut self,
         now: Instant,
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -133,7 +133,7 @@
 }
 
 /// A link that a task reads and writes. The channels have no bound of their own, but their content is bounded.
-/// The number of connections bounds the clients' messages, and the number of slots bounds the ends of calls.
+/// The number of connections bounds the clients' messages, and the number of slots bounds the reports of ended calls.
 pub struct BackgroundLink {
     pub send: mpsc::UnboundedSender<Frame>,
     /// The frames received on the link. The channel closes when the link ends.
@@ -210,7 +210,7 @@
 }
 
 /// Accepts successors one at a time, and passes each that requests the journal to the driver.
-/// Ends when the driver has handed the journal over and dropped its end of the channel.
+/// Returns when the driver has handed the journal over and dropped its side of the channel.
 pub async fn accept_takeovers(listener: UnixListener, requests: mpsc::Sender<(Owner, Link)>) {
     loop {
         let mut link = match listener.accept().await {
@@ -296,7 +296,7 @@
                 let (Some(mut link), Some(state)) = (link.take(), received_state.take()) else {
                     return Ok(None);
                 };
-                // If the frame `Taken` is lost, the owner still finds the lock taken.
+                // If the frame `Taken` does not arrive, the owner still finds that this process holds the lock.
                 _ = link.send(&Frame::Taken).await;
                 return Ok(Some((state, link)));
             }
@@ -332,7 +332,8 @@
 }
 
 /// Sends a frame to the owner and returns the successor's next step.
-/// The next step is to wait for the owner's response, or if sending failed the step after a lost owner.
+/// After a successful write the successor waits for the owner's response.
+/// If the write fails, the connection to the owner is lost, and the state machine returns the step for that event.
 async fn send_or_lost(successor: &mut Successor, link: &mut Option<Link>, frame: &Frame) -> SuccessorAction {
     let sent = match link {
         Some(link) => link.send(frame).await.is_ok(),
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -13,7 +13,7 @@
     Put(Put, oneshot::Sender<Reply>),
     /// An endpoint listing from discovery: complete, or the changes since the last listing.
     EndpointsListed { index: u64, full: bool, entries: Vec<EndpointEntry> },
-    /// A call's end, with the number of the call.
+    /// A call has ended; the input contains the call's number and its outcomes.
     CallEnded(u64, CallEnd),
     /// The outcome of a probe, with the load report if the endpoint sent one.
     Probed(EndpointId, Outcome, Option<LoadReport>),
@@ -31,7 +31,7 @@
 
 pub use embershore_handover::MessageOutcome;
 
-/// The end of a call, with each message's outcome.
+/// The result of a call that has ended, with each message's outcome.
 #[derive(Debug)]
 pub struct CallEnd {
     pub endpoint: EndpointId,
@@ -41,7 +41,7 @@
     pub report: Option<LoadReport>,
 }
 
-/// An undelivered message's end, to be reported to the platform.
+/// The final outcome of an undelivered message, to be reported to the platform.
 #[derive(Debug)]
 pub struct Notice {
     pub id: u64,
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -1,8 +1,8 @@
 //! A property test of random interleavings of events, against the dispatcher and the real journal.
-//! A kill may come after any step and truncate the journal at any byte.
-//! After a kill the sender restarts from the rest of the journal.
+//! A kill of the process may come after any step with a lasting effect, and may truncate the journal at any byte.
+//! After a kill the sender restarts from what is left of the journal.
 //!
-//! The model, [`World`], records which calls have run, which no sender can know.
+//! The model, [`World`], simulates the environment and records which calls took effect, which no sender can know.
 //! The model executes the dispatcher's actions in the driver's order; a kill may come between any two steps.
 
 use crate::journal::{Accepted, Journal, Receiver};
@@ -91,7 +91,7 @@
     },
     /// The process receives SIGTERM and continues to run.
     Stop,
-    /// SIGKILL after `after` steps, with `torn` bytes of an incomplete record left, and `away` until the next start.
+    /// SIGKILL after `after` steps, with `torn` bytes of an incomplete record left, and a restart after `away`.
     Kill {
         after: usize,
         torn: usize,
@@ -131,7 +131,7 @@
     ]
 }
 
-/// The true state of a message, of which the sender process knows only a part.
+/// The true state of a message, which the sender process knows only incompletely.
 #[derive(Debug, Default)]
 struct Truth {
     class: usize,
@@ -148,7 +148,7 @@
     /// Whether the running process knows of the message's delivery.
     /// After a kill while the delivery is being recorded, the next process may not know of the delivery.
     known_delivered: bool,
-    /// The message's end as reported in its notice.
+    /// The message's final outcome as reported in its notice.
     notice: Option<End>,
     /// When a restart found the message unattempted. The message must then get a call before its deadline.
     recovered: Option<Micros>,
@@ -163,7 +163,7 @@
     decided_at: Micros,
 }
 
-/// The error of a step that was not done because the process has been killed.
+/// The error of an action that was not executed because the simulated process has been killed.
 struct Killed;
 
 /// The sender process: the dispatcher, the journal and the driver's state.
@@ -175,7 +175,7 @@
     events: Vec<Event>,
     /// Submitted messages that no round has processed.
     submitted: BTreeMap<u64, Accepted>,
-    /// Number of steps until the process is killed; None if it is not to be killed.
+    /// Number of steps with a lasting effect until the process is killed; None if it is not to be killed.
     steps_left: Option<usize>,
 }
 
@@ -502,7 +502,7 @@
         Ok(())
     }
 
-    /// Ends an undelivered message, after checking that the end is allowed.
+    /// Ends an undelivered message, after checking that the message's final outcome is allowed.
     fn end_undelivered(&mut self, id: u64, end: End) -> Result<(), Killed> {
         let truth = &self.truth[&id];
         let due = truth.deadline - 2 * QUANTUM;
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -106,20 +106,20 @@
 /// An attempt: the endpoint's name and the time at which the attempt began.
 pub type Attempt = (String, Micros);
 
-/// The progress of a message: its attempts and its end.
+/// The progress of a message: its attempts and its final outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
     pub attempts: u32,
     /// The message's attempt that has no outcome yet, if there is one.
     pub in_flight: Option<Attempt>,
-    /// The message's first ended attempt that the endpoint may have run.
+    /// The message's first ended attempt that may have taken effect at the receiver.
     pub may_have_run: Option<Attempt>,
-    /// The message's end, until the platform has confirmed the notice.
+    /// The message's final outcome, until the platform has confirmed the notice.
     pub end: Option<End>,
 }
 
 impl Progress {
-    /// Returns the first attempt that the endpoint may have run; the attempt in flight counts as well.
+    /// Returns the first attempt that may have taken effect at the receiver; the attempt in flight counts as well.
     pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.may_have_run.as_ref().or(self.in_flight.as_ref())
     }
@@ -221,7 +221,7 @@
     /// Whether the journal records receivers' health, so that a receiver without a record was healthy.
     /// Journals of earlier versions do not record receivers' health.
     receivers_recorded: bool,
-    /// Endpoints listed as draining or gone, each with the version of the listing that says so.
+    /// Endpoints that are draining or gone, each with the version of the endpoint list that says so.
     not_ready: BTreeMap<String, u64>,
     /// Class rules by number. Compaction drops rules that no message refers to.
     rules: BTreeMap<u32, Rules>,
@@ -489,7 +489,7 @@
         self.append(Record::AttemptStarted(ids, (endpoint.to_string(), at)), 0)
     }
 
-    /// Records the end of a message's attempt in flight.
+    /// Records that a message's attempt in flight has ended.
     pub fn record_attempt_settled(&mut self, id: u64, may_have_run: bool) -> io::Result<()> {
         if self.entries.get(&id).is_none_or(|e| e.progress.in_flight.is_none()) {
             return Ok(());
@@ -497,8 +497,8 @@
         self.append(Record::AttemptSettled(id, may_have_run), 0)
     }
 
-    /// Records a message's end. [`End::Closed`] removes the message.
-    /// After any other end the message stays in the journal until the platform has confirmed its notice.
+    /// Records a message's final outcome. [`End::Closed`] removes the message.
+    /// After any other final outcome the message stays in the journal until the platform has confirmed its notice.
     pub fn record_message_ended(&mut self, id: u64, end: End) -> io::Result<()> {
         if self.entries.contains_key(&id) { self.append(Record::Ended(id, end), 0) } else { Ok(()) }
     }
@@ -539,7 +539,7 @@
         Ok(())
     }
 
-    /// Records which endpoints are listed as draining or gone. A restarted sender may be configured with an older list.
+    /// Records which endpoints are draining or gone. A restarted sender may be configured with an older endpoint list.
     /// A restarted sender must not send to draining or gone endpoints while discovery does not answer.
     pub fn record_endpoints_listed(&mut self, index: u64, lines: &[(String, bool)]) -> io::Result<()> {
         let mut changes: Vec<(String, Option<u64>)> = Vec::new();
@@ -550,7 +550,7 @@
                 _ => {}
             }
         }
-        // Drops the oldest of the endpoints not ready: a configured list is not old enough to contain them.
+        // Drops the oldest entries of endpoints not ready: a configured endpoint list is too recent to contain them.
         let surplus = self.not_ready.len().saturating_sub(MAX_NOT_READY);
         let mut by_age: Vec<(u64, String)> = self.not_ready.iter().map(|(n, i)| (*i, n.clone())).collect();
         by_age.sort();
@@ -561,7 +561,7 @@
         Ok(())
     }
 
-    /// Whether a later listing than `index` lists the endpoint as draining or gone.
+    /// Whether an endpoint list of a later version than `index` says that the endpoint is draining or gone.
     pub fn not_ready_since(&self, name: &str, index: u64) -> bool {
         self.not_ready.get(name).is_some_and(|version| *version > index)
     }
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::io;
 
-/// Share of the sender's memory that the text of an endpoint list may take.
+/// Fraction of the sender's memory that the text of an endpoint list may take.
 /// Measured with 24,000 endpoints of 123 bytes and one destination each, a byte of text costs 13 resident bytes.
 /// Once a list of other endpoints has replaced the first list, a byte of text costs 22 resident bytes.
 /// The reason is that the old endpoints are retained for a minute.
@@ -30,10 +30,10 @@
         self.0
     }
 
-    /// Checks the length of the part of a list's text that has been read so far.
+    /// Checks the length of the text that has been read so far from an endpoint list.
     ///
     /// # Errors
-    /// The list is too long; `endpoints` is then called to count the endpoints that begin in the part read.
+    /// The endpoint list is too long; `endpoints` then counts the endpoints that begin in the text read so far.
     pub fn check(self, bytes_read: usize, endpoints: impl FnOnce() -> usize) -> Result<(), TooLong> {
         if bytes_read <= self.0 {
             return Ok(());
@@ -41,13 +41,13 @@
         Err(TooLong { source: Source::Discovery, limit: self.0, bytes: bytes_read, endpoints: endpoints() })
     }
 
-    /// Checks a list that has been read completely, by its length when written without white space.
+    /// Checks a complete endpoint list by the length of its JSON text without white space.
     ///
     /// # Errors
-    /// The list is too long.
+    /// The endpoint list is too long.
     pub fn check_configured(self, list: &Listing) -> Result<(), TooLong> {
         let mut text = Length(0);
-        // Writing the list as JSON can't fail: the writer never fails, and all map keys are strings.
+        // Writing the endpoint list as JSON can't fail: the writer never fails, and all map keys are strings.
         _ = serde_json::to_writer(&mut text, list);
         self.check(text.0, || list.endpoints.len())
             .map_err(|too_long| TooLong { source: Source::Configuration, ..too_long })
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong {
     pub source: Source,
-    /// The size limit of the list in bytes.
+    /// The size limit of an endpoint list in bytes.
     pub limit: usize,
     /// The number of bytes that were read before the list was rejected.
     pub bytes: usize,
@@ -120,7 +120,7 @@
 }
 
 /// Counts a rejected endpoint list. The first rejected list after an accepted list is logged.
-/// The log line says whether another list stays in force.
+/// The log line says whether an earlier endpoint list stays in force.
 pub fn reject(metrics: &Metrics, too_long: TooLong, in_force: bool) {
     if metrics.lists.reject(too_long) {
         let stays = if in_force { "the last good list stays" } else { "no list is in force: not ready" };
@@ -128,7 +128,7 @@
     }
 }
 
-/// Records an accepted endpoint list, and logs the acceptance if the list before was rejected.
+/// Records an accepted endpoint list, and logs the acceptance if the previous endpoint list was rejected.
 pub fn accept(metrics: &Metrics) {
     if metrics.lists.accept() {
         eprintln!("discovery's list is within its limit again and in force");
--- a/crates/sender/src/matrix.rs
+++ b/crates/sender/src/matrix.rs
@@ -1,5 +1,5 @@
 //! `embershore rehearse matrix`: runs scenarios for each number of senders and each seed.
-//! As many runs are concurrent as the machine can serve without running late.
+//! The number of concurrent runs is reduced when the machine is too busy to keep a run's timing.
 //! Each run is a process of its own. A run whose report exists is not repeated.
 
 use clap::Args;
@@ -175,7 +175,7 @@
     }
 }
 
-/// Runs one cell of the matrix as a process of its own and stores the run's report.
+/// Runs one cell of the matrix (scenario, number of senders, seed) as a process of its own and stores its report.
 fn play(matrix: &Matrix, cell: &Cell, name: &str) -> Result<Report, Box<dyn Error>> {
     let folder = matrix.out.join(cell.folder());
     // Removes the files of an interrupted run.
@@ -194,7 +194,7 @@
     if !matrix.keep && !report.judgement.broken() {
         std::fs::remove_file(folder.join("history.jsonl"))?;
     }
-    // The report is renamed only when complete: the final file name marks the run as done.
+    // The report is renamed only when complete: a report under the final file name means that the run is done.
     let new = folder.join("report.new");
     std::fs::write(&new, &run.stdout)?;
     std::fs::rename(&new, folder.join(REPORT))?;
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -10,7 +10,7 @@
 /// Maximum number of classes with counters of their own. One configuration has far fewer, but each reload may add some.
 const MAX_CLASSES: usize = 1000;
 
-/// How a message ended, as the metrics distinguish it.
+/// The final outcome of a message, as the metrics distinguish it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageEnd {
     /// An endpoint has accepted the message (status 200, or state `ok` in a batch response).
@@ -33,7 +33,7 @@
 }
 
 impl MessageEnd {
-    /// Returns the end as the metrics distinguish it, from the end that a notice reports.
+    /// Returns the final outcome as the metrics distinguish it, from the final outcome that a notice reports.
     pub fn of(end: End) -> Self {
         match end {
             End::Returned { .. } => MessageEnd::Returned,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the counter that a message with this end increments.
+    /// Returns the counter that a message with this final outcome increments.
     fn column(self) -> Column {
         match self {
             MessageEnd::Delivered => Column::Succeeded,
@@ -96,22 +96,22 @@
         self.is_rejected.replace(false)
     }
 
-    /// Returns the error of the last endpoint list, if that list was too long.
+    /// Returns the size-limit error of the last endpoint list, if that list was too long.
     pub fn rejection(&self) -> Option<TooLong> {
         self.last.get().filter(|_| self.is_rejected.get())
     }
 }
 
-/// The current metrics. The driver counts the ends of messages, and the calls count the messages written to endpoints.
+/// The current metrics. The driver counts messages by final outcome; the calls count the messages written to endpoints.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// For each class the counters of the ends succeeded, declined and aborted.
+    /// For each class the counters of messages that succeeded, were declined or were aborted.
     ends_by_class: RefCell<BTreeMap<String, [u64; 3]>>,
     /// Number of messages written completely to endpoints.
     pub forwards: Cell<u64>,
     /// Number of messages that were accepted and have not ended.
     pub outstanding: Cell<usize>,
-    /// Number of listed endpoints that are avoided now.
+    /// Number of endpoints in the endpoint list that are avoided now.
     pub ejected: Cell<usize>,
     /// Number of configurations applied at SIGHUP.
     pub applied: Cell<u64>,
@@ -132,14 +132,14 @@
         }
     }
 
-    /// Counts a message's end. A class that is in no configuration is not counted: the client chose its name freely.
+    /// Counts an ended message. A class that is in no configuration is not counted: the client chose its name freely.
     pub fn count(&self, class: &str, end: MessageEnd) {
         if let Some(row) = self.ends_by_class.borrow_mut().get_mut(class) {
             row[end.column() as usize] += 1;
         }
     }
 
-    /// Returns all metrics; `discovered` is the number of listed endpoints.
+    /// Returns all metrics; `discovered` is the number of endpoints in the endpoint list.
     pub fn snapshot(&self, discovered: usize) -> MetricsSnapshot {
         let ends_by_class = self.ends_by_class.borrow();
         let last_list = self.lists.last.get();
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -24,7 +24,7 @@
 
 /// Sends notices to the platform for ever. The size of the journal bounds the queue of notices.
 /// When the platform's address changes, a request in flight is repeated at the new address.
-/// Reporting a message's end twice is harmless.
+/// Reporting a message's final outcome twice is harmless.
 pub async fn send(
     mut addr: watch::Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<Notice>,
--- a/crates/sender/src/placement/metrics.rs
+++ b/crates/sender/src/placement/metrics.rs
@@ -32,7 +32,7 @@
 /// The object `placement` in the JSON of `GET /_vars`.
 #[derive(Debug, Serialize)]
 pub struct PlacementMetrics {
-    /// The epoch of the member list in force; null before the first list.
+    /// The epoch of the member list in force; null before the first member list.
     pub epoch: Option<u64>,
     /// The remaining time of this sender's lease in milliseconds; 0 if the lease has expired.
     pub lease_left_ms: u64,
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -1,7 +1,7 @@
 //! Placement in the daemon: this sender owns some destinations and forwards messages for the others to their owners.
 //! Without the section `[placement]` of the operator's options, placement is off and no object of this module exists.
 //!
-//! The daemon's parts share a [`Placement`], which decides who owns a message and which endpoints are stored.
+//! The daemon's components share a [`Placement`], which decides who owns a message and which endpoints are stored.
 //! A [`Placement`] also holds the metrics of placement. The module `member_list` updates it.
 //! The module `forward` forwards messages. The rules of placement are in the crate `embershore_placement`.
 
@@ -114,7 +114,7 @@
 
     /// Fixes the number of owners among which the dispatcher shares a destination's limit, until the process ends.
     /// The number is the largest number of replicas that may still be in effect by the member list in force,
-    /// or else by the last run's state, or else the largest number of replicas that a list can have.
+    /// or else by the previous process's state, or else the largest number of replicas that a member list can have.
     pub fn fix_sharers(&self) -> u32 {
         let known = self.ownership.borrow().persisted_state(clock::now()).or_else(|| self.saved.get());
         let replicas = known.map_or(MAX_REPLICAS, |state| state.replicas);
@@ -123,7 +123,7 @@
         sharers
     }
 
-    /// Returns the epoch of the member list in force; None before the first list.
+    /// Returns the epoch of the member list in force; None before the first member list.
     pub fn epoch(&self) -> Option<u64> {
         self.ownership.borrow().epoch()
     }
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Whether an unknown destination may be one whose part of the endpoint list has not been read yet.
+    /// Whether an unknown destination may have endpoints in the endpoint list that have not been read yet.
     pub fn awaits_endpoints(&self) -> bool {
         self.endpoint_list.is_requested()
     }
@@ -216,7 +216,7 @@
         self.pending.borrow_mut().insert(id, dest);
     }
 
-    /// Records the end of a message, so that its destination need not be retained for it.
+    /// Records that a message has ended, so that its destination need not be retained for this message.
     pub fn remove_pending(&self, id: MsgId) {
         self.pending.borrow_mut().remove(id);
     }
--- a/crates/sender/src/placement/reader.rs
+++ b/crates/sender/src/placement/reader.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the number of endpoints that begin in the part read of an incomplete listing.
+    /// Returns the number of endpoints that begin in the text read so far of an incomplete listing.
     pub fn endpoints_started(&self) -> usize {
         match self {
             ListReader::All(listings) => listings.endpoints_started(),
--- a/crates/sender/src/placement/saved_state.rs
+++ b/crates/sender/src/placement/saved_state.rs
@@ -1,6 +1,6 @@
 //! The placement state that is saved in the state folder.
 //! With the saved state a restarted owner does not have to wait like a new owner.
-//! A restarted owner also does not take a larger share of a limit than its last run had.
+//! A restarted owner also does not use a larger fraction of a destination's limit than its previous process.
 
 use embershore_placement::PersistedPlacement;
 use std::cell::RefCell;
@@ -18,7 +18,7 @@
 }
 
 impl SavedState {
-    /// Reads the state file of an earlier run.
+    /// Reads the state file that an earlier process of this sender wrote.
     /// A file that can't be read counts as missing: the sender then waits as a new owner.
     pub fn open(folder: &Path) -> SavedState {
         let read = std::fs::read(folder.join(FILE)).ok();
@@ -26,7 +26,7 @@
         SavedState { folder: folder.into(), written: RefCell::new(state) }
     }
 
-    /// Returns the placement state that this process has written last, or else the state of an earlier run.
+    /// Returns the placement state that this process has written last, or else the state of an earlier process.
     pub fn get(&self) -> Option<PersistedPlacement> {
         self.written.borrow().clone()
     }
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -4,8 +4,8 @@
 //! A hundred senders that are started together overload discovery where a poll costs it work.
 //! Discovery then takes seconds to answer one poll of each sender and answers polls that waited longer with an error.
 //! All senders would retry simultaneously.
-//! So each sender waits for a random part of the polling interval in the settings.
-//! After a failed poll, a sender retries after a random part of a growing interval.
+//! So each sender first waits for a random fraction of the polling interval in the settings.
+//! After a failed poll, a sender retries after a random fraction of a growing interval.
 
 use std::time::Duration;
 
@@ -17,17 +17,17 @@
 const STALL_REOPEN_WITHIN: Duration = Duration::from_secs(1);
 /// Maximum total time of a failed poll and the pause after it, even if the settings allow more.
 /// Changes must be applied within 6 s after discovery can be reached again.
-/// The next poll and its response take a part of the 6 s.
+/// The next poll and its response take some of the 6 s in which changes must be applied.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(4500);
-/// Pause after a list that was too long: such a list costs traffic each time although it is rejected.
-/// The pause is short enough for a shorter list to be read within the 6 s in which changes must be applied.
+/// Pause after an endpoint list that was too long: such a list costs traffic each time although it is rejected.
+/// The pause is short enough for a shorter endpoint list to be read within the 6 s in which changes must be applied.
 const REJECTED_LIST_PAUSE: Duration = Duration::from_secs(2);
 /// Share of the polling interval over which the first polls of many senders are spread.
 /// The rest of the polling interval is for senders that must poll twice.
 const FIRST_POLL_SPREAD: f64 = 0.8;
 /// Share of the polling interval after which a failed poll is first repeated.
 const FIRST_RETRY_SHARE: f64 = 0.4;
-/// Minimum of a pause as a share of its maximum, so that a failed poll is never repeated at once.
+/// Minimum of a pause as a fraction of its maximum, so that a failed poll is never repeated at once.
 const MIN_JITTER: f64 = 0.5;
 
 /// The pauses between one sender's polls to discovery.
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the pause after a list that is too long; `took` is the time from the poll's begin to the rejection.
+    /// Returns the pause after an endpoint list that is too long; `took` is the time from poll to rejection.
     pub fn after_rejection(&mut self, took: Duration) -> Duration {
         self.after_failure(took)
             .max(REJECTED_LIST_PAUSE.mul_f64(MIN_JITTER + (1.0 - MIN_JITTER) * self.random_fraction()))
--- a/crates/sender/src/rehearse.rs
+++ b/crates/sender/src/rehearse.rs
@@ -257,7 +257,7 @@
     print_report(&folder, run_options.html.as_deref(), run_options.json)
 }
 
-/// Returns the progress display of a run: a bar on a terminal, otherwise a line every 10 s; nothing with `--quiet`.
+/// Returns the progress display of a rehearsal: a bar on a terminal, else a line every 10 s; nothing with `--quiet`.
 fn progress(quiet: bool) -> Box<dyn FnMut(Progress)> {
     let counts = |p: Progress| {
         format!(
@@ -289,7 +289,7 @@
     })
 }
 
-/// Judges a recorded run and prints the report; with `page` also writes the report as HTML.
+/// Judges a recorded rehearsal and prints the report; with `page` also writes the report as HTML.
 fn print_report(evidence: &Path, page: Option<&Path>, json: bool) -> Result<u8, Box<dyn Error>> {
     let (report, table) = report(evidence)?;
     if let Some(path) = page {
--- a/crates/sender/src/reload_check.rs
+++ b/crates/sender/src/reload_check.rs
@@ -81,7 +81,7 @@
         (Value::Object(running), Value::Object(new)) => check_fields(path, running, new),
         (Value::Array(running), Value::Array(new)) => {
             // Lists may grow and shrink.
-            // Keys that all entries of the running list have must be in each entry of the new list.
+            // Keys that all entries of a list in the running configuration have must be in each entry of the new list.
             let Some(Value::Object(first)) = running.first() else { return Ok(()) };
             let mut common = first.clone();
             common.retain(|key, _| running.iter().all(|entry| entry.get(key).is_some()));
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -17,7 +17,7 @@
 /// The phase that a process is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The process has no endpoint list yet, or has not restored the messages of an earlier run.
+    /// The process has no endpoint list yet, or has not restored the messages of an earlier process.
     Starting,
     /// The process waits at its start for a predecessor that does not answer and is about to be ended.
     Standby,
--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -12,7 +12,7 @@
 
 const SYNC: &str = "c=sync,d=15000,dest=3";
 
-/// Configures a discovery that is polled at most once in `interval_ms`, and a list known at the start.
+/// Configures a discovery that is polled at most once in `interval_ms`, and an endpoint list known at the start.
 fn use_polled_discovery(config: &mut Value, interval_ms: u64, known: &Value) {
     config["settings"]["Discovery"] = "ask".into();
     config["settings"]["Rules"]["AskEveryUs"] = (interval_ms * 1000).into();
@@ -90,7 +90,7 @@
 
 /// Returns how long a sender takes to learn of a drain.
 /// The time starts at the last failed request: from then on discovery knows the drain and can be reached.
-/// With a known list the sender requests changes, otherwise the full list.
+/// With a known endpoint list the sender requests changes, otherwise the full endpoint list.
 fn drain_delay(failure: Failure, polled: bool, with_list: bool) -> Duration {
     // After this many failed requests, the pauses between requests have grown.
     let failures = if polled { 2 } else { 4 };
--- a/crates/sender/tests/check.rs
+++ b/crates/sender/tests/check.rs
@@ -1,5 +1,5 @@
 //! Tests of the command `embershore check`.
-//! Guards against an invalid options file that passes the check, and against findings without their place.
+//! Guards against an invalid options file that passes the check, and reported errors that don't name their location.
 //! Guards against exit codes that scripts can't tell apart.
 //! Guards against a daemon that starts with an invalid options file.
 
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -1,4 +1,4 @@
-//! The client interface, and the effect of discovery's list on calls.
+//! The client interface, and the effect of discovery's endpoint list on calls.
 //! Guards against malformed, idle or excessively many clients that harm others.
 //! Guards against messages that are accepted twice or not at all, and calls to draining endpoints.
 
@@ -27,7 +27,7 @@
 
 #[test]
 fn ping_is_answered_only_once_the_list_is_known() {
-    // Discovery accepts connections without answering, and the configuration contains no known list.
+    // Discovery accepts connections without answering, and the configuration contains no known endpoint list.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
     let silent_addr = silent.local_addr().unwrap().to_string();
@@ -37,7 +37,7 @@
     client.stream.set_read_timeout(Some(Duration::from_millis(1500))).unwrap();
     assert!(client.stream.read(&mut [0; 8]).is_err(), "PING was answered although no list is known");
 
-    // With a known list from the configuration, which may be old, the sender becomes ready after a while.
+    // With a known endpoint list from the configuration, which may be old, the sender becomes ready after a while.
     let endpoint = Endpoint::new(|_| status(200));
     let known = listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready");
     let sender = Sender::with(&platform, |c| {
@@ -374,7 +374,7 @@
     }
     gate.open();
     old.wait_sent("a1");
-    // The full list lacks `s-2`, so that endpoint is gone.
+    // The full endpoint list lacks `s-2`, so that endpoint is gone.
     sender.wait_drain_recorded(
         || platform.publish(true, vec![listed_endpoint("s-1", old.addr, "one", 3, "Ready")]),
         "s-2",
--- a/crates/sender/tests/common/mod.rs
+++ b/crates/sender/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Stub endpoints and a stub platform on loopback sockets, and real sender processes that run between them.
+//! Stub endpoints and a stub platform on loopback sockets, and real sender processes that use these stubs.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -285,8 +285,8 @@
                             .filter(|(i, _)| since.is_some_and(|s| *i > s))
                             .map(|(_, l)| l.clone())
                             .collect();
-                        // The log of changes contains no full list.
-                        // So a watch from an index before the full list is sent that list again.
+                        // The log of changes contains no full endpoint list.
+                        // So a watch from an index before the full endpoint list is sent that list again.
                         let first = if since.is_some_and(|s| s > 0 && s >= discovery.full_list_index) {
                             json!({"index": discovery.index, "snapshot": false, "endpoints": changes_since})
                         } else {
@@ -302,7 +302,7 @@
         platform
     }
 
-    /// Publishes a full list (`snapshot`) or changed entries to all watches.
+    /// Publishes a full endpoint list (`snapshot`) or changed entries to all watches.
     pub fn publish(&self, snapshot: bool, endpoints: Vec<Value>) {
         let mut discovery = self.discovery.lock().unwrap();
         discovery.index += 1;
@@ -444,7 +444,7 @@
 }
 
 /// Returns settings with one message class for each effect.
-/// Class `push` is keyed with a window of 3 s, class `sync` is safe, class `pay` is unsafe.
+/// Class `push` is keyed with an idempotency window of 3 s, class `sync` is safe, class `pay` is unsafe.
 /// Endpoint kind `one` takes one message in a call, kind `many` up to ten.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, limit: i64| {
--- a/crates/sender/tests/common/placement/clients.rs
+++ b/crates/sender/tests/common/placement/clients.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// How long a client waits for the answer to a put.
+/// How long a client waits for the answer to a `MSG.PUT`.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 /// A client's wait after a first refusal that advertises no wait; each further refusal doubles the wait.
 const FIRST_RETRY_WAIT: Duration = Duration::from_millis(150);
@@ -40,7 +40,7 @@
     resubmissions: u32,
 }
 
-/// An answer to a put, as a client received it.
+/// An answer to a `MSG.PUT`, as a client received it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ClientReply {
     answered: PutOutcome,
@@ -83,11 +83,11 @@
 pub struct Load {
     /// Messages that the clients put per second.
     pub rate: u32,
-    /// Indices of message classes, used in turn.
+    /// Indices of message classes; successive messages cycle through the classes.
     pub classes: Vec<usize>,
-    /// Destinations of the messages, used in turn.
+    /// Destinations of the messages; successive messages cycle through the destinations.
     pub destinations: Vec<i64>,
-    /// Indices of the senders at which messages are put, used in turn.
+    /// Indices of the senders at which messages are put; successive messages cycle through the senders.
     pub entries: Vec<usize>,
 }
 
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Waits until no put is in progress and all accepted messages have ended or passed their deadline.
+    /// Waits until no `MSG.PUT` is unanswered and all accepted messages have ended or are past their deadline.
     pub async fn wait_all_ended(&self) {
         super::wait_until("the clients' last answers", || self.in_progress.get() == 0).await;
         // A message's notice is due 0.3 s after the message's deadline.
@@ -206,7 +206,7 @@
             self.in_progress.set(self.in_progress.get() - 1);
             return;
         }
-        // Each further put of a message goes to the next sender.
+        // Each time a client puts a message again, the message goes to the next sender.
         let entry = self.fleet.entry_for(message.entry + message.resubmissions as usize);
         let request = self.offer(&message, &id, entry);
         let ClientReply { answered, after_ms } = self.request_answer(entry, &request).await;
--- a/crates/sender/tests/common/placement/control.rs
+++ b/crates/sender/tests/common/placement/control.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for the control agents, one for each sender.
-//! All agents answer `GET /v1/members?since=EPOCH` from one history of member lists, each with its own delay.
+//! All agents answer `GET /v1/members?since=EPOCH` from one sequence of member lists; each has its own delay.
 //! An agent can be made silent, or made to serve an invalid member list.
 
 use super::http;
@@ -32,7 +32,7 @@
     requests: Cell<u64>,
 }
 
-/// All control agents, and the history of member lists that they share.
+/// All control agents, and the sequence of member lists (one for each epoch) that the agents share.
 #[derive(Default)]
 pub struct Control {
     epochs: RefCell<Vec<Epoch>>,
@@ -114,7 +114,7 @@
         http::with_body(200, answer.to_string())
     }
 
-    /// Returns the answer of an agent with the given delay to a sender that knows the epoch `since`.
+    /// Returns the answer to a sender that knows the epoch `since`; the agent knows each new epoch after `delay`.
     /// The answer contains the changes, or the full member list if the agent does not know the epoch `since`.
     fn answer_since(&self, delay: Duration, since: Option<u64>) -> Value {
         let epochs = self.epochs.borrow();
--- a/crates/sender/tests/common/placement/deployment.rs
+++ b/crates/sender/tests/common/placement/deployment.rs
@@ -9,9 +9,9 @@
 pub const TENANT: &str = "acme";
 /// How long a receiver remembers an idempotency key, in microseconds.
 pub const KEY_WINDOW: Micros = 2_000_000;
-/// Time from the put of a message to the message's deadline, in microseconds.
+/// Time from a client's `MSG.PUT` command to the message's deadline, in microseconds.
 pub const DEADLINE: Micros = 2_500_000;
-/// How long the messages of an ordering key wait after an attempt that may still run, in microseconds.
+/// How long an ordering key's messages wait after an attempt that may still take effect, in microseconds.
 const ORDER_SETTLE: Micros = 300_000;
 /// How long after the start of a drain calls to the endpoint may still start, in microseconds.
 const DRAIN_GRACE: Micros = 1_000_000;
--- a/crates/sender/tests/common/placement/ledger.rs
+++ b/crates/sender/tests/common/placement/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: observations of all stand-ins, in the format of the rehearsal kit's history.
+//! The ledger: observations of all stand-ins, in the format of a recorded history of the rehearsal kit.
 
 use embershore_rehearsal::history::{Event, Record};
 use embershore_rehearsal::span::Micros;
--- a/crates/sender/tests/common/placement/mod.rs
+++ b/crates/sender/tests/common/placement/mod.rs
@@ -2,7 +2,7 @@
 //! The stand-ins are control agents, a directory, receivers, clients, and a relay in front of each member.
 //!
 //! All stand-ins run on the test's own thread and record what they observe in one [`ledger::Ledger`].
-//! The ledger has the format of the rehearsal kit's history, so that the kit's judge can read the records.
+//! The ledger has the format of a rehearsal's recorded history, so that the rehearsal kit's judge can read it.
 
 #![allow(dead_code)] // each test file uses a part
 
--- a/crates/sender/tests/common/placement/receivers.rs
+++ b/crates/sender/tests/common/placement/receivers.rs
@@ -22,14 +22,14 @@
 /// How a receiver responds to calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Conduct {
-    /// Runs each message and answers 200 after the default delay.
+    /// Processes each message and answers 200 after the receivers' default delay.
     #[default]
     Normal,
-    /// Runs each message and answers 200 after the given delay.
+    /// Processes each message and answers 200 after the given delay instead of the default delay.
     Slow(Duration),
-    /// Runs each message, but answers 500.
+    /// Processes each message, but answers 500.
     RunThenFail,
-    /// Rejects each call with 503 without running its messages.
+    /// Rejects each call with 503 without processing the call's messages.
     Refuse,
     /// Rejects the next call with 429 and an advertised wait, then treats calls normally.
     WaitOnce(Duration),
--- a/crates/sender/tests/common/placement/relay.rs
+++ b/crates/sender/tests/common/placement/relay.rs
@@ -24,7 +24,7 @@
     /// Closes a new connection before any byte passes.
     /// Closes an open connection when its next bytes arrive, and drops these bytes.
     CutBefore,
-    /// Passes each request on after the given delay.
+    /// Forwards each request to the owner after the given delay.
     Delay(Duration),
 }
 
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -22,13 +22,13 @@
     pub table: Table,
 }
 
-/// Numbers of the clients' puts by kind of answer.
+/// Numbers of the clients' `MSG.PUT` commands by kind of answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
     pub accepted: usize,
     pub busy: usize,
     pub failed: usize,
-    /// Number of puts without an answer in time, without a connection, or whose connection ended.
+    /// Number of `MSG.PUT` commands without an answer in time, without a connection, or whose connection ended.
     pub none: usize,
 }
 
@@ -104,8 +104,8 @@
         open.map(|m| m.id.clone()).collect()
     }
 
-    /// Returns the messages, by the id of their first put, that took effect twice but must not.
-    /// A put without an answer counts too if the message was never accepted under another id.
+    /// Returns the messages that took effect twice but must not, by the id under which a client first put them.
+    /// A message whose `MSG.PUT` got no answer counts too if the message was never accepted under another id.
     pub fn double_effects(&self) -> Vec<String> {
         let mut effects: BTreeMap<&str, usize> = BTreeMap::new();
         for message in
@@ -134,7 +134,7 @@
         calls.filter(|call| call.ids.iter().any(|id| elsewhere(id, call.sender))).count()
     }
 
-    /// Counts the answers to all puts by kind of answer.
+    /// Counts the answers to all `MSG.PUT` commands by kind of answer.
     pub fn answers(&self) -> Answers {
         let mut answers = Answers::default();
         for message in &self.table.messages {
@@ -153,7 +153,7 @@
         self.table.first_offers().len()
     }
 
-    /// Returns how many messages were delivered under any of their ids (each put has a new id).
+    /// Returns how many messages were delivered under any of their ids (each `MSG.PUT` has a new id).
     pub fn delivered(&self) -> usize {
         self.delivered_origins().len()
     }
@@ -179,7 +179,7 @@
     }
 }
 
-/// Returns the accepted messages whose end has not been observed yet.
+/// Returns the accepted messages whose final outcome has not been observed yet.
 pub fn unended(records: &[Record]) -> BTreeSet<String> {
     let mut calls: HashMap<u64, &str> = HashMap::new();
     let mut open = BTreeSet::new();
@@ -197,7 +197,7 @@
     open
 }
 
-/// Returns the message id and the sender of a record of a put, or `None` for other records.
+/// Returns the message id and the sender of a record of a `MSG.PUT`, or `None` for other records.
 fn entry(record: &Record) -> Option<(String, usize)> {
     match &record.event {
         Event::Offer { id, sender, .. } => Some((id.clone(), *sender)),
@@ -218,7 +218,7 @@
 }
 
 /// Attributes each accepted message to its owner, which the message's first call or notice shows.
-/// The judge holds the sender in the record of a put responsible for the message.
+/// The judge holds the sender in the record of a `MSG.PUT` responsible for the message.
 /// With placement the responsible sender is the owner, not the sender at which the client put the message.
 fn attribute_to_owners(records: &mut [Record]) {
     let mut owners: HashMap<String, usize> = HashMap::new();
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! Tests of two events that overlap.
 //! Guards against a lost change, message or answer when the second event arrives before the first is handled.
 //! Events of discovery: a watch stalls, trickles or is indented, and discovery's address changes.
-//! Other events: signals during a start and a stop, an unanswered notice, the end of a client's sending side.
+//! Other events: signals during a start and a stop, an unanswered notice, a client that closes its sending side.
 //! `docs/design/crossings.md` has one table row for each pair of events.
 
 mod common;
@@ -17,7 +17,7 @@
 
 /// Starts a sender that knows one endpoint, of destination 3. A script answers the sender's watch requests.
 /// The script receives the number of earlier watch requests and the connection.
-/// The script also receives a function that returns the list for an index and a status of the endpoint.
+/// The script also receives a function that returns the endpoint list with a given index and endpoint status.
 fn sender_with_scripted_watch(
     script: impl Fn(usize, &dyn Fn(u64, &str) -> serde_json::Value, &mut TcpStream) + Send + Sync + 'static,
 ) -> (Endpoint, ScriptedPlatform, Platform, Sender) {
@@ -150,7 +150,7 @@
         let requests: Vec<u8> =
             ids.iter().flat_map(|id| put(id, &format!("{SYNC},t=acme"), b"hello")).collect();
         client.write(&requests);
-        // The end of the client's sending side reaches the sender at a different moment in each round.
+        // The client closes its sending side; the sender notices this at a different moment in each round.
         sleep(Duration::from_micros(400 * round));
         client.stream.shutdown(Shutdown::Write).unwrap();
         for id in &ids {
@@ -258,7 +258,7 @@
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     wait_until("a watch request", || scripted.request_times("watch").len() == 1);
-    // The new platform has its own sequence of list indexes, and lists the endpoint as draining.
+    // The new platform has its own sequence of list indexes, and reports the endpoint as draining.
     let (other, addr) = (Endpoint::new(|_| status(200)), endpoint.addr);
     let lines = [
         listed_endpoint("s-1", addr, "one", 3, "Terminating"),
@@ -299,8 +299,8 @@
     one.wait_sent("a3");
     assert_eq!(client.put("a4", &dest(4)), "+OK");
     two.wait_sent("a4");
-    // Each endpoint name is now listed at the other endpoint's address, and both have an idle connection.
-    // The third entry shows when the sender knows the list.
+    // Each endpoint name now has the other endpoint's address in the endpoint list; both have an idle connection.
+    // The third entry shows when the sender has applied the endpoint list.
     let mut swapped = both(&two, &one);
     swapped.push(listed_endpoint("s-3", one.addr, "one", 5, "Terminating"));
     sender.wait_drain_recorded(|| platform.publish(true, swapped.clone()), "s-3");
@@ -310,7 +310,7 @@
         assert_eq!(client.put(&format!("b4{n}"), &dest(4)), "+OK");
         one.wait_sent(&format!("b4{n}"));
     }
-    // The endpoint is listed as gone, and is then listed again as restarted at a third address.
+    // The endpoint list reports the endpoint as gone, and then as restarted at a third address.
     let three = Endpoint::new(|_| status(200));
     sender.wait_drain_recorded(
         || platform.publish(false, vec![listed_endpoint("s-1", two.addr, "one", 3, "Gone")]),
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -1,4 +1,4 @@
-//! Evenness of the load that a hundred real sender processes put on a few receivers.
+//! Evenness of the load that a hundred real sender processes together cause at a few receivers.
 //! Guards against an uneven load of endpoints where each sender sees little of the total load.
 //! The load must stay even when endpoints join, stall or are slow.
 //! It must also stay even when half of the sender processes are killed in the same second.
@@ -72,7 +72,7 @@
     names.into_iter().map(|n| (n.clone(), of(n))).collect()
 }
 
-/// Returns the share of the calls that the endpoints selected by `of` got, relative to an even share.
+/// Returns the fraction of calls that the endpoints selected by `of` got, relative to an even distribution.
 fn share_over_even(calls_by_endpoint: &[(String, f64)], of: impl Fn(&str) -> bool) -> f64 {
     let sum: f64 = calls_by_endpoint.iter().map(|c| c.1).sum();
     let mine: Vec<f64> = calls_by_endpoint.iter().filter(|c| of(&c.0)).map(|c| c.1).collect();
@@ -131,7 +131,7 @@
     let rest: Vec<_> = during.iter().filter(|c| c.0 != "r1-0").cloned().collect();
     let busiest = rest.iter().map(|c| share_over_even(&rest, |n| n == c.0)).fold(0.0, f64::max);
     assert!(busiest < 1.7 && share_over_even(&during, |n| n == "r1-0") < 0.8, "{during:?}");
-    // Within 5 s after its return, the endpoint `r1-0` has its share of the load again.
+    // Within 5 s after its return, the endpoint `r1-0` gets its even fraction of the load again.
     let back = share_over_even(&calls_by_endpoint(&table, 1, 13.0, 20.0), |n| n == "r1-0");
     assert!(back > 0.5, "{back:.2} of an even share\n{}", report.text());
     let slow = share_over_even(&calls_by_endpoint(&table, 2, 4.0, 10.0), |n| n == "r2-0");
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -102,7 +102,7 @@
            "seats": [seat(0), seat(1), seat(2)], "wide": []})
 }
 
-/// The table of owners. It does not depend on addresses, so it holds for all member lists of these tests.
+/// The table of owners. Owners do not depend on addresses, so the table is valid for all member lists of these tests.
 static TABLE: LazyLock<Table> = LazyLock::new(|| {
     let list = member_list([1, 2, 3].map(|port| SocketAddr::from(([127, 0, 0, 1], port))));
     Table::build(&MemberList::parse_json(list.to_string().as_bytes()).unwrap())
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -222,7 +222,7 @@
     platform.publish(false, vec![listed_endpoint("s-2", other.addr, "one", 3, "Ready")]);
     wait_until("an accepted put", || processes.client().put("b1", SYNC) == "+OK");
     // The second process is now establishing its connection to the new endpoint.
-    // The first process exits once it has passed on the wait that the answer to its call advertised.
+    // The first process exits once it has forwarded the wait that the answer to its call advertised.
     thread::sleep(Duration::from_millis(150));
     let released_at = Instant::now();
     gate.open();
@@ -294,7 +294,7 @@
 fn a_stopped_owner_is_waited_for_and_its_journal_is_not_written() {
     let (endpoint, platform, mut processes) = start_first(|_| status(200));
     assert_eq!(processes.client().put("a1", PAY), "+OK");
-    // The outcome must be read before the process is stopped: otherwise the message counts as possibly run.
+    // The outcome must be read before the process is stopped: otherwise the message counts as possibly processed.
     let mgmt = processes.running[0].1;
     wait_until("the outcome of a1 in the metrics", || {
         mgmt_request(mgmt, "GET /_vars").unwrap().1.contains("\"succeeded\":{\"pay\":1")
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -1,5 +1,5 @@
 //! Endpoint lists that exceed the sender's memory limit.
-//! Guards against a sender that runs out of memory or drops its last good list.
+//! Guards against a sender that runs out of memory or drops its last valid endpoint list.
 //! Guards against a sender that polls in a tight loop or does not report the limit.
 
 mod common;
@@ -18,7 +18,7 @@
 /// Observation time, in which a sender that polls in a tight loop would poll tens of times.
 const OBSERVATION_TIME: Duration = Duration::from_millis(4500);
 
-/// Returns a list with one endpoint of destination 3 and `more` endpoints of destination 4.
+/// Returns an endpoint list with one endpoint of destination 3 and `more` endpoints of destination 4.
 fn listing(index: u64, endpoint: &Endpoint, more: usize) -> Value {
     let elsewhere = "127.0.0.1:9".parse().unwrap();
     let more = (0..more).map(|n| listed_endpoint(&format!("m-{n:06}"), elsewhere, "one", 4, "Ready"));
@@ -27,7 +27,7 @@
     json!({"index": index, "snapshot": true, "endpoints": lines})
 }
 
-/// Starts a discovery stub that answers list requests with a full list; a script answers its watch requests.
+/// Starts a discovery stub that answers list requests with a full endpoint list; a script answers watch requests.
 fn discovery(
     full_list: &Value,
     watch: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -222,7 +222,7 @@
     late.write(&resp(&[b"PING"]));
     assert!(late.read().starts_with("-ERR"));
     assert_eq!(late.read(), "");
-    // Messages that are put later at the lame duck are refused with `-BUSY`.
+    // Messages that clients put later at the lame duck are refused with `-BUSY`.
     wait_until("a refused put", || sender.client().put("b1", SYNC).starts_with("-BUSY"));
     assert_eq!(sender.mgmt_request("POST /_lameduck/off").0, 200);
     assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -1,6 +1,6 @@
 //! Answers of endpoints, and the outcomes that the sender derives from these answers.
-//! Guards against messages that are sent again although they may have run.
-//! Guards against messages that fail although they never ran, ignored waits, and slots that stay occupied.
+//! Guards against messages that are sent again although they may have taken effect at the receiver.
+//! Guards against messages that fail although no receiver processed them, ignored waits, and slots that stay occupied.
 
 mod common;
 use common::*;
@@ -199,7 +199,7 @@
         StubResponse::Answer(200, vec![], Value::from(ends).to_string())
     });
     put_in_one_call(&endpoint, &sender, &states.map(|(id, _)| (id, PAY)));
-    // Message b2 is unsafe and may have run; messages b3 and b5 never ran.
+    // Message b2 is unsafe and may have taken effect at the receiver; messages b3 and b5 never took effect.
     platform.wait_notice("b2", "failed");
     wait_until("the second call with b3", || endpoint.call_count("b3") == 2);
     let first = endpoint.requests().into_iter().find(Request::is_batch).unwrap();
@@ -257,7 +257,7 @@
     let start = Instant::now();
     put_in_one_call(&endpoint, &sender, &[("b1", "c=pay,d=4500,dest=3"), ("b2", PAY), ("b3", PAY)]);
     platform.wait_notice("b1", "failed");
-    // The other messages of the call may have run too; the sender awaits no outcome after the call has ended.
+    // The call's other messages may have taken effect too; the sender awaits no outcome after the call has ended.
     platform.wait_notice("b2", "failed");
     assert!(
         start.elapsed() < Duration::from_secs(10),
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Messages per second that all clients of the fleet put together.
+/// Total rate in messages per second at which all clients of the fleet together submit messages.
 const RATE: u32 = 150;
 
 /// The destination whose receiver rejects one call with an advertised wait.
@@ -74,7 +74,7 @@
     );
 }
 
-/// Counts the forwarded requests whose outcome the senders do not know. A put may fail only for this reason.
+/// Counts the forwarded requests whose outcome the senders do not know. A `MSG.PUT` may fail only for this reason.
 async fn unknown_outcomes(rig: &Rig) -> usize {
     let mut unknown = 0;
     for index in 0..rig.fleet.deployment.processes() {
@@ -123,7 +123,7 @@
         undelivered.remove(&WAITING);
         assert!(undelivered.values().flatten().count() <= unanswered, "{undelivered:?}");
         assert_only_owners_call(&findings, &[rig.control.list()]);
-        // Each put is forwarded at most once, or twice if the first owner refused the message.
+        // Each `MSG.PUT` is forwarded at most once, or twice if the first owner refused the message.
         let forwarded = findings.forwarded(&rig.ledger);
         assert!(forwarded * 2 > findings.origins(), "only {forwarded} messages were forwarded");
         let members = rig.fleet.deployment.members;
@@ -282,7 +282,7 @@
             "first call {} us after the start, expected a hold of {hold} us",
             first.t - at
         );
-        // By then the removed member has received the list without it, or its lease has expired.
+        // By then the removed member has received the member list without its seat, or its lease has expired.
         let lease = micros(rig.fleet.deployment.lease);
         let offered = |id: &String| findings.table.message(id).unwrap().offered;
         let calls = findings.table.calls.values().filter(|call| call.sender == removed);
--- a/crates/sender/tests/placement_standins.rs
+++ b/crates/sender/tests/placement_standins.rs
@@ -59,7 +59,7 @@
         let both_changes = json!({"epoch": 3, "since": 1, "changes": [vacated, added]});
         assert_eq!(get(prompt, "/v1/members?since=1").await, both_changes);
         assert_eq!(get(late, "/v1/members?since=1").await, nothing);
-        // A sender that knows a later epoch than its agent receives the agent's full list.
+        // A sender that knows a later epoch than its agent receives the agent's full member list.
         assert_eq!(get(late, "/v1/members?since=3").await["epoch"], 1);
         let full_list = get(prompt, "/v1/members?since=9").await;
         assert_eq!((&full_list["epoch"], &full_list["first"]), (&json!(3), &json!(false)));
@@ -251,7 +251,7 @@
     let ledger = Ledger::new();
     ledger.record(Event::Endpoint { endpoint: "d1-0".into(), receiver: 1, zone: "a".into() });
     record_put(&ledger, "a", PAY, PutOutcome::Accepted);
-    // The sender of the put dies; the owner remains responsible for the message.
+    // The sender that received the `MSG.PUT` dies; the owner remains responsible for the message.
     ledger.record(Event::Signal { sender: 0, signal: Signal::Kill });
     record_delivery(&ledger, "a", 7);
     let message = judged(&ledger).table.message("a").unwrap().clone();
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -1,6 +1,6 @@
-//! The rehearsal kit with real daemons: hard cases, command line, control and capture.
+//! The rehearsal kit with real daemons: fault scenarios, command line, control and capture.
 //! Guards against a daemon that breaks a rule under lagging discovery, late answers, outages and kills.
-//! Guards against a rehearsal kit that misjudges a run.
+//! Guards against a rehearsal kit that gives a wrong verdict on a rehearsal.
 
 use embershore_rehearsal::capture::{Tap, capture};
 use embershore_rehearsal::history::{EndpointStatus, Event, NoticeState};
@@ -16,7 +16,7 @@
 
 const EXECUTABLE: &str = env!("CARGO_BIN_EXE_embershore");
 
-/// Scenario with three receivers and the three effects; its deadlines and windows end within a test.
+/// Scenario with three receivers and the three effects; its deadlines and key windows end within a test.
 const BASE: &str = r#"
 name = "hard case"
 seed = 11
@@ -125,7 +125,7 @@
     let (report, table) = rehearse(scenario("5s", 30, events));
     assert!(tested(&report, Rule::NoEffectTwice) > 0);
     let payouts: Vec<_> = table.messages.iter().filter(|m| table.is_unsafe(m)).collect();
-    // Selects the messages that ran after they had been given up.
+    // Selects the messages that took effect at the receiver after a notice had reported their final outcome.
     let late: Vec<_> = payouts
         .iter()
         .filter(|m| m.runs.iter().any(|(ran, _)| m.notices.iter().any(|(told, _)| told < ran)))
@@ -153,7 +153,7 @@
 }
 
 /// Kills senders that have messages in all states.
-/// The states: never sent, call written in part, call unanswered, and end not confirmed by the platform.
+/// The states: never sent, call partly written, call unanswered, and final outcome not confirmed by the platform.
 #[test]
 fn a_sender_killed_at_any_point_ends_each_message_once() {
     let events = "
@@ -238,7 +238,7 @@
     assert_eq!(report.judgement.ruling(Rule::NoMessageLost).unwrap().verdict, Verdict::Kept);
     let page = std::fs::read_to_string(path("a.html")).unwrap();
     assert!(page.contains("<svg") && page.contains("no message lost") && !page.contains("http-equiv"));
-    // Judging the evidence again gives the same verdict, whether its folder or its history file is named.
+    // Judging the evidence again gives the first verdict, whether the evidence folder or its history file is named.
     for evidence in [path("a"), path("a/history.jsonl")] {
         let again = rehearse_command(&["judge", &evidence, "--json"]);
         let again: Report = serde_json::from_slice(&again.stdout).unwrap();
@@ -247,7 +247,7 @@
     let compared = rehearse_command(&["compare", &path("a"), &path("a")]);
     assert_eq!(compared.status.code(), Some(0));
     assert!(text(&compared.stdout).contains("+0.0000"));
-    // A run whose history is truncated can't be judged.
+    // A rehearsal whose recorded history is truncated can't be judged.
     let history = std::fs::read_to_string(path("a/history.jsonl")).unwrap();
     let is_end = |l: &&str| l.contains("\"ev\":\"over\"");
     let truncated: Vec<&str> = history.lines().filter(|l| !is_end(l)).collect();
@@ -339,7 +339,7 @@
         std::thread::spawn(move || capture(&tap, &out, |at| address_sender.send(at).unwrap()).unwrap());
     let mut client = TcpStream::connect(address_receiver.recv().unwrap()).unwrap();
     let put = "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$2\r\na1\r\n$33\r\nc=sync,t=acme,d=8000,dest=7,q=123\r\n$5\r\nhello\r\n";
-    // The client writes a command in two pieces, then bytes that are no command, which are passed on too.
+    // The client writes a command in two pieces, then bytes that are no command, which are forwarded too.
     client.write_all(&put.as_bytes()[..20]).unwrap();
     client.write_all(&put.as_bytes()[20..]).unwrap();
     let mut line = String::new();
--- a/crates/sender/tests/restart.rs
+++ b/crates/sender/tests/restart.rs
@@ -1,5 +1,5 @@
 //! Restarts by SIGKILL and SIGTERM, and the journal with its limits.
-//! Guards against accepted messages that are lost, or are sent again although they may have run.
+//! Guards against accepted messages that are lost, or are sent again although they may have taken effect.
 //! Guards against limits and drains that a restarted sender does not restore.
 
 mod common;
@@ -24,7 +24,7 @@
 #[test]
 fn a_message_that_was_never_sent_is_delivered_after_a_kill() {
     let endpoint = Endpoint::new(|_| status(200));
-    // No endpoint of the messages' destination is listed until the sender has been killed.
+    // The endpoint list contains no endpoint of the messages' destination until the sender has been killed.
     let platform =
         Platform::new(vec![listed_endpoint("s-0", endpoint.addr, "one", 1, "Ready"), placeholder(3)]);
     let mut sender = Sender::start(&platform);
@@ -115,7 +115,7 @@
     let (_endpoint, platform, mut sender) = sender_with_endpoint(|_| status(500));
     platform.set_reject_notices(true);
     assert_eq!(sender.client().put("a1", PAY), "+OK");
-    // The journal records the end of a message as soon as the end is decided.
+    // The journal records the final outcome of a message as soon as the sender has decided the outcome.
     wait_until("the end in the journal", || {
         sender.journal_contains("a1") && std::fs::metadata(sender.journal()).is_ok_and(|m| m.len() > 0)
     });
@@ -388,7 +388,7 @@
     }
 }
 
-/// Puts a keyed message whose window is 1 s and kills the sender while the first call is unanswered.
+/// Puts a message whose idempotency window is 1 s and kills the sender while the first call is unanswered.
 /// Then starts the sender again `down` after the first call.
 /// Returns the time from the first call to each further call.
 fn repeats_in_window_of_1s(down: Duration) -> Vec<Duration> {
@@ -401,7 +401,7 @@
     sender.kill();
     std::thread::sleep(down.saturating_sub(first.elapsed()));
     sender.spawn();
-    // The message fails immediately, or its calls stay unanswered until the window is over.
+    // The message fails immediately, or its calls stay unanswered until the idempotency window is over.
     std::thread::sleep(Duration::from_millis(1600));
     platform.wait_notice("a1", "failed");
     endpoint.requests()[1..].iter().map(|request| request.at - first).collect()
@@ -409,7 +409,7 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 /// Maximum time from the first byte of a repeated call until the stub endpoint reads the request.
-/// The sender checks the window right before it writes that byte, without a margin for the transfer.
+/// The sender checks the idempotency window right before it writes that byte, without a margin for the transfer.
 /// On a busy machine the stub read a request up to 62 ms later (4 of 200 restarts, load of 30 on 8 cores).
 const TRANSIT: Duration = Duration::from_millis(200);
 
--- a/crates/sender/tests/settings.rs
+++ b/crates/sender/tests/settings.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Returns the wrong values to which each configuration field is set in turn; `None` removes the field.
+/// Returns the wrong values to which each configuration field is set, one value at a time; `None` removes the field.
 fn wrong_values() -> Vec<Option<Value>> {
     let metrics = [json!(0), json!(-1), json!(u32::MAX), json!(i64::MAX), json!(-1e300), json!(1e300)];
     let others = [Value::Null, json!("x"), json!([]), json!({}), json!(true)];
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -10,7 +10,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Limit of open messages of the sender, which keeps the last places free.
+/// Maximum number of the sender's open messages; the sender refuses new messages shortly before the maximum.
 const MAX_OPEN: usize = 40;
 const MAX_ACCEPTED: usize = MAX_OPEN - 3;
 const CLASSES: [&str; 3] = ["c=sync", "c=push,k=5c0f6e1a2b3d4c59", "c=pay"];
@@ -85,13 +85,13 @@
     let mut client = sender.client();
     client.ping();
     for n in 0..12 {
-        // A put that is refused for lack of room does not matter here.
+        // It does not matter here whether the sender refuses one of these messages for lack of room.
         _ = client.put(&format!("new{n}"), &format!("c=pay,d=15000,dest={}", 3 + n % 2));
     }
     (0..20).for_each(|n| [&slow, &prompt][n % 2].wait_sent(&id(n)));
     // Each message has been sent in a call. The slow receiver answers one call at a time.
     // A call that waits in the receiver's queue for too long is given up as unanswered.
-    // The message of such a call ends if it may not be sent again (unsafe) or only within a window (keyed).
+    // The message of such a call ends if it may not be sent again (unsafe) or only within its key window (keyed).
     let ends = platform.notices();
     let mut found = ends.iter().filter_map(|n| n["id"].as_str().unwrap().strip_prefix('m'));
     assert!(found.all(|n| n.parse::<usize>().unwrap() % 3 != 0), "{ends:?}");
@@ -105,7 +105,7 @@
     sender.spawn();
     let ends = notice_times(&platform, 12, begun);
     let uncalled: Vec<_> = ends.iter().filter(|(id, _)| endpoint.call_count(id) == 0).collect();
-    // An unhealthy endpoint gets single trials, in the end one second apart.
+    // An unhealthy endpoint gets single trials, which are finally one second apart.
     // Within nine seconds some of the twelve messages may get no trial, and end at their deadline.
     assert!(uncalled.len() < 6, "ended without a call, expected fewer than 6 of 12: {uncalled:?}");
     assert!(uncalled.iter().all(|(_, at)| *at >= Duration::from_millis(8_900)), "{uncalled:?}");
@@ -150,7 +150,7 @@
     sleep(Duration::from_millis(30));
     sender.kill();
     sender.spawn();
-    // A call that was in flight at the last kill may have run, so an unsafe message in that call fails.
+    // A call in flight at the last kill may have taken effect, so an unsafe message in that call fails.
     wait_until("a call or a notice for each message", || {
         let called = |n: &usize| endpoint.call_count(&id(*n)) > 0 || platform.notice_state(&id(*n)).is_some();
         (0..MAX_ACCEPTED).all(|n| called(&n))
