--- a/crates/sender/benches/limit.rs
+++ b/crates/sender/benches/limit.rs
@@ -2,7 +2,7 @@
 //! Also measures the resource that limits the rate: CPU, slots, memory or the journal's size.
 //!
 //! The receivers are fast and have no rate limit.
-//! The message rate is raised in steps until more than a tenth of the messages' worth is lost.
+//! The message rate is raised until more than a tenth of the messages' value is lost (service share below 0.9).
 //! Rate and duration are bounded, and all traffic stays on loopback.
 //! Run the benchmark with `cargo bench -p embershore --bench limit`.
 
--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -32,7 +32,7 @@
 const STALE_RETENTION: Duration = Duration::from_secs(10);
 /// Maximum number of resets of reused connections that are recorded.
 const MAX_STALE_RECORDS: usize = 64;
-/// Share of the endpoints' idle timeout for which an idle connection stays open.
+/// Fraction of the endpoints' idle timeout for which an idle connection stays open.
 /// An endpoint may close a connection before the full timeout, and a request sent at that moment is reset.
 pub const IDLE_LIFETIME_SHARE: f64 = 0.8;
 /// Maximum number of idle connections while another process of this sender runs.
@@ -218,7 +218,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes the idle connections whose idle lifetime has passed.
+    /// Closes the connections that have been idle for longer than the idle lifetime.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|endpoint, connections| {
             let max_age = self.idle_lifetime(*endpoint);
@@ -254,7 +254,7 @@
         let max_age = self.idle_lifetime(endpoint);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&endpoint)?;
-        // An endpoint may be listed again under another address.
+        // A later endpoint list may contain the endpoint with another address.
         connections.retain(|c| c.addr() == addr && c.idle_since.elapsed() < max_age);
         while let Some(at) = connections.iter().rposition(|c| c.idle_since.elapsed() >= SETTLE_TIME) {
             if let Some(connection) = connections.remove(at).if_usable() {
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -32,7 +32,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Longest pause between two reads of one command; a client that pauses longer is disconnected.
 /// The stall timeout is below the 3 s after which a client that sends nothing useful must be disconnected.
-/// The stall timeout is above the pause that a slow client makes between two parts of a command.
+/// The stall timeout is longer than the pause that a slow client makes within a command.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2400);
 /// Longest time for receiving a command: enough for the longest command at 16 KiB a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(8);
@@ -377,7 +377,7 @@
         }
     }
 
-    /// Passes a message to the driver or to the owner of its destination.
+    /// Sends a message to the driver or to the owner of the message's destination.
     async fn submit(&mut self, put: Put) -> PendingReply {
         let read_at = self.origin.clock();
         let route = self.origin.route(&put);
@@ -401,7 +401,7 @@
 
     /// Returns the reply's text, or None if the connection has failed; the dropped channel then notifies the driver.
     /// A client that has closed its sending side may have left or may still read.
-    /// If its message has not been accepted yet, the message is withdrawn and refused: harmless in both cases.
+    /// A message that has not been accepted yet is withdrawn and refused, which is harmless in both cases.
     /// A message that has been accepted is answered.
     async fn wait(&mut self, answer: PendingReply) -> Option<String> {
         let (mut answer, _counted, wait_to_end) = match answer {
--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -21,7 +21,7 @@
 
 /// Size limit of a response's head, and of the read buffer.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Maximum time from a response's first byte to its end.
+/// Maximum time from a response's first byte to the response's last byte.
 /// A malformed response may never end, and its call would hold a slot until the call's timeout.
 const COMPLETION_TIMEOUT: Duration = Duration::from_millis(400);
 
@@ -76,7 +76,7 @@
 struct Socket<S = TcpStream> {
     stream: S,
     traffic: Rc<Traffic>,
-    /// Bytes that were read and not passed on to hyper: an incomplete status line or an incomplete 1xx response.
+    /// Bytes read from the socket and not given to hyper yet: an incomplete status line or an incomplete 1xx response.
     unread: BytesMut,
 }
 
@@ -85,7 +85,7 @@
         Socket { stream, traffic, unread: BytesMut::new() }
     }
 
-    /// Scans the bytes not passed on to hyper yet, and drops complete 1xx responses.
+    /// Scans the bytes that hyper has not been given yet, and drops complete 1xx responses.
     /// The scan stops waiting for a response once the status line is known or the head is too long.
     fn scan_head(&mut self) {
         let traffic = &self.traffic;
@@ -215,7 +215,7 @@
         let mut answer = pin!(answer);
         let result = std::future::poll_fn(|cx| {
             // The request is polled twice. The connection's driver writes the request that the first poll passed to it.
-            // The response may be complete after the driver has run.
+            // The response may be complete once the connection's driver has been polled.
             if let Poll::Ready(r) = answer.as_mut().poll(cx) {
                 return Poll::Ready(r);
             }
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -236,7 +236,7 @@
         Ok(Some(frame.map_err(io::Error::other)?.into_data().unwrap_or_default()))
     }
 
-    /// Reads the response's body to its end as one listing.
+    /// Reads the complete body of the response as one endpoint listing.
     async fn read_complete(self) -> io::Result<Listing> {
         match self.listings {
             ListReader::All(_) => self.read_text().await,
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -47,7 +47,7 @@
 const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
 /// Placeholder for a message's remaining time, which [`Driver::set_time_left`] fills in when the round begins.
 const SET_IN_ROUND: Micros = 0;
-/// Error reply for a destination that is in no listing.
+/// Error reply for a destination that occurs in no endpoint list.
 const UNKNOWN_DESTINATION: &str = "unknown destination";
 
 /// State of a message that has not ended, in addition to the message's journal entry.
@@ -127,7 +127,7 @@
 }
 
 impl Driver {
-    /// Builds the driver from the daemon's other parts.
+    /// Builds the driver from the daemon's other components.
     ///
     /// # Errors
     /// The dispatcher rejects the settings.
@@ -455,7 +455,7 @@
     }
 
     /// Sets each new message's remaining time as of the round that begins now.
-    /// The round may run a quantum after the message was read, or later at a start with a long journal.
+    /// The round may begin a quantum after the message was read, or later at a start with a long journal.
     /// With the remaining time as of reading, the dispatcher would end the message too late for its deadline.
     /// A response after the message's deadline would not count.
     fn set_time_left(&self, now: Micros, events: &mut [Event]) {
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -20,7 +20,7 @@
 const MAX_RECORD_BYTES: usize = 1 << 20;
 /// A journal below this size is not compacted, unless space runs out.
 const MIN_COMPACT_BYTES: u64 = 256 * 1024;
-/// Share of the size limit that new messages leave free for the progress records of accepted messages.
+/// Fraction of the size limit that new messages leave free for the progress records of accepted messages.
 const OUTCOME_RESERVE: f64 = 0.1;
 
 /// Upper bound in bytes for the size of a record of class rules.
@@ -194,7 +194,7 @@
     /// A message and its progress as in `Message`, preceded by the number of the class rules for the message.
     MessageUnderRules(u32, u64, Accepted, Progress),
     ReceiverHealth(Receiver, Option<ReceiverCondition>),
-    /// Marks that the journal records receivers' health from here on: a receiver without a record was healthy.
+    /// From this record on, the journal records receivers' health: a receiver without a health record was healthy.
     ReceiversRecorded,
 }
 
--- a/crates/sender/src/mgmt.rs
+++ b/crates/sender/src/mgmt.rs
@@ -33,7 +33,7 @@
 /// Size limit in bytes for the head of a request to the management interface.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// The parts of the daemon that the management interface reads and changes.
+/// The components of the daemon that the management interface reads and changes.
 #[derive(Clone)]
 pub struct Management {
     pub status: SharedStatus,
--- a/crates/sender/src/placement/endpoint_list.rs
+++ b/crates/sender/src/placement/endpoint_list.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use tokio::sync::watch;
 
-/// The requested and the completed readings of the complete endpoint list.
+/// The requests to read the complete endpoint list, and the readings that have been completed.
 /// Requests are numbered from 1. A reading that began after request n satisfies all requests up to n.
 #[derive(Debug)]
 pub struct ListRereads {
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -47,7 +47,7 @@
 /// The route of a client's message.
 #[derive(Debug)]
 pub enum Routing {
-    /// The message is passed to this sender's own driver, which may refuse it.
+    /// The message goes to this sender's own driver, which may refuse the message.
     Local,
     /// The message is forwarded to one of the given candidate owners.
     Forward(Forwarded),
@@ -64,7 +64,7 @@
     pub effect: Effect,
 }
 
-/// The state of placement, shared by the daemon's parts.
+/// The state of placement, shared by the daemon's components.
 pub struct Placement {
     pub options: PlacementOptions,
     ownership: RefCell<Ownership>,
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -7,7 +7,7 @@
 
 /// Time after a lame-duck command or a stop for which clients are served as before.
 /// The load balancer polls readiness every 0.1 s and sends new connections for 0.2 s more.
-/// After the grace, clients' connections close between requests.
+/// After this grace period, clients' connections close between requests.
 const CLIENT_GRACE: Duration = Duration::from_millis(450);
 /// Time after a lame-duck command from which messages are refused.
 /// A client that still submits messages then uses outdated information.
@@ -111,7 +111,7 @@
     }
 }
 
-/// The process's status, shared between the daemon's parts; cheap to clone.
+/// The process's status, shared between the daemon's components; cheap to clone.
 #[derive(Clone)]
 pub struct SharedStatus(Rc<watch::Sender<ProcessStatus>>);
 
--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -1,6 +1,6 @@
 //! Polling of a discovery whose requests are expensive (`"Discovery": "ask"`).
 //! Guards against polling at the start, and against polling too often.
-//! Guards against pauses after failed requests that delay a drain beyond the time allowed.
+//! Guards against pauses after failed requests that are so long that the sender learns of a drain too late.
 
 mod common;
 use common::*;
@@ -70,7 +70,7 @@
 const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
 /// A poll interval with which the pauses after failures could grow beyond [`MAX_DISCOVERY_DELAY`].
 const POLL_INTERVAL_MS: u64 = 12_000;
-/// Seed of the random parts of the pauses between discovery requests.
+/// Seed of the random numbers that determine the pauses between discovery requests.
 const SEED: &str = "8c1f30d27a5be964";
 
 /// How a request to the failing discovery stub fails.
--- a/crates/sender/tests/check.rs
+++ b/crates/sender/tests/check.rs
@@ -94,7 +94,7 @@
     let (_, out, _) = check(folder.path(), FLEET, &["--config", "config.json", "--json"]);
     let report: serde_json::Value = serde_json::from_str(&out).expect("JSON");
     assert_eq!((&report["fleet"]["majority"], &report["owed"]), (&2.into(), &serde_json::Value::Null));
-    // Findings of all sections are reported together, in the order of the options file.
+    // Errors in all sections of the options file are reported together, in the order of the file.
     let wrong = FLEET.replace("10.0.0.12:7946", "10.0.0.11:7946") + "[owed]\nmax_mb = 0\n";
     let (code, _, err) = check(folder.path(), &wrong, &["--config", "config.json"]);
     let lines: Vec<&str> = err.lines().map(|l| l.split(": ").next().unwrap_or("")).collect();
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -262,7 +262,7 @@
 fn long_commands_take_turns_in_little_memory() {
     let endpoint = Endpoint::new(|_| status(200));
     let platform = Platform::new(vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
-    // An eighth of the sender's memory limit is room for seven long commands.
+    // An eighth of the sender's memory limit suffices for seven long commands.
     let sender = Sender::with(&platform, |c| c["limits"]["memory_mb"] = 8.into());
     let mut client = sender.client();
     client.ping();
@@ -330,7 +330,7 @@
 
 #[test]
 fn a_second_copy_is_not_accepted_before_the_first_is_journaled() {
-    // Before the endpoint list is known no message is accepted; a journal record of this size does not fit.
+    // Before the endpoint list is known no message is accepted; the journal has no space for a record of this size.
     let endpoint = Endpoint::new(|_| status(200));
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = Platform::new(vec![]);
--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -25,7 +25,7 @@
 /// Maximum number of chunks that are queued for writing on one watch.
 const MAX_QUEUED_CHUNKS: usize = 16;
 
-/// Number of generations of endpoints: the endpoints of the first list, and their replacements.
+/// Number of generations of endpoints: the endpoints of the first endpoint list, and their replacements.
 pub const GENERATIONS: usize = 2;
 
 /// The directory's entry for one endpoint.
--- a/crates/sender/tests/common/placement/ledger.rs
+++ b/crates/sender/tests/common/placement/ledger.rs
@@ -37,7 +37,7 @@
         self.records.borrow_mut().push(Record { t: self.now(), event });
     }
 
-    /// Returns a new number for a call to a receiver; calls are numbered in turn.
+    /// Returns a new number for a call to a receiver; calls are numbered consecutively.
     pub fn next_call(&self) -> u64 {
         self.calls.set(self.calls.get() + 1);
         self.calls.get()
--- a/crates/sender/tests/common/placement/relay.rs
+++ b/crates/sender/tests/common/placement/relay.rs
@@ -1,5 +1,5 @@
 //! A relay in front of a member's forward address.
-//! The relay passes bytes in both directions, and cuts or delays connections according to its mode.
+//! The relay copies bytes in both directions, and cuts or delays connections according to its mode.
 
 use bytes::BytesMut;
 use embershore_protocol::resp;
@@ -15,11 +15,11 @@
 /// How long the owner's side stays open after a cut: the relay receives the owner's answer, but drops it.
 const OWNER_SIDE_LINGER: Duration = Duration::from_secs(1);
 
-/// How a relay treats the connections that it passes on.
+/// How a relay treats the connections between a forwarder and the owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
     Pass,
-    /// Closes the forwarder's side after a complete `MSG.PUT` has passed, before the owner's answer passes.
+    /// Closes the forwarder's connection after sending a complete `MSG.PUT` to the owner, before the owner's answer.
     CutAfterRequest,
     /// Closes a new connection before any byte passes.
     /// Closes an open connection when its next bytes arrive, and drops these bytes.
@@ -64,7 +64,7 @@
         self.cut.get()
     }
 
-    /// Returns how many complete requests passed, including requests whose connection was cut afterwards.
+    /// Returns how many complete requests passed the relay, including requests whose connection was cut afterwards.
     pub fn passed(&self) -> usize {
         self.passed.get()
     }
@@ -83,7 +83,7 @@
         self.pass_requests(from_forwarder, to_owner, &cut).await;
     }
 
-    /// Passes requests on until the forwarder closes its connection or the relay cuts the connection.
+    /// Forwards requests to the owner until the forwarder closes its connection or the relay cuts the connection.
     async fn pass_requests(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, cut: &Notify) {
         let mut unparsed = BytesMut::new();
         let mut buffer = [0; 16 * 1024];
@@ -123,7 +123,7 @@
     requests
 }
 
-/// Passes answers on until either side closes its connection or the relay cuts the forwarder's connection.
+/// Returns answers to the forwarder until either side closes its connection or the relay cuts the forwarder's.
 async fn pass_answers(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, cut: Rc<Notify>) {
     tokio::select! {
         biased;
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -1,6 +1,6 @@
 //! Tests of two events that overlap.
 //! Guards against a lost change, message or answer when the second event arrives before the first is handled.
-//! Events of discovery: a watch stalls, trickles or is indented, and discovery's address changes.
+//! Events of discovery: a watch stalls, sends single bytes or indented JSON, and discovery's address changes.
 //! Other events: signals during a start and a stop, an unanswered notice, a client that closes its sending side.
 //! `docs/design/crossings.md` has one table row for each pair of events.
 
@@ -157,7 +157,7 @@
             match &*client.read() {
                 "+OK" => endpoint.wait_sent(id),
                 "-BUSY" => {
-                    // The message was withdrawn: put again, the message is accepted as new.
+                    // The message was withdrawn: when the client puts the message again, it is accepted as new.
                     assert_eq!(endpoint.call_count(id), 0, "{id}");
                     wait_until("the second put to be accepted", || sender.client().put(id, SYNC) == "+OK");
                 }
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -83,7 +83,7 @@
 fn one_message_each_in_five_seconds_over_thirty_endpoints() {
     let (report, table) = rehearse("12s", 20, &[receiver(1, 30)], "");
     let spread = spread_over_longest_window(&report, 1);
-    // When senders used the endpoints in the order of the list, the variance of the calls was over 60.
+    // When senders used the endpoints in the order of the endpoint list, the variance of the calls was over 60.
     assert!(spread.variance < 4.0, "{}", report.text());
     let idle = calls_by_endpoint(&table, 1, 0.0, 12.0).iter().filter(|c| c.1 == 0.0).count();
     assert!(idle <= 3, "{idle} endpoints had no call\n{}", report.text());
@@ -126,7 +126,7 @@
         [[event]]\nat = \"2s\"\ndo = \"silent\"\nreceiver = 1\nendpoints = 1\nfor = \"6s\"
         [[event]]\nat = \"2s\"\ndo = \"slow\"\nreceiver = 2\nendpoints = 1\nfactor = 3\nfor = \"8s\"";
     let (report, table) = rehearse("20s", 80, &[receiver(1, 6), receiver(2, 6)], events);
-    // The other endpoints share evenly the load of the endpoint that does not answer.
+    // The load of the endpoint that does not answer is spread evenly over the other endpoints.
     let during = calls_by_endpoint(&table, 1, 4.0, 8.0);
     let rest: Vec<_> = during.iter().filter(|c| c.0 != "r1-0").cloned().collect();
     let busiest = rest.iter().map(|c| share_over_even(&rest, |n| n == c.0)).fold(0.0, f64::max);
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -21,7 +21,7 @@
 const OWN_SEAT: SeatId = SeatId(0);
 /// Time limit of the sender's reply to a client.
 const MAX_ANSWER_TIME: Duration = Duration::from_millis(400);
-/// Put fields of a message of each effect, with a time to the deadline that all classes allow.
+/// `MSG.PUT` fields of a message of each effect, with a time to the deadline that all classes allow.
 const PUSH: &str = "c=push,d=15000,k=5c0f6e1a2b3d4c59";
 const SYNC: &str = "c=sync,d=15000";
 const PAY: &str = "c=pay,d=15000";
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -329,7 +329,7 @@
         _ = processes.running[replacement].0.kill();
         _ = processes.running[replacement].0.wait();
         let id = format!("a{n}");
-        // If the killed process had not taken over, the first process continues to serve.
+        // If the killed process had not taken over the journal, the first process continues to serve.
         // Otherwise the first process exits, and the next process that starts continues with the journal.
         let mut served = false;
         wait_until("an accepted put or the exit of the first process", || {
