--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -38,7 +38,7 @@
 }
 
 impl Driver {
-    /// Passes the predecessor's frames to the driver until the predecessor ends.
+    /// Sends the predecessor's frames to the driver until the predecessor exits.
     pub(super) fn follow_predecessor(
         &self,
         link: Link,
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -152,7 +152,7 @@
                 unreached: attempts
                     .saturating_sub(progress.attempts)
                     .saturating_sub(u32::from(call.is_some() && progress.in_flight.is_none())),
-                // The predecessor's attempt in flight may still succeed.
+                // The predecessor's attempt that is still in flight may be answered with success.
                 may_have_run: match call {
                     Some(_) => progress.may_have_run.as_ref(),
                     None => progress.first_possible_run(),
--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -12,7 +12,7 @@
 const GONE_RETENTION: Duration = Duration::from_secs(60);
 /// Time for which a destination stays known after its last endpoint has gone.
 const DESTINATION_RETENTION: Duration = Duration::from_secs(3600);
-/// Number of destinations above which those without an endpoint are dropped.
+/// Number of destinations in the table above which destinations without an endpoint are dropped.
 const MAX_DESTINATIONS: usize = 10_000;
 
 /// An endpoint, as described in the latest endpoint list that contained it.
@@ -23,19 +23,19 @@
     pub dest: DestId,
     pub kind: usize,
     zone: usize,
-    /// Whether the endpoint is listed as ready: neither draining nor gone.
+    /// Whether the endpoint's status in the endpoint list is ready: neither draining nor gone.
     pub ready: bool,
     gone_since: Option<Instant>,
 }
 
 impl Endpoint {
-    /// Whether the endpoint is in the listing, with whatever status.
+    /// Whether the endpoint is in the endpoint list, with whatever status.
     pub fn listed(&self) -> bool {
         self.gone_since.is_none()
     }
 }
 
-/// The endpoints by number. An endpoint that is listed again under the same name keeps its number.
+/// The endpoints by number. An endpoint that a later endpoint list contains under the same name keeps its number.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     names: Names,
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -1,4 +1,4 @@
-//! The inputs that the daemon's parts send to the driver, and the notices that the driver sends out.
+//! The inputs that the daemon's components send to the driver, and the notices that the driver sends to the platform.
 
 use embershore_handover::Frame;
 use embershore_protocol::notice::End;
@@ -6,7 +6,7 @@
 use heronroute::{ClassSettings, EndpointEntry, EndpointId, LoadReport, Micros, Outcome};
 use tokio::sync::oneshot;
 
-/// An input from one of the daemon's parts to the driver.
+/// An input from one of the daemon's components to the driver.
 #[derive(Debug)]
 pub enum Input {
     /// A client's message, and the channel for the reply.
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -6,10 +6,10 @@
 use std::io;
 
 /// Fraction of the sender's memory that the text of an endpoint list may take.
-/// Measured with 24,000 endpoints of 123 bytes and one destination each, a byte of text costs 13 resident bytes.
-/// Once a list of other endpoints has replaced the first list, a byte of text costs 22 resident bytes.
-/// The reason is that the old endpoints are retained for a minute.
-/// A byte of text costs 27 resident bytes if the first list was given with the configuration.
+/// Measured with 24,000 endpoints (123 bytes, one destination each), a byte of list text costs 13 resident bytes.
+/// Once a list of other endpoints has replaced the first endpoint list, a byte of list text costs 22 resident bytes.
+/// The memory use rises because the endpoints of the replaced list are retained for a minute.
+/// A byte of list text costs 27 resident bytes if the first endpoint list was given with the configuration.
 /// So an endpoint list takes at most 27 / 48 of the sender's memory.
 const MEMORY_SHARE: f64 = 1.0 / 48.0;
 /// Minimum of the list limit, however little memory the sender has: some 500 endpoints, 2 MB of resident memory.
--- a/crates/sender/src/placement/member_list.rs
+++ b/crates/sender/src/placement/member_list.rs
@@ -25,7 +25,7 @@
 /// Interval at which endpoints of destinations that this sender no longer retains are removed.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The client of the control agents, with the parts of the daemon that the client updates.
+/// The client of the control agents, with the components of the daemon that the client updates.
 pub struct MemberListFollower {
     pub placement: Rc<Placement>,
     pub endpoints: Rc<RefCell<EndpointTable>>,
@@ -63,7 +63,7 @@
     }
 }
 
-/// The control agents, polled in turn.
+/// The control agents; if one gives no valid response, the next one is polled.
 struct ControlAgents {
     addresses: Vec<SocketAddr>,
     /// Index of the control agent that answered last.
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -1,7 +1,7 @@
 //! The schedule of polls to discovery: computes the pauses between polls, without I/O.
 //!
 //! One sender that polls at its start and again after 100 ms does no harm.
-//! A hundred senders that are started together overload discovery where a poll costs it work.
+//! A hundred senders that are started together overload discovery if each poll costs discovery work.
 //! Discovery then takes seconds to answer one poll of each sender and answers polls that waited longer with an error.
 //! All senders would retry simultaneously.
 //! So each sender first waits for a random fraction of the polling interval in the settings.
@@ -22,10 +22,10 @@
 /// Pause after an endpoint list that was too long: such a list costs traffic each time although it is rejected.
 /// The pause is short enough for a shorter endpoint list to be read within the 6 s in which changes must be applied.
 const REJECTED_LIST_PAUSE: Duration = Duration::from_secs(2);
-/// Share of the polling interval over which the first polls of many senders are spread.
+/// Fraction of the polling interval over which the first polls of many senders are spread.
 /// The rest of the polling interval is for senders that must poll twice.
 const FIRST_POLL_SPREAD: f64 = 0.8;
-/// Share of the polling interval after which a failed poll is first repeated.
+/// Fraction of the polling interval after which a failed poll is first repeated.
 const FIRST_RETRY_SHARE: f64 = 0.4;
 /// Minimum of a pause as a fraction of its maximum, so that a failed poll is never repeated at once.
 const MIN_JITTER: f64 = 0.5;
@@ -57,7 +57,7 @@
     }
 
     /// Returns the pause before a poll that many senders may want to send simultaneously.
-    /// Such polls come at a start with a known list, and after a useful watch has ended.
+    /// Many senders poll at a start with a known endpoint list, and after a useful watch has ended.
     pub fn spread_delay(&mut self) -> Duration {
         let random_fraction = self.random_fraction();
         self.interval.map_or(Duration::ZERO, |e| e.mul_f64(FIRST_POLL_SPREAD * random_fraction))
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -48,7 +48,7 @@
     /// Asserts that no message was lost, took effect twice or had a second owner.
     /// Asserts too that the judge finds no rule broken and that the scenario exercised the `tested` rules.
     /// The judge's rules depend on times, so a run in which the rig itself stalled is void.
-    /// For a void run, only the checks of loss, effects and owners count.
+    /// If the run is void, only the checks for lost messages, double effects and second owners count.
     ///
     /// # Panics
     /// If a check fails; the panic message lists the violations.
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -63,7 +63,7 @@
     text.matches(part).count()
 }
 
-/// Returns the number that stands before `word` in a log line.
+/// Returns the number that directly precedes `word` in a log line.
 fn number(line: &str, word: &str) -> u64 {
     let before = line.split(word).next().unwrap().trim_end();
     before.rsplit(' ').next().unwrap().parse().unwrap()
@@ -97,7 +97,7 @@
     let (status, text) = sender.mgmt_request("GET /_ready");
     assert_eq!(status, 503);
     assert!(text.starts_with("starting: no list of endpoints: discovery's list is too long: "), "{text}");
-    // The sender polls the rejected list again, but not in a tight loop.
+    // The sender polls again for the endpoint list that it rejected, but not in a tight loop.
     let polls = discovery.request_times("/v1/servers").len();
     assert!((2..=7).contains(&polls), "the list was polled {polls} times");
     assert_eq!(sender.metrics()["discovered"], 0);
@@ -107,7 +107,7 @@
 fn with_a_known_list_the_sender_serves_by_it() {
     let endpoint = Endpoint::new(|_| status(200));
     let discovery = discovery(&listing(9, &endpoint, TOO_MANY), |_, stream| {
-        // Discovery knows no older list index, so it sends the full list.
+        // Discovery knows no older list index, so it sends the full endpoint list.
         begin_chunked(stream);
         write_chunk(stream, "{\"index\": 9, \"snapshot\": true, \"endpoints\": [");
         let lines =
@@ -193,7 +193,7 @@
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     assert_eq!(sender.metrics()["discovered"], 1);
-    // The sender must apply a shorter list within 6 s after discovery has it.
+    // The sender must apply a shorter endpoint list within 6 s after discovery can serve that list.
     short_gate.open();
     let opened = std::time::Instant::now();
     wait_until("the shorter list", || sender.log().contains("within its limit again"));
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -1,7 +1,7 @@
 //! Tests of the management interface.
 //! Guards against requests that are delayed by idle callers or by crowds of clients.
 //! Guards against metrics that disagree with what clients and endpoints observe.
-//! Guards against a lame duck that drops or keeps its clients.
+//! Guards against a lame duck that disconnects its clients at once, or that keeps serving clients.
 
 mod common;
 use common::*;
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -295,7 +295,7 @@
         let mut client = sender.client();
         assert_eq!(client.put("a1", PAY), "+OK");
         endpoint.wait_sent("a1");
-        // Message a2 goes to the destination of a1, whose calls are limited. The pause lets a1 end.
+        // Message a2 goes to the destination of a1, whose calls are limited. The pause gives a1's call time to end.
         assert_eq!(client.put("a2", PAY), "+OK");
         endpoint.wait_sent("a2");
         std::thread::sleep(Duration::from_millis(500));
