--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -1,4 +1,4 @@
-//! The inputs that the daemon's parts send to the driver, and the notices that the driver sends out.
+//! The inputs that the daemon's components send to the driver, and the notices that the driver sends to the platform.
 
 use embershore_handover::Frame;
 use embershore_protocol::notice::End;
@@ -6,14 +6,14 @@
 use heronroute::{ClassSettings, EndpointEntry, EndpointId, LoadReport, Micros, Outcome};
 use tokio::sync::oneshot;
 
-/// An input from one of the daemon's parts to the driver.
+/// An input from one of the daemon's components to the driver.
 #[derive(Debug)]
 pub enum Input {
     /// A client's message, and the channel for the reply.
     Put(Put, oneshot::Sender<Reply>),
     /// An endpoint listing from discovery: complete, or the changes since the last listing.
     EndpointsListed { index: u64, full: bool, entries: Vec<EndpointEntry> },
-    /// A call's end, with the number of the call.
+    /// A call has ended; the input contains the call's number and its outcomes.
     CallEnded(u64, CallEnd),
     /// The outcome of a probe, with the load report if the endpoint sent one.
     Probed(EndpointId, Outcome, Option<LoadReport>),
@@ -31,7 +31,7 @@
 
 pub use embershore_handover::MessageOutcome;
 
-/// The end of a call, with each message's outcome.
+/// The result of a call that has ended, with each message's outcome.
 #[derive(Debug)]
 pub struct CallEnd {
     pub endpoint: EndpointId,
@@ -41,7 +41,7 @@
     pub report: Option<LoadReport>,
 }
 
-/// An undelivered message's end, to be reported to the platform.
+/// The final outcome of an undelivered message, to be reported to the platform.
 #[derive(Debug)]
 pub struct Notice {
     pub id: u64,
--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -1,6 +1,6 @@
 //! Polling of a discovery whose requests are expensive (`"Discovery": "ask"`).
 //! Guards against polling at the start, and against polling too often.
-//! Guards against pauses after failed requests that delay a drain beyond the time allowed.
+//! Guards against pauses after failed requests that are so long that the sender learns of a drain too late.
 
 mod common;
 use common::*;
@@ -12,7 +12,7 @@
 
 const SYNC: &str = "c=sync,d=15000,dest=3";
 
-/// Configures a discovery that is polled at most once in `interval_ms`, and a list known at the start.
+/// Configures a discovery that is polled at most once in `interval_ms`, and an endpoint list known at the start.
 fn use_polled_discovery(config: &mut Value, interval_ms: u64, known: &Value) {
     config["settings"]["Discovery"] = "ask".into();
     config["settings"]["Rules"]["AskEveryUs"] = (interval_ms * 1000).into();
@@ -70,7 +70,7 @@
 const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
 /// A poll interval with which the pauses after failures could grow beyond [`MAX_DISCOVERY_DELAY`].
 const POLL_INTERVAL_MS: u64 = 12_000;
-/// Seed of the random parts of the pauses between discovery requests.
+/// Seed of the random numbers that determine the pauses between discovery requests.
 const SEED: &str = "8c1f30d27a5be964";
 
 /// How a request to the failing discovery stub fails.
@@ -90,7 +90,7 @@
 
 /// Returns how long a sender takes to learn of a drain.
 /// The time starts at the last failed request: from then on discovery knows the drain and can be reached.
-/// With a known list the sender requests changes, otherwise the full list.
+/// With a known endpoint list the sender requests changes, otherwise the full endpoint list.
 fn drain_delay(failure: Failure, polled: bool, with_list: bool) -> Duration {
     // After this many failed requests, the pauses between requests have grown.
     let failures = if polled { 2 } else { 4 };
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -1,4 +1,4 @@
-//! Evenness of the load that a hundred real sender processes put on a few receivers.
+//! Evenness of the load that a hundred real sender processes together cause at a few receivers.
 //! Guards against an uneven load of endpoints where each sender sees little of the total load.
 //! The load must stay even when endpoints join, stall or are slow.
 //! It must also stay even when half of the sender processes are killed in the same second.
@@ -72,7 +72,7 @@
     names.into_iter().map(|n| (n.clone(), of(n))).collect()
 }
 
-/// Returns the share of the calls that the endpoints selected by `of` got, relative to an even share.
+/// Returns the fraction of calls that the endpoints selected by `of` got, relative to an even distribution.
 fn share_over_even(calls_by_endpoint: &[(String, f64)], of: impl Fn(&str) -> bool) -> f64 {
     let sum: f64 = calls_by_endpoint.iter().map(|c| c.1).sum();
     let mine: Vec<f64> = calls_by_endpoint.iter().filter(|c| of(&c.0)).map(|c| c.1).collect();
@@ -83,7 +83,7 @@
 fn one_message_each_in_five_seconds_over_thirty_endpoints() {
     let (report, table) = rehearse("12s", 20, &[receiver(1, 30)], "");
     let spread = spread_over_longest_window(&report, 1);
-    // When senders used the endpoints in the order of the list, the variance of the calls was over 60.
+    // When senders used the endpoints in the order of the endpoint list, the variance of the calls was over 60.
     assert!(spread.variance < 4.0, "{}", report.text());
     let idle = calls_by_endpoint(&table, 1, 0.0, 12.0).iter().filter(|c| c.1 == 0.0).count();
     assert!(idle <= 3, "{idle} endpoints had no call\n{}", report.text());
@@ -126,12 +126,12 @@
         [[event]]\nat = \"2s\"\ndo = \"silent\"\nreceiver = 1\nendpoints = 1\nfor = \"6s\"
         [[event]]\nat = \"2s\"\ndo = \"slow\"\nreceiver = 2\nendpoints = 1\nfactor = 3\nfor = \"8s\"";
     let (report, table) = rehearse("20s", 80, &[receiver(1, 6), receiver(2, 6)], events);
-    // The other endpoints share evenly the load of the endpoint that does not answer.
+    // The load of the endpoint that does not answer is spread evenly over the other endpoints.
     let during = calls_by_endpoint(&table, 1, 4.0, 8.0);
     let rest: Vec<_> = during.iter().filter(|c| c.0 != "r1-0").cloned().collect();
     let busiest = rest.iter().map(|c| share_over_even(&rest, |n| n == c.0)).fold(0.0, f64::max);
     assert!(busiest < 1.7 && share_over_even(&during, |n| n == "r1-0") < 0.8, "{during:?}");
-    // Within 5 s after its return, the endpoint `r1-0` has its share of the load again.
+    // Within 5 s after its return, the endpoint `r1-0` gets its even fraction of the load again.
     let back = share_over_even(&calls_by_endpoint(&table, 1, 13.0, 20.0), |n| n == "r1-0");
     assert!(back > 0.5, "{back:.2} of an even share\n{}", report.text());
     let slow = share_over_even(&calls_by_endpoint(&table, 2, 4.0, 10.0), |n| n == "r2-0");
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -1,5 +1,5 @@
 //! Endpoint lists that exceed the sender's memory limit.
-//! Guards against a sender that runs out of memory or drops its last good list.
+//! Guards against a sender that runs out of memory or drops its last valid endpoint list.
 //! Guards against a sender that polls in a tight loop or does not report the limit.
 
 mod common;
@@ -18,7 +18,7 @@
 /// Observation time, in which a sender that polls in a tight loop would poll tens of times.
 const OBSERVATION_TIME: Duration = Duration::from_millis(4500);
 
-/// Returns a list with one endpoint of destination 3 and `more` endpoints of destination 4.
+/// Returns an endpoint list with one endpoint of destination 3 and `more` endpoints of destination 4.
 fn listing(index: u64, endpoint: &Endpoint, more: usize) -> Value {
     let elsewhere = "127.0.0.1:9".parse().unwrap();
     let more = (0..more).map(|n| listed_endpoint(&format!("m-{n:06}"), elsewhere, "one", 4, "Ready"));
@@ -27,7 +27,7 @@
     json!({"index": index, "snapshot": true, "endpoints": lines})
 }
 
-/// Starts a discovery stub that answers list requests with a full list; a script answers its watch requests.
+/// Starts a discovery stub that answers list requests with a full endpoint list; a script answers watch requests.
 fn discovery(
     full_list: &Value,
     watch: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
@@ -63,7 +63,7 @@
     text.matches(part).count()
 }
 
-/// Returns the number that stands before `word` in a log line.
+/// Returns the number that directly precedes `word` in a log line.
 fn number(line: &str, word: &str) -> u64 {
     let before = line.split(word).next().unwrap().trim_end();
     before.rsplit(' ').next().unwrap().parse().unwrap()
@@ -97,7 +97,7 @@
     let (status, text) = sender.mgmt_request("GET /_ready");
     assert_eq!(status, 503);
     assert!(text.starts_with("starting: no list of endpoints: discovery's list is too long: "), "{text}");
-    // The sender polls the rejected list again, but not in a tight loop.
+    // The sender polls again for the endpoint list that it rejected, but not in a tight loop.
     let polls = discovery.request_times("/v1/servers").len();
     assert!((2..=7).contains(&polls), "the list was polled {polls} times");
     assert_eq!(sender.metrics()["discovered"], 0);
@@ -107,7 +107,7 @@
 fn with_a_known_list_the_sender_serves_by_it() {
     let endpoint = Endpoint::new(|_| status(200));
     let discovery = discovery(&listing(9, &endpoint, TOO_MANY), |_, stream| {
-        // Discovery knows no older list index, so it sends the full list.
+        // Discovery knows no older list index, so it sends the full endpoint list.
         begin_chunked(stream);
         write_chunk(stream, "{\"index\": 9, \"snapshot\": true, \"endpoints\": [");
         let lines =
@@ -193,7 +193,7 @@
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
     assert_eq!(sender.metrics()["discovered"], 1);
-    // The sender must apply a shorter list within 6 s after discovery has it.
+    // The sender must apply a shorter endpoint list within 6 s after discovery can serve that list.
     short_gate.open();
     let opened = std::time::Instant::now();
     wait_until("the shorter list", || sender.log().contains("within its limit again"));
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -1,7 +1,7 @@
 //! Tests of the management interface.
 //! Guards against requests that are delayed by idle callers or by crowds of clients.
 //! Guards against metrics that disagree with what clients and endpoints observe.
-//! Guards against a lame duck that drops or keeps its clients.
+//! Guards against a lame duck that disconnects its clients at once, or that keeps serving clients.
 
 mod common;
 use common::*;
@@ -222,7 +222,7 @@
     late.write(&resp(&[b"PING"]));
     assert!(late.read().starts_with("-ERR"));
     assert_eq!(late.read(), "");
-    // Messages that are put later at the lame duck are refused with `-BUSY`.
+    // Messages that clients put later at the lame duck are refused with `-BUSY`.
     wait_until("a refused put", || sender.client().put("b1", SYNC).starts_with("-BUSY"));
     assert_eq!(sender.mgmt_request("POST /_lameduck/off").0, 200);
     assert_eq!(sender.mgmt_request("GET /_ready").0, 200);
