--- a/crates/rehearsal/src/html/even.rs
+++ b/crates/rehearsal/src/html/even.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of receivers with a heat map; the receivers with the most calls get one.
 const MAX_PICTURES: usize = 8;
-/// Maximum number of endpoints with a row in a heat map; further endpoints are left out.
+/// Maximum number of endpoints in a heat map, one row each; further endpoints are left out.
 const MAX_ROWS: usize = 60;
 /// Height of a heat map's row in pixels.
 const ROW_HEIGHT_PX: u32 = 14;
@@ -18,7 +18,7 @@
 /// Calls of an endpoint, divided by the mean, from which on its cell has the strongest colour.
 const DARKEST_TIMES_MEAN: f64 = 3.0;
 
-/// Returns the page's section on evenness; empty if no receiver has several endpoints.
+/// Returns the page's section on how evenly calls spread; empty if no receiver has several endpoints.
 pub(super) fn section(table: &Table, all: &[Evenness]) -> Result<String, String> {
     if all.is_empty() {
         return Ok(String::new());
--- a/crates/rehearsal/src/html/returns.rs
+++ b/crates/rehearsal/src/html/returns.rs
@@ -10,7 +10,7 @@
 const MAX_PICTURES: usize = 24;
 /// Width and height of a return's chart in pixels.
 const CHART_SIZE_PX: (u32, u32) = (900, 420);
-/// Maximum number of rows for senders in a chart; further senders share the last row.
+/// Maximum number of rows in a chart, one for each sender; further senders share the last row.
 const MAX_ROWS: usize = 100;
 /// Time shown in a chart before the receiver's return.
 const LEAD_US: Micros = 1_000_000;
@@ -76,8 +76,8 @@
         for dash in limit(0.85).chunks(4).filter_map(|c| c.get(..2)) {
             chart.draw_series(LineSeries::new(dash.iter().copied(), CRIMSON))?;
         }
-        // The load is drawn with one step per arrival, which is exact enough:
-        // between two arrivals the load only falls, as older arrivals leave the window.
+        // The load curve changes only at arrivals of calls and probes, which is exact enough:
+        // between two arrivals the load only decreases, as older arrivals leave the overload window.
         let mut line: Vec<(f64, f64)> = Vec::new();
         for l in &this_return.loads {
             line.extend(line.last().map(|(_, y)| (seconds(l.t), *y)));
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -22,8 +22,8 @@
     Ramp,
     /// The rate follows a sine wave around a given rate.
     Wave,
-    /// The rate rises linearly to a second rate in the first third of the time, stays there for the second third,
-    /// and falls back in the last third.
+    /// The rate changes linearly to a second rate in the first third of the time, and is constant in the second third.
+    /// In the last third of the time, the rate changes linearly back to the first rate.
     Rush,
     /// Bursts of messages, each for one receiver, start at regular intervals.
     Clumps,
@@ -44,7 +44,7 @@
     }
 }
 
-/// One piece of a scenario's traffic, with a shape and a time of its own.
+/// The traffic of one `[[traffic]]` table, with a shape and a time of its own.
 #[derive(Clone, Debug)]
 pub struct Traffic {
     /// Course of the traffic's rate over time.
@@ -57,11 +57,11 @@
     pub rate: f64,
     /// Second rate of a ramp or rush, in messages per second.
     pub to_rate: f64,
-    /// Period of a wave, or time between the bursts of clumps.
+    /// Period of a wave, or time between the starts of two bursts (shape `clumps`).
     pub period: Micros,
     /// Amplitude of a wave, as a share of the traffic's rate.
     pub swing: f64,
-    /// Number of messages in each burst of clumps.
+    /// Number of messages in each burst (shape `clumps`).
     pub clump: u32,
     /// Zipf exponent. If given, receivers are drawn by their rank and not by their shares of the traffic.
     pub zipf: Option<f64>,
@@ -177,7 +177,7 @@
 pub fn plan(scenario: &Scenario) -> Result<Vec<Planned>, PlanError> {
     let mut all = Vec::new();
     for (n, traffic) in scenario.traffic.iter().enumerate() {
-        // Each piece of traffic has its own random generator, so that adding a piece does not change the others.
+        // Each `[[traffic]]` table has its own random generator, so that adding a table does not change the others.
         let rng = ChaCha8Rng::seed_from_u64(
             scenario.parameters.seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         );
--- a/crates/rehearsal/src/rig/clients.rs
+++ b/crates/rehearsal/src/rig/clients.rs
@@ -126,7 +126,7 @@
 
     fn retry_wait(&self, message: &ClientMessage, advertised_ms: Option<u64>) -> Micros {
         let behaviour = &self.world.scenario.clients;
-        // The plan's random number decides, so that the same clients observe waits in every run of the scenario.
+        // The load plan's random number decides, so that the same clients observe waits in every rehearsal.
         let observes_waits = f64::from(message.planned.client_draw) < behaviour.honour;
         match advertised_ms.and_then(|ms| i64::try_from(ms).ok()).filter(|_| observes_waits) {
             Some(ms) => ms.saturating_mul(1000).min(crate::span::MAX_SPAN_US),
@@ -222,7 +222,7 @@
     async fn send(&self, planned: Planned, request: Bytes) -> PutReply {
         let behaviour = &self.world.scenario.clients;
         let patience = duration(behaviour.patience.0);
-        // One random number decides on both: clients with low values pipeline, those with high values disconnect.
+        // A single random number decides: clients with low values pipeline, those with high values disconnect.
         let draw = f64::from(planned.client_draw);
         let pipelined = draw < behaviour.pipeline;
         if draw > 1.0 - behaviour.leave {
--- a/crates/rehearsal/src/rig/directory.rs
+++ b/crates/rehearsal/src/rig/directory.rs
@@ -1,5 +1,5 @@
 //! The stand-in directory, which has one agent per sender.
-//! An agent receives changes of endpoints after a lag, and accepts the notices of messages' ends.
+//! An agent receives changes of endpoints after a lag, and accepts the notices of messages' final outcomes.
 
 use super::World;
 use crate::event::RawEvent;
@@ -34,7 +34,7 @@
 /// A watch from an older version gets the complete endpoint list.
 const MAX_LOGGED_CHANGES: usize = 4096;
 
-/// A change of an endpoint. The senders' lists differ only in the endpoint's address.
+/// A change of an endpoint. The senders' endpoint lists differ only in the endpoint's address.
 #[derive(Clone)]
 pub struct Change {
     /// The changed endpoint as in the endpoint list, with an empty address.
--- a/crates/rehearsal/src/rig/mod.rs
+++ b/crates/rehearsal/src/rig/mod.rs
@@ -61,7 +61,7 @@
     pub control: Option<SocketAddr>,
     /// If true, the rig's clients send no messages, for example because clients run elsewhere.
     pub serve_only: bool,
-    /// Time after the start at which the rig's thread blocks, and for how long. Used by tests of void runs.
+    /// Time after the start at which the rig's thread blocks, and for how long. Tests make a run void with it.
     pub stall: Option<(Micros, Micros)>,
 }
 
@@ -243,7 +243,7 @@
     Ok(path)
 }
 
-/// Waits until all messages have ended, or until it is too late for any notice.
+/// Waits until all messages have a final outcome, or until it is too late for any notice.
 async fn settle(world: &World, traffic_start: Micros) {
     let longest = world.scenario.parameters.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
     // Clients may retry until the longest deadline after the traffic's end, so the deadline counts twice.
@@ -255,7 +255,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // Leaves time to record what senders still send after all messages have ended.
+    // Leaves time to record what senders still send after all messages have a final outcome.
     tokio::time::sleep(Duration::from_millis(500)).await;
 }
 
--- a/crates/rehearsal/src/rig/receivers/fault.rs
+++ b/crates/rehearsal/src/rig/receivers/fault.rs
@@ -38,7 +38,7 @@
     }
 
     /// Applies a fault to the event's receivers for the event's duration.
-    /// A receiver is in an outage while all its endpoints are, and the receiver is cold when it returns.
+    /// A receiver is in an outage while all its endpoints are in an outage, and is cold when it returns.
     pub async fn inject(&self, event: &RawEvent) {
         let targets = self.targets(event);
         let now = self.world.now();
--- a/crates/rehearsal/src/rig/receivers/replacement.rs
+++ b/crates/rehearsal/src/rig/receivers/replacement.rs
@@ -13,7 +13,7 @@
 const WAVES: usize = 4;
 
 impl Receivers {
-    /// Drains the event's endpoints and removes them after a while.
+    /// Drains the endpoints that the event selects, and removes them when the time `gone_after` has passed.
     /// If the event is a replacement, opens new endpoints in place of the drained ones.
     pub async fn replace(self: &Rc<Self>, event: &RawEvent) {
         let share = event.share.unwrap_or(1.0);
--- a/crates/rehearsal/src/rig/receivers/request.rs
+++ b/crates/rehearsal/src/rig/receivers/request.rs
@@ -184,7 +184,7 @@
         let runs = !fails || endpoint.chance(0.5);
         let runs_by_id: Vec<(String, Option<bool>)> =
             items.iter().map(|i| (i.id.clone(), runs.then(|| self.receiver.remember_key(t, i)))).collect();
-        // The call runs in a separate task, since it may continue after the sender has given it up.
+        // A separate task processes the call, since processing may continue after the sender has given the call up.
         let (world_of_task, receiver, worker) = (world.clone(), self.receiver.clone(), endpoint.clone());
         let work = tokio::task::spawn_local(async move {
             run_call(&world_of_task, &receiver, &worker, call, runs_by_id).await
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -398,7 +398,7 @@
     }
 
     /// Kills all senders' processes.
-    /// Must be called after the history's last record, so that the kills are not evidence.
+    /// Must be called after the history's last record, so that the judge ignores the ends of the processes.
     pub async fn end(&self) {
         for process in &self.all {
             process.planned.set(true);
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -74,7 +74,7 @@
     pub receivers: Vec<Receiver>,
     /// Properties of the senders to start, in the order of the senders in `parameters`.
     pub senders: Vec<Sender>,
-    /// Pieces of the traffic that clients produce.
+    /// The traffic that clients produce, one item for each `[[traffic]]` table.
     pub traffic: Vec<Traffic>,
     /// Events of the timeline, each with its time, in order of time.
     pub events: Vec<(Micros, RawEvent)>,
--- a/crates/rehearsal/src/scenario/rules.rs
+++ b/crates/rehearsal/src/scenario/rules.rs
@@ -1,4 +1,4 @@
-//! The `[rules]` table: limits of the six rules.
+//! The `[rules]` table: limits that the judge uses for the six delivery rules.
 
 use super::checks::{Checks, positive, share};
 use super::file::Section;
--- a/crates/rehearsal/src/scenario/split.rs
+++ b/crates/rehearsal/src/scenario/split.rs
@@ -6,7 +6,7 @@
 /// Reason why a scenario cannot run with another number of senders.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SplitError {
-    /// An event names one of the senders, which would no longer exist.
+    /// A timeline event names a sender that would no longer exist with the new number of senders.
     #[error("an event of the scenario is for sender '{0}' only; remove its 'sender' to have it for all")]
     Named(String),
     /// The given number of senders is out of range.
--- a/crates/rehearsal/tests/common/stub.rs
+++ b/crates/rehearsal/tests/common/stub.rs
@@ -35,7 +35,7 @@
     SendsCopies,
     /// Refuses unsafe messages that may have taken effect at the receiver, as if a retry were safe.
     RefusesAfterRun,
-    /// Ignores all updates after the first list of endpoints.
+    /// Ignores all updates from the directory after the first endpoint list.
     IgnoresDrains,
     /// Sends all pending messages for a returning receiver at once.
     OverloadsReturning,
@@ -65,7 +65,7 @@
     endpoints: Vec<Rc<Endpoint>>,
     turn: usize,
     wait_until: Option<Instant>,
-    /// Whether the receiver failed. If so, the stub makes one trial call at a time to check whether the receiver works.
+    /// Whether the receiver failed. If so, the stub makes only one trial call at a time to the receiver.
     failing: bool,
     on_trial: bool,
     /// End of the time after an outage in which calls to the receiver are paced.
@@ -209,7 +209,7 @@
         if let Some(turn) = turn.as_deref_mut().filter(|_| unknown) {
             *turn = Some(Instant::now() + self.settle);
         }
-        // A message with an order key ends only when the platform has received the message's notice.
+        // The order key stays locked until the platform has received the message's notice.
         if let Some(state) = end {
             self.notice(&put.request_id, state, until).await;
         }
@@ -229,7 +229,7 @@
     }
 
     /// Repeats attempts until the message is delivered or given up.
-    /// Returns the state for the notice, if one is due, and whether an attempt may still be running.
+    /// Returns the notice's state, if a notice is due, and whether a receiver may still be processing an attempt.
     async fn attempts(
         self: &Rc<Self>,
         put: &Put,
@@ -292,7 +292,7 @@
             return None;
         }
         if r.failing {
-            // Only one trial call to a failing receiver runs at a time; other messages wait.
+            // Only one trial call to a failing receiver is in flight at a time; other messages wait.
             if r.on_trial || r.next.is_some_and(|t| now < t) {
                 return None;
             }
--- a/crates/rehearsal/tests/even.rs
+++ b/crates/rehearsal/tests/even.rs
@@ -45,7 +45,7 @@
 #[test]
 fn an_endpoint_is_idle_only_while_another_queues() {
     // No endpoint queues while only one call is in flight at a time.
-    // Calls of 250 ms, one every 100 ms, put two or three calls in flight at endpoint `e1`.
+    // With a call of 250 ms every 100 ms, two or three calls are in flight at endpoint `e1`.
     assert_eq!(calls(100, 50, |_| "e1").longest_idle, 0);
     // The last call starts after a client sent the last message, so the call does not count for the idle time.
     assert_eq!(calls(100, 250, |_| "e1").longest_idle, 9_850_000);
--- a/crates/rehearsal/tests/faults.rs
+++ b/crates/rehearsal/tests/faults.rs
@@ -11,7 +11,7 @@
 use std::path::Path;
 use stub::Fault;
 
-/// A scenario of seven seconds that tests all six rules.
+/// A rehearsal scenario of seven seconds that tests all six delivery rules.
 const SCENARIO: &str = r#"
 name = "all six"
 length = "7s"
--- a/crates/rehearsal/tests/judge.rs
+++ b/crates/rehearsal/tests/judge.rs
@@ -1,5 +1,5 @@
 //! Tests of the judge with hand-written histories of rehearsals.
-//! Each rule has several histories that break it in different ways, one of them just past the limit.
+//! For each rule, several histories break the rule in different ways, one of them just past the rule's limit.
 //! Other histories are just within the rule's limit.
 
 mod common;
@@ -86,7 +86,7 @@
     assert_eq!(h.judge().ruling(Rule::NoMessageLost).unwrap().verdict, Verdict::Untested);
 }
 
-// Tests of rule 2, no effect twice.
+// Tests of rule 2: no message takes effect twice at its receiver.
 
 #[test]
 fn an_unsafe_message_is_sent_again_only_if_it_never_ran() {
@@ -194,7 +194,7 @@
     ends("what?").breaks(Rule::NoEffectTwice);
 }
 
-// Tests of rule 3, drains kept: 1 s of drain grace and 50 ms of socket allowance.
+// Tests of rule 3, no calls to draining endpoints: 1 s of drain grace and 50 ms of socket allowance.
 
 fn drained(notify: impl Fn(&mut History), ms: i64) -> History {
     let mut h = History::new();
@@ -263,8 +263,8 @@
     h.answer(3_100, call, 200).over(20_000).keeps(Rule::DrainsKept);
 }
 
-// Tests of rule 4, returning receivers. Receiver 1 handles 10 messages per second when warm.
-// Right after its return the receiver handles a fifth of them, and it is warm after 10 s.
+// Tests of rule 4, no overload of returning receivers. Receiver 1 handles 10 messages per second when warm.
+// Right after its return the receiver handles a fifth of its warm capacity; it is warm after 10 s.
 // The overload limit is twice the capacity over 2 s plus one standard deviation for chance, and at least 6.
 
 /// Returns a history with an outage of receiver 1 from 1 s to 5 s, which the senders `aware` see.
@@ -384,7 +384,7 @@
     routed(7, "f2").keeps(Rule::ReturnNotPushedOver);
 }
 
-// Tests of rule 5, order kept: no message of a key is sent for 1 s after an attempt that may still be running.
+// Tests of rule 5, order kept: no message of a key is sent for 1 s after an attempt that may still be processed.
 
 #[test]
 fn a_message_waits_until_the_one_before_it_is_delivered() {
@@ -441,7 +441,7 @@
     assert!(!h.over(20_000).judge().broken());
 }
 
-// Tests of rule 6, waits heeded.
+// Tests of rule 6: senders observe the waits that receivers advertise.
 // A call within 100 ms after the answer may have been sent before the sender received the answer.
 
 fn waited(ms: i64, sender: usize, endpoint: &str) -> History {
@@ -535,7 +535,7 @@
 
 #[test]
 fn service_is_the_weighted_worth_less_the_penalties() {
-    // One of four messages of a class is in time, one is half-way late, one is refused and one fails.
+    // Of four messages of a class, one is in time, one is half-way between aim and deadline, one is refused, one fails.
     let mut h = History::new();
     h.accepted(0, 0, "m1", SAFE).sent(10, 0, "e1", "m1", 200);
     h.accepted(0, 0, "m2", SAFE).sent(6_150, 0, "e1", "m2", 200);
@@ -585,7 +585,7 @@
 }
 
 impl History {
-    /// Asserts that no rule is broken; the rule under test may be untested by the history.
+    /// Asserts that no rule is broken; the history need not contain an event that tests the rule.
     fn keeps_or_untested(&self) {
         let judgement = self.judge();
         assert!(!judgement.broken(), "{:?}", judgement.rules);
--- a/crates/rehearsal/tests/properties.rs
+++ b/crates/rehearsal/tests/properties.rs
@@ -37,7 +37,7 @@
         1 => (0..2usize, endpoint(), listed).prop_map(|(s, e, st)| Step::Notified(s, e, st)),
         1 => Just(Step::Outage),
     ];
-    // Many steps have equal times, to test that the order of simultaneous records does not matter.
+    // Many events have equal times, to test that the order of simultaneous records does not matter.
     (prop::sample::select(vec![0i64, 0, 0, 1, 50, 400]), step)
 }
 
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -141,7 +141,7 @@
     assert!(alone.iter().all(|p| both.contains(p)));
 }
 
-/// Returns the number of messages planned between two times, given in seconds.
+/// Returns the number of messages that the load plan has between two times, given in seconds.
 fn count(plan: &[Planned], from: f64, to: f64) -> usize {
     plan.iter().filter(|p| p.at as f64 >= from * 1e6 && (p.at as f64) < to * 1e6).count()
 }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,4 +1,4 @@
-//! Measures the slopes behind `docs/CAPACITY.md`: how costs grow with the size of the fleet and its list.
+//! Measures how costs grow with the size of the fleet and of its lists ("slopes"), as a basis of `docs/CAPACITY.md`.
 //! The measurements use real daemon processes if these fit on one machine, otherwise simulated senders.
 //! Simulated senders ("hollow" in reports and names) run the real decision code without clients and endpoints.
 //!
@@ -118,7 +118,7 @@
     Ok(())
 }
 
-/// Measures and prints the chosen slopes. Returns whether every metric is within its budget.
+/// Makes the chosen measurements and prints their metrics. Returns whether every metric is within its budget.
 fn measure(arguments: &Arguments) -> Result<bool> {
     let setup = Setup {
         small: arguments.small,
--- a/crates/scale/src/process/client.rs
+++ b/crates/scale/src/process/client.rs
@@ -51,7 +51,7 @@
         Ok(Client { stream: BufReader::new(stream), prefix: prefix.into(), next: 0 })
     }
 
-    /// Puts one message for each destination in a single write and reads all answers. `time_left` is in milliseconds.
+    /// Sends one message for each destination in a single write, and reads all answers. `time_left` is in milliseconds.
     ///
     /// # Errors
     /// Fails if the client's connection ends, or an answer does not arrive in time.
@@ -91,7 +91,7 @@
     }
 }
 
-/// Puts `rate` messages per second for the duration `span`, over several connections.
+/// Sends `rate` messages per second to the daemon for the duration `span`, over several connections.
 /// The messages go to the destinations `0..destinations` in turn.
 ///
 /// # Errors
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a slope: its inputs, and its metrics with their spread and budget.
+//! The report of a measurement: its inputs, and its metrics with their spread and budget.
 
 use crate::budget::{Budget, Overrides};
 use crate::slopes::Setup;
@@ -88,14 +88,14 @@
     pub verdict: Option<Verdict>,
 }
 
-/// The results of one slope: its inputs, metrics and remarks.
+/// The results of one measurement ("slope"): its inputs, metrics and remarks.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Name of the slope's subcommand.
+    /// Name of the subcommand that makes the measurement.
     pub slope: &'static str,
     /// Inputs: parameters of the measurement, by name.
     pub inputs: BTreeMap<&'static str, String>,
-    /// The measured metrics of the slope.
+    /// The measured metrics.
     #[serde(rename = "figures")]
     pub metrics: Vec<Metric>,
     /// Remarks that a reader of the metrics needs.
@@ -113,7 +113,7 @@
 const SMALL_TIME_MARGIN: f64 = 30.0;
 
 impl Report {
-    /// Creates an empty report of a slope.
+    /// Creates an empty report of a measurement.
     pub fn new(slope: &'static str, setup: &Setup) -> Self {
         Report {
             slope,
--- a/crates/scale/src/simulated_fleet.rs
+++ b/crates/scale/src/simulated_fleet.rs
@@ -71,7 +71,7 @@
     following(list, seats.into_iter().map(change).collect())
 }
 
-/// Returns `changes` as the step from the member list's epoch to the next epoch.
+/// Returns `changes` as an update from the member list's epoch to the next epoch.
 pub fn following(list: &MemberList, changes: Vec<Change>) -> Changes {
     Changes { epoch: list.epoch() + 1, since: list.epoch(), changes }
 }
--- a/crates/scale/src/slopes/held.rs
+++ b/crates/scale/src/slopes/held.rs
@@ -28,7 +28,7 @@
     restart: f64,
 }
 
-/// Puts messages until the daemon has accepted `count` messages.
+/// Sends messages to the daemon until it has accepted `count` messages.
 async fn fill(daemon: &Daemon, count: usize) -> Result<PutCounts> {
     let mut client = Client::connect(daemon.address, "held").await?;
     let mut counts = PutCounts::default();
--- a/crates/scale/src/slopes/list_stream.rs
+++ b/crates/scale/src/slopes/list_stream.rs
@@ -9,7 +9,7 @@
 use embershore_protocol::listing_stream::FilteredListingReader;
 use std::io::{Read, Write};
 
-/// Number of list entries for each entry that the sender owns: each destination has two owners.
+/// Number of endpoint list entries for each entry that the sender owns: each destination has two owners.
 const DESTINATIONS_PER_OWNED: u64 = SENDERS as u64 / 2;
 /// Number of bytes of the endpoint list that are read at a time.
 const READ_BYTES: usize = 16 * 1024;
@@ -31,7 +31,7 @@
 /// Result of reading the endpoint list once.
 struct ReadResult {
     count: usize,
-    /// Largest number of list bytes that the reader buffered, as reported by the reader.
+    /// Largest number of bytes of the endpoint list that the reader buffered, as reported by the reader.
     max_buffered: usize,
     seconds: f64,
 }
--- a/crates/scale/src/slopes/message_cpu.rs
+++ b/crates/scale/src/slopes/message_cpu.rs
@@ -11,7 +11,7 @@
 
 /// Number of messages that clients send to the daemon per second.
 pub const MESSAGE_RATE: f64 = 300.0;
-/// Number of destinations that get messages if the endpoint list has more.
+/// Maximum number of destinations that get messages, also with a longer endpoint list.
 /// The limit separates the cost of an idle destination in the endpoint list from the cost of a connection.
 pub const ACTIVE_DESTINATIONS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -1,5 +1,5 @@
-//! The slopes (measurements of how a cost grows with the fleet or its list), in one module each.
-//! Each module has a function `run` that returns a [`Report`](crate::report::Report).
+//! The measurements of how a cost grows with the size of the fleet or of a list ("slopes"), in one module each.
+//! Each module's function `run` measures one cost and returns a [`Report`](crate::report::Report).
 
 pub mod fleet;
 pub mod held;
@@ -22,7 +22,7 @@
     pub small: bool,
     /// Path of the daemon's binary.
     pub binary: PathBuf,
-    /// Limits that replace the limits of budgets, from the command line.
+    /// Limits from the command line, which replace the limits of the named budgets.
     pub overrides: Overrides,
     /// Seed of all random numbers.
     pub seed: u64,
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -60,7 +60,7 @@
 }
 
 /// Returns the load of the busiest seat during the hold of new owners, divided by the mean of all seats before.
-/// During the hold, those of a shard's owners that owned the shard before share its load.
+/// During the hold, in which new owners must wait, the shard's owners that also owned it before share its load.
 fn busiest_during_hold(before: &Table, after: &Table, seats: usize) -> f64 {
     let mut load = vec![0.0; seats];
     for number in 0..SHARDS {
