--- a/crates/rehearsal/src/event.rs
+++ b/crates/rehearsal/src/event.rs
@@ -56,7 +56,7 @@
     Sigstop,
     /// A sender's process is replaced by a new one that starts while the old one still runs.
     Upgrade,
-    /// A sender is put into lame duck mode, and out of lame duck mode at the end of the event.
+    /// A sender is switched to lame duck mode, and back to normal mode when the event ends.
     LameDuck,
     /// A sender's configuration gains a class and halves the attempts.
     /// The previous configuration is restored at the end of the event.
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -196,7 +196,7 @@
     pub remarks: Vec<String>,
 }
 
-/// Collects the findings of one rule's check: tests, violations and safety margin.
+/// Collects the results of checking one delivery rule: tests of the rule, violations and safety margin.
 #[derive(Debug)]
 struct Findings {
     tested: usize,
--- a/crates/rehearsal/src/judge/order.rs
+++ b/crates/rehearsal/src/judge/order.rs
@@ -1,6 +1,6 @@
 //! Rule 5: in an ordered class, messages of one key are sent one at a time.
 //! Messages of one key are sent in the order in which the sender accepted them.
-//! The settle time of the class must pass between an attempt that may still be running and the key's next message.
+//! If a receiver may still be processing an attempt, the class's settle time must pass before the key's next message.
 
 use super::{Attempt, CallEnd, Findings, Margin, Message, SOCKET_ALLOWANCE_US, Table};
 use crate::span::Micros;
--- a/crates/rehearsal/src/judge/twice.rs
+++ b/crates/rehearsal/src/judge/twice.rs
@@ -91,11 +91,11 @@
     }
 }
 
-/// Checks how often each message took effect, over all ids under which the client put it.
+/// Checks how often each message took effect, over all ids with which the client sent the message.
 fn check_effects(table: &Table, found: &mut Findings) {
     let mut effects: BTreeMap<&str, Vec<(Micros, &Message)>> = BTreeMap::new();
     for message in &table.messages {
-        // A client without a reply puts the message again under a new id, and the old id's outcome does not count.
+        // A client without a reply sends the message again with a new id, and the old id's outcome does not count.
         if message.unacknowledged() || table.class(message).is_none_or(|c| c.effect == Effect::Safe) {
             continue;
         }
--- a/crates/rehearsal/src/parameters.rs
+++ b/crates/rehearsal/src/parameters.rs
@@ -35,7 +35,7 @@
     pub late_share: f64,
     /// Whether messages of one key are sent one at a time, in the order in which the sender accepted them.
     pub ordered: bool,
-    /// Time for which a key is not sent after an attempt that may still be running; only in an ordered class.
+    /// Time without messages of a key after an attempt that may still be processed; only in an ordered class.
     pub order_settle: Micros,
 }
 
--- a/crates/rehearsal/src/scenario/class.rs
+++ b/crates/rehearsal/src/scenario/class.rs
@@ -53,7 +53,7 @@
 const DEFAULT_BODY_BYTES: [u32; 2] = [120, 400];
 /// Default number of distinct order keys of an ordered class.
 const DEFAULT_ORDER_KEYS: u32 = 20;
-/// Default of `order_settle`: no message of an order key is sent for 1 s after an attempt that may still be running.
+/// Default of `order_settle`: 1 s without messages of an order key after an attempt that may still be processed.
 const DEFAULT_ORDER_SETTLE_US: Micros = 1_000_000;
 
 /// Checks the `[[class]]` tables; returns the properties for the clients, and the parameters for the judge.
--- a/crates/scale/src/slopes/list_stream.rs
+++ b/crates/scale/src/slopes/list_stream.rs
@@ -65,7 +65,7 @@
 /// Measures time and memory to read the full endpoint list as a stream.
 ///
 /// # Errors
-/// Fails if the list can't be written to a file or read back.
+/// Fails if the endpoint list can't be written to a file or read back.
 pub fn run(setup: &Setup) -> Result<Report> {
     let count = if setup.small { 50_000 } else { DESTINATIONS };
     let repeats = if setup.small { 1 } else { 3 };
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 const SECOND_US: Micros = 1_000_000;
-/// Simulated time between two steps of the members, in microseconds.
+/// Simulated time between two invocations of the members' protocol code, in microseconds.
 const STEP_US: Micros = 10_000;
 /// Maximum delay of a datagram in the simulated network, in microseconds.
 const MAX_DELAY_US: Micros = 5_000;
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -1,4 +1,4 @@
-//! Measures times, size, evenness and movement of the placement table of `embershore-placement`.
+//! Measures the placement table of `embershore-placement`: times, size, evenness, and owners that a change moves.
 
 use super::Setup;
 use crate::budget::{
@@ -59,7 +59,7 @@
     f64::from(largest) * counts.len() as f64 / counts.iter().map(|c| f64::from(*c)).sum::<f64>()
 }
 
-/// Returns the load of the busiest seat during the hold of new owners, divided by the mean of all seats before.
+/// Returns the load of the busiest seat while new owners must wait (the hold), divided by the mean before the change.
 /// During the hold, in which new owners must wait, the shard's owners that also owned it before share its load.
 fn busiest_during_hold(before: &Table, after: &Table, seats: usize) -> f64 {
     let mut load = vec![0.0; seats];
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -1,4 +1,4 @@
-//! Runs every slope of `embershore-scale` at its small size, and checks how an exceeded budget is reported.
+//! Runs every measurement of `embershore-scale` at its small size, and checks how an exceeded budget is reported.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
