--- a/crates/rehearsal/src/judge/order.rs
+++ b/crates/rehearsal/src/judge/order.rs
@@ -1,6 +1,6 @@
 //! Rule 5: in an ordered class, messages of one key are sent one at a time.
 //! Messages of one key are sent in the order in which the sender accepted them.
-//! The settle time of the class must pass between an attempt that may still be running and the key's next message.
+//! If a receiver may still be processing an attempt, the class's settle time must pass before the key's next message.
 
 use super::{Attempt, CallEnd, Findings, Margin, Message, SOCKET_ALLOWANCE_US, Table};
 use crate::span::Micros;
@@ -27,8 +27,8 @@
     for list in keys.values() {
         for later in list {
             let Some((first, ..)) = table.attempts(later).next() else { continue };
-            // Only messages that were accepted before the put of the later message count as earlier:
-            // if two puts overlap, the sender may have accepted either message first.
+            // Only messages that were accepted before the client sent the later message count as earlier:
+            // of two messages that awaited their replies at once, the sender may have accepted either one first.
             let earlier = list.iter().filter(|message| message.accepted().is_some_and(|t| t < later.offered));
             let mut tested = false;
             for before in earlier {
--- a/crates/rehearsal/src/rig/receivers/replacement.rs
+++ b/crates/rehearsal/src/rig/receivers/replacement.rs
@@ -7,13 +7,13 @@
 use std::rc::Rc;
 use tokio::task::AbortHandle;
 
-/// Default time for which a draining endpoint stays listed before it is removed.
+/// Default time for which a draining endpoint stays in the endpoint list before it is removed.
 const DEFAULT_GONE_AFTER_US: Micros = 6_000_000;
 /// Number of waves in which a replacement drains endpoints.
 const WAVES: usize = 4;
 
 impl Receivers {
-    /// Drains the event's endpoints and removes them after a while.
+    /// Drains the endpoints that the event selects, and removes them when the time `gone_after` has passed.
     /// If the event is a replacement, opens new endpoints in place of the drained ones.
     pub async fn replace(self: &Rc<Self>, event: &RawEvent) {
         let share = event.share.unwrap_or(1.0);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Removes drained endpoints, which then accept no more connections and are no longer listed.
+    /// Removes drained endpoints from the endpoint list; they then accept no more connections.
     fn remove(&self, wave: &[(Rc<Receiver>, Rc<Endpoint>)]) {
         let mut changes = Vec::new();
         for (receiver, endpoint) in wave {
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -398,7 +398,7 @@
     }
 
     /// Kills all senders' processes.
-    /// Must be called after the history's last record, so that the kills are not evidence.
+    /// Must be called after the history's last record, so that the judge ignores the ends of the processes.
     pub async fn end(&self) {
         for process in &self.all {
             process.planned.set(true);
@@ -428,7 +428,7 @@
 }
 
 /// Makes a sender's configuration invalid with a negative deadline, and changes the directory and the class names:
-/// a sender that applied any part of the invalid configuration could not continue.
+/// a sender that wrongly applied a part of the invalid configuration could not continue.
 fn invalid_config(config: &mut Value) {
     config["discovery"] = json!("127.0.0.1:9");
     for class in config["settings"]["Profiles"].as_array_mut().into_iter().flatten() {
--- a/crates/rehearsal/tests/properties.rs
+++ b/crates/rehearsal/tests/properties.rs
@@ -7,7 +7,7 @@
 use embershore_rehearsal::parameters::Receiver;
 use proptest::prelude::*;
 
-/// One event of a message. A step comes with the milliseconds since the previous step.
+/// One event in a random history of a message. It comes with the milliseconds since the previous event.
 #[derive(Clone, Debug)]
 enum Step {
     Accepted(usize, usize),
@@ -37,7 +37,7 @@
         1 => (0..2usize, endpoint(), listed).prop_map(|(s, e, st)| Step::Notified(s, e, st)),
         1 => Just(Step::Outage),
     ];
-    // Many steps have equal times, to test that the order of simultaneous records does not matter.
+    // Many events have equal times, to test that the order of simultaneous records does not matter.
     (prop::sample::select(vec![0i64, 0, 0, 1, 50, 400]), step)
 }
 
--- a/crates/scale/src/slopes/list_stream.rs
+++ b/crates/scale/src/slopes/list_stream.rs
@@ -9,9 +9,9 @@
 use embershore_protocol::listing_stream::FilteredListingReader;
 use std::io::{Read, Write};
 
-/// Number of list entries for each entry that the sender owns: each destination has two owners.
+/// Number of endpoint list entries for each entry that the sender owns: each destination has two owners.
 const DESTINATIONS_PER_OWNED: u64 = SENDERS as u64 / 2;
-/// Number of bytes of the list that are read at a time.
+/// Number of bytes of the endpoint list that are read at a time.
 const READ_BYTES: usize = 16 * 1024;
 
 /// Writes the full endpoint list in the JSON form in which discovery sends it.
@@ -31,7 +31,7 @@
 /// Result of reading the endpoint list once.
 struct ReadResult {
     count: usize,
-    /// Largest number of list bytes that the reader buffered, as reported by the reader.
+    /// Largest number of bytes of the endpoint list that the reader buffered, as reported by the reader.
     max_buffered: usize,
     seconds: f64,
 }
@@ -65,7 +65,7 @@
 /// Measures time and memory to read the full endpoint list as a stream.
 ///
 /// # Errors
-/// Fails if the list can't be written to a file or read back.
+/// Fails if the endpoint list can't be written to a file or read back.
 pub fn run(setup: &Setup) -> Result<Report> {
     let count = if setup.small { 50_000 } else { DESTINATIONS };
     let repeats = if setup.small { 1 } else { 3 };
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -1,4 +1,4 @@
-//! Measures times, size, evenness and movement of the placement table of `embershore-placement`.
+//! Measures the placement table of `embershore-placement`: times, size, evenness, and owners that a change moves.
 
 use super::Setup;
 use crate::budget::{
@@ -59,8 +59,8 @@
     f64::from(largest) * counts.len() as f64 / counts.iter().map(|c| f64::from(*c)).sum::<f64>()
 }
 
-/// Returns the load of the busiest seat during the hold of new owners, divided by the mean of all seats before.
-/// During the hold, those of a shard's owners that owned the shard before share its load.
+/// Returns the load of the busiest seat while new owners must wait (the hold), divided by the mean before the change.
+/// During the hold, in which new owners must wait, the shard's owners that also owned it before share its load.
 fn busiest_during_hold(before: &Table, after: &Table, seats: usize) -> f64 {
     let mut load = vec![0.0; seats];
     for number in 0..SHARDS {
@@ -130,7 +130,7 @@
     (0..repeats).map(time).collect()
 }
 
-/// Measures the processor time to apply a list change given as JSON: the placement table's part, and the total.
+/// Measures the processor time to apply a member list change given as JSON: for the placement table, and in all.
 fn change_times(placement: &Placement, text: &[u8]) -> Result<(f64, f64)> {
     let mut table = placement.table.clone();
     let started = thread_cpu_time()?;
