--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,6 +1,6 @@
 //! # embershore-handover
 //!
-//! Replaces a sender's process by another one without interrupting service. Both processes run for a while and act
+//! Replaces a sender's process by another one without interrupting service. Both processes exist for a while and act
 //! as one sender. The journal has one writer at any time, and one process is responsible for each message.
 //! A call in flight stays with the process that started it, which reports the outcome to the other process.
 //!
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operator's options file, in TOML. Each section enables one subsystem; a subsystem without a section is off.
 //!
 //! The complete options file is checked before any part of the file takes effect.
-//! Unknown keys are errors, and each finding has its line and column.
+//! Unknown keys are errors, and each error found in the file is reported with its line and column.
 #![warn(missing_docs)]
 
 use embershore_finding::{Finding, SpanFinding};
--- a/crates/options/tests/options.rs
+++ b/crates/options/tests/options.rs
@@ -1,4 +1,4 @@
-//! The options file as a whole: subsystems that are off, rejected files, and the positions of findings.
+//! Tests of the complete options file: subsystems that are off, rejected files, and the positions of reported errors.
 
 use embershore_options::{MAX_FILE_BYTES, Options, OptionsError};
 use embershore_owed::ClassFacts;
--- a/crates/owed/src/debt.rs
+++ b/crates/owed/src/debt.rs
@@ -1,11 +1,11 @@
-//! A debt: an undeliverable message that is kept for the operator, with its history.
+//! A debt: an undeliverable message that is retained for the operator, with its attempts and verdicts.
 
 use bytes::Bytes;
 use heronroute::Micros;
 use serde::{Deserialize, Serialize};
 
 /// How many attempts of a debt are retained in full. A message has a few attempts, and each resend adds some.
-/// Of older attempts, only the time of the earliest that may have run is retained:
+/// Of older attempts, only the time of the earliest that may have taken effect is retained:
 /// that time decides whether a resend could have a second effect.
 pub const MAX_RETAINED_ATTEMPTS: usize = 32;
 /// The maximum number of resolutions of one debt. A higher number indicates a faulty client program.
@@ -22,15 +22,15 @@
     /// The receiver rejected the message without processing it.
     #[serde(rename = "turned-away")]
     Rejected,
-    /// No connection was established, so the message did not run.
+    /// No connection was established, so the receiver did not process the message.
     NoConnection,
-    /// The receiver answered with an error or a malformed answer. The message may have run.
+    /// The receiver answered with an error or a malformed answer. The message may have taken effect.
     Error,
-    /// The connection broke. The message may have run.
+    /// The connection broke. The message may have taken effect.
     Reset,
-    /// There was no answer in time. The message may have run, or may still run.
+    /// There was no answer in time. The message may have taken effect, or may still take effect.
     TimedOut,
-    /// The sender died while the attempt was in flight. The message may have run.
+    /// The sender died while the attempt was in flight. The message may have taken effect.
     Unknown,
 }
 
@@ -64,7 +64,7 @@
     Rejected,
     /// The receiver was unreachable until the message's deadline passed.
     Down,
-    /// An attempt may have run, and the class allows no further attempt.
+    /// An attempt may have taken effect, and the class allows no further attempt.
     MayHaveRun,
     /// The message's maximum number of attempts was reached.
     AttemptsUsedUp,
@@ -73,7 +73,7 @@
 }
 
 impl Reason {
-    /// All reasons for giving up delivery, in the order in which lists show them.
+    /// All reasons for giving up delivery, in the order in which they are shown to operators.
     pub const ALL: [Reason; 6] = [
         Reason::Unsent,
         Reason::Rejected,
@@ -83,7 +83,7 @@
         Reason::Gone,
     ];
 
-    /// Returns the name of the reason in rules, filters and lists.
+    /// Returns the name of the reason in rules, in filters and in lists of debts.
     pub fn name(self) -> &'static str {
         match self {
             Reason::Unsent => "unsent",
@@ -137,7 +137,7 @@
     pub body: Bytes,
 }
 
-/// The verdict of an operator, or of the receiver itself, on a message that may have run.
+/// The verdict of an operator, or of the receiver itself, on a message that may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
@@ -150,7 +150,7 @@
 /// A verdict with its author, justification and time. The resolution is retained as long as the debt itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resolution {
-    /// Whether the message ran, according to the author.
+    /// Whether the message took effect, according to the verdict's author.
     #[serde(rename = "word")]
     pub verdict: Verdict,
     /// The author of the verdict: who gave it.
@@ -169,7 +169,7 @@
 pub enum Settled {
     /// A resend delivered the message.
     Delivered,
-    /// A verdict reported that the message had run.
+    /// A verdict reported that the message had taken effect.
     Ran,
     /// A newer message with the same receiver, class and key replaced the message.
     Superseded,
@@ -183,7 +183,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// The message is not being sent. The operator's rules decide on the next step.
+    /// The message is not being sent. The operator's rules decide whether and when it is resent.
     Owed,
     /// The message has been handed to the decision module, and may be sent at any moment.
     #[serde(rename = "out")]
@@ -199,7 +199,7 @@
     pub message: Message,
     /// The latest attempts, oldest first, at most [`MAX_RETAINED_ATTEMPTS`].
     pub attempts: Vec<Attempt>,
-    /// The time of the first attempt that may have run; `None` if there is none, or a verdict reports that it did not.
+    /// The time of the first attempt that may have taken effect; `None` without one, or if a verdict rules it out.
     pub may_have_run: Option<Micros>,
     /// Why delivery was given up for the first time.
     pub reason: Reason,
@@ -221,7 +221,7 @@
 /// Why a verdict on a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResolveError {
-    /// No attempt may have run, so there is no doubt to resolve.
+    /// No attempt may have taken effect, so there is no doubt to resolve.
     #[error("no attempt of the message may have run: there is nothing to resolve")]
     NotInDoubt,
     /// The message is being resent, so no verdict on it is accepted.
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Returns the latest time in the debt's history. If the clock shows an earlier time, the clock has been set back.
+    /// Returns the latest time recorded in the debt. If the clock shows an earlier time, the clock has been set back.
     pub fn latest_time(&self) -> Micros {
         let attempts = self.attempts.iter().map(|a| a.at);
         let times = attempts.chain([self.given_up_at, self.changed_at]).chain(self.may_have_run);
@@ -288,10 +288,10 @@
         (self.state, self.changed_at) = (State::Settled(how), now);
     }
 
-    /// Applies a verdict on whether the message ran. Repeating the same verdict changes nothing.
+    /// Applies a verdict on whether the message took effect. Repeating the same verdict changes nothing.
     ///
     /// # Errors
-    /// When no attempt may have run, when the message is in flight or settled,
+    /// When no attempt may have taken effect, when the message is in flight or settled,
     /// when the debt has too many resolutions, or when the verdict's author or justification is empty.
     pub fn resolve(
         &mut self,
--- a/crates/owed/src/pace.rs
+++ b/crates/owed/src/pace.rs
@@ -1,4 +1,4 @@
-//! The pace of resends. Resends have a rate limit of their own.
+//! Rate control for resends of debts, which have a rate limit of their own.
 //! Resends are sent only to healthy receivers, and wait while fresh messages are pending.
 
 use heronroute::Micros;
@@ -11,7 +11,7 @@
 const BURST_SECONDS: f64 = 1.0;
 /// The minimum time without a call after which a receiver whose last call failed may be tried again.
 const MIN_SILENCE_US: Micros = 10_000_000;
-/// The maximum share of the total resend rate for one receiver while other receivers have debts due.
+/// The maximum fraction of the total resend rate for one receiver while other receivers have debts due.
 const MAX_RECEIVER_SHARE: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug)]
@@ -85,7 +85,8 @@
     /// Takes a token for one resend to a receiver. Returns whether the resend may be sent now.
     ///
     /// `fresh_pending` means that fresh messages for the receiver are pending, which are sent first.
-    /// `others_due` means that debts to other receivers are due, so that this receiver is limited to its maximum share.
+    /// `others_due` means that debts to other receivers are due.
+    /// This receiver is then limited to its maximum fraction of the total resend rate.
     pub fn try_take(&mut self, dest: i64, fresh_pending: bool, others_due: bool, now: Micros) -> bool {
         self.total.refill(now, self.rate);
         if fresh_pending || self.total.tokens < 1.0 {
--- a/crates/owed/src/plan.rs
+++ b/crates/owed/src/plan.rs
@@ -1,6 +1,6 @@
-//! The next step of a debt at a given time, from its history, its class and the rules.
+//! The next step of a debt at a given time, from its attempts and verdicts, its class and the operator's rules.
 //!
-//! | effect of the class | no attempt may have run | an attempt may have run |
+//! | effect of the class | no attempt may have taken effect | an attempt may have taken effect |
 //! | --- | --- | --- |
 //! | safe to repeat | resend by the rule | resend by the rule |
 //! | keyed | resend by the rule | resend by the rule while the receiver remembers the key; afterwards in doubt |
@@ -12,9 +12,9 @@
 use crate::rules::{ExpiryAction, Rule, Rules};
 use heronroute::{Effect, Micros};
 
-/// A keyed message may be repeated only within this share of the time for which a receiver remembers the key:
+/// A keyed message may be repeated only within this fraction of the time for which a receiver remembers the key:
 /// a later repeat may arrive after the receiver has forgotten the key.
-/// The decision module limits its own repeats of keyed messages to the same share.
+/// The decision module limits its own repeats of keyed messages to the same fraction of that time.
 const REPEAT_WINDOW_SHARE: f64 = 0.45;
 
 /// The settings of a message class that matter for resends.
@@ -45,12 +45,12 @@
     Settled(Settled),
 }
 
-/// The next step of a debt, as determined by its history and the rules.
+/// The next step of a debt, as determined by its attempts and verdicts and by the operator's rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// No step: the decision module is delivering the message.
     InFlight,
-    /// Wait for a verdict: the message may have run and must not be sent again.
+    /// Wait for a verdict: the message may have taken effect and must not be sent again.
     InDoubt,
     /// Resend the message, at a time when the receiver has been healthy for long enough.
     Resend {
@@ -66,7 +66,8 @@
 }
 
 /// Returns the next step of a debt at `now`, by the first rule that matches it.
-/// If the clock was set back, the wait for a resend is not extended, and a keyed message that may have run is in doubt.
+/// If the clock was set back, the wait for a resend is not extended.
+/// In this case, a keyed message that may have taken effect is in doubt.
 pub fn next_step(debt: &Debt, rules: &Rules, classes: &[ClassFacts], now: Micros) -> Step {
     match debt.state {
         State::InFlight => return Step::InFlight,
@@ -77,7 +78,7 @@
     if let Some(rule) = rule
         && rule.owed_for.is_some_and(|span| now >= debt.given_up_at.saturating_add(span))
     {
-        // An expired debt in doubt is retained, so that an operator can still find out whether the message ran.
+        // An expired debt in doubt is retained, so that an operator can still find out whether the message took effect.
         let on_expiry = if in_doubt(debt, classes, now) { ExpiryAction::Keep } else { rule.on_expiry };
         return Step::Expired(on_expiry);
     }
@@ -106,7 +107,7 @@
     resend.in_window(earliest.max(gap_end))
 }
 
-/// Returns whether a debt is in doubt: its message may have run, and another delivery might have a second effect.
+/// Returns whether a debt is in doubt: its message may have taken effect, and a resend might have a second effect.
 pub fn in_doubt(debt: &Debt, classes: &[ClassFacts], now: Micros) -> bool {
     let Some(first) = debt.may_have_run else { return false };
     match classes.iter().find(|c| c.name == debt.message.class) {
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -2,7 +2,7 @@
 //! The first rule that matches a message is the one that applies to the message.
 //!
 //! The rules are the section `[owed]` of the options file, in TOML.
-//! The complete section is checked, and every finding reports its position and a remedy.
+//! The complete section is checked, and every error found reports its position and a remedy.
 //! A rule that could break one of the sender's six rules is rejected with the reason.
 
 use crate::debt::{Debt, Reason};
@@ -120,7 +120,7 @@
         if resends == 0 { 0 } else { grown.min(self.max_gap as f64) as Micros }
     }
 
-    /// Returns the first time at or after `at` that is in the daily window.
+    /// Returns the first time at or after `at` that is in the daily window for resends.
     pub fn in_window(&self, at: Micros) -> Micros {
         const MINUTE: Micros = 60_000_000;
         let Some((from, until)) = self.window else { return at };
@@ -139,7 +139,7 @@
 /// One of the operator's rules after it has been checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// The name of the rule in lists. A rule without a name is named by its position in the file.
+    /// The name of the rule in reports to the operator. A rule without a name is named by its position in the file.
     pub name: String,
     receivers: Option<BTreeSet<i64>>,
     classes: Option<BTreeSet<String>>,
@@ -363,9 +363,9 @@
             );
             self.report(place.clone(), message);
         }
-        // An operator who lists 'may-have-run' expects such messages to be resent.
+        // An operator whose rule contains the reason 'may-have-run' expects messages in doubt to be resent.
         // A resend could have a second effect, which the second of the sender's six rules forbids.
-        // A rule without a list of reasons is accepted, because `plan` does not resend messages in doubt.
+        // A rule that names no reasons is accepted, because `plan` does not resend messages in doubt.
         let lists_doubt = raw.reason.as_ref().is_some_and(|r| r.contains(&Reason::MayHaveRun));
         if let (true, Some(resend), Some(raw_resend)) = (lists_doubt, &resend, &raw.resend) {
             for class in matched_classes() {
@@ -450,7 +450,7 @@
     }
 }
 
-/// Parses a window such as `18:00-23:30` into minutes of the day.
+/// Parses a daily time window such as `18:00-23:30` into minutes of the day.
 fn parse_window(text: &str) -> Option<(u32, u32)> {
     let minute = |text: &str| -> Option<u32> {
         let (hours, minutes) = text.trim().split_once(':')?;
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -6,7 +6,7 @@
 //! | `bodies` | number | the body of the debt's message |
 //! | `requests` | request id | number of the debt; a message is owed only once |
 //! | `due` | time, number | none; the order in which debts are due |
-//! | `facets` | receiver, class, reason, number | none; the index for lists |
+//! | `facets` | receiver, class, reason, number | none; the index for listing debts |
 //! | `counts` | receiver, class, reason, state | number of debts |
 //! | `meta` | name | the format version, the number of the next debt, the live bytes |
 //!
@@ -38,7 +38,7 @@
 const FILE_SIZE_FACTOR: u64 = 2;
 /// The size of the store's file without debts, in bytes.
 const EMPTY_FILE_BYTES: u64 = 1 << 20;
-/// The size of the page cache in bytes. The cache is small enough for a daemon that runs in 32 MB of memory.
+/// The size of the page cache in bytes. The cache is small enough for a daemon with 32 MB of memory.
 const CACHE_BYTES: usize = 1 << 20;
 
 /// Why an operation of the store failed. A failed operation changes nothing.
@@ -110,7 +110,7 @@
     Existing(DebtId),
 }
 
-/// Selects debts for a list. A debt must match all fields of the filter that are set.
+/// Selects the debts to list for the operator. A debt must match all fields of the filter that are set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Filter {
     /// Selects debts to this receiver.
--- a/crates/owed/tests/plan.rs
+++ b/crates/owed/tests/plan.rs
@@ -36,7 +36,7 @@
             Step::InDoubt,
             "{outcome:?}"
         );
-        // The receiver remembers the key for 10 s from the first attempt that may have run, which was at 2 s.
+        // The receiver remembers the key for 10 s from the first attempt that may have taken effect, which was at 2 s.
         assert_eq!(
             next_step(&debt("response", &outcomes), &rules, &classes, 20 * S),
             Step::InDoubt,
--- a/crates/peer/src/fleet.rs
+++ b/crates/peer/src/fleet.rs
@@ -16,25 +16,25 @@
 /// Why a member list is rejected. The previous list stays in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FleetError {
-    /// The list has no members.
+    /// The member list is empty.
     #[error("the fleet's member list is empty; it must contain at least this sender")]
     Empty,
-    /// The list has more than [`MAX_MEMBERS`] members: the given number.
+    /// The member list has more than [`MAX_MEMBERS`] members. The value is their number.
     #[error("the fleet's member list has {0} members; the maximum is {MAX_MEMBERS}")]
     TooMany(usize),
     /// A member's name is empty or too long.
     #[error("member name '{0}' is invalid: it must be 1 to {MAX_NAME_BYTES} bytes long")]
     InvalidName(String),
-    /// Two members of the list have the same name, which is given.
+    /// Two members of the list have the same name. The value is this name.
     #[error("the fleet's member list contains '{0}' twice; give each sender a unique name")]
     DuplicateName(String),
     /// Two members of the list have the same address.
     #[error("members '{0}' and '{1}' have the same address; give each member its own address")]
     DuplicateAddress(String, String),
-    /// This sender's name is not on the list.
+    /// This sender's name is not on the member list.
     #[error("this sender's name '{0}' is not on the fleet's member list; add it there, or correct 'name'")]
     MissingSelf(String),
-    /// The new list adds or removes more than one member: the given number.
+    /// The new member list adds or removes more than one member. The value is the number of changed members.
     #[error(
         "the new member list differs from the current one by {0} members; add or remove one at a time, so that any \
          majority of one list shares a member with any majority of the other"
@@ -84,17 +84,17 @@
         if self.contains(own_name) { Ok(()) } else { Err(FleetError::MissingSelf(own_name.into())) }
     }
 
-    /// Returns whether the list has a member of this name.
+    /// Returns whether the member list has a member of this name.
     pub fn contains(&self, name: &str) -> bool {
         self.members.contains_key(name)
     }
 
-    /// Returns the number of members on the list, at least one.
+    /// Returns the number of members on the member list, at least one.
     pub fn size(&self) -> usize {
         self.members.len()
     }
 
-    /// Returns the smallest number of members that is a majority of the list.
+    /// Returns the smallest number of members that is a majority of the member list.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -74,7 +74,7 @@
     /// The sender of the datagram being decoded.
     source: Option<String>,
     fleet: Rc<Fleet>,
-    /// Received names that are not on this member's list. Another member may have a newer list.
+    /// Received names that are not on this member's member list. Another member may have a newer list.
     unlisted: BTreeSet<String>,
 }
 
@@ -158,7 +158,7 @@
     last_call: Micros,
     stale_until: Micros,
     announce_at: Micros,
-    /// The position in the list of missing members after which the next request to join is sent.
+    /// The position, among the members that are not active, after which the next request to join is sent.
     announce_cursor: usize,
 }
 
@@ -167,7 +167,7 @@
     /// The number `seed` determines the random choice of members to probe and to send gossip to.
     ///
     /// # Errors
-    /// When the name of `own_record` is not on the agreed list.
+    /// When the name of `own_record` is not on the agreed member list.
     pub fn new(
         own_record: Member,
         fleet: Fleet,
@@ -255,7 +255,8 @@
         self.drain_runtime(now);
     }
 
-    /// Runs all work that is due. `tick` must be called no later than the time that [`Peers::next_tick`] returns.
+    /// Performs all work of the membership protocol that is due.
+    /// `tick` must be called no later than the time that [`Peers::next_tick`] returns.
     pub fn tick(&mut self, now: Micros) {
         self.check_for_pause(now);
         if self.displaced {
@@ -374,7 +375,7 @@
         }
     }
 
-    /// Sends requests to join to listed members that are not active, a few at a time in rotation.
+    /// Sends requests to join to members of the agreed list that are not active, a few at a time in rotation.
     fn announce_to_missing(&mut self) {
         let active: BTreeSet<&str> = self.foca.iter_members().map(|m| m.id().name.as_str()).collect();
         let own_record = self.foca.identity();
--- a/crates/peer/src/view.rs
+++ b/crates/peer/src/view.rs
@@ -17,10 +17,10 @@
     Unknown,
 }
 
-/// What this process knows of one other member of the agreed list.
+/// What this process knows of one other member of the agreed member list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerView {
-    /// The member's name on the list.
+    /// The member's name on the agreed member list.
     pub name: String,
     /// The member's state according to failure detection.
     pub liveness: Liveness,
@@ -35,9 +35,9 @@
 /// A process's view of its fleet at one moment. The view is a hint that may be out of date, and reports its age.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// The other members of the agreed list, by name.
+    /// The other members of the agreed member list, by name.
     pub others: Vec<PeerView>,
-    /// Whether more than half of the agreed list is reachable, as confirmed by recent datagrams from other members.
+    /// Whether more than half of the agreed member list is reachable, as confirmed by recent datagrams from members.
     /// This flag may become true late, but becomes false early.
     pub majority: bool,
     /// Whether this process was suspended recently, so that the view is out of date and must not be acted on yet.
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -10,7 +10,7 @@
 pub const S: Micros = 1_000_000;
 const STEP: Micros = 10 * MS;
 
-/// The random number generator of the simulation (SplitMix64). The seed determines the whole history.
+/// The random number generator of the simulation (SplitMix64). The seed determines all simulated events.
 pub struct Rng(pub u64);
 
 impl Rng {
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Takes positions in listed conflict rows, if taking the position lowers the row's cost.
+    /// Takes positions in the recorded conflict rows, if taking the position lowers the row's cost.
     fn take_from_conflicts(&mut self, search: &mut Search, scope: ConflictScope, donors: Donors) {
         let mut misses = 0;
         while search.missing > 0 && misses < MAX_CONFLICT_MISSES && !self.conflicts[scope as usize].is_empty()
--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -4,14 +4,14 @@
 use crate::list::{MAX_WIDTH, MemberList, SeatId};
 use crate::wire::{MemberForm, SeatForm, WideForm};
 
-/// Changes from one epoch to a later one, not yet validated against a list.
+/// Changes from one epoch to a later one, not yet validated against a member list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Changes {
     /// Epoch that the changes lead to.
     pub epoch: u64,
-    /// Epoch of the list that the changes apply to.
+    /// Epoch of the member list that the changes apply to.
     pub since: u64,
-    /// Changes to the list, in the order in which they are applied.
+    /// Changes to the member list, in the order in which they are applied.
     pub changes: Vec<Change>,
 }
 
@@ -20,7 +20,7 @@
 pub enum Change {
     /// A member leaves its seat, which becomes vacant.
     Vacate {
-        /// The seat that the member leaves. The seat itself stays in the list.
+        /// The seat that the member leaves. The seat itself stays in the member list.
         seat: SeatId,
     },
     /// A member takes a vacant seat.
@@ -37,10 +37,10 @@
 }
 
 impl MemberList {
-    /// Applies `changes` to a copy of this list and returns the copy.
+    /// Applies `changes` to a copy of this member list and returns the copy.
     ///
     /// # Errors
-    /// Fails if the changes do not begin at this list's epoch or do not raise it,
+    /// Fails if the changes do not begin at this member list's epoch or do not raise it,
     /// if one of the changes can't be applied after the changes before it,
     /// or if the changes leave a region with fewer members than each shard has replicas.
     pub fn apply(&self, changes: &Changes) -> Result<Self, ListError> {
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -1,12 +1,12 @@
-//! The cost of a row's shared failure domains, and the rows whose cost could be lower.
+//! The cost of a table row whose seats share failure domains, and the rows whose cost could be lower.
 
 use crate::domains::{RackId, ZoneId};
 use crate::list::MAX_REPLICAS;
-/// Number of spare seats of a row, which replace lost owners. With two spares, a lost owner's shards stay in
+/// Number of spare seats of a shard's row, which replace lost owners. With two spares, a lost owner's shards stay in
 /// distinct zones, and the shards of a lost zone go to seats in proportion to the seats' quotas.
 pub(crate) const SPARES: usize = 2;
 
-/// Length of the longest row. Shorter rows are filled up with [`EMPTY`],
+/// Maximum number of seats in a table row. Shorter rows are filled up with [`EMPTY`],
 /// because a fixed row length lets the compiler unroll the hottest loops.
 pub(crate) const ROW_LENGTH: usize = MAX_REPLICAS + SPARES;
 
@@ -81,7 +81,7 @@
         Self { owners, positions: owners + SPARES, pair_weights }
     }
 
-    /// Returns the weight of the pair that a position forms with each position of the row; 0 with itself.
+    /// Returns the weights of the pairs that a position forms with each position of its row; 0 for the position itself.
     pub(crate) fn pair_weights(&self, position: usize) -> &[u32; ROW_LENGTH] {
         &self.pair_weights[position]
     }
@@ -141,7 +141,8 @@
         Self { rows: Vec::new(), listed: vec![0; (rows as usize).div_ceil(u64::BITS as usize)], threshold: 0 }
     }
 
-    /// Removes all rows and sets the threshold. `min_cost` is the cost of a row without avoidable conflicts.
+    /// Removes all conflict rows and sets the cost threshold.
+    /// `min_cost` is the cost of a row without avoidable conflicts.
     /// One conflict of this scope raises a row's cost above the threshold.
     pub(crate) fn reset(&mut self, min_cost: u32, scope: ConflictScope) {
         self.rows = Vec::new();
@@ -172,7 +173,7 @@
         self.rows.capacity() * size_of::<u32>() + self.listed.capacity() * size_of::<u64>()
     }
 
-    /// Lists a row if its cost is above the threshold and it is not listed yet.
+    /// Adds a row to the conflict rows if its cost is above the threshold and the row has not been added yet.
     pub(crate) fn add(&mut self, row: u32, cost: u32) {
         let (word, bit) = word_and_bit(row);
         if cost > self.threshold && self.listed[word] & bit == 0 {
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Removes the row at `index` from the listed rows if its cost is no longer above the threshold.
+    /// Removes the row at `index` from the conflict rows if its cost is no longer above the threshold.
     /// Returns whether the row was removed.
     pub(crate) fn remove_if_resolved(&mut self, index: u32, cost: u32) -> bool {
         if cost > self.threshold {
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -9,12 +9,12 @@
         /// The JSON parser's message, with line and column.
         reason: String,
     },
-    /// The list names a placement scheme that this version does not support.
+    /// The member list names a placement scheme that this version does not support.
     #[error(
         "scheme is {scheme}, this version supports only {known}: update this program or keep to scheme {known}"
     )]
     UnknownScheme {
-        /// Placement scheme that the list names.
+        /// Placement scheme that the member list names.
         scheme: u16,
         /// Placement scheme that this version supports.
         known: u16,
@@ -22,28 +22,28 @@
     /// The number of replicas per shard is out of range.
     #[error("replicas is {replicas}: must be 1 to {max}, usually 2")]
     Replicas {
-        /// Number of replicas per shard in the list.
+        /// Number of replicas per shard in the member list.
         replicas: u64,
         /// Maximum number of replicas per shard.
         max: usize,
     },
-    /// The list has no regions.
+    /// The member list has no regions.
     #[error("regions is empty: list at least one region with its share")]
     NoRegions,
-    /// The list has more regions, seats or wide destinations than allowed.
+    /// The member list has more regions, seats or wide destinations than allowed.
     #[error("{what} has {count} entries, at most {max} are allowed: remove some")]
     TooMany {
-        /// Name of the list's field that has too many entries.
+        /// Name of the member list's field that has too many entries.
         what: &'static str,
-        /// Number of entries in the list's field.
+        /// Number of entries in the member list's field that has too many.
         count: usize,
         /// Maximum number of entries that the field may have.
         max: usize,
     },
-    /// A name in the list is empty.
+    /// A name in the member list is empty.
     #[error("{field} is empty: give it a name")]
     EmptyName {
-        /// Position of the empty name in the list, such as `seats[3].rack`.
+        /// Position of the empty name in the member list, such as `seats[3].rack`.
         field: String,
     },
     /// Two regions have the same name.
@@ -59,17 +59,17 @@
     /// A region has share 0, and so would own no shards.
     #[error("regions[{index}] ({name}) has share 0: set a share of at least 1 or remove the region")]
     ZeroShare {
-        /// Index of the region in the list.
+        /// Index of the region in the member list.
         index: usize,
         /// Name of the invalid region.
         name: String,
     },
-    /// A seat is in a region that the list does not have.
+    /// A seat is in a region that the member list does not have.
     #[error(
         "seats[{seat}].region is {region:?}, which is not in regions: add the region or correct the seat"
     )]
     UnknownRegion {
-        /// Index of the invalid seat in the list.
+        /// Index of the invalid seat in the member list.
         seat: usize,
         /// Name of the region that the seat refers to.
         region: String,
@@ -79,9 +79,9 @@
         "seats[{seat}].weight is {weight}: must be at least 1/1024 and at most {max}, 1 for a usual machine"
     )]
     Weight {
-        /// Index of the invalid seat in the list.
+        /// Index of the invalid seat in the member list.
         seat: usize,
-        /// Weight of the seat in the list.
+        /// Weight of the seat in the member list.
         weight: f64,
         /// Maximum weight of a seat.
         max: u32,
@@ -89,9 +89,9 @@
     /// A member's address is not an IP address with a port.
     #[error("seats[{seat}].member.address is {address:?}: must be an IP address and a port other than 0")]
     Address {
-        /// Index of the invalid seat in the list.
+        /// Index of the invalid seat in the member list.
         seat: usize,
-        /// Member's address as it stands in the list.
+        /// Member's address as it stands in the member list.
         address: String,
     },
     /// A member fills two seats.
@@ -137,7 +137,7 @@
     Width {
         /// Number of the invalid wide destination.
         dest: i64,
-        /// Width of the destination in the list or the change.
+        /// Width of the destination in the member list or the change.
         width: u64,
         /// Maximum width of a wide destination.
         max: u16,
@@ -153,7 +153,7 @@
     StaleEpoch {
         /// Epoch of the list in force.
         current: u64,
-        /// Epoch of the rejected list.
+        /// Epoch of the rejected member list.
         offered: u64,
     },
     /// The received list has the epoch in force, but its contents differ from the list in force.
@@ -178,12 +178,12 @@
         /// Epoch that the changes lead to.
         epoch: u64,
     },
-    /// A change names a seat that the list does not have.
+    /// A change names a seat that the member list does not have.
     #[error("seat {seat} does not exist, the list has {seats} seats: append it or correct the number")]
     SeatOutOfRange {
         /// Number of the seat that the change names.
         seat: u64,
-        /// Number of seats that the list has.
+        /// Number of seats that the member list has.
         seats: usize,
     },
     /// A change fills a seat that has a member.
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -20,7 +20,7 @@
     ((hash as u64 * bound as u64) >> 32) as u32
 }
 
-/// A running digest of typed values, for comparing lists and tables. It is not cryptographic.
+/// An incremental digest of typed values, for comparing lists and tables. It is not cryptographic.
 #[derive(Clone, Copy, Debug)]
 pub struct Digest(u64);
 
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -179,7 +179,7 @@
 }
 
 impl RecentSharing {
-    /// Records the replica count and the widths that the next list replaces.
+    /// Records the replica count and the widths that the next member list replaces.
     pub(crate) fn advance(&mut self, before: &MemberList, after: &MemberList, until: Micros) {
         if before.replicas() != after.replicas() {
             self.replicas.push(Superseded { value: before.replicas(), until });
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Restores the replica count and the widths that the last run persisted.
+    /// Restores the replica count and the widths that the previous process persisted.
     pub(crate) fn restore(&mut self, replicas: usize, wide: &BTreeMap<i64, u16>, until: Micros) {
         self.replicas.push(Superseded { value: replicas, until });
         for (&dest, &width) in wide {
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -7,11 +7,11 @@
 //! All times are from one monotonic clock of this process, which also advances while the process is stopped and,
 //! where the system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`).
 //! Clock readings of different machines are never compared.
-//! Clocks may run at different rates, so the hold is longer by one part in [`CLOCK_DRIFT_DIVISOR`].
+//! Clocks may advance at different rates, so the hold is longer by one part in [`CLOCK_DRIFT_DIVISOR`].
 
 use heronroute::Micros;
 
-/// The hold on gained shards is longer by one part in this number, because clocks run at different rates:
+/// The hold on gained shards is longer by one part in this number, because clocks advance at different rates:
 /// two clocks that are each off by up to 500 parts in a million differ by one part in a thousand.
 pub const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
@@ -25,7 +25,7 @@
     /// An agent that lags by more must not answer until it has caught up.
     /// The lag is 0 if the agent confirms each answer with the control service after the poll.
     pub agent_lag: Micros,
-    /// The longest deadline of any class, plus how long a call may still run after the deadline (`order_settle`).
+    /// The longest deadline of any class, plus how long a call may be in flight after the deadline (`order_settle`).
     pub longest_deadline: Micros,
 }
 
--- a/crates/placement/src/list.rs
+++ b/crates/placement/src/list.rs
@@ -1,5 +1,5 @@
 //! The member list of one epoch.
-//! [`MemberList`] is validated when it is constructed, so code that uses a list needs no further checks.
+//! [`MemberList`] is validated when it is constructed, so code that uses a member list needs no further checks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
 }
 
 impl Region {
-    /// Returns the region's name, which no other region of the list has.
+    /// Returns the region's name, which no other region of the member list has.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -82,7 +82,7 @@
 }
 
 impl Member {
-    /// Returns the member's name, which no other member of the list has.
+    /// Returns the member's name, which no other member of the member list has.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -115,12 +115,12 @@
     by_name: Vec<SeatId>,
     /// Filled seats in the order of their members' addresses.
     by_address: Vec<SeatId>,
-    /// Wrapping sum of the digests of all seats and wide destinations, which each change to the list updates.
+    /// Wrapping sum of the digests of all seats and wide destinations, which each change to the member list updates.
     contents_digest: u64,
 }
 
 impl MemberList {
-    /// Validates a list that was received in its wire form.
+    /// Validates a member list that was received in its wire form.
     ///
     /// # Errors
     /// Returns the first invalid entry found, with its position and a correction.
@@ -153,12 +153,12 @@
         Ok(list)
     }
 
-    /// Returns the list's epoch: its version number, which grows with each change.
+    /// Returns the member list's epoch: its version number, which grows with each change.
     pub const fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Returns whether this is the first list of a new fleet: no sender owned any shard before it.
+    /// Returns whether this is the first member list of a new fleet: no sender owned any shard before it.
     pub const fn is_first(&self) -> bool {
         self.first
     }
@@ -168,7 +168,7 @@
         self.replicas
     }
 
-    /// Returns the regions in the order of the list.
+    /// Returns the regions in the order of the member list.
     pub fn regions(&self) -> &[Region] {
         &self.regions
     }
@@ -183,12 +183,12 @@
         digest.number(self.seats.len() as u64).number(self.contents_digest).value()
     }
 
-    /// Returns the number of seats in the list, filled or vacant.
+    /// Returns the number of seats in the member list, filled or vacant.
     pub fn seat_count(&self) -> usize {
         self.seats.len()
     }
 
-    /// Returns the number of filled seats in the list.
+    /// Returns the number of filled seats in the member list.
     pub fn member_count(&self) -> usize {
         self.by_name.len()
     }
@@ -219,17 +219,17 @@
         self.wide.iter().map(|(&dest, &width)| (dest, width))
     }
 
-    /// Returns the region of a seat. The seat must be in this list.
+    /// Returns the region of a seat. The seat must be in this member list.
     pub fn region(&self, seat: SeatId) -> RegionId {
         self.domains.region(self.zone(seat))
     }
 
-    /// Returns the zone of a seat. The seat must be in this list.
+    /// Returns the zone of a seat. The seat must be in this member list.
     pub fn zone(&self, seat: SeatId) -> ZoneId {
         self.domains.zone(self.rack(seat))
     }
 
-    /// Returns the rack of a seat. The seat must be in this list.
+    /// Returns the rack of a seat. The seat must be in this member list.
     pub fn rack(&self, seat: SeatId) -> RackId {
         self.seats[seat.index()].rack
     }
@@ -249,15 +249,15 @@
         self.domains.rack_name(self.rack(seat))
     }
 
-    /// Returns the weight of a seat. The seat must be in this list.
+    /// Returns the weight of a seat. The seat must be in this member list.
     pub fn weight(&self, seat: SeatId) -> Weight {
         self.seats[seat.index()].weight
     }
 
-    /// Checks that the list `next` may replace this list.
+    /// Checks that the member list `next` may replace this list.
     ///
     /// # Errors
-    /// Fails if `next` has an older epoch, or the same epoch but other contents than this list.
+    /// Fails if `next` has an older epoch, or the same epoch but other contents than this member list.
     pub fn check_successor(&self, next: &Self) -> Result<(), ListError> {
         if next.epoch < self.epoch {
             return Err(ListError::StaleEpoch { current: self.epoch, offered: next.epoch });
@@ -268,7 +268,7 @@
         Ok(())
     }
 
-    /// Returns a copy of this list with another epoch, to which changes are then applied.
+    /// Returns a copy of this member list with another epoch, to which changes are then applied.
     pub(crate) fn successor(&self, epoch: u64) -> Self {
         Self { epoch, first: false, ..self.clone() }
     }
@@ -285,7 +285,7 @@
         })
     }
 
-    /// Appends a seat to the list, with its member if the seat's form names one.
+    /// Appends a seat to the member list, with its member if the seat's form names one.
     pub(crate) fn append(&mut self, form: &SeatForm) -> Result<(), ListError> {
         check_count("seats", self.seats.len() + 1, MAX_SEATS)?;
         let seat = self.append_vacant(form)?;
@@ -360,7 +360,7 @@
         Ok(seat)
     }
 
-    /// Assigns the members of a full list and sorts the indices once.
+    /// Assigns the members of a full member list and sorts the indices once.
     /// Calling [`Self::fill`] for each member would take quadratic time.
     fn fill_all(&mut self, forms: &[SeatForm]) -> Result<(), ListError> {
         for (seat, form) in self.seat_ids().zip(forms) {
@@ -414,7 +414,7 @@
         Err(ListError::SeatOutOfRange { seat: u64::from(seat.0), seats: self.seats.len() })
     }
 
-    /// Sets the member of a seat, and updates the counts of filled seats and the list's digest.
+    /// Sets the member of a seat, and updates the counts of filled seats and the member list's digest.
     fn set_member(&mut self, seat: SeatId, member: Option<Member>) {
         let region = self.region(seat).index();
         let before = self.seat_digest(seat);
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -12,7 +12,7 @@
 
 /// Maximum length of a member's name in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Maximum number of control agents. A longer list only lengthens the search for an agent that answers.
+/// Maximum number of control agents. A longer list of agents only lengthens the search for an agent that answers.
 const MAX_CONTROL_AGENTS: usize = 8;
 /// Bounds of the lease. A shorter lease would expire between two polls on a busy machine.
 /// A longer lease would keep gained shards on hold for longer than most outages last.
@@ -173,7 +173,7 @@
     /// Validates the section `[placement]`.
     ///
     /// # Errors
-    /// Returns all findings; their spans are byte ranges of the options file's text.
+    /// Returns all errors found in the section; their spans are byte ranges of the options file's text.
     pub fn check(&self) -> Result<PlacementOptions, Vec<SpanFinding>> {
         let mut checker = Checker::default();
         let name = checker.name(&self.name);
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -17,7 +17,7 @@
 //! Let epoch `g` first be sent to any sender at time `t`.
 //! An agent answers with an earlier epoch until `t + agent_lag` at most.
 //! A lease under an earlier epoch therefore ends by `t + agent_lag + lease`.
-//! Messages accepted under that lease end by `t + agent_lag + lease + longest_deadline`.
+//! Messages accepted under that lease have their final outcome by `t + agent_lag + lease + longest_deadline`.
 //! A sender that becomes an owner in epoch `g` receives `g` at `t` or later,
 //! and puts the gained shards on hold for `agent_lag + lease + longest_deadline`.
 //! Therefore members of the owner sets of two epochs never act for one shard at the same time,
@@ -27,7 +27,7 @@
 //! - A step to the next epoch: the sender compares the owners under both epochs.
 //! - Changes over several epochs: the sender replays the changes one by one, in the order in which they were made.
 //!   A shard that this sender did not own after one of the changes is new to this sender.
-//! - A full list that skips epochs, or more changes than [`MAX_REPLAYED_CHANGES`]:
+//! - A full member list that skips epochs, or more changes than [`MAX_REPLAYED_CHANGES`]:
 //!   the owners in the skipped epochs are unknown, so all shards are treated as new.
 //!
 //! # Order
@@ -35,7 +35,7 @@
 //! All messages of an order key are sent to one owner, the key's preferred owner of the shard ([`crate::Request`]).
 //! There is no fallback: if the preferred owner rejects the message or can't be reached, the client is answered busy.
 //! Another owner accepts messages of the key only after an epoch makes it the preferred owner and the hold has ended;
-//! when the hold ends, each message of the key that the former owner accepted has ended.
+//! when the hold ends, each message of the key that the former owner accepted has its final outcome.
 //! The owner checks the preference itself, by its own epoch, and rejects messages that prefer another owner,
 //! so that a forwarder on an older epoch can't spread a key over two owners.
 //! The cost: if the preferred owner is down, messages of the key are rejected
@@ -99,7 +99,7 @@
     pub lost: Vec<ShardId>,
 }
 
-/// The state that is persisted in the state folder for the next run of this sender.
+/// The state that is persisted in the state folder for the next process of this sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedPlacement {
     /// Epoch of the member list in force.
@@ -125,11 +125,12 @@
 #[derive(Clone, Debug)]
 pub struct Ownership {
     name: String,
-    /// This process's address for forwarded requests. With `None`, this sender's address in the list is not checked.
+    /// This process's address for forwarded requests.
+    /// With `None`, this sender's address in the member list is not checked.
     address: Option<SocketAddr>,
     times: LeaseTimes,
     lease: Lease,
-    /// The placement state that this sender's last run persisted.
+    /// The placement state that this sender's previous process persisted.
     persisted: Option<PersistedPlacement>,
     view: Option<View>,
     holds: Holds,
@@ -168,7 +169,7 @@
         self
     }
 
-    /// Sets the placement state that this sender's last run persisted.
+    /// Sets the placement state that this sender's previous process persisted.
     #[must_use]
     pub fn with_persisted(mut self, persisted: Option<PersistedPlacement>) -> Self {
         self.persisted = persisted;
@@ -179,7 +180,7 @@
     /// Any answer that confirms the epoch in force or leads to a later one renews the lease.
     ///
     /// # Errors
-    /// Fails for an older epoch, another list under the epoch in force, and changes that do not apply.
+    /// Fails for an older epoch, another member list under the epoch in force, and changes that do not apply.
     /// After an error, the member list in force stays, and the lease is not renewed.
     pub fn apply_answer(
         &mut self,
@@ -247,7 +248,7 @@
         self.holds.last_end(now).max(self.recent_sharing.last_end(now))
     }
 
-    /// Returns the placement state for the next run. The caller persists it whenever it has changed.
+    /// Returns the placement state for this sender's next process. The caller persists it whenever it has changed.
     /// If replicas or widths have changed, the state must be on disk before this sender acts under the new list.
     pub fn persisted_state(&self, now: Micros) -> Option<PersistedPlacement> {
         let list = self.list()?;
@@ -314,8 +315,8 @@
         hold_ends.min().map_or(Admission::NotOwner, |hold_end| self.admission_under_lease(now, hold_end))
     }
 
-    /// Returns whether this sender needs the endpoints of a destination: it owns a part of the destination,
-    /// or lost a part and may still be delivering to it.
+    /// Returns whether this sender needs the endpoints of a destination: it owns at least one shard of the destination,
+    /// or has lost a shard of the destination and may still be delivering messages of that shard.
     /// The caller itself must retain the destinations of messages restored from the journal.
     pub fn needs_destination(&self, dest: i64) -> bool {
         let Some(view) = &self.view else { return false };
@@ -325,7 +326,7 @@
 
     /// Returns the number of owners that share a destination's limit equally.
     /// An epoch with more owners counts as long as other senders may still act under that epoch.
-    /// Before the first list, the number of owners is the one that the last run persisted.
+    /// Before the first member list, the number of owners is the one that the previous process persisted.
     pub fn limit_sharers(&self, now: Micros, dest: i64) -> usize {
         match (self.list(), &self.persisted) {
             (Some(list), _) => self.recent_sharing.max_sharers(list, dest, now),
@@ -379,8 +380,8 @@
         Ok(self.activate(after))
     }
 
-    /// Sets the holds for this process's first list. All shards are put on hold,
-    /// unless all holds of the last run had ended under the same member list, or the list is the first of a new fleet.
+    /// Sets the holds for this process's first member list. All shards are put on hold,
+    /// unless the list is the first of a new fleet, or all holds of the previous process had ended under the same list.
     fn hold_for_first_list(&mut self, now: Micros, list: &MemberList) -> Result<(), ListError> {
         let until = self.hold_end(now);
         if let Some(last) = &self.persisted {
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -18,13 +18,13 @@
 }
 
 impl Placement {
-    /// Builds the placement of a list. Takes as long as [`Table::build`].
+    /// Builds the placement of a member list. Takes as long as [`Table::build`].
     pub fn build(list: MemberList) -> Self {
         let table = Arc::new(Table::build(&list));
         Placement::from_parts(list, table)
     }
 
-    /// Combines a list with its table. The result is wrong if the table was built from another list.
+    /// Combines a member list with its table. The result is wrong if the table was built from another list.
     pub fn from_parts(list: MemberList, table: Arc<Table>) -> Self {
         Placement { list, table, visible_shards: None }
     }
@@ -40,7 +40,7 @@
     /// Returns the placement that results from applying `changes` to this placement.
     ///
     /// # Errors
-    /// Fails if the changes do not apply to the list, see [`MemberList::apply`].
+    /// Fails if the changes do not apply to the member list, see [`MemberList::apply`].
     pub fn apply(&self, changes: &Changes) -> Result<Self, ListError> {
         let list = self.list.apply(changes)?;
         let mut table = Table::clone(&self.table);
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -145,7 +145,7 @@
         FallbackOrder::of(self.shard(row))
     }
 
-    /// Returns the shard that a row of the region stands for.
+    /// Returns the shard whose owners the given row of the region contains.
     pub(crate) fn shard(&self, row: u32) -> ShardId {
         ShardId::at_position(self.first_position + row)
     }
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -26,7 +26,7 @@
 }
 
 impl Table {
-    /// Builds the table of a list. The table depends on nothing but the list,
+    /// Builds the table of a member list. The table depends on nothing but the list,
     /// and is the same on each machine and in each version that supports the scheme.
     pub fn build(list: &MemberList) -> Self {
         let mut regions = empty_regions(list);
@@ -41,7 +41,7 @@
     }
 
     /// Applies `changes`, which lead from this table's list to `next`.
-    /// The updated table is the same as a table built from the list `next`.
+    /// The updated table is the same as a table built from the member list `next`.
     pub fn apply(&mut self, next: &MemberList, changes: &Changes) {
         let mut pending = vec![Pending::default(); self.regions.len()];
         for change in &changes.changes {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Appends a seat of a list to its region. Returns the seat's ordinal within the region.
+/// Appends a seat of a member list to its region. Returns the seat's ordinal within the region.
 fn append(region: &mut RegionTable, list: &MemberList, seat: SeatId) -> u16 {
     let ordinal = region.seat_count() as u16;
     let domain = Domain::new(list.zone(seat), list.rack(seat));
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -10,13 +10,13 @@
 /// A full member list in its JSON form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListForm {
-    /// Epoch: the version number of the list, which grows with each change.
+    /// Epoch: the version number of the member list, which grows with each change.
     pub epoch: u64,
     /// Number of the placement scheme, see [`crate::SCHEME`].
     pub scheme: u16,
     /// Number of owners of each shard.
     pub replicas: u64,
-    /// Whether this is the first list of a new fleet: no sender owned any shard before it.
+    /// Whether this is the first member list of a new fleet: no sender owned any shard before it.
     #[serde(default)]
     pub first: bool,
     /// Regions of the fleet, and their shares of the shards.
@@ -31,7 +31,7 @@
 /// A region of the member list in its JSON form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionForm {
-    /// Name of the region, which no other region of the list has.
+    /// Name of the region, which no other region of the member list has.
     pub name: String,
     /// The region's share of the shards, relative to the sum of all regions' shares.
     pub share: u32,
@@ -55,7 +55,7 @@
 /// A member: a sender process that fills a seat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberForm {
-    /// Name of the member, which no other member of the list has.
+    /// Name of the member, which no other member of the member list has.
     pub name: String,
     /// IP address and port at which the member accepts forwarded requests.
     pub address: String,
@@ -70,14 +70,15 @@
     pub width: u64,
 }
 
-/// Changes from one epoch to a later one. If there are none and both epochs are the same, the list has not changed.
+/// Changes from one epoch to a later one.
+/// If there are none and both epochs are the same, the member list has not changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangesForm {
     /// Epoch that the changes lead to.
     pub epoch: u64,
-    /// Epoch of the list that the changes apply to.
+    /// Epoch of the member list that the changes apply to.
     pub since: u64,
-    /// Changes to the list, in the order in which they are applied.
+    /// Changes to the member list, in the order in which they are applied.
     pub changes: Vec<ChangeForm>,
 }
 
@@ -121,7 +122,7 @@
     /// Parses the JSON text of a control agent's answer.
     ///
     /// # Errors
-    /// Fails if the text is neither a full list, changes nor an epoch, or if a full list is invalid.
+    /// Fails if the text is neither a full member list, changes nor an epoch, or if a full list is invalid.
     pub fn parse_json(bytes: &[u8]) -> Result<Self, ListError> {
         let kind: AnswerKind = parse(bytes)?;
         if kind.seats.is_some() {
@@ -135,7 +136,7 @@
     }
 }
 
-/// Distinguishes a full list, which has `seats`, from changes.
+/// Distinguishes a full member list, which has `seats`, from changes.
 #[derive(Deserialize)]
 struct AnswerKind {
     seats: Option<serde::de::IgnoredAny>,
@@ -146,7 +147,7 @@
 }
 
 impl MemberList {
-    /// Parses and validates a full list.
+    /// Parses and validates a full member list.
     ///
     /// # Errors
     /// Fails for JSON of another form, and for each fault that [`MemberList::from_form`] finds.
@@ -197,7 +198,7 @@
 }
 
 impl Changes {
-    /// Parses changes. Whether they apply to a list is checked by [`MemberList::apply`].
+    /// Parses changes. Whether they apply to a member list is checked by [`MemberList::apply`].
     ///
     /// # Errors
     /// Fails for JSON of another form, and for an entry that is not exactly one change.
@@ -262,7 +263,7 @@
     }
 }
 
-/// Serializes a list or changes to JSON.
+/// Serializes a member list or changes to JSON.
 /// Serialization can't fail: JSON can express all values (a weight that is not finite becomes `null`).
 fn to_json<T: Serialize>(form: &T) -> Vec<u8> {
     serde_json::to_vec(form).unwrap_or_default()
--- a/crates/placement/tests/forwarding.rs
+++ b/crates/placement/tests/forwarding.rs
@@ -13,7 +13,7 @@
     Forwarding::new(effect, (0..candidates).map(SeatId).collect(), 0, BUDGET)
 }
 
-/// Returns the seat to which a step sends the request.
+/// Returns the seat to which a step of the state machine sends the request.
 fn target_seat(step: &Step) -> SeatId {
     match step {
         Step::Send { to, .. } => *to,
--- a/crates/placement/tests/histories.rs
+++ b/crates/placement/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Simulates thousands of histories of a fleet with faults of members, network and control agents.
-//! In no history may a message be lost or take effect twice, a key lose its order,
+//! Simulates a fleet under thousands of random sequences of faults of members, network and control agents.
+//! In no simulation may a message be lost or take effect twice, messages of a key be delivered out of order,
 //! or the shares of a destination's limit exceed the limit.
 
 mod history;
@@ -14,12 +14,12 @@
 
 const WORLDS: Range<u64> = 0..12;
 const SEEDS_PER_WORLD: u64 = 200;
-/// Number of threads that simulate histories.
+/// Number of threads that simulate random fault sequences.
 const THREADS: usize = 4;
-/// Maximum number of violations printed for one history.
+/// Maximum number of rule violations printed for one seed.
 const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// Simulates one history of a world for each seed. Panics at the first seed whose history breaks a rule.
+/// Simulates one random fault sequence in an environment for each seed. Panics at the first seed that breaks a rule.
 fn simulate_seeds(world: &World, number: u64, seeds: impl Iterator<Item = u64>) -> Counts {
     let mut counts = Counts::default();
     for seed in seeds {
@@ -57,7 +57,7 @@
     assert_reached(&counts);
 }
 
-/// Checks that the histories reached the cases under test. Histories that never reach these cases prove nothing.
+/// Checks that the simulations reached the cases under test. Simulations that never reach these cases prove nothing.
 fn assert_reached(counts: &Counts) {
     let histories = WORLDS.end * SEEDS_PER_WORLD;
     assert!(counts.promised * 2 > counts.messages, "{counts:?}");
--- a/crates/placement/tests/history/ledger.rs
+++ b/crates/placement/tests/history/ledger.rs
@@ -27,13 +27,13 @@
 }
 
 impl Job {
-    /// Returns whether a call for the job may still begin or is in flight.
+    /// Returns whether a call for the accepted message may still begin or is in flight.
     pub fn is_open(&self, now: Micros) -> bool {
         now < self.call_until || (!self.ended && now < self.deadline)
     }
 }
 
-/// Counts of events, by which the tests check that the histories reached the cases under test.
+/// Counts of events, by which the tests check that the random fault sequences reached the cases under test.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub messages: u64,
@@ -122,7 +122,7 @@
         self.jobs.len() - 1
     }
 
-    /// Records that the client receives `+OK` for a job.
+    /// Records that the client receives `+OK` for an accepted message.
     pub fn promised(&mut self, job: usize) {
         self.counts.promised += 1;
         self.jobs[job].promised = true;
@@ -164,7 +164,7 @@
         self.jobs[job].ended = true;
     }
 
-    /// Checks that each accepted message has ended.
+    /// Checks that each accepted message has a final outcome.
     pub fn finish(&mut self, now: Micros) {
         for index in 0..self.jobs.len() {
             let job = &self.jobs[index];
--- a/crates/placement/tests/history/mod.rs
+++ b/crates/placement/tests/history/mod.rs
@@ -1,4 +1,4 @@
-//! Histories of a fleet in simulated time. Simulated senders run the real placement code.
+//! Random fault sequences for a fleet, in simulated time. Simulated senders execute the real placement code.
 //! A seed decides the behaviour of the network, the control agents and the clients. A ledger checks the rules.
 
 pub mod ledger;
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -1,5 +1,5 @@
-//! The simulated fleet, in simulated time: members that run the real placement code,
-//! their clients, and the messages between them.
+//! The simulated fleet, in simulated time: members that execute the real placement code,
+//! the members' clients, and the messages between members and clients.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -39,7 +39,7 @@
         member: usize,
     },
     /// An answer of a control agent reaches a member.
-    /// An answer that is not `regular` contains an invalid list that the member must reject.
+    /// An answer that is not `regular` contains an invalid member list that the member must reject.
     AnswerReceived {
         member: usize,
         incarnation: u32,
@@ -125,8 +125,8 @@
     /// member's clock, are tracked for the ledger, independently of the code under test.
     received_epoch: u64,
     lease_until: Option<Micros>,
-    /// Accepted messages that have not ended, as jobs of the ledger, in the order of acceptance.
-    /// The flag tells whether a call for the job is in flight.
+    /// Accepted messages without a final outcome, by their job numbers in the ledger, in the order of acceptance.
+    /// The flag tells whether a call for the accepted message is in flight.
     jobs: Vec<(usize, bool)>,
 }
 
@@ -176,7 +176,7 @@
     pub ledger: Ledger,
 }
 
-/// Simulates the history of a seed in a world and returns the history's ledger.
+/// Simulates a seed's random fault sequence in an environment, and returns the ledger of all acceptances and calls.
 pub fn simulate(world: &World, seed: u64) -> Ledger {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let plan = FaultPlan::generate(&mut rng, world);
@@ -303,7 +303,7 @@
         }
     }
 
-    // Handlers of events of control agents.
+    // Handlers of the simulated events of control agents.
 
     fn poll(&mut self, member: usize) {
         if self.now < ENDS_AT {
@@ -348,7 +348,7 @@
         }
     }
 
-    /// Sometimes sends a member an additional list that must be rejected: an older one, or another of the same epoch.
+    /// Sometimes sends a member an additional list that it must reject: an older member list, or another for its epoch.
     fn maybe_send_invalid_list(&mut self, member: usize, polled_at: Micros) {
         let Some(epoch) = self.members[member].ownership.epoch() else { return };
         let list = if epoch > 1 && self.rng.random_bool(0.1) {
@@ -390,7 +390,7 @@
         member.persisted = member.ownership.persisted_state(local).or(member.persisted.take());
     }
 
-    // Handlers of events of process faults.
+    // Handlers of the simulated process faults.
 
     fn fault(&mut self, number: usize, fault: Fault, until: Micros) {
         match fault {
@@ -424,7 +424,7 @@
         }
     }
 
-    // Handlers of events of clients.
+    // Handlers of the clients' simulated events.
 
     fn random_effect(&mut self) -> Effect {
         *[Effect::Safe, Effect::Keyed, Effect::Unsafe].choose(&mut self.rng).expect("the list is not empty")
@@ -510,7 +510,7 @@
         self.after(delay, Event::Reply { message, submission, reply: Some(reply), job });
     }
 
-    // Handlers of events of requests.
+    // Handlers of the simulated events in which requests reach members.
 
     fn request(&mut self, number: usize, message: usize, submission: u32) {
         let local = self.members[number].local(self.now);
@@ -656,7 +656,7 @@
         self.take_step(index, step, job);
     }
 
-    // Handlers of events of calls.
+    // Handlers of the simulated events of calls to receivers.
 
     fn add_job(&mut self, number: usize, job: usize) {
         self.members[number].jobs.push((job, false));
@@ -687,7 +687,7 @@
         self.after(duration, Event::CallEnded { member: number, incarnation, job, takes_effect });
     }
 
-    /// Returns whether the member has an earlier message of the same key that has not ended.
+    /// Returns whether the member has an earlier message of the same key that has no final outcome yet.
     fn has_earlier_of_key(&self, number: usize, job: usize) -> bool {
         let message_of = |job: usize| &self.ledger.messages[self.ledger.jobs[job].message];
         let Message { dest, key: Some(key), .. } = *message_of(job) else { return false };
--- a/crates/placement/tests/history/network.rs
+++ b/crates/placement/tests/history/network.rs
@@ -1,4 +1,4 @@
-//! The fault plan of one history: when control agents send each epoch,
+//! The simulated faults of one random fault sequence: when control agents send each epoch,
 //! and which members are cut off, killed or stopped.
 
 use heronroute::Micros;
@@ -8,7 +8,7 @@
 use super::world::World;
 use super::{AGENT_LAG, MILLISECOND, SECOND};
 
-/// The time in a history by which all faults have ended.
+/// The simulated time by which all faults have ended.
 pub const FAULTS_END_AT: Micros = 75 * SECOND;
 
 /// A fault of one member's process.
@@ -27,11 +27,11 @@
     cut_off: Vec<bool>,
 }
 
-/// The faults of one history.
+/// The faults of one random fault sequence.
 pub struct FaultPlan {
     /// The time at which each epoch is first sent to any member.
     pub epochs_sent_at: Vec<Micros>,
-    /// The member, fault, start and end of each process fault.
+    /// The affected member, kind, start time and end time of each process fault.
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
     partitions: Vec<Partition>,
     /// For each member, whether its control agent lags behind.
@@ -118,7 +118,7 @@
     }
 }
 
-/// Moves the first sending of two epochs to within a second of each other.
+/// Changes the times at which two epochs are first sent, so that they are at most a second apart.
 fn make_two_epochs_close(rng: &mut ChaCha8Rng, epochs_sent_at: &mut [Micros]) {
     if epochs_sent_at.len() >= 2 {
         let index = rng.random_range(1..epochs_sent_at.len());
--- a/crates/placement/tests/history/world.rs
+++ b/crates/placement/tests/history/world.rs
@@ -1,4 +1,4 @@
-//! The world of a history: its member lists by epoch, and their tables, which all simulated senders share.
+//! The simulated environment of random fault sequences: member lists by epoch, and tables that all senders share.
 
 use embershore_placement::wire::{ListForm, MemberForm, RegionForm, SeatForm, WideForm};
 use embershore_placement::{Change, Changes, MemberList, Placement, PlacementSource, SeatId, sub_shard};
@@ -7,20 +7,20 @@
 
 use crate::tables::SharedTables;
 
-/// Number of destinations in a history.
+/// Number of destinations in the simulated environment.
 pub const DESTINATIONS: usize = 6;
-/// Number of members that fill no seat in the first list.
+/// Number of members that fill no seat in the member list of the first epoch.
 const SPARE_MEMBERS: usize = 3;
-/// Number of epochs after the first one.
+/// Number of member-list epochs after the first epoch.
 const LATER_EPOCHS: usize = 8;
 const MAX_WIDTH: u16 = 8;
-/// Distance between the destination numbers of successive worlds, so that no two worlds use the same destinations.
+/// Distance between the destination numbers of successive environments, so that no two use the same destinations.
 const DEST_STRIDE: i64 = 7_919;
 
 /// The member lists of epochs 1 and later, the changes between them, and the destinations.
 pub struct World {
     pub lists: Vec<MemberList>,
-    /// The changes that lead to each list; `None` for the first list and for lists that can only be sent in full.
+    /// The changes that lead to each member list; `None` for the first one and for those that can only be sent in full.
     pub changes: Vec<Option<Changes>>,
     pub dests: Vec<i64>,
     pub members: usize,
@@ -28,12 +28,12 @@
     pub tables: SharedTables,
 }
 
-/// Returns the name of the member with this index in the model.
+/// Returns the name of the simulated member with this index.
 pub fn member_name(number: usize) -> String {
     format!("n{number}")
 }
 
-/// Returns the index of the member with this name.
+/// Returns the index of the simulated member with this name.
 pub fn member_number(name: &str) -> usize {
     name[1..].parse().expect("the name was made by member_name")
 }
@@ -67,7 +67,7 @@
         &self.lists[epoch as usize - 1]
     }
 
-    /// Returns all changes between two epochs, in order; `None` if one of the lists can only be sent in full.
+    /// Returns all changes between two epochs, in order; `None` if one of the member lists can only be sent in full.
     pub fn changes_between(&self, since: u64, epoch: u64) -> Option<Changes> {
         let steps = &self.changes[since as usize..epoch as usize];
         let all: Option<Vec<Vec<Change>>> =
@@ -75,7 +75,7 @@
         all.map(|all| Changes { epoch, since, changes: all.concat() })
     }
 
-    /// Returns a member list of the given epoch with contents other than the epoch's real list.
+    /// Returns a member list of the given epoch with contents other than the epoch's genuine member list.
     pub fn conflicting_list(&self, epoch: u64) -> MemberList {
         let mut form = self.list(epoch).to_form();
         form.seats[0].weight += 1.0;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns one to three random changes that apply to the list of `before`.
+    /// Returns one to three random changes that apply to the member list of `before`.
     fn random_changes(&self, rng: &mut ChaCha8Rng, before: &Placement) -> Changes {
         let since = before.list().epoch();
         let mut changes = Changes { epoch: since + 1, since, changes: Vec::new() };
@@ -173,7 +173,7 @@
     }
 }
 
-/// Returns the list of the next epoch with one replica more or less; `None` if that list would be invalid.
+/// Returns the member list of the next epoch with one replica more or less; `None` if such a list would be invalid.
 fn with_other_replicas(list: &MemberList) -> Option<MemberList> {
     let mut form = list.to_form();
     form.epoch += 1;
--- a/crates/placement/tests/ownership.rs
+++ b/crates/placement/tests/ownership.rs
@@ -38,7 +38,7 @@
 const HOLD: Micros = 30 * SECOND + 30 * SECOND / 1_000;
 const OWN: SeatId = SeatId(0);
 
-/// The first list of a new fleet: six members in one region of three zones, two owners per shard.
+/// The first member list of a new fleet: six members in one region of three zones, two owners per shard.
 fn first_form() -> ListForm {
     ListForm { first: true, ..fleet(&[3], 6, 1) }
 }
@@ -51,12 +51,12 @@
     AgentAnswer::Full(Box::new(list.clone()))
 }
 
-/// Returns the sender that fills a seat, before the sender has received any list.
+/// Returns the sender that fills a seat, before the sender has received any member list.
 fn new_sender(seat: SeatId) -> Ownership {
     Ownership::new(member_form(seat.index()).name, LEASE, DEADLINE)
 }
 
-/// Returns the sender that fills a seat, after the sender has received this list at time 0.
+/// Returns the sender that fills a seat, after the sender has received this member list at time 0.
 fn sender_with_list(seat: SeatId, list: &MemberList) -> Ownership {
     let mut ownership = new_sender(seat);
     receive(&mut ownership, 0, 0, full(list)).unwrap();
--- a/crates/placement/tests/properties.rs
+++ b/crates/placement/tests/properties.rs
@@ -46,7 +46,8 @@
         Self::new(form)
     }
 
-    /// Applies changes and returns the moved shards. Checks that the updated table equals one built from the new list.
+    /// Applies changes and returns the moved shards.
+    /// Checks that the updated table equals one built from the new member list.
     #[track_caller]
     fn change(&mut self, entries: Vec<Change>) -> Moves {
         let (next, changes) = applied(&self.list, entries);
--- a/crates/placement/tests/refusals.rs
+++ b/crates/placement/tests/refusals.rs
@@ -1,5 +1,5 @@
 //! Tests that invalid lists and changes are rejected with errors that name the invalid entry and the correction,
-//! and that the list in force stays.
+//! and that the member list in force stays.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use embershore_placement::{AgentAnswer, Change, Changes, ListError, MAX_SEATS, MemberList, SeatId};
 use support::{fleet, list, member_form, seat_form};
 
-/// An invalid list, and the texts that its error must contain: the position of the invalid entry and the correction.
+/// An invalid member list, and the texts that its error must contain: the position and correction of the invalid entry.
 struct Case {
     name: &'static str,
     break_form: fn(&mut ListForm),
--- a/crates/placement/tests/support/tables.rs
+++ b/crates/placement/tests/support/tables.rs
@@ -1,4 +1,4 @@
-//! Tables of owners that all senders of a test share. A table depends only on its list, so it is built only once.
+//! Tables of owners that all senders of a test share. A table depends only on its member list, so it is built once.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -9,12 +9,12 @@
 #[derive(Default)]
 pub struct SharedTables {
     tables: Mutex<HashMap<u64, Arc<Table>>>,
-    /// The only shards that the placements list as owned; `None` for all shards.
+    /// The only shards that the placements report as owned; `None` for all shards.
     visible_shards: Option<Arc<[ShardId]>>,
 }
 
 impl SharedTables {
-    /// Creates shared tables whose placements list only the given shards as owned; `None` for all shards.
+    /// Creates shared tables whose placements report only the given shards as owned; `None` for all shards.
     pub fn new(visible_shards: Option<Arc<[ShardId]>>) -> Self {
         SharedTables { visible_shards, ..Self::default() }
     }
