--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -83,12 +83,12 @@
     },
     /// Sent by the former owner after the handover, when one of its calls has ended.
     Ended {
-        /// The number of the call.
+        /// The number of the call that has ended.
         call: u64,
         /// The outcome for each message that the call carried.
         #[serde(rename = "fates")]
         outcomes: Vec<MessageOutcome>,
-        /// The time from the start of the call to its end.
+        /// The duration of the call.
         elapsed: Micros,
         /// The wait that the receiver's response advertised; 0 if the response advertised none.
         wait: Micros,
@@ -97,7 +97,7 @@
     },
     /// Sent by the successor to make the former owner cancel one of its calls.
     Cancel {
-        /// The number of the call.
+        /// The number of the call to cancel.
         call: u64,
     },
 }
@@ -105,7 +105,7 @@
 /// Why a frame can't be encoded or decoded. After a decoding error, no later frame of the connection can be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The payload is longer than [`MAX_FRAME_BYTES`]: the given number of bytes.
+    /// The payload is longer than [`MAX_FRAME_BYTES`]. The value is its length in bytes.
     TooLong(usize),
     /// The payload is not a valid frame.
     Malformed,
--- a/crates/handover/src/owner.rs
+++ b/crates/handover/src/owner.rs
@@ -31,7 +31,7 @@
     Released,
     /// The successor has not answered in time.
     TimedOut,
-    /// The connection to the successor has ended.
+    /// The connection to the successor was closed.
     Disconnected,
     /// The result of an attempt to reclaim the lock, see [`OwnerAction::Reclaim`]; true if the lock was acquired.
     Reclaimed(bool),
--- a/crates/owed/tests/plan.rs
+++ b/crates/owed/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Tests of the next step of a debt. An unsafe message never has a second effect, in any order of events.
+//! Tests of the next step of a debt. A message of an unsafe class never takes effect twice, in any order of events.
 
 mod common;
 use common::*;
@@ -159,7 +159,7 @@
 enum Act {
     Wait(Micros),
     Send,
-    /// The resend in flight ends with this outcome; the flag tells whether the receiver executes the message.
+    /// The resend in flight has this outcome; the flag tells whether the receiver executes the message.
     End(AttemptOutcome, bool),
     /// The sender's process dies; the flag tells whether the receiver executes the resend in flight.
     Crash(bool),
--- a/crates/owed/tests/store.rs
+++ b/crates/owed/tests/store.rs
@@ -24,7 +24,7 @@
     interrupted: Option<u64>,
 }
 
-/// Runs a sequence of operations on a store until the disk fails.
+/// Performs a sequence of operations on a store until the disk fails.
 fn run_store(disk: &FaultyDisk) -> Completed {
     let mut completed = Completed::default();
     let Ok(store) = Store::with_backend(disk.clone(), 64 * MB) else { return completed };
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -31,13 +31,13 @@
 /// The record that a member publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The name on the agreed member list, at most [`MAX_NAME_BYTES`] bytes.
+    /// The member's name on the agreed member list, at most [`MAX_NAME_BYTES`] bytes.
     pub name: String,
     /// The number of process starts on this state folder, 1 for the first start.
     /// This is not the incarnation number of SWIM, which `foca` manages itself.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The revision of the record within an incarnation.
+    /// The revision of the record within an incarnation of the process.
     /// The revision grows with each change of the record and each refutation of a reported death.
     #[serde(rename = "turn")]
     pub revision: u32,
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -74,7 +74,7 @@
     /// The sender of the datagram being decoded.
     source: Option<String>,
     fleet: Rc<Fleet>,
-    /// Received names that are not on this member's member list. Another member may have a newer list.
+    /// Received names that the member list of this process does not contain. Another member may have a newer list.
     unlisted: BTreeSet<String>,
 }
 
@@ -158,7 +158,7 @@
     last_call: Micros,
     stale_until: Micros,
     announce_at: Micros,
-    /// The position, among the members that are not active, after which the next request to join is sent.
+    /// A counter of requests to join. It selects, in rotation, the inactive member that each request is sent to.
     announce_cursor: usize,
 }
 
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -37,7 +37,7 @@
     pub nodes: Vec<Node>,
     pub fleet: Fleet,
     pub rng: Rng,
-    /// Cut connections, as pairs of members. Datagrams from the first to the second member are lost.
+    /// Cut network paths, as pairs of members. Datagrams from the first member to the second are lost.
     pub cut: BTreeSet<(usize, usize)>,
     pub loss: f64,
     pub duplication: f64,
--- a/crates/peer/tests/fleet.rs
+++ b/crates/peer/tests/fleet.rs
@@ -125,7 +125,7 @@
     world.nodes.push(Node { peers: old, incarnation: 1, stopped: false, address: address(5) });
     world.pass(20 * S);
     let old = world.nodes[12].peers.as_ref().unwrap();
-    // The displaced process sends nothing more, and does not run in a busy loop.
+    // The displaced process sends nothing more, and does not loop without waiting.
     assert!(old.view(world.now).displaced && !old.view(world.now).majority && old.next_tick() > world.now);
     assert!(world.view(5).majority && !world.view(5).displaced);
 }
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -82,7 +82,7 @@
 struct FoundPosition {
     row: u32,
     position: usize,
-    /// Whether taking the position raises the row's cost.
+    /// Whether taking the position raises the cost of the failure domains shared in its row.
     increases_cost: bool,
 }
 
@@ -321,7 +321,7 @@
 
     /// Returns the first position that the searching seat may take in the rows of one probe, starting at row `first`.
     fn find_position(&self, first: u32, donors: Donors, search: &Search) -> Option<FoundPosition> {
-        // `AboveTarget` has its own specialised loop, because that loop runs millions of times for each table built.
+        // `AboveTarget` has its own specialised loop, because its body is executed millions of times for each table.
         match donors {
             Donors::AboveTarget => {
                 self.find_position_where(first, false, search, |donor| self.is_above_target(donor, search))
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -34,7 +34,7 @@
 }
 
 impl ConflictScope {
-    /// Returns the least amount by which a row's cost falls when a conflict of this scope is resolved.
+    /// Returns the minimum amount by which a row's cost falls when a conflict of this scope is resolved.
     pub(crate) const fn min_gain(self) -> i32 {
         match self {
             // The minimum gain is half of the conflict's cost, because smaller conflicts may replace the resolved one.
@@ -127,7 +127,8 @@
     (shared_zone + shared_rack) * weight
 }
 
-/// The rows whose cost is above a threshold. A row whose cost has fallen remains listed until a search visits it.
+/// The rows whose cost is above a threshold.
+/// A row whose cost has fallen remains in this set until a search visits the row.
 #[derive(Clone, Debug)]
 pub(crate) struct ConflictRows {
     rows: Vec<u32>,
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -1,6 +1,6 @@
 //! Why a member list, or a change to one, is rejected. Each error names the invalid entry and how to correct it.
 
-/// The reason why a member list, or changes to one, were rejected. The list in force stays in force.
+/// The reason why a member list, or changes to one, were rejected. The member list in force stays in force.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ListError {
     /// The text is not a JSON member list, list of changes, or answer of a control agent.
@@ -49,7 +49,7 @@
     /// Two regions have the same name.
     #[error("regions[{second}] repeats the name {name:?} of regions[{first}]: list each region once")]
     DuplicateRegion {
-        /// Name that occurs twice.
+        /// Name that two regions have.
         name: String,
         /// Index of the first region with this name.
         first: usize,
@@ -99,7 +99,7 @@
         "seats[{second}] repeats the member name {name:?} of seats[{first}]: a member fills only one seat, vacate one of them"
     )]
     DuplicateName {
-        /// Name that occurs twice.
+        /// Name of the member that fills two seats.
         name: String,
         /// Index of the first seat with this member name or address.
         first: usize,
@@ -142,30 +142,30 @@
         /// Maximum width of a wide destination.
         max: u16,
     },
-    /// A wide destination is listed twice.
+    /// A wide destination occurs twice in the member list.
     #[error("wide lists destination {dest} twice: list it once")]
     DuplicateWide {
         /// Number of the invalid wide destination.
         dest: i64,
     },
-    /// The received list is older than the list in force.
+    /// The received member list is older than the member list in force.
     #[error("epoch {offered} is older than epoch {current} in force: send an epoch above {current}")]
     StaleEpoch {
-        /// Epoch of the list in force.
+        /// Epoch of the member list in force.
         current: u64,
         /// Epoch of the rejected member list.
         offered: u64,
     },
-    /// The received list has the epoch in force, but its contents differ from the list in force.
+    /// The received member list has the epoch in force, but its contents differ from the member list in force.
     #[error("epoch {epoch} is already in force with another list: raise the epoch with each change")]
     DifferentList {
-        /// Epoch of the list in force and of the rejected list.
+        /// Epoch of the member list in force and of the rejected member list.
         epoch: u64,
     },
     /// The changes do not begin at the epoch in force.
     #[error("changes since epoch {since} do not apply to epoch {current} in force: send the full list")]
     SinceMismatch {
-        /// Epoch of the list in force; 0 before the first list.
+        /// Epoch of the member list in force; 0 before the first member list.
         current: u64,
         /// Epoch that the changes begin at.
         since: u64,
@@ -200,7 +200,7 @@
         /// Number of the seat that the change names.
         seat: usize,
     },
-    /// An entry of `changes` is no known change, or several at once.
+    /// An entry of `changes` contains no known change, or several changes.
     #[error("changes[{index}] is not exactly one change: give either seat with member, or append, or wide")]
     AmbiguousChange {
         /// Index of the invalid entry in `changes`.
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns the request's first step.
+    /// Returns the first step that the caller has to take for the request.
     pub fn start(&mut self, now: Micros) -> Step {
         self.try_next(now)
     }
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -3,7 +3,7 @@
 //!
 //! When an epoch changes ownership, the following are on hold for [`LeaseTimes::hold`](crate::LeaseTimes::hold)
 //! after this sender received the epoch, because another sender may still be using them:
-//! a gained shard, an order key that preferred another owner, a new part of a wide destination,
+//! a gained shard, an order key that preferred another owner, an additional shard of a wide destination,
 //! and a larger share of a destination's limit.
 //! Only current holds are stored, so this state is empty while ownership does not change.
 
@@ -16,7 +16,7 @@
 use heronroute::Micros;
 
 /// Maximum number of superseded owner lists stored for a shard; with more, the whole shard is put on hold instead.
-/// Each epoch that changes the shard's owners during a hold adds one list.
+/// Each epoch that changes the shard's owners during a hold adds one owner list.
 const MAX_SUPERSEDED_OWNER_LISTS: usize = 16;
 
 /// A value that an epoch has replaced, and the time until which other senders may still use it.
@@ -75,7 +75,8 @@
 }
 
 impl OwnershipDiff {
-    /// Compares the shards that this sender owns under two placements. Without `before`, all count as gained.
+    /// Compares the shards that this sender owns under two placements.
+    /// Without `before`, all owned shards count as gained.
     pub(crate) fn between(before: Option<SeatedPlacement<'_>>, after: SeatedPlacement<'_>) -> Self {
         let owned_before = |shard: ShardId| before.is_some_and(|before| before.owns(shard));
         let mut gained = after.shards();
@@ -205,7 +206,7 @@
         self.max_replicas(list.replicas(), now) * usize::from(width)
     }
 
-    /// Returns the maximum number of replicas at `now`, with `current` in force.
+    /// Returns the maximum number of replicas that senders may use at `now`, with `current` in force.
     pub(crate) fn max_replicas(&self, current: usize, now: Micros) -> usize {
         let superseded = self.replicas.iter().filter(|superseded| now < superseded.until);
         superseded.map(|superseded| superseded.value).fold(current, usize::max)
@@ -222,13 +223,13 @@
         self.superseded_widths(dest, now).map(|superseded| superseded.value).fold(current, u16::max)
     }
 
-    /// Returns the end of the hold of a part that the destination did not have under a superseded width.
+    /// Returns the end of the hold of a shard that the destination did not have under a superseded width.
     pub(crate) fn part_hold(&self, dest: i64, part: u16, now: Micros) -> Option<Micros> {
         let narrower = self.superseded_widths(dest, now).filter(|superseded| part >= superseded.value);
         narrower.map(|superseded| superseded.until).max()
     }
 
-    /// Returns the end of the hold of a key that belonged to another part under a superseded width.
+    /// Returns the end of the hold of a key that belonged to another of the shards under a superseded width.
     pub(crate) fn key_hold(&self, dest: i64, width: u16, spread_hash: u64, now: Micros) -> Option<Micros> {
         let moved =
             |superseded: &&Superseded<u16>| part(spread_hash, superseded.value) != part(spread_hash, width);
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -7,12 +7,12 @@
 //! All times are from one monotonic clock of this process, which also advances while the process is stopped and,
 //! where the system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`).
 //! Clock readings of different machines are never compared.
-//! Clocks may advance at different rates, so the hold is longer by one part in [`CLOCK_DRIFT_DIVISOR`].
+//! Clocks may advance at different rates, so the hold is longer by the fraction 1 / [`CLOCK_DRIFT_DIVISOR`].
 
 use heronroute::Micros;
 
-/// The hold on gained shards is longer by one part in this number, because clocks advance at different rates:
-/// two clocks that are each off by up to 500 parts in a million differ by one part in a thousand.
+/// The hold on gained shards is longer by 1 / this number, because clocks advance at different rates:
+/// two clocks that are each off by up to 500 parts per million differ by at most one thousandth.
 pub const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
 /// The times that all members of a fleet must agree on, in microseconds.
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -5,7 +5,7 @@
 //!
 //! | state | accepts as owner | delivers accepted messages | forwards |
 //! | --- | --- | --- | --- |
-//! | no list received yet | nothing | those in its journal | nothing |
+//! | no member list received yet | nothing | those in its journal | nothing |
 //! | lease valid | what it owns by its own epoch and is not on hold | yes | by its own table |
 //! | lease expired | nothing | yes | by its last table |
 //!
@@ -24,7 +24,7 @@
 //! except members of both sets. A sender may keep a shard without a hold only if it owned the shard
 //! *in each epoch* between the two epochs that the sender compares:
 //!
-//! - A step to the next epoch: the sender compares the owners under both epochs.
+//! - A change to the next epoch: the sender compares the owners under both epochs.
 //! - Changes over several epochs: the sender replays the changes one by one, in the order in which they were made.
 //!   A shard that this sender did not own after one of the changes is new to this sender.
 //! - A full member list that skips epochs, or more changes than [`MAX_REPLAYED_CHANGES`]:
@@ -69,7 +69,7 @@
     /// One of these owners processes the request. [`crate::Forwarding`] sends it to them, preferred owner first.
     /// An ordered request has only one owner.
     Forward(Vec<SeatId>),
-    /// No list has been received yet, or the destination has no owner.
+    /// No member list has been received yet, or the destination has no owner.
     Unknown,
 }
 
@@ -121,7 +121,7 @@
     seat: Option<SeatId>,
 }
 
-/// One sender's view of the placement: lease, list in force, holds and routes.
+/// One sender's view of the placement: lease, member list in force, holds and routes.
 #[derive(Clone, Debug)]
 pub struct Ownership {
     name: String,
@@ -138,7 +138,7 @@
 }
 
 impl Ownership {
-    /// Creates the view of a sender that has received no list yet.
+    /// Creates the view of a sender that has received no member list yet.
     /// For `lease` and `longest_deadline`, see the fields of [`LeaseTimes`].
     /// The agent lag is 0 unless set by [`Self::with_agent_lag`].
     pub fn new(own_name: impl Into<String>, lease: Micros, longest_deadline: Micros) -> Self {
@@ -162,7 +162,7 @@
     }
 
     /// Sets this process's address for forwarded requests.
-    /// A listed member with this sender's name but another address is another process, which has replaced this process.
+    /// A member of the list with this sender's name but another address is a process that has replaced this process.
     #[must_use]
     pub fn with_address(mut self, address: SocketAddr) -> Self {
         self.address = Some(address);
@@ -249,7 +249,7 @@
     }
 
     /// Returns the placement state for this sender's next process. The caller persists it whenever it has changed.
-    /// If replicas or widths have changed, the state must be on disk before this sender acts under the new list.
+    /// If replicas or widths have changed, the state must be on disk before this sender acts under the new member list.
     pub fn persisted_state(&self, now: Micros) -> Option<PersistedPlacement> {
         let list = self.list()?;
         Some(PersistedPlacement {
@@ -311,7 +311,7 @@
             let by_shard = self.holds.shard_hold(sub_shard(dest, part), now);
             by_shard.max(self.recent_sharing.part_hold(dest, part, now))
         });
-        // `None` (no hold) is the minimum of the hold ends: one owned part that is not on hold is enough to accept.
+        // `None` (no hold) is the minimum of the hold ends: one owned shard that is not on hold is enough to accept.
         hold_ends.min().map_or(Admission::NotOwner, |hold_end| self.admission_under_lease(now, hold_end))
     }
 
@@ -447,7 +447,7 @@
         true
     }
 
-    /// Puts on hold the shards, keys and limit shares that this sender gains by the step from one epoch to the next.
+    /// Puts on hold the shards, keys and limit shares that this sender gains by the change from one epoch to the next.
     fn account_for_step(&mut self, now: Micros, before: &Placement, after: &Placement) {
         let until = self.hold_end(now);
         let [seated_before, seated_after] = [before, after].map(|placement| self.seated(placement));
@@ -492,7 +492,7 @@
         0..self.placement.list().width(dest)
     }
 
-    /// Returns the owners of the part of a destination that a request with this hash belongs to.
+    /// Returns the owners of that shard of a destination that a request with this hash belongs to.
     fn owners(&self, dest: i64, spread_hash: u64) -> &[SeatId] {
         let part = part(spread_hash, self.placement.list().width(dest));
         self.placement.owners(sub_shard(dest, part))
--- a/crates/placement/src/preference.rs
+++ b/crates/placement/src/preference.rs
@@ -6,7 +6,7 @@
 //!
 //! An ordered request is hashed by its order key, any other request by its id.
 //! The preference depends only on the set of owners, not on their order in the table. Each request ranks
-//! the owners in its own order, so that the requests of a lost owner are spread over all other owners.
+//! the owners in its own order, so that the requests that preferred a lost owner are spread over all other owners.
 //! A key whose preferred owner remains can only move to a newly added owner.
 
 use crate::hash::{Digest, mix_pair, scale};
@@ -29,7 +29,7 @@
         self.order_key.is_some()
     }
 
-    /// Returns the part of a destination with this width that the request belongs to.
+    /// Returns which of the `width` shards of a wide destination the request belongs to, as an index.
     pub fn part(&self, width: u16) -> u16 {
         part(self.spread_hash(), width)
     }
@@ -39,7 +39,7 @@
         preferred(owners, self.spread_hash())
     }
 
-    /// Returns the hash by which requests to one destination are spread over its parts and owners.
+    /// Returns the hash by which requests to one destination are spread over its shards and their owners.
     pub(crate) fn spread_hash(&self) -> u64 {
         // Makes this digest differ from digests of other data. The value is part of the placement scheme.
         const DOMAIN_TAG: u64 = 0x7370_7265_6164;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns the part of a wide destination that a request belongs to, below `width`.
+/// Returns which of the `width` shards of a wide destination a request belongs to, as an index.
 pub(crate) fn part(spread_hash: u64, width: u16) -> u16 {
     scale((spread_hash >> 32) as u32, u32::from(width)) as u16
 }
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -1,4 +1,4 @@
-//! One region's part of the table of owners: base rows, filled seats, and the owners that result from both.
+//! The owners of one region's shards: base rows, filled seats, and the owners that result from both.
 
 use crate::base::{BaseSeat, BaseTable};
 use crate::conflicts::EMPTY;
--- a/crates/placement/src/shard.rs
+++ b/crates/placement/src/shard.rs
@@ -37,7 +37,7 @@
     ShardId(((dest as u64).wrapping_mul(FIBONACCI_MULTIPLIER) >> (u64::BITS - SHARD_BITS)) as u32)
 }
 
-/// Returns the shard of one part of a wide destination. Part 0 has the shard of the destination itself.
+/// Returns one of the shards of a wide destination, by its index. Index 0 is the shard of the destination itself.
 pub const fn sub_shard(dest: i64, part: u16) -> ShardId {
     match part {
         0 => shard(dest),
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -40,7 +40,7 @@
         Self { seats: seat_locations(list, regions.len()), regions }
     }
 
-    /// Applies `changes`, which lead from this table's list to `next`.
+    /// Applies `changes`, which lead from this table's member list to `next`.
     /// The updated table is the same as a table built from the member list `next`.
     pub fn apply(&mut self, next: &MemberList, changes: &Changes) {
         let mut pending = vec![Pending::default(); self.regions.len()];
--- a/crates/placement/src/target.rs
+++ b/crates/placement/src/target.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Returns the share of all positions that each weight is entitled to.
+    /// Returns the fraction of all positions that each weight is entitled to.
     /// The `replicas` positions of a shard must be on different seats, so a seat holds at most one of them.
     /// Therefore a seat's weight counts only up to `1 / replicas` of the sum of weights.
     pub(crate) fn shares(&self, replicas: usize) -> Shares {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The share of all positions that each weight is entitled to: the weight, limited to `cap`, divided by `total`.
+/// The fraction of all positions that each weight is entitled to: the weight, limited to `cap`, divided by `total`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shares {
     cap: Units,
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -113,7 +113,7 @@
     Changes(Changes),
     /// The member list of epoch `since` is still in force.
     Unchanged {
-        /// The epoch of the list in force.
+        /// The epoch of the member list in force.
         epoch: u64,
     },
 }
--- a/crates/placement/tests/lease.rs
+++ b/crates/placement/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Tests that the lease counts from the poll, is never shortened, and is invalid from its end on.
+//! Tests that the lease counts from the poll, is never shortened, and is invalid from its expiry on.
 //! Also tests that the hold on gained shards covers agent lag, lease and longest deadline.
 
 use embershore_placement::{Lease, LeaseTimes};
--- a/crates/placement/tests/ownership.rs
+++ b/crates/placement/tests/ownership.rs
@@ -556,7 +556,7 @@
     assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::OnHold(SECOND + HOLD));
 }
 
-/// Senders of all versions that support scheme 1 must agree on the pinned preferred owners and parts.
+/// Senders of all versions that support scheme 1 must agree on the pinned preferred owners and shard indices.
 /// A change of a pinned value needs a new scheme number.
 #[test]
 fn preferences_are_pinned_to_the_scheme() {
--- a/crates/placement/tests/refusals.rs
+++ b/crates/placement/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Tests that invalid lists and changes are rejected with errors that name the invalid entry and the correction,
+//! Tests that invalid member lists and changes are rejected with errors that name the invalid entry and the correction,
 //! and that the member list in force stays.
 
 mod support;
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -160,7 +160,7 @@
     loads
 }
 
-/// Mean, minimum and maximum of the loads of some seats.
+/// Mean, minimum and maximum of the loads of a set of seats.
 #[derive(Clone, Copy, Debug)]
 pub struct Evenness {
     pub mean: f64,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Returns the evenness over the filled seats of a region, or of all regions.
+    /// Returns the load statistics over the filled seats of a region, or of all regions.
     pub fn of_members(loads: &[u32], list: &MemberList, region: Option<&str>) -> Self {
         let members = list.seat_ids().filter(|&seat| list.member(seat).is_some());
         let chosen = members.filter(|&seat| region.is_none_or(|region| list.region_name(seat) == region));
