--- a/crates/owed/tests/plan.rs
+++ b/crates/owed/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Tests of the next step of a debt. An unsafe message never has a second effect, in any order of events.
+//! Tests of the next step of a debt. A message of an unsafe class never takes effect twice, in any order of events.
 
 mod common;
 use common::*;
@@ -36,7 +36,7 @@
             Step::InDoubt,
             "{outcome:?}"
         );
-        // The receiver remembers the key for 10 s from the first attempt that may have run, which was at 2 s.
+        // The receiver remembers the key for 10 s from the first attempt that may have taken effect, which was at 2 s.
         assert_eq!(
             next_step(&debt("response", &outcomes), &rules, &classes, 20 * S),
             Step::InDoubt,
@@ -159,7 +159,7 @@
 enum Act {
     Wait(Micros),
     Send,
-    /// The resend in flight ends with this outcome; the flag tells whether the receiver executes the message.
+    /// The resend in flight has this outcome; the flag tells whether the receiver executes the message.
     End(AttemptOutcome, bool),
     /// The sender's process dies; the flag tells whether the receiver executes the resend in flight.
     Crash(bool),
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -10,7 +10,7 @@
 pub const S: Micros = 1_000_000;
 const STEP: Micros = 10 * MS;
 
-/// The random number generator of the simulation (SplitMix64). The seed determines the whole history.
+/// The random number generator of the simulation (SplitMix64). The seed determines all simulated events.
 pub struct Rng(pub u64);
 
 impl Rng {
@@ -37,7 +37,7 @@
     pub nodes: Vec<Node>,
     pub fleet: Fleet,
     pub rng: Rng,
-    /// Cut connections, as pairs of members. Datagrams from the first to the second member are lost.
+    /// Cut network paths, as pairs of members. Datagrams from the first member to the second are lost.
     pub cut: BTreeSet<(usize, usize)>,
     pub loss: f64,
     pub duplication: f64,
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -82,7 +82,7 @@
 struct FoundPosition {
     row: u32,
     position: usize,
-    /// Whether taking the position raises the row's cost.
+    /// Whether taking the position raises the cost of the failure domains shared in its row.
     increases_cost: bool,
 }
 
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Takes positions in listed conflict rows, if taking the position lowers the row's cost.
+    /// Takes positions in the recorded conflict rows, if taking the position lowers the row's cost.
     fn take_from_conflicts(&mut self, search: &mut Search, scope: ConflictScope, donors: Donors) {
         let mut misses = 0;
         while search.missing > 0 && misses < MAX_CONFLICT_MISSES && !self.conflicts[scope as usize].is_empty()
@@ -321,7 +321,7 @@
 
     /// Returns the first position that the searching seat may take in the rows of one probe, starting at row `first`.
     fn find_position(&self, first: u32, donors: Donors, search: &Search) -> Option<FoundPosition> {
-        // `AboveTarget` has its own specialised loop, because that loop runs millions of times for each table built.
+        // `AboveTarget` has its own specialised loop, because its body is executed millions of times for each table.
         match donors {
             Donors::AboveTarget => {
                 self.find_position_where(first, false, search, |donor| self.is_above_target(donor, search))
