--- a/crates/finding/src/lib.rs
+++ b/crates/finding/src/lib.rs
@@ -96,7 +96,7 @@
 }
 
 /// Reads a text file of at most `max_bytes` bytes; a longer file is not read.
-/// `kind` is the sort of file, in words for the error message about a file that is too long.
+/// `kind` describes the type of file in the error message about a file that is too long.
 ///
 /// # Errors
 /// Returns an error if the file cannot be read, is too long or is not UTF-8.
--- a/crates/protocol/src/call.rs
+++ b/crates/protocol/src/call.rs
@@ -27,7 +27,7 @@
 /// Encodes the body of a batch from each message's id, idempotency key and body.
 ///
 /// # Errors
-/// Returns the errors of the JSON writer. Text and bytes cause no error.
+/// Returns an error if the JSON writer fails, which message ids, keys and bodies cannot cause.
 pub fn encode_batch<'a>(
     items: impl Iterator<Item = (&'a str, Option<&'a str>, &'a [u8])>,
 ) -> serde_json::Result<Vec<u8>> {
@@ -63,7 +63,7 @@
 pub struct BatchState {
     /// The id of the message.
     pub id: String,
-    /// The state: `ok`, `error`, `later`, `gone` or `exhausted`.
+    /// The state of the message: `ok`, `error`, `later`, `gone` or `exhausted`.
     pub state: String,
 }
 
@@ -82,11 +82,11 @@
 /// The result of a call or a probe, read from the status and headers of its answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerHead {
-    /// How the call ended for all its messages.
+    /// The outcome of the call, which applies to all messages in the call.
     pub outcome: Outcome,
     /// Whether the call's messages need no further answer.
     pub closes_message: bool,
-    /// The wait that the receiver asked for; 0 if the receiver asked for none.
+    /// The time for which the receiver asked the sender to wait; 0 if the receiver asked for no wait.
     pub wait: Micros,
     /// The receiver's load report, if the answer contains one.
     pub report: Option<LoadReport>,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! # embershore-protocol
+//! # embershore-protocol: parsers and encoders for the data on a sender's sockets
 //!
-//! Values and parsers for the data on a sender's sockets:
+//! Modules of the crate, each for one protocol or data format:
 //! - [`resp`]: the clients' commands
 //! - [`resp_client`]: the client side of these commands, for a sender that forwards a message
 //! - [`call`]: calls to endpoints
--- a/crates/protocol/src/listing_stream.rs
+++ b/crates/protocol/src/listing_stream.rs
@@ -174,7 +174,7 @@
             std::mem::replace(self, FilteredListingReader { unread, ..FilteredListingReader::default() });
         let mut listing: Listing =
             serde_json::from_slice(&ended.envelope).map_err(ListingError::InvalidListing)?;
-        // If the name of the entries' field contains JSON escapes, the entries are in the envelope.
+        // If the name of the entries' field is written with JSON escapes, `envelope` contains the entries too.
         listing.endpoints.retain(|entry| is_wanted(entry.group));
         listing.endpoints.extend(ended.kept);
         check_unique_names(listing)
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -1,7 +1,7 @@
 //! The clients' protocol: RESP2 commands, which are arrays of bulk strings, and the replies to them.
 //!
-//! This module parses the framing itself instead of using a general RESP crate: all requests have one shape.
-//! A parser for a single shape needs no nesting and checks every length before it allocates memory.
+//! This module parses the framing itself instead of using a general RESP crate: all commands have one shape.
+//! A parser for one shape of command handles no nested arrays and checks each length before allocating memory.
 
 use bytes::{Bytes, BytesMut};
 use heronroute::Micros;
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -67,7 +67,7 @@
         Ok(Fields { name, values: &all[1..] })
     }
 
-    /// Returns the error message for a missing or invalid value.
+    /// Returns the error message for a missing or invalid value in a protocol message.
     fn value_error(&self, index: usize, expected: &str) -> String {
         match self.values.get(index) {
             Some(value) => format!("{}: value {} should be {expected}, not {value}", self.name, index + 1),
--- a/src/batching.rs
+++ b/src/batching.rs
@@ -2,18 +2,18 @@
 //! The functions of this module work on one lane at a time, without I/O.
 //!
 //! When each of many senders has little traffic, every call carries a single message.
-//! The calls of all senders together then exceed the receiver's limit, above all if it is cut without notice.
+//! All senders' calls together then exceed the receiver's limit, above all if that limit is cut without notice.
 //! Reacting only to refusals is too late, and always waiting for messages costs time in normal operation.
 //! So calls are spaced only when there are signs that the limit is nearly used up (`docs/design/even.md`).
 
-/// Pace of spaced calls as a share of an equal share of the limit.
-/// Spacing fills the calls, and keeps the fleet within the limit even if the limit is halved.
+/// Pace of spaced calls, as a fraction of one sender's equal share of the receiver's limit.
+/// Spaced calls carry more messages, and the fleet stays within the limit even if the limit is halved.
 const SPACING_SHARE: f64 = 0.45;
-/// Maximum ratio of own traffic to an equal share of the limit at which calls are not spaced.
+/// Calls are not spaced up to this ratio of the sender's traffic to its equal share of the receiver's limit.
 /// If all senders have equal traffic, a limit that is cut by almost half still accepts the fleet's calls.
 /// A sender with less traffic than the other senders adds too little load to matter.
 const NO_SPACING_RATIO: f64 = 0.6;
-/// Ratio of own traffic to an equal share of the limit for the same spacing of calls as after a refusal.
+/// From this ratio of own traffic to an equal share of the limit on, calls are spaced as after a refusal.
 const FULL_SPACING_RATIO: f64 = 0.9;
 /// Maximum time between calls after a refusal, in multiples of the shortest aim.
 /// On average a message waits for half of the time between calls.
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,5 +1,5 @@
 //! The state that a dispatcher hands over to the dispatcher of another process.
-//! The state contains the measurements and the calls in flight. Decisions that use it are in `src/logic.rs`.
+//! The state contains measurements and calls in flight. The decisions that use the state are in `src/logic.rs`.
 
 use crate::interface::*;
 use crate::logic::Dispatcher;
@@ -29,7 +29,7 @@
 }
 
 /// Data of one message in a call in flight.
-/// The next dispatcher needs this data if the message already has its final outcome.
+/// The next dispatcher needs this data for a message that already has its final outcome.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 struct CallMessage {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -21,13 +21,13 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct DestId(pub i64);
 
-/// What a second delivery of the same message does at the receiver.
+/// The effect of delivering a message to its receiver a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Effect {
     /// A second delivery of a message does no harm.
     Safe,
     /// The message has an idempotency key.
-    /// By the key, the destination drops repeated deliveries within the class's idempotency window (`window`).
+    /// The destination uses the key to drop repeated deliveries within the class's idempotency window (`window`).
     Keyed,
     /// A second delivery of a message takes effect again.
     #[default]
@@ -52,7 +52,7 @@
     /// The message's worth falls linearly, down to the late share at the deadline.
     #[default]
     Linear,
-    /// The message's worth halves with each further time of the aim's length, down to the late share.
+    /// The message's worth halves each time a further period as long as the aim passes, down to the late share.
     Halving,
 }
 
@@ -119,7 +119,7 @@
     Ignored,
     /// A weight is the calls a second that the destination or route accepts from all senders together.
     Nominal,
-    /// Like `Nominal`, but a weight may be wrong by up to one half in either direction.
+    /// A weight is a rate of calls as with `Nominal`, but may be wrong by up to one half in either direction.
     Approximate,
 }
 
@@ -170,7 +170,7 @@
     pub over_share_worth: f64,
     /// The meaning of the weights in endpoint lists.
     pub weights: WeightMeaning,
-    /// Price of an attempt that crosses zones.
+    /// Price of an attempt at an endpoint in another zone than the sender's.
     pub cross_zone_price: f64,
     /// Price of a new connection to an endpoint.
     pub handshake_price: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! # heronroute
+//! # heronroute: decision module of the message sender
 //!
-//! Makes the decisions of a sender of notifications to outside receivers.
-//! The crate decides which pending message goes to which endpoint and when, how long to wait for the answer,
-//! and when to retry, refuse or fail the message.
+//! This crate makes the decisions of a sender, a process that delivers messages to outside receivers.
+//! The crate decides which pending message goes to which endpoint and when, and how long to wait for the answer.
+//! The crate also decides when to retry, refuse or fail a message.
 //! The crate does no I/O: a sender passes [`Event`]s and the time to a [`Dispatcher`].
 //! The sender carries out the [`Action`]s that the dispatcher returns.
 //!
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -31,7 +31,7 @@
 const RECLAIM_RESERVE_SHARE: f64 = 0.2;
 /// Time in flight, as a multiple of the stall threshold, after which a stalled call may be cancelled.
 const RECLAIM_AFTER_STALLS: f64 = 3.0;
-/// Like `RECLAIM_AFTER_STALLS`, for stalled calls whose messages may all be sent again.
+/// Replaces `RECLAIM_AFTER_STALLS` for stalled calls whose messages may all be sent again.
 const RECLAIM_REPEATABLE_AFTER_STALLS: f64 = 2.0;
 /// Number of measured answers after which a permit pool counts as sized.
 const MIN_SIZING_SAMPLES: f64 = 8.0;
@@ -42,13 +42,13 @@
 /// A call has stalled when it is unanswered for this multiple of the p99 latency, and for at least `MIN_STALL_US`.
 const STALL_P99_FACTOR: f64 = 1.5;
 const MIN_STALL_US: f64 = 4e5;
-/// Weight of one outcome in an endpoint's share of failures: two failures in a row raise it above one half.
+/// Weight of one outcome in an endpoint's share of failed calls. Two failures in a row raise the share above 0.5.
 const FAILURE_GAIN: f64 = 0.3;
-/// Share of failures above which an endpoint is unhealthy.
+/// Endpoints whose share of failed calls is above this value are unhealthy.
 const MAX_FAILURE_SHARE: f64 = 0.5;
-/// With few senders, share of failures above which an endpoint that answers with errors is unhealthy.
-/// The share is above `MAX_FAILURE_SHARE`, since such an endpoint may answer part of the calls well.
-/// With many senders, all senders would still send at half pace when the endpoint returns.
+/// With few senders, this value replaces `MAX_FAILURE_SHARE` for endpoints that answer with errors.
+/// Endpoints that answer with errors may still deliver part of the messages, so more failures are tolerated.
+/// Many senders get no such tolerance: all of them would still send at half pace when the endpoint returns.
 const MAX_ERROR_SHARE: f64 = 0.7;
 /// Maximum share of an endpoint's calls that failed and may have taken effect; above it, no unsafe messages are sent.
 const MAX_AMBIGUOUS_SHARE: f64 = 0.2;
@@ -123,7 +123,7 @@
 /// Number of senders up to which all idle connections stay open.
 /// With so few senders, any endpoint's connection table has room for one connection of each sender.
 const MIN_TABLE_CONNECTIONS: f64 = 6.0;
-/// Messages stay in their zone up to this ratio of the load on the zone's endpoints to the load on all.
+/// Senders prefer endpoints in their own zone up to this ratio of the zone's load per endpoint to the mean load.
 const MAX_ZONE_LOAD_FACTOR: f64 = 1.5;
 /// Endpoints that discovery lists within this time of a destination's first listing belong to its first list.
 const FIRST_LIST_SETTLES_US: Micros = 2_000_000;
@@ -160,8 +160,8 @@
     random: Random,
     /// Random number from 0 to 1, drawn once at the start.
     /// The sender prefers its own zone while the number is below a bound, `stay_chance` in `candidates`.
-    /// The bound grows with the zone's part of a destination's endpoints.
-    /// With random numbers, only some senders leave a zone with few endpoints.
+    /// `stay_chance` grows with the share of a destination's endpoints that are in the sender's zone.
+    /// As each sender draws its own random number, only some senders leave a zone with few endpoints.
     zone_draw: f64,
     pub(crate) settings: Settings,
     /// The sequence number last assigned to a message or a call.
@@ -172,7 +172,7 @@
     pub(crate) messages: BTreeMap<MsgId, Message>,
     pub(crate) calls: BTreeMap<u64, Call>,
     pub(crate) order_keys: BTreeMap<String, OrderKey>,
-    /// Pending checks by time. A round examines the due checks and `ready`, not all messages and endpoints.
+    /// Pending checks by due time. A round examines due checks and `ready` instead of all messages and endpoints.
     pub(crate) schedule: BTreeSet<(Micros, Check)>,
     /// Destinations with pending messages whose state has changed or that wait for a free slot.
     pub(crate) ready: BTreeSet<DestId>,
@@ -301,7 +301,7 @@
         self.messages.insert(id, message);
     }
 
-    /// Accepts a message from before a restart. Guards against a second effect of the message.
+    /// Accepts a message from before a restart. Guards against delivering the message to a receiver twice.
     /// An attempt with no known outcome may have taken effect, so an unsafe message with such an attempt fails.
     /// A keyed message's idempotency window still begins at the message's first attempt.
     fn restore(&mut self, id: MsgId, message: Message, time_left: Micros, out: &mut Vec<Action>) {
@@ -475,7 +475,7 @@
                 let (now, gap) = (self.now, self.trial_gap(other));
                 let unhealthy = self.endpoints.get_mut(&other).and_then(|e| e.unhealthy.as_mut());
                 // A stalled endpoint's next trial is due soon.
-                // Such early trials of all senders together are too much load.
+                // In an outage of the whole lane, such early trials of all senders together are too much load.
                 if let Some(unhealthy) =
                     unhealthy.filter(|u| was_up && u.next_trial <= now + FIRST_TRIAL_BACKOFF_US)
                 {
@@ -770,7 +770,7 @@
     /// A stall or reset on a connection that was dropped is no evidence about the endpoint.
     /// For a while no idle connection to endpoints of that kind stays open.
     /// The next call, on a new connection, tests the endpoint.
-    /// The price of this rule is that one failed call of an outage does not count.
+    /// The price of this rule is that one failed call of an outage is not counted against the endpoint.
     fn blame_idle_connection(&mut self, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&id).filter(|e| e.failure_share < FAILURE_GAIN) else {
             return false;
@@ -787,7 +787,7 @@
     /// Guards against the trials of many senders adding up.
     /// The more of the traffic this sender has, the shorter is the mean gap between its trials.
     /// The trials of all senders together stay near the load that a cold destination can take.
-    /// The price of the gaps is that a recovery is detected late.
+    /// The price of random gaps between trials is that an endpoint's recovery is detected late.
     fn trial_gap(&mut self, id: EndpointId) -> f64 {
         let chance = self.random.next_unit();
         // With few senders the backoff alone limits trials.
@@ -1086,7 +1086,7 @@
     /// Unsafe calls to a hung destination would otherwise hold their slots until the deadline.
     /// While slots are short and messages wait, this function cancels the call that has stalled longest.
     /// Stalls are compared relative to the stall threshold of each call's lane.
-    /// A call whose messages may all be sent again is cancelled sooner.
+    /// A stalled call whose messages may all be sent again is cancelled sooner than other stalled calls.
     /// If only a destination's pool keeps messages waiting, only calls overtaken by later ones are cancelled.
     /// The endpoint of an overtaken call answers other calls, so the overtaken call's connection is dead.
     /// Stalled calls are cancelled whatever the cause of the stall.
@@ -1326,8 +1326,8 @@
         let (candidates, mut recheck) = self.candidates(dest);
         let pending = self.destinations.get(&dest).map(|d| &d.pending)?;
         // While no message is late, messages are sent oldest first.
-        // Once a message is late, the messages that lose most worth by waiting are sent first.
-        // Among messages that lose equal worth, the oldest is sent first.
+        // Once a message is late, messages whose worth drops most if they wait longer are sent first.
+        // Among messages whose worth drops equally if they wait, the oldest message is sent first.
         let mut order: Vec<(f64, MsgId)> = Vec::new();
         if !candidates.is_empty() {
             order.extend(pending.iter().map(|(_, id)| (0.0, *id)));
@@ -1401,7 +1401,7 @@
             let best = choices.iter().rev().max_by(|a, b| a.1.rank.total_cmp(&b.1.rank));
             let Some((dest, choice)) = best.map(|(d, c)| (*d, *c)) else { break };
             // Sending a message never gives another destination more choices.
-            // So only the best choice is checked again after a message has been sent.
+            // So only the destination of the best choice is checked again, before and after its message is sent.
             let current = self.choose(dest);
             if current == Some(choice) {
                 self.send(choice, out);
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -88,13 +88,13 @@
             (self.log_mean + self.log_variance / 2.0).exp()
         }
     }
-    /// Returns whether the moving average of the latest answers exceeds the p99.
+    /// Returns whether the moving average of the latest answers' latencies exceeds the estimated p99.
     pub(crate) fn is_slow(&self) -> bool {
         self.samples > 0.0 && self.recent_us > self.p99_us()
     }
 }
 
-/// Decaying counts of calls and of refused calls.
+/// Counts of all calls and of refused calls, which decay as further calls are counted.
 #[derive(Clone, Copy, Debug, Default)]
 struct Refusals {
     calls: f64,
--- a/src/rotation.rs
+++ b/src/rotation.rs
@@ -3,7 +3,7 @@
 //!
 //! Each sender rotates over its endpoints from a random start (`docs/design/even.md`).
 //! The load of many senders thus adds up evenly although each sender has little of the traffic.
-//! Measurements of an endpoint's latency decay.
+//! Measurements of an endpoint's latency lose weight as they become older.
 
 use crate::interface::Micros;
 
@@ -12,7 +12,7 @@
 /// Time constant of the decay of an endpoint's measured slowness.
 const SLOWNESS_MEMORY_US: f64 = 3e7;
 /// Logarithm of an endpoint's slowness below which the slowness is ignored.
-/// The latencies of single answers differ by as much.
+/// Latencies of single answers differ from each other by as much as this value.
 const SLOWNESS_TOLERANCE: f64 = 0.4;
 
 /// An endpoint's position in the rotation: the time of its last turn and how slowly it answers.
--- a/src/state.rs
+++ b/src/state.rs
@@ -15,9 +15,9 @@
 pub(crate) enum LaneKey {
     #[default]
     Unassigned,
-    /// A destination with all its endpoints.
+    /// The lane of a destination with all its endpoints.
     Destination(DestId),
-    /// A single endpoint, where the destination's endpoints are separate routes.
+    /// The lane of a single endpoint, if the destination's endpoints are separate routes.
     Route(EndpointId),
 }
 
--- a/tests/common/even.rs
+++ b/tests/common/even.rs
@@ -41,7 +41,7 @@
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
     /// Number of endpoints, counted from endpoint 0, that limit their connections, and the maximum for each endpoint.
     pub connection_cap: Option<(usize, usize)>,
-    /// Number of endpoints that join, the time at which they enter the endpoint list, and a delay for some senders.
+    /// Number of joining endpoints, when they enter the endpoint list, and how much later some senders get the list.
     /// A third of the senders receive the endpoint list with the joining endpoints only after the delay.
     pub joining: Option<(usize, Micros, Micros)>,
     /// `(n, time)`: every n-th sender is restarted at `time` without any state.
@@ -76,7 +76,7 @@
     }
 }
 
-/// The results of one simulated run.
+/// The results of one simulated run of a fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Results {
     /// The time and endpoint of each call.
@@ -122,8 +122,8 @@
     }
 }
 
-/// Returns three values: the index of dispersion (variance over mean, 1 for random choices) of the counts,
-/// the largest count over the mean, and the smallest count over the mean.
+/// Returns three values. The first value is the counts' index of dispersion: variance over mean, 1 if random.
+/// The other two values are the largest count over the mean and the smallest count over the mean.
 pub fn dispersion(counts: &[f64]) -> (f64, f64, f64) {
     let mean = (counts.iter().sum::<f64>() / counts.len() as f64).max(1e-9);
     let var = counts.iter().map(|c| (c - mean).powi(2)).sum::<f64>() / (mean * (counts.len() - 1) as f64);
@@ -294,7 +294,7 @@
                     .iter()
                     .all(|e| matches!(e, Event::Outcome { outcome: Outcome::Done | Outcome::Error, .. }));
                 if incarnation != sender.incarnation || !answered {
-                    // The connection of the call is closed. A probe has no connection.
+                    // A call's connection is closed here. A probe uses no simulated connection.
                     if events.iter().any(
                         |e| matches!(e, Event::Outcome { outcome, .. } if *outcome != Outcome::ConnectFailed),
                     ) {
--- a/tests/common/herd.rs
+++ b/tests/common/herd.rs
@@ -126,8 +126,8 @@
     pub worst_load_ratio: f64,
     /// Number of calls in the second after the first restart.
     pub after_restart: usize,
-    /// Trace lines: one line for each restarted sender with its restored state,
-    /// and one line for each call or probe after the receiver's return.
+    /// Trace lines. Each restarted sender has one line with the state that it restored.
+    /// Each call or probe after the receiver's return also has one trace line.
     pub trace: Vec<String>,
     /// Time from the receiver's return until the receiver is sent 50% of the demand within a second.
     pub half_traffic_after: Option<Micros>,
--- a/tests/even.rs
+++ b/tests/even.rs
@@ -18,8 +18,8 @@
     (1..=3).map(|seed| result(&Simulation { seed, ..simulation.clone() }.run())).sum::<f64>() / 3.0
 }
 
-/// Returns three values for the steady state of a simulated fleet: the index of dispersion of the calls to endpoints,
-/// the calls to the busiest endpoint over the mean, and the calls to the idlest endpoint over the mean.
+/// Returns three values for a fleet's steady state. The first value is the calls' index of dispersion.
+/// The other two values are the calls to the busiest and to the idlest endpoint, as multiples of the mean.
 fn steady(simulation: &Simulation) -> (f64, f64, f64) {
     let seeds = simulation.seed..simulation.seed + 3;
     let all: Vec<_> =
@@ -94,7 +94,7 @@
         let same_order = Simulation { seed: seed.into(), kind, endpoints, ..fleet_of(senders) };
         let other_orders = Simulation { numbers, shuffled: true, ..same_order.clone() };
         let [same_order, other_orders] = [same_order, other_orders].map(|simulation| steady(&simulation));
-        // An endpoint gets 17 calls or more in 10 s. A change of seed alone causes differences of the allowed size.
+        // Each endpoint gets at least 17 calls in 10 s. Two seeds can differ in evenness as much as is allowed here.
         let message = format!("same order {same_order:?}, other orders {other_orders:?}");
         prop_assert!(same_order.0 < 6.0 && other_orders.0 < 6.0, "{message}");
         prop_assert!((same_order.0 / other_orders.0).ln().abs() < 1.4, "{message}");
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -236,7 +236,8 @@
     assert_eq!(sender.refused, [200], "the new message is refused in place of a restored one");
 }
 
-/// Guards against restored messages that wait until their deadline behind new messages that have more worth to lose.
+/// Guards against restored messages that wait until their deadline behind new messages.
+/// New messages went first, since their worth drops more if they wait longer.
 /// Restored messages waited so long at a receiver that accepts few calls.
 #[test]
 fn restored_messages_without_an_attempt_go_before_new_ones() {
--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -285,7 +285,7 @@
 
 /// Prints one row of the results table. The columns `half s` and `full s` are mean times from the receiver's return.
 /// `half s` is the time until the receiver is sent 50% of the demand within a second, `full s` until it is sent 90%.
-/// A run in which the receiver is never sent that share of the demand counts with its whole remaining time.
+/// A run in which the receiver is never sent 50% or 90% of the demand counts with its whole remaining time.
 fn row(name: &str, runs: &[&Run]) {
     let overloaded = runs.iter().filter(|run| run.is_overloaded()).count();
     let wide = runs.iter().filter(|run| run.is_overloaded_by_wide_bound()).count();
