--- a/src/handover.rs
+++ b/src/handover.rs
@@ -15,7 +15,7 @@
     dests: Vec<(DestId, Rate, Rate)>,
     lanes: Vec<(LaneKey, Lane)>,
     endpoints: Vec<(EndpointId, Endpoint)>,
-    /// Order keys, each with the time before which the key's next message must not be sent.
+    /// Order keys of messages, each with the time before which the key's next message must not be sent.
     keys: Vec<(String, Micros)>,
 }
 
--- a/src/health.rs
+++ b/src/health.rs
@@ -26,7 +26,7 @@
 
     /// Returns the health of the receivers whose health must be persisted.
     /// These are the receivers that are failing, have refused calls, have asked for a wait or are warming up.
-    /// An item holds the receiver's destination, its endpoint if it is a separate route, and its health.
+    /// An item holds the receiver's destination, the endpoint if the receiver is a separate route, and the health.
     pub fn receiver_health(&self) -> impl Iterator<Item = (DestId, Option<EndpointId>, ReceiverHealth)> {
         self.lanes.iter().filter_map(|(key, lane)| {
             let health = self.lane_health(lane);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -107,7 +107,7 @@
 /// The settings of a tenant. A tenant's messages beyond the quota are worth less.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// The tenant's messages a second through all senders together that are worth the full amount.
+    /// The tenant's quota: messages a second, through all senders together, that earn their full worth.
     pub quota: f64,
 }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -33,7 +33,7 @@
 const RECLAIM_AFTER_STALLS: f64 = 3.0;
 /// Replaces `RECLAIM_AFTER_STALLS` for stalled calls whose messages may all be sent again.
 const RECLAIM_REPEATABLE_AFTER_STALLS: f64 = 2.0;
-/// Number of measured answers after which a permit pool counts as sized.
+/// A permit pool is sized once the latency of this many answers has been measured.
 const MIN_SIZING_SAMPLES: f64 = 8.0;
 /// Time constant of message arrival rates: long compared with bursts, short compared with daily variation.
 const ARRIVAL_MEMORY_US: f64 = 8e6;
@@ -78,9 +78,9 @@
 const DEFAULT_LIMIT_PER_S: f64 = 3.0;
 /// Failures that last this long may be an outage, so the load is increased gradually afterwards.
 const OUTAGE_AFTER_US: Micros = 1_500_000;
-/// Share of the load allowed to a sender that the sender uses at a cold destination.
+/// At a cold destination, a sender uses this share of the load that it is allowed.
 const WARM_UP_SAFETY: f64 = 0.75;
-/// Weight, in calls, of each message after the first of a batch to a cold destination.
+/// At a cold destination, each message of a batch after the first message counts as this many calls.
 const WARM_UP_BATCH_WEIGHT: f64 = 0.25;
 /// An attempt of a repeatable message times out after this multiple of the p99 latency, or `MIN_TIMEOUT_US` if longer.
 const TIMEOUT_P99_FACTOR: f64 = 4.0;
@@ -99,7 +99,7 @@
 const MIN_BUDGET_SHARE: f64 = 0.4;
 /// Upper bound of the minimum call budget if the limit is known, in equal shares of the limit.
 const MIN_BUDGET_EQUAL_SHARES: f64 = 1.0;
-/// Upper bound of the base of budget growth if the limit is known, in equal shares of the limit.
+/// If the limit is known, the call budget grows as if own demand were at most this many equal shares of it.
 /// With this bound, the call budgets of many senders together leave room in the limit.
 const BUDGET_GROWTH_EQUAL_SHARES: f64 = 0.5;
 /// Growth of the call budget for each accepted call, as a share of the budget.
@@ -116,9 +116,9 @@
 const BURST_S: f64 = 0.4;
 /// Pause of a lane after a refusal that did not ask for a wait.
 const REFUSAL_PAUSE_US: Micros = 250_000;
-/// Time after a refused connection during which no idle connection to endpoints of that kind is kept open.
+/// After a refused connection, idle connections to endpoints of the same kind are closed for this time.
 const CONNECTIONS_SCARCE_US: Micros = 20_000_000;
-/// Minimum share of busy time for which a connection stays open even after refused connections.
+/// Connections that are in use for at least this share of the time stay open even after refused connections.
 const MIN_KEPT_UTILIZATION: f64 = 0.3;
 /// Number of senders up to which all idle connections stay open.
 /// With so few senders, any endpoint's connection table has room for one connection of each sender.
@@ -139,7 +139,7 @@
 pub(crate) const REFUSAL_MEMORY_US: Micros = 20_000_000;
 /// Waiting time over which the loss of worth is calculated. Late messages are ranked by this loss.
 const LATE_HORIZON_US: f64 = 1.5e6;
-/// Share of a late message's present worth that its rank includes, since a lasting backlog loses all of that worth.
+/// The rank of a late message includes this share of its present worth: a lasting backlog loses all that worth.
 const PRESENT_WORTH_SHARE: f64 = 0.4;
 /// Share of `max_open` that stays free, so that no message is rejected before its worth is compared.
 const FREE_ROOM_SHARE: f64 = 0.06;
@@ -902,7 +902,7 @@
 
     /// Returns whether the message may be refused, which promises the client that resubmitting is harmless.
     /// A resubmission is a new message, and no sender knows that its idempotency key is in use.
-    /// So enough must be left of the time for which the destination remembers the idempotency key.
+    /// Therefore the destination must still remember the idempotency key for long enough after a refusal.
     /// Without this rule, a refusal late in the message's idempotency window led to a second effect.
     fn may_refuse(&self, message: &Message) -> bool {
         let class = self.class_of(message);
@@ -1087,7 +1087,7 @@
     /// While slots are short and messages wait, this function cancels the call that has stalled longest.
     /// Stalls are compared relative to the stall threshold of each call's lane.
     /// A stalled call whose messages may all be sent again is cancelled sooner than other stalled calls.
-    /// If only a destination's pool keeps messages waiting, only calls overtaken by later ones are cancelled.
+    /// If messages wait only for their destination's own calls, only calls overtaken by later calls are cancelled.
     /// The endpoint of an overtaken call answers other calls, so the overtaken call's connection is dead.
     /// Stalled calls are cancelled whatever the cause of the stall.
     /// The price of cancelling is that an unsafe message fails whose answer was merely late.
@@ -1416,7 +1416,7 @@
     /// Closes idle connections to endpoints of kinds whose connections are scarce.
     /// Guards against idle connections that keep other senders out of an endpoint with few connections.
     /// An immediately refused connection makes the connections of the endpoint's kind scarce for a time.
-    /// While connections are scarce, closing the idle ones costs a handshake for each call.
+    /// While connections are scarce, closing idle connections costs a handshake for each call.
     /// Refused connections while a whole lane was down do not make connections scarce.
     fn close_idle_connections(&mut self, out: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.maybe_idle) {
--- a/tests/common/herd.rs
+++ b/tests/common/herd.rs
@@ -115,10 +115,10 @@
     pub peak: f64,
     /// Time from the receiver's return to the highest load.
     pub peak_at: Micros,
-    /// The first overload by the strict bound, which allows for chance.
+    /// The first load that exceeded the strict bound, whose margin allows for random variation.
     /// If N calls are allowed in the overload window, the strict bound is N + 2 sqrt(N) + 2 calls.
     pub overload: Option<Overload>,
-    /// The first overload by the wide bound.
+    /// The first load that exceeded the wide bound, whose margin is larger where few calls are allowed.
     /// If N calls are allowed in the overload window and N is below 30, the wide bound is N + 3 sqrt(N) + 3 calls.
     /// If N is 30 or more, the wide bound is the strict bound.
     pub overload_by_wide_bound: Option<Overload>,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -81,7 +81,7 @@
         let simulation = Simulation { assumed_senders, ..fleet_of(LARGE, 100) };
         let (delivered_share, on_time_share) =
             (mean(&simulation, Results::delivered_share), mean(&simulation, Results::on_time_share));
-        // Senders that assume too many senders let a message wait for up to twice its aim, so the test's bound is low.
+        // With too many senders in the settings, a message may wait for up to twice its aim, so the bound is low.
         assert!(
             delivered_share > 0.95 && on_time_share > 0.55,
             "{assumed_senders} assumed: {delivered_share:.3} served, {on_time_share:.3} in time"
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -45,7 +45,7 @@
     let mut open_probes: Vec<u32> = Vec::new();
     let mut all_actions = Vec::new();
     let dest_of = |e: u32| i64::from(e % 4);
-    // Destination 3 has separate routes, destination 1 accepts batches.
+    // The endpoints of destination 3 are separate routes. Destination 1 accepts batches of messages.
     let kind_of = |dest: i64| [0usize, 1, 0, 2][dest as usize];
     let wait_key = |e: u32| (dest_of(e), if kind_of(dest_of(e)) == 2 { e } else { 0 });
     let list: Vec<EndpointEntry> = (0..8).map(|e| entry(e, dest_of(e), kind_of(dest_of(e)))).collect();
