--- a/crates/sender/benches/limit.rs
+++ b/crates/sender/benches/limit.rs
@@ -61,7 +61,7 @@
             let subject = Subject::Spawn(env!("CARGO_BIN_EXE_embershore").into());
             let path = folder.path().to_path_buf();
             let options = Options { subject, folder: path, control: None, serve_only: false, stall: None };
-            // Samples of the daemon's usage: time in microseconds, CPU seconds, memory in MB.
+            // Samples of the daemon's resource usage: time in microseconds, CPU seconds, memory in MB.
             let samples: Rc<RefCell<Vec<(i64, f64, f64)>>> = Rc::default();
             let recorded = samples.clone();
             let watch = move |p: Progress| {
--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -163,7 +163,7 @@
 }
 
 impl Calls {
-    /// Creates the maker of calls, without connections.
+    /// Creates the object that makes calls. The object has no connections at first.
     /// `max_idle_time` is the longest time for which a connection may be idle.
     /// `max_idle` is the maximum number of idle connections.
     pub fn new(
@@ -264,7 +264,7 @@
         None
     }
 
-    /// Keeps a connection for reuse. At the limit of idle connections, the one idle longest is closed first.
+    /// Keeps a connection for reuse. At the limit of idle connections, the longest idle connection is closed first.
     fn put_idle(&self, endpoint: EndpointId, connection: Connection) {
         let Some(mut connection) = connection.if_usable() else { return };
         connection.idle_since = Instant::now();
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -37,9 +37,10 @@
 /// Longest time for receiving a command: enough for the longest command at 16 KiB a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(8);
 /// Silence after which a connection is the first to be evicted at the connection limit.
-/// The silence counts before a connection's first command or within a command.
+/// Only silence before a connection's first command or within a command counts.
 const EVICT_SILENT_AFTER: Duration = Duration::from_millis(300);
-/// Time without a request after which a connection that has been served is the second to be evicted at the limit.
+/// Time without a request after which a connection that has been served may be evicted at the connection limit.
+/// Such idle connections are evicted after those that fell silent before or within a command.
 const EVICT_SERVED_AFTER: Duration = Duration::from_millis(1000);
 /// Time that a new connection gets for its first command while the sender is closing its clients' connections.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(300);
@@ -518,7 +519,7 @@
     fn order_of_eviction() {
         let (start, second) = (Instant::now(), Duration::from_secs(1));
         let now = start + 10 * second;
-        // Creates a connection's entry: whether a request was served, whether a command is incomplete, time of silence.
+        // Creates a connection's entry. `served`: a request was answered. `partial`: the last command is incomplete.
         let entry = |served: bool, partial: bool, silent_for: Duration| ClientEntry {
             served: Cell::new(served),
             busy: Cell::new(false),
--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -35,7 +35,7 @@
     on_written: Cell<Option<Box<dyn FnOnce()>>>,
     /// Whether a request is in flight and its response's status line has not been read.
     awaiting_response: Cell<bool>,
-    /// When the current response's first byte, or that of an unfinished 1xx response, was read.
+    /// When the first byte of the current response, possibly an unfinished 1xx response, was read.
     pub response_began: Cell<Option<Instant>>,
     /// The status in the response's status line.
     pub status: Cell<Option<u16>>,
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -54,10 +54,10 @@
 const MAX_COUNTED_BYTES: usize = tokio::sync::Semaphore::MAX_PERMITS;
 
 /// Descriptors of the management interface: the listener and the connections.
-/// The number includes one more connection, which is open while the oldest is being closed.
+/// At the connection limit, a new connection is open in addition while the oldest connection is being closed.
 const MGMT_DESCRIPTORS: usize = mgmt::MAX_CALLERS + 2;
 
-/// Descriptors of placement besides the connections to other members.
+/// Number of descriptors that placement uses in addition to its connections to other members.
 /// Placement needs them for the listener for other members, the connection to a control agent and the state file.
 const PLACEMENT_DESCRIPTORS: usize = 3;
 /// Time that a start waits for a control agent's response.
@@ -122,7 +122,7 @@
     }
 
     /// Returns the maximum number of idle connections to endpoints.
-    /// The number is that of the descriptors left by clients, calls, probes, other members and the sender's own files.
+    /// The maximum is the number of descriptors that clients, calls, probes, other members and own files leave.
     fn max_idle_connections(&self, slots: usize, mgmt: bool, placement: Option<&PlacementOptions>) -> usize {
         let mgmt = if mgmt { MGMT_DESCRIPTORS } else { 0 };
         let members = placement.map_or(0, |options| options.max_owner_connections + PLACEMENT_DESCRIPTORS);
@@ -145,7 +145,7 @@
         let mut value: Value = serde_json::from_str(&text).map_err(|e| at(&e))?;
         let config = Self::of(value.clone()).map_err(|e| at(&e))?;
         if let Some(Value::Object(known)) = value.get_mut("known") {
-            // A reload checks only whether the field `known` is present, and its content may be long.
+            // The content of the field `known` may be long, and a reload checks only whether the field is present.
             known.clear();
         }
         Ok((config, value))
@@ -386,7 +386,8 @@
         config.known = None;
     }
     let (discovery, follow_discovery) = watch::channel(config.discovery);
-    // Version 0 means that the configuration has no endpoint list yet, unless it has endpoints and polls are costly.
+    // An endpoint list of version 0 in the configuration counts as no list.
+    // The exception: a list of version 0 counts if it contains endpoints and polls are costly for discovery.
     let index =
         config.known.as_ref().filter(|l| l.index > 0 || (ask_every.is_some() && !l.endpoints.is_empty()));
     let index = index.map(|l| l.index);
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -91,7 +91,7 @@
         };
         tokio::select! {
             biased;
-            // The sending half of the address channel lives as long as the process.
+            // Waiting for a new address can't fail: the channel's sending half lives as long as the process.
             _ = addr.changed() => {
                 (index, in_force, pause) = (None, None, Duration::ZERO);
                 schedule.reset();
@@ -333,8 +333,8 @@
     let mut stream = match ListStream::open(open().await?, &path, costly, sink).await {
         Ok(stream) => stream,
         Err(e) => {
-            // A version that discovery does not know must not be requested again and again.
-            // If discovery was too busy to answer, it has not checked the version.
+            // A listing version that discovery does not know must not be requested again and again.
+            // If discovery was too busy to answer, discovery has not checked the requested listing version.
             // The complete listing would cost a busy discovery even more work.
             let version_checked =
                 e.kind() != io::ErrorKind::ResourceBusy && !(costly && e.kind() == io::ErrorKind::TimedOut);
@@ -343,8 +343,8 @@
         }
     };
     *opened = true;
-    // A version after which discovery sends nothing must not be requested again.
-    // The exception: where polls cost discovery work, discovery may only have been slow.
+    // If discovery sends no listing after a request with a version, the version must not be requested again.
+    // Where polls cost discovery work, the version is kept: discovery may only have been slow.
     *index = index.filter(|_| costly);
     let mut known = since;
     let mut reread_requested = std::pin::pin!(sink.until_requested(spread));
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -98,7 +98,8 @@
     quantum: Micros,
     list_wait: Duration,
     max_open: usize,
-    /// Retry time in the reply to a client whose message finds no room; the dispatcher's refusals give the same time.
+    /// Retry time in milliseconds in the reply to a client whose message the driver refuses for now.
+    /// The dispatcher's refusals give the same retry time.
     retry_after_ms: u64,
     journal: Rc<RefCell<Journal>>,
     endpoints: Rc<RefCell<EndpointTable>>,
@@ -279,7 +280,7 @@
     /// Queues a new message as an event, or rejects it at once.
     fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
-            // The client has sent the message on a second connection.
+            // The client has sent an open message again, on a second connection.
             // Acceptance must not be reported before the message is in the journal: the message may still be rejected.
             // After a report of acceptance, the client would not send a rejected message again.
             let written = self.journal.borrow().get(id.0).is_some();
@@ -361,7 +362,8 @@
         }
     }
 
-    /// Closes the messages that a call has ended, records how the call's other attempts ended, queues the outcomes.
+    /// Handles the end of a call: closes the call's messages that have ended.
+    /// Records the outcomes of the call's other attempts, and queues all outcomes as events for the dispatcher.
     fn handle_call_end(&mut self, call: u64, call_end: CallEnd) {
         self.calls_in_flight.remove(&call);
         let CallEnd { endpoint, outcomes, elapsed, wait, report } = call_end;
@@ -525,7 +527,7 @@
             };
             let accepted = answer == Reply::Accepted;
             if reply.send(answer).is_err() || !accepted {
-                // The client has gone before the reply, or the reply asks it to retry later.
+                // The message is closed: its client has gone before the reply, or the reply refuses the message.
                 self.metrics.count(&class, MessageEnd::Refused);
                 self.write_journal(|j| j.record_message_ended(id.0, End::Closed));
                 self.by_request.remove(&request_id);
@@ -734,7 +736,7 @@
         phases.filter(|at| *at > last_round).min().unwrap_or(Micros::MAX)
     }
 
-    /// Whether the process may exit: after SIGTERM, once no message or notice is open, or at the exit deadline.
+    /// Whether the process may exit after SIGTERM: once no message or notice is open, or at the exit deadline.
     fn can_exit(&self, now: Micros) -> bool {
         let Some(since) = self.stopping.map(|t| now - t) else { return false };
         let done = self.pending.is_empty() && self.unconfirmed_notices == 0 && since > MIN_STAY_US;
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -147,7 +147,8 @@
                     let reclaimed = lock.try_acquire().unwrap_or(false);
                     step = owner.on(OwnerEvent::Reclaimed(reclaimed));
                     if !reclaimed {
-                        // The lock's holder writes the journal. After a stop signal this process has nothing to do.
+                        // The process that holds the lock writes the journal.
+                        // After a stop signal, this process without the lock has nothing left to do.
                         if self.status.get().phase() == Phase::Stopping {
                             return Some(link);
                         }
@@ -198,7 +199,7 @@
                         _ = self.calls_in_flight.get_mut(&call).and_then(Option::take).map(|cancel| cancel.send(()));
                     }
                     Some(_) => {}
-                    // Dropping the reply channels makes the clients' replies "busy, retry".
+                    // A client whose reply channel is dropped here gets the reply "busy, retry".
                     None => (linked, awaiting_reply) = (false, HashMap::new()),
                 },
                 Some(input) = inbox.recv() => match input {
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -127,7 +127,7 @@
             let request_id = message.request_id.clone();
             if let Some(end) = progress.end {
                 self.unconfirmed_notices += 1;
-                // This process, whose counters began at zero, sends the notice and so counts the final outcome.
+                // This process sends the notice and so counts the message's final outcome: its counters began at zero.
                 self.metrics.count(&message.class, MessageEnd::of(end));
                 _ = self.notices.send(Notice { id, request_id, end });
                 continue;
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -17,13 +17,13 @@
     CallEnded(u64, CallEnd),
     /// The outcome of a probe, with the load report if the endpoint sent one.
     Probed(EndpointId, Outcome, Option<LoadReport>),
-    /// The platform has confirmed notices; the numbers are those of their messages.
+    /// The platform has confirmed the notices of the messages with these numbers.
     NoticesConfirmed(Vec<u64>),
     /// The classes of a reloaded configuration.
     ClassesReloaded(Vec<(String, ClassSettings)>),
-    /// A frame from the predecessor.
+    /// A frame that the predecessor process sent over the handover link.
     PredecessorFrame(Frame),
-    /// The predecessor has exited.
+    /// The predecessor process has exited.
     PredecessorGone,
     /// SIGTERM was received.
     Stop,
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -173,7 +173,7 @@
     attempts: BTreeMap<u64, u32>,
     in_flight: Vec<InFlightCall>,
     events: Vec<Event>,
-    /// Submitted messages that no round has processed.
+    /// Submitted messages that no round of the dispatcher has processed yet.
     submitted: BTreeMap<u64, Accepted>,
     /// Number of steps with a lasting effect until the process is killed; None if it is not to be killed.
     steps_left: Option<usize>,
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Picks a call in flight, of those that have begun if `begun` is true, otherwise of those that have not.
+    /// Picks a call in flight: one that has begun if `begun` is true, otherwise one that has not begun.
     fn pick(&self, which: usize, begun: bool) -> Option<usize> {
         let fit: Vec<usize> = (0..self.process.in_flight.len())
             .filter(|at| self.process.in_flight[*at].begun_at.is_some() == begun)
@@ -466,7 +466,7 @@
         Ok(())
     }
 
-    /// Ends a call with the given outcome; `runs` is whether the call took effect.
+    /// Ends a call with the given outcome; `runs` is whether the call took effect at the receiver.
     fn end(&mut self, at: usize, outcome: Outcome, runs: bool, wait: Micros) -> Result<(), Killed> {
         let call = self.process.in_flight.remove(at);
         for (id, attempt) in call.items {
@@ -575,7 +575,7 @@
                 id,
                 truth
             );
-            // A message that was recorded but not accepted counts as well: its client got no reply.
+            // A message that was recorded but not accepted counts as recovered too: its client got no reply.
             if progress.first_possible_run().is_none() && progress.attempts < ATTEMPTS {
                 truth.recovered = Some(now);
             }
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -16,7 +16,7 @@
 use std::path::{Path, PathBuf};
 
 const HEADER_BYTES: usize = 8;
-/// Maximum length of a record; a longer one counts as damaged. A record holds one message of at most 64 KiB.
+/// Maximum length of a record; a longer record counts as damaged. A record holds one message of at most 64 KiB.
 const MAX_RECORD_BYTES: usize = 1 << 20;
 /// A journal below this size is not compacted, unless space runs out.
 const MIN_COMPACT_BYTES: u64 = 256 * 1024;
@@ -191,7 +191,7 @@
     EndpointListed(String, Option<u64>),
     /// Class rules and their number. Written before the first message that is accepted under these rules.
     Rules(u32, Rules),
-    /// A message and its progress as in `Message`, preceded by the number of the class rules for the message.
+    /// A message and its progress as in the record `Message`, preceded by the number of the message's class rules.
     MessageUnderRules(u32, u64, Accepted, Progress),
     ReceiverHealth(Receiver, Option<ReceiverCondition>),
     /// From this record on, the journal records receivers' health: a receiver without a health record was healthy.
@@ -550,7 +550,8 @@
                 _ => {}
             }
         }
-        // Drops the oldest entries of endpoints not ready: a configured endpoint list is too recent to contain them.
+        // Drops the oldest entries of draining or gone endpoints.
+        // A configured endpoint list is too recent to contain these endpoints.
         let surplus = self.not_ready.len().saturating_sub(MAX_NOT_READY);
         let mut by_age: Vec<(u64, String)> = self.not_ready.iter().map(|(n, i)| (*i, n.clone())).collect();
         by_age.sort();
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -1,4 +1,4 @@
-//! # embershore
+//! # embershore: daemon and command line of the message sender
 //!
 //! The sender and its command line. [`daemon::run`] runs the sender as the platform starts it.
 //! The module [`cli`] parses the arguments and runs the other subcommands of the binary.
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -6,7 +6,7 @@
 use std::io;
 
 /// Fraction of the sender's memory that the text of an endpoint list may take.
-/// Measured with 24,000 endpoints (123 bytes, one destination each), a byte of list text costs 13 resident bytes.
+/// Measured with 24,000 endpoints of 123 bytes and one destination each: a byte of list text costs 13 resident bytes.
 /// Once a list of other endpoints has replaced the first endpoint list, a byte of list text costs 22 resident bytes.
 /// The memory use rises because the endpoints of the replaced list are retained for a minute.
 /// A byte of list text costs 27 resident bytes if the first endpoint list was given with the configuration.
@@ -71,7 +71,7 @@
 /// Where an endpoint list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The field `known` of the configuration.
+    /// The endpoint list comes from the field `known` of the configuration.
     Configuration,
     Discovery,
 }
--- a/crates/sender/src/main.rs
+++ b/crates/sender/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary; its code is in the library's module `cli`.
+//! The binary `embershore`, whose code is in the library's module `cli`.
 
 use std::process::ExitCode;
 
--- a/crates/sender/src/matrix.rs
+++ b/crates/sender/src/matrix.rs
@@ -128,12 +128,12 @@
     serde_json::from_slice(&std::fs::read(path).ok()?).ok()
 }
 
-/// Runs the queue's entries until none is left or one has failed.
+/// Executes the queued runs of the matrix until the queue is empty or a run has failed.
 fn work(matrix: &Matrix, queue: &Mutex<Queue>, to_run: usize) {
     loop {
         let next = {
             let mut q = queue.lock().unwrap_or_else(PoisonError::into_inner);
-            // A worker stays while runs are in progress: a void run returns to the queue.
+            // A worker waits while other workers' runs are in progress: a void run returns to the queue.
             if q.failed.is_some() || (q.left.is_empty() && q.running == 0) {
                 return;
             }
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -33,7 +33,7 @@
 }
 
 impl MessageEnd {
-    /// Returns the final outcome as the metrics distinguish it, from the final outcome that a notice reports.
+    /// Converts the final outcome that a notice reports to the final outcome that the metrics distinguish.
     pub fn of(end: End) -> Self {
         match end {
             End::Returned { .. } => MessageEnd::Returned,
@@ -111,7 +111,7 @@
     pub forwards: Cell<u64>,
     /// Number of messages that were accepted and have not ended.
     pub outstanding: Cell<usize>,
-    /// Number of endpoints in the endpoint list that are avoided now.
+    /// Number of endpoints in the endpoint list that the dispatcher avoids now.
     pub ejected: Cell<usize>,
     /// Number of configurations applied at SIGHUP.
     pub applied: Cell<u64>,
--- a/crates/sender/src/mgmt.rs
+++ b/crates/sender/src/mgmt.rs
@@ -125,7 +125,7 @@
         .header_read_timeout(HEAD_TIMEOUT)
         .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(socket), service);
-    // After an error nothing is left to do: the client has its error response or has disconnected.
+    // An error of the connection is ignored: the client has its error response or has disconnected.
     _ = tokio::time::timeout(CALL_TIMEOUT, connection).await;
 }
 
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -58,7 +58,7 @@
                         (pause, timeout) = ((pause * 2).min(MAX_RETRY_PAUSE), (timeout * 2).min(MAX_TIMEOUT));
                     }
                 },
-                // The sending half of the address channel lives as long as the process.
+                // Waiting for a new address can't fail: the channel's sending half lives as long as the process.
                 _ = addr.changed() => (pause, timeout) = (FIRST_RETRY_PAUSE, FIRST_TIMEOUT),
             }
         }
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -113,8 +113,9 @@
     }
 
     /// Fixes the number of owners among which the dispatcher shares a destination's limit, until the process ends.
-    /// The number is the largest number of replicas that may still be in effect by the member list in force,
-    /// or else by the previous process's state, or else the largest number of replicas that a member list can have.
+    /// With a member list in force, the number is the largest number of replicas that may still be in effect by it.
+    /// Without a member list, the number is taken from the previous process's saved state.
+    /// Without a saved state, the number is the largest number of replicas that a member list can have.
     pub fn fix_sharers(&self) -> u32 {
         let known = self.ownership.borrow().persisted_state(clock::now()).or_else(|| self.saved.get());
         let replicas = known.map_or(MAX_REPLICAS, |state| state.replicas);
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -63,7 +63,7 @@
         self.interval.map_or(Duration::ZERO, |e| e.mul_f64(FIRST_POLL_SPREAD * random_fraction))
     }
 
-    /// Returns the pause after a failed poll, where `took` is the time from the poll's begin to the failure.
+    /// Returns the pause after a failed poll; `took` is the time from the start of the poll to the failure.
     pub fn after_failure(&mut self, took: Duration) -> Duration {
         let max_wait = self.pause.min(MAX_RETRY_INTERVAL.saturating_sub(took));
         let wait = max_wait.mul_f64(MIN_JITTER + (1.0 - MIN_JITTER) * self.random_fraction());
@@ -71,13 +71,15 @@
         wait
     }
 
-    /// Returns the pause after discovery has ended a useful watch, and possibly the watches of all senders.
+    /// Returns the pause after discovery has ended a useful watch.
+    /// Discovery may have ended the watches of all senders simultaneously.
     pub fn after_end(&mut self) -> Duration {
         self.reset();
         if self.is_costly() { self.spread_delay() } else { self.after_failure(Duration::ZERO) }
     }
 
-    /// Returns the pause after a useful watch's connection broke, and possibly the connections of all senders.
+    /// Returns the pause after a useful watch's connection broke.
+    /// The watch connections of all senders may have broken simultaneously.
     pub fn after_break(&mut self) -> Duration {
         self.reset();
         if self.is_costly() {
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Returns the pause after an open watch stalled, and possibly the watches of all senders.
+    /// Returns the pause after an open watch stalled.
+    /// The watches of all senders may have stalled simultaneously.
     pub fn after_stall(&mut self) -> Duration {
         self.reset();
         if self.is_costly() {
--- a/crates/sender/src/reload_check.rs
+++ b/crates/sender/src/reload_check.rs
@@ -80,7 +80,7 @@
     match (running, new) {
         (Value::Object(running), Value::Object(new)) => check_fields(path, running, new),
         (Value::Array(running), Value::Array(new)) => {
-            // Lists may grow and shrink.
+            // A list in the configuration may have more or fewer entries after a reload.
             // Keys that all entries of a list in the running configuration have must be in each entry of the new list.
             let Some(Value::Object(first)) = running.first() else { return Ok(()) };
             let mut common = first.clone();
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -155,7 +155,7 @@
         tokio::select! {
             biased;
             () = closes => return,
-            // The sending half of the status channel lives as long as the process.
+            // Waiting for a status change can't fail: the channel's sending half lives as long as the process.
             Ok(()) = status.changed() => {}
         }
     }
@@ -165,7 +165,7 @@
 mod tests {
     use super::*;
 
-    /// Applies changes at intervals of a tenth of a second. Returns the time of the first change and the final status.
+    /// Applies the status changes 0.1 s apart. Returns the time of the first change and the final status.
     fn apply_changes(changes: &[Change]) -> (Instant, ProcessStatus) {
         let start = Instant::now();
         let mut status = ProcessStatus::default();
