--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -232,8 +232,8 @@
     /// The next request on a dropped connection is reset, and may or may not have taken effect at the receiver.
     /// An unsafe message in such a request can't be repeated and is lost.
     /// For [`STALE_RETENTION`] after such a reset the lifetime is half of the shortest idle time that ended in a reset.
-    /// The shorter lifetime costs more new connections.
-    /// The shorter lifetime applies to the endpoint alone, or to all endpoints if several had resets.
+    /// The shorter idle lifetime makes the sender open more new connections.
+    /// The shorter idle lifetime applies to the endpoint alone, or to all endpoints if several endpoints had resets.
     fn idle_lifetime(&self, endpoint: EndpointId) -> Duration {
         let mut stale = self.stale.borrow_mut();
         stale.retain(|s| s.at.elapsed() < STALE_RETENTION);
--- a/crates/sender/src/check.rs
+++ b/crates/sender/src/check.rs
@@ -42,7 +42,7 @@
 /// The effect of the operator's rules on undeliverable messages of one receiver and class, with one reason.
 #[derive(Debug, PartialEq, Serialize)]
 struct RuleEffect {
-    /// The receiver, if a rule names it; None stands for all receivers that no rule names.
+    /// The receiver that a rule names; None stands for all receivers that no rule names.
     receiver: Option<i64>,
     class: String,
     reason: Reason,
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -28,7 +28,7 @@
 const PUT_OVERHEAD: usize = 1024;
 /// Maximum number of pipelined requests of one connection that are processed together.
 const MAX_PIPELINE: usize = 64;
-/// Time after which a connection without an open request is closed, including one that never sent anything.
+/// Time after which a connection without an open request is closed, even if the client never sent anything.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Longest pause between two reads of one command; a client that pauses longer is disconnected.
 /// The stall timeout is below the 3 s after which a client that sends nothing useful must be disconnected.
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -23,10 +23,10 @@
 /// Time without a complete line after which a watch counts as dead, even if single bytes arrive.
 /// Discovery sends something every 2 s on a watch.
 /// A change that a silent watch misses must be applied within 6 s of the start of the silence.
-/// The timeout leaves time for one poll that hangs and another poll that is answered.
+/// The stall timeout leaves time for one poll that hangs and another poll that is answered.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Timeout for the head of discovery's response, which arrives at once unless discovery is down.
-/// When discovery is back, a drain that it reports must be applied at once, so that no poll may hang for long.
+/// When discovery is back, a drain that discovery reports must be applied at once, so no poll may hang for long.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Timeout for the head of discovery's response where polls cost discovery work: discovery may queue a poll that long.
 const COSTLY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -190,7 +190,7 @@
     }
 }
 
-/// A response with one or more listings, read as it arrives.
+/// Discovery's response with one or more endpoint listings, read as the response arrives.
 struct ListStream {
     connection: Connection,
     body: Incoming,
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -41,7 +41,7 @@
 const MIN_STAY_US: Micros = 900_000;
 /// Time from SIGTERM until all calls must have ended.
 const CALL_DEADLINE_US: Micros = 3_300_000;
-/// Time from SIGTERM until the process exits even with open messages: the platform kills it soon after.
+/// Time from SIGTERM until the process exits even with open messages: the platform kills the process soon after.
 const EXIT_DEADLINE_US: Micros = 3_500_000;
 /// Interval at which expired idle connections are closed; also the longest time between two rounds.
 const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
@@ -351,7 +351,7 @@
         if !tenants.is_empty() && !tenants.contains(&put.tenant) {
             Err("unknown tenant")
         } else if put.time_left > class.deadline + 1000 {
-            // Clients send the remaining time in whole milliseconds, so it may exceed the class's time by up to 1 ms.
+            // Clients send the remaining time in whole milliseconds, so the sent time may exceed the class's by 1 ms.
             Err("field 'd' is more than the class's time")
         } else if !self.endpoints.borrow().knows(DestId(put.dest)) {
             Err(UNKNOWN_DESTINATION)
@@ -459,7 +459,7 @@
     /// Sets each new message's remaining time as of the round that begins now.
     /// The round may begin a quantum after the message was read, or later at a start with a long journal.
     /// With the remaining time as of reading, the dispatcher would end the message too late for its deadline.
-    /// A response after the message's deadline would not count.
+    /// A response after the message's deadline would not count as a delivery.
     fn set_time_left(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
         for event in events {
@@ -730,7 +730,7 @@
     }
 
     /// Returns the next time at which the result of [`Driver::can_exit`] may change by the clock alone.
-    /// Without a wake-up at the exit time, the process could notice it only at a later round, and be killed before.
+    /// Without a wake-up at the exit time, the process might exit only at a later round, and be killed before.
     fn next_exit_check(&self, last_round: Micros) -> Micros {
         let phases = self.stopping.into_iter().flat_map(|t| [t + MIN_STAY_US, t + EXIT_DEADLINE_US]);
         phases.filter(|at| *at > last_round).min().unwrap_or(Micros::MAX)
--- a/crates/sender/src/driver/recovered.rs
+++ b/crates/sender/src/driver/recovered.rs
@@ -24,7 +24,7 @@
 }
 
 impl RecoveredMessages {
-    /// Adds a message found in the journal at the start, with the number of its calls that had begun.
+    /// Adds a message that the journal contains at the start, with the number of the message's calls that had begun.
     pub(super) fn add(&mut self, id: MsgId, deadline: Micros, begun: u32, now: Micros) {
         if deadline > now {
             self.waiting.insert(id, (deadline, begun));
@@ -56,7 +56,7 @@
         self.waiting.is_empty()
     }
 
-    /// Whether any recovered message was added.
+    /// Whether the restart recovered any message from the journal.
     pub(super) fn any(&self) -> bool {
         *self != RecoveredMessages::default()
     }
--- a/crates/sender/src/endpoint_table.rs
+++ b/crates/sender/src/endpoint_table.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time for which an endpoint that is gone keeps its number, in case a later endpoint list contains it again.
+/// Time for which a gone endpoint keeps its number, in case a later endpoint list contains the endpoint again.
 /// The time is short because gone endpoints make up most of the table where endpoints are replaced all the time.
 const GONE_RETENTION: Duration = Duration::from_secs(60);
 /// Time for which a destination stays known after its last endpoint has gone.
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -111,7 +111,7 @@
     Frame(Frame),
     /// No complete frame arrived within the timeout.
     Timeout,
-    /// The link has ended, or the data received on it is invalid.
+    /// The link to the other process has ended, or the data received on the link is invalid.
     Closed,
 }
 
@@ -132,7 +132,7 @@
     decoder: Decoder,
 }
 
-/// A link that a task reads and writes. The channels have no bound of their own, but their content is bounded.
+/// A link that a task reads and writes. The link's channels are unbounded, but their content is bounded.
 /// The number of connections bounds the clients' messages, and the number of slots bounds the reports of ended calls.
 pub struct BackgroundLink {
     pub send: mpsc::UnboundedSender<Frame>,
@@ -296,7 +296,7 @@
                 let (Some(mut link), Some(state)) = (link.take(), received_state.take()) else {
                     return Ok(None);
                 };
-                // If the frame `Taken` does not arrive, the owner still finds that this process holds the lock.
+                // If the frame `Taken` does not arrive, the old owner still finds that this process holds the lock.
                 _ = link.send(&Frame::Taken).await;
                 return Ok(Some((state, link)));
             }
--- a/crates/sender/src/inherited_socket.rs
+++ b/crates/sender/src/inherited_socket.rs
@@ -30,8 +30,8 @@
     if !target.to_string_lossy().starts_with("socket:") {
         return Err(format!("{NAME}: descriptor {number} is {}, not a socket", target.display()));
     }
-    // SAFETY: the descriptor is open, as just checked, and nothing else in this program owns it: this function is
-    // called once, before anything else is opened, with the number that the platform gave for this use.
+    // SAFETY: the descriptor is open, as just checked, and nothing else in this program owns the descriptor.
+    // This function is called once, before anything else is opened, with the number that the platform gave.
     let fd = unsafe { OwnedFd::from_raw_fd(number) };
     let socket = SockRef::from(&fd);
     let kind = socket.r#type().map_err(|e| format!("{NAME}: descriptor {number}: {e}"))?;
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -131,7 +131,7 @@
     ]
 }
 
-/// The true state of a message, which the sender process knows only incompletely.
+/// The true state of a message, of which the sender process may know only a part.
 #[derive(Debug, Default)]
 struct Truth {
     class: usize,
@@ -145,16 +145,16 @@
     /// Number of calls with the message that this process has begun.
     calls: usize,
     delivered: bool,
-    /// Whether the running process knows of the message's delivery.
+    /// Whether the running sender process knows of the message's delivery.
     /// After a kill while the delivery is being recorded, the next process may not know of the delivery.
     known_delivered: bool,
     /// The message's final outcome as reported in its notice.
     notice: Option<End>,
-    /// When a restart found the message unattempted. The message must then get a call before its deadline.
+    /// When a restart found the message unattempted. Such a message must get a call before its deadline.
     recovered: Option<Micros>,
 }
 
-/// A call in flight.
+/// A call in flight from the sender to an endpoint.
 struct InFlightCall {
     endpoint: u32,
     /// The call's messages, each with the number of its attempt.
@@ -179,7 +179,7 @@
     steps_left: Option<usize>,
 }
 
-/// The model: the clients, the endpoints, the platform and the process.
+/// The model: simulated clients, endpoints and platform, and the sender process.
 struct World {
     folder: tempfile::TempDir,
     now: Micros,
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -119,7 +119,7 @@
 }
 
 impl Progress {
-    /// Returns the first attempt that may have taken effect at the receiver; the attempt in flight counts as well.
+    /// Returns the first attempt that may have taken effect at the receiver, possibly the attempt in flight.
     pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.may_have_run.as_ref().or(self.in_flight.as_ref())
     }
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -105,7 +105,7 @@
 /// The current metrics. The driver counts messages by final outcome; the calls count the messages written to endpoints.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// For each class the counters of messages that succeeded, were declined or were aborted.
+    /// For each message class, the counters of messages that succeeded, were declined or were aborted.
     ends_by_class: RefCell<BTreeMap<String, [u64; 3]>>,
     /// Number of messages written completely to endpoints.
     pub forwards: Cell<u64>,
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -27,7 +27,7 @@
     pool: Rc<Pool>,
 }
 
-/// The deadlines of an attempt at one owner.
+/// The deadlines of one attempt to forward a message to an owner.
 struct Deadlines {
     /// The time by which the first byte of the message must have been written to the owner.
     begin_by: Instant,
@@ -155,7 +155,7 @@
         decode_reply(line).ok_or_else(|| io::ErrorKind::InvalidData.into())
     }
 
-    /// Returns the connection to the pool.
+    /// Returns the connection to the pool of connections to other members.
     fn keep(self) {
         self.reservation.put_back(self.stream);
     }
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -2,7 +2,7 @@
 //! Without the section `[placement]` of the operator's options, placement is off and no object of this module exists.
 //!
 //! The daemon's components share a [`Placement`], which decides who owns a message and which endpoints are stored.
-//! A [`Placement`] also holds the metrics of placement. The module `member_list` updates it.
+//! A [`Placement`] also holds the metrics of placement. The module `member_list` updates the [`Placement`].
 //! The module `forward` forwards messages. The rules of placement are in the crate `embershore_placement`.
 
 pub mod clock;
@@ -32,7 +32,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Clients send a message's remaining time in whole milliseconds, which may exceed the class's deadline by one.
+/// Clients send a message's remaining time in whole milliseconds, which may exceed the class's deadline by 1 ms.
 const DEADLINE_ROUNDING: Micros = 1_000;
 /// Longest retry time sent to a client. A hold may last longer, but another owner may accept the message.
 const MAX_HOLD_WAIT_MS: u64 = 1_000;
--- a/crates/sender/src/placement/pool.rs
+++ b/crates/sender/src/placement/pool.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 
 /// Idle time after which a connection to a member is not reused. The member closes an idle connection after 2 s.
-/// A message that is sent at the moment of the close would have an unknown outcome.
+/// A message that is sent while the member closes the connection would have an unknown outcome.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(1);
 /// One member gets at most the total number of connections divided by this number, rounded up.
 /// A member that does not answer therefore can't block forwarding to the other members.
@@ -27,7 +27,7 @@
 pub struct Pool {
     max_connections: usize,
     max_per_member: usize,
-    /// Number of the pool's connections, in use or idle.
+    /// Number of the pool's connections to other members, in use or idle.
     open: Cell<usize>,
     /// Number of connections in use, by the member's address; the map's size is bounded by `max_connections`.
     in_use: RefCell<HashMap<SocketAddr, usize>>,
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -10,11 +10,11 @@
 /// After this grace period, clients' connections close between requests.
 const CLIENT_GRACE: Duration = Duration::from_millis(450);
 /// Time after a lame-duck command from which messages are refused.
-/// A client that still submits messages then uses outdated information.
-/// Messages accepted so late would keep the sender from having delivered everything in time.
+/// A client that still submits messages after this time uses outdated information about the sender.
+/// If messages were accepted after this time, the sender might not deliver all its messages in time.
 const LATE_MESSAGE_CUTOFF: Duration = Duration::from_millis(1400);
 
-/// The phase that a process is in.
+/// The phase that the sender's process is in, from its start to its exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The process has no endpoint list yet, or has not restored the messages of an earlier process.
@@ -46,7 +46,7 @@
     Stop,
 }
 
-/// The error for a change of phase that is no longer possible.
+/// The error for a change of the process's phase that is no longer possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLate;
 
