--- a/crates/sender/src/class_table.rs
+++ b/crates/sender/src/class_table.rs
@@ -8,7 +8,7 @@
 /// Clients may be notified of the new configuration later than the sender.
 const DROPPED_CLASS_GRACE_US: Micros = 3_000_000;
 
-/// Which messages use a row of the class table.
+/// Which messages use a row of the class table: new and open messages, or only open messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RowUse {
     /// The row's rules apply to new messages of the class and to open messages accepted under the row.
@@ -66,7 +66,7 @@
         same.or_else(|| Some(self.insert(name, class.clone(), RowUse::MessagesOnly, now)))
     }
 
-    /// Applies the classes of a reloaded configuration.
+    /// Updates the table's rows for the message classes of a reloaded configuration.
     pub fn reload(&mut self, classes: Vec<(String, ClassSettings)>, now: Micros) {
         for row in &mut self.rows {
             if row.used == RowUse::Current && !classes.iter().any(|(name, _)| *name == row.name) {
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Limits for all connections of one server together.
+/// Limits for all connections of one server (for clients, or for other members) together.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
     /// Maximum number of open connections; halved while another process of this sender runs.
@@ -198,9 +198,9 @@
     open_count: Rc<Cell<usize>>,
     entries: RefCell<BTreeMap<u64, Rc<ClientEntry>>>,
     freed: Notify,
-    /// Permits for the bytes of long incomplete commands.
+    /// Permits for the total bytes of incomplete commands longer than [`USUAL_COMMAND_BYTES`].
     buffers: Arc<Semaphore>,
-    /// Permits for the bytes of messages without a reply.
+    /// Permits for the total bytes of messages that have been read and have no reply yet.
     bodies: Arc<Semaphore>,
 }
 
@@ -403,7 +403,7 @@
     /// Returns the reply's text, or None if the connection has failed; the dropped channel then notifies the driver.
     /// A client that has closed its sending side may have left or may still read.
     /// A message that has not been accepted yet is withdrawn and refused, which is harmless in both cases.
-    /// A message that has been accepted is answered.
+    /// A message that has been accepted is answered with a reply even if the client may have left.
     async fn wait(&mut self, answer: PendingReply) -> Option<String> {
         let (mut answer, _counted, wait_to_end) = match answer {
             PendingReply::Text(text) => return Some(text),
--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -172,7 +172,7 @@
     driver: Option<Driver>,
     pub traffic: Rc<Traffic>,
     addr: SocketAddr,
-    /// When the last exchange on this connection ended.
+    /// When the last exchange of a request and its response on this connection ended.
     pub idle_since: Instant,
 }
 
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Returns the limits for clients.
+    /// Returns the limits on clients' connections and on the memory for their commands and messages.
     /// Clients' connections get a third of the descriptors.
     /// Incomplete commands and messages without a reply get an eighth of the memory each.
     /// The rest of the memory is for the journal's messages, for the journal's copy during a compaction, and for calls.
@@ -263,7 +263,7 @@
 }
 
 /// Reads the operator's options file, which the command line or else `LB_OPTIONS` names.
-/// Without an options file all options are off.
+/// Without an options file, all the operator's options are off.
 fn operator_options(file: Option<PathBuf>, classes: &[ClassFacts]) -> Result<Options, OptionsError> {
     let named = || std::env::var_os("LB_OPTIONS").filter(|name| !name.is_empty()).map(PathBuf::from);
     match file.or_else(named) {
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -112,9 +112,9 @@
 enum WatchEnd {
     /// The watch was open and received nothing complete within the stall timeout.
     Stalled,
-    /// The watch was useful, and its connection broke.
+    /// The watch was useful (new version, or open for long), and the watch's connection broke.
     Broken,
-    /// The watch was useful, and discovery ended it.
+    /// The watch was useful (new version, or open for long), and discovery ended the watch.
     Closed,
     /// The watch failed; the duration is the time since the watch was begun.
     Failed(Duration),
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -66,7 +66,7 @@
     reply: oneshot::Sender<Reply>,
 }
 
-/// The arguments of [`Driver::new`].
+/// The settings and the daemon's components from which [`Driver::new`] builds the driver.
 pub struct Parts {
     pub clock: Clock,
     pub seed: u64,
@@ -189,7 +189,7 @@
         loop {
             let timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
             let pending_events = if self.events.is_empty() { Micros::MAX } else { last_round };
-            // There is at most one round per quantum.
+            // The dispatcher runs at most one round per quantum.
             // Rounds also run without events, for conditions that depend on the clock alone.
             let wake = timer.min(pending_events).max(last_round + self.quantum);
             let wake = wake.min(last_round + IDLE_SWEEP_INTERVAL_US).min(self.next_exit_check(last_round));
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -26,7 +26,7 @@
     pub lock: Lock,
     /// The state that the predecessor has handed over, and the link to the predecessor.
     pub predecessor: Option<(Box<State>, Link)>,
-    /// Successors that have requested the journal.
+    /// Receives the links to successors that have requested the journal.
     pub takeover_requests: mpsc::Receiver<(Owner, Link)>,
 }
 
--- a/crates/sender/src/input.rs
+++ b/crates/sender/src/input.rs
@@ -9,7 +9,7 @@
 /// An input from one of the daemon's components to the driver.
 #[derive(Debug)]
 pub enum Input {
-    /// A client's message, and the channel for the reply.
+    /// A message from a client, and the channel for the sender's reply to the client.
     Put(Put, oneshot::Sender<Reply>),
     /// An endpoint listing from discovery: complete, or the changes since the last listing.
     EndpointsListed { index: u64, full: bool, entries: Vec<EndpointEntry> },
@@ -19,7 +19,7 @@
     Probed(EndpointId, Outcome, Option<LoadReport>),
     /// The platform has confirmed the notices of the messages with these numbers.
     NoticesConfirmed(Vec<u64>),
-    /// The classes of a reloaded configuration.
+    /// The message classes of a configuration that was reloaded while the sender runs.
     ClassesReloaded(Vec<(String, ClassSettings)>),
     /// A frame that the predecessor process sent over the handover link.
     PredecessorFrame(Frame),
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -136,11 +136,11 @@
 struct Truth {
     class: usize,
     deadline: Micros,
-    /// Whether the client has received `+OK`.
+    /// Whether the client has received the reply `+OK` for the message.
     acknowledged: bool,
-    /// The start times of the calls that may have had an effect.
+    /// The start times of the message's calls that may have taken effect.
     possible_runs: Vec<Micros>,
-    /// How often the message took effect.
+    /// Number of times that the message took effect at an endpoint.
     runs: usize,
     /// Number of calls with the message that this process has begun.
     calls: usize,
@@ -188,7 +188,7 @@
     process: Process,
     next: u64,
     kill: (usize, Micros),
-    /// Whether every connection is refused at once.
+    /// Whether the simulated endpoints refuse every connection at once.
     refused: bool,
 }
 
@@ -307,7 +307,7 @@
         self.process.events.push(event);
     }
 
-    /// Ends calls at their timeout.
+    /// Fails the calls whose connections are refused, and ends the calls whose timeout has passed.
     fn time_out_calls(&mut self) -> Result<(), Killed> {
         for at in (0..self.process.in_flight.len()).rev() {
             if self.refused {
--- a/crates/sender/src/list_limit.rs
+++ b/crates/sender/src/list_limit.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Where an endpoint list comes from.
+/// Where an endpoint list comes from: the configuration or discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The endpoint list comes from the field `known` of the configuration.
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -15,11 +15,11 @@
 pub enum MessageEnd {
     /// An endpoint has accepted the message (status 200, or state `ok` in a batch response).
     Delivered,
-    /// The client got the reply `-BUSY` in place of `+OK`.
+    /// The message was not accepted: the client got the reply `-BUSY` in place of `+OK`.
     Refused,
     /// The message was accepted, and the client gets a notice that it may submit the message again.
     Returned,
-    /// The client got the reply `-ERR` in place of `+OK`.
+    /// The message was not accepted: the client got the reply `-ERR` in place of `+OK`.
     Wrong,
     /// The message was accepted, and the client gets a notice that it failed.
     Failed,
@@ -113,9 +113,9 @@
     pub outstanding: Cell<usize>,
     /// Number of endpoints in the endpoint list that the dispatcher avoids now.
     pub ejected: Cell<usize>,
-    /// Number of configurations applied at SIGHUP.
+    /// Number of reloaded configurations that were applied at SIGHUP.
     pub applied: Cell<u64>,
-    /// Number of configurations rejected at SIGHUP.
+    /// Number of reloaded configurations that were rejected at SIGHUP.
     pub rejected: Cell<u64>,
     /// Metrics of endpoint lists that were too long.
     pub lists: ListMetrics,
--- a/crates/sender/src/placement/member_list.rs
+++ b/crates/sender/src/placement/member_list.rs
@@ -140,7 +140,7 @@
     Ok(body.to_bytes())
 }
 
-/// Applies a control agent's response.
+/// Puts the member list of a control agent's response in force.
 /// The new placement table is built on a thread of its own, since building it takes as long as many rounds.
 /// The current table and its lease stay in force until the new table is complete.
 async fn apply_answer(
--- a/crates/sender/src/placement/metrics.rs
+++ b/crates/sender/src/placement/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of placement.
+//! The metrics of placement: the lease, the owned shards and the messages forwarded between members.
 
 use serde::Serialize;
 use std::cell::Cell;
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -60,7 +60,7 @@
 pub struct Forwarded {
     /// The owners of the message's destination, the preferred owner first.
     pub candidates: Vec<SeatId>,
-    /// The effect of the message's class.
+    /// The effect of the message's class: safe, keyed or unsafe.
     pub effect: Effect,
 }
 
--- a/crates/sender/src/placement/pool.rs
+++ b/crates/sender/src/placement/pool.rs
@@ -39,7 +39,7 @@
 pub struct Reservation {
     pool: Rc<Pool>,
     owner: SocketAddr,
-    /// An idle connection to reuse, if there was one.
+    /// An idle connection to the member that is to be reused, if the pool had one.
     reused: Option<TcpStream>,
 }
 
--- a/crates/sender/src/placement/reader.rs
+++ b/crates/sender/src/placement/reader.rs
@@ -7,9 +7,9 @@
 
 /// An incremental reader of listings, whose input may be split at any byte.
 pub enum ListReader {
-    /// Keeps all endpoints of a listing.
+    /// Reads listings and keeps all endpoints in them.
     All(ListingReader),
-    /// Drops from a listing the endpoints of destinations that this sender does not retain.
+    /// Reads listings and drops the endpoints of destinations that this sender does not retain.
     Filtered(FilteredListingReader, Rc<Placement>),
 }
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Adds bytes read from the stream to the input.
+    /// Adds bytes that were read from the stream to the reader's input.
     pub fn extend(&mut self, bytes: &[u8]) {
         match self {
             ListReader::All(listings) => listings.extend(bytes),
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -3,7 +3,7 @@
 //! One sender that polls at its start and again after 100 ms does no harm.
 //! A hundred senders that are started together overload discovery if each poll costs discovery work.
 //! Discovery then takes seconds to answer one poll of each sender and answers polls that waited longer with an error.
-//! All senders would retry simultaneously.
+//! Without random pauses, all senders would retry their failed polls simultaneously.
 //! So each sender first waits for a random fraction of the polling interval in the settings.
 //! After a failed poll, a sender retries after a random fraction of a growing interval.
 
@@ -41,7 +41,7 @@
 
 impl PollSchedule {
     /// `interval` is the polling interval in the settings; None where discovery sends changes unasked.
-    /// `seed` makes the pauses differ between senders.
+    /// `seed` is the seed of the random pauses, so that pauses differ between senders.
     pub fn new(interval: Option<Duration>, seed: u64) -> Self {
         let interval = interval.filter(|e| !e.is_zero());
         // Mixes the seed's bits: without mixing, neighbouring seeds would give similar first random numbers.
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -34,13 +34,13 @@
 /// An event that may change the phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The start of the process is complete.
+    /// The start is complete: the process has an endpoint list and has restored the messages of earlier processes.
     Started,
     /// The operator switches the lame-duck mode on or off.
     LameDuck(bool),
-    /// The predecessor does not release the journal.
+    /// The predecessor process does not release the journal to this process.
     Standby,
-    /// The successor owns the journal.
+    /// The successor process owns the journal now: this process has been replaced.
     HandedOver,
     /// SIGTERM was received.
     Stop,
