--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -46,8 +46,8 @@
 const MAX_QUEUED_INPUTS: usize = 1024;
 /// Descriptors for everything except clients and endpoints: 16 in use, and as many again kept free.
 /// In use are the standard streams, the event queue and its signals, the listener and a client being rejected.
-/// Also in use are the journal and its compacted copy, the configuration, discovery's list and its next connection,
-/// and the connection for notices to the platform.
+/// Also in use are the journal, the journal's compacted copy and the configuration.
+/// Connections in use: discovery's current and next connection, and the connection for notices to the platform.
 const OWN_DESCRIPTORS: usize = 32;
 
 /// The largest number of bytes that a semaphore can count; more than any machine's memory.
--- a/crates/sender/src/inherited_socket.rs
+++ b/crates/sender/src/inherited_socket.rs
@@ -11,7 +11,7 @@
 const NAME: &str = "LB_SOCKET_FD";
 
 /// Returns the listening socket that `LB_SOCKET_FD` names, or None if the variable is unset or empty.
-/// `listener` must be called before anything else opens files.
+/// The function `listener` must be called before any other code of the process opens files.
 ///
 /// # Errors
 /// The variable is not a descriptor number, or the descriptor is not a listening TCP socket.
