--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -28,7 +28,7 @@
 const PUT_OVERHEAD: usize = 1024;
 /// Maximum number of pipelined requests of one connection that are processed together.
 const MAX_PIPELINE: usize = 64;
-/// Time after which a connection without an open request is closed, including one that never sent anything.
+/// Time after which a connection without an open request is closed, even if the client never sent anything.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Longest pause between two reads of one command; a client that pauses longer is disconnected.
 /// The stall timeout is below the 3 s after which a client that sends nothing useful must be disconnected.
@@ -37,9 +37,10 @@
 /// Longest time for receiving a command: enough for the longest command at 16 KiB a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(8);
 /// Silence after which a connection is the first to be evicted at the connection limit.
-/// The silence counts before a connection's first command or within a command.
+/// Only silence before a connection's first command or within a command counts.
 const EVICT_SILENT_AFTER: Duration = Duration::from_millis(300);
-/// Time without a request after which a connection that has been served is the second to be evicted at the limit.
+/// Time without a request after which a connection that has been served may be evicted at the connection limit.
+/// Such idle connections are evicted after those that fell silent before or within a command.
 const EVICT_SERVED_AFTER: Duration = Duration::from_millis(1000);
 /// Time that a new connection gets for its first command while the sender is closing its clients' connections.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(300);
@@ -67,7 +68,7 @@
     }
 }
 
-/// Limits for all connections of one server together.
+/// Limits for all connections of one server (for clients, or for other members) together.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
     /// Maximum number of open connections; halved while another process of this sender runs.
@@ -197,9 +198,9 @@
     open_count: Rc<Cell<usize>>,
     entries: RefCell<BTreeMap<u64, Rc<ClientEntry>>>,
     freed: Notify,
-    /// Permits for the bytes of long incomplete commands.
+    /// Permits for the total bytes of incomplete commands longer than [`USUAL_COMMAND_BYTES`].
     buffers: Arc<Semaphore>,
-    /// Permits for the bytes of messages without a reply.
+    /// Permits for the total bytes of messages that have been read and have no reply yet.
     bodies: Arc<Semaphore>,
 }
 
@@ -402,7 +403,7 @@
     /// Returns the reply's text, or None if the connection has failed; the dropped channel then notifies the driver.
     /// A client that has closed its sending side may have left or may still read.
     /// A message that has not been accepted yet is withdrawn and refused, which is harmless in both cases.
-    /// A message that has been accepted is answered.
+    /// A message that has been accepted is answered with a reply even if the client may have left.
     async fn wait(&mut self, answer: PendingReply) -> Option<String> {
         let (mut answer, _counted, wait_to_end) = match answer {
             PendingReply::Text(text) => return Some(text),
@@ -518,7 +519,7 @@
     fn order_of_eviction() {
         let (start, second) = (Instant::now(), Duration::from_secs(1));
         let now = start + 10 * second;
-        // Creates a connection's entry: whether a request was served, whether a command is incomplete, time of silence.
+        // Creates a connection's entry. `served`: a request was answered. `partial`: the last command is incomplete.
         let entry = |served: bool, partial: bool, silent_for: Duration| ClientEntry {
             served: Cell::new(served),
             busy: Cell::new(false),
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -23,10 +23,10 @@
 /// Time without a complete line after which a watch counts as dead, even if single bytes arrive.
 /// Discovery sends something every 2 s on a watch.
 /// A change that a silent watch misses must be applied within 6 s of the start of the silence.
-/// The timeout leaves time for one poll that hangs and another poll that is answered.
+/// The stall timeout leaves time for one poll that hangs and another poll that is answered.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Timeout for the head of discovery's response, which arrives at once unless discovery is down.
-/// When discovery is back, a drain that it reports must be applied at once, so that no poll may hang for long.
+/// When discovery is back, a drain that discovery reports must be applied at once, so no poll may hang for long.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Timeout for the head of discovery's response where polls cost discovery work: discovery may queue a poll that long.
 const COSTLY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -91,7 +91,7 @@
         };
         tokio::select! {
             biased;
-            // The sending half of the address channel lives as long as the process.
+            // Waiting for a new address can't fail: the channel's sending half lives as long as the process.
             _ = addr.changed() => {
                 (index, in_force, pause) = (None, None, Duration::ZERO);
                 schedule.reset();
@@ -112,9 +112,9 @@
 enum WatchEnd {
     /// The watch was open and received nothing complete within the stall timeout.
     Stalled,
-    /// The watch was useful, and its connection broke.
+    /// The watch was useful (new version, or open for long), and the watch's connection broke.
     Broken,
-    /// The watch was useful, and discovery ended it.
+    /// The watch was useful (new version, or open for long), and discovery ended the watch.
     Closed,
     /// The watch failed; the duration is the time since the watch was begun.
     Failed(Duration),
@@ -190,7 +190,7 @@
     }
 }
 
-/// A response with one or more listings, read as it arrives.
+/// Discovery's response with one or more endpoint listings, read as the response arrives.
 struct ListStream {
     connection: Connection,
     body: Incoming,
@@ -333,8 +333,8 @@
     let mut stream = match ListStream::open(open().await?, &path, costly, sink).await {
         Ok(stream) => stream,
         Err(e) => {
-            // A version that discovery does not know must not be requested again and again.
-            // If discovery was too busy to answer, it has not checked the version.
+            // A listing version that discovery does not know must not be requested again and again.
+            // If discovery was too busy to answer, discovery has not checked the requested listing version.
             // The complete listing would cost a busy discovery even more work.
             let version_checked =
                 e.kind() != io::ErrorKind::ResourceBusy && !(costly && e.kind() == io::ErrorKind::TimedOut);
@@ -343,8 +343,8 @@
         }
     };
     *opened = true;
-    // A version after which discovery sends nothing must not be requested again.
-    // The exception: where polls cost discovery work, discovery may only have been slow.
+    // If discovery sends no listing after a request with a version, the version must not be requested again.
+    // Where polls cost discovery work, the version is kept: discovery may only have been slow.
     *index = index.filter(|_| costly);
     let mut known = since;
     let mut reread_requested = std::pin::pin!(sink.until_requested(spread));
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -41,7 +41,7 @@
 const MIN_STAY_US: Micros = 900_000;
 /// Time from SIGTERM until all calls must have ended.
 const CALL_DEADLINE_US: Micros = 3_300_000;
-/// Time from SIGTERM until the process exits even with open messages: the platform kills it soon after.
+/// Time from SIGTERM until the process exits even with open messages: the platform kills the process soon after.
 const EXIT_DEADLINE_US: Micros = 3_500_000;
 /// Interval at which expired idle connections are closed; also the longest time between two rounds.
 const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
@@ -66,7 +66,7 @@
     reply: oneshot::Sender<Reply>,
 }
 
-/// The arguments of [`Driver::new`].
+/// The settings and the daemon's components from which [`Driver::new`] builds the driver.
 pub struct Parts {
     pub clock: Clock,
     pub seed: u64,
@@ -98,7 +98,8 @@
     quantum: Micros,
     list_wait: Duration,
     max_open: usize,
-    /// Retry time in the reply to a client whose message finds no room; the dispatcher's refusals give the same time.
+    /// Retry time in milliseconds in the reply to a client whose message the driver refuses for now.
+    /// The dispatcher's refusals give the same retry time.
     retry_after_ms: u64,
     journal: Rc<RefCell<Journal>>,
     endpoints: Rc<RefCell<EndpointTable>>,
@@ -188,7 +189,7 @@
         loop {
             let timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
             let pending_events = if self.events.is_empty() { Micros::MAX } else { last_round };
-            // There is at most one round per quantum.
+            // The dispatcher runs at most one round per quantum.
             // Rounds also run without events, for conditions that depend on the clock alone.
             let wake = timer.min(pending_events).max(last_round + self.quantum);
             let wake = wake.min(last_round + IDLE_SWEEP_INTERVAL_US).min(self.next_exit_check(last_round));
@@ -279,7 +280,7 @@
     /// Queues a new message as an event, or rejects it at once.
     fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
-            // The client has sent the message on a second connection.
+            // The client has sent an open message again, on a second connection.
             // Acceptance must not be reported before the message is in the journal: the message may still be rejected.
             // After a report of acceptance, the client would not send a rejected message again.
             let written = self.journal.borrow().get(id.0).is_some();
@@ -350,7 +351,7 @@
         if !tenants.is_empty() && !tenants.contains(&put.tenant) {
             Err("unknown tenant")
         } else if put.time_left > class.deadline + 1000 {
-            // Clients send the remaining time in whole milliseconds, so it may exceed the class's time by up to 1 ms.
+            // Clients send the remaining time in whole milliseconds, so the sent time may exceed the class's by 1 ms.
             Err("field 'd' is more than the class's time")
         } else if !self.endpoints.borrow().knows(DestId(put.dest)) {
             Err(UNKNOWN_DESTINATION)
@@ -361,7 +362,8 @@
         }
     }
 
-    /// Closes the messages that a call has ended, records how the call's other attempts ended, queues the outcomes.
+    /// Handles the end of a call: closes the call's messages that have ended.
+    /// Records the outcomes of the call's other attempts, and queues all outcomes as events for the dispatcher.
     fn handle_call_end(&mut self, call: u64, call_end: CallEnd) {
         self.calls_in_flight.remove(&call);
         let CallEnd { endpoint, outcomes, elapsed, wait, report } = call_end;
@@ -457,7 +459,7 @@
     /// Sets each new message's remaining time as of the round that begins now.
     /// The round may begin a quantum after the message was read, or later at a start with a long journal.
     /// With the remaining time as of reading, the dispatcher would end the message too late for its deadline.
-    /// A response after the message's deadline would not count.
+    /// A response after the message's deadline would not count as a delivery.
     fn set_time_left(&self, now: Micros, events: &mut [Event]) {
         let journal = self.journal.borrow();
         for event in events {
@@ -525,7 +527,7 @@
             };
             let accepted = answer == Reply::Accepted;
             if reply.send(answer).is_err() || !accepted {
-                // The client has gone before the reply, or the reply asks it to retry later.
+                // The message is closed: its client has gone before the reply, or the reply refuses the message.
                 self.metrics.count(&class, MessageEnd::Refused);
                 self.write_journal(|j| j.record_message_ended(id.0, End::Closed));
                 self.by_request.remove(&request_id);
@@ -728,13 +730,13 @@
     }
 
     /// Returns the next time at which the result of [`Driver::can_exit`] may change by the clock alone.
-    /// Without a wake-up at the exit time, the process could notice it only at a later round, and be killed before.
+    /// Without a wake-up at the exit time, the process might exit only at a later round, and be killed before.
     fn next_exit_check(&self, last_round: Micros) -> Micros {
         let phases = self.stopping.into_iter().flat_map(|t| [t + MIN_STAY_US, t + EXIT_DEADLINE_US]);
         phases.filter(|at| *at > last_round).min().unwrap_or(Micros::MAX)
     }
 
-    /// Whether the process may exit: after SIGTERM, once no message or notice is open, or at the exit deadline.
+    /// Whether the process may exit after SIGTERM: once no message or notice is open, or at the exit deadline.
     fn can_exit(&self, now: Micros) -> bool {
         let Some(since) = self.stopping.map(|t| now - t) else { return false };
         let done = self.pending.is_empty() && self.unconfirmed_notices == 0 && since > MIN_STAY_US;
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -131,30 +131,30 @@
     ]
 }
 
-/// The true state of a message, which the sender process knows only incompletely.
+/// The true state of a message, of which the sender process may know only a part.
 #[derive(Debug, Default)]
 struct Truth {
     class: usize,
     deadline: Micros,
-    /// Whether the client has received `+OK`.
+    /// Whether the client has received the reply `+OK` for the message.
     acknowledged: bool,
-    /// The start times of the calls that may have had an effect.
+    /// The start times of the message's calls that may have taken effect.
     possible_runs: Vec<Micros>,
-    /// How often the message took effect.
+    /// Number of times that the message took effect at an endpoint.
     runs: usize,
     /// Number of calls with the message that this process has begun.
     calls: usize,
     delivered: bool,
-    /// Whether the running process knows of the message's delivery.
+    /// Whether the running sender process knows of the message's delivery.
     /// After a kill while the delivery is being recorded, the next process may not know of the delivery.
     known_delivered: bool,
     /// The message's final outcome as reported in its notice.
     notice: Option<End>,
-    /// When a restart found the message unattempted. The message must then get a call before its deadline.
+    /// When a restart found the message unattempted. Such a message must get a call before its deadline.
     recovered: Option<Micros>,
 }
 
-/// A call in flight.
+/// A call in flight from the sender to an endpoint.
 struct InFlightCall {
     endpoint: u32,
     /// The call's messages, each with the number of its attempt.
@@ -173,13 +173,13 @@
     attempts: BTreeMap<u64, u32>,
     in_flight: Vec<InFlightCall>,
     events: Vec<Event>,
-    /// Submitted messages that no round has processed.
+    /// Submitted messages that no round of the dispatcher has processed yet.
     submitted: BTreeMap<u64, Accepted>,
     /// Number of steps with a lasting effect until the process is killed; None if it is not to be killed.
     steps_left: Option<usize>,
 }
 
-/// The model: the clients, the endpoints, the platform and the process.
+/// The model: simulated clients, endpoints and platform, and the sender process.
 struct World {
     folder: tempfile::TempDir,
     now: Micros,
@@ -188,7 +188,7 @@
     process: Process,
     next: u64,
     kill: (usize, Micros),
-    /// Whether every connection is refused at once.
+    /// Whether the simulated endpoints refuse every connection at once.
     refused: bool,
 }
 
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Picks a call in flight, of those that have begun if `begun` is true, otherwise of those that have not.
+    /// Picks a call in flight: one that has begun if `begun` is true, otherwise one that has not begun.
     fn pick(&self, which: usize, begun: bool) -> Option<usize> {
         let fit: Vec<usize> = (0..self.process.in_flight.len())
             .filter(|at| self.process.in_flight[*at].begun_at.is_some() == begun)
@@ -307,7 +307,7 @@
         self.process.events.push(event);
     }
 
-    /// Ends calls at their timeout.
+    /// Fails the calls whose connections are refused, and ends the calls whose timeout has passed.
     fn time_out_calls(&mut self) -> Result<(), Killed> {
         for at in (0..self.process.in_flight.len()).rev() {
             if self.refused {
@@ -466,7 +466,7 @@
         Ok(())
     }
 
-    /// Ends a call with the given outcome; `runs` is whether the call took effect.
+    /// Ends a call with the given outcome; `runs` is whether the call took effect at the receiver.
     fn end(&mut self, at: usize, outcome: Outcome, runs: bool, wait: Micros) -> Result<(), Killed> {
         let call = self.process.in_flight.remove(at);
         for (id, attempt) in call.items {
@@ -575,7 +575,7 @@
                 id,
                 truth
             );
-            // A message that was recorded but not accepted counts as well: its client got no reply.
+            // A message that was recorded but not accepted counts as recovered too: its client got no reply.
             if progress.first_possible_run().is_none() && progress.attempts < ATTEMPTS {
                 truth.recovered = Some(now);
             }
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -15,11 +15,11 @@
 pub enum MessageEnd {
     /// An endpoint has accepted the message (status 200, or state `ok` in a batch response).
     Delivered,
-    /// The client got the reply `-BUSY` in place of `+OK`.
+    /// The message was not accepted: the client got the reply `-BUSY` in place of `+OK`.
     Refused,
     /// The message was accepted, and the client gets a notice that it may submit the message again.
     Returned,
-    /// The client got the reply `-ERR` in place of `+OK`.
+    /// The message was not accepted: the client got the reply `-ERR` in place of `+OK`.
     Wrong,
     /// The message was accepted, and the client gets a notice that it failed.
     Failed,
@@ -33,7 +33,7 @@
 }
 
 impl MessageEnd {
-    /// Returns the final outcome as the metrics distinguish it, from the final outcome that a notice reports.
+    /// Converts the final outcome that a notice reports to the final outcome that the metrics distinguish.
     pub fn of(end: End) -> Self {
         match end {
             End::Returned { .. } => MessageEnd::Returned,
@@ -105,17 +105,17 @@
 /// The current metrics. The driver counts messages by final outcome; the calls count the messages written to endpoints.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// For each class the counters of messages that succeeded, were declined or were aborted.
+    /// For each message class, the counters of messages that succeeded, were declined or were aborted.
     ends_by_class: RefCell<BTreeMap<String, [u64; 3]>>,
     /// Number of messages written completely to endpoints.
     pub forwards: Cell<u64>,
     /// Number of messages that were accepted and have not ended.
     pub outstanding: Cell<usize>,
-    /// Number of endpoints in the endpoint list that are avoided now.
+    /// Number of endpoints in the endpoint list that the dispatcher avoids now.
     pub ejected: Cell<usize>,
-    /// Number of configurations applied at SIGHUP.
+    /// Number of reloaded configurations that were applied at SIGHUP.
     pub applied: Cell<u64>,
-    /// Number of configurations rejected at SIGHUP.
+    /// Number of reloaded configurations that were rejected at SIGHUP.
     pub rejected: Cell<u64>,
     /// Metrics of endpoint lists that were too long.
     pub lists: ListMetrics,
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -2,7 +2,7 @@
 //! Without the section `[placement]` of the operator's options, placement is off and no object of this module exists.
 //!
 //! The daemon's components share a [`Placement`], which decides who owns a message and which endpoints are stored.
-//! A [`Placement`] also holds the metrics of placement. The module `member_list` updates it.
+//! A [`Placement`] also holds the metrics of placement. The module `member_list` updates the [`Placement`].
 //! The module `forward` forwards messages. The rules of placement are in the crate `embershore_placement`.
 
 pub mod clock;
@@ -32,7 +32,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Clients send a message's remaining time in whole milliseconds, which may exceed the class's deadline by one.
+/// Clients send a message's remaining time in whole milliseconds, which may exceed the class's deadline by 1 ms.
 const DEADLINE_ROUNDING: Micros = 1_000;
 /// Longest retry time sent to a client. A hold may last longer, but another owner may accept the message.
 const MAX_HOLD_WAIT_MS: u64 = 1_000;
@@ -60,7 +60,7 @@
 pub struct Forwarded {
     /// The owners of the message's destination, the preferred owner first.
     pub candidates: Vec<SeatId>,
-    /// The effect of the message's class.
+    /// The effect of the message's class: safe, keyed or unsafe.
     pub effect: Effect,
 }
 
@@ -113,8 +113,9 @@
     }
 
     /// Fixes the number of owners among which the dispatcher shares a destination's limit, until the process ends.
-    /// The number is the largest number of replicas that may still be in effect by the member list in force,
-    /// or else by the previous process's state, or else the largest number of replicas that a member list can have.
+    /// With a member list in force, the number is the largest number of replicas that may still be in effect by it.
+    /// Without a member list, the number is taken from the previous process's saved state.
+    /// Without a saved state, the number is the largest number of replicas that a member list can have.
     pub fn fix_sharers(&self) -> u32 {
         let known = self.ownership.borrow().persisted_state(clock::now()).or_else(|| self.saved.get());
         let replicas = known.map_or(MAX_REPLICAS, |state| state.replicas);
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -3,7 +3,7 @@
 //! One sender that polls at its start and again after 100 ms does no harm.
 //! A hundred senders that are started together overload discovery if each poll costs discovery work.
 //! Discovery then takes seconds to answer one poll of each sender and answers polls that waited longer with an error.
-//! All senders would retry simultaneously.
+//! Without random pauses, all senders would retry their failed polls simultaneously.
 //! So each sender first waits for a random fraction of the polling interval in the settings.
 //! After a failed poll, a sender retries after a random fraction of a growing interval.
 
@@ -41,7 +41,7 @@
 
 impl PollSchedule {
     /// `interval` is the polling interval in the settings; None where discovery sends changes unasked.
-    /// `seed` makes the pauses differ between senders.
+    /// `seed` is the seed of the random pauses, so that pauses differ between senders.
     pub fn new(interval: Option<Duration>, seed: u64) -> Self {
         let interval = interval.filter(|e| !e.is_zero());
         // Mixes the seed's bits: without mixing, neighbouring seeds would give similar first random numbers.
@@ -63,7 +63,7 @@
         self.interval.map_or(Duration::ZERO, |e| e.mul_f64(FIRST_POLL_SPREAD * random_fraction))
     }
 
-    /// Returns the pause after a failed poll, where `took` is the time from the poll's begin to the failure.
+    /// Returns the pause after a failed poll; `took` is the time from the start of the poll to the failure.
     pub fn after_failure(&mut self, took: Duration) -> Duration {
         let max_wait = self.pause.min(MAX_RETRY_INTERVAL.saturating_sub(took));
         let wait = max_wait.mul_f64(MIN_JITTER + (1.0 - MIN_JITTER) * self.random_fraction());
@@ -71,13 +71,15 @@
         wait
     }
 
-    /// Returns the pause after discovery has ended a useful watch, and possibly the watches of all senders.
+    /// Returns the pause after discovery has ended a useful watch.
+    /// Discovery may have ended the watches of all senders simultaneously.
     pub fn after_end(&mut self) -> Duration {
         self.reset();
         if self.is_costly() { self.spread_delay() } else { self.after_failure(Duration::ZERO) }
     }
 
-    /// Returns the pause after a useful watch's connection broke, and possibly the connections of all senders.
+    /// Returns the pause after a useful watch's connection broke.
+    /// The watch connections of all senders may have broken simultaneously.
     pub fn after_break(&mut self) -> Duration {
         self.reset();
         if self.is_costly() {
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Returns the pause after an open watch stalled, and possibly the watches of all senders.
+    /// Returns the pause after an open watch stalled.
+    /// The watches of all senders may have stalled simultaneously.
     pub fn after_stall(&mut self) -> Duration {
         self.reset();
         if self.is_costly() {
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -10,11 +10,11 @@
 /// After this grace period, clients' connections close between requests.
 const CLIENT_GRACE: Duration = Duration::from_millis(450);
 /// Time after a lame-duck command from which messages are refused.
-/// A client that still submits messages then uses outdated information.
-/// Messages accepted so late would keep the sender from having delivered everything in time.
+/// A client that still submits messages after this time uses outdated information about the sender.
+/// If messages were accepted after this time, the sender might not deliver all its messages in time.
 const LATE_MESSAGE_CUTOFF: Duration = Duration::from_millis(1400);
 
-/// The phase that a process is in.
+/// The phase that the sender's process is in, from its start to its exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The process has no endpoint list yet, or has not restored the messages of an earlier process.
@@ -34,19 +34,19 @@
 /// An event that may change the phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The start of the process is complete.
+    /// The start is complete: the process has an endpoint list and has restored the messages of earlier processes.
     Started,
     /// The operator switches the lame-duck mode on or off.
     LameDuck(bool),
-    /// The predecessor does not release the journal.
+    /// The predecessor process does not release the journal to this process.
     Standby,
-    /// The successor owns the journal.
+    /// The successor process owns the journal now: this process has been replaced.
     HandedOver,
     /// SIGTERM was received.
     Stop,
 }
 
-/// The error for a change of phase that is no longer possible.
+/// The error for a change of the process's phase that is no longer possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLate;
 
@@ -155,7 +155,7 @@
         tokio::select! {
             biased;
             () = closes => return,
-            // The sending half of the status channel lives as long as the process.
+            // Waiting for a status change can't fail: the channel's sending half lives as long as the process.
             Ok(()) = status.changed() => {}
         }
     }
@@ -165,7 +165,7 @@
 mod tests {
     use super::*;
 
-    /// Applies changes at intervals of a tenth of a second. Returns the time of the first change and the final status.
+    /// Applies the status changes 0.1 s apart. Returns the time of the first change and the final status.
     fn apply_changes(changes: &[Change]) -> (Instant, ProcessStatus) {
         let start = Instant::now();
         let mut status = ProcessStatus::default();
