--- a/crates/scale/src/budget.rs
+++ b/crates/scale/src/budget.rs
@@ -73,10 +73,12 @@
 /// Budget of the load of the busiest owner, divided by the mean load of the owner's region.
 pub const BUSIEST_OWNER: Budget =
     Budget { name: "busiest-owner", limit: 1.15, reason: "evenness of the placement" };
-/// Budget of the positions moved when one member is removed or added, divided by the member's own positions.
+/// Budget of the number of owner positions that move when a member is removed or added.
+/// The number is divided by the number of the member's own positions.
 pub const MOVEMENT: Budget =
     Budget { name: "movement", limit: 1.3, reason: "a change moves little more than it must" };
-/// Budget of the positions (of an owner in a shard) moved between members that were neither added nor removed.
+/// Budget of the number of owner positions that move between members that were neither added nor removed.
+/// An owner position is the place of one owner in one shard.
 pub const MOVED_BETWEEN_OTHERS: Budget =
     Budget { name: "moved-between-others", limit: 0.0, reason: "no handover without need" };
 /// Budget of the busiest owner's load after the loss of a zone, divided by the new mean of the owner's region.
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -98,7 +98,7 @@
     /// The measured metrics.
     #[serde(rename = "figures")]
     pub metrics: Vec<Metric>,
-    /// Remarks that a reader of the metrics needs.
+    /// Remarks that explain the metrics to a reader of the report.
     pub remarks: Vec<String>,
     #[serde(skip)]
     overrides: Overrides,
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -20,7 +20,7 @@
 const MEMBER_PORT: u16 = 7100;
 
 const REPEATS: u64 = 3;
-/// Number of members from which on the simulation takes minutes, and so is done only once.
+/// Number of members from which on a simulation is run only once, because it takes minutes.
 const SINGLE_RUN_FROM: usize = 500;
 
 /// Members of the gossip protocol and the network between them, in simulated time.
--- a/crates/scale/src/slopes/owners_check.rs
+++ b/crates/scale/src/slopes/owners_check.rs
@@ -30,7 +30,7 @@
     Ok(MemberList::from_form(form)?)
 }
 
-/// Owned destinations, memory and times of the real processes.
+/// Measurements of the real processes: destinations that each process owns, memory and times.
 struct ProcessResults {
     destinations: Vec<f64>,
     resident: Vec<f64>,
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -60,7 +60,7 @@
 }
 
 /// Returns the load of the busiest seat while new owners must wait (the hold), divided by the mean before the change.
-/// During the hold, in which new owners must wait, the shard's owners that also owned it before share its load.
+/// During the hold, the load of a shard is shared by those of its owners that also owned the shard before.
 fn busiest_during_hold(before: &Table, after: &Table, seats: usize) -> f64 {
     let mut load = vec![0.0; seats];
     for number in 0..SHARDS {
@@ -83,7 +83,7 @@
     busiest_by_region(&placement.list, &counts)
 }
 
-/// Numbers of positions (of an owner in a shard) whose seat differs between two placement tables.
+/// Numbers of owner positions in shards whose seat differs between two placement tables.
 #[derive(Default)]
 struct Movement {
     /// Number of positions in the table that any seat gained.
@@ -130,7 +130,8 @@
     (0..repeats).map(time).collect()
 }
 
-/// Measures the processor time to apply a member list change given as JSON: for the placement table, and in all.
+/// Measures the processor time to apply a member list change that is given as JSON.
+/// Returns the time for the placement table alone, and the total time with decoding the JSON and changing the list.
 fn change_times(placement: &Placement, text: &[u8]) -> Result<(f64, f64)> {
     let mut table = placement.table.clone();
     let started = thread_cpu_time()?;
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -14,7 +14,8 @@
 const SYNC: &str = "c=sync,d=15000,dest=3";
 const PAY: &str = "c=pay,d=15000,dest=3";
 
-/// Time limit for what must happen within 3 s after a client connects; longer to allow for a busy machine.
+/// Time limit of waits for events that the sender must cause within 3 s after a client connects.
+/// The limit exceeds 3 s to allow for a busy machine.
 const MAX_CLOSE_DELAY: Duration = Duration::from_secs(8);
 
 fn sender_with_endpoint() -> (Endpoint, Platform, Sender) {
@@ -269,7 +270,8 @@
     let before = sender.memory_kb();
     let long = resp(&[b"MSG.PUT", &[7; 60_000], &[7; 60_000]]);
     let mut clients: Vec<Client> = (0..60).map(|_| sender.client()).collect();
-    // Each client sends all but the last byte. Commands without room wait and are read once others are done.
+    // Each client sends all but the last byte of its command.
+    // A command for which the sender has no memory left waits until other commands are done.
     clients.iter_mut().for_each(|c| c.write(&long[..long.len() - 1]));
     (0..50).for_each(|_| client.ping());
     let grown = sender.memory_kb().saturating_sub(before);
--- a/crates/sender/tests/common/placement/clients.rs
+++ b/crates/sender/tests/common/placement/clients.rs
@@ -92,7 +92,7 @@
 }
 
 impl Load {
-    /// Returns a load of all message classes to all destinations, put at all members.
+    /// Returns a load in which messages of all classes to all destinations are put at all members.
     pub fn of(fleet: &Fleet, rate: u32) -> Self {
         Load {
             rate,
@@ -106,7 +106,8 @@
 /// Strides with which the n-th message picks its destination and its sender, so that all combinations occur.
 const DESTINATION_STRIDE: usize = 101;
 const ENTRY_STRIDE: usize = 7;
-/// Number of destinations of an ordered class: few, so that several messages of a key are open at once.
+/// Number of destinations to which messages of an ordered class go.
+/// The number is small, so that several messages of an ordering key are open at the same time.
 const ORDERED_DESTINATIONS: usize = 25;
 
 impl Clients {
--- a/crates/sender/tests/common/placement/directory.rs
+++ b/crates/sender/tests/common/placement/directory.rs
@@ -69,7 +69,7 @@
 
 impl Directory {
     /// Creates a directory that lists one endpoint for each destination.
-    /// Returns too the queue on which clients receive returned messages.
+    /// Also returns the queue on which clients receive returned messages.
     /// The number of messages that the clients put is the maximum length of the queue of returned messages.
     pub fn new(ledger: Rc<Ledger>, destinations: i64) -> (Rc<Self>, mpsc::UnboundedReceiver<Returned>) {
         let entry = |destination| Entry {
--- a/crates/sender/tests/common/placement/fleet.rs
+++ b/crates/sender/tests/common/placement/fleet.rs
@@ -223,7 +223,7 @@
     }
 
     /// Waits until a sender answers clients and knows the member list.
-    /// Waits too until the sender knows the endpoints of the destinations that it owns.
+    /// Also waits until the sender knows the endpoints of the destinations that it owns.
     pub async fn wait_ready(&self, index: usize) {
         let started = tokio::time::Instant::now();
         while !self.answers_ping(index).await {
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -86,8 +86,8 @@
         self.judgement.void.is_some()
     }
 
-    /// Returns the messages sent by two senders that must not take effect twice.
-    /// A message counts only if the first of the two senders may have delivered it.
+    /// Returns the messages that two senders sent although the messages must not take effect twice.
+    /// The first of the two senders may already have delivered such a message.
     pub fn second_owners(&self) -> Vec<String> {
         let harmful = self.table.messages.iter().filter(|m| self.effect(m) != Effect::Safe);
         let by_two = harmful.filter(|m| {
@@ -105,7 +105,8 @@
     }
 
     /// Returns the messages that took effect twice but must not, by the id under which a client first put them.
-    /// A message whose `MSG.PUT` got no answer counts too if the message was never accepted under another id.
+    /// Effects under an id whose `MSG.PUT` got no answer are not counted.
+    /// The client of such a message may put the message again under another id.
     pub fn double_effects(&self) -> Vec<String> {
         let mut effects: BTreeMap<&str, usize> = BTreeMap::new();
         for message in
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -33,7 +33,7 @@
         }
         _ => write_answer(stream, 204, ""),
     });
-    // The script receives the notices too: this stub platform only provides an address at the start.
+    // The script also receives the notices. This stub platform only provides a discovery address at the start.
     let platform = Platform::new(Vec::new());
     let sender = Sender::with(&platform, |c| c["discovery"] = scripted.addr.to_string().into());
     (endpoint, scripted, platform, sender)
@@ -134,7 +134,7 @@
     wait_until("a second post", || scripted.request_times("/reports").len() > 1);
     let posts = scripted.request_times("/reports");
     // The first post of a notice has 0.1 s to be answered.
-    // With a time-out of 1 s, the second post came long after the notice was due.
+    // With a time-out of 1 s for the first post, the second post of the notice came long after the notice was due.
     assert!(posts[1] - posts[0] < Duration::from_millis(600), "{:?}", posts[1] - posts[0]);
 }
 
@@ -363,7 +363,7 @@
         let state = move |state: &str| listed_endpoint("s-1", endpoint.addr, "one", 3, state);
         let scripted = ScriptedPlatform::new(move |request, before, stream| {
             if !request.line.contains("follow") {
-                // Only the first request is answered.
+                // Only the first request for the full endpoint list is answered.
                 if before == 0 {
                     write_answer(stream, 200, &list(7, true, vec![state("Ready")]));
                 }
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -83,7 +83,8 @@
 fn one_message_each_in_five_seconds_over_thirty_endpoints() {
     let (report, table) = rehearse("12s", 20, &[receiver(1, 30)], "");
     let spread = spread_over_longest_window(&report, 1);
-    // When senders used the endpoints in the order of the endpoint list, the variance of the calls was over 60.
+    // The variance of calls per endpoint is relative to that of independent random choices.
+    // The variance was over 60 when senders used the endpoints in the order of the endpoint list.
     assert!(spread.variance < 4.0, "{}", report.text());
     let idle = calls_by_endpoint(&table, 1, 0.0, 12.0).iter().filter(|c| c.1 == 0.0).count();
     assert!(idle <= 3, "{idle} endpoints had no call\n{}", report.text());
@@ -98,7 +99,7 @@
         [[event]]\nat = \"12s\"\ndo = \"sigkill\"\nshare = 0.5";
     let (report, table) = rehearse("20s", 60, &[receiver(1, 4)], events);
     let new = |name: &str| matches!(name, "r1-4" | "r1-5" | "r1-6" | "r1-7");
-    // The directory's own lag of 2 s passes before the senders learn of a change.
+    // The directory's own lag is 2 s, so no sender learns of the join before second 5.
     let (first, later) = (
         share_over_even(&calls_by_endpoint(&table, 1, 5.0, 6.0), new),
         share_over_even(&calls_by_endpoint(&table, 1, 12.0, 20.0), new),
--- a/crates/sender/tests/forwarding.rs
+++ b/crates/sender/tests/forwarding.rs
@@ -283,7 +283,7 @@
     wait_until("the lease to expire", || rig.metrics()["lease_left_ms"] == 0);
     let (own, other) = (destinations(true)[0], destinations(false)[0]);
     assert_eq!(rig.put("other", PAY, other), "+OK");
-    // The sender tries the destination's other owner, which has its own lease.
+    // The sender forwards the message to the destination's other owner, whose own lease has not expired.
     assert_eq!(rig.put("own", PAY, own), "+OK");
     assert_eq!(rig.seen_by("own"), 1);
     let refused = Client::new(rig.forward).put("forwarded", &format!("{PAY},dest={own}"));
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -139,7 +139,7 @@
     assert_eq!(metrics["aborted"], json!({"pay": 1, "push": 0, "sync": 1}));
     assert_eq!(metrics["declined"], none);
     assert_eq!((&metrics["forwards"], &metrics["outstanding"]), (&json!(8), &json!(1)));
-    // The counters of each process start at zero. A message counts in the process in which it ends.
+    // The counters of each process start at zero. A message is counted by the process in which the message ends.
     sender.kill();
     sender.spawn();
     platform.wait_notice("s1", "failed");
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -257,7 +257,7 @@
     let start = Instant::now();
     put_in_one_call(&endpoint, &sender, &[("b1", "c=pay,d=4500,dest=3"), ("b2", PAY), ("b3", PAY)]);
     platform.wait_notice("b1", "failed");
-    // The call's other messages may have taken effect too; the sender awaits no outcome after the call has ended.
+    // The call's other messages may have taken effect at the receiver too, so they fail when the call is broken off.
     platform.wait_notice("b2", "failed");
     assert!(
         start.elapsed() < Duration::from_secs(10),
@@ -271,7 +271,7 @@
     assert!(timeout.parse::<u32>().unwrap() <= 4_500, "{timeout}");
 }
 
-/// Time limit within which a slot must be free again.
+/// Time within which the slot of a call must be free again if the answer is malformed or its body stalls.
 /// The limit is far below the time limit of a call, and far above the time limit of a started answer.
 const MAX_RELEASE_DELAY: Duration = Duration::from_secs(6);
 
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -74,7 +74,8 @@
     );
 }
 
-/// Counts the forwarded requests whose outcome the senders do not know. A `MSG.PUT` may fail only for this reason.
+/// Counts the forwarded requests whose outcome the senders do not know.
+/// A `MSG.PUT` may fail only because the outcome of its forwarded request is unknown.
 async fn unknown_outcomes(rig: &Rig) -> usize {
     let mut unknown = 0;
     for index in 0..rig.fleet.deployment.processes() {
@@ -282,7 +283,8 @@
             "first call {} us after the start, expected a hold of {hold} us",
             first.t - at
         );
-        // By then the removed member has received the member list without its seat, or its lease has expired.
+        // One lease time after the change, the removed member has received the member list without its seat.
+        // Otherwise the lease of the removed member has expired by then.
         let lease = micros(rig.fleet.deployment.lease);
         let offered = |id: &String| findings.table.message(id).unwrap().offered;
         let calls = findings.table.calls.values().filter(|call| call.sender == removed);
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -89,7 +89,7 @@
     let (report, table) = report(&rig::run(scenario, &options, |_| {}).unwrap()).unwrap();
     assert_eq!(report.judgement.void, None);
     for r in &report.judgement.rules {
-        // For the failure message: the records of the first message with which the rule was broken.
+        // The failure message shows the records of the first message with which the rule was broken.
         let first = r.violations.iter().find_map(|o| table.message(o.message.as_ref()?));
         let same = first.map(|f| table.messages.iter().filter(|m| m.origin == f.origin).collect::<Vec<_>>());
         let calls = same.iter().flatten().flat_map(|m| table.attempts(m)).collect::<Vec<_>>();
@@ -180,7 +180,8 @@
         let taken = |m: &&Message| m.sender == sender && m.accepted().is_some_and(|t| t < at);
         table.messages.iter().filter(|m| taken(m) && open(m)).collect()
     };
-    // At one of the kills a message had not been sent, and at one a message's call was in flight.
+    // At one kill at least, an accepted message had not been sent.
+    // At one kill at least, the call of an accepted message was in flight.
     let unsent = |m: &Message, at: i64| table.attempts(m).all(|(c, ..)| c.t > at);
     assert!(kills.iter().any(|(s, at)| open_at(*s, *at).iter().any(|m| unsent(m, *at))));
     let out = |m: &Message, at: i64| {
--- a/crates/sender/tests/reload.rs
+++ b/crates/sender/tests/reload.rs
@@ -114,7 +114,7 @@
     // Clients may not know yet that the old class has been removed.
     assert_eq!(client.put("a1", SYNC), "+OK");
     endpoint.wait_sent("a1");
-    // A message counts as succeeded when its answer arrives, which is later than the send.
+    // The sender counts a message as succeeded once the answer to its call has arrived, not when the call is sent.
     wait_until("both ends to be counted", || {
         let reply = sender.metrics();
         (&reply["aborted"]["wire"], &reply["succeeded"]["sync"]) == (&1.into(), &1.into())
--- a/crates/sender/tests/restart.rs
+++ b/crates/sender/tests/restart.rs
@@ -80,7 +80,7 @@
     let mut client = sender.client();
     assert_eq!(client.put("a1", PAY), "+OK");
     endpoint.wait_sent("a1");
-    // A second message on the same endpoint connection shows that the answer to the first one was read.
+    // A second message on the same endpoint connection shows that the sender has read the answer to the first message.
     assert_eq!(client.put("a2", PAY), "+OK");
     endpoint.wait_sent("a2");
     std::thread::sleep(Duration::from_millis(100));
@@ -355,7 +355,7 @@
         "the journal is full at {} bytes, expected over 1,000,000",
         journal.len()
     );
-    // In the three cases, discovery refuses connections, does not answer requests, or is available.
+    // The sender restarts while discovery refuses connections, does not answer requests, or is available.
     let (refusing, silent) = (RefusingAddress::new(), ScriptedPlatform::new(|_, _, _| {}));
     for discovery in [refusing.addr, silent.addr, platform.addr] {
         let mut senders: Vec<Sender> = (0..10).map(|_| Sender::with_mgmt(&platform)).collect();
@@ -389,7 +389,7 @@
 }
 
 /// Puts a message whose idempotency window is 1 s and kills the sender while the first call is unanswered.
-/// Then starts the sender again `down` after the first call.
+/// Starts the sender again once the time `down` has passed since the first call.
 /// Returns the time from the first call to each further call.
 fn repeats_in_window_of_1s(down: Duration) -> Vec<Duration> {
     let endpoint = Endpoint::new(|_| StubResponse::Silence);
--- a/crates/sender/tests/settings.rs
+++ b/crates/sender/tests/settings.rs
@@ -69,7 +69,7 @@
         let mut answer = client.read();
         if answer == "+PONG" {
             answer = client.put("a1", "c=sync,d=400,dest=3");
-            // The pause lets the sender run some more rounds.
+            // The pause gives the sender time for further rounds of its decision module.
             thread::sleep(Duration::from_millis(30));
         }
         exited = child.try_wait().unwrap().is_some();
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -1,6 +1,6 @@
 //! Accepted messages that were not tried before the sender was killed.
 //! Guards against a restarted sender that returns or drops such messages without a call.
-//! The tests use one message up to the limit of open messages.
+//! The number of messages in a test ranges from one to the sender's limit of open messages.
 //! Their receivers are prompt, slow, refusing or unreachable.
 
 mod common;
@@ -89,7 +89,7 @@
         _ = client.put(&format!("new{n}"), &format!("c=pay,d=15000,dest={}", 3 + n % 2));
     }
     (0..20).for_each(|n| [&slow, &prompt][n % 2].wait_sent(&id(n)));
-    // Each message has been sent in a call. The slow receiver answers one call at a time.
+    // Each of the twenty untried messages has been sent in a call. The slow receiver answers one call at a time.
     // A call that waits in the receiver's queue for too long is given up as unanswered.
     // The message of such a call ends if it may not be sent again (unsafe) or only within its key window (keyed).
     let ends = platform.notices();
