--- a/crates/rehearsal/src/html/returns.rs
+++ b/crates/rehearsal/src/html/returns.rs
@@ -76,8 +76,8 @@
         for dash in limit(0.85).chunks(4).filter_map(|c| c.get(..2)) {
             chart.draw_series(LineSeries::new(dash.iter().copied(), CRIMSON))?;
         }
-        // The load curve changes only at arrivals of calls and probes, which is exact enough:
-        // between two arrivals the load only decreases, as older arrivals leave the overload window.
+        // The load curve has points only at arrivals of calls and probes, which is exact enough for the peaks.
+        // Between two arrivals the load only decreases, as older arrivals leave the overload window.
         let mut line: Vec<(f64, f64)> = Vec::new();
         for l in &this_return.loads {
             line.extend(line.last().map(|(_, y)| (seconds(l.t), *y)));
--- a/crates/rehearsal/src/judge/cold.rs
+++ b/crates/rehearsal/src/judge/cold.rs
@@ -5,7 +5,7 @@
 //! Every call and probe that reaches the receiver counts as load, including rejected ones.
 //! Overload breaks the rule if at least two thirds of the load came from senders that saw the outage.
 //! A sender saw the outage if a call or probe of it failed there, or a connection was refused, during the outage.
-//! If their share of the load is smaller, senders that could not know of the outage caused the overload.
+//! With less than two thirds, the overload was caused by senders that could not know of the outage.
 
 use super::returns::Return;
 use super::{Findings, Margin, Table};
--- a/crates/rehearsal/src/judge/drains.rs
+++ b/crates/rehearsal/src/judge/drains.rs
@@ -1,5 +1,5 @@
-//! Rule 3: a sender starts no call to an endpoint that the directory reported as draining or gone,
-//! once the drain grace after the report has passed.
+//! Rule 3: a sender starts no call to an endpoint that the directory reported as draining or gone.
+//! Calls are still allowed until the drain grace after the directory's report has passed.
 
 use super::{Findings, Margin, SOCKET_ALLOWANCE_US, Table};
 use crate::history::EndpointStatus;
--- a/crates/rehearsal/src/judge/even.rs
+++ b/crates/rehearsal/src/judge/even.rs
@@ -1,8 +1,8 @@
 //! Evenness: how evenly the calls of all senders are spread over a receiver's endpoints.
 //!
-//! The measure is the index of dispersion: the variance of the calls per endpoint, over that of random choices.
-//! The index is the chi-squared statistic over its degrees of freedom (Fisher, "Statistical Methods for Research
-//! Workers", 1925, section 16).
+//! The measure is the index of dispersion: the variance of calls per endpoint divided by that of random choices.
+//! The index is the chi-squared statistic divided by its degrees of freedom.
+//! See Fisher, "Statistical Methods for Research Workers", 1925, section 16.
 //! The index of dispersion is 1 on average for independent uniform choices and 0 for a perfect round-robin.
 //! The index grows when many senders choose alike.
 
@@ -43,13 +43,14 @@
     pub endpoints: usize,
     /// Evenness over windows of each length in [`WINDOWS_US`].
     pub spreads: Vec<Spread>,
-    /// Longest time between two calls of one endpoint, counting only the time in which another endpoint queued
-    /// with two or more calls in flight.
+    /// Longest time for which an endpoint was idle between calls while another endpoint queued.
+    /// An endpoint queues while it has two or more calls in flight.
     pub longest_idle: Micros,
 }
 
-/// When the endpoint list had an endpoint: from the first notification to any sender that the endpoint is ready,
-/// until the first notification to any sender that the endpoint drains or is gone.
+/// Start and end of the time in which the endpoint list had an endpoint as ready.
+/// The time starts with the first notification to any sender that the endpoint is ready.
+/// The time ends with the first notification to any sender that the endpoint drains or is gone.
 type Listed = (Micros, Micros);
 
 /// Returns the evenness of each receiver with at least two endpoints, in order of the receivers' numbers.
@@ -141,7 +142,7 @@
 }
 
 /// Returns the longest time for which an endpoint was idle while another endpoint queued.
-/// For each endpoint, this adds up the time since its last call in which another endpoint queues.
+/// Since an endpoint's last call, only the periods in which another endpoint queues are added up.
 fn longest_idle(calls: &[(Micros, Micros, usize)], endpoints: usize) -> Micros {
     // Ends of calls are sorted before starts with equal times: a call that has ended no longer queues.
     let ends = calls.iter().map(|(_, end, index)| (*end, 0, *index));
--- a/crates/rehearsal/src/judge/lost.rs
+++ b/crates/rehearsal/src/judge/lost.rs
@@ -33,7 +33,7 @@
         let overdue = |t: Micros| {
             t > limit
                 && table.away_at(message.sender, limit, RESTART_GRACE_US).is_none_or(|a| {
-                    // A sender that was unavailable at the limit gets the restart grace once it is ready again.
+                    // A sender that was unavailable at the notice's time limit gets the restart grace when ready.
                     a.ready.is_some_and(|r| t > r + RESTART_GRACE_US + SOCKET_ALLOWANCE_US)
                 })
         };
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -31,8 +31,8 @@
 pub const SOCKET_ALLOWANCE_US: Micros = 50_000;
 /// Maximum number of violations that are reported with their evidence for each rule; further ones are only counted.
 pub const MAX_REPORTED_VIOLATIONS: usize = 10;
-/// Limit on the 99th percentile of the clients' lag behind the load plan, above which the run is void:
-/// if clients lag further behind, the run has measured the rig and not the senders.
+/// Limit on the 99th percentile of the clients' lag behind the load plan, above which the run is void.
+/// If clients lag further behind, the run has measured the rig and not the senders.
 pub const MAX_LATE_P99_US: Micros = 50_000;
 /// Limit on a stall of the rig's event loop: a single longer stall makes the run void.
 pub const MAX_STALL_US: Micros = 250_000;
@@ -282,7 +282,7 @@
     }
 }
 
-/// Key values of one return from an outage.
+/// Summary of a receiver's return from an outage: load, and time until deliveries are back to normal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReturnSummary {
     /// Number of the receiver that returned.
--- a/crates/rehearsal/src/judge/order.rs
+++ b/crates/rehearsal/src/judge/order.rs
@@ -27,8 +27,8 @@
     for list in keys.values() {
         for later in list {
             let Some((first, ..)) = table.attempts(later).next() else { continue };
-            // Only messages that were accepted before the client sent the later message count as earlier:
-            // of two messages that awaited their replies at once, the sender may have accepted either one first.
+            // A message counts as earlier only if it was accepted before the client sent the later message.
+            // Of two messages that awaited their replies at once, the sender may have accepted either message first.
             let earlier = list.iter().filter(|message| message.accepted().is_some_and(|t| t < later.offered));
             let mut tested = false;
             for before in earlier {
@@ -54,8 +54,8 @@
     found
 }
 
-/// Checks that the settle time passed before the key's next message was sent,
-/// if an attempt of the previous message ended by a time-out, reset or cancellation.
+/// Checks that the settle time passed before the next message of an order key was sent.
+/// The check applies if an attempt of the previous message ended by a time-out, reset or cancellation.
 fn check_settle_time(table: &Table, before: &Message, later: &Message, found: &mut Findings) {
     let settle = table.class(before).map_or(0, |c| c.order_settle);
     let Some((first, ..)) = table.attempts(later).next() else { return };
--- a/crates/rehearsal/src/judge/returns.rs
+++ b/crates/rehearsal/src/judge/returns.rs
@@ -14,11 +14,11 @@
 /// Result of a call or probe that arrived at a returning receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArrivalEnd {
-    /// The arrival delivered at least one message, or the probe succeeded.
+    /// The call delivered at least one message, or the health probe succeeded.
     Delivered,
     /// The receiver rejected the call or probe without processing it.
     Rejected,
-    /// The call or probe failed, or the history has no end of it.
+    /// The call or probe failed, or the history does not record how it ended.
     Failed,
 }
 
@@ -66,7 +66,7 @@
     pub receiver: i64,
     /// Name of the route that returned, if the receiver has separate routes.
     pub route: Option<String>,
-    /// Share of the receiver's capacity that returned: 1, or one route's share of it.
+    /// Share of the receiver's capacity that returned: 1, or the share of the one route that returned.
     pub part: f64,
     /// When the outage began.
     pub down_at: Micros,
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Length of the windows among which the one with the lowest share of worth is found.
+/// Length of the windows that are compared to find the window with the lowest share of worth.
 const WINDOW_US: Micros = 10_000_000;
 /// Time between the starts of successive windows for the worst window.
 const WINDOW_STEP_US: Micros = 1_000_000;
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -139,8 +139,8 @@
     }
 }
 
-/// The unit with one limit, one wait and one outage.
-/// It is the receiver's number, and the endpoint's name if routes are separate (see [`Receiver::separate_routes`]).
+/// Lane: the unit to which a rate limit, an advertised wait or an outage applies as a whole.
+/// A lane is a receiver's number, and an endpoint's name if routes are separate (see [`Receiver::separate_routes`]).
 pub type Lane = (i64, Option<String>);
 /// Start and end of an outage; the end is `None` while the outage lasts.
 pub type Outage = (Micros, Option<Micros>);
@@ -481,7 +481,7 @@
         })
     }
 
-    /// Returns when a message was delivered: its answer was written, and its client had the reply `+OK`.
+    /// Returns when a message was delivered: the receiver's answer was written, and the client had the reply `+OK`.
     pub fn delivered(&self, message: &Message) -> Option<Micros> {
         let taken = message.accepted()?;
         let done = self.attempts(message).filter(|(_, _, outcome)| *outcome == Attempt::Delivered);
--- a/crates/rehearsal/src/judge/twice.rs
+++ b/crates/rehearsal/src/judge/twice.rs
@@ -26,7 +26,7 @@
     let mut ends: Vec<Option<Micros>> = Vec::new();
     for (n, (call, known_at, outcome)) in table.attempts(message).enumerate() {
         let endpoint = Some(call.endpoint.as_str());
-        // A sender may send a message again as soon as it has given up a call.
+        // A sender may send a message again as soon as it has given up the call that carried the message.
         // The receiver may see the new call before the end of the given-up call, hence the allowance.
         let in_flight = ends.iter().any(|ended| ended.is_none_or(|t| t > call.t + SOCKET_ALLOWANCE_US));
         if in_flight && !table.parameters.rules.second_copies {
@@ -106,7 +106,7 @@
         list.sort_by_key(|(t, _)| *t);
         let (t, message) = list[1];
         let first = list[0].0;
-        // Repeats within the key's window are not counted here: the receiver remembered the key and dropped them.
+        // Repeated deliveries within the key's window don't count: the receiver remembered the key and dropped them.
         let what = format!("it took effect {} times, {} ms apart", list.len(), (t - first) / 1000);
         found.violation(t, Some(&message.id), None, what);
     }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,4 +1,4 @@
-//! # embershore-rehearsal
+//! # embershore-rehearsal: runs a sender against simulated outside parties and judges its delivery
 //!
 //! Rehearses a scenario with stand-ins for all outside parties.
 //! [`scenario`] parses the file in which an operator describes a rehearsal. [`plan`] derives the clients' messages.
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -45,7 +45,8 @@
     pub service: [f64; 3],
     /// Highest load on a returning receiver as a share of its overload limit: mean and maximum over the runs.
     pub share_of_fall: [f64; 2],
-    /// Mean seconds from a return to half, and to nine tenths, of the usual load; `None` if a return never reached it.
+    /// Mean seconds from a return until deliveries reached half, and nine tenths, of their usual number.
+    /// A value is `None` if there was no return, or if a return never reached that number.
     pub back: [Option<f64>; 2],
     /// Shares of messages that were delivered late, finally refused, and failed.
     pub late_refused_failed: [f64; 3],
@@ -54,15 +55,15 @@
     /// Calls refused by receivers per message.
     pub refused_calls: f64,
     /// Evenness of calls over endpoints for the worst receiver in windows of 10 s, as the mean over the runs.
-    /// Its values are the calls of the busiest endpoint over the mean, the idlest endpoint's calls over the mean,
-    /// and the variance over that of random choices.
+    /// The first two values are the calls of the busiest and of the idlest endpoint, divided by the endpoints' mean.
+    /// The third value is the variance of calls per endpoint, divided by the variance of random choices.
     /// The values are `None` if no receiver has enough endpoints and calls to compute the evenness.
     #[serde(default)]
     pub uneven: [Option<f64>; 3],
     /// Median and 90th percentile of the latency in ms; each percentile is the mean over the runs.
     #[serde(default)]
     pub latency_ms: [f64; 2],
-    /// Worst value, by rule, that any run came to in relation to the rule's limit, in the unit of the rule's margin.
+    /// Worst value of each rule's safety margin over all runs, by rule, in the unit of the margin.
     pub margins: BTreeMap<String, f64>,
 }
 
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -366,8 +366,9 @@
     }
 }
 
-/// Writes for each receiver how evenly calls were spread over its endpoints. For each window length, these are
-/// the calls of the busiest and the idlest endpoint over the mean, and the variance over that of random choices.
+/// Writes for each receiver how evenly calls were spread over its endpoints, with three values per window length.
+/// The first two values are the calls of the busiest and of the idlest endpoint, divided by the endpoints' mean.
+/// The third value is the variance of calls per endpoint, divided by the variance of random choices.
 fn write_evenness(out: &mut String, all: &[Evenness]) -> std::fmt::Result {
     if all.is_empty() {
         return Ok(());
--- a/crates/rehearsal/src/rig/clients.rs
+++ b/crates/rehearsal/src/rig/clients.rs
@@ -126,7 +126,8 @@
 
     fn retry_wait(&self, message: &ClientMessage, advertised_ms: Option<u64>) -> Micros {
         let behaviour = &self.world.scenario.clients;
-        // The load plan's random number decides, so that the same clients observe waits in every rehearsal.
+        // The message's random number in the load plan decides whether its client observes an advertised wait.
+        // The same clients therefore observe waits in every rehearsal.
         let observes_waits = f64::from(message.planned.client_draw) < behaviour.honour;
         match advertised_ms.and_then(|ms| i64::try_from(ms).ok()).filter(|_| observes_waits) {
             Some(ms) => ms.saturating_mul(1000).min(crate::span::MAX_SPAN_US),
--- a/crates/rehearsal/src/rig/receivers/keys.rs
+++ b/crates/rehearsal/src/rig/receivers/keys.rs
@@ -12,7 +12,8 @@
 
 impl Receiver {
     /// Returns whether a message's key is remembered, so that the message takes no effect; if not, remembers the key.
-    /// Must be called when the call arrives: the key's window starts then, and keys of queued messages count too.
+    /// Must be called when the call arrives: the key's window starts then.
+    /// Keys of messages that still wait in the endpoint's queue are remembered too.
     pub(super) fn remember_key(&self, t: Micros, item: &Item) -> bool {
         let Some(key) = item.key.as_ref().filter(|_| self.spec.key_memory > 0) else { return false };
         let mut keys = self.keys.borrow_mut();
--- a/crates/rehearsal/src/rig/receivers/load.rs
+++ b/crates/rehearsal/src/rig/receivers/load.rs
@@ -96,7 +96,8 @@
             lane.window.1 += 1.0;
             return Ok(());
         }
-        // The bucket holds one second's calls. Refused calls use tokens too, down to a deficit of one second's calls.
+        // The rate limit's token bucket holds the calls of one second.
+        // Refused calls use tokens too, down to a deficit of the calls of one second.
         let (left, since) = lane.bucket;
         let refilled = if since == 0 { max_calls } else { left + max_calls * (t - since) as f64 / 1e6 };
         let tokens = refilled.min(max_calls.max(1.0)) - 1.0;
--- a/crates/rehearsal/src/rig/receivers/request.rs
+++ b/crates/rehearsal/src/rig/receivers/request.rs
@@ -51,7 +51,8 @@
     Status(u16, Option<Micros>),
 }
 
-/// Records on drop that a call's connection ended without an answer. `by` is `None` once the call is answered.
+/// Records on drop that a call's connection ended without an answer, and which side closed it.
+/// `by` is `None` once the call is answered, and nothing is recorded.
 struct Unanswered {
     world: Rc<World>,
     call: u64,
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -427,8 +427,8 @@
     }
 }
 
-/// Makes a sender's configuration invalid with a negative deadline, and changes the directory and the class names:
-/// a sender that wrongly applied a part of the invalid configuration could not continue.
+/// Makes a sender's configuration invalid with a negative deadline, and changes the directory and the class names.
+/// A sender that wrongly applied a part of the invalid configuration could not continue.
 fn invalid_config(config: &mut Value) {
     config["discovery"] = json!("127.0.0.1:9");
     for class in config["settings"]["Profiles"].as_array_mut().into_iter().flatten() {
@@ -437,8 +437,8 @@
     }
 }
 
-/// Reserves a port on loopback with a socket that is bound but does not listen,
-/// so that each process of the sender can listen on the reserved port.
+/// Reserves a port on loopback with a socket that is bound but does not listen.
+/// Each process of the sender can then listen on the reserved port.
 fn reserve_port() -> std::io::Result<(SocketAddr, TcpSocket)> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
--- a/crates/rehearsal/src/scenario/kind.rs
+++ b/crates/rehearsal/src/scenario/kind.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
-/// Maximum of a kind's `batch`.
+/// Maximum value of the setting `batch` (messages per call) in a `[[kind]]` table.
 const MAX_BATCH: u32 = 100;
 
 /// A kind of receiver, as a `[[kind]]` table defines it.
--- a/crates/rehearsal/src/scenario/receiver.rs
+++ b/crates/rehearsal/src/scenario/receiver.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeSet;
 use toml::Spanned;
 
-/// Maximum number of endpoints of a scenario: each endpoint needs one socket per sender,
-/// within the usual limit on descriptors.
+/// Maximum number of endpoints of a scenario.
+/// Each endpoint needs one socket per sender, and all sockets must fit in the usual limit on descriptors.
 pub const MAX_ENDPOINTS: usize = 4096;
 
 /// Log-normal distribution of a receiver's time per message, given by its median and 99th percentile.
--- a/crates/rehearsal/src/scenario/settings.rs
+++ b/crates/rehearsal/src/scenario/settings.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// Maximum of a client's `retries`.
+/// Maximum value of the setting `retries` in the `[clients]` table.
 const MAX_RETRIES: u32 = 10;
 
 /// Checks the `[clients]` table, the behaviour of the clients.
--- a/crates/rehearsal/tests/matrix.rs
+++ b/crates/rehearsal/tests/matrix.rs
@@ -7,7 +7,7 @@
 use embershore_rehearsal::report::{Report, from_records};
 use std::collections::BTreeMap;
 
-/// Returns the report of a run with ten messages, of which it delivered `delivered` and refused the others.
+/// Returns the report of a run with ten messages: `delivered` are delivered and the others are refused.
 /// The rig's timers lag by `lag_ms`.
 fn run(delivered: usize, lag_ms: i64) -> Report {
     let mut h = History::new();
--- a/crates/rehearsal/tests/properties.rs
+++ b/crates/rehearsal/tests/properties.rs
@@ -7,7 +7,7 @@
 use embershore_rehearsal::parameters::Receiver;
 use proptest::prelude::*;
 
-/// One event in a random history of a message. It comes with the milliseconds since the previous event.
+/// One event in a random history of a message, with the milliseconds since the previous event.
 #[derive(Clone, Debug)]
 enum Step {
     Accepted(usize, usize),
