--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -129,7 +129,7 @@
 /// Encodes a frame, including its length.
 ///
 /// # Errors
-/// When the encoded payload is longer than [`MAX_FRAME_BYTES`].
+/// Returns an error when the encoded payload is longer than [`MAX_FRAME_BYTES`].
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, FrameError> {
     let mut bytes = postcard::to_extend(frame, vec![0; 4]).map_err(|_| FrameError::Malformed)?;
     let length = bytes.len() - 4;
@@ -151,7 +151,7 @@
     /// Returns the next complete frame, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// When the frame is too long or malformed.
+    /// Returns an error when the frame is too long or malformed.
     /// An excessive length is rejected as soon as it is read, so that no memory is reserved for the payload.
     pub fn decode(&mut self) -> Result<Option<Frame>, FrameError> {
         let Some(length) = self.buf.first_chunk::<4>().map(|b| u32::from_le_bytes(*b) as usize) else {
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,7 +1,8 @@
-//! # embershore-handover
+//! # embershore-handover: replacement of a sender's process without interruption
 //!
-//! Replaces a sender's process by another one without interrupting service. Both processes exist for a while and act
-//! as one sender. The journal has one writer at any time, and one process is responsible for each message.
+//! Replaces a sender's process by another one without interrupting service.
+//! Both processes exist for a while and act as one sender.
+//! The journal has one writer at any time, and one process is responsible for each message.
 //! A call in flight stays with the process that started it, which reports the outcome to the other process.
 //!
 //! The process that holds the lock on the journal's folder owns the journal; nothing else decides the ownership.
--- a/crates/handover/tests/handover.rs
+++ b/crates/handover/tests/handover.rs
@@ -1,5 +1,6 @@
-//! Tests of the state machines of owner and successor, with the lock. At most one side owns the journal,
-//! whichever frames are lost, late or out of order, and one side owns the journal once the faults have ended.
+//! Tests of the state machines of owner and successor, with the lock.
+//! At most one side owns the journal, whichever frames are lost, late or out of order.
+//! Once the faults have ended, one side owns the journal.
 
 use embershore_handover::*;
 use heronroute::{MsgId, Outcome};
@@ -208,8 +209,8 @@
                 prop_assert!(world.locked_by_successor);
             }
         }
-        // After the successor has died, the owner either owns the journal again,
-        // or has retired because the successor had acquired the lock.
+        // After the successor has died, the owner either owns the journal again or has retired.
+        // The owner has retired if the successor had acquired the lock.
         for step in [5, 3, 6].into_iter().cycle().take(9) {
             world.step(step);
         }
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -41,7 +41,7 @@
     /// Reads an options file and checks it against the message classes of the daemon's settings.
     ///
     /// # Errors
-    /// When the options file can't be read, or contains any error.
+    /// Returns an error when the options file can't be read, or contains any error.
     pub fn read(path: &Path, classes: &[ClassFacts]) -> Result<Options, OptionsError> {
         let io = |error| OptionsError::Io { path: path.into(), error };
         let text = embershore_finding::read(path, MAX_FILE_BYTES, "an options file").map_err(io)?;
--- a/crates/owed/src/debt.rs
+++ b/crates/owed/src/debt.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 /// How many attempts of a debt are retained in full. A message has a few attempts, and each resend adds some.
-/// Of older attempts, only the time of the earliest that may have taken effect is retained:
-/// that time decides whether a resend could have a second effect.
+/// Of older attempts, only the time of the earliest that may have taken effect is retained.
+/// The time of that attempt decides whether a resend could have a second effect.
 pub const MAX_RETAINED_ATTEMPTS: usize = 32;
 /// The maximum number of resolutions of one debt. A higher number indicates a faulty client program.
 pub const MAX_RESOLUTIONS: usize = 16;
@@ -291,8 +291,8 @@
     /// Applies a verdict on whether the message took effect. Repeating the same verdict changes nothing.
     ///
     /// # Errors
-    /// When no attempt may have taken effect, when the message is in flight or settled,
-    /// when the debt has too many resolutions, or when the verdict's author or justification is empty.
+    /// Returns an error when no attempt may have taken effect, or when the message is in flight or settled.
+    /// Returns an error when the debt has too many resolutions, or when the verdict's author or justification is empty.
     pub fn resolve(
         &mut self,
         verdict: Verdict,
--- a/crates/owed/src/pace.rs
+++ b/crates/owed/src/pace.rs
@@ -70,10 +70,10 @@
     }
 
     /// Returns whether a receiver has been healthy for at least `healthy_for`.
-    /// A receiver whose last call failed, or that had no call, counts as healthy after `healthy_for` without calls:
-    /// without that rule, a receiver that gets no fresh messages would never get a resend.
-    /// A resend to a receiver whose last call failed, or that had no call, restarts that wait:
-    /// the receiver's debts are tried one by one and not all at once.
+    /// A receiver whose last call failed, or that had no call, counts as healthy after `healthy_for` without calls.
+    /// Otherwise, a receiver that gets no fresh messages would never get a resend.
+    /// A resend to a receiver whose last call failed, or that had no call, restarts the wait of `healthy_for`.
+    /// The debts of such a receiver are therefore tried one by one and not all at once.
     pub fn is_healthy(&self, dest: i64, healthy_for: Micros, now: Micros) -> bool {
         match self.receivers.get(&dest) {
             Some(Receiver { healthy_since: Some(since), .. }) => now - since >= healthy_for,
--- a/crates/owed/src/plan.rs
+++ b/crates/owed/src/plan.rs
@@ -12,9 +12,9 @@
 use crate::rules::{ExpiryAction, Rule, Rules};
 use heronroute::{Effect, Micros};
 
-/// A keyed message may be repeated only within this fraction of the time for which a receiver remembers the key:
-/// a later repeat may arrive after the receiver has forgotten the key.
-/// The decision module limits its own repeats of keyed messages to the same fraction of that time.
+/// A keyed message may be repeated only within this fraction of the time for which a receiver remembers the key.
+/// A later repeat may arrive after the receiver has forgotten the key.
+/// The decision module limits its own repeats of keyed messages to the same fraction of the receiver's time.
 const REPEAT_WINDOW_SHARE: f64 = 0.45;
 
 /// The settings of a message class that matter for resends.
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -191,7 +191,7 @@
     /// Parses and checks the text of a section, without the rest of the options file.
     ///
     /// # Errors
-    /// When the text can't be parsed, or the check of the rules finds any error.
+    /// Returns an error when the text can't be parsed, or the check of the rules finds any error.
     pub fn parse(text: &str, classes: &[ClassFacts]) -> Result<Rules, RulesError> {
         let section: Section = toml::from_str(text).map_err(|e| RulesError::Unreadable(e.to_string()))?;
         section.check(classes).map_err(RulesError::Invalid)
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -210,11 +210,11 @@
 }
 
 impl Store {
-    /// Opens the store in the file `path`, or creates the file. A new file is renamed to `path` only when complete:
-    /// a file that a killed process left incomplete could not be opened.
+    /// Opens the store in the file `path`, or creates the file. A new file is renamed to `path` only when complete.
+    /// An incomplete file at `path`, left by a killed process, could not be opened.
     ///
     /// # Errors
-    /// When the file can't be opened, was written by a later release, or is not a store.
+    /// Returns an error when the file can't be opened, was written by a later release, or is not a store.
     pub fn open(path: &Path, max_bytes: u64) -> Result<Store, StoreError> {
         let new = path.with_extension("new");
         if let Err(e) = std::fs::remove_file(&new)
@@ -250,11 +250,12 @@
         Ok(Store { db, max_live_bytes: max_bytes.saturating_sub(EMPTY_FILE_BYTES) / FILE_SIZE_FACTOR })
     }
 
-    /// Stores the debt of a message and syncs it to disk. A message that is already owed is left unchanged:
-    /// after an interrupted transfer into the store, the next start of the sender repeats the transfer.
+    /// Stores the debt of a message and syncs it to disk. A message that is already owed is left unchanged.
+    /// Repeats occur: after an interrupted transfer into the store, the next start of the sender repeats the transfer.
     ///
     /// # Errors
-    /// When the store has no room for the debt, or the disk fails. In both cases the message is not stored.
+    /// Returns an error when the store has no room for the debt, or the disk fails.
+    /// In both cases the message is not stored.
     pub fn insert(&self, debt: &Debt, due: Option<Micros>) -> Result<Inserted, StoreError> {
         let transaction = self.db.begin_write()?;
         let inserted = self.insert_in(&transaction, debt, due)?;
@@ -266,7 +267,7 @@
     /// If the store has no room for one of the debts, the others are still stored.
     ///
     /// # Errors
-    /// When the disk fails. In this case none of the debts is stored.
+    /// Returns an error when the disk fails. In this case none of the debts is stored.
     pub fn insert_all<'a>(
         &self,
         debts: impl IntoIterator<Item = (&'a Debt, Option<Micros>)>,
@@ -307,7 +308,7 @@
     /// Replaces a stored debt and syncs it to disk. The receiver, class, reason and body must not change.
     ///
     /// # Errors
-    /// When no debt has this number, or the disk fails. In both cases the store is unchanged.
+    /// Returns an error when no debt has this number, or the disk fails. In both cases the store is unchanged.
     pub fn update(&self, id: DebtId, debt: &Debt, due: Option<Micros>) -> Result<(), StoreError> {
         let transaction = self.db.begin_write()?;
         let before = self.row(&transaction, id.0)?;
@@ -319,7 +320,7 @@
     /// Removes a debt from the store, with its index entries.
     ///
     /// # Errors
-    /// When no debt has this number, or the disk fails. In both cases the store is unchanged.
+    /// Returns an error when no debt has this number, or the disk fails. In both cases the store is unchanged.
     pub fn remove(&self, id: DebtId) -> Result<(), StoreError> {
         let transaction = self.db.begin_write()?;
         let StoredRow { row, length } = self.row(&transaction, id.0)?;
@@ -396,7 +397,7 @@
     /// Returns a debt, with its body if `with_body` is set.
     ///
     /// # Errors
-    /// When no debt has this number, or the debt can't be read.
+    /// Returns an error when no debt has this number, or the debt can't be read.
     pub fn get(&self, id: DebtId, with_body: bool) -> Result<Debt, StoreError> {
         let r = self.db.begin_read()?;
         let debts = r.open_table(DEBTS)?;
@@ -414,7 +415,7 @@
     /// Returns the number of a message's debt; `None` if the message is not owed.
     ///
     /// # Errors
-    /// When the disk fails.
+    /// Returns an error when the disk fails.
     pub fn find(&self, request_id: &str) -> Result<Option<DebtId>, StoreError> {
         let requests = self.db.begin_read()?.open_table(REQUESTS)?;
         Ok(requests.get(request_id)?.map(|n| DebtId(n.value())))
@@ -423,7 +424,7 @@
     /// Returns at most `limit` debts that are due, earliest first.
     ///
     /// # Errors
-    /// When the disk fails.
+    /// Returns an error when the disk fails.
     pub fn due(&self, now: Micros, limit: usize) -> Result<Vec<DebtId>, StoreError> {
         let dues = self.db.begin_read()?.open_table(DUE)?;
         let mut list = Vec::new();
@@ -437,7 +438,7 @@
     /// Debts that can't be read are returned separately, as errors.
     ///
     /// # Errors
-    /// When the disk fails.
+    /// Returns an error when the disk fails.
     pub fn list(&self, filter: &Filter, limit: usize) -> Result<DebtList, StoreError> {
         let r = self.db.begin_read()?;
         let (facets, debts) = (r.open_table(FACETS)?, r.open_table(DEBTS)?);
@@ -477,7 +478,7 @@
     /// The cost of counting depends on the number of such combinations, not on the number of debts.
     ///
     /// # Errors
-    /// When the disk fails.
+    /// Returns an error when the disk fails.
     pub fn counts(&self) -> Result<Vec<Count>, StoreError> {
         let counts = self.db.begin_read()?.open_table(COUNTS)?;
         let mut list = Vec::new();
@@ -494,7 +495,7 @@
     /// Returns the number of live bytes in the store, and the maximum number of live bytes.
     ///
     /// # Errors
-    /// When the disk fails.
+    /// Returns an error when the disk fails.
     pub fn usage(&self) -> Result<(u64, u64), StoreError> {
         let meta = self.db.begin_read()?.open_table(META)?;
         Ok((meta.get("live")?.map_or(0, |n| n.value()), self.max_live_bytes))
--- a/crates/owed/tests/common/mod.rs
+++ b/crates/owed/tests/common/mod.rs
@@ -75,8 +75,8 @@
         FaultyDisk(Arc::new(Mutex::new(Disk { synced, written, ..Disk::default() })))
     }
 
-    /// Returns the disk after a power failure: with all synced writes,
-    /// and with those unsynced writes that the bits of the seed select.
+    /// Returns the disk after a power failure, which preserves all synced writes.
+    /// Of the unsynced writes, the power failure preserves those that the bits of the seed select.
     pub fn after_power_failure(&self, seed: u64) -> FaultyDisk {
         let disk = self.disk();
         let mut bytes = disk.synced.clone();
--- a/crates/owed/tests/plan.rs
+++ b/crates/owed/tests/plan.rs
@@ -159,9 +159,9 @@
 enum Act {
     Wait(Micros),
     Send,
-    /// The resend in flight has this outcome; the flag tells whether the receiver executes the message.
+    /// The resend in flight has this outcome; the flag tells whether the message takes effect at the receiver.
     End(AttemptOutcome, bool),
-    /// The sender's process dies; the flag tells whether the receiver executes the resend in flight.
+    /// The sender's process dies; the flag tells whether the resend in flight takes effect at the receiver.
     Crash(bool),
     Rules(usize),
     /// An operator gives the verdict that the receiver's ledger shows.
@@ -184,8 +184,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2000) })]
 
-    /// In any order of resends, outcomes, crashes, rule changes, clock changes and true verdicts, an unsafe message
-    /// takes effect at most once, a keyed one is repeated only while its key is remembered, and no debt is lost.
+    /// Tests any order of resends, outcomes, crashes, rule changes, clock changes and true verdicts.
+    /// An unsafe message takes effect at most once, and no debt is lost.
+    /// A keyed message is repeated only while the receiver remembers its key.
     #[test]
     fn never_a_second_effect(class in 0usize..3, acts in prop::collection::vec(act(), 1..60)) {
         let classes = classes();
@@ -240,8 +241,9 @@
                 }
                 _ => {}
             }
-            // The sender measures by its own clock how long a key is remembered. If that clock is set back unnoticed
-            // and catches up again, a keyed message can take effect twice. This test does not check that case.
+            // The sender measures by its own clock how long a receiver remembers a key.
+            // If the sender's clock is set back unnoticed and catches up again, a keyed message can take effect twice.
+            // This test does not check the case of such an unnoticed clock change.
             if classes[class].effect == Effect::Unsafe || !set_back {
                 prop_assert!(effects <= 1, "it took effect {effects} times: {owed:?}");
             }
--- a/crates/owed/tests/store.rs
+++ b/crates/owed/tests/store.rs
@@ -53,8 +53,8 @@
     completed
 }
 
-/// Checks that the disk holds the results of all completed operations,
-/// and of the interrupted operation either the complete result or none of it.
+/// Checks that the disk holds the results of all completed operations.
+/// Also checks that the disk holds either the complete result of the interrupted operation or none of it.
 fn check_store(disk: FaultyDisk, completed: &Completed, case: &str) {
     let store =
         Store::with_backend(disk, 64 * MB).unwrap_or_else(|e| panic!("{case}: it does not open: {e}"));
--- a/crates/peer/src/fleet.rs
+++ b/crates/peer/src/fleet.rs
@@ -46,7 +46,7 @@
     /// Validates a member list and creates the fleet from it.
     ///
     /// # Errors
-    /// When the list is empty or too long, or when a name or address is invalid or used twice.
+    /// Returns an error when the list is empty or too long, or when a name or address is invalid or used twice.
     pub fn new(list: impl IntoIterator<Item = (String, SocketAddr)>) -> Result<Fleet, FleetError> {
         let mut members = BTreeMap::new();
         let mut addresses: BTreeMap<SocketAddr, String> = BTreeMap::new();
@@ -72,7 +72,7 @@
     /// All addresses may change, but at most one name may be added or removed at a time.
     ///
     /// # Errors
-    /// When more than one member is added or removed, or the member itself is not on the new list.
+    /// Returns an error when more than one member is added or removed, or the member itself is not on the new list.
     pub fn check_change(&self, next: &Fleet, own_name: &str) -> Result<(), FleetError> {
         next.require(own_name)?;
         let removed = self.members.keys().filter(|name| !next.contains(name)).count();
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,7 @@
-//! # embershore-peer
+//! # embershore-peer: membership and failure detection among senders
 //!
-//! Tracks which senders of the fleet are alive, suspected or down,
-//! and whether a majority of the agreed member list is reachable. The crate does no I/O.
+//! Tracks which senders of the fleet are alive, suspected or down.
+//! Also tracks whether a majority of the agreed member list is reachable. The crate does no I/O.
 //! [`Peers`] takes received datagrams and the current time.
 //! [`Peers`] returns datagrams to send, and the time by which it must be called next.
 //!
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -9,8 +9,8 @@
 /// The maximum incarnation number of a valid record.
 /// No process restarts this often, and a malformed record with a higher number could never be replaced by a valid one.
 const MAX_INCARNATION: u64 = 1 << 40;
-/// The maximum revision of a valid record. No process changes its record this often,
-/// and a malformed record with a higher revision could never be replaced by a valid record.
+/// The maximum revision of a valid record. No process changes its record this often.
+/// A malformed record with a higher revision could never be replaced by a valid record.
 const MAX_REVISION: u32 = 1 << 24;
 
 /// The status of a member's process, as shown on all of its interfaces.
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -27,12 +27,13 @@
 const ANNOUNCE_INTERVAL_US: Micros = 1_000_000;
 /// The maximum number of requests to join that are sent in each [`ANNOUNCE_INTERVAL_US`].
 const ANNOUNCES_PER_INTERVAL: usize = 3;
-/// A majority counts as reachable only if at least this many members, including this one,
-/// or all members of a smaller majority, have sent this member a datagram within [`Times::recent_window`].
+/// Minimum number of recently seen members, including this one, with which a majority counts as reachable.
+/// In a fleet whose majority is smaller than this number, the minimum is the size of the majority.
+/// A member is recently seen if this member received a datagram from it within [`Times::recent_window`].
 /// A member receives datagrams from the members that it probes and from those that probe it, at least two a second.
 const MIN_RECENT_MEMBERS: usize = 6;
-/// A process that must refute reports of its own death this often within [`Times::recent_window`] is displaced:
-/// the fleet has accepted another process of the same name.
+/// A process that must refute reports of its own death this often within [`Times::recent_window`] is displaced.
+/// A displaced process is one in whose place the fleet has accepted another process of the same name.
 const DISPLACING_REFUTATIONS: usize = 3;
 /// The factor by which each member repeats updates more often than the library's default, to tolerate one-way cuts.
 const GOSSIP_FACTOR: u8 = 3;
@@ -167,7 +168,7 @@
     /// The number `seed` determines the random choice of members to probe and to send gossip to.
     ///
     /// # Errors
-    /// When the name of `own_record` is not on the agreed member list.
+    /// Returns an error when the name of `own_record` is not on the agreed member list.
     pub fn new(
         own_record: Member,
         fleet: Fleet,
@@ -211,7 +212,7 @@
     /// Replaces the fleet's agreed member list.
     ///
     /// # Errors
-    /// When more than one member is added or removed, or this member is not on the new list.
+    /// Returns an error when more than one member is added or removed, or this member is not on the new list.
     /// After an error the old member list stays in force.
     pub fn set_fleet(&mut self, fleet: Fleet) -> Result<(), FleetError> {
         self.fleet.check_change(&fleet, &self.foca.identity().name)?;
@@ -337,8 +338,8 @@
         View { others, majority, stale, displaced: self.displaced, dropped: self.dropped }
     }
 
-    /// Detects by the clock whether this process was suspended. If so, postpones pending timers by the gap,
-    /// so that no member is declared down because this suspended process did not read the member's datagrams.
+    /// Detects by the clock whether this process was suspended. If so, postpones pending timers by the gap.
+    /// Otherwise members could be declared down because this suspended process did not read their datagrams.
     fn check_for_pause(&mut self, now: Micros) {
         let gap = now - self.last_call;
         self.last_call = now;
@@ -354,9 +355,10 @@
     }
 
     /// Ends suspicions that would otherwise last forever. Only the member that raised a suspicion has a timer for it.
-    /// A suspicion that arrives late, for example from a process that was stopped, has an outdated incarnation number,
-    /// so the suspect does not refute it. If datagrams from the suspect arrived meanwhile, the suspicion is renewed
-    /// with a higher incarnation number, which makes the suspect refute it; otherwise the suspect is declared down.
+    /// A suspicion that arrives late, for example from a process that was stopped, has an outdated incarnation number.
+    /// The suspect does not refute a suspicion with an outdated incarnation number.
+    /// If datagrams from the suspect arrived meanwhile, the suspicion is renewed with a higher incarnation number.
+    /// The suspect then refutes the renewed suspicion. Without such datagrams, the suspect is declared down.
     fn renew_stuck_suspicions(&mut self, now: Micros) {
         let suspects: Vec<foca::Member<Member>> =
             self.foca.iter_members().filter(|m| m.state() == State::Suspect).cloned().collect();
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in simulated time: the protocol state of each member,
-//! and a network that delays, drops, duplicates, reorders and cuts off datagrams, in one direction or both.
+//! A fleet in simulated time, with the protocol state of each member.
+//! The simulated network delays, drops, duplicates, reorders and cuts off datagrams, in one direction or both.
 #![allow(dead_code)]
 
 use embershore_peer::*;
--- a/crates/peer/tests/fleet.rs
+++ b/crates/peer/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Tests of a fleet in simulated time: joins, crashes, restarts, network cuts in one or both directions,
-//! partitions, suspended processes, duplicate names and malformed datagrams.
+//! Tests of a fleet in simulated time: joins, crashes, restarts, and network cuts in one or both directions.
+//! Other tests cover partitions, suspended processes, duplicate names and malformed datagrams.
 
 mod common;
 use common::*;
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -33,7 +33,7 @@
     /// Seats that hold more positions than their target, in rows whose cost does not rise.
     AboveTarget,
     /// Seats that hold at least as many positions for their weight as the added seat, even after the transfer.
-    /// Such positions are taken only in rows whose cost does not rise.
+    /// Positions of such seats are taken only in rows whose cost does not rise.
     MoreLoaded,
     /// Seats that hold more than 15/16 of their target, in rows whose cost falls.
     NearTarget,
--- a/crates/placement/src/changes.rs
+++ b/crates/placement/src/changes.rs
@@ -40,9 +40,9 @@
     /// Applies `changes` to a copy of this member list and returns the copy.
     ///
     /// # Errors
-    /// Fails if the changes do not begin at this member list's epoch or do not raise it,
-    /// if one of the changes can't be applied after the changes before it,
-    /// or if the changes leave a region with fewer members than each shard has replicas.
+    /// Fails if the changes do not begin at this member list's epoch, or do not lead to a later epoch.
+    /// Fails if one of the changes can't be applied after the changes before it.
+    /// Fails if the changes leave a region with fewer members than each shard has replicas.
     pub fn apply(&self, changes: &Changes) -> Result<Self, ListError> {
         self.check_epochs(changes)?;
         let mut next = self.successor(changes.epoch);
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -6,8 +6,8 @@
 /// distinct zones, and the shards of a lost zone go to seats in proportion to the seats' quotas.
 pub(crate) const SPARES: usize = 2;
 
-/// Maximum number of seats in a table row. Shorter rows are filled up with [`EMPTY`],
-/// because a fixed row length lets the compiler unroll the hottest loops.
+/// Maximum number of seats in a table row. Shorter rows are filled up with [`EMPTY`].
+/// A fixed row length lets the compiler unroll the hottest loops.
 pub(crate) const ROW_LENGTH: usize = MAX_REPLICAS + SPARES;
 
 /// Marks a position that no seat holds: the region has fewer seats than a row has positions, or the row is shorter.
@@ -18,8 +18,8 @@
 /// Cost that two seats of a row add to the row's cost if they share a zone. The cost of a shared rack is added.
 const SHARED_ZONE_COST: u32 = 1 << 3;
 
-/// Weight of a pair of owners in a row's cost. One pair of owners outweighs all pairs with a spare:
-/// a row has at most 15 pairs of seats, of which at most six are pairs of owners.
+/// Weight of a pair of owners in a row's cost. One pair of owners outweighs all pairs with a spare.
+/// A row has at most 15 pairs of seats, of which at most six are pairs of owners.
 const OWNER_PAIR_WEIGHT: u32 = 1 << 8;
 /// Weight in a row's cost of a pair of seats of which at least one is a spare.
 const OTHER_PAIR_WEIGHT: u32 = 1;
@@ -97,8 +97,8 @@
         cost
     }
 
-    /// Returns the lowest cost that a row can have in a region with this number of zones:
-    /// the minimum over all assignments of the row's seats to zones, in distinct racks.
+    /// Returns the lowest cost that a row can have in a region with this number of zones.
+    /// The cost is the minimum over all assignments of the row's seats to zones, in distinct racks.
     pub(crate) fn min_cost(&self, zones: usize) -> u32 {
         let zones = zones.clamp(1, self.positions) as u32;
         let assignments = zones.pow(self.positions as u32);
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -1,5 +1,5 @@
-//! The state machine of one forwarded request:
-//! which owner the request is sent to next, the timeouts of each owner, and the reply to the client.
+//! The state machine of one forwarded request.
+//! The machine decides which owner the request is sent to next, each owner's timeouts, and the reply to the client.
 //!
 //! The machine does no I/O. It returns [`Step::Send`], is given the [`ForwardOutcome`], and ends with [`Step::Reply`].
 //! Main rule: a request that one owner may have accepted is sent to another owner only if a repeat does no harm.
@@ -19,8 +19,8 @@
 use crate::SeatId;
 use heronroute::{Effect, Micros};
 
-/// The shortest time in which an owner may be expected to answer. With less time left, no further owner is tried:
-/// on a loaded machine the owner's answer would arrive too late, and the outcome would be unknown unnecessarily.
+/// The shortest time in which an owner may be expected to answer. With less time left, no further owner is tried.
+/// On a loaded machine the owner's answer would arrive too late, and the outcome would be unknown unnecessarily.
 pub const MIN_ANSWER_TIMEOUT_US: Micros = 20_000;
 
 /// The wait that is reported to a client, in milliseconds, if no owner reported one.
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -1,10 +1,10 @@
-//! Tracks the shards and keys that this sender has newly gained,
-//! and until when this sender must wait for the former owners to finish.
+//! Tracks the shards and keys that this sender has newly gained.
+//! Records until when this sender must wait for the former owners to finish.
 //!
-//! When an epoch changes ownership, the following are on hold for [`LeaseTimes::hold`](crate::LeaseTimes::hold)
-//! after this sender received the epoch, because another sender may still be using them:
-//! a gained shard, an order key that preferred another owner, an additional shard of a wide destination,
-//! and a larger share of a destination's limit.
+//! When an epoch changes ownership, what this sender gains is on hold, because another sender may still be using it.
+//! The hold lasts for [`LeaseTimes::hold`](crate::LeaseTimes::hold) after this sender received the epoch.
+//! On hold are gained shards, order keys that preferred another owner, additional shards of wide destinations,
+//! and larger shares of destinations' limits.
 //! Only current holds are stored, so this state is empty while ownership does not change.
 
 use std::collections::BTreeMap;
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -4,15 +4,15 @@
 //! An answer to a request that was sent at `polled_at` renews the lease until `polled_at + lease`.
 //! The lease counts from the poll, so a delayed answer shortens the remaining lease by its delay.
 //!
-//! All times are from one monotonic clock of this process, which also advances while the process is stopped and,
-//! where the system has such a clock, while the machine sleeps (`CLOCK_BOOTTIME`).
+//! All times are from one monotonic clock of this process, which also advances while the process is stopped.
+//! If the system has the clock `CLOCK_BOOTTIME`, the time also advances while the machine sleeps.
 //! Clock readings of different machines are never compared.
 //! Clocks may advance at different rates, so the hold is longer by the fraction 1 / [`CLOCK_DRIFT_DIVISOR`].
 
 use heronroute::Micros;
 
-/// The hold on gained shards is longer by 1 / this number, because clocks advance at different rates:
-/// two clocks that are each off by up to 500 parts per million differ by at most one thousandth.
+/// The hold on gained shards is longer by 1 / this number, because clocks advance at different rates.
+/// Two clocks that are each off by up to 500 parts per million differ by at most one thousandth.
 pub const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
 /// The times that all members of a fleet must agree on, in microseconds.
@@ -20,8 +20,8 @@
 pub struct LeaseTimes {
     /// How long an answer of the control agent, counted from the poll, allows a sender to accept requests.
     pub lease: Micros,
-    /// How far a control agent may lag behind: how long the agent may still answer with an epoch
-    /// after a later epoch was first sent to any sender.
+    /// How long a control agent may still answer with an earlier epoch.
+    /// The time counts from when a later epoch was first sent to any sender.
     /// An agent that lags by more must not answer until it has caught up.
     /// The lag is 0 if the agent confirms each answer with the control service after the poll.
     pub agent_lag: Micros,
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,9 @@
 //! Decides which senders own which destinations, by means of shards, replicas, epochs and leases.
 //! The crate does no I/O; time and randomness are parameters.
 //!
-//! A destination belongs to a shard ([`shard`]), a shard to the seats that own it ([`Table::owners`]),
-//! and a seat to the member that fills it ([`MemberList::member`]). The table is a function of the member list alone.
+//! A destination belongs to a shard ([`shard`]), and a shard to the seats that own it ([`Table::owners`]).
+//! A seat belongs to the member that fills it ([`MemberList::member`]).
+//! The table of owners is a function of the member list alone.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -58,8 +58,8 @@
     pub lease: Micros,
     /// The interval between polls of a control agent, in microseconds.
     pub poll_interval: Micros,
-    /// How long, in microseconds, a control agent may still answer with an epoch after a later epoch was first sent
-    /// to any sender, see [`crate::LeaseTimes::agent_lag`].
+    /// How long a control agent may still answer with an earlier epoch, in microseconds.
+    /// The time counts from when a later epoch was first sent to any sender, see [`crate::LeaseTimes::agent_lag`].
     pub agent_lag: Micros,
     /// Maximum number of persistent connections to other members.
     pub max_owner_connections: usize,
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -1,5 +1,5 @@
-//! One sender's view of the placement: its member list, the routing of client requests to owners,
-//! and which requests this sender may accept.
+//! One sender's view of the placement: its member list, and the routing of client requests to owners.
+//! The view also decides which requests this sender may accept.
 //!
 //! # What a sender may do
 //!
@@ -9,8 +9,8 @@
 //! | lease valid | what it owns by its own epoch and is not on hold | yes | by its own table |
 //! | lease expired | nothing | yes | by its last table |
 //!
-//! The epochs of other senders do not matter:
-//! an owner decides by its own epoch, and answers busy to requests for shards that it does not own.
+//! The epochs of other senders do not matter.
+//! An owner decides by its own epoch, and answers busy to requests for shards that it does not own.
 //!
 //! # Why holds are long enough
 //!
@@ -18,10 +18,10 @@
 //! An agent answers with an earlier epoch until `t + agent_lag` at most.
 //! A lease under an earlier epoch therefore ends by `t + agent_lag + lease`.
 //! Messages accepted under that lease have their final outcome by `t + agent_lag + lease + longest_deadline`.
-//! A sender that becomes an owner in epoch `g` receives `g` at `t` or later,
-//! and puts the gained shards on hold for `agent_lag + lease + longest_deadline`.
-//! Therefore members of the owner sets of two epochs never act for one shard at the same time,
-//! except members of both sets. A sender may keep a shard without a hold only if it owned the shard
+//! A sender that becomes an owner in epoch `g` receives `g` at `t` or later.
+//! The sender puts the gained shards on hold for `agent_lag + lease + longest_deadline`.
+//! Therefore owners of a shard under two different epochs never act for the shard at the same time.
+//! Owners under both epochs are the exception. A sender may keep a shard without a hold only if it owned the shard
 //! *in each epoch* between the two epochs that the sender compares:
 //!
 //! - A change to the next epoch: the sender compares the owners under both epochs.
@@ -34,12 +34,12 @@
 //!
 //! All messages of an order key are sent to one owner, the key's preferred owner of the shard ([`crate::Request`]).
 //! There is no fallback: if the preferred owner rejects the message or can't be reached, the client is answered busy.
-//! Another owner accepts messages of the key only after an epoch makes it the preferred owner and the hold has ended;
-//! when the hold ends, each message of the key that the former owner accepted has its final outcome.
-//! The owner checks the preference itself, by its own epoch, and rejects messages that prefer another owner,
-//! so that a forwarder on an older epoch can't spread a key over two owners.
-//! The cost: if the preferred owner is down, messages of the key are rejected
-//! until an epoch without that owner has been received and the hold has ended.
+//! Another owner accepts messages of the key only after an epoch makes it the preferred owner and the hold has ended.
+//! When the hold ends, each message of the key that the former owner accepted has its final outcome.
+//! The owner checks the preference itself, by its own epoch, and rejects messages that prefer another owner.
+//! Otherwise a forwarder on an older epoch could spread a key over two owners.
+//! The cost of having no fallback: if the preferred owner is down, messages of the key are rejected.
+//! The rejections end once an epoch without that owner has been received and the hold has ended.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/placement/src/preference.rs
+++ b/crates/placement/src/preference.rs
@@ -1,12 +1,12 @@
-//! Selects which of a shard's owners a request prefers,
-//! by rendezvous hashing (Thaler and Ravishankar, 1998) over the owners.
+//! Selects which of a shard's owners a request prefers.
+//! The selection is by rendezvous hashing (Thaler and Ravishankar, 1998) over the owners.
 //!
-//! All senders must agree on the preference, whatever their versions:
-//! the preference is part of the scheme ([`crate::SCHEME`]) and pinned by a test.
+//! All senders must agree on the preference, whatever their versions.
+//! The preference is part of the placement scheme ([`crate::SCHEME`]) and pinned by a test.
 //!
 //! An ordered request is hashed by its order key, any other request by its id.
-//! The preference depends only on the set of owners, not on their order in the table. Each request ranks
-//! the owners in its own order, so that the requests that preferred a lost owner are spread over all other owners.
+//! The preference depends only on the set of owners, not on their order in the table.
+//! Each request ranks the owners in its own order, which spreads a lost owner's requests over all other owners.
 //! A key whose preferred owner remains can only move to a newly added owner.
 
 use crate::hash::{Digest, mix_pair, scale};
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -26,7 +26,7 @@
     /// Ordinals of the region's filled seats, in ascending order.
     members: Vec<u16>,
     owners: Vec<SeatId>,
-    /// Whether each row has an owner from the fallback order, which is not in its base row.
+    /// For each row, whether at least one of its owners is from the fallback order instead of the base row.
     uses_fallback: Vec<bool>,
 }
 
@@ -191,7 +191,7 @@
     }
 
     /// Selects for each missing owner the filled spare that shares the fewest domains with the row's other base owners.
-    /// Vacant base owners count too, so that vacating or filling one seat does not change which spare replaces another.
+    /// The comparison includes vacant base owners: one seat's change must not alter which spare replaces another owner.
     fn add_spares(&self, row: u32, owner_count: usize, selection: &mut OwnerSelection) {
         let (owners, spares) = self.base.row(row);
         for missing in owners.iter().filter(|&&owner| !self.is_filled(owner)) {
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Adds the first filled seats of the shard's fallback order.
+    /// Selects the first filled seats of the shard's fallback order in place of the owners that are still missing.
     fn add_fallback_seats(&self, order: FallbackOrder, owner_count: usize, selection: &mut OwnerSelection) {
         if self.members.len() > MAX_SEATS_TO_COMPARE_RANKS {
             let mut ordinals = (0..RANKS).map(|rank| order.ordinal(rank as u16));
--- a/crates/placement/src/shard.rs
+++ b/crates/placement/src/shard.rs
@@ -6,8 +6,8 @@
 /// Binary logarithm of [`SHARDS`].
 pub const SHARD_BITS: u32 = 18;
 
-/// Number of shards. With 15,000 members and two replicas each member owns about 35 shards,
-/// which keeps members' loads within 3% of the mean, and a table of all shards takes a few megabytes.
+/// Number of shards. With 15,000 members and two replicas each member owns about 35 shards.
+/// With 35 shards each, members' loads are within 3% of the mean. A table of all shards takes a few megabytes.
 pub const SHARDS: u32 = 1 << SHARD_BITS;
 
 /// Number of a shard, below [`SHARDS`]. A shard is a set of destinations that always have the same owners.
--- a/crates/placement/tests/forwarding.rs
+++ b/crates/placement/tests/forwarding.rs
@@ -123,8 +123,8 @@
 }
 
 proptest! {
-    /// Whatever the outcomes are, no owner is tried twice,
-    /// and after a possible acceptance no further owner is tried unless a repeat does no harm.
+    /// Whatever the outcomes are, no owner is tried twice.
+    /// After an owner may have accepted the request, no further owner is tried unless a repeat does no harm.
     /// The reply is sent within the budget, and is "accepted" only if an owner answered `+OK`.
     #[test]
     fn every_sequence_of_outcomes_ends_in_time_without_a_harmful_repeat(
--- a/crates/placement/tests/histories.rs
+++ b/crates/placement/tests/histories.rs
@@ -1,6 +1,6 @@
 //! Simulates a fleet under thousands of random sequences of faults of members, network and control agents.
-//! In no simulation may a message be lost or take effect twice, messages of a key be delivered out of order,
-//! or the shares of a destination's limit exceed the limit.
+//! In no simulation may a message be lost or take effect twice, or messages of a key be delivered out of order.
+//! The shares of a destination's limit must not exceed the limit in any simulation.
 
 mod history;
 #[path = "support/tables.rs"]
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -1,5 +1,5 @@
-//! The simulated fleet, in simulated time: members that execute the real placement code,
-//! the members' clients, and the messages between members and clients.
+//! The simulated fleet, in simulated time. Its members execute the real placement code.
+//! The model also simulates the members' clients, and the messages between members and clients.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -121,8 +121,8 @@
     clock_error_ppm: Micros,
     ownership: Ownership,
     persisted: Option<PersistedPlacement>,
-    /// The highest epoch that the member received. This field and `lease_until`, the end of the lease by the
-    /// member's clock, are tracked for the ledger, independently of the code under test.
+    /// The highest epoch that the member received. The field `lease_until` is the lease's end by the member's clock.
+    /// Both fields are tracked for the ledger, independently of the code under test.
     received_epoch: u64,
     lease_until: Option<Micros>,
     /// Accepted messages without a final outcome, by their job numbers in the ledger, in the order of acceptance.
@@ -278,8 +278,8 @@
         }
     }
 
-    /// Returns the event if it can be handled now. Postpones an event at a stopped member until the member continues,
-    /// and drops an event for a dead process.
+    /// Returns the event if it can be handled now. Drops an event for a dead process.
+    /// Postpones an event at a stopped member until the member continues.
     fn deliverable(&mut self, event: Event) -> Option<Event> {
         let (member, incarnation) = match &event {
             Event::AnswerReceived { member, incarnation, .. }
@@ -697,8 +697,8 @@
             .any(|message| message.dest == dest && message.key == Some(key))
     }
 
-    /// Returns the limit shares of all members that may now begin a call to a destination,
-    /// because the members accept requests for the destination or have accepted messages for it.
+    /// Returns the limit shares of all members that may now begin a call to a destination.
+    /// Such members accept requests for the destination, or have accepted messages for it.
     fn shares(&self, dest: i64) -> Vec<f64> {
         let running = self.members.iter().filter(|member| member.state == State::Running);
         let may_call = running.filter(|member| {
--- a/crates/placement/tests/history/network.rs
+++ b/crates/placement/tests/history/network.rs
@@ -1,5 +1,5 @@
-//! The simulated faults of one random fault sequence: when control agents send each epoch,
-//! and which members are cut off, killed or stopped.
+//! The simulated faults of one random fault sequence.
+//! The sequence decides when control agents send each epoch, and which members are cut off, killed or stopped.
 
 use heronroute::Micros;
 use rand::prelude::*;
--- a/crates/placement/tests/ownership.rs
+++ b/crates/placement/tests/ownership.rs
@@ -292,8 +292,8 @@
     assert_eq!(ownership.unordered_admission(SECOND, dest), Admission::OnHold(SECOND + HOLD));
 }
 
-/// Keys prefer seats, not members: after a member has moved to another seat,
-/// even a shard that the member still owns is on hold.
+/// Keys prefer seats, not members.
+/// After a member has moved to another seat, even a shard that the member still owns is on hold.
 #[test]
 fn a_member_that_moves_to_another_seat_has_everything_on_hold() {
     let vacant = list(ListForm { first: true, ..with_vacant(5) });
--- a/crates/placement/tests/properties.rs
+++ b/crates/placement/tests/properties.rs
@@ -1,5 +1,6 @@
-//! Tests properties of tables on many small fleets, which differ in their numbers of regions,
-//! zones, racks and replicas, and in their weights, orders of seats and vacant seats.
+//! Tests properties of tables of owners on many small fleets.
+//! The fleets differ in their numbers of regions, zones, racks and replicas.
+//! The fleets also differ in their weights, orders of seats and vacant seats.
 
 mod support;
 
--- a/crates/placement/tests/refusals.rs
+++ b/crates/placement/tests/refusals.rs
@@ -1,5 +1,5 @@
-//! Tests that invalid member lists and changes are rejected with errors that name the invalid entry and the correction,
-//! and that the member list in force stays.
+//! Tests that invalid member lists and changes are rejected with errors that name the invalid entry and the correction.
+//! Also tests that the member list in force stays after such an error.
 
 mod support;
 
--- a/crates/placement/tests/wire.rs
+++ b/crates/placement/tests/wire.rs
@@ -1,5 +1,5 @@
-//! Tests that the JSON forms of docs/design/placement.md are parsed,
-//! and that written member lists and changes are parsed back unchanged.
+//! Tests that the JSON forms of docs/design/placement.md are parsed.
+//! Also tests that written member lists and changes are parsed back unchanged.
 
 mod support;
 
