--- a/crates/owed/src/debt.rs
+++ b/crates/owed/src/debt.rs
@@ -199,7 +199,8 @@
     pub message: Message,
     /// The latest attempts, oldest first, at most [`MAX_RETAINED_ATTEMPTS`].
     pub attempts: Vec<Attempt>,
-    /// The time of the first attempt that may have taken effect; `None` without one, or if a verdict rules it out.
+    /// The time of the first attempt that may have taken effect.
+    /// `None` if there is no such attempt, or if a verdict rules out that the message took effect.
     pub may_have_run: Option<Micros>,
     /// Why delivery was given up for the first time.
     pub reason: Reason,
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -146,7 +146,7 @@
     send_queue: VecDeque<(SocketAddr, Bytes)>,
     /// The time at which the last datagram from each member was received.
     last_received: BTreeMap<String, Micros>,
-    /// The last record of each name that the record of another incarnation has replaced.
+    /// For each name, the last record that a record of another incarnation has replaced.
     replaced: BTreeMap<String, Member>,
     suspected_since: BTreeMap<String, Micros>,
     /// The addresses of two processes that use the same name, by that name.
--- a/crates/placement/examples/schemes.rs
+++ b/crates/placement/examples/schemes.rs
@@ -184,7 +184,8 @@
         Self(slots)
     }
 
-    /// Returns the owners of a shard: the first by its hash, the second by the next hash that selects another member.
+    /// Returns a shard's owners. The first is the member in the slot that the shard's hash selects.
+    /// The second is selected by the shard's next hash that leads to another member.
     fn owners(&self, shard: u32) -> Owners {
         let slot =
             |attempt: u64| self.0[scale(mix_pair(attempt, u64::from(shard)) as u32, MAGLEV_SLOTS) as usize];
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -30,14 +30,14 @@
 /// The seats from which an added seat may take positions.
 #[derive(Clone, Copy, Debug)]
 enum Donors {
-    /// Seats that hold more positions than their target, in rows whose cost does not rise.
+    /// Seats that hold more positions than their target. Positions are taken only in rows whose cost does not rise.
     AboveTarget,
     /// Seats that hold at least as many positions for their weight as the added seat, even after the transfer.
     /// Positions of such seats are taken only in rows whose cost does not rise.
     MoreLoaded,
-    /// Seats that hold more than 15/16 of their target, in rows whose cost falls.
+    /// Seats that hold more than 15/16 of their target. Positions are taken only in rows whose cost falls.
     NearTarget,
-    /// Seats that hold more than 9/8 of their target, even in rows whose cost rises.
+    /// Seats that hold more than 9/8 of their target. Positions are taken even in rows whose cost rises.
     Overloaded,
 }
 
@@ -72,7 +72,7 @@
     zones: Vec<u16>,
     /// Rows whose seats share a zone or rack avoidably, one list for each [`ConflictScope`].
     conflicts: [ConflictRows; 2],
-    /// The empty position of each row that displaced owners move to while the first seats are added.
+    /// Index of the empty position in each row, to which displaced owners move while the first seats are added.
     open_position: Option<usize>,
     /// The rows that the last added seat changed.
     changed_rows: Vec<u32>,
@@ -229,7 +229,7 @@
             self.take_by_probing(&mut search, donors);
         }
         if kind == PositionKind::Owner {
-            // Quotas are rounded, so the owners of a few rows may still share a zone: exceed the quota for these rows.
+            // Rounded quotas can leave a few rows whose owners share a zone. There the seat may exceed its quota.
             search.missing += quota.div_ceil(EXTRA_QUOTA_DIVISOR);
             self.take_from_conflicts(&mut search, ConflictScope::Owners, Donors::NearTarget);
         }
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -132,7 +132,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ConflictRows {
     rows: Vec<u32>,
-    /// One bit per row of the region, set if the row is in `rows`.
+    /// One bit for each row of the region, set if the list `rows` of conflict rows contains the row.
     listed: Vec<u64>,
     threshold: u32,
 }
@@ -195,7 +195,7 @@
     }
 }
 
-/// Returns the index of a row's word in `listed` and the row's bit in the word.
+/// Returns the index of a row's word in the bit set `listed`, and the row's bit in the word.
 fn word_and_bit(row: u32) -> (usize, u64) {
     ((row / u64::BITS) as usize, 1 << (row % u64::BITS))
 }
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -90,7 +90,7 @@
 }
 
 impl Forwarding {
-    /// Creates the state of a request that was read at `read_at` and must be answered within `budget` of that.
+    /// Creates the state of a request that was read at `read_at`. The client must have its reply `budget` later.
     /// The owners in `candidates` are tried in order, each at most once.
     pub fn new(effect: Effect, candidates: Vec<SeatId>, read_at: Micros, budget: Micros) -> Self {
         Forwarding {
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -1,7 +1,7 @@
 //! The lease under which a sender accepts requests as an owner, and the times derived from it.
 //!
 //! A sender polls its control agent periodically.
-//! An answer to a request that was sent at `polled_at` renews the lease until `polled_at + lease`.
+//! An answer to a poll that was sent at `polled_at` renews the lease until `polled_at + lease`.
 //! The lease counts from the poll, so a delayed answer shortens the remaining lease by its delay.
 //!
 //! All times are from one monotonic clock of this process, which also advances while the process is stopped.
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -311,7 +311,7 @@
             let by_shard = self.holds.shard_hold(sub_shard(dest, part), now);
             by_shard.max(self.recent_sharing.part_hold(dest, part, now))
         });
-        // `None` (no hold) is the minimum of the hold ends: one owned shard that is not on hold is enough to accept.
+        // `None` (no hold) is less than any hold end, so one owned shard that is not on hold is enough to accept.
         hold_ends.min().map_or(Admission::NotOwner, |hold_end| self.admission_under_lease(now, hold_end))
     }
 
@@ -325,7 +325,7 @@
     }
 
     /// Returns the number of owners that share a destination's limit equally.
-    /// An epoch with more owners counts as long as other senders may still act under that epoch.
+    /// A former epoch with more owners determines the number as long as other senders may still act under that epoch.
     /// Before the first member list, the number of owners is the one that the previous process persisted.
     pub fn limit_sharers(&self, now: Micros, dest: i64) -> usize {
         match (self.list(), &self.persisted) {
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -21,7 +21,7 @@
     first_position: u32,
     replicas: usize,
     base: BaseTable,
-    /// Whether each seat of the region is filled, by ordinal.
+    /// For each seat of the region, by ordinal, whether the seat is filled.
     filled: Vec<bool>,
     /// Ordinals of the region's filled seats, in ascending order.
     members: Vec<u16>,
--- a/crates/placement/src/target.rs
+++ b/crates/placement/src/target.rs
@@ -27,7 +27,7 @@
 
     /// Returns the fraction of all positions that each weight is entitled to.
     /// The `replicas` positions of a shard must be on different seats, so a seat holds at most one of them.
-    /// Therefore a seat's weight counts only up to `1 / replicas` of the sum of weights.
+    /// Therefore a seat's weight is limited to `1 / replicas` of the sum of weights.
     pub(crate) fn shares(&self, replicas: usize) -> Shares {
         let mut rest = self.total;
         for capped in 0..replicas {
--- a/crates/placement/tests/full_size.rs
+++ b/crates/placement/tests/full_size.rs
@@ -1,6 +1,6 @@
 //! Checks the bounds of docs/design/placement.md at 15,000 seats and 4.1 million destinations.
 //! With `--nocapture` the tests print the measured values.
-//! `examples/bounds.rs` checks the bounds on times, which need a release build and an idle machine.
+//! The bounds on durations need a release build and an idle machine; `examples/bounds.rs` checks these bounds.
 
 mod support;
 
--- a/crates/placement/tests/history/model.rs
+++ b/crates/placement/tests/history/model.rs
@@ -647,7 +647,7 @@
         if self.forwards[index].sends != send {
             return;
         }
-        // Ignores later outcomes of the same send: the member no longer reads its connection.
+        // Ignores later outcomes of this send to an owner: the forwarding member no longer reads the connection.
         self.forwards[index].sends += 1;
         self.ledger.counts.unknown += u64::from(outcome == ForwardOutcome::Unknown);
         self.ledger.counts.not_sent += u64::from(outcome == ForwardOutcome::NotSent);
--- a/crates/placement/tests/history/world.rs
+++ b/crates/placement/tests/history/world.rs
@@ -20,7 +20,7 @@
 /// The member lists of epochs 1 and later, the changes between them, and the destinations.
 pub struct World {
     pub lists: Vec<MemberList>,
-    /// The changes that lead to each member list; `None` for the first one and for those that can only be sent in full.
+    /// The changes that lead to each member list; `None` for the first list and for lists that must be sent in full.
     pub changes: Vec<Option<Changes>>,
     pub dests: Vec<i64>,
     pub members: usize,
