--- a/crates/sender/src/mgmt.rs
+++ b/crates/sender/src/mgmt.rs
@@ -48,15 +48,12 @@
             "/_ready" | "/_vars" => Method::GET,
             "/_lameduck/on" | "/_lameduck/off" => Method::POST,
             _ => {
-                return text(
-                    StatusCode::NOT_FOUND,
-                    "unknown path; known: /_ready, /_vars, /_lameduck/on, /_lameduck/off",
-                );
+                return text(StatusCode::NOT_FOUND, "there is no such call");
             }
         };
         if *method != wanted {
             let mut response =
-                text(StatusCode::METHOD_NOT_ALLOWED, &format!("method not allowed: use {wanted}"));
+                text(StatusCode::METHOD_NOT_ALLOWED, &format!("this call is made by {wanted}"));
             if let Ok(allow) = wanted.as_str().parse() {
                 response.headers_mut().insert(ALLOW, allow);
             }
@@ -75,9 +72,7 @@
             path => match self.status.change(Change::LameDuck(path.ends_with("/on"))) {
                 Ok(status) if status.phase() == Phase::LameDuck => text(StatusCode::OK, "lame duck"),
                 Ok(_) => text(StatusCode::OK, "noted"),
-                Err(_) => {
-                    text(StatusCode::CONFLICT, "too late: the process is stopping or has been replaced")
-                }
+                Err(_) => text(StatusCode::CONFLICT, "the process has been told to end, or replaced"),
             },
         }
     }
@@ -95,7 +90,7 @@
         let mut snapshot = self.metrics.snapshot(self.endpoints.borrow().listed());
         snapshot.placement = self.placement.as_ref().map(|placement| placement.metrics());
         let Ok(mut body) = serde_json::to_vec(&snapshot) else {
-            return text(StatusCode::INTERNAL_SERVER_ERROR, "the metrics can't be encoded as JSON");
+            return text(StatusCode::INTERNAL_SERVER_ERROR, "the figures can't be written");
         };
         body.push(b'\n');
         response(StatusCode::OK, "application/json", body)
