--- a/src/batching.rs
+++ b/src/batching.rs
@@ -11,14 +11,14 @@
 const SPACING_SHARE: f64 = 0.45;
 /// Calls are not spaced up to this ratio of the sender's traffic to its equal share of the receiver's limit.
 /// If all senders have equal traffic, a limit that is cut by almost half still accepts the fleet's calls.
-/// A sender with less traffic than the other senders adds too little load to matter.
+/// Calls of a sender with less traffic than the other senders add too little load to matter.
 const NO_SPACING_RATIO: f64 = 0.6;
 /// From this ratio of own traffic to an equal share of the limit on, calls are spaced as after a refusal.
 const FULL_SPACING_RATIO: f64 = 0.9;
-/// Maximum time between calls after a refusal, in multiples of the shortest aim.
+/// Maximum time between calls after a refusal, in multiples of the shortest target delivery time (`aim`).
 /// On average a message waits for half of the time between calls.
 const MAX_SPACING_AIMS: f64 = 2.0;
-/// Maximum time between calls at `NO_SPACING_RATIO` without a refusal, in multiples of the shortest aim.
+/// Maximum time between calls at `NO_SPACING_RATIO` without a refusal, in multiples of the shortest `aim`.
 const MAX_SPACING_AIMS_CALM: f64 = 0.7;
 /// Share of a call's maximum number of messages that a sender with much traffic fills.
 const FILL_SHARE: f64 = 0.7;
@@ -39,7 +39,7 @@
     pub(crate) long_term_rate: f64,
     /// Maximum number of messages in one call.
     pub(crate) max_batch: f64,
-    /// The shortest aim (age up to which delivery earns full worth) of all classes, in microseconds.
+    /// The shortest target delivery time (`aim`) of all classes, in microseconds.
     pub(crate) shortest_aim_us: f64,
     /// Whether the receiver refused a call on the lane recently.
     pub(crate) recently_refused: bool,
@@ -83,7 +83,7 @@
     fn calls_are_not_spaced_below_the_limit_and_are_after_a_refusal() {
         assert_eq!(LOW_DEMAND.spacing(), None);
         assert_eq!(LaneDemand { recently_refused: true, ..LOW_DEMAND }.spacing(), Some(0.45));
-        // If the sender's share of the limit is small, the spacing is at most twice the shortest aim.
+        // If the sender's share of the limit is small, calls are at most two target delivery times (`aim`) apart.
         assert_eq!(
             LaneDemand { recently_refused: true, equal_share: 0.1, ..LOW_DEMAND }.spacing(),
             Some(0.25)
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -46,20 +46,20 @@
     Endpoint,
 }
 
-/// How the worth of a message decays after its aim.
+/// How a message's delivery value (`worth`) decays after its target delivery time (`aim`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum LateDecay {
-    /// The message's worth falls linearly, down to the late share at the deadline.
+    /// The message's delivery value (`worth`) falls linearly, down to the late share at the deadline.
     #[default]
     Linear,
-    /// The message's worth halves each time a further period as long as the aim passes, down to the late share.
+    /// The message's delivery value halves with each further period as long as `aim`, down to the late share.
     Halving,
 }
 
 /// The settings of a class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Age up to which the delivery of a message earns the message's full worth.
+    /// Target delivery time: age up to which a delivered message has its full value (`worth`).
     pub aim: Micros,
     /// Age up to which a message may be delivered.
     pub deadline: Micros,
@@ -71,9 +71,9 @@
     pub window: Micros,
     /// Whether messages with the same order key are delivered one at a time, in order.
     pub ordered: bool,
-    /// Worth of a message that is delivered up to its aim.
+    /// Value of a message that is delivered within its target delivery time (`aim`).
     pub worth: f64,
-    /// Late share: the share of a message's worth that is left at the deadline.
+    /// Late share: the share of a message's delivery value (`worth`) that is left at the deadline.
     pub late_share: f64,
     /// Maximum attempts for a message of this class, in place of [`Settings::max_attempts`].
     pub max_attempts: Option<u32>,
@@ -104,10 +104,10 @@
     pub separate_routes: bool,
 }
 
-/// The settings of a tenant. A tenant's messages beyond the quota are worth less.
+/// The settings of a tenant. The delivery of messages beyond the tenant's quota has less value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// The tenant's quota: messages a second, through all senders together, that earn their full worth.
+    /// The tenant's quota: messages a second, through all senders together, that have their full delivery value.
     pub quota: f64,
 }
 
@@ -164,9 +164,9 @@
     pub warm_up: Micros,
     /// For ordered classes: how long a key's next message waits after an attempt that the receiver may still process.
     pub order_settle: Micros,
-    /// How the worth of a message decays after its aim.
+    /// How a message's delivery value (`worth`) decays after its target delivery time (`aim`).
     pub late_decay: LateDecay,
-    /// Worth of a message beyond its tenant's quota, as a share of its worth within the quota.
+    /// Delivery value of a message beyond its tenant's quota, as a share of its value within the quota.
     pub over_share_worth: f64,
     /// The meaning of the weights in endpoint lists.
     pub weights: WeightMeaning,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -48,7 +48,7 @@
 const MAX_FAILURE_SHARE: f64 = 0.5;
 /// With few senders, this value replaces `MAX_FAILURE_SHARE` for endpoints that answer with errors.
 /// Endpoints that answer with errors may still deliver part of the messages, so more failures are tolerated.
-/// Many senders get no such tolerance: all of them would still send at half pace when the endpoint returns.
+/// With many senders, errors are not tolerated so: all senders would still send at half pace when the endpoint returns.
 const MAX_ERROR_SHARE: f64 = 0.7;
 /// Maximum share of an endpoint's calls that failed and may have taken effect; above it, no unsafe messages are sent.
 const MAX_AMBIGUOUS_SHARE: f64 = 0.2;
@@ -99,7 +99,7 @@
 const MIN_BUDGET_SHARE: f64 = 0.4;
 /// Upper bound of the minimum call budget if the limit is known, in equal shares of the limit.
 const MIN_BUDGET_EQUAL_SHARES: f64 = 1.0;
-/// If the limit is known, the call budget grows as if own demand were at most this many equal shares of it.
+/// If the limit is known, the call budget grows as if own demand were at most this many equal shares of the limit.
 /// With this bound, the call budgets of many senders together leave room in the limit.
 const BUDGET_GROWTH_EQUAL_SHARES: f64 = 0.5;
 /// Growth of the call budget for each accepted call, as a share of the budget.
@@ -137,11 +137,11 @@
 const MIN_CALLS_PER_CONNECTION: f64 = 2.0;
 /// Time during which a past refusal counts as a sign that the limit is nearly used up.
 pub(crate) const REFUSAL_MEMORY_US: Micros = 20_000_000;
-/// Waiting time over which the loss of worth is calculated. Late messages are ranked by this loss.
+/// Waiting time over which a late message's loss of delivery value is calculated, to rank late messages.
 const LATE_HORIZON_US: f64 = 1.5e6;
-/// The rank of a late message includes this share of its present worth: a lasting backlog loses all that worth.
+/// Share of a late message's present delivery value in its rank: a lasting backlog loses all that value.
 const PRESENT_WORTH_SHARE: f64 = 0.4;
-/// Share of `max_open` that stays free, so that no message is rejected before its worth is compared.
+/// Share of `max_open` that stays free, so that no message is rejected before its delivery value is compared.
 const FREE_ROOM_SHARE: f64 = 0.06;
 /// Interval at which permit pools are resized.
 const RESIZE_INTERVAL_US: Micros = 500_000;
@@ -158,8 +158,8 @@
 pub struct Dispatcher {
     pub(crate) now: Micros,
     random: Random,
-    /// Random number from 0 to 1, drawn once at the start.
-    /// The sender prefers its own zone while the number is below a bound, `stay_chance` in `candidates`.
+    /// Random number from 0 to 1 that decides on the preference for the own zone; drawn in `Dispatcher::new`.
+    /// The sender prefers its own zone while its random number is below `stay_chance` in `candidates`.
     /// `stay_chance` grows with the share of a destination's endpoints that are in the sender's zone.
     /// As each sender draws its own random number, only some senders leave a zone with few endpoints.
     zone_draw: f64,
@@ -335,7 +335,7 @@
         endpoint.warm_up = health.warming_since.map(|since| WarmUp::new(since.min(now), now));
     }
 
-    /// Restores a lane's health from before a restart. Guards against the restart of many senders at once.
+    /// Restores a lane's health from before a restart. Guards against the simultaneous restart of many senders.
     /// Without the restored health, senders that had been refused sent all their pending messages.
     /// Senders that had seen one endpoint of two fail sent all their pending messages too.
     fn restore_receiver_health(&mut self, key: LaneKey, health: ReceiverHealth) {
@@ -457,7 +457,7 @@
         endpoint.unhealthy.get_or_insert_with(inferred).delay_past(wait_until, gap);
     }
 
-    /// Marks the lane of a failing endpoint as down. Guards against the return of all senders at once.
+    /// Marks the lane of a failing endpoint as down. Guards against the simultaneous return of all senders.
     /// The lane's other endpoints would otherwise look healthy until a call to one of them fails.
     fn mark_lane_down(&mut self, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get(&id) else { return };
@@ -730,7 +730,7 @@
         // A single refusal may come from a rate limit and needs no warm-up.
         // A long wait means that the receiver is shut down.
         // All senders may have received the same end of the wait.
-        // Each sender adds a random gap to the wait, in order not to return together with the others.
+        // Each sender adds a random gap to the wait, in order not to send simultaneously with the other senders.
         let is_shut_down = wait > SHUTDOWN_WAIT_US;
         let error_allowance = if outcome == Outcome::Error {
             few_senders_weight * (MAX_ERROR_SHARE - MAX_FAILURE_SHARE)
@@ -1305,7 +1305,7 @@
         }
     }
 
-    /// Returns the worth that a message would earn if delivered `delay_us` microseconds from now.
+    /// Returns the value (`worth`) that a message would have if delivered `delay_us` microseconds from now.
     fn worth_after(&self, message: &Message, delay_us: f64) -> f64 {
         let class = self.class_of(message);
         let (aim, deadline) = (class.aim.max(1) as f64, class.deadline.max(1) as f64);
@@ -1319,15 +1319,15 @@
         class.worth * share
     }
 
-    /// Returns the message that a destination would send next and the endpoint for it.
+    /// Returns the message that would be sent to a destination next and the endpoint for the message.
     /// A destination with no message to send is removed from `ready` until the result may change.
     fn choose(&mut self, dest: DestId) -> Option<Choice> {
         self.refresh(dest);
         let (candidates, mut recheck) = self.candidates(dest);
         let pending = self.destinations.get(&dest).map(|d| &d.pending)?;
         // While no message is late, messages are sent oldest first.
-        // Once a message is late, messages whose worth drops most if they wait longer are sent first.
-        // Among messages whose worth drops equally if they wait, the oldest message is sent first.
+        // Once a message is late, messages whose delivery value drops most if they wait longer are sent first.
+        // Among messages whose delivery value drops equally if they wait, the oldest message is sent first.
         let mut order: Vec<(f64, MsgId)> = Vec::new();
         if !candidates.is_empty() {
             order.extend(pending.iter().map(|(_, id)| (0.0, *id)));
@@ -1512,7 +1512,7 @@
         }
     }
 
-    /// Refuses pending messages while too many messages are open, starting with the messages of least worth.
+    /// Refuses pending messages while too many messages are open, starting with those of the least delivery value.
     fn shed_excess(&mut self, out: &mut Vec<Action>) {
         let room = ((self.settings.max_open as f64 * FREE_ROOM_SHARE).ceil() as usize).max(1);
         let max_open = (self.settings.max_open as usize).saturating_sub(room).max(1);
@@ -1568,7 +1568,7 @@
         self.next_trial = now + self.backoff.max(gap as Micros);
     }
     /// Moves a trial that is due during a wait that the receiver asked for to a random time after the wait.
-    /// Without the gap, all senders that received the same end of the wait would return at once.
+    /// Without the random gap, all senders that received the same end of the wait would send simultaneously.
     fn delay_past(&mut self, wait_until: Micros, gap: f64) {
         if self.next_trial < wait_until {
             self.next_trial = wait_until + gap as Micros;
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -5,7 +5,7 @@
 use crate::state::{Latency, Rate};
 
 /// Observation time after which a rate's lower bound needs no correction.
-/// For a rate observed for a shorter time, the bound counts the missing time as free of events.
+/// For a rate observed for a shorter time, the lower bound counts the missing time as free of events.
 const FULL_CONFIDENCE_AFTER_US: f64 = 8e6;
 /// Number of standard deviations by which the lower bound of a rate lies below the rate.
 const LOWER_BOUND_DEVIATIONS: f64 = 1.0;
--- a/src/rotation.rs
+++ b/src/rotation.rs
@@ -48,7 +48,7 @@
 
     /// Returns the rotation position of an endpoint that joins others, given the last turns of the other endpoints.
     /// All senders see the new endpoint idle at the same moment.
-    /// So each sender places the new endpoint at random between the others.
+    /// So each sender places the new endpoint at random between the other endpoints.
     /// Each sender begins to use the new endpoint at a random time within a warm-up.
     /// Some senders open a connection to the new endpoint although they have connections to other endpoints.
     /// `chances` are two random numbers from 0 to 1.
@@ -62,7 +62,7 @@
         others.sort_unstable();
         let at = place * (others.len() + 1) as f64;
         // Since the other endpoints have turns during the delay, the delay is added to the last turn.
-        // Otherwise the new endpoint would get all missed turns at once.
+        // Otherwise the new endpoint would get all missed turns in a row.
         let delay = (delay * warm_up as f64) as Micros;
         let last_turn = others.get(at as usize).map_or(now, |turn| turn - 1) + delay;
         RotationPlace {
--- a/src/state.rs
+++ b/src/state.rs
@@ -63,7 +63,7 @@
     pub(crate) wait_until: Micros,
     /// Call budget: calls a second that this sender allows itself after refusals; infinite before a refusal.
     pub(crate) budget: f64,
-    /// Number of calls that the lane's rate limiter allows at once now.
+    /// Number of calls that the lane's rate limiter allows now without delay.
     pub(crate) tokens: f64,
     pub(crate) refilled_at: Micros,
     /// Rate at which `tokens` is refilled, in calls a second.
@@ -126,7 +126,7 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct WarmUp {
     pub(crate) since: Micros,
-    /// Number of calls that the warm-up's rate limiter allows at once now.
+    /// Number of calls that the warm-up's rate limiter allows now without delay.
     pub(crate) tokens: f64,
     /// Rate at which `tokens` is refilled, in calls a second.
     pub(crate) pace: f64,
@@ -252,14 +252,14 @@
     Message(MsgId),
     /// Checks whether a call has stalled.
     Call(u64),
-    /// Checks whether a destination can send again.
+    /// Checks whether messages can be sent to a destination again.
     Destination(DestId),
 }
 
-/// The time at which a destination that can send no message now is checked again.
+/// The time of the next check of a destination to which no message can be sent now.
 pub(crate) struct Recheck {
     pub(crate) at: Micros,
-    /// Whether a freed slot may let the destination send, so that the destination stays in `ready`.
+    /// Whether a freed slot may allow a message to the destination, so that the destination stays in `ready`.
     pub(crate) on_free_slot: bool,
 }
 
@@ -274,7 +274,7 @@
     pub(crate) turn_wait: f64,
 }
 
-/// The message that a destination would send next, and the endpoint for it.
+/// The message that would be sent to a destination next, and the endpoint for the message.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) struct Choice {
     pub(crate) rank: f64,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -58,7 +58,7 @@
 pub struct Results {
     pub offered: usize,
     pub delivered: usize,
-    /// Number of messages delivered within their class's aim.
+    /// Number of messages delivered within their class's target delivery time (`aim`).
     pub in_time: usize,
     /// Number of calls that receivers rejected.
     pub rejected: usize,
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -338,7 +338,7 @@
         fill(&mut sender, 20 + i, 1, SAFE, 1);
     }
     assert_eq!(more, 1, "it is sent once calls succeed again");
-    // An unsafe message is sent at once if the destination has another endpoint.
+    // An unsafe message is sent without delay if the destination has another endpoint.
     // If there is no other endpoint and no call reports an outcome, an unsafe message waits for a limited time.
     let sent = fill(&mut sender, 50, 1, SAFE, 2);
     sender.now += 50 * MS;
@@ -411,7 +411,7 @@
             }
         }
         // After the recovery, messages are offered for 20 s, which is longer than the warm-up plus three seconds.
-        // After these 20 s, each message is sent at once.
+        // After these 20 s, each message is sent without delay.
         for i in 0..200u64 {
             sender.round(&[message(5000 + i, SAFE, 1)]);
             sender.advance(100 * MS);
@@ -447,7 +447,7 @@
     assert_eq!(permits_after(50 * MS), 2);
 }
 
-/// Returns one of `senders` senders after one endpoint of kind 0 has refused a connection and another has accepted one.
+/// Creates a sender in a fleet of `senders`, after a refused connection at one endpoint and a success at another.
 fn refused_a_connection(senders: u32) -> TestSender {
     let mut sender =
         TestSender::new(Settings { senders, ..settings() }, vec![entry(1, 1, 0), entry(2, 2, 0)]);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -81,7 +81,7 @@
         let simulation = Simulation { assumed_senders, ..fleet_of(LARGE, 100) };
         let (delivered_share, on_time_share) =
             (mean(&simulation, Results::delivered_share), mean(&simulation, Results::on_time_share));
-        // With too many senders in the settings, a message may wait for up to twice its aim, so the bound is low.
+        // If the settings assume too many senders, a message may wait up to twice its `aim`, so 0.55 in time is enough.
         assert!(
             delivered_share > 0.95 && on_time_share > 0.55,
             "{assumed_senders} assumed: {delivered_share:.3} served, {on_time_share:.3} in time"
--- a/tests/handed.rs
+++ b/tests/handed.rs
@@ -6,7 +6,7 @@
 use heronroute::*;
 
 /// Hands the first sender's state, its calls in flight and messages given as (id, class, attempts) to a new sender.
-/// Returns the new sender and the attempts that the new sender starts at once.
+/// Returns the new sender and the attempts that the new sender starts without delay.
 fn successor(
     first: &TestSender,
     entries: Vec<EndpointEntry>,
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -192,7 +192,7 @@
 /// Guards against restarted senders that lose their call budget for the receiver.
 /// A rejection without a wait reduces the call budget and leaves all endpoints healthy.
 /// When only endpoint health was persisted, thirty processes restarted 1 s after the return sent all queued messages.
-/// Their 43 calls reached the receiver at once, where 15.1 calls are allowed (seed 101).
+/// Their 43 calls reached the receiver in a burst, where 15.1 calls are allowed (seed 101).
 /// Of the thirty senders, 16 had no restored health, and eight restored one unhealthy endpoint of two.
 /// The call budget is now persisted and resumes at a random fraction of a call.
 /// With random fractions, the senders do not make their next call at the same moment.
--- a/tests/kept.rs
+++ b/tests/kept.rs
@@ -46,7 +46,7 @@
 }
 
 /// Starts the next process of a sender at `SENT_AT` with the previous process's health records and new messages.
-/// Asserts that the new process sends none of the messages at once.
+/// Asserts that the new process sends none of the messages in its first round.
 fn next_process(previous: &Dispatcher, messages: u64) -> Dispatcher {
     let mut sender = Dispatcher::new(SENT_AT, 2, settings()).unwrap();
     let mut events = vec![listed()];
@@ -92,7 +92,7 @@
         health.budget_milli_per_s.is_some() && !health.down && health.failing_since.is_none(),
         "{health:?}"
     );
-    // `next_process` asserts that the restored budget keeps the twenty messages from being sent at once.
+    // `next_process` asserts that the restored budget keeps the twenty messages from being sent without delay.
     next_process(&previous, 20);
 }
 
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -36,7 +36,7 @@
     let mut sender = sender_after_10_s(vec![entry(1, 1, 0)]);
     assert!(sender.round(&[restored(1, UNSAFE, 1, Some(9 * S))]).is_empty());
     assert_eq!((sender.failed.as_slice(), sender.refused.len()), (&[1][..], 0));
-    // An unsafe message fails at once, and so does a message of a class that the settings no longer contain.
+    // An unsafe message fails without delay, and so does a message of a class that the settings no longer contain.
     assert!(sender.round(&[restored(2, 77, 1, Some(9 * S))]).is_empty());
     assert_eq!(sender.failed, [1, 2]);
 }
@@ -237,7 +237,7 @@
 }
 
 /// Guards against restored messages that wait until their deadline behind new messages.
-/// New messages went first, since their worth drops more if they wait longer.
+/// New messages went first, since their delivery value drops more if they wait longer.
 /// Restored messages waited so long at a receiver that accepts few calls.
 #[test]
 fn restored_messages_without_an_attempt_go_before_new_ones() {
--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -2,7 +2,7 @@
 //! The cases form a grid of outages, numbers of senders, capacities and restart times.
 //!
 //! Guards against restarted senders that lose the receiver's health.
-//! All such senders send their queued messages at once and overload a receiver that has just returned.
+//! All such senders send their queued messages simultaneously and overload a receiver that has just returned.
 //! Most tests check a part of the grid. `the_whole_grid` prints how many runs of the whole grid overload the receiver.
 
 mod common;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -245,7 +245,7 @@
 }
 
 /// Connections refused by endpoints that are down are no sign of full connection tables, so idle connections stay open.
-/// Closing idle connections after such refusals cost 0.017 of a day's worth in handshakes.
+/// Closing idle connections after such refusals cost 0.017 of a day's delivery value in handshakes.
 #[test]
 fn idle_connections_stay_open_after_an_outage_and_are_closed_where_tables_are_full() {
     assert_eq!(closes_after(|_, _| false), 0, "no refusal");
@@ -319,7 +319,7 @@
 /// Guards against idle connections that fill the connection tables of endpoints that accept few connections.
 /// An endpoint with a full connection table answers 503, as a rate limit does, and closes the connection.
 /// With 300 senders, 90% of the calls on new connections and 10% of the calls on reused connections were rejected.
-/// With so many rejected calls, a third of the worth was served.
+/// With so many rejected calls, messages with a third of the total value were delivered.
 #[test]
 fn idle_connections_are_closed_where_only_new_ones_are_refused() {
     assert!(closes_idle_connection(Outcome::Done), "only calls on new connections are rejected");
