--- a/src/health.rs
+++ b/src/health.rs
@@ -12,7 +12,7 @@
 
 impl Dispatcher {
     /// Returns the health of the endpoints whose health must be persisted.
-    /// These are the endpoints that are failing, unhealthy or warming up.
+    /// Health is persisted for endpoints that are failing, unhealthy or warming up.
     pub fn endpoint_health(&self) -> impl Iterator<Item = (EndpointId, EndpointHealth)> {
         self.endpoints.iter().filter_map(|(id, endpoint)| {
             let lane_warm_up = self.lanes.get(&endpoint.lane).and_then(|l| l.warm_up.as_ref());
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -67,9 +67,9 @@
 /// Load of all senders' trials together, as a multiple of the load that a cold destination can take.
 const TRIAL_LOAD_FACTOR: f64 = 1.0;
 /// Factor in the upper bound up to which a sender counts an equal share of the advertised limit as its own.
-/// The bound is `OWN_TRAFFIC_FACTOR` times its own traffic plus `EQUAL_SHARE_BASE` times the equal share.
-/// The bound keeps the load of all senders low if the number of senders in the settings is wrong.
-/// The bound also keeps the load low if the advertised limit is beyond what the destination can take.
+/// The upper bound is `OWN_TRAFFIC_FACTOR` times the own traffic plus `EQUAL_SHARE_BASE` times the equal share.
+/// The upper bound keeps the load of all senders low if the number of senders in the settings is wrong.
+/// The upper bound also keeps the load of all senders low if the advertised limit is beyond what the destination can take.
 const OWN_TRAFFIC_FACTOR: f64 = 1.25;
 const EQUAL_SHARE_BASE: f64 = 0.1;
 /// Number of senders up to which the trials of all senders together do no harm.
@@ -100,7 +100,7 @@
 /// Upper bound of the minimum call budget if the limit is known, in equal shares of the limit.
 const MIN_BUDGET_EQUAL_SHARES: f64 = 1.0;
 /// If the limit is known, the call budget grows as if own demand were at most this many equal shares of the limit.
-/// With this bound, the call budgets of many senders together leave room in the limit.
+/// With `BUDGET_GROWTH_EQUAL_SHARES`, the call budgets of many senders together leave room in the limit.
 const BUDGET_GROWTH_EQUAL_SHARES: f64 = 0.5;
 /// Growth of the call budget for each accepted call, as a share of the budget.
 const BUDGET_GROWTH_PER_ACCEPTED: f64 = 0.07;
@@ -768,7 +768,7 @@
     /// Returns whether the call was attributed to its connection.
     /// Guards against idle connections that were dropped without notice.
     /// A stall or reset on a connection that was dropped is no evidence about the endpoint.
-    /// For a while no idle connection to endpoints of that kind stays open.
+    /// For a while no idle connection to endpoints of the failed call's destination kind stays open.
     /// The next call, on a new connection, tests the endpoint.
     /// The price of this rule is that one failed call of an outage is not counted against the endpoint.
     fn blame_idle_connection(&mut self, id: EndpointId) -> bool {
@@ -1415,7 +1415,7 @@
 
     /// Closes idle connections to endpoints of kinds whose connections are scarce.
     /// Guards against idle connections that keep other senders out of an endpoint with few connections.
-    /// An immediately refused connection makes the connections of the endpoint's kind scarce for a time.
+    /// An immediately refused connection makes connections to the endpoint's kind count as scarce for a time.
     /// While connections are scarce, closing idle connections costs a handshake for each call.
     /// Refused connections while a whole lane was down do not make connections scarce.
     fn close_idle_connections(&mut self, out: &mut Vec<Action>) {
--- a/src/state.rs
+++ b/src/state.rs
@@ -111,7 +111,7 @@
     /// When the trial in flight was sent; `None` without a trial in flight.
     pub(crate) trial_sent: Option<Micros>,
     /// Whether every failure so far proves that the receiver processed no message.
-    /// If so, a trial may carry an unsafe message.
+    /// If no failed call was processed, a trial may carry an unsafe message.
     pub(crate) nothing_ran: bool,
     /// Whether a probe of the endpoint is in flight.
     pub(crate) probing: bool,
--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -223,7 +223,7 @@
 }
 
 /// Prints the trace of the run that the environment variable `GRID_CASE` names.
-/// The variable contains "outage senders capacity restart-in-ms seed".
+/// The variable `GRID_CASE` contains "outage senders capacity restart-in-ms seed".
 #[test]
 #[ignore = "prints the trace of one run; run it by name with --ignored --nocapture"]
 fn print_one_run() {
