--- a/src/logic.rs
+++ b/src/logic.rs
@@ -69,7 +69,7 @@
 /// Factor in the upper bound up to which a sender counts an equal share of the advertised limit as its own.
 /// The upper bound is `OWN_TRAFFIC_FACTOR` times the own traffic plus `EQUAL_SHARE_BASE` times the equal share.
 /// The upper bound keeps the load of all senders low if the number of senders in the settings is wrong.
-/// The upper bound also keeps the load of all senders low if the advertised limit is beyond what the destination can take.
+/// The upper bound also keeps the load low if the advertised limit is beyond what the destination can take.
 const OWN_TRAFFIC_FACTOR: f64 = 1.25;
 const EQUAL_SHARE_BASE: f64 = 0.1;
 /// Number of senders up to which the trials of all senders together do no harm.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -175,7 +175,7 @@
     }
     let back = back.expect("the destination came back");
     let warm_capacity = 10.0;
-    // The calls in any two seconds stay below `fall_multiple` times the receiver's capacity at the end of the two.
+    // Calls in any two seconds stay below `fall_multiple` times the receiver's capacity after the two seconds.
     for t in 0..8 {
         let (from, to) = (back + t * S, back + (t + 2) * S);
         let calls = sender.calls_between(from, to);
