--- a/tests/restart_grid.rs
+++ b/tests/restart_grid.rs
@@ -2,7 +2,7 @@
 //! The cases form a grid of outages, numbers of senders, capacities and restart times.
 //!
 //! Guards against restarted senders that lose the receiver's health.
-//! All such senders send their queued messages at once and overload a receiver that has just returned.
+//! All such senders send their queued messages simultaneously and overload a receiver that has just returned.
 //! Most tests check a part of the grid. `the_whole_grid` prints how many runs of the whole grid overload the receiver.
 
 mod common;
@@ -223,7 +223,7 @@
 }
 
 /// Prints the trace of the run that the environment variable `GRID_CASE` names.
-/// The variable contains "outage senders capacity restart-in-ms seed".
+/// The variable `GRID_CASE` contains "outage senders capacity restart-in-ms seed".
 #[test]
 #[ignore = "prints the trace of one run; run it by name with --ignored --nocapture"]
 fn print_one_run() {
