--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -21,7 +21,7 @@
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 /// Minimum age of a new connection, and minimum idle time of a reused connection, before a request is written.
 /// The pause leaves time for the reset of a new connection, and for stray bytes after a response.
-/// Without the pause, stray bytes would be read as the next response.
+/// Without the pause, stray bytes on the connection would be read as the response to the next request.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
 /// Time after a request was written within which a reset shows that a reused connection was unusable before.
 /// A reused connection that is reset so soon counts as dropped by the peer before the request.
@@ -41,7 +41,7 @@
 /// Maximum number of concurrent probes. Each uses a descriptor in addition to those of the calls.
 pub const MAX_PROBES: usize = 8;
 
-/// One message in a call.
+/// One of the messages that a call carries to an endpoint.
 #[derive(Clone, Debug)]
 pub struct CallItem {
     pub id: MsgId,
@@ -165,7 +165,7 @@
 impl Calls {
     /// Creates the object that makes calls. The object has no connections at first.
     /// `max_idle_time` is the longest time for which a connection may be idle.
-    /// `max_idle` is the maximum number of idle connections.
+    /// `max_idle` is the maximum number of idle connections to endpoints.
     pub fn new(
         endpoints: Rc<RefCell<EndpointTable>>,
         metrics: Rc<Metrics>,
@@ -230,8 +230,8 @@
     /// Returns how long a connection to the endpoint may be idle and still be reused.
     /// The limited idle time guards against connections that the endpoint or the network has dropped unnoticed.
     /// The next request on a dropped connection is reset, and may or may not have taken effect at the receiver.
-    /// An unsafe message in such a request can't be repeated and is lost.
-    /// For [`STALE_RETENTION`] after such a reset the lifetime is half of the shortest idle time that ended in a reset.
+    /// An unsafe message can't be repeated after a reset of its request, and is lost.
+    /// For [`STALE_RETENTION`] after a reset, the lifetime is half of the shortest idle time that ended in a reset.
     /// The shorter idle lifetime makes the sender open more new connections.
     /// The shorter idle lifetime applies to the endpoint alone, or to all endpoints if several endpoints had resets.
     fn idle_lifetime(&self, endpoint: EndpointId) -> Duration {
--- a/crates/sender/src/class_table.rs
+++ b/crates/sender/src/class_table.rs
@@ -35,7 +35,7 @@
 }
 
 impl ClassTable {
-    /// Creates one row for each class of the configuration at the start.
+    /// Creates one row for each class of the configuration with which the process starts.
     pub fn new(classes: impl IntoIterator<Item = (String, ClassSettings)>) -> Self {
         let row = |(name, class)| Row { name, class, used: RowUse::Current, open: 0 };
         ClassTable { rows: classes.into_iter().map(row).collect() }
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -52,7 +52,7 @@
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The reply to a command, or the channel on which the reply will arrive.
-/// The permit counts the message's bytes until the reply has arrived.
+/// The permit counts the message's bytes towards the byte limit until the reply has arrived.
 enum PendingReply {
     Text(String),
     Ping,
@@ -194,7 +194,7 @@
 
 /// The open connections of one server, and its byte limits.
 struct ClientTable {
-    /// The number of open connections, shared with the driver.
+    /// The number of open connections to the server, shared with the driver.
     open_count: Rc<Cell<usize>>,
     entries: RefCell<BTreeMap<u64, Rc<ClientEntry>>>,
     freed: Notify,
--- a/crates/sender/src/connection.rs
+++ b/crates/sender/src/connection.rs
@@ -165,7 +165,7 @@
 
 type Driver = http1::Connection<TokioIo<Socket>, Full<Bytes>>;
 
-/// An HTTP/1.1 connection that no background task drives, so that dropping it closes the socket at once.
+/// An HTTP/1.1 connection that no background task drives, so that dropping it closes the socket immediately.
 /// An abandoned call is therefore never still in flight when the message's next call begins.
 pub struct Connection {
     requests: http1::SendRequest<Full<Bytes>>,
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -38,7 +38,7 @@
 const DEFAULT_CONNECT_TIMEOUT_US: i64 = 1_500_000;
 /// Time for writing the last replies to clients after the driver has ended.
 const FINAL_WRITE_TIME: Duration = Duration::from_millis(20);
-/// Time that a start waits for discovery's endpoint list before it uses the endpoint list in the configuration.
+/// Time that a starting sender waits for discovery's endpoint list before it uses the configuration's list.
 const FIRST_LIST_WAIT: Duration = Duration::from_millis(500);
 /// Interval at which a starting process checks whether discovery's endpoint list has arrived.
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -58,9 +58,9 @@
 const MGMT_DESCRIPTORS: usize = mgmt::MAX_CALLERS + 2;
 
 /// Number of descriptors that placement uses in addition to its connections to other members.
-/// Placement needs them for the listener for other members, the connection to a control agent and the state file.
+/// Placement uses descriptors for the listener for other members, a connection to a control agent and a state file.
 const PLACEMENT_DESCRIPTORS: usize = 3;
-/// Time that a start waits for a control agent's response.
+/// Time that a starting sender waits for the member list from a control agent.
 const MEMBER_LIST_WAIT: Duration = Duration::from_secs(2);
 /// Time that a start waits for the placement table to be built from the member list.
 /// Building the table takes up to a second at full size, and more on a busy machine.
@@ -218,7 +218,7 @@
 }
 
 /// Reloads the configuration at each SIGHUP. Applies discovery's address, the classes and the number of attempts.
-/// The other settings take effect at the next start. A file that can't be read or has any error changes nothing.
+/// Other settings take effect when the sender restarts. An unreadable or invalid configuration changes nothing.
 async fn reload(mut to: Reload, mut hang_up: Signal) {
     while hang_up.recv().await.is_some() {
         match ReloadedConfig::read(&to.path, &to.running) {
@@ -387,7 +387,7 @@
     }
     let (discovery, follow_discovery) = watch::channel(config.discovery);
     // An endpoint list of version 0 in the configuration counts as no list.
-    // The exception: a list of version 0 counts if it contains endpoints and polls are costly for discovery.
+    // But a list of version 0 counts if it contains endpoints and polls are costly for discovery.
     let index =
         config.known.as_ref().filter(|l| l.index > 0 || (ask_every.is_some() && !l.endpoints.is_empty()));
     let index = index.map(|l| l.index);
@@ -446,7 +446,7 @@
     let (journal, handover, listener) = match startup {
         Startup::Standalone(journal, listener) => (*journal, None, listener),
         Startup::InheritedSocket(socket) => {
-            // Steps of the start that need no journal come first, to shorten the time in which no process serves.
+            // Start-up steps that need no journal come first, to shorten the time in which no process serves.
             let begun = tokio::time::Instant::now();
             while inbox.is_empty() && begun.elapsed() < list_wait {
                 tokio::time::sleep(LIST_POLL_INTERVAL).await;
@@ -534,7 +534,7 @@
 /// The operator's options are read from `options`, or else from the file that `LB_OPTIONS` names.
 ///
 /// # Errors
-/// The start failed; the message names the variable, the configuration, the options, the journal or the listen address.
+/// The sender can't start; the error names the variable, configuration, options, journal or listen address.
 pub fn run(options: Option<PathBuf>) -> Result<(), Box<dyn Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, serve(options))
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -25,8 +25,8 @@
 /// A change that a silent watch misses must be applied within 6 s of the start of the silence.
 /// The stall timeout leaves time for one poll that hangs and another poll that is answered.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Timeout for the head of discovery's response, which arrives at once unless discovery is down.
-/// When discovery is back, a drain that discovery reports must be applied at once, so no poll may hang for long.
+/// Timeout for the head of discovery's response, which arrives without delay unless discovery is down.
+/// Drains that discovery reports after an outage must be applied without delay, so no poll may hang for long.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Timeout for the head of discovery's response where polls cost discovery work: discovery may queue a poll that long.
 const COSTLY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -35,7 +35,7 @@
 
 /// Follows the endpoint listing for ever; the driver receives the changes in order.
 /// The endpoint table is updated as soon as a line is read, so that a drain stops calls that have not begun.
-/// When discovery's address changes, the new address is polled at once for the complete listing.
+/// When discovery's address changes, the new address is polled without delay for the complete listing.
 /// The new address may not know the version that the old address last sent.
 ///
 /// `index` is the version of the known listing, if there is one.
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -99,7 +99,7 @@
     list_wait: Duration,
     max_open: usize,
     /// Retry time in milliseconds in the reply to a client whose message the driver refuses for now.
-    /// The dispatcher's refusals give the same retry time.
+    /// The dispatcher refuses messages with an equal retry time.
     retry_after_ms: u64,
     journal: Rc<RefCell<Journal>>,
     endpoints: Rc<RefCell<EndpointTable>>,
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Queues a new message as an event, or rejects it at once.
+    /// Queues a new message as an event, or rejects the message without queueing it.
     fn handle_put(&mut self, put: Put, reply: oneshot::Sender<Reply>) {
         if let Some(id) = self.by_request.get(&put.request_id) {
             // The client has sent an open message again, on a second connection.
@@ -422,7 +422,7 @@
         pending.is_some()
     }
 
-    /// Counts a recovered message as attempted if a call with it has begun since the start.
+    /// Counts a recovered message as attempted if a call with it has begun since this process started.
     fn record_first_call(&mut self, id: MsgId) {
         let begun = self.journal.borrow().get(id.0).map_or(0, |entry| entry.progress.attempts);
         if self.recovered.record_calls(id, begun) {
@@ -475,7 +475,7 @@
     }
 
     /// Replies to the clients whose messages the current round has processed.
-    /// A refusal is sent at once; an acceptance is sent after the message has been written to the journal.
+    /// A refusal is sent without delay; an acceptance is sent after the message has been written to the journal.
     fn answer_puts(&mut self, events: &[Event], actions: &[Action]) {
         let mut answers: BTreeMap<MsgId, Reply> = BTreeMap::new();
         if self.unanswered_puts.is_empty() {
--- a/crates/sender/src/driver/recovered.rs
+++ b/crates/sender/src/driver/recovered.rs
@@ -11,11 +11,11 @@
 /// The journal's size bounds the number of recovered messages.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct RecoveredMessages {
-    /// The deadline of each waiting message, and the number of its calls that had begun before the start.
+    /// The deadline of each waiting message, and the number of its calls begun before this process started.
     waiting: BTreeMap<MsgId, (Micros, u32)>,
-    /// Number of recovered messages whose deadline had passed at the start.
+    /// Number of recovered messages whose deadline had passed when this process started.
     late: usize,
-    /// Number of recovered messages that have had a call since the start.
+    /// Number of recovered messages that have had a call since this process started.
     called: usize,
     /// Number of recovered messages that ended at their deadline without a call.
     expired: usize,
--- a/crates/sender/src/driver/start.rs
+++ b/crates/sender/src/driver/start.rs
@@ -185,7 +185,8 @@
 
 /// Returns the receivers' health as the earlier process recorded it in the journal.
 /// A journal of an earlier version does not record receivers' health.
-/// Receivers that have messages in such a journal, or whose endpoints were failing, may be down or warming up.
+/// Receivers that have messages in a journal without health records may be down or warming up, as may
+/// receivers whose endpoints were failing.
 /// The health of such receivers is restored as unknown.
 fn restored_receivers(journal: &Journal, endpoints: &EndpointTable) -> Vec<Event> {
     let mut unknown = BTreeSet::new();
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -188,7 +188,7 @@
     process: Process,
     next: u64,
     kill: (usize, Micros),
-    /// Whether the simulated endpoints refuse every connection at once.
+    /// Whether the simulated endpoints refuse every connection immediately.
     refused: bool,
 }
 
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -4,7 +4,7 @@
 //!
 //! The journal is an append-only file of records, each `length (u32 LE), CRC-32 of the payload (u32 LE), payload`.
 //! A record's payload is a [`Record`] encoded by postcard.
-//! The next start replays the records and rebuilds the same [`Journal`].
+//! The next process of this sender replays the records and rebuilds an equal [`Journal`].
 
 use bytes::Bytes;
 use embershore_protocol::notice::End;
@@ -358,7 +358,7 @@
     }
 
     /// Appends a record if the file and its compacted copy together stay below the size limit.
-    /// `reserve` is the number of bytes to be left free for other records.
+    /// `reserve` is the number of bytes to be left free in the journal for other records.
     fn append(&mut self, record: Record, reserve: u64) -> io::Result<()> {
         let frame = encode(&record)?;
         self.make_room(frame.len() as u64, reserve)?;
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -14,7 +14,7 @@
 /// Maximum number of notices in one request to the platform.
 const MAX_BATCH: usize = 200;
 /// Response timeout of the first attempt to send notices; the timeout doubles with each further attempt.
-/// The platform answers at once, and a notice is due 0.3 s after its message's deadline.
+/// The platform answers without delay, and a notice is due 0.3 s after its message's deadline.
 /// A request without a response is repeated on a new connection.
 const FIRST_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_TIMEOUT: Duration = Duration::from_millis(1000);
--- a/crates/sender/src/placement/forward.rs
+++ b/crates/sender/src/placement/forward.rs
@@ -44,7 +44,7 @@
 
     /// Starts forwarding a message that was read at `read_at`, and sends the outcome to `reply`.
     /// If the receiver of `reply` is dropped, the connection to the owner is closed.
-    /// An owner that has not accepted the message yet then withdraws it.
+    /// An owner that has not yet accepted the message withdraws it when the connection closes.
     pub fn start(
         self: &Rc<Self>,
         put: Put,
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -113,7 +113,7 @@
     }
 
     /// Fixes the number of owners among which the dispatcher shares a destination's limit, until the process ends.
-    /// With a member list in force, the number is the largest number of replicas that may still be in effect by it.
+    /// With a member list in force, the number is the largest number of replicas that may still be in effect.
     /// Without a member list, the number is taken from the previous process's saved state.
     /// Without a saved state, the number is the largest number of replicas that a member list can have.
     pub fn fix_sharers(&self) -> u32 {
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -27,7 +27,7 @@
 const FIRST_POLL_SPREAD: f64 = 0.8;
 /// Fraction of the polling interval after which a failed poll is first repeated.
 const FIRST_RETRY_SHARE: f64 = 0.4;
-/// Minimum of a pause as a fraction of its maximum, so that a failed poll is never repeated at once.
+/// Minimum of a pause as a fraction of its maximum, so that a failed poll is never repeated without a pause.
 const MIN_JITTER: f64 = 0.5;
 
 /// The pauses between one sender's polls to discovery.
@@ -57,7 +57,7 @@
     }
 
     /// Returns the pause before a poll that many senders may want to send simultaneously.
-    /// Many senders poll at a start with a known endpoint list, and after a useful watch has ended.
+    /// Many senders poll after starting with a known endpoint list, and after a useful watch has ended.
     pub fn spread_delay(&mut self) -> Duration {
         let random_fraction = self.random_fraction();
         self.interval.map_or(Duration::ZERO, |e| e.mul_f64(FIRST_POLL_SPREAD * random_fraction))
--- a/crates/sender/src/status.rs
+++ b/crates/sender/src/status.rs
@@ -7,11 +7,11 @@
 
 /// Time after a lame-duck command or a stop for which clients are served as before.
 /// The load balancer polls readiness every 0.1 s and sends new connections for 0.2 s more.
-/// After this grace period, clients' connections close between requests.
+/// After the grace period, clients' connections close between requests.
 const CLIENT_GRACE: Duration = Duration::from_millis(450);
 /// Time after a lame-duck command from which messages are refused.
-/// A client that still submits messages after this time uses outdated information about the sender.
-/// If messages were accepted after this time, the sender might not deliver all its messages in time.
+/// A client that still submits messages after the cutoff uses outdated information about the sender.
+/// If the sender accepted messages after the cutoff, it might not deliver all its messages in time.
 const LATE_MESSAGE_CUTOFF: Duration = Duration::from_millis(1400);
 
 /// The phase that the sender's process is in, from its start to its exit.
@@ -51,7 +51,7 @@
 pub struct TooLate;
 
 /// The status of the process and the times of its changes.
-/// A lame-duck command during the start takes effect after the start; a stop can't be undone.
+/// A lame-duck command to a starting process takes effect once the process has started; a stop can't be undone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessStatus {
     started: bool,
