--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -24,7 +24,7 @@
 /// Without the pause, stray bytes on the connection would be read as the response to the next request.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
 /// Time after a request was written within which a reset shows that a reused connection was unusable before.
-/// A reused connection that is reset so soon counts as dropped by the peer before the request.
+/// A reused connection that is reset within this time counts as dropped by the peer before the request.
 const IMMEDIATE_RESET: Duration = Duration::from_millis(100);
 /// Minimum of the idle lifetime: connections idle for no longer than this minimum are always reused.
 const MIN_IDLE_LIFETIME: Duration = Duration::from_millis(50);
@@ -38,7 +38,7 @@
 /// Maximum number of idle connections while another process of this sender runs.
 /// The two processes of a sender together have the descriptor limit of one process.
 const MAX_IDLE_DURING_HANDOVER: usize = 24;
-/// Maximum number of concurrent probes. Each uses a descriptor in addition to those of the calls.
+/// Maximum number of concurrent probes. Each probe uses a descriptor in addition to the calls' descriptors.
 pub const MAX_PROBES: usize = 8;
 
 /// One of the messages that a call carries to an endpoint.
--- a/crates/sender/src/daemon.rs
+++ b/crates/sender/src/daemon.rs
@@ -62,7 +62,7 @@
 const PLACEMENT_DESCRIPTORS: usize = 3;
 /// Time that a starting sender waits for the member list from a control agent.
 const MEMBER_LIST_WAIT: Duration = Duration::from_secs(2);
-/// Time that a start waits for the placement table to be built from the member list.
+/// Time that a starting sender waits for the placement table to be built from the member list.
 /// Building the table takes up to a second at full size, and more on a busy machine.
 const TABLE_WAIT: Duration = Duration::from_secs(8);
 /// Interval of the attempts to bind the forward address, which the predecessor may still use.
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -457,7 +457,7 @@
     }
 
     /// Sets each new message's remaining time as of the round that begins now.
-    /// The round may begin a quantum after the message was read, or later at a start with a long journal.
+    /// The round may begin a quantum after the message was read, or later if the process starts with a long journal.
     /// With the remaining time as of reading, the dispatcher would end the message too late for its deadline.
     /// A response after the message's deadline would not count as a delivery.
     fn set_time_left(&self, now: Micros, events: &mut [Event]) {
--- a/crates/sender/src/driver/handover.rs
+++ b/crates/sender/src/driver/handover.rs
@@ -30,7 +30,7 @@
     pub takeover_requests: mpsc::Receiver<(Owner, Link)>,
 }
 
-/// The process that this one has replaced, while that process still has calls or clients.
+/// The predecessor process that this process has replaced, while the predecessor still has calls or clients.
 pub(super) struct Predecessor {
     pub(super) send: mpsc::UnboundedSender<Frame>,
     /// The predecessor's attempts in flight, each with the number of its call and the endpoint.
--- a/crates/sender/src/inherited_socket.rs
+++ b/crates/sender/src/inherited_socket.rs
@@ -1,6 +1,6 @@
 //! The clients' listening socket, if the platform holds it and each process of the sender inherits it.
 //!
-//! The only module with `unsafe`: an inherited descriptor is known by its number alone, which the environment gives.
+//! The only module with `unsafe`: an inherited descriptor is known only by a number in an environment variable.
 #![allow(unsafe_code)]
 
 use socket2::{SockRef, Type};
--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -150,7 +150,7 @@
     known_delivered: bool,
     /// The message's final outcome as reported in its notice.
     notice: Option<End>,
-    /// When a restart found the message unattempted. Such a message must get a call before its deadline.
+    /// When a restart found the message unattempted. An unattempted message must get a call before its deadline.
     recovered: Option<Micros>,
 }
 
--- a/crates/sender/src/mgmt.rs
+++ b/crates/sender/src/mgmt.rs
@@ -24,7 +24,7 @@
 
 /// Maximum number of concurrent connections to the management interface.
 /// A request is answered as soon as it is complete, so open connections have not sent a complete request yet.
-/// At the limit the oldest connection is closed for a new one.
+/// At the limit, the oldest connection to the management interface is closed when a new one arrives.
 pub const MAX_CALLERS: usize = 24;
 /// Maximum time for reading the head of a request to the management interface.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/sender/src/placement/metrics.rs
+++ b/crates/sender/src/placement/metrics.rs
@@ -24,7 +24,7 @@
     pub unknown: Cell<u64>,
 }
 
-/// Adds one to a counter.
+/// Adds one to a counter of placement.
 pub fn count(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -174,7 +174,7 @@
 
     /// Returns the retry time in milliseconds if this sender must not accept the message now.
     /// A message is not accepted if this sender does not own the destination or the lease has expired.
-    /// Nor is a message accepted while the destination is on hold, or its endpoints are not known yet.
+    /// A message is also not accepted while its destination is on hold or its destination's endpoints are unknown.
     pub fn retry_after_ms(&self, put: &Put) -> Option<u64> {
         let rule = self.rule_of(put)?;
         let (ownership, now) = (self.ownership.borrow(), clock::now());
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -4,7 +4,7 @@
 //! A hundred senders that are started together overload discovery if each poll costs discovery work.
 //! Discovery then takes seconds to answer one poll of each sender and answers polls that waited longer with an error.
 //! Without random pauses, all senders would retry their failed polls simultaneously.
-//! So each sender first waits for a random fraction of the polling interval in the settings.
+//! So each sender waits before its first poll for a random fraction of the polling interval in the settings.
 //! After a failed poll, a sender retries after a random fraction of a growing interval.
 
 use std::time::Duration;
