--- a/crates/sender/src/interleavings.rs
+++ b/crates/sender/src/interleavings.rs
@@ -150,7 +150,7 @@
     known_delivered: bool,
     /// The message's final outcome as reported in its notice.
     notice: Option<End>,
-    /// When a restart found the message unattempted. Such a message must get a call before its deadline.
+    /// When a restart found the message unattempted. An unattempted message must get a call before its deadline.
     recovered: Option<Micros>,
 }
 
@@ -188,7 +188,7 @@
     process: Process,
     next: u64,
     kill: (usize, Micros),
-    /// Whether the simulated endpoints refuse every connection at once.
+    /// Whether the simulated endpoints refuse every connection immediately.
     refused: bool,
 }
 
--- a/crates/sender/src/placement/mod.rs
+++ b/crates/sender/src/placement/mod.rs
@@ -113,7 +113,7 @@
     }
 
     /// Fixes the number of owners among which the dispatcher shares a destination's limit, until the process ends.
-    /// With a member list in force, the number is the largest number of replicas that may still be in effect by it.
+    /// With a member list in force, the number is the largest number of replicas that may still be in effect.
     /// Without a member list, the number is taken from the previous process's saved state.
     /// Without a saved state, the number is the largest number of replicas that a member list can have.
     pub fn fix_sharers(&self) -> u32 {
@@ -174,7 +174,7 @@
 
     /// Returns the retry time in milliseconds if this sender must not accept the message now.
     /// A message is not accepted if this sender does not own the destination or the lease has expired.
-    /// Nor is a message accepted while the destination is on hold, or its endpoints are not known yet.
+    /// A message is also not accepted while its destination is on hold or its destination's endpoints are unknown.
     pub fn retry_after_ms(&self, put: &Put) -> Option<u64> {
         let rule = self.rule_of(put)?;
         let (ownership, now) = (self.ownership.borrow(), clock::now());
