--- a/crates/scale/src/slopes/fleet.rs
+++ b/crates/scale/src/slopes/fleet.rs
@@ -26,7 +26,7 @@
 const MAX_PART_RATE: f64 = 100.0;
 /// Default interval, in seconds, at which a sender polls its control agent: a quarter of the lease of 10 s.
 const POLL_INTERVAL_S: f64 = 2.5;
-/// Assumed length, in bytes, of the HTTP/1.1 heads of a control agent's poll and its answer.
+/// Assumed length, in bytes, of the HTTP/1.1 heads of a poll of the control agent and of the agent's answer.
 const HTTP_HEAD_BYTES: f64 = 300.0;
 /// Seconds within which a change must be in force at every sender.
 const MAX_CHANGE_S: f64 = 18.0;
--- a/crates/scale/src/slopes/owners_check.rs
+++ b/crates/scale/src/slopes/owners_check.rs
@@ -92,7 +92,7 @@
             SIMULATED_AGAINST_REAL,
         );
         report.metric(format!("{size} real: resident"), Unit::Bytes, Spread::of(&real.resident));
-        // All processes build their placement tables at the same time on one machine.
+        // All processes build their placement tables simultaneously on one machine.
         // So the budget applies to the processor time of each sender, not to wall-clock time.
         let all = Spread::exact(real.seconds);
         report.metric(format!("{size} real: until all have read what they own"), Unit::Seconds, all);
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -21,7 +21,7 @@
 
 /// Number of table lookups that are timed together: a single lookup is too short for the clock.
 const LOOKUPS_PER_BATCH: usize = 1_000;
-/// Number of member lists that are in memory at once when the memory of one list is measured.
+/// Number of member lists that are in memory simultaneously when the memory of one list is measured.
 const LIST_COPIES: usize = 8;
 
 /// Numbers of shards and destinations that each seat owns.
@@ -203,7 +203,8 @@
             table.push(table_part);
             total.push(all);
         }
-        // The loss of a zone is 1,364 changes at once, to which the budget of a single change does not apply.
+        // The loss of a zone is 1,364 simultaneous changes.
+        // The budget of a single change does not apply to the loss of a zone.
         if changes.changes.len() == 1 {
             report.bounded_metric(format!("{name}: table"), Unit::Seconds, Spread::of(&table), TABLE_CHANGE);
         } else {
--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -1,5 +1,5 @@
 //! Polling of a discovery whose requests are expensive (`"Discovery": "ask"`).
-//! Guards against polling at the start, and against polling too often.
+//! Guards against a sender that polls discovery when it starts, or that polls discovery too often.
 //! Guards against pauses after failed requests that are so long that the sender learns of a drain too late.
 
 mod common;
@@ -12,7 +12,8 @@
 
 const SYNC: &str = "c=sync,d=15000,dest=3";
 
-/// Configures a discovery that is polled at most once in `interval_ms`, and an endpoint list known at the start.
+/// Configures a discovery that is polled at most once in `interval_ms`.
+/// Adds an endpoint list that the sender knows when it starts.
 fn use_polled_discovery(config: &mut Value, interval_ms: u64, known: &Value) {
     config["settings"]["Discovery"] = "ask".into();
     config["settings"]["Rules"]["AskEveryUs"] = (interval_ms * 1000).into();
--- a/crates/sender/tests/clients.rs
+++ b/crates/sender/tests/clients.rs
@@ -415,7 +415,7 @@
 
 #[test]
 fn a_message_that_ends_while_its_calls_connection_comes_up_is_left_out() {
-    // Two messages share a call; one of them reaches its deadline before the connection is established.
+    // Two messages share a call; one message reaches its deadline before the connection is established.
     let mut endpoint = FullBacklogEndpoint::new();
     let platform = Platform::new(vec![placeholder(3)]);
     let sender = Sender::start(&platform);
--- a/crates/sender/tests/common/placement/control.rs
+++ b/crates/sender/tests/common/placement/control.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for the control agents, one for each sender.
 //! All agents answer `GET /v1/members?since=EPOCH` from one sequence of member lists; each has its own delay.
-//! An agent can be made silent, or made to serve an invalid member list.
+//! A control agent can be made silent, or made to serve an invalid member list.
 
 use super::http;
 use hyper::{Response, body::Incoming};
@@ -22,13 +22,13 @@
 /// Behaviour of one control agent.
 #[derive(Default)]
 struct Agent {
-    /// Time from the start of an epoch until the agent serves the epoch's member list.
+    /// Time from the start of an epoch until the control agent serves the epoch's member list.
     delay: Cell<Duration>,
-    /// Whether the agent accepts requests without answering them.
+    /// Whether the control agent accepts requests without answering them.
     silent: Cell<bool>,
-    /// Answer that the agent gives to every request in place of the real answer, if set.
+    /// Answer that the control agent gives to every request in place of the real answer, if set.
     override_with: RefCell<Option<Value>>,
-    /// Number of requests that the agent has received.
+    /// Number of requests that the control agent has received.
     requests: Cell<u64>,
 }
 
@@ -105,7 +105,7 @@
         }
         agent.requests.set(agent.requests.get() + 1);
         if agent.silent.get() {
-            // A silent agent never answers a request: the pending future outlasts any scenario.
+            // A silent control agent never answers a request: the pending future outlasts any scenario.
             std::future::pending::<()>().await;
         }
         let since = http::query_number(&request, "since");
@@ -114,8 +114,8 @@
         http::with_body(200, answer.to_string())
     }
 
-    /// Returns the answer to a sender that knows the epoch `since`; the agent knows each new epoch after `delay`.
-    /// The answer contains the changes, or the full member list if the agent does not know the epoch `since`.
+    /// Returns a control agent's answer to a sender that knows the epoch `since`; `delay` delays each new epoch.
+    /// The answer has the changes, or the full member list if the control agent does not know the epoch `since`.
     fn answer_since(&self, delay: Duration, since: Option<u64>) -> Value {
         let epochs = self.epochs.borrow();
         let latest = epochs.iter().rposition(|e| e.in_force_since.elapsed() >= delay).unwrap_or(0);
--- a/crates/sender/tests/common/placement/fleet.rs
+++ b/crates/sender/tests/common/placement/fleet.rs
@@ -45,7 +45,7 @@
         let [.., high, low] = std::process::id().to_be_bytes();
         let last = PROCESSES.fetch_add(1, Ordering::Relaxed) % 254 + 1;
         let own = Ipv4Addr::new(127, high | 0x80, low, last);
-        // All three listeners are open at once, so that their ports differ.
+        // All three listeners are open simultaneously, so that their ports differ.
         let [clients, mgmt, forward] = [(); 3].map(|()| std::net::TcpListener::bind((own, 0)).unwrap());
         let [clients, mgmt, forward] = [clients, mgmt, forward].map(|l| l.local_addr().unwrap());
         Addresses { clients, mgmt, forward }
--- a/crates/sender/tests/common/placement/mod.rs
+++ b/crates/sender/tests/common/placement/mod.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// Allows one fleet of processes at a time: test results must not depend on how many tests run at once.
+/// Allows one fleet of processes at a time: test results must not depend on how many tests run simultaneously.
 static ONE_FLEET: std::sync::Mutex<()> = std::sync::Mutex::new(());
 
 /// Time limit of a scenario, including the wait until all messages have ended.
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -104,9 +104,10 @@
         open.map(|m| m.id.clone()).collect()
     }
 
-    /// Returns the messages that took effect twice but must not, by the id under which a client first put them.
+    /// Returns the ids of the messages that took effect twice although the messages must not.
+    /// The id is that under which a client first put the message.
     /// Effects under an id whose `MSG.PUT` got no answer are not counted.
-    /// The client of such a message may put the message again under another id.
+    /// After a `MSG.PUT` without an answer, the client may put the message again under another id.
     pub fn double_effects(&self) -> Vec<String> {
         let mut effects: BTreeMap<&str, usize> = BTreeMap::new();
         for message in
--- a/crates/sender/tests/crossings.rs
+++ b/crates/sender/tests/crossings.rs
@@ -33,7 +33,8 @@
         }
         _ => write_answer(stream, 204, ""),
     });
-    // The script also receives the notices. This stub platform only provides a discovery address at the start.
+    // The script also receives the notices.
+    // This stub platform only provides the discovery address when the sender starts.
     let platform = Platform::new(Vec::new());
     let sender = Sender::with(&platform, |c| c["discovery"] = scripted.addr.to_string().into());
     (endpoint, scripted, platform, sender)
@@ -363,7 +364,7 @@
         let state = move |state: &str| listed_endpoint("s-1", endpoint.addr, "one", 3, state);
         let scripted = ScriptedPlatform::new(move |request, before, stream| {
             if !request.line.contains("follow") {
-                // Only the first request for the full endpoint list is answered.
+                // The script answers only the first request for the full endpoint list.
                 if before == 0 {
                     write_answer(stream, 200, &list(7, true, vec![state("Ready")]));
                 }
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -42,7 +42,7 @@
     let path = folder.path().to_path_buf();
     let options = Options { subject, folder: path, control: None, serve_only: false, stall: None };
     let (report, table) = report(&rig::run(scenario, &options, |_| {}).unwrap()).unwrap();
-    // Fifty debug builds that start in the same second make the rig late on a machine with few cores.
+    // Fifty debug builds that start in the same second make the test setup late on a machine with few cores.
     // More lateness than usual is allowed, since this test counts calls over seconds.
     let late = report.judgement.lateness.p99_us < MAX_RIG_LATENESS_US;
     let void = report.judgement.void.as_deref().filter(|why| !why.contains("ran late") || !late);
@@ -99,7 +99,7 @@
         [[event]]\nat = \"12s\"\ndo = \"sigkill\"\nshare = 0.5";
     let (report, table) = rehearse("20s", 60, &[receiver(1, 4)], events);
     let new = |name: &str| matches!(name, "r1-4" | "r1-5" | "r1-6" | "r1-7");
-    // The directory's own lag is 2 s, so no sender learns of the join before second 5.
+    // The directory's own delay is 2 s, so no sender learns of the join before second 5.
     let (first, later) = (
         share_over_even(&calls_by_endpoint(&table, 1, 5.0, 6.0), new),
         share_over_even(&calls_by_endpoint(&table, 1, 12.0, 20.0), new),
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -16,7 +16,7 @@
 const PAY: &str = "c=pay,d=15000,dest=3";
 
 /// Processes of one sender that share a listening socket, which the test keeps open.
-/// The platform keeps the socket open in the same way when it replaces a process.
+/// The platform keeps the listening socket open when it replaces a process.
 struct SharedSocket {
     listener: std::net::TcpListener,
     addr: std::net::SocketAddr,
@@ -32,7 +32,7 @@
         let folder = tempfile::tempdir().unwrap();
         std::fs::create_dir(folder.path().join("state")).unwrap();
         let mut config = config(addr, platform, 1024);
-        // 400 open messages are enough for all messages that a test puts at once.
+        // 400 open messages are enough for all messages that a test puts simultaneously.
         // With a lower limit, some messages would be returned for lack of room on a slow machine.
         config["settings"]["Limits"]["MaxOpen"] = 400.into();
         std::fs::write(folder.path().join("config.json"), config.to_string()).unwrap();
@@ -386,7 +386,8 @@
     let (endpoint, platform, mut processes) = start_first(|_| status(200));
     for n in 0..3 {
         let (first, second) = (processes.start(), processes.start());
-        // One new process takes over from the running one, then the other takes over from the first new one.
+        // One of the two new processes takes over from the running process.
+        // The other new process then takes over from the new process that is running.
         wait_until("exactly one of the two to be ready", || processes.ready(first) ^ processes.ready(second));
         let id = format!("a{n}");
         wait_until("an accepted put", || processes.client().put(&id, SYNC) == "+OK");
--- a/crates/sender/tests/lists.rs
+++ b/crates/sender/tests/lists.rs
@@ -42,7 +42,8 @@
 
 /// Starts a sender with the scripted discovery and a management interface.
 fn sender(discovery: &ScriptedPlatform, known: &Value) -> Sender {
-    // This stub platform only provides a discovery address at the start; the scripted discovery replaces it.
+    // This stub platform only provides the discovery address when the sender starts.
+    // The scripted discovery replaces the stub platform's discovery.
     let platform = Platform::new(Vec::new());
     let mut sender = Sender::with_mgmt(&platform);
     sender.kill();
--- a/crates/sender/tests/mgmt.rs
+++ b/crates/sender/tests/mgmt.rs
@@ -1,7 +1,7 @@
 //! Tests of the management interface.
 //! Guards against requests that are delayed by idle callers or by crowds of clients.
 //! Guards against metrics that disagree with what clients and endpoints observe.
-//! Guards against a lame duck that disconnects its clients at once, or that keeps serving clients.
+//! Guards against a lame duck that disconnects its clients without delay, or that keeps serving clients.
 
 mod common;
 use common::*;
@@ -46,7 +46,7 @@
 #[test]
 fn idle_and_half_written_requests_delay_no_one() {
     let (_endpoint, _platform, sender) = sender_with_endpoint(|_| status(200));
-    // The test opens more than twice as many connections as the management interface accepts at once.
+    // The test opens more than twice as many connections as the management interface accepts simultaneously.
     let mut open_connections = Vec::new();
     for n in 0..60 {
         let mut stream = TcpStream::connect(sender.mgmt).unwrap();
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -304,7 +304,8 @@
         let mut changes = Vec::new();
         play(&rig, 1, async {
             sleep(Duration::from_secs(1)).await;
-            // First a member whose control agent is delayed is removed, then a member whose agent is not.
+            // First a member whose control agent is delayed is removed.
+            // Then a member whose control agent is not delayed is removed.
             changes.push(add_and_remove(&rig, added, removed).before);
             sleep(Duration::from_millis(800)).await;
             changes.push(rig.control.list());
--- a/crates/sender/tests/placement_standins.rs
+++ b/crates/sender/tests/placement_standins.rs
@@ -59,7 +59,7 @@
         let both_changes = json!({"epoch": 3, "since": 1, "changes": [vacated, added]});
         assert_eq!(get(prompt, "/v1/members?since=1").await, both_changes);
         assert_eq!(get(late, "/v1/members?since=1").await, nothing);
-        // A sender that knows a later epoch than its agent receives the agent's full member list.
+        // A sender that knows a later epoch than its control agent receives the agent's full member list.
         assert_eq!(get(late, "/v1/members?since=3").await["epoch"], 1);
         let full_list = get(prompt, "/v1/members?since=9").await;
         assert_eq!((&full_list["epoch"], &full_list["first"]), (&json!(3), &json!(false)));
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -110,7 +110,7 @@
     let (report, table) = rehearse(scenario("14s", 40, events));
     // 7 of 12 endpoints are drained, and each drain is tested at two senders.
     assert_eq!(tested(&report, Rule::DrainsKept), 14);
-    // The senders learned of the drains with the intended lag, and used the draining endpoints before.
+    // The senders learned of the drains with the intended delay, and used the draining endpoints before.
     let drains = table.status_updates.values().flatten().filter(|(_, s)| *s != EndpointStatus::Ready);
     assert!(drains.map(|(t, _)| *t).min().unwrap() > 7_000_000);
     assert!(report.judgement.service.whole.share > 0.95, "{}", report.text());
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -91,7 +91,8 @@
     (0..20).for_each(|n| [&slow, &prompt][n % 2].wait_sent(&id(n)));
     // Each of the twenty untried messages has been sent in a call. The slow receiver answers one call at a time.
     // A call that waits in the receiver's queue for too long is given up as unanswered.
-    // The message of such a call ends if it may not be sent again (unsafe) or only within its key window (keyed).
+    // The message of an unanswered call ends if the message may not be sent again (unsafe).
+    // A message that may be sent again only within its key window (keyed) also ends.
     let ends = platform.notices();
     let mut found = ends.iter().filter_map(|n| n["id"].as_str().unwrap().strip_prefix('m'));
     assert!(found.all(|n| n.parse::<usize>().unwrap() % 3 != 0), "{ends:?}");
