--- a/crates/scale/src/process/receiver.rs
+++ b/crates/scale/src/process/receiver.rs
@@ -25,7 +25,7 @@
         let address = listener.local_addr()?;
         let serving = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // The daemon's limit on sockets bounds the number of these tasks.
+                // The daemon's limit on sockets bounds the number of connection tasks.
                 tokio::spawn(serve(stream));
             }
         });
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -109,7 +109,7 @@
 
 /// Factor for the limits of time budgets at small sizes (`--small`).
 /// At small sizes the code is not optimised and the machine is busy with other tests.
-/// So a measured time can only reveal a gross fault.
+/// At small sizes, a measured time can only reveal a gross fault.
 const SMALL_TIME_MARGIN: f64 = 30.0;
 
 impl Report {
--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -43,7 +43,7 @@
 }
 
 /// Returns the load of the busiest filled seat divided by the mean of its region's filled seats.
-/// The result is the highest such quotient of all regions.
+/// Of the quotients of all regions, the highest is the result.
 fn busiest_by_region(list: &MemberList, counts: &[u32]) -> f64 {
     let mut regions: HashMap<u16, (f64, f64, f64)> = HashMap::new();
     for seat in list.seat_ids().filter(|seat| list.member(*seat).is_some()) {
--- a/crates/sender/tests/asking.rs
+++ b/crates/sender/tests/asking.rs
@@ -45,7 +45,7 @@
     wait_until("the watch requests", || platform.request_lines().len() == 4);
     let paths = platform.request_lines();
     assert!(paths.iter().all(|p| p.contains("follow=1&since=7")), "{paths:?}");
-    // The fourth watch request is not rejected: from then on the sender follows its watch.
+    // The fourth watch request is not rejected, so the sender follows the watch from the fourth request on.
     let lines = vec![
         listed_endpoint("s-1", endpoint.addr, "one", 3, "Gone"),
         listed_endpoint("s-2", fresh.addr, "one", 3, "Ready"),
@@ -90,10 +90,10 @@
 }
 
 /// Returns how long a sender takes to learn of a drain.
-/// The time starts at the last failed request: from then on discovery knows the drain and can be reached.
+/// The time starts at the last failed request; after that request, discovery knows the drain and can be reached.
 /// With a known endpoint list the sender requests changes, otherwise the full endpoint list.
 fn drain_delay(failure: Failure, polled: bool, with_list: bool) -> Duration {
-    // After this many failed requests, the pauses between requests have grown.
+    // After this many failed discovery requests, the sender's pauses between the requests have grown.
     let failures = if polled { 2 } else { 4 };
     let endpoint = Endpoint::new(|_| status(200));
     let addr = endpoint.addr;
--- a/crates/sender/tests/common/mod.rs
+++ b/crates/sender/tests/common/mod.rs
@@ -345,7 +345,7 @@
 
     /// Waits until the platform has read everything that a killed process had written.
     /// The killed process's last bytes may be on a connection that the platform has not accepted yet.
-    /// Connections are accepted in order, so the one that this function opens is accepted last.
+    /// The platform accepts connections in order, so the connection that this function opens is accepted last.
     pub fn wait_connections_closed(&self) {
         let mut last = TcpStream::connect(self.addr).unwrap();
         last.write_all(b"GET /v1/servers HTTP/1.1\r\n\r\n").unwrap();
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Returns whether the rig itself stalled, so that times measured in the run mean nothing.
+    /// Returns whether the test setup itself stalled, so that times measured in the run mean nothing.
     pub fn is_void(&self) -> bool {
         self.judgement.void.is_some()
     }
 
     /// Returns the messages that two senders sent although the messages must not take effect twice.
-    /// The first of the two senders may already have delivered such a message.
+    /// The first of the two senders may already have delivered the message that the second sender sent.
     pub fn second_owners(&self) -> Vec<String> {
         let harmful = self.table.messages.iter().filter(|m| self.effect(m) != Effect::Safe);
         let by_two = harmful.filter(|m| {
--- a/crates/sender/tests/even.rs
+++ b/crates/sender/tests/even.rs
@@ -1,7 +1,7 @@
 //! Evenness of the load that a hundred real sender processes together cause at a few receivers.
 //! Guards against an uneven load of endpoints where each sender sees little of the total load.
 //! The load must stay even when endpoints join, stall or are slow.
-//! It must also stay even when half of the sender processes are killed in the same second.
+//! The load must also stay even when half of the sender processes are killed in the same second.
 
 use embershore_rehearsal::judge::{Spread, Table, Verdict};
 use embershore_rehearsal::report::{Report, report};
--- a/crates/sender/tests/handover.rs
+++ b/crates/sender/tests/handover.rs
@@ -115,7 +115,7 @@
     processes.start();
     processes.wait_ready(1);
     // The first process closes its clients' connections and exits.
-    // The second process continues with everything else, such as the open message a1.
+    // The second process takes over all other work, such as the open message a1.
     assert_eq!(client.read(), "");
     assert!(processes.wait_exit(0).success());
     platform.publish(false, vec![listed_endpoint("s-1", endpoint.addr, "one", 3, "Ready")]);
--- a/crates/sender/tests/outcomes.rs
+++ b/crates/sender/tests/outcomes.rs
@@ -244,7 +244,7 @@
 fn a_call_is_given_up_when_the_first_of_its_messages_runs_out_of_time() {
     let (endpoint, platform, sender) =
         batching(|r| if r.is_batch() { StubResponse::Silence } else { status(200) });
-    // With this first message, the sender measures how long an answer takes.
+    // With the first message `a1`, the sender measures how long an answer takes.
     assert_eq!(sender.client().put("a1", SYNC), "+OK");
     wait_until("the second call with a1", || endpoint.call_count("a1") == 2);
     let waited = std::sync::atomic::AtomicBool::new(false);
--- a/crates/sender/tests/placement.rs
+++ b/crates/sender/tests/placement.rs
@@ -38,7 +38,7 @@
 }
 
 /// Puts messages of all classes at all members while `faults` happen and for `seconds_after` seconds more.
-/// Then waits until each message has ended.
+/// Waits after that until each message has ended.
 async fn play(rig: &Rig, seconds_after: u64, faults: impl Future<Output = ()>) {
     let load = Load::of(&rig.fleet, RATE);
     let during = async {
@@ -174,7 +174,8 @@
                 fleet.spawn(second);
                 fleet.wait_ready(first).await;
                 fleet.wait_ready(second).await;
-                // The restarted senders' folders record what they owned, so they accept without a hold.
+                // The restarted senders' state folders record the owned shards.
+                // So the restarted senders accept messages without a hold.
                 let back = rig.ledger.now();
                 until_it_calls(&rig, first, back).await;
                 until_it_calls(&rig, second, back).await;
@@ -284,7 +285,7 @@
             first.t - at
         );
         // One lease time after the change, the removed member has received the member list without its seat.
-        // Otherwise the lease of the removed member has expired by then.
+        // If the removed member has not received the list, its lease has expired one lease time after the change.
         let lease = micros(rig.fleet.deployment.lease);
         let offered = |id: &String| findings.table.message(id).unwrap().offered;
         let calls = findings.table.calls.values().filter(|call| call.sender == removed);
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -340,7 +340,7 @@
         std::thread::spawn(move || capture(&tap, &out, |at| address_sender.send(at).unwrap()).unwrap());
     let mut client = TcpStream::connect(address_receiver.recv().unwrap()).unwrap();
     let put = "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$2\r\na1\r\n$33\r\nc=sync,t=acme,d=8000,dest=7,q=123\r\n$5\r\nhello\r\n";
-    // The client writes a command in two pieces, then bytes that are no command, which are forwarded too.
+    // The client writes a command in two pieces, then bytes that are no command; the tap also forwards these bytes.
     client.write_all(&put.as_bytes()[..20]).unwrap();
     client.write_all(&put.as_bytes()[20..]).unwrap();
     let mut line = String::new();
--- a/crates/sender/tests/reload.rs
+++ b/crates/sender/tests/reload.rs
@@ -186,7 +186,7 @@
     let path = sender.folder.path().join("config.json");
     let good = std::fs::read_to_string(&path).unwrap();
     // Each of twenty configuration files has a changed discovery address, an additional class and an error.
-    // Every other file is also cut in half.
+    // Every second configuration file is also cut in half.
     let flaws: [fn(&mut serde_json::Value); 5] = [
         |c| c["settings"]["Profiles"][0]["HardLimitUs"] = (-5).into(),
         |c| c["settings"]["Limits"]["MaxAttempts"] = 0.into(),
@@ -203,7 +203,7 @@
             flaws[n % 5](c);
         });
         if n % 2 == 1 {
-            // A file that is cut in half looks like a file that is read while it is being written.
+            // A configuration file cut in half stands for a file that the sender reads during a write.
             let text = std::fs::read_to_string(&path).unwrap();
             std::fs::write(&path, &text[..text.len() / 2]).unwrap();
         }
--- a/crates/sender/tests/restart.rs
+++ b/crates/sender/tests/restart.rs
@@ -268,7 +268,7 @@
 }
 
 /// Waits until the journal records an attempt at the endpoint.
-/// The stub's own records do not show the attempt yet: it records a request only after its gate has opened.
+/// The stub endpoint's records do not show the attempt yet: the stub records a request after its gate has opened.
 fn wait_attempt_journaled(_endpoint: &Endpoint, sender: &Sender) {
     wait_until("the attempt in the journal", || sender.journal_contains("s-1"));
 }
@@ -409,7 +409,8 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 /// Maximum time from the first byte of a repeated call until the stub endpoint reads the request.
-/// The sender checks the idempotency window right before it writes that byte, without a margin for the transfer.
+/// The sender checks the idempotency window right before it writes the call's first byte.
+/// The check has no margin for the transfer.
 /// On a busy machine the stub read a request up to 62 ms later (4 of 200 restarts, load of 30 on 8 cores).
 const TRANSIT: Duration = Duration::from_millis(200);
 
--- a/crates/sender/tests/return_restart.rs
+++ b/crates/sender/tests/return_restart.rs
@@ -1,7 +1,7 @@
 //! Guards against thirty restarted senders that overload two small receivers.
 //! The senders are killed one second after the receivers returned cold.
 //! The restarted senders must not forget that the receivers are warming up.
-//! This test is alone in its file: so many processes next to other rehearsals would make the rig late.
+//! This test is alone in its file: thirty senders next to other rehearsals would make the test setup late.
 
 use embershore_rehearsal::judge::{Rule, Verdict};
 use embershore_rehearsal::report::report;
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -1,7 +1,7 @@
 //! Accepted messages that were not tried before the sender was killed.
-//! Guards against a restarted sender that returns or drops such messages without a call.
+//! Guards against a restarted sender that returns or drops untried messages without a call.
 //! The number of messages in a test ranges from one to the sender's limit of open messages.
-//! Their receivers are prompt, slow, refusing or unreachable.
+//! The receivers of the messages are prompt, slow, refusing or unreachable.
 
 mod common;
 use common::*;
@@ -85,7 +85,7 @@
     let mut client = sender.client();
     client.ping();
     for n in 0..12 {
-        // It does not matter here whether the sender refuses one of these messages for lack of room.
+        // The sender may refuse the messages named `new` for lack of room; the test does not check the replies.
         _ = client.put(&format!("new{n}"), &format!("c=pay,d=15000,dest={}", 3 + n % 2));
     }
     (0..20).for_each(|n| [&slow, &prompt][n % 2].wait_sent(&id(n)));
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode, Output};
 
-/// Paths of the repository that are copied, since a build without the guard needs them and nothing else.
+/// Paths of the repository that are copied: the only paths that a build without the guard needs.
 const COPIED_PATHS: [&str; 9] = [
     "Cargo.toml",
     "Cargo.lock",
