--- a/crates/scale/src/slopes/placement.rs
+++ b/crates/scale/src/slopes/placement.rs
@@ -21,7 +21,7 @@
 
 /// Number of table lookups that are timed together: a single lookup is too short for the clock.
 const LOOKUPS_PER_BATCH: usize = 1_000;
-/// Number of member lists that are in memory at once when the memory of one list is measured.
+/// Number of member lists that are in memory simultaneously when the memory of one list is measured.
 const LIST_COPIES: usize = 8;
 
 /// Numbers of shards and destinations that each seat owns.
@@ -43,7 +43,7 @@
 }
 
 /// Returns the load of the busiest filled seat divided by the mean of its region's filled seats.
-/// The result is the highest such quotient of all regions.
+/// Of the quotients of all regions, the highest is the result.
 fn busiest_by_region(list: &MemberList, counts: &[u32]) -> f64 {
     let mut regions: HashMap<u16, (f64, f64, f64)> = HashMap::new();
     for seat in list.seat_ids().filter(|seat| list.member(*seat).is_some()) {
@@ -203,7 +203,8 @@
             table.push(table_part);
             total.push(all);
         }
-        // The loss of a zone is 1,364 changes at once, to which the budget of a single change does not apply.
+        // The loss of a zone is 1,364 simultaneous changes.
+        // The budget of a single change does not apply to the loss of a zone.
         if changes.changes.len() == 1 {
             report.bounded_metric(format!("{name}: table"), Unit::Seconds, Spread::of(&table), TABLE_CHANGE);
         } else {
--- a/crates/sender/tests/common/placement/verdict.rs
+++ b/crates/sender/tests/common/placement/verdict.rs
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Returns whether the rig itself stalled, so that times measured in the run mean nothing.
+    /// Returns whether the test setup itself stalled, so that times measured in the run mean nothing.
     pub fn is_void(&self) -> bool {
         self.judgement.void.is_some()
     }
 
     /// Returns the messages that two senders sent although the messages must not take effect twice.
-    /// The first of the two senders may already have delivered such a message.
+    /// The first of the two senders may already have delivered the message that the second sender sent.
     pub fn second_owners(&self) -> Vec<String> {
         let harmful = self.table.messages.iter().filter(|m| self.effect(m) != Effect::Safe);
         let by_two = harmful.filter(|m| {
@@ -104,9 +104,10 @@
         open.map(|m| m.id.clone()).collect()
     }
 
-    /// Returns the messages that took effect twice but must not, by the id under which a client first put them.
+    /// Returns the ids of the messages that took effect twice although the messages must not.
+    /// The id is that under which a client first put the message.
     /// Effects under an id whose `MSG.PUT` got no answer are not counted.
-    /// The client of such a message may put the message again under another id.
+    /// After a `MSG.PUT` without an answer, the client may put the message again under another id.
     pub fn double_effects(&self) -> Vec<String> {
         let mut effects: BTreeMap<&str, usize> = BTreeMap::new();
         for message in
--- a/crates/sender/tests/rehearsal.rs
+++ b/crates/sender/tests/rehearsal.rs
@@ -110,7 +110,7 @@
     let (report, table) = rehearse(scenario("14s", 40, events));
     // 7 of 12 endpoints are drained, and each drain is tested at two senders.
     assert_eq!(tested(&report, Rule::DrainsKept), 14);
-    // The senders learned of the drains with the intended lag, and used the draining endpoints before.
+    // The senders learned of the drains with the intended delay, and used the draining endpoints before.
     let drains = table.status_updates.values().flatten().filter(|(_, s)| *s != EndpointStatus::Ready);
     assert!(drains.map(|(t, _)| *t).min().unwrap() > 7_000_000);
     assert!(report.judgement.service.whole.share > 0.95, "{}", report.text());
@@ -340,7 +340,7 @@
         std::thread::spawn(move || capture(&tap, &out, |at| address_sender.send(at).unwrap()).unwrap());
     let mut client = TcpStream::connect(address_receiver.recv().unwrap()).unwrap();
     let put = "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$2\r\na1\r\n$33\r\nc=sync,t=acme,d=8000,dest=7,q=123\r\n$5\r\nhello\r\n";
-    // The client writes a command in two pieces, then bytes that are no command, which are forwarded too.
+    // The client writes a command in two pieces, then bytes that are no command; the tap also forwards these bytes.
     client.write_all(&put.as_bytes()[..20]).unwrap();
     client.write_all(&put.as_bytes()[20..]).unwrap();
     let mut line = String::new();
--- a/crates/sender/tests/untried.rs
+++ b/crates/sender/tests/untried.rs
@@ -1,7 +1,7 @@
 //! Accepted messages that were not tried before the sender was killed.
-//! Guards against a restarted sender that returns or drops such messages without a call.
+//! Guards against a restarted sender that returns or drops untried messages without a call.
 //! The number of messages in a test ranges from one to the sender's limit of open messages.
-//! Their receivers are prompt, slow, refusing or unreachable.
+//! The receivers of the messages are prompt, slow, refusing or unreachable.
 
 mod common;
 use common::*;
@@ -85,13 +85,14 @@
     let mut client = sender.client();
     client.ping();
     for n in 0..12 {
-        // It does not matter here whether the sender refuses one of these messages for lack of room.
+        // The sender may refuse the messages named `new` for lack of room; the test does not check the replies.
         _ = client.put(&format!("new{n}"), &format!("c=pay,d=15000,dest={}", 3 + n % 2));
     }
     (0..20).for_each(|n| [&slow, &prompt][n % 2].wait_sent(&id(n)));
     // Each of the twenty untried messages has been sent in a call. The slow receiver answers one call at a time.
     // A call that waits in the receiver's queue for too long is given up as unanswered.
-    // The message of such a call ends if it may not be sent again (unsafe) or only within its key window (keyed).
+    // The message of an unanswered call ends if the message may not be sent again (unsafe).
+    // A message that may be sent again only within its key window (keyed) also ends.
     let ends = platform.notices();
     let mut found = ends.iter().filter_map(|n| n["id"].as_str().unwrap().strip_prefix('m'));
     assert!(found.all(|n| n.parse::<usize>().unwrap() % 3 != 0), "{ends:?}");
