--- a/crates/rehearsal/benches/load.rs
+++ b/crates/rehearsal/benches/load.rs
@@ -1,7 +1,7 @@
 //! Measures the load that the rig can sustain, with receivers without latency.
-//! The sender is a stub that delivers at once.
+//! The sender is a stub that delivers each message without delay.
 //!
-//! Increases the message rate until the 99th percentile of the clients' lag behind the load plan exceeds 5 ms.
+//! Increases the message rate until the 99th percentile of the clients' delay behind the load plan exceeds 5 ms.
 //! The rate and the time are bounded, and the benchmark uses loopback only. Run the benchmark with:
 //! `cargo bench -p embershore-rehearsal --bench load`
 
@@ -17,7 +17,7 @@
 /// Time in seconds for which the benchmark measures each message rate.
 const STEP_SECONDS: u32 = 4;
 const RATES: [u32; 5] = [500, 2000, 4000, 8000, 12_000];
-/// Maximum 99th percentile of the clients' lag, in microseconds, for a message rate to count as sustained.
+/// Maximum 99th percentile of the clients' delay behind the load plan, in microseconds.
 const MAX_LAG_US: i64 = 5_000;
 
 fn memory_kb() -> u64 {
--- a/crates/rehearsal/src/event.rs
+++ b/crates/rehearsal/src/event.rs
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawEvent {
-    /// Time of the event on the timeline; absent over the control port, where an event happens at once.
+    /// Time of the event on the timeline; absent over the control port, where an event happens immediately.
     #[serde(default)]
     pub at: Option<Span>,
     /// Kind of the event, which decides which other fields it has.
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -83,7 +83,7 @@
 pub enum Signal {
     /// SIGTERM asks the process to end. SIGKILL follows if it does not end in time.
     Term,
-    /// SIGKILL ends the process at once.
+    /// SIGKILL ends the sender's process without a drain.
     Kill,
     /// SIGHUP makes the process read its configuration again.
     Hup,
--- a/crates/rehearsal/src/html/mod.rs
+++ b/crates/rehearsal/src/html/mod.rs
@@ -167,14 +167,14 @@
     table.parameters.classes.iter().enumerate().map(class).collect()
 }
 
-/// Returns the maximum number of time spans that were open at once in each second.
+/// Returns the maximum number of time spans that were open simultaneously in each second.
 fn max_open(spans: impl Iterator<Item = (Micros, Micros)>, seconds: usize) -> Vec<f64> {
     let mut steps: Vec<(Micros, i64)> = spans.flat_map(|(a, b)| [(a, 1), (b, -1)]).collect();
     steps.sort_unstable();
     let (mut values, mut open, mut at) = (vec![0.0; seconds], 0, 0);
     for (t, step) in steps {
         let now = second(t).min(seconds - 1);
-        // The number of open spans stays the same in seconds without a change.
+        // The number of open spans does not change in seconds without a change.
         while at < now {
             at += 1;
             values[at] = open as f64;
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -31,8 +31,8 @@
 pub const SOCKET_ALLOWANCE_US: Micros = 50_000;
 /// Maximum number of violations that are reported with their evidence for each rule; further ones are only counted.
 pub const MAX_REPORTED_VIOLATIONS: usize = 10;
-/// Limit on the 99th percentile of the clients' lag behind the load plan, above which the run is void.
-/// If clients lag further behind, the run has measured the rig and not the senders.
+/// Limit on the 99th percentile of the clients' delay behind the load plan, above which the run is void.
+/// If clients send later than this limit allows, the run has measured the rig and not the senders.
 pub const MAX_LATE_P99_US: Micros = 50_000;
 /// Limit on a stall of the rig's event loop: a single longer stall makes the run void.
 pub const MAX_STALL_US: Micros = 250_000;
@@ -240,11 +240,11 @@
 pub struct Lateness {
     /// Number of messages that clients sent according to the load plan, without retries.
     pub planned: usize,
-    /// Median of the clients' lag behind the load plan, in microseconds.
+    /// Median of the clients' delay behind the load plan, in microseconds.
     pub p50_us: Micros,
-    /// 99th percentile of the clients' lag behind the load plan, in microseconds.
+    /// 99th percentile of the clients' delay behind the load plan, in microseconds.
     pub p99_us: Micros,
-    /// Longest lag of a client behind the load plan, in microseconds.
+    /// Longest delay of a client behind the load plan, in microseconds.
     pub max_us: Micros,
     /// Longest stall of the rig's event loop, in microseconds.
     pub stall_us: Micros,
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -1,5 +1,5 @@
-//! Service score: the worth of the delivered messages divided by the worth of all messages.
-//! A message earns its full worth within its aim, and part of its worth until its deadline.
+//! Service score: the value of the delivered messages divided by the value of all messages.
+//! A message counts fully if delivered within its target delivery time (`aim`), and partly until its deadline.
 //!
 //! The score weighs four shares: 45% the whole run, 25% the worst 10 s, 20% the worst-served class,
 //! and 10% the worst-served tenant, counting only messages within its quota. Penalties are deducted from the score.
@@ -11,11 +11,11 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Length of the windows that are compared to find the window with the lowest share of worth.
+/// Length of the windows that are compared to find the window with the lowest share of delivered value.
 const WINDOW_US: Micros = 10_000_000;
 /// Time between the starts of successive windows for the worst window.
 const WINDOW_STEP_US: Micros = 1_000_000;
-/// Minimum worth of a window's messages, as a share of the average window's, for the window to be significant.
+/// Minimum value of a window's messages, as a share of the average window's, for the window to be significant.
 const MIN_WINDOW_SHARE: f64 = 0.25;
 
 /// A group of messages, and how well the senders served it.
@@ -25,19 +25,19 @@
     pub name: String,
     /// Number of messages in the group; retries of a message do not count again.
     pub messages: usize,
-    /// Number of messages in the group that were delivered within their aim.
+    /// Number of messages in the group that were delivered within their target delivery time (`aim`).
     pub in_time: usize,
-    /// Number of messages in the group that were delivered after their aim.
+    /// Number of messages in the group that were delivered after their target delivery time (`aim`).
     pub late: usize,
     /// Number of messages whose last reply or notice was a refusal.
     pub refused: usize,
     /// Number of messages given up, or without a final outcome in the recorded history.
     pub failed: usize,
-    /// Total worth of all messages in the group.
+    /// Total value of all messages in the group, delivered or not.
     pub asked: f64,
-    /// Total worth that the group's deliveries earned.
+    /// Total value of the group's delivered messages.
     pub worth: f64,
-    /// Worth earned divided by the total worth of the group; 1 if the total is 0.
+    /// Value of the group's delivered messages divided by the value of all its messages; 1 if the divisor is 0.
     pub share: f64,
 }
 
@@ -62,17 +62,17 @@
     pub score: f64,
     /// How all messages of the run were served.
     pub whole: Served,
-    /// How the messages of the worst window, the 10 s with the lowest share of worth, were served.
+    /// How the messages of the worst window, the 10 s with the lowest share of delivered value, were served.
     pub worst_window: Served,
-    /// Start of the window with the lowest share of worth.
+    /// Start of the window with the lowest share of delivered value.
     pub worst_window_from: Micros,
     /// How each class of messages was served.
     pub classes: Vec<Served>,
     /// How each tenant was served, counting only messages within the tenant's quota.
     pub tenants: Vec<Served>,
-    /// Lowest share of worth that any class earned.
+    /// Lowest share of delivered value of any class.
     pub worst_class: f64,
-    /// Lowest share of worth that any tenant earned.
+    /// Lowest share of delivered value of any tenant.
     pub worst_tenant: f64,
     /// Deductions from the service score.
     pub penalties: Vec<Penalty>,
@@ -198,7 +198,7 @@
             Some(took) => {
                 let span = (class.deadline - class.aim).max(1) as f64;
                 let late = ((took - class.aim) as f64 / span).min(1.0);
-                // A message delivered after its deadline is worth nothing.
+                // A message delivered after its deadline has the value 0.
                 let left = if took > class.deadline { 0.0 } else { 1.0 - late * (1.0 - class.late_share) };
                 (message.end, message.worth) = (End::Late, message.asked * left);
             }
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -120,7 +120,7 @@
         self.reply.filter(|(_, a)| *a == PutOutcome::Accepted).map(|(t, _)| t)
     }
 
-    /// Returns whether the sender refused the message, at once or after having accepted it.
+    /// Returns whether the sender refused the message, either immediately or after having accepted it.
     pub fn refused(&self) -> bool {
         matches!(self.reply, Some((_, PutOutcome::Busy)))
             || self.notices.iter().any(|n| n.1 == NoticeState::Returned)
--- a/crates/rehearsal/src/parameters.rs
+++ b/crates/rehearsal/src/parameters.rs
@@ -16,7 +16,7 @@
     Unsafe,
 }
 
-/// A class of messages, with its limits and its worth.
+/// A class of messages, with its limits and the value of a delivered message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// Name of the class.
@@ -25,13 +25,13 @@
     pub effect: Effect,
     /// How long a receiver remembers a key, from the first attempt that may have taken effect; only in a keyed class.
     pub window: Micros,
-    /// Time within which a delivered message of the class earns its full worth.
+    /// Target delivery time (`aim`): a message of the class that is delivered within it counts with its full value.
     pub aim: Micros,
     /// Time within which a message of the class must be delivered.
     pub deadline: Micros,
-    /// Worth of a message of the class that is delivered within its aim.
+    /// Value of a message of the class that is delivered within its target delivery time (`aim`).
     pub worth: f64,
-    /// Share of a message's worth that a delivery at the deadline earns.
+    /// Share of a message's value that counts if the message is delivered at its deadline.
     pub late_share: f64,
     /// Whether messages of one key are sent one at a time, in the order in which the sender accepted them.
     pub ordered: bool,
@@ -44,7 +44,7 @@
 pub struct Tenant {
     /// Name of the tenant.
     pub name: String,
-    /// Quota in messages per second over all senders. [`Parameters::over_share_worth`] applies to messages beyond it.
+    /// Quota in messages per second over all senders. [`Parameters::over_share_worth`] applies beyond the quota.
     pub quota: f64,
 }
 
@@ -87,9 +87,9 @@
     pub fall_window: Micros,
     /// Maximum number of attempts that a message may have.
     pub max_attempts: u32,
-    /// Whether a message may have two attempts in flight at the same time.
+    /// Whether a message may have two attempts in flight simultaneously.
     pub second_copies: bool,
-    /// Load of each message of a call after the first, as a share of the first message's load.
+    /// Load of each message of a call except the call's first message, as a share of the first message's load.
     pub batch_weight: f64,
 }
 
@@ -135,7 +135,7 @@
     pub length: Micros,
     /// Limits that the six rules use.
     pub rules: Rules,
-    /// Worth of a message beyond its tenant's quota, as a share of its normal worth.
+    /// Value of a delivered message beyond its tenant's quota, as a share of the message's normal value.
     pub over_share_worth: f64,
     /// Classes of messages. Other records refer to a class by its index.
     pub classes: Vec<Class>,
--- a/crates/rehearsal/src/rig/directory.rs
+++ b/crates/rehearsal/src/rig/directory.rs
@@ -1,5 +1,5 @@
-//! The stand-in directory, which has one agent per sender.
-//! An agent receives changes of endpoints after a lag, and accepts the notices of messages' final outcomes.
+//! The stand-in directory, which has one control agent (serves the endpoint list) per sender.
+//! A control agent receives changes of endpoints after a delay, and accepts the notices of messages' final outcomes.
 
 use super::World;
 use crate::event::RawEvent;
@@ -26,11 +26,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
 
-/// Interval of the empty lines that an agent sends on a watch without changes.
+/// Interval of the empty lines that a control agent sends on a watch without changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 /// Maximum size of a request with notices.
 const MAX_NOTICES_BYTES: usize = 1 << 20;
-/// Maximum number of changes that an agent remembers.
+/// Maximum number of endpoint changes that a control agent remembers.
 /// A watch from an older version gets the complete endpoint list.
 const MAX_LOGGED_CHANGES: usize = 4096;
 
@@ -52,7 +52,7 @@
     /// Oldest version from which a watch can continue without first getting the complete endpoint list.
     oldest_version: Cell<u64>,
     changed: watch::Sender<u64>,
-    /// Changes that have not reached the agent yet, each with its time of arrival.
+    /// Endpoint changes that have not reached the sender's control agent yet, each with its time of arrival.
     in_transit: RefCell<VecDeque<(Micros, Vec<ListedEndpoint>)>>,
     arrival: Notify,
     lag: Cell<Micros>,
@@ -61,7 +61,7 @@
     reject_notices: Cell<bool>,
 }
 
-/// The directory's agents, one for each sender.
+/// The directory's control agents, one for each sender.
 pub struct Directory {
     world: Rc<World>,
     agents: Vec<Rc<Agent>>,
@@ -106,17 +106,17 @@
         Ok(Rc::new(Directory { world, agents }))
     }
 
-    /// Returns the address on which a sender's agent listens.
+    /// Returns the address on which a sender's control agent listens.
     pub fn addr(&self, sender: usize) -> SocketAddr {
         self.agents[sender].addr
     }
 
-    /// Returns the list of endpoints as a sender's agent has it now.
+    /// Returns the list of endpoints as a sender's control agent has it now.
     pub fn listing(&self, sender: usize) -> Listing {
         self.agents[sender].listing()
     }
 
-    /// Publishes changes of endpoints to all agents; each agent receives them after its lag.
+    /// Publishes changes of endpoints to all control agents; each agent receives the changes after its delay.
     pub fn publish(&self, changes: &[Change]) {
         let now = self.world.now();
         for agent in &self.agents {
@@ -125,14 +125,14 @@
                 ListedEndpoint { address, ..c.endpoint.clone() }
             });
             let mut in_transit = agent.in_transit.borrow_mut();
-            // A change never arrives at an agent before an earlier change.
+            // A change never arrives at a control agent before an earlier change.
             let arrival = (now + agent.lag.get()).max(in_transit.back().map_or(0, |c| c.0));
             in_transit.push_back((arrival, endpoints.collect()));
             agent.arrival.notify_one();
         }
     }
 
-    /// Delivers all changes in transit to the agents without lag; used for the initial endpoint list.
+    /// Delivers all changes in transit to the control agents without delay; used for the initial endpoint list.
     pub fn deliver_all(&self) {
         for agent in &self.agents {
             for (_, endpoints) in agent.in_transit.take() {
--- a/crates/rehearsal/src/rig/mod.rs
+++ b/crates/rehearsal/src/rig/mod.rs
@@ -61,7 +61,7 @@
     pub control: Option<SocketAddr>,
     /// If true, the rig's clients send no messages, for example because clients run elsewhere.
     pub serve_only: bool,
-    /// Time after the start at which the rig's thread blocks, and for how long. Tests make a run void with it.
+    /// Time after the start of the rehearsal at which the rig's thread blocks, and for how long. Tests make a run void with it.
     pub stall: Option<(Micros, Micros)>,
 }
 
--- a/crates/rehearsal/src/rig/receivers/replacement.rs
+++ b/crates/rehearsal/src/rig/receivers/replacement.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Opens new endpoints and publishes all of them at once.
+    /// Opens new endpoints and publishes all new endpoints in one step.
     pub async fn join(self: &Rc<Self>, event: &RawEvent) {
         let named = self.all.iter().filter(|r| event.receiver == Some(r.spec.number));
         for receiver in named {
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -303,7 +303,7 @@
         }
     }
 
-    /// Starts a second process while the sender's first one runs, and ends the first when the second is ready.
+    /// Starts a second process while the sender's old process runs, and ends the old process when the second is ready.
     async fn upgrade(self: &Rc<Self>, process: &Rc<Process>) {
         let Some(old) = process.pid.get() else { return };
         let started = self.world.now();
--- a/crates/rehearsal/src/scenario/settings.rs
+++ b/crates/rehearsal/src/scenario/settings.rs
@@ -39,7 +39,7 @@
     pub idle_close: Span,
     /// Time-out for a sender to open a connection to an endpoint.
     pub connect_timeout: Span,
-    /// Worth of a message beyond its tenant's quota, as a share of its normal worth.
+    /// Value of a delivered message beyond its tenant's quota, as a share of the message's normal value.
     pub over_share_worth: f64,
     /// Number of senders that the senders' configurations state; the actual number if absent.
     pub senders: Option<usize>,
--- a/crates/rehearsal/src/scenario/split.rs
+++ b/crates/rehearsal/src/scenario/split.rs
@@ -16,7 +16,7 @@
 
 impl Scenario {
     /// Replaces the scenario's senders by `senders` identical ones.
-    /// The load and the totals of slots and open messages stay the same.
+    /// The load and the totals of slots and open messages over all senders do not change.
     /// Each sender keeps the memory, descriptor and disk limits of the scenario's first sender.
     ///
     /// # Errors
--- a/crates/rehearsal/src/shipped.rs
+++ b/crates/rehearsal/src/shipped.rs
@@ -15,7 +15,7 @@
     };
 }
 
-/// All shipped scenarios. `rehearse` runs the first one by default.
+/// All shipped scenarios. `rehearse` runs the first scenario of the list by default.
 pub const ALL: &[Shipped] = shipped![
     "evening-rush",
     "calm",
--- a/crates/rehearsal/tests/common/stub.rs
+++ b/crates/rehearsal/tests/common/stub.rs
@@ -31,13 +31,13 @@
     ClosesWithoutReply,
     /// Repeats unsafe messages whatever the outcome of the earlier attempt.
     RepeatsUnsafe,
-    /// Sends every tenth message in two calls at once.
+    /// Sends every tenth message in two simultaneous calls.
     SendsCopies,
     /// Refuses unsafe messages that may have taken effect at the receiver, as if a retry were safe.
     RefusesAfterRun,
     /// Ignores all updates from the directory after the first endpoint list.
     IgnoresDrains,
-    /// Sends all pending messages for a returning receiver at once.
+    /// Sends all pending messages for a returning receiver in one burst.
     OverloadsReturning,
     /// Sends messages of one order key without waiting for the previous message's final outcome.
     IgnoresOrder,
@@ -361,7 +361,7 @@
                 let stream = TcpStream::connect(addr).await?;
                 stream.set_nodelay(true)?;
                 let mut stream = BufReader::new(stream);
-                // A connection that is reset at once has not carried the request, so it counts as not connected.
+                // A connection that is reset immediately has not carried the request, so it counts as not connected.
                 let ended = tokio::time::timeout(Duration::from_millis(3), stream.fill_buf()).await;
                 if ended.is_ok() {
                     return Err(io::ErrorKind::NotConnected.into());
--- a/crates/rehearsal/tests/judge.rs
+++ b/crates/rehearsal/tests/judge.rs
@@ -535,14 +535,14 @@
 
 #[test]
 fn service_is_the_weighted_worth_less_the_penalties() {
-    // Of four messages of a class, one is in time, one is half-way between aim and deadline, one is refused, one fails.
+    // Of four messages of a class, one is in time, one is half-way between target and deadline, one is refused, one fails.
     let mut h = History::new();
     h.accepted(0, 0, "m1", SAFE).sent(10, 0, "e1", "m1", 200);
     h.accepted(0, 0, "m2", SAFE).sent(6_150, 0, "e1", "m2", 200);
     h.offer(0, 0, "m3", "m3", SAFE, None).reply(5, "m3", PutOutcome::Busy);
     h.accepted(0, 0, "m4", SAFE).notice(1_000, "m4", NoticeState::Failed).over(20_000);
     let s = h.judge().service;
-    // A delivery half-way between 2.5 s and 10 s earns three quarters of its worth, since half is left at 10 s.
+    // A delivery half-way between 2.5 s and 10 s counts three quarters of its value, since half is left at 10 s.
     assert!((s.whole.worth - 1.75).abs() < 1e-9, "{s:?}");
     assert!((s.whole.share - 0.4375).abs() < 1e-9);
     assert_eq!((s.whole.in_time, s.whole.late, s.whole.refused, s.whole.failed), (1, 1, 1, 1));
--- a/crates/rehearsal/tests/matrix.rs
+++ b/crates/rehearsal/tests/matrix.rs
@@ -7,8 +7,8 @@
 use embershore_rehearsal::report::{Report, from_records};
 use std::collections::BTreeMap;
 
-/// Returns the report of a run with ten messages: `delivered` are delivered and the others are refused.
-/// The rig's timers lag by `lag_ms`.
+/// Returns the report of a run with ten messages: `delivered` of the messages are delivered, the rest are refused.
+/// The rig's timers fire late by `lag_ms`.
 fn run(delivered: usize, lag_ms: i64) -> Report {
     let mut h = History::new();
     for n in 0..10 {
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -134,7 +134,7 @@
     };
     assert_eq!(plan_with(VALID, 1), plan_with(VALID, 1));
     assert_ne!(plan_with(VALID, 1), plan_with(VALID, 2));
-    // A second `[[traffic]]` table does not change the load plan of the first.
+    // A second `[[traffic]]` table does not change the load plan of the first table.
     let two = format!("{VALID}\n[[traffic]]\nshape = \"clumps\"\nclump = 3\nperiod = \"4s\"\n");
     let (alone, both) = (plan_with(VALID, 1), plan_with(&two, 1));
     assert_eq!(both.len(), alone.len() + 9);
