--- a/crates/rehearsal/benches/load.rs
+++ b/crates/rehearsal/benches/load.rs
@@ -18,6 +18,7 @@
 const STEP_SECONDS: u32 = 4;
 const RATES: [u32; 5] = [500, 2000, 4000, 8000, 12_000];
 /// Maximum 99th percentile of the clients' delay behind the load plan, in microseconds.
+/// At a higher delay, a message rate does not count as sustained.
 const MAX_LAG_US: i64 = 5_000;
 
 fn memory_kb() -> u64 {
--- a/crates/rehearsal/src/html/mod.rs
+++ b/crates/rehearsal/src/html/mod.rs
@@ -11,7 +11,7 @@
 
 /// Width and height of a chart in pixels.
 const CHART_SIZE_PX: (u32, u32) = (900, 260);
-/// Maximum number of receivers with their own chart; the receivers with the most calls get one.
+/// Maximum number of receivers with their own chart; the receivers with the most calls get a chart.
 const MAX_LISTED_RECEIVERS: usize = 8;
 /// Maximum number of labelled events in a chart; further events are drawn as lines without labels.
 const MAX_LABELLED_MARKS: usize = 24;
--- a/crates/rehearsal/src/judge/even.rs
+++ b/crates/rehearsal/src/judge/even.rs
@@ -96,7 +96,7 @@
     all
 }
 
-/// Computes the evenness over windows of one length. `calls` must be sorted by time.
+/// Computes the evenness over time windows of one length. `calls` must be sorted by time.
 /// Only windows entirely within the traffic count, and in each window only endpoints that were always in the list.
 fn spread(
     calls: &[(Micros, Micros, usize)],
--- a/crates/rehearsal/src/judge/mod.rs
+++ b/crates/rehearsal/src/judge/mod.rs
@@ -29,7 +29,7 @@
 
 /// Allowance for scheduling and transfer delays on sockets, which is added to each time limit.
 pub const SOCKET_ALLOWANCE_US: Micros = 50_000;
-/// Maximum number of violations that are reported with their evidence for each rule; further ones are only counted.
+/// Maximum number of violations that are reported with their evidence per rule; further violations are only counted.
 pub const MAX_REPORTED_VIOLATIONS: usize = 10;
 /// Limit on the 99th percentile of the clients' delay behind the load plan, above which the run is void.
 /// If clients send later than this limit allows, the run has measured the rig and not the senders.
--- a/crates/rehearsal/src/judge/order.rs
+++ b/crates/rehearsal/src/judge/order.rs
@@ -28,7 +28,7 @@
         for later in list {
             let Some((first, ..)) = table.attempts(later).next() else { continue };
             // A message counts as earlier only if it was accepted before the client sent the later message.
-            // Of two messages that awaited their replies simultaneously, the sender may have accepted either message first.
+            // Of two messages that awaited replies simultaneously, the sender may have accepted either one first.
             let earlier = list.iter().filter(|message| message.accepted().is_some_and(|t| t < later.offered));
             let mut tested = false;
             for before in earlier {
--- a/crates/rehearsal/src/judge/service.rs
+++ b/crates/rehearsal/src/judge/service.rs
@@ -1,8 +1,9 @@
 //! Service score: the value of the delivered messages divided by the value of all messages.
 //! A message counts fully if delivered within its target delivery time (`aim`), and partly until its deadline.
 //!
-//! The score weighs four shares: 45% the whole run, 25% the worst 10 s, 20% the worst-served class,
-//! and 10% the worst-served tenant, counting only messages within its quota. Penalties are deducted from the score.
+//! The score weighs four shares: whole run 45%, worst 10 s 25%, worst-served class 20%, worst-served tenant 10%.
+//! In the share of the worst-served tenant, only the tenant's messages within its quota count.
+//! Penalties are deducted from the score.
 //! A client's message and all retries of it by the client count as one message.
 
 use super::{Attempt, CallEnd, Table};
--- a/crates/rehearsal/src/matrix.rs
+++ b/crates/rehearsal/src/matrix.rs
@@ -46,7 +46,7 @@
     /// Highest load on a returning receiver as a share of its overload limit: mean and maximum over the runs.
     pub share_of_fall: [f64; 2],
     /// Mean seconds from a return until deliveries reached half, and nine tenths, of their usual number.
-    /// A value is `None` if there was no return, or if a return never reached that number.
+    /// A value is `None` if the runs had no return, or if a return never reached that share of the usual number.
     pub back: [Option<f64>; 2],
     /// Shares of messages that were delivered late, finally refused, and failed.
     pub late_refused_failed: [f64; 3],
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -177,7 +177,8 @@
 pub fn plan(scenario: &Scenario) -> Result<Vec<Planned>, PlanError> {
     let mut all = Vec::new();
     for (n, traffic) in scenario.traffic.iter().enumerate() {
-        // Each `[[traffic]]` table has its own random generator, so that adding a table does not change the other tables' messages.
+        // Each `[[traffic]]` table has its own random generator.
+        // Adding a table therefore does not change the messages of the other tables.
         let rng = ChaCha8Rng::seed_from_u64(
             scenario.parameters.seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         );
--- a/crates/rehearsal/src/rig/mod.rs
+++ b/crates/rehearsal/src/rig/mod.rs
@@ -61,7 +61,8 @@
     pub control: Option<SocketAddr>,
     /// If true, the rig's clients send no messages, for example because clients run elsewhere.
     pub serve_only: bool,
-    /// Time after the start of the rehearsal at which the rig's thread blocks, and for how long. Tests make a run void with it.
+    /// Time since the start of the rehearsal at which the rig's thread blocks, and for how long.
+    /// Tests block the rig's thread to make a run void.
     pub stall: Option<(Micros, Micros)>,
 }
 
--- a/crates/rehearsal/src/rig/receivers/endpoint.rs
+++ b/crates/rehearsal/src/rig/receivers/endpoint.rs
@@ -57,8 +57,8 @@
             addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
-        // The endpoint gets enough workers for its share of the receiver's capacity at the mean latency:
-        // all endpoints of the receiver together then have the capacity that the scenario states.
+        // The endpoint gets enough workers for its share of the receiver's capacity at the mean latency.
+        // All endpoints of the receiver together then have the capacity that the scenario states.
         let part = receiver.spec.capacity / receiver.spec.endpoints.max(1) as f64;
         let workers = (part * receiver.spec.latency.mean()).ceil().max(1.0) as usize;
         let seed = scenario.parameters.seed ^ ((receiver.spec.number as u64) << 20) ^ u64::from(number);
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -303,7 +303,8 @@
         }
     }
 
-    /// Starts a second process while the sender's old process runs, and ends the old process when the second is ready.
+    /// Starts a second process while the sender's old process runs.
+    /// Ends the sender's old process when the second process is ready.
     async fn upgrade(self: &Rc<Self>, process: &Rc<Process>) {
         let Some(old) = process.pid.get() else { return };
         let started = self.world.now();
--- a/crates/rehearsal/src/scenario/sender.rs
+++ b/crates/rehearsal/src/scenario/sender.rs
@@ -59,8 +59,8 @@
 const MIN_DEFAULT_MAX_OPEN: u32 = 8;
 
 /// Checks the `[[sender]]` tables, and derives default limits on a sender's slots and open messages.
-/// The defaults follow from `rate`, the total rate of the traffic in messages per second,
-/// and from `mean_latency`, the mean latency of a call in seconds.
+/// The defaults depend on `rate`, the total rate of the traffic in messages per second.
+/// The defaults also depend on `mean_latency`, the mean latency of a call in seconds.
 pub(super) fn senders(
     raw: &Raw,
     checks: &mut Checks<'_>,
--- a/crates/rehearsal/tests/judge.rs
+++ b/crates/rehearsal/tests/judge.rs
@@ -535,7 +535,7 @@
 
 #[test]
 fn service_is_the_weighted_worth_less_the_penalties() {
-    // Of four messages of a class, one is in time, one is half-way between target and deadline, one is refused, one fails.
+    // Of four messages of a class, one is in time, one half-way between target and deadline, one refused, one fails.
     let mut h = History::new();
     h.accepted(0, 0, "m1", SAFE).sent(10, 0, "e1", "m1", 200);
     h.accepted(0, 0, "m2", SAFE).sent(6_150, 0, "e1", "m2", 200);
