--- a/crates/rehearsal/src/event.rs
+++ b/crates/rehearsal/src/event.rs
@@ -54,14 +54,14 @@
     Sighup,
     /// A sender is stopped with SIGSTOP, and continued with SIGCONT at the end of the event.
     Sigstop,
-    /// A sender's process is replaced by a new one that starts while the old one still runs.
+    /// A sender's process is replaced by a new process that starts while the old process still runs.
     Upgrade,
     /// A sender is switched to lame duck mode, and back to normal mode when the event ends.
     LameDuck,
     /// A sender's configuration gains a class and halves the attempts.
     /// The previous configuration is restored at the end of the event.
     Retune,
-    /// A sender's configuration is replaced by an invalid one, which it must reject as a whole.
+    /// A sender's configuration is replaced by an invalid configuration, which the sender must reject as a whole.
     RetuneWrong,
     /// Many client connections that send nothing, half a command, or one PING, and stay open.
     Crowd,
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -1,6 +1,6 @@
 //! The recorded history of a rehearsal: one JSON record per line, in the order in which stand-ins saw the events.
 //!
-//! A separate thread writes the history to disk while the rehearsal runs. The judge reads it afterwards.
+//! A separate thread writes the history to disk while the rehearsal runs. The judge reads the history afterwards.
 //! The writer's queue has at most [`MAX_QUEUED_RECORDS`] records, which bounds the memory when the disk is slow.
 //! A disk that can't keep up blocks the rig. The history records the blocking as lateness, which makes the run void.
 //!
@@ -48,7 +48,7 @@
     /// No reply arrived within [`Clients::patience`](crate::scenario::Clients::patience).
     #[serde(rename = "silence")]
     TimedOut,
-    /// The connection ended without a reply. If it was a reused one, the client first tried again on a new connection.
+    /// The connection ended without a reply. On a reused connection, the client first tried again on a new one.
     Closed,
     /// No connection to the sender could be opened in time.
     Unreachable,
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Signal {
-    /// SIGTERM asks the process to end. SIGKILL follows if it does not end in time.
+    /// SIGTERM asks the process to end. SIGKILL follows if the process does not end in time.
     Term,
     /// SIGKILL ends the sender's process without a drain.
     Kill,
--- a/crates/rehearsal/src/html/even.rs
+++ b/crates/rehearsal/src/html/even.rs
@@ -7,7 +7,7 @@
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 
-/// Maximum number of receivers with a heat map; the receivers with the most calls get one.
+/// Maximum number of receivers with a heat map; the receivers with the most calls get a heat map.
 const MAX_PICTURES: usize = 8;
 /// Maximum number of endpoints in a heat map, one row each; further endpoints are left out.
 const MAX_ROWS: usize = 60;
--- a/crates/rehearsal/src/judge/drains.rs
+++ b/crates/rehearsal/src/judge/drains.rs
@@ -21,7 +21,7 @@
                         spans.push((from, *t));
                     }
                 }
-                // `Gone` after `Terminating` starts no new grace period: the first notification started it.
+                // `Gone` after `Terminating` starts no new grace period: the drain grace began with `Terminating`.
                 EndpointStatus::Terminating | EndpointStatus::Gone => _ = since.get_or_insert(*t),
             }
         }
--- a/crates/rehearsal/src/judge/table.rs
+++ b/crates/rehearsal/src/judge/table.rs
@@ -151,13 +151,13 @@
 /// A period in which a sender's process was unavailable: from a signal, or its end, until it was ready again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Absence {
-    /// Time of the signal or of the process's end that began the absence.
+    /// Time of the signal or of the process's end that began the period in which the sender was unavailable.
     pub from: Micros,
     /// Whether the sender's process ended during the absence, and did not only stop and continue.
     pub restarted: bool,
     /// When the rig saw that the sender's process had ended.
     pub ended: Option<Micros>,
-    /// When the sender's process was ready again; `None` if it never was.
+    /// When the sender's process was ready again; `None` if never.
     pub ready: Option<Micros>,
 }
 
@@ -199,7 +199,7 @@
 }
 
 /// Returns the sort position of an event's kind among records with equal times.
-/// Records of what a sender or client received are sorted before records of what it did in consequence.
+/// Records of what a sender or client received are sorted before records of what the sender or client did then.
 fn rank(event: &Event) -> u8 {
     match event {
         Event::Run { .. } => 0,
--- a/crates/rehearsal/src/judge/waits.rs
+++ b/crates/rehearsal/src/judge/waits.rs
@@ -1,11 +1,11 @@
-//! Rule 6: after an answer that advertises a wait, a sender sends no message to that lane until the wait ends.
+//! Rule 6: after an answer that advertises a wait, a sender sends nothing to the answering lane until the wait ends.
 
 use super::table::Lane;
 use super::{CallEnd, Findings, Margin, Table};
 use crate::span::Micros;
 use std::collections::BTreeMap;
 
-/// Calls within this time after an answer are not counted: they may have been sent before the sender received it.
+/// Calls within this time after an answer are not counted: they may have been sent before the answer arrived.
 const CROSSING_GRACE_US: Micros = 100_000;
 
 pub(super) fn check(table: &Table) -> Findings {
--- a/crates/rehearsal/src/parameters.rs
+++ b/crates/rehearsal/src/parameters.rs
@@ -99,7 +99,7 @@
 
     /// Returns the load in one [`Rules::fall_window`] above which a receiver is overloaded.
     /// `capacity` is the receiver's current capacity in messages per second.
-    /// The allowance for chance is one standard deviation of that number of arrivals.
+    /// The allowance for random variation is the square root of the load allowed by the capacity and its multiple.
     pub fn overload_limit(&self, capacity: f64) -> f64 {
         let budget = self.fall_multiple * capacity * self.fall_window as f64 / 1e6;
         (budget + budget.sqrt()).max(Self::MIN_OVERLOAD_LIMIT)
--- a/crates/rehearsal/src/rig/mod.rs
+++ b/crates/rehearsal/src/rig/mod.rs
@@ -61,7 +61,7 @@
     pub control: Option<SocketAddr>,
     /// If true, the rig's clients send no messages, for example because clients run elsewhere.
     pub serve_only: bool,
-    /// Time since the start of the rehearsal at which the rig's thread blocks, and for how long.
+    /// Time, counted from when all senders are ready, at which the rig's thread blocks, and for how long.
     /// Tests block the rig's thread to make a run void.
     pub stall: Option<(Micros, Micros)>,
 }
--- a/crates/rehearsal/src/rig/senders.rs
+++ b/crates/rehearsal/src/rig/senders.rs
@@ -304,7 +304,7 @@
     }
 
     /// Starts a second process while the sender's old process runs.
-    /// Ends the sender's old process when the second process is ready.
+    /// Ends the sender's old process when the second process is ready, or its time-out for readiness has passed.
     async fn upgrade(self: &Rc<Self>, process: &Rc<Process>) {
         let Some(old) = process.pid.get() else { return };
         let started = self.world.now();
