--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -14,11 +14,11 @@
 //! successor                        owner
 //!   Hello ------------------------->
 //!   <------------------------- Hello
-//!   Take  ------------------------->   finishes pending work, writes its last record, releases the lock
+//!   Take  ------------------------->   owner finishes pending work, writes its last record, releases the lock
 //!   <------------------------- State
-//!   acquires the lock
-//!   Taken ------------------------->   writes nothing more
-//!   <------------ Put, Ended ...       messages that clients still send to it; outcomes of its calls
+//!   successor acquires the lock
+//!   Taken ------------------------->   owner writes nothing more to the journal
+//!   <------------ Put, Ended ...       messages that clients still send to the owner; outcomes of the owner's calls
 //!   Reply, Cancel ... ------------->
 //! ```
 
--- a/crates/handover/src/owner.rs
+++ b/crates/handover/src/owner.rs
@@ -8,7 +8,7 @@
     /// The successor has connected but has not sent Hello.
     #[default]
     AwaitingHello,
-    /// The successor has sent Hello with the same version.
+    /// The successor has sent Hello with the protocol version of this process.
     VersionAgreed,
     /// The successor has requested the journal; the owner is finishing pending work.
     Finishing,
--- a/crates/owed/src/pace.rs
+++ b/crates/owed/src/pace.rs
@@ -73,7 +73,7 @@
     /// A receiver whose last call failed, or that had no call, counts as healthy after `healthy_for` without calls.
     /// Otherwise, a receiver that gets no fresh messages would never get a resend.
     /// A resend to a receiver whose last call failed, or that had no call, restarts the wait of `healthy_for`.
-    /// The debts of such a receiver are therefore tried one by one and not all at once.
+    /// The debts of such a receiver are therefore tried one by one and not all simultaneously.
     pub fn is_healthy(&self, dest: i64, healthy_for: Micros, now: Micros) -> bool {
         match self.receivers.get(&dest) {
             Some(Receiver { healthy_since: Some(since), .. }) => now - since >= healthy_for,
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -182,7 +182,7 @@
     /// The text is not TOML, or does not have the form of a section `[owed]`.
     #[error("{0}")]
     Unreadable(String),
-    /// The section `[owed]` has these errors.
+    /// The section `[owed]` of the options file is invalid; the value lists its errors.
     #[error("{}", .0.iter().map(|f| f.message.as_str()).collect::<Vec<_>>().join("; "))]
     Invalid(Vec<Finding>),
 }
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -106,7 +106,7 @@
 pub enum Inserted {
     /// The debt is new, and is stored under this number.
     New(DebtId),
-    /// The message was already owed under this number; the store has not changed.
+    /// The message was already stored as a debt under this number; the store has not changed.
     Existing(DebtId),
 }
 
@@ -264,7 +264,7 @@
     }
 
     /// Stores many debts in one transaction with one sync, and returns the result of each in the same order.
-    /// If the store has no room for one of the debts, the others are still stored.
+    /// If the store has no room for one of the debts, the remaining debts are still stored.
     ///
     /// # Errors
     /// Returns an error when the disk fails. In this case none of the debts is stored.
--- a/crates/peer/src/fleet.rs
+++ b/crates/peer/src/fleet.rs
@@ -25,7 +25,7 @@
     /// A member's name is empty or too long.
     #[error("member name '{0}' is invalid: it must be 1 to {MAX_NAME_BYTES} bytes long")]
     InvalidName(String),
-    /// Two members of the list have the same name. The value is this name.
+    /// Two members of the list have the same name, which the value contains.
     #[error("the fleet's member list contains '{0}' twice; give each sender a unique name")]
     DuplicateName(String),
     /// Two members of the list have the same address.
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -28,7 +28,7 @@
 /// The maximum number of requests to join that are sent in each [`ANNOUNCE_INTERVAL_US`].
 const ANNOUNCES_PER_INTERVAL: usize = 3;
 /// Minimum number of recently seen members, including this one, with which a majority counts as reachable.
-/// In a fleet whose majority is smaller than this number, the minimum is the size of the majority.
+/// In a fleet whose majority is smaller than this constant, the size of the majority is used instead.
 /// A member is recently seen if this member received a datagram from it within [`Times::recent_window`].
 /// A member receives datagrams from the members that it probes and from those that probe it, at least two a second.
 const MIN_RECENT_MEMBERS: usize = 6;
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -35,7 +35,7 @@
     /// Seats that hold at least as many positions for their weight as the added seat, even after the transfer.
     /// Positions of such seats are taken only in rows whose cost does not rise.
     MoreLoaded,
-    /// Seats that hold more than 15/16 of their target. Positions are taken only in rows whose cost falls.
+    /// Seats that hold more than 15/16 of their target. Positions are taken only in rows whose cost this decreases.
     NearTarget,
     /// Seats that hold more than 9/8 of their target. Positions are taken even in rows whose cost rises.
     Overloaded,
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -34,7 +34,7 @@
 }
 
 impl ConflictScope {
-    /// Returns the minimum amount by which a row's cost falls when a conflict of this scope is resolved.
+    /// Returns the minimum amount by which a row's cost decreases when a conflict of this scope is resolved.
     pub(crate) const fn min_gain(self) -> i32 {
         match self {
             // The minimum gain is half of the conflict's cost, because smaller conflicts may replace the resolved one.
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -170,7 +170,7 @@
         /// Epoch that the changes begin at.
         since: u64,
     },
-    /// The changes do not lead to a later epoch than they begin at.
+    /// The changes do not lead to a later epoch than the epoch at which the changes begin.
     #[error("changes since epoch {since} lead to epoch {epoch}: raise the epoch with each change")]
     EpochNotRaised {
         /// Epoch that the changes begin at.
--- a/crates/placement/src/forwarding.rs
+++ b/crates/placement/src/forwarding.rs
@@ -11,7 +11,7 @@
 //! | `-BUSY ms` | [`ForwardOutcome::Busy`] | next candidate; after the last, busy with the shortest wait reported |
 //! | `-ERR` | [`ForwardOutcome::Invalid`] | the client is answered `-ERR` |
 //! | connection refused, not connected in time, closed before the first byte, or the seat has become vacant | [`ForwardOutcome::NotSent`] | next candidate |
-//! | after the first byte: timeout, reset, close, or an unreadable answer | [`ForwardOutcome::Unknown`] | [`Effect::Safe`]: next candidate; otherwise failed at once |
+//! | after the first byte: timeout, reset, close, or an unreadable answer | [`ForwardOutcome::Unknown`] | [`Effect::Safe`]: next candidate; otherwise failed without another try |
 //!
 //! An owner that is down never receives the request. An owner that is full or on another epoch answers busy.
 //! An owner that is stopped or slow leads to an unknown outcome when its answer timeout expires.
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -3,8 +3,8 @@
 //!
 //! When an epoch changes ownership, what this sender gains is on hold, because another sender may still be using it.
 //! The hold lasts for [`LeaseTimes::hold`](crate::LeaseTimes::hold) after this sender received the epoch.
-//! On hold are gained shards, order keys that preferred another owner, additional shards of wide destinations,
-//! and larger shares of destinations' limits.
+//! On hold are gained shards, and order keys that preferred another owner.
+//! Additional shards of wide destinations and larger shares of destinations' limits are on hold too.
 //! Only current holds are stored, so this state is empty while ownership does not change.
 
 use std::collections::BTreeMap;
@@ -172,7 +172,7 @@
 }
 
 /// Superseded replica counts and widths of destinations.
-/// While senders may still use them, they affect how many owners share a destination's limit.
+/// While senders may still use such old values, the values affect how many owners share a destination's limit.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentSharing {
     replicas: Vec<Superseded<usize>>,
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -1,6 +1,6 @@
 //! The lease under which a sender accepts requests as an owner, and the times derived from it.
 //!
-//! A sender polls its control agent periodically.
+//! A sender polls its control agent (which serves the member list) periodically.
 //! An answer to a poll that was sent at `polled_at` renews the lease until `polled_at + lease`.
 //! The lease counts from the poll, so a delayed answer shortens the remaining lease by its delay.
 //!
@@ -22,8 +22,8 @@
     pub lease: Micros,
     /// How long a control agent may still answer with an earlier epoch.
     /// The time counts from when a later epoch was first sent to any sender.
-    /// An agent that lags by more must not answer until it has caught up.
-    /// The lag is 0 if the agent confirms each answer with the control service after the poll.
+    /// A control agent that is later than `agent_lag` must not answer until it has the latest epoch.
+    /// `agent_lag` is 0 if the control agent confirms the epoch with the control service after each poll.
     pub agent_lag: Micros,
     /// The longest deadline of any class, plus how long a call may be in flight after the deadline (`order_settle`).
     pub longest_deadline: Micros,
@@ -31,7 +31,7 @@
 
 impl LeaseTimes {
     /// Returns how long a former owner may still accept requests after any sender first received the later epoch.
-    /// The former owner's agent may renew its lease under the earlier epoch for up to `agent_lag`.
+    /// The former owner's control agent may renew the owner's lease under the earlier epoch for up to `agent_lag`.
     pub fn stale_accept_window(&self) -> Micros {
         self.agent_lag + self.lease
     }
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -22,7 +22,7 @@
 const POLLS_PER_LEASE: u32 = 4;
 /// Minimum time between polls. More frequent polls would cost more than everything else that an idle member does.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum lag of a control agent. A longer lag would keep gained shards on hold for longer than most outages last.
+/// Maximum delay of a control agent. A longer delay would keep gained shards on hold for longer than most outages last.
 const MAX_AGENT_LAG: Duration = Duration::from_secs(300);
 /// Allowed numbers of persistent connections to other members.
 /// Each connection uses a file descriptor that is then not available for connections to endpoints.
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -15,14 +15,14 @@
 //! # Why holds are long enough
 //!
 //! Let epoch `g` first be sent to any sender at time `t`.
-//! An agent answers with an earlier epoch until `t + agent_lag` at most.
+//! A control agent answers with an earlier epoch until `t + agent_lag` at most.
 //! A lease under an earlier epoch therefore ends by `t + agent_lag + lease`.
 //! Messages accepted under that lease have their final outcome by `t + agent_lag + lease + longest_deadline`.
 //! A sender that becomes an owner in epoch `g` receives `g` at `t` or later.
 //! The sender puts the gained shards on hold for `agent_lag + lease + longest_deadline`.
 //! Therefore owners of a shard under two different epochs never act for the shard at the same time.
-//! Owners under both epochs are the exception. A sender may keep a shard without a hold only if it owned the shard
-//! *in each epoch* between the two epochs that the sender compares:
+//! The exception is a sender that owns the shard under both epochs: it needs no hold on that shard.
+//! A sender may keep a shard without a hold only if it owned the shard *in each epoch* between the compared epochs:
 //!
 //! - A change to the next epoch: the sender compares the owners under both epochs.
 //! - Changes over several epochs: the sender replays the changes one by one, in the order in which they were made.
@@ -66,7 +66,7 @@
 pub enum Route {
     /// This sender processes the request: accepts it if [`Ownership::admission`] allows it, and otherwise answers busy.
     Local,
-    /// One of these owners processes the request. [`crate::Forwarding`] sends it to them, preferred owner first.
+    /// One of these owners processes the request. [`crate::Forwarding`] sends the request, preferred owner first.
     /// An ordered request has only one owner.
     Forward(Vec<SeatId>),
     /// No member list has been received yet, or the destination has no owner.
@@ -140,7 +140,7 @@
 impl Ownership {
     /// Creates the view of a sender that has received no member list yet.
     /// For `lease` and `longest_deadline`, see the fields of [`LeaseTimes`].
-    /// The agent lag is 0 unless set by [`Self::with_agent_lag`].
+    /// The maximum delay of control agents (`agent_lag`) is 0 unless set by [`Self::with_agent_lag`].
     pub fn new(own_name: impl Into<String>, lease: Micros, longest_deadline: Micros) -> Self {
         Ownership {
             name: own_name.into(),
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Sets how far agents may lag behind, see [`LeaseTimes::agent_lag`].
+    /// Sets the maximum delay of control agents, see [`LeaseTimes::agent_lag`].
     #[must_use]
     pub fn with_agent_lag(mut self, agent_lag: Micros) -> Self {
         self.times.agent_lag = agent_lag;
@@ -176,7 +176,7 @@
         self
     }
 
-    /// Applies the agent's answer, received at `now`, to the poll sent at `polled_at`.
+    /// Applies the control agent's answer, received at `now`, to the poll sent at `polled_at`.
     /// Any answer that confirms the epoch in force or leads to a later one renews the lease.
     ///
     /// # Errors
@@ -380,8 +380,8 @@
         Ok(self.activate(after))
     }
 
-    /// Sets the holds for this process's first member list. All shards are put on hold,
-    /// unless the list is the first of a new fleet, or all holds of the previous process had ended under the same list.
+    /// Sets the holds for this process's first member list. All shards are put on hold, with two exceptions:
+    /// the list is the first of a new fleet, or all holds of the previous process had ended under an identical list.
     fn hold_for_first_list(&mut self, now: Micros, list: &MemberList) -> Result<(), ListError> {
         let until = self.hold_end(now);
         if let Some(last) = &self.persisted {
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -27,7 +27,7 @@
 
 impl Table {
     /// Builds the table of a member list. The table depends on nothing but the list.
-    /// The table is the same on each machine and in each version that supports the scheme.
+    /// The table of owners is identical on each machine and in each version that supports the scheme.
     pub fn build(list: &MemberList) -> Self {
         let mut regions = empty_regions(list);
         // Builds one region after another, because the rows of a single region fit into a processor's cache.
--- a/crates/placement/src/target.rs
+++ b/crates/placement/src/target.rs
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Weights {
     total: Units,
-    /// The greatest weights, in descending order. No more seats than these can have more weight than one seat may use.
+    /// The greatest weights, in descending order.
+    /// Only the seats with these greatest weights can have more weight than one seat may use.
     greatest: [Units; MAX_REPLICAS],
 }
 
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -71,7 +71,7 @@
 }
 
 /// Changes from one epoch to a later one.
-/// If there are none and both epochs are the same, the member list has not changed.
+/// If the answer has no changes and its two epochs are equal, the member list has not changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangesForm {
     /// Epoch that the changes lead to.
--- a/crates/placement/tests/history/mod.rs
+++ b/crates/placement/tests/history/mod.rs
@@ -13,7 +13,7 @@
 
 /// The lease: how long an answer of a control agent is valid.
 pub const LEASE: Micros = 10 * SECOND;
-/// The maximum time by which a control agent lags behind.
+/// The maximum delay of a control agent, which may still answer with an earlier epoch.
 pub const AGENT_LAG: Micros = 3 * SECOND;
 /// The time after a message's acceptance within which a call for the message may begin.
 pub const DEADLINE: Micros = 8 * SECOND;
--- a/crates/placement/tests/history/network.rs
+++ b/crates/placement/tests/history/network.rs
@@ -20,7 +20,7 @@
     Stopped,
 }
 
-/// A network partition: members that are cut off reach neither the others nor their control agents.
+/// A network partition: members that are cut off reach neither the other members nor their control agents.
 struct Partition {
     from: Micros,
     until: Micros,
@@ -34,7 +34,7 @@
     /// The affected member, kind, start time and end time of each process fault.
     pub faults: Vec<(usize, Fault, Micros, Micros)>,
     partitions: Vec<Partition>,
-    /// For each member, whether its control agent lags behind.
+    /// For each member, whether its control agent may still answer with an earlier epoch.
     lagging: Vec<bool>,
 }
 
--- a/crates/placement/tests/lease.rs
+++ b/crates/placement/tests/lease.rs
@@ -1,5 +1,5 @@
 //! Tests that the lease counts from the poll, is never shortened, and is invalid from its expiry on.
-//! Also tests that the hold on gained shards covers agent lag, lease and longest deadline.
+//! Also tests that the hold on gained shards covers the control agent's delay, the lease and the longest deadline.
 
 use embershore_placement::{Lease, LeaseTimes};
 
