--- a/crates/owed/benches/cost.rs
+++ b/crates/owed/benches/cost.rs
@@ -37,7 +37,7 @@
     Debt::new(message, attempts, Reason::ALL[n as usize % 6], n as i64)
 }
 
-/// Returns a size limit of the store, in bytes, that is large enough for this number of debts.
+/// Returns a size limit of the store, in bytes, that is large enough for `size` debts.
 fn max_bytes(size: u64) -> u64 {
     64_000_000 + size * 8_000
 }
--- a/crates/owed/src/lib.rs
+++ b/crates/owed/src/lib.rs
@@ -1,7 +1,8 @@
 //! Undeliverable messages (debts): retains them, lists them for inspection, and resends them by the operator's rules.
 //!
-//! [`debt`] defines the data, and [`rules`] the operator's rules and their checks. [`plan`] derives the next step of a
-//! debt from both, and [`pace`] limits the rate of resends. None of these modules does I/O or reads a clock.
+//! [`debt`] defines the data of a debt, and [`rules`] defines the operator's rules and their checks.
+//! [`plan`] derives the next step of a debt from its data and the rules, and [`pace`] limits the rate of resends.
+//! None of the modules [`debt`], [`rules`], [`plan`] and [`pace`] does I/O or reads a clock.
 //! [`store`] persists debts on disk. The decision module makes all resends: it is given each due debt as a message.
 #![warn(missing_docs)]
 
--- a/crates/owed/src/pace.rs
+++ b/crates/owed/src/pace.rs
@@ -86,7 +86,7 @@
     ///
     /// `fresh_pending` means that fresh messages for the receiver are pending, which are sent first.
     /// `others_due` means that debts to other receivers are due.
-    /// This receiver is then limited to its maximum fraction of the total resend rate.
+    /// If `others_due`, the receiver is limited to its maximum fraction of the total resend rate.
     pub fn try_take(&mut self, dest: i64, fresh_pending: bool, others_due: bool, now: Micros) -> bool {
         self.total.refill(now, self.rate);
         if fresh_pending || self.total.tokens < 1.0 {
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -202,7 +202,7 @@
         self.rules.iter().find(|r| r.matches(dest, class, reason))
     }
 
-    /// Returns the receivers named in any rule. For all receivers that no rule names, the same rules apply.
+    /// Returns the receivers named in any rule. All receivers that no rule names are subject to identical rules.
     pub fn named_receivers(&self) -> BTreeSet<i64> {
         self.rules.iter().filter_map(|r| r.receivers.as_ref()).flatten().copied().collect()
     }
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -104,9 +104,9 @@
 /// The result of inserting a debt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Inserted {
-    /// The debt is new, and is stored under this number.
+    /// The debt is new, and is stored under the debt number in the value.
     New(DebtId),
-    /// The message was already stored as a debt under this number; the store has not changed.
+    /// The message was already stored as a debt, whose number is the value; the store has not changed.
     Existing(DebtId),
 }
 
@@ -345,8 +345,9 @@
         Ok(StoredRow { row: decode_row(number, bytes)?, length: bytes.len() as u64 })
     }
 
-    /// Replaces `before` by `after` in the count of live bytes. Only a new entry, whose `before` is 0, is checked
-    /// against the size limit, so that debts in a full store can still be updated and settled.
+    /// Replaces `before` by `after` in the count of live bytes.
+    /// Only a new entry, whose `before` is 0, is checked against the size limit of the store.
+    /// Debts in a full store can therefore still be updated and settled.
     fn book_bytes(&self, transaction: &WriteTransaction, before: u64, after: u64) -> Result<(), StoreError> {
         let mut meta = transaction.open_table(META)?;
         let live = meta.get("live")?.map_or(0, |n| n.value());
--- a/crates/placement/examples/schemes.rs
+++ b/crates/placement/examples/schemes.rs
@@ -1,5 +1,5 @@
 //! Compares the placement scheme in use with well-known schemes, at 15,000 members with two replicas.
-//! Compared are the evenness of loads, the shards that the loss of one member moves, time and memory.
+//! Compares the evenness of loads, the shards that the loss of one member moves, and the time and memory used.
 //! The well-known schemes ignore failure domains here; respecting them would only make their loads less even.
 //!
 //! Usage: `cargo run --release -p embershore-placement --example schemes`
--- a/crates/placement/src/base.rs
+++ b/crates/placement/src/base.rs
@@ -50,7 +50,7 @@
 /// Number of consecutive rows that one probe visits. At two replicas their seats total 64 bytes, as a cache line does.
 const ROWS_PER_PROBE: u32 = 8;
 
-/// An added seat may exceed its quota by the quota divided by this number, in rows whose owners share a zone.
+/// An added seat may exceed its quota by the quota / `EXTRA_QUOTA_DIVISOR`, in rows whose owners share a zone.
 const EXTRA_QUOTA_DIVISOR: u32 = 16;
 
 /// A search of the conflict rows ends after this number of consecutive rows that the seat can't improve.
--- a/crates/placement/src/conflicts.rs
+++ b/crates/placement/src/conflicts.rs
@@ -2,8 +2,9 @@
 
 use crate::domains::{RackId, ZoneId};
 use crate::list::MAX_REPLICAS;
-/// Number of spare seats of a shard's row, which replace lost owners. With two spares, a lost owner's shards stay in
-/// distinct zones, and the shards of a lost zone go to seats in proportion to the seats' quotas.
+/// Number of spare seats of a shard's row, which replace lost owners.
+/// With two spare seats, the owners of a shard are still in distinct zones after one owner is lost.
+/// The shards of a lost zone go to seats in proportion to the seats' quotas.
 pub(crate) const SPARES: usize = 2;
 
 /// Maximum number of seats in a table row. Shorter rows are filled up with [`EMPTY`].
@@ -49,7 +50,7 @@
 pub(crate) struct Domain(u32);
 
 impl Domain {
-    /// The domain of an empty position. No zone has this number, as there are fewer zones than seats.
+    /// The domain of an empty position. No zone has this zone number, as there are fewer zones than seats.
     pub(crate) const NONE: Self = Self(u32::MAX);
 
     pub(crate) fn new(zone: ZoneId, rack: RackId) -> Self {
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -11,7 +11,7 @@
 
 use heronroute::Micros;
 
-/// The hold on gained shards is longer by 1 / this number, because clocks advance at different rates.
+/// The hold on gained shards is longer by 1 / `CLOCK_DRIFT_DIVISOR`, because clocks advance at different rates.
 /// Two clocks that are each off by up to 500 parts per million differ by at most one thousandth.
 pub const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,5 +1,6 @@
-//! The section `[placement]` of the operator's options file. The section sets this member's name, the address
-//! at which this member accepts forwarded requests, the control agents that serve the member list, times and limits.
+//! The section `[placement]` of the operator's options file.
+//! The section sets this member's name and the address at which this member accepts forwarded requests.
+//! The section also sets the control agents (which serve the member list), times and limits.
 
 use embershore_finding::SpanFinding;
 use heronroute::Micros;
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -21,7 +21,7 @@
 //! A sender that becomes an owner in epoch `g` receives `g` at `t` or later.
 //! The sender puts the gained shards on hold for `agent_lag + lease + longest_deadline`.
 //! Therefore owners of a shard under two different epochs never act for the shard at the same time.
-//! The exception is a sender that owns the shard under both epochs: it needs no hold on that shard.
+//! The exception is a sender that owns the shard under both epochs: such a sender may need no hold.
 //! A sender may keep a shard without a hold only if it owned the shard *in each epoch* between the compared epochs:
 //!
 //! - A change to the next epoch: the sender compares the owners under both epochs.
@@ -315,8 +315,9 @@
         hold_ends.min().map_or(Admission::NotOwner, |hold_end| self.admission_under_lease(now, hold_end))
     }
 
-    /// Returns whether this sender needs the endpoints of a destination: it owns at least one shard of the destination,
-    /// or has lost a shard of the destination and may still be delivering messages of that shard.
+    /// Returns whether this sender needs the endpoints of a destination.
+    /// A sender that owns at least one shard of the destination needs the endpoints.
+    /// So does a sender that has lost a shard of the destination and may still be delivering the shard's messages.
     /// The caller itself must retain the destinations of messages restored from the journal.
     pub fn needs_destination(&self, dest: i64) -> bool {
         let Some(view) = &self.view else { return false };
--- a/crates/placement/src/region.rs
+++ b/crates/placement/src/region.rs
@@ -10,8 +10,9 @@
 /// Marks a missing owner where a region has fewer filled seats than replicas.
 const NO_SEAT: SeatId = SeatId(u16::MAX);
 
-/// Up to this number of filled seats, the next seat of a shard's fallback order is found by comparing the ranks of all
-/// filled seats; above it, by iterating over the ranks. Both methods take at most this number of steps on average.
+/// Maximum number of filled seats up to which the ranks of all filled seats are compared.
+/// The comparison finds the next seat of a shard's fallback order. With more filled seats, the ranks are iterated over.
+/// Comparing and iterating both take at most `MAX_SEATS_TO_COMPARE_RANKS` steps on average.
 const MAX_SEATS_TO_COMPARE_RANKS: usize = 256;
 
 /// The shards of a region and their owners.
