--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -308,7 +308,7 @@
     /// Replaces a stored debt and syncs it to disk. The receiver, class, reason and body must not change.
     ///
     /// # Errors
-    /// Returns an error when no debt has this number, or the disk fails. In both cases the store is unchanged.
+    /// Returns an error when no debt has the given debt number, or the disk fails. In both cases the store is unchanged.
     pub fn update(&self, id: DebtId, debt: &Debt, due: Option<Micros>) -> Result<(), StoreError> {
         let transaction = self.db.begin_write()?;
         let before = self.row(&transaction, id.0)?;
@@ -320,7 +320,7 @@
     /// Removes a debt from the store, with its index entries.
     ///
     /// # Errors
-    /// Returns an error when no debt has this number, or the disk fails. In both cases the store is unchanged.
+    /// Returns an error when no debt has the given debt number, or the disk fails. In both cases the store is unchanged.
     pub fn remove(&self, id: DebtId) -> Result<(), StoreError> {
         let transaction = self.db.begin_write()?;
         let StoredRow { row, length } = self.row(&transaction, id.0)?;
@@ -398,7 +398,7 @@
     /// Returns a debt, with its body if `with_body` is set.
     ///
     /// # Errors
-    /// Returns an error when no debt has this number, or the debt can't be read.
+    /// Returns an error when no debt has the given debt number, or the debt can't be read.
     pub fn get(&self, id: DebtId, with_body: bool) -> Result<Debt, StoreError> {
         let r = self.db.begin_read()?;
         let debts = r.open_table(DEBTS)?;
--- a/crates/placement/src/ownership.rs
+++ b/crates/placement/src/ownership.rs
@@ -21,7 +21,7 @@
 //! A sender that becomes an owner in epoch `g` receives `g` at `t` or later.
 //! The sender puts the gained shards on hold for `agent_lag + lease + longest_deadline`.
 //! Therefore owners of a shard under two different epochs never act for the shard at the same time.
-//! The exception is a sender that owns the shard under both epochs: such a sender may need no hold.
+//! A sender that owns a shard under both its previous and its next epoch may need no hold on the shard.
 //! A sender may keep a shard without a hold only if it owned the shard *in each epoch* between the compared epochs:
 //!
 //! - A change to the next epoch: the sender compares the owners under both epochs.
