--- a/crates/owed/src/pace.rs
+++ b/crates/owed/src/pace.rs
@@ -73,7 +73,7 @@
     /// A receiver whose last call failed, or that had no call, counts as healthy after `healthy_for` without calls.
     /// Otherwise, a receiver that gets no fresh messages would never get a resend.
     /// A resend to a receiver whose last call failed, or that had no call, restarts the wait of `healthy_for`.
-    /// The debts of such a receiver are therefore tried one by one and not all at once.
+    /// The debts of such a receiver are therefore tried one by one and not all simultaneously.
     pub fn is_healthy(&self, dest: i64, healthy_for: Micros, now: Micros) -> bool {
         match self.receivers.get(&dest) {
             Some(Receiver { healthy_since: Some(since), .. }) => now - since >= healthy_for,
@@ -86,7 +86,7 @@
     ///
     /// `fresh_pending` means that fresh messages for the receiver are pending, which are sent first.
     /// `others_due` means that debts to other receivers are due.
-    /// This receiver is then limited to its maximum fraction of the total resend rate.
+    /// If `others_due`, the receiver is limited to its maximum fraction of the total resend rate.
     pub fn try_take(&mut self, dest: i64, fresh_pending: bool, others_due: bool, now: Micros) -> bool {
         self.total.refill(now, self.rate);
         if fresh_pending || self.total.tokens < 1.0 {
--- a/crates/owed/src/rules.rs
+++ b/crates/owed/src/rules.rs
@@ -182,7 +182,7 @@
     /// The text is not TOML, or does not have the form of a section `[owed]`.
     #[error("{0}")]
     Unreadable(String),
-    /// The section `[owed]` has these errors.
+    /// The section `[owed]` of the options file is invalid; the value lists its errors.
     #[error("{}", .0.iter().map(|f| f.message.as_str()).collect::<Vec<_>>().join("; "))]
     Invalid(Vec<Finding>),
 }
@@ -202,7 +202,7 @@
         self.rules.iter().find(|r| r.matches(dest, class, reason))
     }
 
-    /// Returns the receivers named in any rule. For all receivers that no rule names, the same rules apply.
+    /// Returns the receivers named in any rule. All receivers that no rule names are subject to identical rules.
     pub fn named_receivers(&self) -> BTreeSet<i64> {
         self.rules.iter().filter_map(|r| r.receivers.as_ref()).flatten().copied().collect()
     }
--- a/crates/owed/src/store.rs
+++ b/crates/owed/src/store.rs
@@ -104,9 +104,9 @@
 /// The result of inserting a debt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Inserted {
-    /// The debt is new, and is stored under this number.
+    /// The debt is new, and is stored under the debt number in the value.
     New(DebtId),
-    /// The message was already owed under this number; the store has not changed.
+    /// The message was already stored as a debt, whose number is the value; the store has not changed.
     Existing(DebtId),
 }
 
@@ -264,7 +264,7 @@
     }
 
     /// Stores many debts in one transaction with one sync, and returns the result of each in the same order.
-    /// If the store has no room for one of the debts, the others are still stored.
+    /// If the store has no room for one of the debts, the remaining debts are still stored.
     ///
     /// # Errors
     /// Returns an error when the disk fails. In this case none of the debts is stored.
@@ -308,7 +308,7 @@
     /// Replaces a stored debt and syncs it to disk. The receiver, class, reason and body must not change.
     ///
     /// # Errors
-    /// Returns an error when no debt has this number, or the disk fails. In both cases the store is unchanged.
+    /// Returns an error when no debt has the given debt number, or the disk fails. In both cases the store is unchanged.
     pub fn update(&self, id: DebtId, debt: &Debt, due: Option<Micros>) -> Result<(), StoreError> {
         let transaction = self.db.begin_write()?;
         let before = self.row(&transaction, id.0)?;
@@ -320,7 +320,7 @@
     /// Removes a debt from the store, with its index entries.
     ///
     /// # Errors
-    /// Returns an error when no debt has this number, or the disk fails. In both cases the store is unchanged.
+    /// Returns an error when no debt has the given debt number, or the disk fails. In both cases the store is unchanged.
     pub fn remove(&self, id: DebtId) -> Result<(), StoreError> {
         let transaction = self.db.begin_write()?;
         let StoredRow { row, length } = self.row(&transaction, id.0)?;
@@ -345,8 +345,9 @@
         Ok(StoredRow { row: decode_row(number, bytes)?, length: bytes.len() as u64 })
     }
 
-    /// Replaces `before` by `after` in the count of live bytes. Only a new entry, whose `before` is 0, is checked
-    /// against the size limit, so that debts in a full store can still be updated and settled.
+    /// Replaces `before` by `after` in the count of live bytes.
+    /// Only a new entry, whose `before` is 0, is checked against the size limit of the store.
+    /// Debts in a full store can therefore still be updated and settled.
     fn book_bytes(&self, transaction: &WriteTransaction, before: u64, after: u64) -> Result<(), StoreError> {
         let mut meta = transaction.open_table(META)?;
         let live = meta.get("live")?.map_or(0, |n| n.value());
@@ -397,7 +398,7 @@
     /// Returns a debt, with its body if `with_body` is set.
     ///
     /// # Errors
-    /// Returns an error when no debt has this number, or the debt can't be read.
+    /// Returns an error when no debt has the given debt number, or the debt can't be read.
     pub fn get(&self, id: DebtId, with_body: bool) -> Result<Debt, StoreError> {
         let r = self.db.begin_read()?;
         let debts = r.open_table(DEBTS)?;
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,5 +1,6 @@
-//! The section `[placement]` of the operator's options file. The section sets this member's name, the address
-//! at which this member accepts forwarded requests, the control agents that serve the member list, times and limits.
+//! The section `[placement]` of the operator's options file.
+//! The section sets this member's name and the address at which this member accepts forwarded requests.
+//! The section also sets the control agents (which serve the member list), times and limits.
 
 use embershore_finding::SpanFinding;
 use heronroute::Micros;
@@ -22,7 +23,7 @@
 const POLLS_PER_LEASE: u32 = 4;
 /// Minimum time between polls. More frequent polls would cost more than everything else that an idle member does.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum lag of a control agent. A longer lag would keep gained shards on hold for longer than most outages last.
+/// Maximum delay of a control agent. A longer delay would keep gained shards on hold for longer than most outages last.
 const MAX_AGENT_LAG: Duration = Duration::from_secs(300);
 /// Allowed numbers of persistent connections to other members.
 /// Each connection uses a file descriptor that is then not available for connections to endpoints.
